--- /dev/null
+++ b/internal/settings/golden_test.go
@@ -0,0 +1,169 @@
+package settings
+
+// The files in testdata hold settings as the platform writes them: the package only reads them. The code at commit
+// 0cdd5b2 writes settings.json from its type byte for byte, and reads both files as expected here. A test that fails
+// after a rename tells that the format has changed. Never change these files to follow a rename: mend the tag.
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"robincart/decide"
+)
+
+// golden reads a file of testdata.
+func golden(t *testing.T, name string) string {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join("testdata", name))
+	require.NoError(t, err)
+	return string(content)
+}
+
+// fullNode returns what settings.json says.
+func fullNode() *Node {
+	return &Node{
+		Settings: decide.Settings{
+			Methods: []decide.Method{
+				{LatencyTarget: 1.002, Deadline: 1.003, Utility: 6, LateUtility: 0.04, Repeat: decide.Deduplicated,
+					Scope: decide.ScopeZone, Window: 1.005},
+				{LatencyTarget: 1.008, Deadline: 1.009, Utility: 12, LateUtility: 0.1, Repeat: decide.NonIdempotent,
+					Scope: decide.ScopeCell, Window: 1.011},
+			},
+			Tenants: []decide.Tenant{{Quota: 25}, {Quota: 27}},
+			Zone:    1, Stage: 2, Instances: 30, MaxPicks: 13, MayCancel: true, SecondCopies: true,
+			MaxRetryAfter: 1.015, OverShare: 0.31, CrossZone: 0.18, MustWatch: true, MustAskIn: 1.023,
+			ColdFrom: 0.19, ColdFor: 1.02, FallMultiple: 21, FallFor: 1.022,
+		},
+		MethodNames:  []string{"class-1", "class-7"},
+		TenantNames:  []string{"tenant-24", "tenant-26"},
+		ZoneNames:    []string{"zone-28", "zone-29"},
+		ReportFields: []string{"concurrent", "depth"}, Reports: true, Hints: true,
+		ConnectTimeout: 1016 * time.Millisecond, ServerIdle: 1017 * time.Millisecond, MaxOpen: 14,
+	}
+}
+
+func TestGolden_EverySettingIsRead(t *testing.T) {
+	got, err := Parse([]byte(golden(t, "settings.json")))
+	require.NoError(t, err)
+	assert.Equal(t, fullNode(), got)
+}
+
+func TestGolden_SettingsLeftOutAreZero(t *testing.T) {
+	got, err := Parse([]byte(golden(t, "settings_required.json")))
+	require.NoError(t, err)
+	assert.Equal(t, &Node{
+		Settings: decide.Settings{
+			Methods:   []decide.Method{{LatencyTarget: 0.002, Deadline: 0.003, Repeat: decide.Idempotent}},
+			Instances: 1, MaxPicks: 1,
+		},
+		MethodNames: []string{""},
+	}, got)
+}
+
+// Switches and words have few values, so that two of them could be mixed up without a difference in settings.json: each
+// is changed alone here.
+func TestGolden_EachSwitchAndWordIsItsOwn(t *testing.T) {
+	for _, test := range []struct {
+		text, instead string
+		change        func(*Node)
+	}{
+		{`"MayCancel": true`, `"MayCancel": false`, func(n *Node) { n.MayCancel = false }},
+		{`"RetryAfter": true`, `"RetryAfter": false`, func(n *Node) { n.MaxRetryAfter = 0 }},
+		{`"SecondCopies": true`, `"SecondCopies": false`, func(n *Node) { n.SecondCopies = false }},
+		{`"Hints": true`, `"Hints": false`, func(n *Node) { n.Hints = false }},
+		{`"RegistryMode": "subscribe"`, `"RegistryMode": "automatic"`, func(n *Node) { n.MustWatch = false }},
+		{`"How": "piggyback"`, `"How": "pull"`, func(n *Node) { n.Reports = false }},
+		{`"How": "piggyback"`, `"How": "silent"`, func(n *Node) { n.Reports = false }},
+		{`"How": "piggyback"`, `"How": ""`, func(n *Node) { n.Reports = false }},
+		{`"Repeat": "once"`, `"Repeat": "repeatable"`, func(n *Node) { n.Methods[1].Repeat = decide.Idempotent }},
+		{`"Repeat": "once"`, `"Repeat": "by_key"`, func(n *Node) { n.Methods[1].Repeat = decide.Deduplicated }},
+		{`"DedupScope": "cell"`, `"DedupScope": "all"`, func(n *Node) { n.Methods[1].Scope = decide.ScopeAll }},
+		{`"DedupScope": "cell"`, `"DedupScope": ""`, func(n *Node) { n.Methods[1].Scope = decide.ScopeAll }},
+	} {
+		t.Run(test.instead, func(t *testing.T) {
+			whole := golden(t, "settings.json")
+			require.Equal(t, 1, strings.Count(whole, test.text))
+			got, err := Parse([]byte(strings.Replace(whole, test.text, test.instead, 1)))
+			require.NoError(t, err)
+			want := fullNode()
+			test.change(want)
+			assert.Equal(t, want, got)
+		})
+	}
+}
+
+// Other programs write the object, and hold its names as text. Written from its type it has to have exactly the names
+// of the golden file, letter for letter: decoding alone takes "aimms" for "AimMs".
+func TestGolden_TheObjectHasExactlyTheseNames(t *testing.T) {
+	whole := golden(t, "settings.json")
+	settings := &object{}
+	decoder := json.NewDecoder(strings.NewReader(whole))
+	decoder.DisallowUnknownFields()
+	require.NoError(t, decoder.Decode(settings))
+	var written bytes.Buffer
+	encoder := json.NewEncoder(&written)
+	encoder.SetIndent("", "  ")
+	require.NoError(t, encoder.Encode(settings))
+	assert.Equal(t, whole, written.String())
+}
+
+// keyPaths are all settings of settings.json that a class, a tenant or the whole can lack.
+var keyPaths = []string{
+	"Classes", "Classes[0].Name", "Classes[0].AimMs", "Classes[0].DeadlineMs", "Classes[0].LateWorth",
+	"Classes[0].WindowMs", "Classes[0].Credit", "Classes[0].Repeat", "Classes[0].DedupScope",
+	"RegistryMode", "Limits", "Limits.MaxAttempts", "Limits.MaxOpen", "Limits.MaxRetryAfterMs",
+	"Limits.ConnectTimeoutMs", "Limits.ConnIdleMs", "Limits.MayCancel", "Limits.RetryAfter", "Limits.SecondCopies",
+	"Deductions", "Deductions.CrossZone", "Report", "Report.How", "Report.Fields",
+	"Rules", "Rules.ColdFrom", "Rules.ColdMs", "Rules.FallMultiple", "Rules.FallMs", "Rules.MustAskInMs",
+	"Tenants", "Tenants[0].Name", "Tenants[0].QuotaPerS",
+	"Zones", "Instances", "Hints", "MyZone", "Stage", "OverShareWorth",
+}
+
+// without returns settings that lack one key.
+func without(t *testing.T, text, path string) []byte {
+	t.Helper()
+	var whole map[string]any
+	require.NoError(t, json.Unmarshal([]byte(text), &whole))
+	at := whole
+	steps := strings.Split(path, ".")
+	for _, step := range steps[:len(steps)-1] {
+		if name, isFirst := strings.CutSuffix(step, "[0]"); isFirst {
+			at = at[name].([]any)[0].(map[string]any)
+		} else {
+			at = at[step].(map[string]any)
+		}
+	}
+	key := steps[len(steps)-1]
+	require.Contains(t, at, key)
+	delete(at, key)
+	out, err := json.Marshal(whole)
+	require.NoError(t, err)
+	return out
+}
+
+func TestGolden_WholeNamesTheMissingKey(t *testing.T) {
+	whole := golden(t, "settings.json")
+	require.NoError(t, Whole([]byte(whole), []byte(whole)))
+	for _, path := range keyPaths {
+		t.Run(path, func(t *testing.T) {
+			assert.EqualError(t, Whole([]byte(whole), without(t, whole, path)), path+" is missing")
+		})
+	}
+}
+
+// The keys of deduplication may leave with it.
+func TestGolden_WholeLetsDeduplicationGo(t *testing.T) {
+	whole := golden(t, "settings.json")
+	once := strings.Replace(whole, `"Repeat": "by_key"`, `"Repeat": "once"`, 1)
+	for _, key := range []string{"WindowMs", "DedupScope"} {
+		assert.NoError(t, Whole([]byte(whole), without(t, once, "Classes[0]."+key)), key)
+	}
+}
