--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -72,8 +72,8 @@
 
 // Word is one call of an operator.
 type Word struct {
-	Call   string
-	Server string `json:",omitempty"`
+	Call   string `json:"Call"`
+	Server string `json:"Server,omitempty"`
 }
 
 // Peer is what an end does with what comes. The methods are called one at a time.
