--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -125,12 +125,14 @@
 
 // Entry is one line of the server list.
 type Entry struct {
-	ID, Addr   string
-	State      decide.State
-	Zone, Cell int
-	Weight     float64
-	Started    time.Time // zero: long ago
-	Listed     int64     // the list's revision that told so; 0: not known
+	ID      string       `json:"ID"`
+	Addr    string       `json:"Addr"`
+	State   decide.State `json:"State"`
+	Zone    int          `json:"Zone"`
+	Cell    int          `json:"Cell"`
+	Weight  float64      `json:"Weight"`
+	Started time.Time    `json:"Started"` // zero: long ago
+	Listed  int64        `json:"Listed"`  // the list's revision that told so; 0: not known
 }
 
 // grain is the step of the core's timers.
