--- a/cmd/robincart/succeed.go
+++ b/cmd/robincart/succeed.go
@@ -69,15 +69,15 @@
 
 // known is what a process hands to its successor.
 type known struct {
-	Form    int // of this; what another version wrote is not believed
-	Said    said
-	Unread  bool // what was said before that process could not be read by it yet
-	Servers []node.Entry
-	Listed  []string
-	Held    int    // descriptors
-	Seed    uint64 // that ids of requests are known under
+	Form    int          `json:"Form"` // of this; what another version wrote is not believed
+	Said    said         `json:"Said"`
+	Unread  bool         `json:"Unread"` // what was said before that process could not be read by it yet
+	Servers []node.Entry `json:"Servers"`
+	Listed  []string     `json:"Listed"`
+	Held    int          `json:"Held"` // descriptors
+	Seed    uint64       `json:"Seed"` // that ids of requests are known under
 	// ListTime is what the list's clock shows, as far as it is known; zero: not told.
-	ListTime time.Time
+	ListTime time.Time `json:"ListTime"`
 }
 
 // form is the number of known's form. Whoever changes what a field means counts it up.
