--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -31,32 +31,50 @@
 
 type object struct {
 	Classes []struct {
-		Name                                           string
-		AimMs, DeadlineMs, LateWorth, WindowMs, Credit float64
-		Repeat, DedupScope                             string
-	}
-	RegistryMode string
+		Name       string  `json:"Name"`
+		AimMs      float64 `json:"AimMs"`
+		DeadlineMs float64 `json:"DeadlineMs"`
+		LateWorth  float64 `json:"LateWorth"`
+		WindowMs   float64 `json:"WindowMs"`
+		Credit     float64 `json:"Credit"`
+		Repeat     string  `json:"Repeat"`
+		DedupScope string  `json:"DedupScope"`
+	} `json:"Classes"`
+	RegistryMode string `json:"RegistryMode"`
 	Limits       struct {
-		MaxAttempts                                   *int
-		MaxOpen                                       int
-		MaxRetryAfterMs, ConnectTimeoutMs, ConnIdleMs float64
-		MayCancel, RetryAfter, SecondCopies           bool
-	}
-	Deductions struct{ CrossZone float64 }
-	Report     struct {
-		How    string
-		Fields []string
-	}
-	Rules   struct{ ColdFrom, ColdMs, FallMultiple, FallMs, MustAskInMs float64 }
+		MaxAttempts      *int    `json:"MaxAttempts"`
+		MaxOpen          int     `json:"MaxOpen"`
+		MaxRetryAfterMs  float64 `json:"MaxRetryAfterMs"`
+		ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
+		ConnIdleMs       float64 `json:"ConnIdleMs"`
+		MayCancel        bool    `json:"MayCancel"`
+		RetryAfter       bool    `json:"RetryAfter"`
+		SecondCopies     bool    `json:"SecondCopies"`
+	} `json:"Limits"`
+	Deductions struct {
+		CrossZone float64 `json:"CrossZone"`
+	} `json:"Deductions"`
+	Report struct {
+		How    string   `json:"How"`
+		Fields []string `json:"Fields"`
+	} `json:"Report"`
+	Rules struct {
+		ColdFrom     float64 `json:"ColdFrom"`
+		ColdMs       float64 `json:"ColdMs"`
+		FallMultiple float64 `json:"FallMultiple"`
+		FallMs       float64 `json:"FallMs"`
+		MustAskInMs  float64 `json:"MustAskInMs"`
+	} `json:"Rules"`
 	Tenants []struct {
-		Name      string
-		QuotaPerS float64
-	}
-	Zones          []string
-	Instances      int
-	Hints          bool
-	MyZone, Stage  int
-	OverShareWorth float64
+		Name      string  `json:"Name"`
+		QuotaPerS float64 `json:"QuotaPerS"`
+	} `json:"Tenants"`
+	Zones          []string `json:"Zones"`
+	Instances      int      `json:"Instances"`
+	Hints          bool     `json:"Hints"`
+	MyZone         int      `json:"MyZone"`
+	Stage          int      `json:"Stage"`
+	OverShareWorth float64  `json:"OverShareWorth"`
 }
 
 var repeats = map[string]decide.Repeat{
