--- /dev/null
+++ b/internal/lab/judge/golden_test.go
@@ -0,0 +1,49 @@
+package judge
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"robincart/internal/lab/labtest"
+)
+
+// The golden files were written by the text at 0cdd5b2; a run's result.json holds these forms and names. They must
+// never be written anew to follow a rename.
+
+// verdictForms are the parts of a verdict that a result keeps as they are.
+type verdictForms struct {
+	Breach Breach `json:"breach"`
+	Part   Part   `json:"part"`
+}
+
+func TestVerdict_Golden(t *testing.T) {
+	want := verdictForms{
+		Breach: Breach{Count: 101, Examples: []string{"case 102", "case 103"}},
+		Part:   Part{Name: "part-201", Calls: 202, InTime: 203, OK: 204, Asked: 205.5, Earned: 206.25},
+	}
+	labtest.RequireEveryFieldSet(t, "json", want)
+	var read verdictForms
+	require.NoError(t, json.Unmarshal(labtest.ReadGolden(t, "verdict.json"), &read))
+	assert.Equal(t, want, read)
+	written, err := json.MarshalIndent(read, "", " ")
+	require.NoError(t, err)
+	labtest.RequireGolden(t, "verdict.json", written)
+}
+
+func TestVerdict_ExplicitNames(t *testing.T) { labtest.RequireExplicitNames(t, "json", verdictForms{}) }
+
+// Results have rules and ends by these names.
+func TestVerdict_GoldenNames(t *testing.T) {
+	var lines []string
+	for _, rule := range RuleNames {
+		lines = append(lines, "rule: "+rule)
+	}
+	for end := OK; int(end) < len(endNames); end++ {
+		lines = append(lines, "end: "+end.String())
+	}
+	labtest.RequireGolden(t, "names.txt", []byte(strings.Join(lines, "\n")+"\n"))
+}
