--- /dev/null
+++ b/cmd/robinlab/golden_test.go
@@ -0,0 +1,22 @@
+package main
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"robincart/internal/lab/labtest"
+)
+
+// The golden file was printed by the text at 0cdd5b2 for the run package's golden result. It must never be printed
+// anew to follow a rename: scripts read it. What fleet --json prints is pinned in internal/lab/fleet.
+func TestReport_GoldenJSON(t *testing.T) {
+	const kept = "../../internal/lab/run/testdata/result.json"
+	var out bytes.Buffer
+	c := root()
+	c.SetOut(&out)
+	c.SetArgs([]string{"report", "--json", kept, kept})
+	require.NoError(t, c.Execute())
+	labtest.RequireGolden(t, "report.json", out.Bytes())
+}
--- /dev/null
+++ b/internal/lab/chaos/golden_test.go
@@ -0,0 +1,85 @@
+package chaos
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"robincart/internal/lab/apiserver"
+	"robincart/internal/lab/judge"
+	"robincart/internal/lab/labtest"
+	"robincart/internal/lab/standin"
+	"robincart/internal/operator"
+	"robincart/internal/recordcache"
+)
+
+// The golden files hold the forms of the text at 0cdd5b2: status.json was written by hand and read by it, the others
+// were written by it. They must never be changed or written anew to follow a rename: programs of other versions read
+// and write them.
+
+// What a node's status page says, as Record reads it.
+func TestRead_GoldenStatus(t *testing.T) {
+	page := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == "/record" {
+			w.Write(labtest.ReadGolden(t, "status.json"))
+		}
+	}))
+	defer page.Close()
+	status, err := (&one{status: strings.TrimPrefix(page.URL, "http://")}).read()
+	require.NoError(t, err)
+	assert.Equal(t, recordcache.Status{
+		Store:     "sqlite:/golden/record.db",
+		Standing:  "follows",
+		Fault:     "fault-101",
+		Epoch:     "epoch-102",
+		Revision:  103,
+		HeardAgo:  104.5,
+		Waiting:   105,
+		Dropped:   106,
+		Written:   107,
+		SavedAgo:  108.5,
+		Facts:     109,
+		Drained:   []recordcache.Drain{{Server: "s/s1", Why: "why-110"}, {Server: "s/s2", Why: "why-111"}},
+		Required:  true,
+		AgeLimit:  "1h0m0s",
+		QueueMost: 112,
+	}, status)
+	labtest.RequireEveryFieldSet(t, "json", status)
+}
+
+// The file of a node whose record is kept. The program ends at once, and its file is what is looked at.
+func TestAddNode_GoldenOperatorFile(t *testing.T) {
+	r := &Record{Program: "/bin/false", Nodes: 2, dir: t.TempDir(), addr: "sqlite:/golden/record.db",
+		disc: standin.NewDiscovery(&judge.Log{}, time.Now())}
+	t.Cleanup(r.disc.Stop)
+	require.ErrorContains(t, r.addNode(context.Background(), 0), "ended at its start")
+	n := r.nodes[0]
+	config, err := operator.Parse([]byte(n.Text), 0)
+	require.NoError(t, err)
+	discovery := config.Service[0].Discovery
+	names := strings.NewReplacer(n.Addr, "NODE", n.status, "STATUS", discovery, "DISCOVERY", r.dir, "DIR")
+	labtest.RequireGolden(t, "node.toml", []byte(names.Replace(n.Text)))
+}
+
+// The file of a controller's replica.
+func TestNewReplica_GoldenFile(t *testing.T) {
+	api, err := apiserver.Start("127.0.0.1:0", nil)
+	require.NoError(t, err)
+	defer api.Stop()
+	r := &Controller{dir: t.TempDir(), api: api}
+	x, err := r.newReplica(1, "[keys]\ncert = \"/golden/controller.pem\"\n")
+	require.NoError(t, err)
+	assert.Equal(t, filepath.Join(r.dir, "c1.toml"), x.file)
+	text, err := os.ReadFile(x.file)
+	require.NoError(t, err)
+	replaced := strings.NewReplacer(x.list, "LIST", x.status, "STATUS", api.Addr(), "API").Replace(string(text))
+	labtest.RequireGolden(t, "replica.toml", []byte(replaced))
+}
