--- a/cmd/robincart-controller/main.go
+++ b/cmd/robincart-controller/main.go
@@ -20,12 +20,12 @@
 	"k8s.io/client-go/tools/clientcmd"
 	"k8s.io/klog/v2"
 
-	"robincart/internal/controller"
-	"robincart/internal/fanout"
-	"robincart/internal/keys"
-	"robincart/internal/membership"
-	"robincart/internal/store/sqlstore"
-	"robincart/internal/tomlfile"
+	"robincart/internal/controlplane/controller"
+	"robincart/internal/controlplane/fanout"
+	"robincart/internal/controlplane/membership"
+	"robincart/internal/record/store/sqlstore"
+	"robincart/internal/system/keys"
+	"robincart/internal/system/tomlfile"
 )
 
 // file is the operator's, as it is written.
--- a/cmd/robincart-record/record.go
+++ b/cmd/robincart-record/record.go
@@ -21,11 +21,11 @@
 
 	"github.com/spf13/cobra"
 
-	"robincart/internal/record"
-	"robincart/internal/recordcache"
-	"robincart/internal/store"
-	"robincart/internal/store/sqlstore"
-	"robincart/internal/tomlfile"
+	"robincart/internal/controlplane/recordcache"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/record/store/sqlstore"
+	"robincart/internal/system/tomlfile"
 )
 
 // recordCommand is for people who look after the record.
--- a/cmd/robincart/config.go
+++ b/cmd/robincart/config.go
@@ -15,9 +15,9 @@
 	"go.uber.org/zap"
 
 	"robincart/internal/admin"
-	"robincart/internal/limits"
-	"robincart/internal/registry"
-	"robincart/internal/settings"
+	"robincart/internal/controlplane/registry"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
 )
 
 // config is what a node is told at its start.
--- a/cmd/robincart/fastcgi_test.go
+++ b/cmd/robincart/fastcgi_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"robincart/internal/fcgi"
 	"robincart/internal/lab/standin"
+	"robincart/internal/protocol/fcgi"
 )
 
 const fastcgiService = `
--- a/cmd/robincart/files.go
+++ b/cmd/robincart/files.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"robincart/internal/socket"
+	"robincart/internal/system/socket"
 )
 
 // files is how many descriptors this process may have beside those that it was started with, which nobody closes: a limit of the
--- a/cmd/robincart/gateway_test.go
+++ b/cmd/robincart/gateway_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"robincart/internal/fcgi"
 	"robincart/internal/lab/standin"
 	"robincart/internal/lab/wire"
+	"robincart/internal/protocol/fcgi"
 )
 
 // gateway speaks FastCGI to a node, a record at a time.
--- a/cmd/robincart/golden_test.go
+++ b/cmd/robincart/golden_test.go
@@ -23,10 +23,10 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
+	"robincart/internal/core/node"
 	"robincart/internal/handover"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/settings"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
 )
 
 // golden reads a file of testdata.
--- a/cmd/robincart/main.go
+++ b/cmd/robincart/main.go
@@ -16,14 +16,14 @@
 
 	"go.uber.org/zap"
 
-	"robincart/internal/frontend"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/poller"
-	"robincart/internal/registry"
-	"robincart/internal/socket"
-	"robincart/internal/telemetry"
-	"robincart/internal/upstream"
+	"robincart/internal/controlplane/registry"
+	"robincart/internal/core/node"
+	"robincart/internal/dataplane/frontend"
+	"robincart/internal/dataplane/upstream"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
 )
 
 func main() {
--- a/cmd/robincart/operate.go
+++ b/cmd/robincart/operate.go
@@ -10,10 +10,10 @@
 	"go.uber.org/zap"
 
 	"robincart/internal/admin"
-	"robincart/internal/frontend"
+	"robincart/internal/core/node"
+	"robincart/internal/dataplane/frontend"
 	"robincart/internal/handover"
-	"robincart/internal/node"
-	"robincart/internal/socket"
+	"robincart/internal/system/socket"
 )
 
 // operations are what the operators' address acts on.
--- a/cmd/robincart/operatorstate.go
+++ b/cmd/robincart/operatorstate.go
@@ -10,8 +10,8 @@
 
 	"go.uber.org/zap"
 
+	"robincart/internal/core/node"
 	"robincart/internal/handover"
-	"robincart/internal/node"
 )
 
 // Times of the operators' file. A caller of the operators' address waits a second: what is not kept by then is refused.
--- a/cmd/robincart/operatorstate_test.go
+++ b/cmd/robincart/operatorstate_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
+	"robincart/internal/core/node"
 	"robincart/internal/handover"
-	"robincart/internal/node"
 )
 
 // A folder that is not there stands for one that fails.
--- a/cmd/robincart/record.go
+++ b/cmd/robincart/record.go
@@ -17,12 +17,12 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"robincart/internal/keys"
-	"robincart/internal/operator"
-	"robincart/internal/record"
-	"robincart/internal/recordcache"
-	"robincart/internal/socket"
-	"robincart/internal/store"
+	"robincart/internal/config/operator"
+	"robincart/internal/controlplane/recordcache"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/system/keys"
+	"robincart/internal/system/socket"
 )
 
 // recordProgram has the databases' drivers, which would cost every node 4 MB. It is found beside this program.
--- a/cmd/robincart/services.go
+++ b/cmd/robincart/services.go
@@ -13,17 +13,17 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"robincart/internal/frontend"
-	"robincart/internal/httpwire"
-	"robincart/internal/keys"
-	"robincart/internal/limits"
-	"robincart/internal/operator"
-	"robincart/internal/poller"
-	"robincart/internal/pools"
-	"robincart/internal/routes"
-	"robincart/internal/shares"
-	"robincart/internal/socket"
-	"robincart/internal/telemetry"
+	"robincart/internal/config/operator"
+	"robincart/internal/core/routes"
+	"robincart/internal/dataplane/frontend"
+	"robincart/internal/dataplane/pools"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/resources/limits"
+	"robincart/internal/resources/shares"
+	"robincart/internal/system/keys"
+	"robincart/internal/system/poller"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
 )
 
 // root is the command line, for people.
--- a/cmd/robincart/services_test.go
+++ b/cmd/robincart/services_test.go
@@ -23,13 +23,13 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
+	"robincart/internal/controlplane/recordcache"
+	"robincart/internal/controlplane/relay"
 	"robincart/internal/lab/chaos"
 	"robincart/internal/lab/standin"
-	"robincart/internal/record"
-	"robincart/internal/recordcache"
-	"robincart/internal/relay"
-	"robincart/internal/store"
-	"robincart/internal/store/sqlstore"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/record/store/sqlstore"
 )
 
 const oneService = `
--- a/cmd/robincart/succeed.go
+++ b/cmd/robincart/succeed.go
@@ -14,12 +14,12 @@
 
 	"go.uber.org/zap"
 
-	"robincart/internal/frontend"
+	"robincart/internal/core/node"
+	"robincart/internal/dataplane/frontend"
+	"robincart/internal/dataplane/upstream"
 	"robincart/internal/handover"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/socket"
-	"robincart/internal/upstream"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/socket"
 )
 
 // door is the callers' listener. One that the platform holds can be let go of and taken up again.
--- a/cmd/robincart/tune.go
+++ b/cmd/robincart/tune.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"robincart/internal/node"
-	"robincart/internal/settings"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/settings"
 )
 
 // tuning puts settings in force one after another. Callers hear of them later than the node does, so those that were in force
--- a/cmd/robincart/tune_test.go
+++ b/cmd/robincart/tune_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/decide"
-	"robincart/internal/node"
-	"robincart/internal/settings"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/settings"
 )
 
 // Settings change again before callers have heard of the last change: what any of them may still send is repeated as none of them
--- a/cmd/robinlab/apiserver.go
+++ b/cmd/robinlab/apiserver.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"robincart/internal/controller"
+	"robincart/internal/controlplane/controller"
 	"robincart/internal/lab/apiserver"
 )
 
--- a/decide/host.go
+++ b/decide/host.go
@@ -1,5 +1,5 @@
 // Package decide holds all decisions of a node, and nothing else: which server, whether again, what to turn away. Whoever carries RPCs (in the
-// simulator internal/simwire, on sockets internal/node) makes one Balancer an instance with New and calls one method for each thing that
+// simulator internal/simwire, on sockets internal/core/node) makes one Balancer an instance with New and calls one method for each thing that
 // happens; the Balancer acts at once through the Host that New was handed. Nothing here knows a clock, a socket or an id.
 //
 // This file is that interface. requests.go is the life of a request, and the place to start; each other file answers one question, which
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -14,8 +14,8 @@
 
 	"go.uber.org/zap"
 
-	"robincart/internal/httpwire"
-	"robincart/internal/socket"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/system/socket"
 )
 
 // The calls.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -19,7 +19,7 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"robincart/internal/httpwire"
+	"robincart/internal/protocol/httpwire"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -16,14 +16,14 @@
 
 	"robincart/decide"
 	"robincart/internal/admin"
-	"robincart/internal/fcgi"
-	"robincart/internal/keys"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/routes"
-	"robincart/internal/settings"
-	"robincart/internal/shares"
-	"robincart/internal/tomlfile"
+	"robincart/internal/core/node"
+	"robincart/internal/core/routes"
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
+	"robincart/internal/resources/shares"
+	"robincart/internal/system/keys"
+	"robincart/internal/system/tomlfile"
 )
 
 // Duration is a time as Go writes it: "250ms".
--- a/internal/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"robincart/internal/shares"
+	"robincart/internal/resources/shares"
 )
 
 func example(t testing.TB) []byte {
-	text, err := os.ReadFile("../../deploy/services.toml")
+	text, err := os.ReadFile("../../../deploy/services.toml")
 	require.NoError(t, err)
 	return text
 }
--- a/internal/operator/record.go
+++ b/internal/config/operator/record.go
@@ -8,9 +8,9 @@
 	"slices"
 	"strings"
 
-	"robincart/internal/record"
-	"robincart/internal/store"
-	"robincart/internal/tomlfile"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/system/tomlfile"
 )
 
 func (r *Record) same(o *Record) bool {
--- a/internal/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -35,11 +35,11 @@
 	"k8s.io/client-go/tools/leaderelection"
 	"k8s.io/client-go/tools/leaderelection/resourcelock"
 
-	"robincart/internal/fanout"
-	"robincart/internal/keys"
-	"robincart/internal/membership"
-	"robincart/internal/relay"
-	"robincart/internal/store"
+	"robincart/internal/controlplane/fanout"
+	"robincart/internal/controlplane/membership"
+	"robincart/internal/controlplane/relay"
+	"robincart/internal/record/store"
+	"robincart/internal/system/keys"
 )
 
 // Gate is the condition type of the readiness gate that paces cold starts: a Pod that names it in spec.readinessGates is ready
--- a/internal/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -19,10 +19,10 @@
 	"go.uber.org/zap"
 	"k8s.io/client-go/rest"
 
-	"robincart/internal/fanout"
+	"robincart/internal/controlplane/fanout"
+	"robincart/internal/controlplane/membership"
 	"robincart/internal/lab/apiserver"
-	"robincart/internal/membership"
-	"robincart/internal/store/sqlstore"
+	"robincart/internal/record/store/sqlstore"
 )
 
 // story is a stand-in API, met by the real client library, and a replica of the controller.
--- a/internal/controller/settingobjects.go
+++ b/internal/controlplane/controller/settingobjects.go
@@ -20,10 +20,10 @@
 	"k8s.io/client-go/dynamic"
 	"k8s.io/client-go/tools/cache"
 
-	"robincart/internal/desiredstate"
-	"robincart/internal/fanout"
-	"robincart/internal/record"
-	"robincart/internal/store"
+	"robincart/internal/controlplane/desiredstate"
+	"robincart/internal/controlplane/fanout"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
 )
 
 // settings is the custom resource that wishes stand in: deploy/kubernetes/settings.yaml.
--- a/internal/controller/settingobjects_test.go
+++ b/internal/controlplane/controller/settingobjects_test.go
@@ -14,12 +14,12 @@
 	"go.uber.org/zap"
 	"k8s.io/client-go/rest"
 
-	"robincart/internal/fanout"
+	"robincart/internal/controlplane/fanout"
+	"robincart/internal/controlplane/membership"
 	"robincart/internal/lab/apiserver"
-	"robincart/internal/membership"
-	"robincart/internal/record"
-	"robincart/internal/store"
-	"robincart/internal/store/sqlstore"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/record/store/sqlstore"
 )
 
 // What the API's settings wish for stands in the record, each is told how it stands, and what has left is taken out again.
--- a/internal/desiredstate/desiredstate.go
+++ b/internal/controlplane/desiredstate/desiredstate.go
@@ -10,8 +10,8 @@
 	"fmt"
 	"slices"
 
-	"robincart/internal/operator"
-	"robincart/internal/record"
+	"robincart/internal/config/operator"
+	"robincart/internal/record/record"
 )
 
 // By is who writes these facts. Facts by anybody else are not touched.
--- a/internal/desiredstate/desiredstate_test.go
+++ b/internal/controlplane/desiredstate/desiredstate_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"robincart/internal/record"
+	"robincart/internal/record/record"
 )
 
 const service = "[[service]]\nname = \"s\"\nservers = [\"127.0.0.1:1\"]\n"
--- a/internal/recordcache/fleet_test.go
+++ b/internal/controlplane/recordcache/fleet_test.go
@@ -21,13 +21,13 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
+	"robincart/internal/controlplane/relay"
+	"robincart/internal/core/node"
 	"robincart/internal/lab/pgstand"
 	"robincart/internal/lab/traffic"
-	"robincart/internal/node"
-	"robincart/internal/record"
-	"robincart/internal/relay"
-	"robincart/internal/store"
-	"robincart/internal/store/sqlstore"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/record/store/sqlstore"
 )
 
 // TestMain serves the stand-in of the store, or three replicas' relays, where a measurement has started this binary for that: their CPU is to be told by
--- a/internal/recordcache/recordcache.go
+++ b/internal/controlplane/recordcache/recordcache.go
@@ -17,11 +17,11 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/httpwire"
-	"robincart/internal/node"
-	"robincart/internal/record"
-	"robincart/internal/registry"
-	"robincart/internal/store"
+	"robincart/internal/controlplane/registry"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
 )
 
 // Config is what an operator says of the record.
--- a/internal/recordcache/recordcache_test.go
+++ b/internal/controlplane/recordcache/recordcache_test.go
@@ -19,11 +19,11 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
+	"robincart/internal/core/node"
 	"robincart/internal/lab/pgstand"
-	"robincart/internal/node"
-	"robincart/internal/record"
-	"robincart/internal/store"
-	"robincart/internal/store/sqlstore"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/record/store/sqlstore"
 )
 
 // Each cut of a snapshot's writing, and each altered byte: what is read is the old one, the new one, or nothing.
--- a/internal/recordcache/snapshot.go
+++ b/internal/controlplane/recordcache/snapshot.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"time"
 
-	"robincart/internal/record"
-	"robincart/internal/statefile"
+	"robincart/internal/record/record"
+	"robincart/internal/system/statefile"
 )
 
 // form is a snapshot's first line: what it is, its version, the length and the checksum of the rest.
--- a/internal/registry/call.go
+++ b/internal/controlplane/registry/call.go
@@ -9,8 +9,8 @@
 
 	"go.uber.org/zap"
 
-	"robincart/internal/httpwire"
-	"robincart/internal/socket"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/system/socket"
 )
 
 // call is one call, and the watch that it becomes.
--- a/internal/registry/crowd_test.go
+++ b/internal/controlplane/registry/crowd_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"robincart/internal/limits"
+	"robincart/internal/resources/limits"
 )
 
 func crowd(n int, entry func(i int) string) []byte {
--- a/internal/registry/delivery_test.go
+++ b/internal/controlplane/registry/delivery_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"robincart/internal/node"
-	"robincart/internal/settings"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/settings"
 )
 
 // idleClock is a clock that stands.
--- a/internal/registry/errors.go
+++ b/internal/controlplane/registry/errors.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 	"fmt"
-	"robincart/internal/socket"
+	"robincart/internal/system/socket"
 )
 
 // RefusedError is a call for the server list that discovery answered with something else than a list.
--- a/internal/registry/list.go
+++ b/internal/controlplane/registry/list.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/node"
+	"robincart/internal/core/node"
 )
 
 // List is one message of discovery: the whole list, or the entries that changed.
--- a/internal/registry/moves_test.go
+++ b/internal/controlplane/registry/moves_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/settings"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
 	"robincart/internal/testutil"
 )
 
--- a/internal/registry/pause.go
+++ b/internal/controlplane/registry/pause.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"robincart/internal/limits"
+	"robincart/internal/resources/limits"
 )
 
 // queueTime is how long a call may wait at a discovery that works.
--- a/internal/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -18,9 +18,9 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/httpwire"
-	"robincart/internal/limits"
-	"robincart/internal/node"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/resources/limits"
 	"robincart/internal/testutil"
 )
 
--- a/internal/registry/told_test.go
+++ b/internal/controlplane/registry/told_test.go
@@ -16,9 +16,9 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/settings"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
 )
 
 // These tests play on synctest's clock: the real Watcher, the real core with its module, and a stand-in for discovery behind a
--- a/internal/registry/watch.go
+++ b/internal/controlplane/registry/watch.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/limits"
-	"robincart/internal/node"
+	"robincart/internal/core/node"
+	"robincart/internal/resources/limits"
 )
 
 // Core takes the news.
--- a/internal/relay/relay.go
+++ b/internal/controlplane/relay/relay.go
@@ -12,9 +12,9 @@
 
 	"go.uber.org/zap"
 
-	"robincart/internal/record"
-	"robincart/internal/replica"
-	"robincart/internal/store"
+	"robincart/internal/record/record"
+	"robincart/internal/record/replica"
+	"robincart/internal/record/store"
 )
 
 // Config bounds one.
--- a/internal/relay/relay_test.go
+++ b/internal/controlplane/relay/relay_test.go
@@ -19,13 +19,13 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/keys"
+	"robincart/internal/controlplane/recordcache"
+	"robincart/internal/core/node"
 	"robincart/internal/lab/pgstand"
-	"robincart/internal/node"
-	"robincart/internal/record"
-	"robincart/internal/recordcache"
-	"robincart/internal/store"
-	"robincart/internal/store/sqlstore"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/record/store/sqlstore"
+	"robincart/internal/system/keys"
 )
 
 // place is a store of record, replicas that relay it, and nodes.
--- a/internal/node/guard.go
+++ b/internal/core/node/guard.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"robincart/decide"
-	"robincart/internal/telemetry"
+	"robincart/internal/system/telemetry"
 )
 
 // The invariants are checked on the core's own ledger of attempts, apart from the module whose decisions they bound: Begin is the one
--- a/internal/node/guard_test.go
+++ b/internal/core/node/guard_test.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/settings"
-	"robincart/internal/telemetry"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/system/telemetry"
 )
 
 // observed begins a core whose violations are counted.
--- a/internal/node/host.go
+++ b/internal/core/node/host.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"robincart/decide"
-	"robincart/internal/telemetry"
-	"robincart/internal/timingwheel"
+	"robincart/internal/system/telemetry"
+	"robincart/internal/system/timingwheel"
 )
 
 // epoch is where the module's clock stands at the start: high enough that a server which came up before this
--- a/internal/node/node.go
+++ b/internal/core/node/node.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"robincart/decide"
-	"robincart/internal/settings"
-	"robincart/internal/telemetry"
-	"robincart/internal/timingwheel"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/system/telemetry"
+	"robincart/internal/system/timingwheel"
 )
 
 // Clock is the only time that the core knows. Now is monotonic.
--- a/internal/node/node_test.go
+++ b/internal/core/node/node_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/decide"
-	"robincart/internal/settings"
+	"robincart/internal/protocol/settings"
 )
 
 // fakeClock rings when it is moved.
--- a/internal/node/retune.go
+++ b/internal/core/node/retune.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"robincart/internal/settings"
+	"robincart/internal/protocol/settings"
 )
 
 // slot is a number that the module knows a method or a tenant by.
--- a/internal/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -8,15 +8,15 @@
 	"time"
 
 	"robincart/decide"
-	"robincart/internal/admission"
-	"robincart/internal/fcgi"
-	"robincart/internal/httpwire"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/poller"
-	"robincart/internal/socket"
-	"robincart/internal/telemetry"
-	"robincart/internal/timingwheel"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/resources/admission"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
+	"robincart/internal/system/timingwheel"
 )
 
 // conn is one caller's connection. Between requests it is this record, which the poller watches. While a request lasts a
--- a/internal/frontend/conn_read.go
+++ b/internal/dataplane/frontend/conn_read.go
@@ -6,9 +6,9 @@
 	"syscall"
 	"time"
 
-	"robincart/internal/httpwire"
-	"robincart/internal/socket"
-	"robincart/internal/telemetry"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
 )
 
 // What follows is how a caller's connection is read: what it waits for, and how long.
--- a/internal/frontend/conn_write.go
+++ b/internal/dataplane/frontend/conn_write.go
@@ -7,10 +7,10 @@
 	"syscall"
 	"time"
 
-	"robincart/internal/fcgi"
-	"robincart/internal/httpwire"
-	"robincart/internal/socket"
-	"robincart/internal/telemetry"
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
 )
 
 // What follows is how a caller's answer is written, whole or as it comes.
--- a/internal/frontend/endings_test.go
+++ b/internal/dataplane/frontend/endings_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/decide"
-	"robincart/internal/node"
-	"robincart/internal/socket"
+	"robincart/internal/core/node"
+	"robincart/internal/system/socket"
 	"robincart/internal/testutil"
 )
 
--- a/internal/frontend/frontend_test.go
+++ b/internal/dataplane/frontend/frontend_test.go
@@ -22,13 +22,13 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/httpwire"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/poller"
-	"robincart/internal/settings"
-	"robincart/internal/socket"
-	"robincart/internal/telemetry"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
 	"robincart/internal/testutil"
 )
 
--- a/internal/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"robincart/internal/fcgi"
-	"robincart/internal/httpwire"
-	"robincart/internal/socket"
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/system/socket"
 )
 
 // Gateway says how gateways that speak FastCGI are listened to. What a gateway can't send has a param of its own choice, or is
--- a/internal/frontend/gateway_test.go
+++ b/internal/dataplane/frontend/gateway_test.go
@@ -12,12 +12,12 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/fcgi"
-	"robincart/internal/httpwire"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/poller"
-	"robincart/internal/settings"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
 )
 
 // quiet is a connection that takes everything.
--- a/internal/frontend/gone_test.go
+++ b/internal/dataplane/frontend/gone_test.go
@@ -19,14 +19,14 @@
 	"golang.org/x/sys/unix"
 
 	"robincart/decide"
-	"robincart/internal/fcgi"
-	"robincart/internal/httpwire"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/poller"
-	"robincart/internal/settings"
+	"robincart/internal/core/node"
+	"robincart/internal/dataplane/upstream"
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
 	"robincart/internal/testutil"
-	"robincart/internal/upstream"
 )
 
 // A caller that has left gets no attempt, first or further, whoever is late to tell of it. The poller, which hears callers leave, is held up
--- a/internal/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -5,11 +5,11 @@
 	"syscall"
 	"time"
 
-	"robincart/internal/admission"
-	"robincart/internal/poller"
-	"robincart/internal/socket"
-	"robincart/internal/telemetry"
-	"robincart/internal/timingwheel"
+	"robincart/internal/resources/admission"
+	"robincart/internal/system/poller"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
+	"robincart/internal/system/timingwheel"
 )
 
 // What follows is the life of a connection between its requests.
--- a/internal/frontend/observe.go
+++ b/internal/dataplane/frontend/observe.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"robincart/internal/httpwire"
-	"robincart/internal/node"
-	"robincart/internal/telemetry"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/system/telemetry"
 )
 
 // deadlineSlack is by how much the time that an attempt is told may be more than what its caller has left.
--- a/internal/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -16,15 +16,15 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/admission"
-	"robincart/internal/httpwire"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/poller"
-	"robincart/internal/socket"
-	"robincart/internal/telemetry"
-	"robincart/internal/timingwheel"
-	"robincart/internal/workerpool"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/resources/admission"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
+	"robincart/internal/system/timingwheel"
+	"robincart/internal/system/workerpool"
 )
 
 // Core is what a request's life asks and tells the node's core.
--- a/internal/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"robincart/decide"
-	"robincart/internal/httpwire"
-	"robincart/internal/limits"
-	"robincart/internal/settings"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
 )
 
 // Share is a service's part of what services share. A nil one has no bounds.
--- a/internal/pools/gate.go
+++ b/internal/dataplane/pools/gate.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"robincart/internal/frontend"
-	"robincart/internal/limits"
-	"robincart/internal/shares"
+	"robincart/internal/dataplane/frontend"
+	"robincart/internal/resources/limits"
+	"robincart/internal/resources/shares"
 )
 
 // gate puts one lock round what services share. Nothing waits under it.
--- a/internal/pools/pools.go
+++ b/internal/dataplane/pools/pools.go
@@ -12,19 +12,19 @@
 
 	"go.uber.org/zap"
 
-	"robincart/internal/frontend"
-	"robincart/internal/httpwire"
-	"robincart/internal/keys"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/operator"
-	"robincart/internal/poller"
-	"robincart/internal/recordcache"
-	"robincart/internal/registry"
-	"robincart/internal/routes"
-	"robincart/internal/shares"
-	"robincart/internal/telemetry"
-	"robincart/internal/upstream"
+	"robincart/internal/config/operator"
+	"robincart/internal/controlplane/recordcache"
+	"robincart/internal/controlplane/registry"
+	"robincart/internal/core/node"
+	"robincart/internal/core/routes"
+	"robincart/internal/dataplane/frontend"
+	"robincart/internal/dataplane/upstream"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/resources/limits"
+	"robincart/internal/resources/shares"
+	"robincart/internal/system/keys"
+	"robincart/internal/system/poller"
+	"robincart/internal/system/telemetry"
 )
 
 // Set is the services in force.
--- a/internal/upstream/exchange.go
+++ b/internal/dataplane/upstream/exchange.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"robincart/decide"
-	"robincart/internal/fcgi"
-	"robincart/internal/httpwire"
-	"robincart/internal/node"
-	"robincart/internal/socket"
-	"robincart/internal/telemetry"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
 )
 
 // exchange is one pick being carried out. What breaks it is told to it and not to its connection, which by then may serve
--- a/internal/upstream/fastcgi.go
+++ b/internal/dataplane/upstream/fastcgi.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"robincart/internal/fcgi"
-	"robincart/internal/httpwire"
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
 )
 
 // FastCGI has the pool's servers spoken to in it, before the first pick. The params go with each request, beside those that a request
--- a/internal/upstream/fastcgi_test.go
+++ b/internal/dataplane/upstream/fastcgi_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/decide"
-	"robincart/internal/fcgi"
+	"robincart/internal/core/node"
 	"robincart/internal/lab/standin"
-	"robincart/internal/node"
+	"robincart/internal/protocol/fcgi"
 )
 
 func beginFastCGI(t *testing.T, serve func(c net.Conn, q *standin.Asked) bool) (*story, *standin.Application) {
--- a/internal/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"robincart/decide"
-	"robincart/internal/httpwire"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/poller"
-	"robincart/internal/socket"
-	"robincart/internal/telemetry"
-	"robincart/internal/workerpool"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
+	"robincart/internal/system/workerpool"
 )
 
 // Core is what an exchange asks and tells the node's core.
--- a/internal/upstream/upstream_test.go
+++ b/internal/dataplane/upstream/upstream_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/decide"
-	"robincart/internal/httpwire"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/poller"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
 	"robincart/internal/testutil"
 )
 
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"robincart/internal/socket"
+	"robincart/internal/system/socket"
 )
 
 const (
--- a/internal/handover/kept.go
+++ b/internal/handover/kept.go
@@ -5,7 +5,7 @@
 	"errors"
 	"fmt"
 
-	"robincart/internal/statefile"
+	"robincart/internal/system/statefile"
 )
 
 // TornError is of a file whose content can't be believed. It has been set aside.
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -18,13 +18,13 @@
 	"syscall"
 	"time"
 
+	"robincart/internal/controlplane/recordcache"
 	"robincart/internal/lab/judge"
 	"robincart/internal/lab/pgstand"
 	"robincart/internal/lab/standin"
-	"robincart/internal/record"
-	"robincart/internal/recordcache"
-	"robincart/internal/store"
-	"robincart/internal/store/sqlstore"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/record/store/sqlstore"
 )
 
 // Record is one run.
--- a/internal/lab/chaos/controller.go
+++ b/internal/lab/chaos/controller.go
@@ -18,9 +18,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"robincart/internal/keys"
 	"robincart/internal/lab/apiserver"
 	"robincart/internal/lab/standin"
+	"robincart/internal/system/keys"
 )
 
 // Controller drains servers by a cluster manager's word, thousands of them, while watches break, replay, are compacted and
--- a/internal/lab/chaos/golden_test.go
+++ b/internal/lab/chaos/golden_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"robincart/internal/config/operator"
+	"robincart/internal/controlplane/recordcache"
 	"robincart/internal/lab/apiserver"
 	"robincart/internal/lab/judge"
 	"robincart/internal/lab/labtest"
 	"robincart/internal/lab/standin"
-	"robincart/internal/operator"
-	"robincart/internal/recordcache"
 )
 
 // The golden files hold the forms of the text at 0cdd5b2: status.json was written by hand and read by it, the others
--- a/internal/lab/chaos/pairs.go
+++ b/internal/lab/chaos/pairs.go
@@ -16,9 +16,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"robincart/internal/fcgi"
 	"robincart/internal/lab/standin"
 	"robincart/internal/lab/wire"
+	"robincart/internal/protocol/fcgi"
 )
 
 // Pairs asks through HTTP and FastCGI on either side of a node, first of servers that do well and then of servers that die at any point
--- a/internal/lab/cost/golden_test.go
+++ b/internal/lab/cost/golden_test.go
@@ -10,7 +10,7 @@
 
 	"robincart/internal/lab/labtest"
 	"robincart/internal/lab/standin"
-	"robincart/internal/settings"
+	"robincart/internal/protocol/settings"
 )
 
 // The golden file was written by the text at 0cdd5b2. Nodes of any version read it; it must never be written anew to
--- a/internal/lab/cost/stall.go
+++ b/internal/lab/cost/stall.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"robincart/internal/lab/pgstand"
-	"robincart/internal/store/sqlstore"
+	"robincart/internal/record/store/sqlstore"
 )
 
 // Stall measures requests while the store of record is well, stalled and gone, with servers coming and going, so that
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -12,7 +12,7 @@
 	"robincart/internal/lab/plan"
 	"robincart/internal/lab/shim"
 	"robincart/internal/lab/standin"
-	"robincart/internal/tomlfile"
+	"robincart/internal/system/tomlfile"
 )
 
 // Duration is a time as Go writes it: "250ms".
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/internal/lab/labtest"
-	"robincart/internal/tomlfile"
+	"robincart/internal/system/tomlfile"
 )
 
 // Experiment files are written by people and only read here. The golden file was written by hand and was read with
--- a/internal/lab/fleet/golden_test.go
+++ b/internal/lab/fleet/golden_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"robincart/internal/config/operator"
 	"robincart/internal/lab/labtest"
-	"robincart/internal/operator"
-	"robincart/internal/tomlfile"
+	"robincart/internal/system/tomlfile"
 )
 
 // The golden files hold the forms of the text at 0cdd5b2: every-key.toml was written by hand and read by it, the
--- a/internal/lab/fleet/hollow.go
+++ b/internal/lab/fleet/hollow.go
@@ -14,16 +14,16 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/operator"
-	"robincart/internal/poller"
-	"robincart/internal/pools"
-	"robincart/internal/record"
-	"robincart/internal/recordcache"
-	"robincart/internal/registry"
-	"robincart/internal/store"
-	"robincart/internal/store/sqlstore"
+	"robincart/internal/config/operator"
+	"robincart/internal/controlplane/recordcache"
+	"robincart/internal/controlplane/registry"
+	"robincart/internal/core/node"
+	"robincart/internal/dataplane/pools"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/record/store/sqlstore"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
 )
 
 // Endpoint is where a part of the control side is reached.
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"robincart/internal/tomlfile"
+	"robincart/internal/system/tomlfile"
 )
 
 // Duration is a time as Go writes it.
--- a/internal/lab/fleet/run.go
+++ b/internal/lab/fleet/run.go
@@ -16,7 +16,7 @@
 
 	"robincart/internal/lab/apiserver"
 	"robincart/internal/lab/standin"
-	"robincart/internal/store/sqlstore"
+	"robincart/internal/record/store/sqlstore"
 )
 
 // Options are what a run needs beside its file.
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"robincart/internal/fanout"
-	"robincart/internal/record"
-	"robincart/internal/store"
+	"robincart/internal/controlplane/fanout"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
 )
 
 // door is a listener without sockets: a fleet of 440 would need more descriptors than one process has.
--- a/internal/lab/run/golden_test.go
+++ b/internal/lab/run/golden_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"robincart/internal/config/operator"
 	"robincart/internal/lab/experiment"
 	"robincart/internal/lab/judge"
 	"robincart/internal/lab/labtest"
 	"robincart/internal/lab/standin"
-	"robincart/internal/operator"
-	"robincart/internal/settings"
+	"robincart/internal/protocol/settings"
 )
 
 // The golden files hold the forms of the text at 0cdd5b2: result.json, node.json and operator.toml were written by
--- a/internal/lab/run/trouble.go
+++ b/internal/lab/run/trouble.go
@@ -17,7 +17,7 @@
 	"robincart/internal/lab/judge"
 	"robincart/internal/lab/shim"
 	"robincart/internal/lab/standin"
-	"robincart/internal/telemetry"
+	"robincart/internal/system/telemetry"
 )
 
 // nodeShim is one node's shim and the plan that it follows now.
--- a/internal/lab/standin/fastcgi.go
+++ b/internal/lab/standin/fastcgi.go
@@ -4,7 +4,7 @@
 	"net"
 	"sync"
 
-	"robincart/internal/fcgi"
+	"robincart/internal/protocol/fcgi"
 )
 
 // Asked is a request as an application gets it.
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -16,7 +16,7 @@
 
 	"robincart/internal/lab/judge"
 	"robincart/internal/lab/wire"
-	"robincart/internal/socket"
+	"robincart/internal/system/socket"
 )
 
 // Kind is what a server is made of.
--- a/internal/replica/replica.go
+++ b/internal/record/replica/replica.go
@@ -7,7 +7,7 @@
 	"slices"
 	"sort"
 
-	"robincart/internal/record"
+	"robincart/internal/record/record"
 )
 
 // Bounds of what a copy takes and a node may ask.
--- a/internal/replica/replica_test.go
+++ b/internal/record/replica/replica_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"robincart/internal/record"
+	"robincart/internal/record/record"
 )
 
 func fact(name string, revision int64, value string) record.Fact {
--- a/internal/store/controllers.go
+++ b/internal/record/store/controllers.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"robincart/internal/record"
+	"robincart/internal/record/record"
 )
 
 // The way to the record through the controller's replicas, each of which follows the store for many nodes: the same calls over TCP, and one that lasts, by
--- a/internal/store/controllers_test.go
+++ b/internal/record/store/controllers_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"robincart/internal/record"
+	"robincart/internal/record/record"
 )
 
 // peer answers calls by a function that gets the connection and the call's line.
--- a/internal/store/remote.go
+++ b/internal/record/store/remote.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"robincart/internal/record"
+	"robincart/internal/record/record"
 )
 
 // The way to a store in another process: a connection a call over a Unix socket, one line of JSON each way.
--- a/internal/store/sqlstore/database.go
+++ b/internal/record/store/sqlstore/database.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"strings"
 
-	"robincart/internal/record"
-	"robincart/internal/store"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
 )
 
 // Schema is the version that this program writes.
--- a/internal/store/sqlstore/postgres.go
+++ b/internal/record/store/sqlstore/postgres.go
@@ -13,7 +13,7 @@
 	"github.com/jackc/pgx/v5/pgconn"
 	"github.com/jackc/pgx/v5/stdlib"
 
-	"robincart/internal/store"
+	"robincart/internal/record/store"
 )
 
 const channel = "robincart_record"
--- a/internal/store/sqlstore/sqlite.go
+++ b/internal/record/store/sqlstore/sqlite.go
@@ -11,7 +11,7 @@
 	"modernc.org/sqlite"
 	lib "modernc.org/sqlite/lib"
 
-	"robincart/internal/store"
+	"robincart/internal/record/store"
 )
 
 // openSQLite opens a file. Writers take turns by SQLite's own lock, taken at a transaction's begin; a commit is on the disk
--- a/internal/store/sqlstore/store_test.go
+++ b/internal/record/store/sqlstore/store_test.go
@@ -19,8 +19,8 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/internal/lab/pgstand"
-	"robincart/internal/record"
-	"robincart/internal/store"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
 )
 
 // each runs a test on both stores. The server is nil for SQLite.
--- a/internal/store/store.go
+++ b/internal/record/store/store.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"robincart/internal/record"
+	"robincart/internal/record/record"
 )
 
 // What can be wrong with a store, for people to act on.
--- a/internal/limits/limits.go
+++ b/internal/resources/limits/limits.go
@@ -7,8 +7,8 @@
 	"math"
 	"time"
 
-	"robincart/internal/httpwire"
-	"robincart/internal/settings"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/protocol/settings"
 )
 
 // Machine is what the configuration says of the node's machine.
--- a/internal/limits/limits_test.go
+++ b/internal/resources/limits/limits_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/decide"
-	"robincart/internal/settings"
+	"robincart/internal/protocol/settings"
 )
 
 func TestLimitsLeaveRoomOnBothSides(t *testing.T) {
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"robincart/decide"
-	"robincart/internal/settings"
+	"robincart/internal/protocol/settings"
 )
 
 type server struct {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"robincart/decide"
-	"robincart/internal/settings"
+	"robincart/internal/protocol/settings"
 )
 
 // row is one entry of a numbered server list.
--- a/internal/keys/keys_test.go
+++ b/internal/system/keys/keys_test.go
@@ -16,11 +16,11 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"robincart/internal/fanout"
-	"robincart/internal/httpwire"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/registry"
+	"robincart/internal/controlplane/fanout"
+	"robincart/internal/controlplane/registry"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/resources/limits"
 )
 
 func of(dir, name string) Files {
