--- /dev/null
+++ b/internal/fanout/golden_test.go
@@ -0,0 +1,148 @@
+package fanout
+
+// The files under testdata were written by the code at commit 0cdd5b2. They are the forms that nodes of any
+// version read: a test that fails here has found a changed wire form. Never regenerate them to follow a rename.
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+
+	"robincart/internal/testutil"
+)
+
+// goldenMembers are the servers of the golden lists: two with each field set, and one with none.
+func goldenMembers() []Member {
+	return []Member{
+		{
+			ID: "pod-1<&>", HostPort: "10.1.0.1:8080", Locality: "zone-a", Cell: 3, Phase: "ready", Size: 1.5,
+			UpSince: 1712998800123,
+		},
+		{
+			ID: "pod-2", HostPort: "[fd00::2]:8081", Locality: "zone-b", Cell: 4, Phase: "draining", Size: 2,
+			UpSince: 1712998800456,
+		},
+		{},
+	}
+}
+
+// goldenChange is a server that drains.
+func goldenChange() []Member {
+	member := goldenMembers()[0]
+	member.Phase = "draining"
+	return []Member{member, {ID: "pod-2", Phase: "gone"}}
+}
+
+func TestMessage_Golden(t *testing.T) {
+	for name, want := range map[string]message{
+		"whole.json":  {Revision: 41, Complete: true, Members: goldenMembers()},
+		"change.json": {Revision: 42, Members: goldenChange()},
+		"empty.json":  {Revision: 43, Complete: true, Members: []Member{}},
+	} {
+		t.Run(name, func(t *testing.T) { testutil.EqualGoldenJSON(t, name, want) })
+	}
+}
+
+func TestStatus_Golden(t *testing.T) {
+	for name, want := range map[string]Status{
+		"status.json":      {Revision: 41, Servers: 2, Watchers: 3, Refused: 4, Wholes: 5, HeardAgo: 6.5},
+		"status-zero.json": {},
+	} {
+		t.Run(name, func(t *testing.T) { testutil.EqualGoldenJSON(t, name, want) })
+	}
+}
+
+// goldenList holds the golden members at revision 41. It sends no empty lines.
+func goldenList() *List {
+	config := Defaults()
+	config.Every = time.Hour
+	list := New(config, zap.NewNop())
+	list.Replace(41, goldenMembers())
+	return list
+}
+
+// exchange has the list answer a request. What is read from the connection is kept in raw; end closes the
+// connection and waits for the list's side of it.
+func exchange(t *testing.T, list *List, request string) (reader io.Reader, raw *bytes.Buffer, end func()) {
+	t.Helper()
+	client, server := net.Pipe()
+	require.NoError(t, client.SetDeadline(time.Now().Add(20*time.Second)))
+	ctx, cancel := context.WithCancel(context.Background())
+	answered := make(chan struct{})
+	go func() {
+		defer close(answered)
+		defer server.Close()
+		list.answer(ctx, server)
+	}()
+	_, err := io.WriteString(client, request)
+	require.NoError(t, err)
+	raw = &bytes.Buffer{}
+	return io.TeeReader(client, raw), raw, func() {
+		cancel()
+		client.Close()
+		<-answered
+	}
+}
+
+func TestAnswer_Watch(t *testing.T) {
+	list := goldenList()
+	reader, raw, end := exchange(t, list, "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nHost: a\r\n\r\n")
+	defer end()
+	response, err := http.ReadResponse(bufio.NewReader(reader), nil)
+	require.NoError(t, err)
+	lines := bufio.NewReader(response.Body)
+	line, err := lines.ReadBytes('\n')
+	require.NoError(t, err)
+	testutil.EqualGolden(t, "whole.json", line)
+	list.Tell(goldenChange())
+	line, err = lines.ReadBytes('\n')
+	require.NoError(t, err)
+	testutil.EqualGolden(t, "change.json", line)
+	testutil.EqualGolden(t, "watch.http", raw.Bytes())
+}
+
+func TestAnswer_WholeList(t *testing.T) {
+	reader, raw, end := exchange(t, goldenList(), "GET /registry/instances HTTP/1.1\r\nHost: a\r\n\r\n")
+	defer end()
+	_, err := io.ReadAll(reader)
+	require.NoError(t, err)
+	testutil.EqualGolden(t, "list.http", raw.Bytes())
+}
+
+func TestAnswer_Refusals(t *testing.T) {
+	const unchanged = "Content-Length: 0\r\nConnection: close\r\n\r\n"
+	for _, test := range []struct {
+		name, request, want string
+		list                *List
+	}{
+		{"nothing known", "GET /registry/instances", "503 Service Unavailable\r\nRetry-After: 1\r\n",
+			New(Defaults(), zap.NewNop())},
+		{"other path", "GET /instances", "404 Not Found\r\n", goldenList()},
+		{"other method", "POST /registry/instances", "405 Method Not Allowed\r\nAllow: GET\r\n", goldenList()},
+		{"malformed revision", "GET /registry/instances?since=-1", "400 Bad Request\r\n", goldenList()},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			reader, _, end := exchange(t, test.list, test.request+" HTTP/1.1\r\nHost: a\r\n\r\n")
+			defer end()
+			got, err := io.ReadAll(reader)
+			require.NoError(t, err)
+			assert.Equal(t, "HTTP/1.1 "+test.want+unchanged, string(got))
+		})
+	}
+}
+
+func TestNext_UpToDate(t *testing.T) {
+	text, at, _ := goldenList().next(41, true)
+	assert.Equal(t, "2e\r\n"+`{"revision":41,"complete":false,"members":[]}`+"\n\r\n", string(text))
+	assert.EqualValues(t, 41, at)
+	assert.Equal(t, "1\r\n\n\r\n", string(empty), "the line that shows that discovery lives")
+}
