--- a/cmd/robincart-controller/golden_test.go
+++ b/cmd/robincart-controller/golden_test.go
@@ -98,3 +98,7 @@
 		Callers: 700,
 	}, got)
 }
+
+func TestFile_EveryFieldTagged(t *testing.T) {
+	testutil.EveryFieldTagged[file](t, "toml")
+}
--- a/cmd/robincart-controller/main.go
+++ b/cmd/robincart-controller/main.go
@@ -30,42 +30,47 @@
 
 // file is the operator's, as it is written.
 type file struct {
-	Identity string
-	Status   string
+	Identity string `toml:"identity"`
+	Status   string `toml:"status"`
 	API      struct {
-		Server     string
+		Server     string `toml:"server"`
 		TokenFile  string `toml:"token_file"`
 		CAFile     string `toml:"ca_file"`
 		CertFile   string `toml:"cert_file"`
 		KeyFile    string `toml:"key_file"`
-		Kubeconfig string
-		Namespace  string
-	}
+		Kubeconfig string `toml:"kubeconfig"`
+		Namespace  string `toml:"namespace"`
+	} `toml:"api"`
 	Leader struct {
-		Lease string
-		Hold  tomlfile.Duration
-	}
+		Lease string            `toml:"lease"`
+		Hold  tomlfile.Duration `toml:"hold"`
+	} `toml:"leader"`
 	Membership struct {
-		Flap      *tomlfile.Duration
+		Flap      *tomlfile.Duration `toml:"flap"`
 		FlapMost  *tomlfile.Duration `toml:"flap_most"`
 		ShrinkAt  *float64           `toml:"shrink_at"`
 		ShrinkFor *tomlfile.Duration `toml:"shrink_for"`
-		Forget    *tomlfile.Duration
+		Forget    *tomlfile.Duration `toml:"forget"`
 		ColdFor   *tomlfile.Duration `toml:"cold_for"`
 		ColdMost  *float64           `toml:"cold_most"`
-		Cordons   bool
-	}
+		Cordons   bool               `toml:"cordons"`
+	} `toml:"membership"`
 	Fanout struct {
-		History  int
-		Watchers int
-	}
-	Keys   keys.Files // towards nodes
+		History  int `toml:"history"`
+		Watchers int `toml:"watchers"`
+	} `toml:"fanout"`
+	Keys   keys.Files `toml:"keys"` // towards nodes
 	Record struct {
-		Store   string
-		Listen  string
-		Callers int
-	}
-	Service []struct{ Name, Service, Port, Listen string }
+		Store   string `toml:"store"`
+		Listen  string `toml:"listen"`
+		Callers int    `toml:"callers"`
+	} `toml:"record"`
+	Service []struct {
+		Name    string `toml:"name"`
+		Service string `toml:"service"`
+		Port    string `toml:"port"`
+		Listen  string `toml:"listen"`
+	} `toml:"service"`
 }
 
 // mostServices is how many lists a controller tells: each has a listener and its watchers.
--- a/internal/keys/golden_test.go
+++ b/internal/keys/golden_test.go
@@ -45,3 +45,7 @@
 		assert.Empty(t, rest, name)
 	}
 }
+
+func TestFiles_EveryFieldTagged(t *testing.T) {
+	testutil.EveryFieldTagged[Files](t, "toml")
+}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -18,7 +18,9 @@
 
 // Files names a process's certificate and key and the authorities that it trusts, all in PEM. All or none of them are set.
 type Files struct {
-	Cert, Key, CA string
+	Cert string `toml:"cert"`
+	Key  string `toml:"key"`
+	CA   string `toml:"ca"`
 }
 
 // On tells whether there are keys.
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -228,3 +228,7 @@
 	testutil.EqualGoldenJSON(t, "record-tenant.json", quota{Quota: 200.5, Weight: 2.5})
 	testutil.EqualGoldenJSON(t, "record-tenant-zero.json", quota{})
 }
+
+func TestFile_EveryFieldTagged(t *testing.T) {
+	testutil.EveryFieldTagged[File](t, "toml")
+}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -31,142 +31,146 @@
 
 // File is the operator's file, as it is written.
 type File struct {
-	Name    string
-	Listen  []string
-	Seed    string
-	Log     Log
-	Machine limits.Machine
-	Callers Callers
-	Admin   Admin
-	Record  Record
-	Keys    keys.Files // towards discovery; none: plain TCP
-	Sharing Sharing
-	Gateway []Gateway
-	Service []Service
-	Route   []Route
+	Name    string         `toml:"name"`
+	Listen  []string       `toml:"listen"`
+	Seed    string         `toml:"seed"`
+	Log     Log            `toml:"log"`
+	Machine limits.Machine `toml:"machine"`
+	Callers Callers        `toml:"callers"`
+	Admin   Admin          `toml:"admin"`
+	Record  Record         `toml:"record"`
+	Keys    keys.Files     `toml:"keys"` // towards discovery; none: plain TCP
+	Sharing Sharing        `toml:"sharing"`
+	Gateway []Gateway      `toml:"gateway"`
+	Service []Service      `toml:"service"`
+	Route   []Route        `toml:"route"`
 }
 
 // Gateway is an address where gateways that speak FastCGI are listened to.
 type Gateway struct {
-	Listen     string   // address, or unix:PATH
-	Overloaded bool     // a pushback is END_REQUEST with OVERLOADED
-	Tenant     string   // of who sends none
-	Left       Duration // of who sends no time
-	Params     GatewayParams
+	Listen     string        `toml:"listen"`     // address, or unix:PATH
+	Overloaded bool          `toml:"overloaded"` // a pushback is END_REQUEST with OVERLOADED
+	Tenant     string        `toml:"tenant"`     // of who sends none
+	Left       Duration      `toml:"left"`       // of who sends no time
+	Params     GatewayParams `toml:"params"`
 }
 
 // GatewayParams names the params that a gateway uses for what it can't send in the protocol's own headers.
 type GatewayParams struct {
-	Trace, Class, Tenant, Key, Left string
+	Trace  string `toml:"trace"`
+	Class  string `toml:"class"`
+	Tenant string `toml:"tenant"`
+	Key    string `toml:"key"`
+	Left   string `toml:"left"`
 }
 
 // Log says how the log is written.
 type Log struct {
-	Level string // debug, info, warn, error
-	Form  string // json, console
+	Level string `toml:"level"` // debug, info, warn, error
+	Form  string `toml:"form"`  // json, console
 }
 
 // Record says where the record is kept. Without a store there is none.
 type Record struct {
-	Store    string    // sqlite:PATH, or postgres://...
-	Snapshot string    // this node's own copy, a file
-	Required bool      // no start without the store
+	Store    string    `toml:"store"`    // sqlite:PATH, or postgres://...
+	Snapshot string    `toml:"snapshot"` // this node's own copy, a file
+	Required bool      `toml:"required"` // no start without the store
 	MostAge  *Duration `toml:"most_age"` // that servers known from an old copy alone may be sent to; 0s: for ever
-	Queue    int       // changes that may wait for the store, drains not counted
-	Timeout  Duration  // of one call to the store
-	Poll     Duration  // between looks at it where nothing is told
-	Status   string    // loopback address where GET /record tells how it stands
+	Queue    int       `toml:"queue"`    // changes that may wait for the store, drains not counted
+	Timeout  Duration  `toml:"timeout"`  // of one call to the store
+	Poll     Duration  `toml:"poll"`     // between looks at it where nothing is told
+	Status   string    `toml:"status"`   // loopback address where GET /record tells how it stands
 }
 
 // Admin says where operators' calls are answered. Without an address there is none.
 type Admin struct {
-	Listen string
-	Kept   string // a file that keeps what they said over a restart; empty: it ends with the process
+	Listen string `toml:"listen"`
+	Kept   string `toml:"kept"` // a file that keeps what they said over a restart; empty: it ends with the process
 }
 
 // Callers says how many connections callers may hold, and for how long. Zeros leave what the machine gives.
 type Callers struct {
-	Connections int      // at once, those that rest included
-	Requests    int      // at once
-	Idle        Duration // that one may rest
+	Connections int      `toml:"connections"` // at once, those that rest included
+	Requests    int      `toml:"requests"`    // at once
+	Idle        Duration `toml:"idle"`        // that one may rest
 }
 
 // Sharing says how services share the node.
 type Sharing struct {
-	Off     bool     // no bounds between services
-	Reserve *float64 // part of each guarantee that is never lent
-	Return  *Duration
-	Busy    *float64 // part of the cores above which those beyond their part are turned away
+	Off     bool      `toml:"off"`     // no bounds between services
+	Reserve *float64  `toml:"reserve"` // part of each guarantee that is never lent
+	Return  *Duration `toml:"return"`
+	Busy    *float64  `toml:"busy"` // part of the cores above which those beyond their part are turned away
 }
 
 // Service is one pool.
 type Service struct {
-	Name      string
-	Discovery string
-	Servers   []string          // addresses, where there is no discovery
-	Speaks    string            // http, or fastcgi
-	Params    map[string]string // of FastCGI, that its servers want beside those of each request
-	Weight    float64
-	Guarantee float64
-
-	Nodes         int // that send to these servers
-	Stage         int // tier; 0 is the one that clients reach
-	Zone          string
-	Zones         []string
+	Name      string            `toml:"name"`
+	Discovery string            `toml:"discovery"`
+	Servers   []string          `toml:"servers"` // addresses, where there is no discovery
+	Speaks    string            `toml:"speaks"`  // http, or fastcgi
+	Params    map[string]string `toml:"params"`  // of FastCGI, that its servers want beside those of each request
+	Weight    float64           `toml:"weight"`
+	Guarantee float64           `toml:"guarantee"`
+
+	Nodes         int      `toml:"nodes"` // that send to these servers
+	Stage         int      `toml:"stage"` // tier; 0 is the one that clients reach
+	Zone          string   `toml:"zone"`
+	Zones         []string `toml:"zones"`
 	MaxPicks      int      `toml:"max_picks"`
 	NoCancel      bool     `toml:"no_cancel"`
 	SecondCopies  bool     `toml:"second_copies"`
 	NoRetryAfter  bool     `toml:"no_retry_after"`
 	MaxRetryAfter Duration `toml:"max_retry_after"`
 	MustAskIn     Duration `toml:"must_ask_in"`
-	Connect       Duration
-	Idle          Duration // after which servers close a connection
+	Connect       Duration `toml:"connect"`
+	Idle          Duration `toml:"idle"` // after which servers close a connection
 	ColdFrom      float64  `toml:"cold_from"`
 	ColdFor       Duration `toml:"cold_for"`
 	FallMultiple  float64  `toml:"fall_multiple"`
 	FallFor       Duration `toml:"fall_for"`
 
-	Method []Method
-	Tenant []Tenant
+	Method []Method `toml:"method"`
+	Tenant []Tenant `toml:"tenant"`
 }
 
 // Method is one kind of RPC.
 type Method struct {
-	Name        string
-	Repeat      string // idempotent, deduplicated, non-idempotent
-	Scope       string // of the servers that drop repeats: all, zone, cell
-	Window      Duration
-	Target      Duration
-	Deadline    Duration
-	Utility     *float64
-	LateUtility float64 `toml:"late_utility"`
+	Name        string   `toml:"name"`
+	Repeat      string   `toml:"repeat"` // idempotent, deduplicated, non-idempotent
+	Scope       string   `toml:"scope"`  // of the servers that drop repeats: all, zone, cell
+	Window      Duration `toml:"window"`
+	Target      Duration `toml:"target"`
+	Deadline    Duration `toml:"deadline"`
+	Utility     *float64 `toml:"utility"`
+	LateUtility float64  `toml:"late_utility"`
 }
 
 // Tenant is one customer of a service.
 type Tenant struct {
-	Name   string
-	Quota  float64 // RPCs a second over all nodes; 0: not limited
-	Weight float64 // within the service
+	Name   string  `toml:"name"`
+	Quota  float64 `toml:"quota"`  // RPCs a second over all nodes; 0: not limited
+	Weight float64 `toml:"weight"` // within the service
 }
 
 // Route leads requests to a service, or splits them.
 type Route struct {
-	Name   string
-	Host   string
-	Path   string
-	Class  string
-	Header string
-	Value  string
-	Any    bool
-	To     string
-	Split  []Split
-	By     string
+	Name   string  `toml:"name"`
+	Host   string  `toml:"host"`
+	Path   string  `toml:"path"`
+	Class  string  `toml:"class"`
+	Header string  `toml:"header"`
+	Value  string  `toml:"value"`
+	Any    bool    `toml:"any"`
+	To     string  `toml:"to"`
+	Split  []Split `toml:"split"`
+	By     string  `toml:"by"`
 }
 
 // Split is one side.
 type Split struct {
-	To     string
-	Weight float64
+	To     string  `toml:"to"`
+	Weight float64 `toml:"weight"`
 }
 
 // Config is a file that has been read, checked and compiled: what would be in force.
--- a/internal/operator/record.go
+++ b/internal/operator/record.go
@@ -76,8 +76,8 @@
 	case record.Service, record.Route:
 		var t text
 		var parts struct {
-			Service []Service
-			Route   []Route
+			Service []Service `toml:"service"`
+			Route   []Route   `toml:"route"`
 		}
 		if err := json.Unmarshal(f.Value, &t); err != nil {
 			return one, err
