--- a/cmd/robincart-controller/golden_test.go
+++ b/cmd/robincart-controller/golden_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 	"k8s.io/client-go/rest"
 
-	"robincart/internal/controller"
-	"robincart/internal/fanout"
-	"robincart/internal/keys"
-	"robincart/internal/membership"
+	"robincart/internal/controlplane/controller"
+	"robincart/internal/controlplane/fanout"
+	"robincart/internal/controlplane/membership"
+	"robincart/internal/system/keys"
+	"robincart/internal/system/tomlfile"
 	"robincart/internal/testutil"
-	"robincart/internal/tomlfile"
 )
 
 // goldenKeys are the files of the [keys] table.
--- a/internal/config/operator/golden_test.go
+++ b/internal/config/operator/golden_test.go
@@ -16,14 +16,14 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/decide"
-	"robincart/internal/keys"
-	"robincart/internal/limits"
-	"robincart/internal/node"
-	"robincart/internal/record"
-	"robincart/internal/settings"
-	"robincart/internal/shares"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/record/record"
+	"robincart/internal/resources/limits"
+	"robincart/internal/resources/shares"
+	"robincart/internal/system/keys"
+	"robincart/internal/system/tomlfile"
 	"robincart/internal/testutil"
-	"robincart/internal/tomlfile"
 )
 
 // everyKey is what testdata/every-key.toml says.
--- a/internal/controlplane/controller/golden_test.go
+++ b/internal/controlplane/controller/golden_test.go
@@ -28,12 +28,12 @@
 	"k8s.io/apimachinery/pkg/apis/meta/v1/unstructured"
 	"k8s.io/client-go/rest"
 
-	"robincart/internal/desiredstate"
-	"robincart/internal/fanout"
-	"robincart/internal/membership"
-	"robincart/internal/record"
-	"robincart/internal/relay"
-	"robincart/internal/store"
+	"robincart/internal/controlplane/desiredstate"
+	"robincart/internal/controlplane/fanout"
+	"robincart/internal/controlplane/membership"
+	"robincart/internal/controlplane/relay"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
 	"robincart/internal/testutil"
 )
 
--- a/internal/controlplane/registry/golden_test.go
+++ b/internal/controlplane/registry/golden_test.go
@@ -20,8 +20,8 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"robincart/decide"
-	"robincart/internal/limits"
-	"robincart/internal/node"
+	"robincart/internal/core/node"
+	"robincart/internal/resources/limits"
 	"robincart/internal/testutil"
 )
 
--- a/internal/system/keys/golden_test.go
+++ b/internal/system/keys/golden_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"robincart/internal/system/tomlfile"
 	"robincart/internal/testutil"
-	"robincart/internal/tomlfile"
 )
 
 func TestFiles_GoldenTOML(t *testing.T) {
