--- /dev/null
+++ b/internal/relay/golden_test.go
@@ -0,0 +1,36 @@
+package relay
+
+// The golden files under testdata were written by the program's text at commit 0cdd5b2. The controller's status page
+// shows these bytes. They must never be written anew to follow a rename: a test that fails here says that the page
+// has changed.
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"robincart/internal/testutil/golden"
+)
+
+func TestGolden_Status(t *testing.T) {
+	t.Run("full", func(t *testing.T) {
+		golden.FullJSON(t, "status.json", Status{
+			Epoch:    "epoch-1",
+			Revision: 41,
+			Facts:    42,
+			Nodes:    43,
+			HeardAgo: 4.5,
+			Fault:    "the store is away",
+			Waiting:  44,
+			Written:  45,
+			Answered: 46,
+			Merged:   47,
+		})
+	})
+	t.Run("zero", func(t *testing.T) { golden.JSON(t, "status_zero.json", Status{}) })
+}
+
+// Nodes of other versions make these calls.
+func TestGolden_CallsOfNodes(t *testing.T) {
+	assert.Equal(t, []string{"follow", "since", "write"}, Within(1).Calls)
+}
--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,401 @@
+package store
+
+// The golden files under testdata were written by the program's text at commit 0cdd5b2: the lines that a node of that
+// version sends to its store's program and to the controller, and the lines that those answer. They must never be
+// written anew to follow a rename: a test that fails here says that the protocol has changed.
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"robincart/internal/record"
+	"robincart/internal/testutil/golden"
+)
+
+var (
+	goldenMeta  = record.Meta{Epoch: "epoch-1", Revision: 41}
+	goldenKnown = record.Meta{Epoch: "epoch-2", Revision: 42}
+)
+
+func goldenFact() record.Fact {
+	return record.Fact{
+		Key:      record.Key{Kind: record.Server, Name: "shop/a1"},
+		Revision: 43,
+		Deleted:  true,
+		By:       "node-1",
+		Mark:     "node-1.boot.7",
+		At:       1765000000123,
+		Value:    json.RawMessage(`{"addr":"10.0.0.1:8080","phase":"ready"}`),
+	}
+}
+
+func goldenChange() record.Change {
+	return record.Change{
+		Key:    record.Key{Kind: record.Drain, Name: "shop/b2"},
+		Expect: 44,
+		Delete: true,
+		By:     "node-2",
+		Mark:   "node-2.boot.8",
+		At:     1765000000456,
+		Value:  json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice"}`),
+	}
+}
+
+func goldenPage() record.Page {
+	return record.Page{Meta: goldenMeta, Whole: true, Facts: []record.Fact{goldenFact()}}
+}
+
+func goldenConflict() *record.Conflict {
+	return &record.Conflict{Change: goldenChange(), Now: goldenFact()}
+}
+
+func goldenStale() *record.Stale {
+	return &record.Stale{Change: goldenChange(), Now: goldenFact()}
+}
+
+func TestGolden_JSON(t *testing.T) {
+	t.Run("call", func(t *testing.T) {
+		golden.FullJSON(t, "call.json", call{
+			Op:      "write",
+			After:   11,
+			Most:    12,
+			Epoch:   "epoch-1",
+			Changes: []record.Change{goldenChange()},
+			Left:    90 * time.Second,
+			At:      &goldenKnown,
+		})
+	})
+	t.Run("call zero", func(t *testing.T) { golden.JSON(t, "call_zero.json", call{}) })
+	t.Run("reply", func(t *testing.T) {
+		golden.FullJSON(t, "reply.json", reply{
+			Meta:     goldenMeta,
+			Page:     goldenPage(),
+			Facts:    []record.Fact{goldenFact()},
+			Fault:    "what went wrong",
+			Name:     "behind",
+			Conflict: goldenConflict(),
+			Stale:    goldenStale(),
+		})
+	})
+	t.Run("reply zero", func(t *testing.T) { golden.JSON(t, "reply_zero.json", reply{}) })
+	t.Run("stand", func(t *testing.T) { golden.FullJSON(t, "stand.json", Stand{Meta: goldenMeta, Age: 250}) })
+	t.Run("stand zero", func(t *testing.T) { golden.JSON(t, "stand_zero.json", Stand{}) })
+}
+
+// Each side knows a fault of the other by its name, whatever its text.
+func TestGolden_FaultNames(t *testing.T) {
+	names := map[string]error{
+		"foreign":   ErrForeign,
+		"newer":     ErrNewer,
+		"older":     ErrOlder,
+		"none":      ErrNone,
+		"damaged":   ErrDamaged,
+		"denied":    ErrDenied,
+		"unknown":   ErrUnknown,
+		"full":      ErrFull,
+		"busy":      ErrBusy,
+		"read only": ErrReadOnly,
+		"epoch":     record.ErrEpoch,
+		"behind":    record.ErrBehind,
+		"back":      record.ErrBack,
+	}
+	assert.Len(t, faults, len(names))
+	for name, known := range names {
+		var written reply
+		written.fail(known)
+		assert.Equal(t, name, written.Name)
+		read := reply{Fault: "a text", Name: name}
+		assert.ErrorIs(t, read.err(), known)
+	}
+}
+
+// recorder keeps the lines of calls.
+type recorder struct {
+	mu    sync.Mutex
+	lines bytes.Buffer
+}
+
+// anyTime is the time that a caller waits, of a call with a deadline.
+var anyTime = regexp.MustCompile(`"left":\d+`)
+
+func (r *recorder) add(line string) {
+	if strings.Contains(line, `"op":"wait"`) {
+		line = anyTime.ReplaceAllString(line, `"left":0`)
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lines.WriteString(line)
+}
+
+func (r *recorder) bytes() []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return bytes.Clone(r.lines.Bytes())
+}
+
+// answerOnce serves the connections of a listener: each call's line is kept, and answered with a golden reply.
+func (r *recorder) answerOnce(t *testing.T, listener net.Listener, replies map[string][]byte) {
+	var all sync.WaitGroup
+	all.Go(func() {
+		for {
+			connection, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			line, _ := bufio.NewReader(connection).ReadString('\n')
+			r.add(line)
+			connection.Write(replies[opOf(line)])
+			connection.Close()
+		}
+	})
+	t.Cleanup(func() { listener.Close(); all.Wait() })
+}
+
+// opOf reads a call's name off its line, by no type of the program.
+func opOf(line string) string {
+	var keys map[string]any
+	json.Unmarshal([]byte(line), &keys)
+	op, _ := keys["op"].(string)
+	return op
+}
+
+// goldenLines are the lines of a golden file, each with its end.
+func goldenLines(t *testing.T, name string) []string {
+	t.Helper()
+	return slices.Collect(strings.Lines(string(golden.Read(t, name))))
+}
+
+// The lines that a node sends to its store's program, and what it makes of the answers.
+func TestGolden_RemoteCalls(t *testing.T) {
+	socket := filepath.Join(t.TempDir(), "s")
+	listener, err := net.Listen("unix", socket)
+	require.NoError(t, err)
+	var calls recorder
+	replies := map[string][]byte{}
+	for _, op := range []string{"meta", "since", "write", "wait"} {
+		replies[op] = golden.Read(t, "served_"+op+".json")
+	}
+	calls.answerOnce(t, listener, replies)
+
+	remote := Remote(socket)
+	meta, err := remote.Meta(t.Context())
+	require.NoError(t, err)
+	assert.Equal(t, goldenMeta, meta)
+	page, err := remote.Since(t.Context(), 11, 12)
+	require.NoError(t, err)
+	assert.Equal(t, goldenPage(), page)
+	facts, meta, err := remote.Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
+	require.NoError(t, err)
+	assert.Equal(t, []record.Fact{goldenFact()}, facts)
+	assert.Equal(t, goldenMeta, meta)
+	require.NoError(t, remote.Wait(t.Context(), 2500*time.Millisecond))
+	golden.Check(t, "remote_calls.jsonl", calls.bytes())
+}
+
+// What a node makes of a refusal that comes with what stands in the store.
+func TestGolden_RemoteRefusals(t *testing.T) {
+	for _, refusal := range []string{"conflict", "stale", "fault"} {
+		t.Run(refusal, func(t *testing.T) {
+			socket := filepath.Join(t.TempDir(), "s")
+			listener, err := net.Listen("unix", socket)
+			require.NoError(t, err)
+			var calls recorder
+			calls.answerOnce(t, listener, map[string][]byte{"write": golden.Read(t, "served_"+refusal+".json")})
+			_, _, err = Remote(socket).Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
+			switch refusal {
+			case "conflict":
+				assert.Equal(t, goldenConflict(), err)
+			case "stale":
+				assert.Equal(t, goldenStale(), err)
+			default:
+				assert.ErrorIs(t, err, ErrBusy)
+				assert.EqualError(t, err, "what went wrong")
+			}
+		})
+	}
+}
+
+// The lines that a node sends to the controller, and what it makes of the answers.
+func TestGolden_ControllerCalls(t *testing.T) {
+	var calls recorder
+	stand := golden.Read(t, "stand.json")
+	since := golden.Read(t, "served_since.json")
+	write := golden.Read(t, "served_write.json")
+	address := peer(t, func(connection net.Conn, line string) {
+		calls.add(line)
+		switch opOf(line) {
+		case "follow":
+			connection.Write(stand)
+			connection.Read(make([]byte, 1)) // until the caller leaves
+		case "since":
+			connection.Write(since)
+		case "write":
+			connection.Write(write)
+		}
+	})
+	controllers := Through([]string{address}, nil)
+	defer controllers.Close()
+	meta, err := controllers.Meta(t.Context())
+	require.NoError(t, err)
+	assert.Equal(t, goldenMeta, meta)
+	controllers.(*through).At(goldenKnown)
+	page, err := controllers.Since(t.Context(), 11, 12)
+	require.NoError(t, err)
+	assert.Equal(t, goldenPage(), page)
+	facts, meta, err := controllers.Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
+	require.NoError(t, err)
+	assert.Equal(t, []record.Fact{goldenFact()}, facts)
+	assert.Equal(t, goldenMeta, meta)
+	golden.Check(t, "controller_calls.jsonl", calls.bytes())
+}
+
+// fixedStore answers each call with the golden values, and notes what it was asked.
+type fixedStore struct {
+	Store
+	refusal error
+	asked   []string
+}
+
+func (s *fixedStore) note(format string, arguments ...any) {
+	s.asked = append(s.asked, fmt.Sprintf(format, arguments...))
+}
+
+func (s *fixedStore) Meta(context.Context) (record.Meta, error) {
+	s.note("meta")
+	return goldenMeta, nil
+}
+
+func (s *fixedStore) Since(_ context.Context, after int64, most int) (record.Page, error) {
+	s.note("since %d, %d at most", after, most)
+	return goldenPage(), nil
+}
+
+func (s *fixedStore) Write(
+	_ context.Context, epoch string, changes []record.Change,
+) ([]record.Fact, record.Meta, error) {
+	s.note("write %s, as expected: %t", epoch, assert.ObjectsAreEqual([]record.Change{goldenChange()}, changes))
+	if s.refusal != nil {
+		return nil, record.Meta{}, s.refusal
+	}
+	return []record.Fact{goldenFact()}, goldenMeta, nil
+}
+
+func (s *fixedStore) Wait(_ context.Context, most time.Duration) error {
+	s.note("wait %v", most)
+	return nil
+}
+
+// fixedFollower is a replica that tells two stands, with a sign of life between, and then that the record went back.
+type fixedFollower struct{ fixedStore }
+
+func (s *fixedFollower) Knows(_ context.Context, at record.Meta) error {
+	s.note("knows %s %d", at.Epoch, at.Revision)
+	return nil
+}
+
+func (s *fixedFollower) Follow(_ context.Context, tell func(*Stand) error) error {
+	for _, stand := range []*Stand{{Meta: goldenMeta, Age: 250}, nil, {Meta: goldenKnown}} {
+		if err := tell(stand); err != nil {
+			return err
+		}
+	}
+	return &fault{"what went wrong", record.ErrBack}
+}
+
+// exchange sends a call's line to a store that is served, and reads all of the answer.
+func exchange(t *testing.T, served Store, line string) []byte {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	ctx, cancel := context.WithCancel(t.Context())
+	var all sync.WaitGroup
+	all.Go(func() { Serve(ctx, listener, served) })
+	defer all.Wait()
+	defer cancel()
+	connection, err := net.Dial("tcp", listener.Addr().String())
+	require.NoError(t, err)
+	defer connection.Close()
+	_, err = io.WriteString(connection, line)
+	require.NoError(t, err)
+	answer, err := io.ReadAll(connection)
+	require.NoError(t, err)
+	return answer
+}
+
+// What the program answers to the lines that a node of the golden's version sends.
+func TestGolden_Served(t *testing.T) {
+	asked := map[string]string{
+		"meta":  "meta",
+		"since": "since 11, 12 at most",
+		"write": "write epoch-1, as expected: true",
+		"wait":  "wait 2.5s",
+	}
+	lines := goldenLines(t, "remote_calls.jsonl")
+	require.Len(t, lines, len(asked))
+	for _, line := range lines {
+		op := opOf(line)
+		if op == "wait" {
+			line = anyTime.ReplaceAllString(line, `"left":3500000000`)
+		}
+		served := &fixedStore{}
+		golden.Check(t, "served_"+op+".json", exchange(t, served, line))
+		assert.Equal(t, []string{asked[op]}, served.asked)
+	}
+}
+
+func TestGolden_ServedRefusals(t *testing.T) {
+	// The texts are for people and may change: they are not the program's here.
+	for name, refusal := range map[string]error{
+		"conflict": &fault{"what went wrong", goldenConflict()},
+		"stale":    &fault{"what went wrong", goldenStale()},
+		"fault":    &fault{"what went wrong", ErrBusy},
+	} {
+		line := goldenLines(t, "remote_calls.jsonl")[2]
+		golden.Check(t, "served_"+name+".json", exchange(t, &fixedStore{refusal: refusal}, line))
+	}
+}
+
+func TestGolden_ServedToFollowers(t *testing.T) {
+	lines := goldenLines(t, "controller_calls.jsonl")
+	require.Len(t, lines, 3)
+	served := &fixedFollower{}
+	golden.Check(t, "follow_stream.jsonl", exchange(t, served, lines[0]))
+	golden.Check(t, "served_since.json", exchange(t, served, lines[1]))
+	golden.Check(t, "served_write.json", exchange(t, served, lines[2]))
+	assert.Equal(t, []string{
+		"knows  0",
+		"knows epoch-2 42",
+		"since 11, 12 at most",
+		"write epoch-1, as expected: true",
+	}, served.asked)
+}
+
+// What a node reads off the connection by which a replica tells where the record stands.
+func TestGolden_FollowStream(t *testing.T) {
+	stream := bufio.NewReaderSize(bytes.NewReader(golden.Read(t, "follow_stream.jsonl")), mostLine)
+	for _, want := range []*Stand{{Meta: goldenMeta, Age: 250}, nil, {Meta: goldenKnown}} {
+		stand, err := line(stream)
+		require.NoError(t, err)
+		assert.Equal(t, want, stand)
+	}
+	_, err := line(stream)
+	assert.ErrorIs(t, err, record.ErrBack)
+	assert.EqualError(t, err, "what went wrong")
+	_, err = line(stream)
+	assert.ErrorIs(t, err, io.EOF)
+}
