--- a/internal/record/record/record.go
+++ b/internal/record/record/record.go
@@ -57,18 +57,18 @@
 // Change is what a writer wants.
 type Change struct {
 	Key
-	Expect int64 // the revision that the fact has to have; 0: none yet, or deleted; Any
-	Delete bool
-	By     string
-	Mark   string // a new one for each change, the same one if it is tried again
-	At     int64
-	Value  json.RawMessage
+	Expect int64           `json:"Expect"` // the revision that the fact has to have; 0: none yet, or deleted; Any
+	Delete bool            `json:"Delete"`
+	By     string          `json:"By"`
+	Mark   string          `json:"Mark"` // a new one for each change, the same one if it is tried again
+	At     int64           `json:"At"`
+	Value  json.RawMessage `json:"Value"`
 }
 
 // Conflict tells the loser of a race what won.
 type Conflict struct {
-	Change Change
-	Now    Fact // Revision 0: there is none
+	Change Change `json:"Change"`
+	Now    Fact   `json:"Now"` // Revision 0: there is none
 }
 
 func (c *Conflict) Error() string {
@@ -81,8 +81,8 @@
 
 // Stale is a change that says what something newer has already undone.
 type Stale struct {
-	Change Change
-	Now    Fact
+	Change Change `json:"Change"`
+	Now    Fact   `json:"Now"`
 }
 
 func (s *Stale) Error() string {
--- a/internal/record/record/view.go
+++ b/internal/record/record/view.go
@@ -89,9 +89,9 @@
 
 // Page is news from the store: what changed after a revision, or with Whole all of it.
 type Page struct {
-	Meta  Meta
-	Whole bool
-	Facts []Fact
+	Meta  Meta   `json:"Meta"`
+	Whole bool   `json:"Whole"`
+	Facts []Fact `json:"Facts"`
 }
 
 // Stands is where this copy stands: as far as it has read, or has written.
--- a/internal/record/store/controllers.go
+++ b/internal/record/store/controllers.go
@@ -235,8 +235,8 @@
 	}
 	var is struct {
 		Stand
-		Fault string
-		Name  string
+		Fault string `json:"fault"`
+		Name  string `json:"name"`
 	}
 	if err := json.Unmarshal(text, &is); err != nil {
 		return nil, fmt.Errorf("no proper line: %w", err)
--- a/internal/record/store/golden_test.go
+++ b/internal/record/store/golden_test.go
@@ -23,7 +23,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"robincart/internal/record"
+	"robincart/internal/record/record"
 	"robincart/internal/testutil/golden"
 )
 
--- a/internal/record/store/sqlstore/golden_test.go
+++ b/internal/record/store/sqlstore/golden_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"robincart/internal/record"
-	"robincart/internal/store"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
 	"robincart/internal/testutil/golden"
 )
 
