--- a/cmd/robincart/config.go
+++ b/cmd/robincart/config.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 
 	"robincart/internal/admin"
-	"robincart/internal/controlplane/registry"
+	"robincart/internal/controlplane/endpoints"
 	"robincart/internal/protocol/settings"
 	"robincart/internal/resources/limits"
 )
@@ -34,7 +34,7 @@
 	file   string // the discovery that the file names
 	text   []byte // the file
 	node   *settings.Node
-	list   *registry.List
+	list   *endpoints.List
 	limits limits.Limits
 }
 
@@ -79,9 +79,9 @@
 	if err := c.node.Serves(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.list = &registry.List{Complete: true}
+	c.list = &endpoints.List{Complete: true}
 	if len(c.Known) > 0 {
-		if c.list, err = registry.Parse(c.Known); err != nil {
+		if c.list, err = endpoints.Parse(c.Known); err != nil {
 			return nil, fmt.Errorf("configuration %s: known: %w", path, err)
 		}
 	}
--- a/cmd/robincart/main.go
+++ b/cmd/robincart/main.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/zap"
 
-	"robincart/internal/controlplane/registry"
+	"robincart/internal/controlplane/endpoints"
 	"robincart/internal/core/node"
 	"robincart/internal/dataplane/frontend"
 	"robincart/internal/dataplane/upstream"
@@ -148,7 +148,7 @@
 	clk := clock{time.Now()}
 	budget := limits.NewBudget(l.Descriptors, l.Refused, limits.NewBytes(l.Bytes))
 	budget.Callers(l.Connections)
-	watcher := registry.New(c.Discovery, c.node.ZoneNames, l, budget, log)
+	watcher := endpoints.New(c.Discovery, c.node.ZoneNames, l, budget, log)
 	recorder := telemetry.NewRecorder(log, newTrace(os.Getenv, c.Name))
 	core := node.New(c.node, c.seed(), clk, time.Now(), watcher.Ask)
 	core.Observe(recorder)
--- a/cmd/robincart/record.go
+++ b/cmd/robincart/record.go
@@ -17,7 +17,7 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"robincart/internal/config/operator"
+	"robincart/internal/config/nodeconfig"
 	"robincart/internal/controlplane/recordcache"
 	"robincart/internal/record/record"
 	"robincart/internal/record/store"
@@ -150,7 +150,7 @@
 }
 
 // keep begins to keep the record, and to show how it stands.
-func keep(c *operator.Config, ring *keys.Ring, log *zap.Logger) (*recordcache.Keeper, func(), error) {
+func keep(c *nodeconfig.Config, ring *keys.Ring, log *zap.Logger) (*recordcache.Keeper, func(), error) {
 	r := c.Record
 	open := func() (store.Store, error) { return agent(r.Store, log) }
 	if addrs, is, _ := store.Controllers(r.Store); is { // no driver, no program beside this one
@@ -189,7 +189,7 @@
 }
 
 // over puts what the record says over the file. What can't be compiled is logged, and what is in force stays.
-func over(file *operator.Config, k *recordcache.Keeper, now *operator.Config, log *zap.Logger) *operator.Config {
+func over(file *nodeconfig.Config, k *recordcache.Keeper, now *nodeconfig.Config, log *zap.Logger) *nodeconfig.Config {
 	if k == nil {
 		return file
 	}
--- a/cmd/robincart/services.go
+++ b/cmd/robincart/services.go
@@ -13,13 +13,13 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"robincart/internal/config/operator"
+	"robincart/internal/config/nodeconfig"
 	"robincart/internal/core/routes"
 	"robincart/internal/dataplane/frontend"
-	"robincart/internal/dataplane/pools"
+	"robincart/internal/dataplane/services"
 	"robincart/internal/protocol/httpwire"
 	"robincart/internal/resources/limits"
-	"robincart/internal/resources/shares"
+	"robincart/internal/resources/quota"
 	"robincart/internal/system/keys"
 	"robincart/internal/system/poller"
 	"robincart/internal/system/socket"
@@ -64,18 +64,18 @@
 	if file == "" {
 		return platform(sig)
 	}
-	return services(file, sig)
+	return runServices(file, sig)
 }
 
 // readOperators reads an operator's file for this process.
-func readOperators(file string) (*operator.Config, error) {
+func readOperators(file string) (*nodeconfig.Config, error) {
 	most := files()
-	return reading(func() (*operator.Config, error) { return operator.Read(file, most) })
+	return reading(func() (*nodeconfig.Config, error) { return nodeconfig.Read(file, most) })
 }
 
-// services is the node with an operator's file: several services behind one set of sockets.
-func services(file string, sig signals) error {
-	c, err := starting(func() (*operator.Config, error) { return readOperators(file) })
+// runServices is the node with an operator's file: several services behind one set of sockets.
+func runServices(file string, sig signals) error {
+	c, err := starting(func() (*nodeconfig.Config, error) { return readOperators(file) })
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	recorder := telemetry.NewRecorder(log, newTrace(os.Getenv, c.Name))
 	front := frontend.New(l, budget, clk.Now, log, watch)
 	front.Observe(recorder)
-	set := pools.New(c, clk, budget, log, watch)
+	set := services.New(c, clk, budget, log, watch)
 	set.Telemetry = recorder
 	ops := newOperations(front, set.Cores, log)
 	if c.Admin.Kept != "" {
@@ -201,7 +201,7 @@
 }
 
 // openGateways listens where gateways that speak FastCGI are to be served.
-func openGateways(c *operator.Config) (all []gatewayListener, err error) {
+func openGateways(c *nodeconfig.Config) (all []gatewayListener, err error) {
 	for _, g := range c.Gateway {
 		network, addr := "tcp", g.Listen
 		if path, unix := strings.CutPrefix(g.Listen, "unix:"); unix {
@@ -234,13 +234,13 @@
 
 // check prints what a file would put in force.
 func check(c *cobra.Command, file string) error {
-	f, err := operator.Read(file, 0)
+	f, err := nodeconfig.Read(file, 0)
 	if err != nil {
 		return err
 	}
 	w := c.OutOrStdout()
 	fmt.Fprintf(w, "%s listens on %s; %d connections of callers, %d requests at once, %d connections to servers, %d MB for bodies\n", f.Name, strings.Join(f.Listen, ", "), f.Limits.Connections,
-		f.Shares.Total[shares.Held], f.Shares.Total[shares.Conns], f.Shares.Total[shares.Bytes]>>20)
+		f.Shares.Total[quota.Held], f.Shares.Total[quota.Conns], f.Shares.Total[quota.Bytes]>>20)
 	for _, g := range f.Gateway {
 		fmt.Fprintf(w, "gateways that speak FastCGI at %s\n", g.Listen)
 	}
@@ -255,8 +255,8 @@
 		}
 		part := "no bounds"
 		if !f.Sharing.Off {
-			part = fmt.Sprintf("%d requests guaranteed, %d of them never lent, weight %g", int(p.Guarantee*float64(f.Shares.Total[shares.Held])),
-				int(p.Guarantee*f.Shares.Reserve*float64(f.Shares.Total[shares.Held])), p.Weight)
+			part = fmt.Sprintf("%d requests guaranteed, %d of them never lent, weight %g", int(p.Guarantee*float64(f.Shares.Total[quota.Held])),
+				int(p.Guarantee*f.Shares.Reserve*float64(f.Shares.Total[quota.Held])), p.Weight)
 		}
 		fmt.Fprintf(w, "service %s: %s; %s; methods %s\n", p.Name, from, part, strings.Join(methods, ", "))
 	}
@@ -267,7 +267,7 @@
 }
 
 // describe is a route in words.
-func describe(r routes.Rule, f *operator.Config) string {
+func describe(r routes.Rule, f *nodeconfig.Config) string {
 	parts := []string{}
 	if r.Host != "" {
 		parts = append(parts, "host "+r.Host)
@@ -308,7 +308,7 @@
 	var headers []string
 	c := &cobra.Command{Use: "routes FILE", Short: "Tell which service a request goes to, and why; without a request, list the routes", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := operator.Read(args[0], 0)
+			f, err := nodeconfig.Read(args[0], 0)
 			if err != nil {
 				return err
 			}
@@ -330,7 +330,7 @@
 				}
 				q.Header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 			}
-			look, err := pools.Look(q)
+			look, err := services.Look(q)
 			if err != nil {
 				fmt.Fprintf(w, "400: %v\n", err)
 				return nil
--- a/cmd/robincart/services_test.go
+++ b/cmd/robincart/services_test.go
@@ -24,7 +24,7 @@
 	"go.uber.org/zap"
 
 	"robincart/internal/controlplane/recordcache"
-	"robincart/internal/controlplane/relay"
+	"robincart/internal/controlplane/recordserver"
 	"robincart/internal/lab/chaos"
 	"robincart/internal/lab/standin"
 	"robincart/internal/record/record"
@@ -163,11 +163,11 @@
 	begin := func() (stop func()) {
 		ln, err := net.Listen("tcp", at)
 		require.NoError(t, err)
-		r := relay.New(up, relay.Defaults(), zap.NewNop())
+		r := recordserver.New(up, recordserver.Defaults(), zap.NewNop())
 		ctx, end := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		all.Go(func() { r.Run(ctx) })
-		all.Go(func() { store.ServeWithin(ctx, ln, r, relay.Within(10)) })
+		all.Go(func() { store.ServeWithin(ctx, ln, r, recordserver.Within(10)) })
 		stop = sync.OnceFunc(func() { end(); all.Wait() })
 		t.Cleanup(stop)
 		return stop
--- a/internal/config/operator/golden_test.go
+++ b/internal/config/nodeconfig/golden_test.go
@@ -1,4 +1,4 @@
-package operator
+package nodeconfig
 
 // The files under testdata pin the operator's file and what is made of it. every-key.toml, defaults.toml and
 // other-case.toml were written by hand, as operators write them, and read by the code at commit 0cdd5b2; the .json
@@ -20,7 +20,7 @@
 	"robincart/internal/protocol/settings"
 	"robincart/internal/record/record"
 	"robincart/internal/resources/limits"
-	"robincart/internal/resources/shares"
+	"robincart/internal/resources/quota"
 	"robincart/internal/system/keys"
 	"robincart/internal/system/tomlfile"
 	"robincart/internal/testutil"
@@ -183,8 +183,8 @@
 func TestCompile_EveryKey(t *testing.T) {
 	config, err := Parse(testutil.Golden(t, "every-key.toml"), 0)
 	require.NoError(t, err)
-	assert.Equal(t, shares.Config{Reserve: 0.25, Return: 3, Busy: 0.8, Total: config.Shares.Total}, config.Shares)
-	assert.Equal(t, shares.Spec{Name: "booking", Guarantee: 0.35, Weight: 2.5, Tenants: []float64{3.5, 4.5}},
+	assert.Equal(t, quota.Config{Reserve: 0.25, Return: 3, Busy: 0.8, Total: config.Shares.Total}, config.Shares)
+	assert.Equal(t, quota.Spec{Name: "booking", Guarantee: 0.35, Weight: 2.5, Tenants: []float64{3.5, 4.5}},
 		config.Pools[0].Spec)
 	assert.Equal(t, []node.Entry{
 		{ID: "127.0.0.1:9000", Addr: "127.0.0.1:9000", State: decide.Ready, Weight: 1},
@@ -225,8 +225,8 @@
 func TestFactValues_Golden(t *testing.T) {
 	testutil.EqualGoldenJSON(t, "record-service.json", text{TOML: string(testutil.Golden(t, "record-service.toml"))})
 	testutil.EqualGoldenJSON(t, "record-route.json", text{TOML: string(testutil.Golden(t, "record-route.toml"))})
-	testutil.EqualGoldenJSON(t, "record-tenant.json", quota{Quota: 200.5, Weight: 2.5})
-	testutil.EqualGoldenJSON(t, "record-tenant-zero.json", quota{})
+	testutil.EqualGoldenJSON(t, "record-tenant.json", tenantQuota{Quota: 200.5, Weight: 2.5})
+	testutil.EqualGoldenJSON(t, "record-tenant-zero.json", tenantQuota{})
 }
 
 func TestFile_EveryFieldTagged(t *testing.T) {
--- a/internal/config/operator/operator.go
+++ b/internal/config/nodeconfig/nodeconfig.go
@@ -1,5 +1,5 @@
 // Package operator reads and checks the operator's file: services, their routes and their parts of the node.
-package operator
+package nodeconfig
 
 import (
 	"encoding/json"
@@ -21,7 +21,7 @@
 	"robincart/internal/protocol/fcgi"
 	"robincart/internal/protocol/settings"
 	"robincart/internal/resources/limits"
-	"robincart/internal/resources/shares"
+	"robincart/internal/resources/quota"
 	"robincart/internal/system/keys"
 	"robincart/internal/system/tomlfile"
 )
@@ -178,14 +178,14 @@
 	File
 	Table  *routes.Table
 	Pools  []Pool // in the order of the file's services
-	Shares shares.Config
+	Shares quota.Config
 	Limits limits.Limits
 }
 
 // Pool is one service, compiled.
 type Pool struct {
 	Service
-	Spec    shares.Spec
+	Spec    quota.Spec
 	Node    *settings.Node
 	Static  []node.Entry // its servers, where it has no discovery
 	Same    string       // equal texts: the module's instance can stay
@@ -428,7 +428,7 @@
 		return errors.Join(all...) // what is compiled below takes time by the square of some of these
 	}
 	names := map[string]int{}
-	var specs []shares.Spec
+	var specs []quota.Spec
 	for i := range c.Service {
 		s := &c.Service[i]
 		at := fmt.Sprintf("service[%d]", i+1)
@@ -441,8 +441,8 @@
 		c.Pools = append(c.Pools, p)
 		specs = append(specs, p.Spec)
 	}
-	c.Shares = shares.Config{Reserve: *c.Sharing.Reserve, Return: time.Duration(*c.Sharing.Return).Seconds(), Busy: *c.Sharing.Busy}
-	for _, err := range unjoin(shares.Check(c.Shares, specs)) {
+	c.Shares = quota.Config{Reserve: *c.Sharing.Reserve, Return: time.Duration(*c.Sharing.Return).Seconds(), Busy: *c.Sharing.Busy}
+	for _, err := range unjoin(quota.Check(c.Shares, specs)) {
 		bad(err != nil, "sharing: %w", err)
 	}
 	var rules []routes.Rule
@@ -504,8 +504,8 @@
 		return err
 	}
 	c.Limits = l
-	c.Shares.Total = shares.Amount{shares.Held: int64(l.Callers), shares.Bytes: l.Memory / 4,
-		shares.Conns: int64(l.Descriptors - l.Connections)}
+	c.Shares.Total = quota.Amount{quota.Held: int64(l.Callers), quota.Bytes: l.Memory / 4,
+		quota.Conns: int64(l.Descriptors - l.Connections)}
 	for i := range c.Pools {
 		c.Pools[i].Timeout = c.Limits.For(c.Pools[i].Node)
 		c.Pools[i].Node.AskWithin = c.Limits.ListEvery.Seconds()
@@ -529,7 +529,7 @@
 			all = append(all, fmt.Errorf(at+format, args...))
 		}
 	}
-	p = Pool{Service: *s, Spec: shares.Spec{Name: s.Name, Guarantee: s.Guarantee, Weight: s.Weight}}
+	p = Pool{Service: *s, Spec: quota.Spec{Name: s.Name, Guarantee: s.Guarantee, Weight: s.Weight}}
 	bad((s.Discovery == "") == (len(s.Servers) == 0), ".discovery: either discovery or servers is wanted")
 	if s.Discovery != "" {
 		_, _, err := net.SplitHostPort(s.Discovery)
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/nodeconfig/nodeconfig_test.go
@@ -1,4 +1,4 @@
-package operator
+package nodeconfig
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"robincart/internal/resources/shares"
+	"robincart/internal/resources/quota"
 )
 
 func example(t testing.TB) []byte {
@@ -28,7 +28,7 @@
 	assert.InDelta(t, c.Limits.ListEvery.Seconds(), c.Pools[0].Node.AskWithin, 1e-9, "a new process asks as soon as any")
 	assert.Len(t, c.Pools[1].Static, 2)
 	assert.InDelta(t, 2.5, c.Pools[0].Node.Methods[0].LatencyTarget, 1e-9)
-	assert.EqualValues(t, c.Limits.Callers, c.Shares.Total[shares.Held])
+	assert.EqualValues(t, c.Limits.Callers, c.Shares.Total[quota.Held])
 	assert.NotEqual(t, c.SeedOf("booking"), c.SeedOf("tables"), "no two services choose alike")
 
 	// What a running process can't change stays, and is named.
--- a/internal/config/operator/record.go
+++ b/internal/config/nodeconfig/record.go
@@ -1,4 +1,4 @@
-package operator
+package nodeconfig
 
 import (
 	"encoding/json"
@@ -58,8 +58,8 @@
 	TOML string `json:"toml"`
 }
 
-// quota is the value of a tenant's.
-type quota struct {
+// tenantQuota is the value of a tenant's.
+type tenantQuota struct {
 	Quota  float64 `json:"quota"`
 	Weight float64 `json:"weight"`
 }
@@ -95,7 +95,7 @@
 		}
 	case record.Tenant:
 		_, name, _ := strings.Cut(f.Name, "/")
-		var q quota
+		var q tenantQuota
 		if err := json.Unmarshal(f.Value, &q); err != nil || !(q.Quota >= 0) || !(q.Weight >= 0) {
 			return one, errors.Join(err, errors.New("a tenant needs a quota and a weight of 0 or more"))
 		}
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -37,7 +37,7 @@
 
 	"robincart/internal/controlplane/fanout"
 	"robincart/internal/controlplane/membership"
-	"robincart/internal/controlplane/relay"
+	"robincart/internal/controlplane/recordserver"
 	"robincart/internal/record/store"
 	"robincart/internal/system/keys"
 )
@@ -99,8 +99,8 @@
 	bad    map[string]string // objects that were skipped, and why
 	cut    map[string]*cut   // kinds that are not followed
 	gates  int
-	book   *book        // nil without a record
-	relay  *relay.Relay // nil where nodes are not told the record
+	book   *book               // nil without a record
+	relay  *recordserver.Relay // nil where nodes are not told the record
 }
 
 // New prepares one.
@@ -244,12 +244,12 @@
 		})
 	}
 	if k.c.Store != nil && told != nil {
-		r := relay.New(k.c.Store, relay.Defaults(), k.log)
+		r := recordserver.New(k.c.Store, recordserver.Defaults(), k.log)
 		k.mu.Lock()
 		k.relay = r
 		k.mu.Unlock()
 		all.Go(func() { r.Run(ctx) })
-		all.Go(func() { store.ServeWithin(ctx, told, r, relay.Within(k.c.Callers)) })
+		all.Go(func() { store.ServeWithin(ctx, told, r, recordserver.Within(k.c.Callers)) })
 	}
 	follow := func(group, resource, namespace string, example any, s sink) {
 		from(cache.NewListWatchFromClient(clients[group], resource, namespace, selection.Everything()), resource, example, s)
@@ -711,7 +711,7 @@
 	Skipped  map[string]string        `json:"skipped"`
 	Gates    int                      `json:"gates_opened"`
 	Record   string                   `json:"record,omitempty"` // what keeps it from following the settings
-	Relay    *relay.Status            `json:"relay,omitempty"`  // the record as nodes are told it here
+	Relay    *recordserver.Status     `json:"relay,omitempty"`  // the record as nodes are told it here
 	Services map[string]fanout.Status `json:"services"`
 }
 
--- a/internal/controlplane/controller/golden_test.go
+++ b/internal/controlplane/controller/golden_test.go
@@ -31,7 +31,7 @@
 	"robincart/internal/controlplane/desiredstate"
 	"robincart/internal/controlplane/fanout"
 	"robincart/internal/controlplane/membership"
-	"robincart/internal/controlplane/relay"
+	"robincart/internal/controlplane/recordserver"
 	"robincart/internal/record/record"
 	"robincart/internal/record/store"
 	"robincart/internal/testutil"
@@ -331,7 +331,7 @@
 			Cut:     map[string]float64{"endpointslices": 2.5, "pods": 3.5},
 			Skipped: map[string]string{"pod booking/odd": "it has no UID"},
 			Gates:   8, Record: "the store is away",
-			Relay: &relay.Status{
+			Relay: &recordserver.Status{
 				Epoch: "5f2a9c", Revision: 9, Facts: 10, Nodes: 11, HeardAgo: 12.5, Fault: "no answer", Waiting: 13,
 				Written: 14, Answered: 15, Merged: 16,
 			},
--- a/internal/controlplane/desiredstate/desiredstate.go
+++ b/internal/controlplane/desiredstate/desiredstate.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"slices"
 
-	"robincart/internal/config/operator"
+	"robincart/internal/config/nodeconfig"
 	"robincart/internal/record/record"
 )
 
@@ -125,5 +125,5 @@
 	if err := c.Valid(); err != nil {
 		return key, nil, err
 	}
-	return key, value, operator.Fact(record.Fact{Key: key, Value: value})
+	return key, value, nodeconfig.Fact(record.Fact{Key: key, Value: value})
 }
--- a/internal/controlplane/registry/descriptors.go
+++ b/internal/controlplane/endpoints/descriptors.go
@@ -1,4 +1,4 @@
-package registry
+package endpoints
 
 // acquire takes a descriptor for a call. One is kept from watch to watch: given back while discovery is down it would be gone when
 // discovery is back, with every other in use for as long as servers hang. Only Run's goroutine calls it.
--- a/internal/controlplane/registry/feed.go
+++ b/internal/controlplane/endpoints/feed.go
@@ -1,4 +1,4 @@
-package registry
+package endpoints
 
 import (
 	"errors"
--- a/internal/controlplane/registry/golden_test.go
+++ b/internal/controlplane/endpoints/golden_test.go
@@ -1,4 +1,4 @@
-package registry
+package endpoints
 
 // The files under testdata pin the list as it is read from discovery. The lists were written by hand, and what is
 // expected of them was measured with the code at commit 0cdd5b2; skipped-entries.txt and watch-request.http were
--- a/internal/controlplane/registry/list.go
+++ b/internal/controlplane/endpoints/list.go
@@ -1,5 +1,5 @@
 // Package registry follows the list of servers at discovery.
-package registry
+package endpoints
 
 import (
 	"bytes"
--- a/internal/controlplane/recordcache/fleet_test.go
+++ b/internal/controlplane/recordcache/fleet_test.go
@@ -21,7 +21,7 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/controlplane/relay"
+	"robincart/internal/controlplane/recordserver"
 	"robincart/internal/core/node"
 	"robincart/internal/lab/pgstand"
 	"robincart/internal/lab/traffic"
@@ -55,9 +55,9 @@
 			if err != nil {
 				panic(err)
 			}
-			r, t := relay.New(up, relay.Defaults(), zap.NewNop()), traffic.Listen(ln)
+			r, t := recordserver.New(up, recordserver.Defaults(), zap.NewNop()), traffic.Listen(ln)
 			go r.Run(context.Background())
-			go store.ServeWithin(context.Background(), t, r, relay.Within(5000))
+			go store.ServeWithin(context.Background(), t, r, recordserver.Within(5000))
 			addrs, all = append(addrs, ln.Addr().String()), append(all, t)
 		}
 		fmt.Println(strings.Join(addrs, ","))
--- a/internal/controlplane/recordcache/recordcache.go
+++ b/internal/controlplane/recordcache/recordcache.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/controlplane/registry"
+	"robincart/internal/controlplane/endpoints"
 	"robincart/internal/core/node"
 	"robincart/internal/protocol/httpwire"
 	"robincart/internal/record/record"
@@ -479,14 +479,14 @@
 type Sink struct {
 	k       *Keeper
 	service string
-	core    registry.Core
+	core    endpoints.Core
 	order   sync.Mutex // lists reach the core in the order in which they were merged
 	last    string
 }
 
 // Sink begins to stand there. What the record knows of the service's servers goes to the core at once, so that a node serves
 // before its discovery answers.
-func (k *Keeper) Sink(service string, core registry.Core) *Sink {
+func (k *Keeper) Sink(service string, core endpoints.Core) *Sink {
 	s := &Sink{k: k, service: service, core: core}
 	k.mu.Lock()
 	k.sinks[service] = s
--- a/internal/controlplane/relay/golden_test.go
+++ b/internal/controlplane/recordserver/golden_test.go
@@ -1,4 +1,4 @@
-package relay
+package recordserver
 
 // The golden files under testdata were written by the program's text at commit 0cdd5b2. The controller's status page
 // shows these bytes. They must never be written anew to follow a rename: a test that fails here says that the page
--- a/internal/controlplane/relay/relay.go
+++ b/internal/controlplane/recordserver/recordserver.go
@@ -1,6 +1,6 @@
 // Package relay tells many nodes the store of record in the store's place: one follower of the store, one copy, one writer. What the copy may answer and
 // which writes are one is decided by package replica; here are the goroutines round it. store.ServeWithin puts it on a listener.
-package relay
+package recordserver
 
 import (
 	"context"
--- a/internal/controlplane/relay/relay_test.go
+++ b/internal/controlplane/recordserver/recordserver_test.go
@@ -1,4 +1,4 @@
-package relay
+package recordserver
 
 import (
 	"context"
--- a/internal/dataplane/pools/gate.go
+++ b/internal/dataplane/services/gate.go
@@ -1,6 +1,6 @@
 // Package pools keeps the services of one process: each with a core of its own, its list of servers and its connections,
 // all of them within what they share. A new configuration is taken as one step, or not at all.
-package pools
+package services
 
 import (
 	"math"
@@ -10,13 +10,13 @@
 
 	"robincart/internal/dataplane/frontend"
 	"robincart/internal/resources/limits"
-	"robincart/internal/resources/shares"
+	"robincart/internal/resources/quota"
 )
 
 // gate puts one lock round what services share. Nothing waits under it.
 type gate struct {
 	mu   sync.Mutex
-	tree *shares.Tree
+	tree *quota.Tree
 	back time.Duration // the shortest time after which to come again
 	rand *rand.Rand
 }
@@ -24,7 +24,7 @@
 // share is one service's side of the gate.
 type share struct {
 	g    *gate
-	s    *shares.Service
+	s    *quota.Service
 	most time.Duration // that callers may be told to wait; 0: they are told nothing
 }
 
@@ -32,8 +32,8 @@
 func (x *share) Take(tenant, body int) (frontend.Lease, time.Duration, bool) {
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	l, why := x.s.Take(tenant, shares.Amount{shares.Held: 1, shares.Bytes: int64(body)})
-	if why != shares.Taken {
+	l, why := x.s.Take(tenant, quota.Amount{quota.Held: 1, quota.Bytes: int64(body)})
+	if why != quota.Taken {
 		// Spread, so that those who follow it do not all come back in one moment.
 		wait := time.Duration(float64(x.g.back) * (0.5 + 1.5*x.g.rand.Float64()))
 		return nil, min(wait, x.most), false
@@ -43,7 +43,7 @@
 
 type lease struct {
 	g *gate
-	l *shares.Lease
+	l *quota.Lease
 }
 
 func (l *lease) Recalled() <-chan struct{} { return l.l.Recalled() }
@@ -54,7 +54,7 @@
 	l.l.Give()
 }
 
-var oneConn = shares.Amount{shares.Conns: 1}
+var oneConn = quota.Amount{quota.Conns: 1}
 
 // budget is what a service's connections to servers are counted against: its part, and the process's descriptors.
 type budget struct {
--- a/internal/dataplane/pools/pools.go
+++ b/internal/dataplane/services/services.go
@@ -1,4 +1,4 @@
-package pools
+package services
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 
 	"go.uber.org/zap"
 
-	"robincart/internal/config/operator"
+	"robincart/internal/config/nodeconfig"
+	"robincart/internal/controlplane/endpoints"
 	"robincart/internal/controlplane/recordcache"
-	"robincart/internal/controlplane/registry"
 	"robincart/internal/core/node"
 	"robincart/internal/core/routes"
 	"robincart/internal/dataplane/frontend"
 	"robincart/internal/dataplane/upstream"
 	"robincart/internal/protocol/httpwire"
 	"robincart/internal/resources/limits"
-	"robincart/internal/resources/shares"
+	"robincart/internal/resources/quota"
 	"robincart/internal/system/keys"
 	"robincart/internal/system/poller"
 	"robincart/internal/system/telemetry"
@@ -36,11 +36,11 @@
 	// Keys, if set before the first Apply, are shown to discovery, and ask for its own.
 	Keys *keys.Ring
 	// Dial, if set before the first Apply, reaches discovery in the place of the machine's own network.
-	Dial registry.Dial
+	Dial endpoints.Dial
 	// Telemetry, if set before the first Apply, has what the services do recorded.
 	Telemetry *telemetry.Recorder
 	// Heard, if set before the first Apply, stands between the news of a service's servers and its core.
-	Heard func(service string, core registry.Core) registry.Core
+	Heard func(service string, core endpoints.Core) endpoints.Core
 
 	poller *poller.Poller
 	clock  node.Clock
@@ -52,18 +52,18 @@
 	owned  sync.WaitGroup
 
 	mu     sync.Mutex
-	config *operator.Config
+	config *nodeconfig.Config
 	pools  map[string]*pool
 	leave  []*pool // on their way out
 }
 
 // pool is one service: a core, its servers, its connections.
 type pool struct {
-	operator.Pool
+	nodeconfig.Pool
 	service *frontend.Service
 	core    *node.Core
-	watcher *registry.Watcher // nil with a static list
-	sink    *recordcache.Sink // between discovery and the core, where there is a record
+	watcher *endpoints.Watcher // nil with a static list
+	sink    *recordcache.Sink  // between discovery and the core, where there is a record
 	conns   *upstream.Pool
 	share   *share
 	end     context.CancelFunc
@@ -71,9 +71,9 @@
 }
 
 // New starts a set with nothing in it.
-func New(c *operator.Config, clock node.Clock, budget *limits.Budget, log *zap.Logger, t *poller.Poller) *Set {
+func New(c *nodeconfig.Config, clock node.Clock, budget *limits.Budget, log *zap.Logger, t *poller.Poller) *Set {
 	s := &Set{clock: clock, budget: budget, log: log, poller: t, pools: map[string]*pool{},
-		gate: &gate{tree: shares.New(c.Shares), back: c.Limits.ComeBack, rand: rand.New(rand.NewSource(c.SeedOf("")))}}
+		gate: &gate{tree: quota.New(c.Shares), back: c.Limits.ComeBack, rand: rand.New(rand.NewSource(c.SeedOf("")))}}
 	s.life, s.end = context.WithCancel(context.Background())
 	budget.Evict(func() bool { return s.evict(nil) })
 	s.owned.Go(s.run)
@@ -85,7 +85,7 @@
 
 // Apply puts a configuration in force, as one step, and returns the table to serve. Pools that stay keep what their
 // modules have learned; what changes in place does; the others leave once their last request has ended.
-func (s *Set) Apply(c *operator.Config) *frontend.Table {
+func (s *Set) Apply(c *nodeconfig.Config) *frontend.Table {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate.mu.Lock()
@@ -104,7 +104,7 @@
 		}
 	}
 	for name, p := range s.pools {
-		i := slices.IndexFunc(c.Pools, func(x operator.Pool) bool { return x.Name == name })
+		i := slices.IndexFunc(c.Pools, func(x nodeconfig.Pool) bool { return x.Name == name })
 		if i < 0 || !p.stays(&c.Pools[i]) || (p.share == nil) != c.Sharing.Off {
 			s.retire(p)
 			left = append(left, name)
@@ -137,12 +137,12 @@
 }
 
 // stays tells whether the running instance can serve the new text: its module's settings are fixed at its start.
-func (p *pool) stays(x *operator.Pool) bool {
+func (p *pool) stays(x *nodeconfig.Pool) bool {
 	return p.Same == x.Same && (p.Discovery == "") == (x.Discovery == "")
 }
 
 // change takes over what can change in place.
-func (p *pool) change(x operator.Pool, g *gate) {
+func (p *pool) change(x nodeconfig.Pool, g *gate) {
 	if p.share != nil {
 		g.mu.Lock()
 		p.share.s.Change(x.Guarantee, x.Weight)
@@ -161,7 +161,7 @@
 }
 
 // start makes a pool and what belongs to it. One that takes another's place knows its servers from the first moment.
-func (s *Set) start(c *operator.Config, x operator.Pool, before *pool) *pool {
+func (s *Set) start(c *nodeconfig.Config, x nodeconfig.Pool, before *pool) *pool {
 	p := &pool{Pool: x}
 	log := s.log.With(zap.String("service", x.Name))
 	var count upstream.Budget = plain{s.budget}
@@ -178,7 +178,7 @@
 	p.end = end
 	ask := func() {}
 	if x.Discovery != "" {
-		p.watcher = registry.New(x.Discovery, x.Node.ZoneNames, x.Timeout, s.budget, log)
+		p.watcher = endpoints.New(x.Discovery, x.Node.ZoneNames, x.Timeout, s.budget, log)
 		if s.Keys != nil {
 			p.watcher.Secure(s.Keys.Client)
 		}
@@ -195,7 +195,7 @@
 	if s.Begun != nil {
 		s.Begun(p.core)
 	}
-	var to registry.Core = p.core
+	var to endpoints.Core = p.core
 	if s.Heard != nil {
 		to = s.Heard(x.Name, to)
 	}
@@ -316,7 +316,7 @@
 	over := map[*pool]int64{}
 	for _, p := range all {
 		if p.share != nil {
-			over[p] = p.share.s.Over(shares.Conns)
+			over[p] = p.share.s.Over(quota.Conns)
 		}
 	}
 	s.gate.mu.Unlock()
@@ -352,7 +352,7 @@
 }
 
 // Uses tells what each service holds, for the log.
-func (s *Set) Uses() []shares.Use {
+func (s *Set) Uses() []quota.Use {
 	s.gate.mu.Lock()
 	defer s.gate.mu.Unlock()
 	return s.gate.tree.Uses()
--- a/internal/lab/chaos/golden_test.go
+++ b/internal/lab/chaos/golden_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"robincart/internal/config/operator"
+	"robincart/internal/config/nodeconfig"
 	"robincart/internal/controlplane/recordcache"
 	"robincart/internal/lab/apiserver"
 	"robincart/internal/lab/judge"
@@ -62,7 +62,7 @@
 	t.Cleanup(r.disc.Stop)
 	require.ErrorContains(t, r.addNode(context.Background(), 0), "ended at its start")
 	n := r.nodes[0]
-	config, err := operator.Parse([]byte(n.Text), 0)
+	config, err := nodeconfig.Parse([]byte(n.Text), 0)
 	require.NoError(t, err)
 	discovery := config.Service[0].Discovery
 	names := strings.NewReplacer(n.Addr, "NODE", n.status, "STATUS", discovery, "DISCOVERY", r.dir, "DIR")
--- a/internal/lab/fleet/golden_test.go
+++ b/internal/lab/fleet/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"robincart/internal/config/operator"
+	"robincart/internal/config/nodeconfig"
 	"robincart/internal/lab/labtest"
 	"robincart/internal/system/tomlfile"
 )
@@ -167,7 +167,7 @@
 	}
 	text := []byte(NodeFile(s, "golden", "127.0.0.1:101", 1, 55, "[record]\nstore = \"controllers:127.0.0.1:301\"\n"))
 	labtest.RequireGolden(t, "node.toml", text)
-	_, err := operator.Parse(text, 0)
+	_, err := nodeconfig.Parse(text, 0)
 	require.NoError(t, err)
 }
 
--- a/internal/lab/fleet/hollow.go
+++ b/internal/lab/fleet/hollow.go
@@ -14,11 +14,11 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/config/operator"
+	"robincart/internal/config/nodeconfig"
+	"robincart/internal/controlplane/endpoints"
 	"robincart/internal/controlplane/recordcache"
-	"robincart/internal/controlplane/registry"
 	"robincart/internal/core/node"
-	"robincart/internal/dataplane/pools"
+	"robincart/internal/dataplane/services"
 	"robincart/internal/record/record"
 	"robincart/internal/record/store"
 	"robincart/internal/record/store/sqlstore"
@@ -99,9 +99,9 @@
 	h       *Hollow
 	number  int
 	place   Place
-	file    *operator.Config
+	file    *nodeconfig.Config
 	keep    *recordcache.Keeper
-	set     *pools.Set
+	set     *services.Set
 	poller  *poller.Poller
 	life    context.Context
 	end     context.CancelFunc
@@ -176,7 +176,7 @@
 	x := &hollow{h: h, number: number, place: s.Places[number-s.First], phases: map[string]string{}, setting: map[string]string{}}
 	x.life, x.end = context.WithCancel(context.Background())
 	name := fmt.Sprint("h", number)
-	if x.file, err = operator.Parse([]byte(NodeFile(s, name, "127.0.0.1:1", x.place.Zone, 440, "")), 0); err != nil {
+	if x.file, err = nodeconfig.Parse([]byte(NodeFile(s, name, "127.0.0.1:1", x.place.Zone, 440, "")), 0); err != nil {
 		return err
 	}
 	if h.Patient {
@@ -199,7 +199,7 @@
 	}
 	l := x.file.Limits
 	budget := limits.NewBudget(l.Descriptors, l.Refused, limits.NewBytes(l.Bytes))
-	x.set = pools.New(x.file, clock{time.Now()}, budget, log, x.poller)
+	x.set = services.New(x.file, clock{time.Now()}, budget, log, x.poller)
 	x.set.Dial, x.set.Heard = x.dial, x.heard
 	c := x.file
 	if s.Address != "" || h.Open != nil {
@@ -251,7 +251,7 @@
 }
 
 // over puts what the record says over the file, as the program does.
-func (x *hollow) over(now *operator.Config) *operator.Config {
+func (x *hollow) over(now *nodeconfig.Config) *nodeconfig.Config {
 	var facts []record.Fact
 	for _, kind := range []record.Kind{record.Service, record.Route, record.Tenant} {
 		facts = append(facts, x.keep.Of(kind)...)
@@ -347,12 +347,12 @@
 }
 
 // heard stands before a core and notes what has come into force there.
-func (x *hollow) heard(_ string, core registry.Core) registry.Core {
+func (x *hollow) heard(_ string, core endpoints.Core) endpoints.Core {
 	return &witness{Core: core, x: x, mine: map[string]bool{}}
 }
 
 type witness struct {
-	registry.Core
+	endpoints.Core
 	x    *hollow
 	mine map[string]bool
 }
@@ -392,7 +392,7 @@
 }
 
 // settings notes which settings are in force.
-func (x *hollow) settings(c *operator.Config) {
+func (x *hollow) settings(c *nodeconfig.Config) {
 	now := time.Now().UnixNano()
 	var news []Event
 	x.mu.Lock()
--- a/internal/lab/run/golden_test.go
+++ b/internal/lab/run/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"robincart/internal/config/operator"
+	"robincart/internal/config/nodeconfig"
 	"robincart/internal/lab/experiment"
 	"robincart/internal/lab/judge"
 	"robincart/internal/lab/labtest"
@@ -129,7 +129,7 @@
 	n, err := f.newNode(0, "a")
 	require.NoError(t, err)
 	labtest.RequireGolden(t, "operator.toml", written(t, f, n, "n0.toml"))
-	_, err = operator.Parse([]byte(n.Text), 0)
+	_, err = nodeconfig.Parse([]byte(n.Text), 0)
 	require.NoError(t, err)
 }
 
--- a/internal/resources/shares/shares.go
+++ b/internal/resources/quota/quota.go
@@ -1,7 +1,7 @@
 // Package shares decides how services in one process share what it has, so that a flooded one takes nothing from a calm
 // one: each has a guaranteed part and may borrow what others leave, which comes back when its owner needs it. It is
 // pure: time is handed in. A decision costs the same for three services as for a thousand.
-package shares
+package quota
 
 import (
 	"cmp"
--- a/internal/resources/shares/shares_test.go
+++ b/internal/resources/quota/quota_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import (
 	"fmt"
--- a/internal/system/keys/keys_test.go
+++ b/internal/system/keys/keys_test.go
@@ -16,8 +16,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
+	"robincart/internal/controlplane/endpoints"
 	"robincart/internal/controlplane/fanout"
-	"robincart/internal/controlplane/registry"
 	"robincart/internal/core/node"
 	"robincart/internal/protocol/httpwire"
 	"robincart/internal/resources/limits"
@@ -151,7 +151,7 @@
 	follow := func(by func(string) *tls.Config) lists {
 		l := limits.Limits{Wire: httpwire.Sizes{Buffer: 512, Read: 64, Head: 4096, Body: 4096, Chunk: 64}, ListBytes: 1 << 16, ListConnect: 10 * time.Second,
 			ListFirst: 10 * time.Second, ListEvery: 20 * time.Second, ListTold: 10 * time.Second, ListSilence: 10 * time.Second}
-		w := registry.New(plain.Addr().String(), []string{"z"}, l, limits.NewBudget(1, 0, nil), zap.New(logged))
+		w := endpoints.New(plain.Addr().String(), []string{"z"}, l, limits.NewBudget(1, 0, nil), zap.New(logged))
 		told := make(lists, 9)
 		w.Follow(told)
 		if by != nil {
