--- a/cmd/robincart/config.go
+++ b/cmd/robincart/config.go
@@ -33,7 +33,7 @@
 
 	file   string // the discovery that the file names
 	text   []byte // the file
-	node   *settings.Node
+	node   *settings.Instance
 	list   *endpoints.List
 	limits limits.Limits
 }
@@ -76,7 +76,7 @@
 	if c.node, err = settings.Parse(c.Settings); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if err := c.node.Serves(); err != nil {
+	if err := c.node.ValidateNames(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	c.list = &endpoints.List{Complete: true}
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.node.AskWithin = c.limits.ListEvery.Seconds()
+	c.node.MaxFirstPollDelay = c.limits.ListEvery.Seconds()
 	return c, nil
 }
 
@@ -116,7 +116,7 @@
 		}
 	}
 	if err == nil {
-		err = settings.Whole(c.text, fresh.text, "known")
+		err = settings.CheckComplete(c.text, fresh.text, "known")
 	}
 	if err != nil {
 		log.Error("the new configuration can't be used; the old one stays", zap.Strings("mistakes", strings.Split(err.Error(), "\n")))
@@ -126,7 +126,7 @@
 	for name, same := range map[string]bool{
 		"name": fresh.Name == c.Name, "listen": fresh.Listen == c.Listen, "limits": fresh.Machine == c.Machine, "admin_addr": fresh.Admin == c.Admin,
 		"settings.Zones": slices.Equal(fresh.node.ZoneNames, c.node.ZoneNames), "settings.MyZone": fresh.node.Zone == c.node.Zone,
-		"settings.RegistryMode": fresh.node.MustWatch == c.node.MustWatch, "settings.Limits.MaxOpen": fresh.node.MaxOpen == c.node.MaxOpen} {
+		"settings.RegistryMode": fresh.node.MustSubscribe == c.node.MustSubscribe, "settings.Limits.MaxOpen": fresh.node.MaxInFlight == c.node.MaxInFlight} {
 		if !same {
 			waits = append(waits, name)
 		}
--- a/cmd/robincart/golden_test.go
+++ b/cmd/robincart/golden_test.go
@@ -59,10 +59,10 @@
 func fullKnown() known {
 	return known{
 		Form: 2, Said: fullSaid(), Unread: true,
-		Servers: []node.Entry{
+		Servers: []node.Endpoint{
 			{ID: "server-5", Addr: "127.0.0.1:3005", State: decide.Draining, Zone: 6, Cell: 7, Weight: 8.25,
-				Started: time.Date(2026, 12, 1, 9, 10, 11, 12_000_000, time.UTC), Listed: 13},
-			{ID: "server-14", Addr: "127.0.0.1:3014", State: decide.Ready, Zone: 15, Cell: 16, Weight: 17, Listed: 18},
+				StartedAt: time.Date(2026, 12, 1, 9, 10, 11, 12_000_000, time.UTC), Revision: 13},
+			{ID: "server-14", Addr: "127.0.0.1:3014", State: decide.Ready, Zone: 15, Cell: 16, Weight: 17, Revision: 18},
 		},
 		Listed:   []string{"server-5", "server-14", "server-19"},
 		Held:     20,
@@ -74,7 +74,7 @@
 // bareKnown is what a process hands over that knows no server and has heard of no operator.
 func bareKnown() known {
 	return known{
-		Form: 2, Said: said{Out: map[string]int64{}, Starts: map[string]int64{}}, Servers: []node.Entry{}, Seed: 1,
+		Form: 2, Said: said{Out: map[string]int64{}, Starts: map[string]int64{}}, Servers: []node.Endpoint{}, Seed: 1,
 	}
 }
 
@@ -209,20 +209,20 @@
 }
 
 // fullSettings are those of node.json.
-func fullSettings() *settings.Node {
-	return &settings.Node{
+func fullSettings() *settings.Instance {
+	return &settings.Instance{
 		Settings: decide.Settings{
-			Methods: []decide.Method{{LatencyTarget: 1.02, Deadline: 1.021, Utility: 22, LateUtility: 0.23,
-				Repeat: decide.Deduplicated, Scope: decide.ScopeZone, Window: 1.024}},
+			Methods: []decide.Method{{LatencyObjective: 1.02, Deadline: 1.021, PriorityWeight: 22, LateWeight: 0.23,
+				Idempotency: decide.Deduplicated, DedupScope: decide.ScopeZone, DedupWindow: 1.024}},
 			Tenants: []decide.Tenant{{Quota: 25}},
-			Zone:    1, Stage: 26, Instances: 27, MaxPicks: 28, MayCancel: true, SecondCopies: true,
-			MaxRetryAfter: 1.029, OverShare: 0.3, CrossZone: 0.31, MustWatch: true, MustAskIn: 1.032,
-			AskWithin: 3.25, // of the limits
-			ColdFrom:  0.33, ColdFor: 1.034, FallMultiple: 35, FallFor: 1.036,
+			Zone:    1, Stage: 26, Instances: 27, MaxAttempts: 28, MayCancel: true, Hedging: true,
+			MaxRetryAfter: 1.029, OverQuotaWeight: 0.3, CrossZoneCost: 0.31, MustSubscribe: true, MaxPollInterval: 1.032,
+			MaxFirstPollDelay: 3.25, // of the limits
+			SlowStartFraction: 0.33, SlowStartDuration: 1.034, OverloadMultiple: 35, OverloadWindow: 1.036,
 		},
 		MethodNames: []string{"class-19"}, TenantNames: []string{"tenant-24"}, ZoneNames: []string{"zone-37", "zone-38"},
-		ReportFields: []string{"concurrent"}, Reports: true, Hints: true,
-		ConnectTimeout: 1039 * time.Millisecond, ServerIdle: 1040 * time.Millisecond, MaxOpen: 41,
+		ReportFields: []string{"concurrent"}, LoadReports: true, WorkHints: true,
+		ConnectTimeout: 1039 * time.Millisecond, ServerIdleTimeout: 1040 * time.Millisecond, MaxInFlight: 41,
 	}
 }
 
@@ -238,11 +238,11 @@
 	assert.Equal(t, fullSettings(), c.node)
 	assert.True(t, c.list.Complete)
 	assert.EqualValues(t, 8, c.list.Revision)
-	assert.Equal(t, []node.Entry{
+	assert.Equal(t, []node.Endpoint{
 		{ID: "server-9", Addr: "127.0.0.1:3010", State: decide.Draining, Zone: 1, Cell: 11, Weight: 12.5,
-			Started: time.UnixMilli(1764540000013), Listed: 8},
+			StartedAt: time.UnixMilli(1764540000013), Revision: 8},
 		{ID: "server-14", Addr: "127.0.0.1:3015", State: decide.Ready, Zone: 0, Cell: 16, Weight: 17,
-			Started: time.UnixMilli(1764540000018), Listed: 8},
+			StartedAt: time.UnixMilli(1764540000018), Revision: 8},
 	}, c.list.Entries(c.node.ZoneNames, zap.NewNop()))
 }
 
--- a/cmd/robincart/main.go
+++ b/cmd/robincart/main.go
@@ -151,7 +151,7 @@
 	watcher := endpoints.New(c.Discovery, c.node.ZoneNames, l, budget, log)
 	recorder := telemetry.NewRecorder(log, newTrace(os.Getenv, c.Name))
 	core := node.New(c.node, c.seed(), clk, time.Now(), watcher.Ask)
-	core.Observe(recorder)
+	core.SetRecorder(recorder)
 	watcher.Start(core, c.list)
 	pool := upstream.NewPool(core, l, budget, watch)
 	pool.Observe(recorder)
@@ -180,7 +180,7 @@
 		zap.Int("servers", len(c.list.Members)), zap.Int("descriptors", l.Descriptors),
 		zap.Int64("memory", l.Memory))
 	s := &served{front: front, listeners: []net.Listener{in.listener()}, given: next.given,
-		limits: l, log: log, telemetry: recorder, open: core.Open,
+		limits: l, log: log, telemetry: recorder, open: core.InFlight,
 		serving: func() {
 			ops.taking.Store(true)
 			next.takes()
@@ -197,7 +197,7 @@
 		c, err = c.reload(os.Getenv, watcher, func(now *config) {
 			is := tune.to(now.node, now.limits.ClassLeaves)
 			none := func(int) bool { return false }
-			service = frontend.NewService("", now.node.Over(is, none, none), core, pool, nil).Follows(service, clk.Now(), clk.Now()+now.limits.ClassLeaves)
+			service = frontend.NewService("", now.node.WithSlotsOf(is, none, none), core, pool, nil).Follows(service, clk.Now(), clk.Now()+now.limits.ClassLeaves)
 			front.Swap(&frontend.Table{Only: service})
 			front.Known(now.limits.IDLife)
 			pool.Tune(now.limits)
--- a/cmd/robincart/operate.go
+++ b/cmd/robincart/operate.go
@@ -49,7 +49,7 @@
 // Kept is what one of the services has against it.
 func (o *operations) Kept(server string) string {
 	for _, c := range o.cores() {
-		if why := c.Kept(server); why != "" {
+		if why := c.ExclusionReason(server); why != "" {
 			return why
 		}
 	}
@@ -153,7 +153,7 @@
 // started is the start that the list tells of a server, in milliseconds of Unix time, 0 for long ago.
 func (o *operations) started(server string) (ms int64, known bool) {
 	for _, c := range o.cores() {
-		if at, listed := c.Started(server); listed {
+		if at, listed := c.StartTime(server); listed {
 			return unixMilli(at), true
 		}
 	}
@@ -197,7 +197,7 @@
 	o.said = s
 	o.state.Unlock()
 	for _, c := range o.cores() {
-		c.Succeed(s.bans(), listed)
+		c.Inherit(s.bans(), listed)
 	}
 	o.front.Lame(s.Lame)
 }
@@ -276,7 +276,7 @@
 	state := o.said.clone()
 	o.state.Unlock()
 	for _, c := range o.cores() {
-		c.Succeed(state.bans(), nil)
+		c.Inherit(state.bans(), nil)
 	}
 	o.front.Lame(state.Lame)
 	o.file.put(state)
@@ -285,7 +285,7 @@
 }
 
 // begun tells the core of a service that has just begun what was said before.
-func (o *operations) begun(c *node.Core) { c.Succeed(o.sayings().bans(), nil) }
+func (o *operations) begun(c *node.Core) { c.Inherit(o.sayings().bans(), nil) }
 
 // link has another process of this node told of calls, or no longer.
 func (o *operations) link(l *handover.Link, on bool) {
--- a/cmd/robincart/operate_test.go
+++ b/cmd/robincart/operate_test.go
@@ -134,8 +134,8 @@
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	c, err := readConfig(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
 	require.NoError(t, err)
-	assert.Greater(t, c.node.AskWithin, 0.0)
-	assert.InDelta(t, c.limits.ListEvery.Seconds(), c.node.AskWithin, 1e-9)
+	assert.Greater(t, c.node.MaxFirstPollDelay, 0.0)
+	assert.InDelta(t, c.limits.ListEvery.Seconds(), c.node.MaxFirstPollDelay, 1e-9)
 }
 
 // A file cut off anywhere changes nothing, and no key that stands in it may be missing.
--- a/cmd/robincart/succeed.go
+++ b/cmd/robincart/succeed.go
@@ -69,13 +69,13 @@
 
 // known is what a process hands to its successor.
 type known struct {
-	Form    int          `json:"Form"` // of this; what another version wrote is not believed
-	Said    said         `json:"Said"`
-	Unread  bool         `json:"Unread"` // what was said before that process could not be read by it yet
-	Servers []node.Entry `json:"Servers"`
-	Listed  []string     `json:"Listed"`
-	Held    int          `json:"Held"` // descriptors
-	Seed    uint64       `json:"Seed"` // that ids of requests are known under
+	Form    int             `json:"Form"` // of this; what another version wrote is not believed
+	Said    said            `json:"Said"`
+	Unread  bool            `json:"Unread"` // what was said before that process could not be read by it yet
+	Servers []node.Endpoint `json:"Servers"`
+	Listed  []string        `json:"Listed"`
+	Held    int             `json:"Held"` // descriptors
+	Seed    uint64          `json:"Seed"` // that ids of requests are known under
 	// ListTime is what the list's clock shows, as far as it is known; zero: not told.
 	ListTime time.Time `json:"ListTime"`
 }
@@ -180,9 +180,9 @@
 	s.lent = s.budget.Lend(told.Held + ownFiles)
 	s.front.Seeded(told.Seed)
 	s.part(2) // both together count against it
-	s.core.FollowListTime(told.ListTime)
+	s.core.AdoptListClock(told.ListTime)
 	if len(told.Servers) > 0 {
-		s.core.Listed(told.Servers, true)
+		s.core.UpdateEndpoints(told.Servers, true)
 	}
 	s.ops.link(s.before, true)
 	s.ops.follow(told.Said, told.Listed, told.Unread)
@@ -246,8 +246,8 @@
 			continue
 		}
 		s.ops.mu.Lock() // what is said from now on goes to it as a word
-		err = l.State(known{Form: form, Said: s.ops.sayings(), Unread: s.ops.unread(), Servers: s.core.Known(), Listed: s.core.Listings(), Held: s.limits.Descriptors - s.budget.Left(),
-			Seed: s.front.Seed(), ListTime: s.core.ListTime()})
+		err = l.State(known{Form: form, Said: s.ops.sayings(), Unread: s.ops.unread(), Servers: s.core.Endpoints(), Listed: s.core.KnownServers(), Held: s.limits.Descriptors - s.budget.Left(),
+			Seed: s.front.Seed(), ListTime: s.core.ListClock()})
 		s.ops.links[l] = struct{}{}
 		s.ops.mu.Unlock()
 		if err != nil {
--- a/cmd/robincart/tune.go
+++ b/cmd/robincart/tune.go
@@ -16,18 +16,18 @@
 	now  func() time.Time
 
 	mu   sync.Mutex
-	last *settings.Node
+	last *settings.Instance
 	past []past
 }
 
 // past are settings that some callers still go by.
 type past struct {
-	*settings.Node
+	*settings.Instance
 	until time.Time
 }
 
 // to puts settings in force and returns them with every name at its number.
-func (t *tuning) to(n *settings.Node, known time.Duration) *settings.Node {
+func (t *tuning) to(n *settings.Instance, known time.Duration) *settings.Instance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.past = append(t.past, past{t.last, t.now().Add(known)})
@@ -40,12 +40,12 @@
 	return t.apply()
 }
 
-func (t *tuning) apply() *settings.Node {
+func (t *tuning) apply() *settings.Instance {
 	now := t.now()
 	t.past = slices.DeleteFunc(t.past, func(p past) bool { return !now.Before(p.until) })
 	n := t.last
 	for _, p := range t.past {
-		n = n.Between(p.Node)
+		n = n.DuringTransition(p.Instance)
 	}
-	return t.core.Retune(n)
+	return t.core.UpdateSettings(n)
 }
--- a/cmd/robincart/tune_test.go
+++ b/cmd/robincart/tune_test.go
@@ -15,25 +15,25 @@
 // Settings change again before callers have heard of the last change: what any of them may still send is repeated as none of them
 // forbids, also where the class had left in between, and the last settings are in force in the end, whichever timer rings when.
 func TestSettingsThatChangeAgainAtOnceBindWithAllThatCallersMayGoBy(t *testing.T) {
-	parse := func(classes string) *settings.Node {
+	parse := func(classes string) *settings.Instance {
 		n, err := settings.Parse([]byte(`{"Classes":[{"Name":"other","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}` + classes + `],"RegistryMode":"automatic"}`))
 		require.NoError(t, err)
 		return n
 	}
-	class := func(repeat string) *settings.Node {
+	class := func(repeat string) *settings.Instance {
 		return parse(`,{"Name":"a","AimMs":1,"DeadlineMs":1,"WindowMs":9,"Repeat":"` + repeat + `"}`)
 	}
-	effect := func(n *settings.Node) decide.Repeat {
+	effect := func(n *settings.Instance) decide.Idempotency {
 		for i, name := range n.MethodNames {
 			if name == "a" {
-				return n.Methods[i].Repeat
+				return n.Methods[i].Idempotency
 			}
 		}
 		t.Fatal("the class is not there")
 		return 0
 	}
 	once, free := class("once"), class("repeatable")
-	for name, between := range map[string]*settings.Node{"again": free, "gone": parse("")} {
+	for name, between := range map[string]*settings.Instance{"again": free, "gone": parse("")} {
 		clk := clock{time.Now()}
 		now := time.Now()
 		core := node.New(once, 1, clk, now, func() {})
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -53,10 +53,10 @@
 // ended notes how long an RPC was held that found a server, and moves the room: RPCs are held only as many as
 // keep the waits near the goal. A crowd above that would be late to the last one, and tip servers over.
 func (b *Balancer) ended(r *RPC, now float64) {
-	if len(r.picks) == 0 || r.Coming {
+	if len(r.picks) == 0 || r.BodyPending {
 		return
 	}
-	wait := (now - r.came) / r.rules.LatencyTarget
+	wait := (now - r.came) / r.rules.LatencyObjective
 	b.waits.add(wait, now, recentHalf)
 	b.old.add(wait, now, doneHalf)
 	w := b.waited(now)
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -29,7 +29,7 @@
 	zone, cell, seen int
 	weight, cameUp   float64
 	entries          []entry
-	pending          []*Pick // oldest first
+	pending          []*Attempt // oldest first
 	cost, due        decaying
 	heard            float64
 	strikes          int
@@ -44,9 +44,9 @@
 type rpc struct {
 	rules         *rules
 	came, useful  float64 // after useful an answer earns nothing
-	picks         []*Pick
+	picks         []*Attempt
 	out           int
-	ran           *Pick // the first pick that may have run
+	ran           *Attempt // the first pick that may have run
 	open, started bool
 	early         float64 // the part of the room, or of the time left, that it may use: the cheaper, the less
 	size          float64 // its work over its method's mean, less one
@@ -114,36 +114,36 @@
 func New(h Host, s Settings, seed int64) *Balancer {
 	b := &Balancer{host: h, rng: rand.New(rand.NewSource(seed))}
 	b.tune(s)
-	if s.MustWatch {
+	if s.MustSubscribe {
 		// All nodes start together and the list is one slow service: each waits a random part of the time.
-		wait := min(s.MustAskIn/4, 0.1*float64(s.Instances))
-		if s.AskWithin > 0 {
-			wait = min(wait, s.AskWithin) // else what was told before the start binds first
+		wait := min(s.MaxPollInterval/4, 0.1*float64(s.Instances))
+		if s.MaxFirstPollDelay > 0 {
+			wait = min(wait, s.MaxFirstPollDelay) // else what was told before the start binds first
 		}
-		h.After(b.rng.Float64()*wait, watchAgain{})
+		h.StartTimer(b.rng.Float64()*wait, watchAgain{})
 	}
 	return b
 }
 
 // tune takes the settings over. A method that is empty has left: its slot keeps what its last RPCs need.
 func (b *Balancer) tune(s Settings) {
-	b.inner, b.copies, b.cancels = s.Stage > 0, s.SecondCopies, s.MayCancel
-	b.overShare, b.cross, b.zone = s.OverShare, s.CrossZone, s.Zone
-	b.coldFrom, b.coldFor, b.fallFor, b.part = s.ColdFrom, s.ColdFor, s.FallFor, 1/float64(max(1, s.Instances))
-	b.maxWait, b.coldPush = s.MaxRetryAfter, max(1, s.FallMultiple/2)
-	if b.floorRate = s.FallMultiple / s.FallFor * b.part; s.FallFor <= 0 || s.FallMultiple <= 0 {
+	b.inner, b.copies, b.cancels = s.Stage > 0, s.Hedging, s.MayCancel
+	b.overShare, b.cross, b.zone = s.OverQuotaWeight, s.CrossZoneCost, s.Zone
+	b.coldFrom, b.coldFor, b.fallFor, b.part = s.SlowStartFraction, s.SlowStartDuration, s.OverloadWindow, 1/float64(max(1, s.Instances))
+	b.maxWait, b.coldPush = s.MaxRetryAfter, max(1, s.OverloadMultiple/2)
+	if b.floorRate = s.OverloadMultiple / s.OverloadWindow * b.part; s.OverloadWindow <= 0 || s.OverloadMultiple <= 0 {
 		b.coldFor, b.floorRate = 0, 0 // nothing pushes a cold server over
 	}
 	top := 0.0
 	for _, m := range s.Methods {
-		top = max(top, m.Utility)
+		top = max(top, m.PriorityWeight)
 	}
 	for i, m := range s.Methods {
 		k := &rules{Method: m, value: 1}
 		if top > 0 {
-			k.value = m.Utility / top
+			k.value = m.PriorityWeight / top
 		}
-		k.picks = 1 + int(math.Ceil(float64(s.MaxPicks-1)*math.Cbrt(k.value)))
+		k.picks = 1 + int(math.Ceil(float64(s.MaxAttempts-1)*math.Cbrt(k.value)))
 		if i == len(b.methods) {
 			b.methods, b.blocks = append(b.methods, method{rules: k}), append(b.blocks, nil)
 		} else if m != (Method{}) {
@@ -162,8 +162,8 @@
 	}
 }
 
-// Retune takes other settings. What was learnt stays; RPCs that are open keep the rules that they came under.
-func (b *Balancer) Retune(s Settings) {
+// UpdateSettings takes other settings. What was learnt stays; RPCs that are open keep the rules that they came under.
+func (b *Balancer) UpdateSettings(s Settings) {
 	b.tune(s)
 	for _, s := range b.servers {
 		s.entries = append(s.entries, make([]entry, len(b.rows)-len(s.entries))...)
--- a/decide/choice_test.go
+++ b/decide/choice_test.go
@@ -15,19 +15,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "servers")
 		seed := rapid.Int64().Draw(t, "seed")
-		h, servers := seeded(seed, n, func(s *Settings) { s.CrossZone = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "cross") })
+		h, servers := seeded(seed, n, func(s *Settings) { s.CrossZoneCost = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "cross") })
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			h.until(h.now + float64(rapid.IntRange(0, 400).Draw(t, "ms"))/1000)
 			s := servers[rapid.IntRange(0, n-1).Draw(t, "server")]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				h.b.Listed([]Listing{{Server: s, State: State(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1 + float64(len(s.pending)), CameUp: h.now}}, false)
+				h.b.UpdateEndpoints([]EndpointUpdate{{Server: s, State: State(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1 + float64(len(s.pending)), StartedAt: h.now}}, false)
 			case 1, 2, 3:
 				h.arrive(rapid.IntRange(0, 3).Draw(t, "method"))
 			default:
 				if len(h.sent) > 0 {
 					if p := h.sent[rapid.IntRange(0, len(h.sent)-1).Draw(t, "pick")]; p.out {
-						h.done(p, rapid.SampledFrom([]Result{OK, OK, OK, Failed, Full, Reset, ConnectFailed, TimedOut}).Draw(t, "result"))
+						h.done(p, rapid.SampledFrom([]Result{OK, OK, OK, Failed, Rejected, Reset, ConnectFailed, TimedOut}).Draw(t, "result"))
 					}
 				}
 			}
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -83,54 +83,54 @@
 	gone    bool      // its process has ended
 }
 
-func (n *fleetNode) Now() float64               { return n.f.now }
-func (n *fleetNode) CloseIdle(s *Server)        {}
-func (n *fleetNode) Watch()                     {}
-func (n *fleetNode) Abort(r *RPC)               {}
-func (n *fleetNode) PushBack(r *RPC, _ float64) {}
-func (n *fleetNode) After(delay float64, what any) {
+func (n *fleetNode) Now() float64                   { return n.f.now }
+func (n *fleetNode) CloseIdleConnections(s *Server) {}
+func (n *fleetNode) WatchEndpoints()                {}
+func (n *fleetNode) Abort(r *RPC)                   {}
+func (n *fleetNode) PushBack(r *RPC, _ float64)     {}
+func (n *fleetNode) StartTimer(delay float64, what any) {
 	n.f.after(delay, func() {
 		if !n.gone {
-			n.b.Wake(what)
+			n.b.TimerFired(what)
 		}
 	})
 }
-func (n *fleetNode) Cancel(p *Pick) { n.f.after(0, func() { n.end(p, Canceled) }) }
-func (n *fleetNode) Send(p *Pick, _ float64) {
-	i := p.Server.Of.(int)
+func (n *fleetNode) Cancel(p *Attempt) { n.f.after(0, func() { n.end(p, Canceled) }) }
+func (n *fleetNode) Send(p *Attempt, _ float64) {
+	i := p.Server.HostData.(int)
 	if n.f.cameUp[i] > 0 && n.told[i] == n.f.cameUp[i] {
 		n.f.got[i] = append(n.f.got[i], n.f.now)
 	}
 	n.f.after(n.f.spec.latency*(0.5+0.5*n.f.rng.ExpFloat64()), func() { n.end(p, OK) })
 }
 
-func (n *fleetNode) end(p *Pick, res Result) {
-	if p.Of != nil || n.gone {
+func (n *fleetNode) end(p *Attempt, res Result) {
+	if p.HostData != nil || n.gone {
 		return
 	}
-	p.Of = true
-	n.b.Done(p, res, res == OK || !p.RPC.open, n.f.now-p.sent, nil)
+	p.HostData = true
+	n.b.AttemptDone(p, res, res == OK || !p.RPC.open, n.f.now-p.sent, nil)
 }
 
 func (f *fleet) start(seed int64) *fleetNode {
 	n := &fleetNode{f: f, told: make([]float64, f.spec.servers)}
-	n.b = New(n, Settings{Instances: f.spec.nodes, MaxPicks: 5, MayCancel: true, SecondCopies: true, MaxRetryAfter: 2,
-		ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: fallMultiple, FallFor: fallFor,
-		Methods: []Method{{LatencyTarget: 2.5, Deadline: 6, Utility: 10}}}, seed)
+	n.b = New(n, Settings{Instances: f.spec.nodes, MaxAttempts: 5, MayCancel: true, Hedging: true, MaxRetryAfter: 2,
+		SlowStartFraction: coldFrom, SlowStartDuration: coldFor, OverloadMultiple: fallMultiple, OverloadWindow: fallFor,
+		Methods: []Method{{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10}}}, seed)
 	for i := range f.spec.servers {
-		n.servers = append(n.servers, &Server{Of: i})
+		n.servers = append(n.servers, &Server{HostData: i})
 	}
 	n.tell(f.cameUp)
 	return n
 }
 
 func (n *fleetNode) tell(cameUp []float64) {
-	var list []Listing
+	var list []EndpointUpdate
 	copy(n.told, cameUp)
 	for i, s := range n.servers {
-		list = append(list, Listing{Server: s, Weight: 1, CameUp: cameUp[i]})
+		list = append(list, EndpointUpdate{Server: s, Weight: 1, StartedAt: cameUp[i]})
 	}
-	n.b.Listed(list, true)
+	n.b.UpdateEndpoints(list, true)
 }
 
 func newFleet(sp spec) *fleet {
@@ -177,7 +177,7 @@
 	f.cameUp[server] = f.now
 	if f.fresh {
 		for _, n := range f.nodes {
-			n.servers[server] = &Server{Of: server}
+			n.servers[server] = &Server{HostData: server}
 		}
 	}
 	for i := range f.nodes {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -24,7 +24,7 @@
 func TestNonIdempotentIsNeitherSentAgainNorPushedBackOnceItMayHaveRun(t *testing.T) {
 	h, _ := story(3, nil)
 	r := h.arrive(charge)
-	h.done(h.last(), Full)
+	h.done(h.last(), Rejected)
 	assert.Len(t, h.sent, 2, "a pick that never ran may be followed by another")
 	h.done(h.last(), Reset)
 	assert.Len(t, h.sent, 2)
@@ -48,7 +48,7 @@
 // A pushback says that asking again is harmless: not where servers forget before the client stops waiting.
 func TestNoPushbackWhereTheWindowEndsBeforeTheClientsTime(t *testing.T) {
 	for window, pushed := range map[float64]bool{1: false, 5.9: false, 6: true, 10: true} {
-		h, _ := story(2, func(s *Settings) { s.Methods[book].Window = window })
+		h, _ := story(2, func(s *Settings) { s.Methods[book].DedupWindow = window })
 		r := h.arrive(book)
 		for h.pushed[r] == 0 && !h.aborted[r] {
 			h.done(h.last(), Failed)
@@ -66,7 +66,7 @@
 	for _, p := range h.sent {
 		h.done(p, TimedOut)
 	}
-	h.b.Vanished(r)
+	h.b.ClientGone(r)
 	assert.Len(t, h.sent, n)
 	assert.Len(t, h.pushed, 1)
 	assert.Empty(t, h.aborted)
@@ -76,27 +76,27 @@
 
 func TestDrainingServerGetsNothingNew(t *testing.T) {
 	h, s := story(3, nil)
-	h.b.Listed([]Listing{{Server: s[0], State: Draining, Weight: 1}}, false)
-	h.b.Listed([]Listing{ready(s[0], 0), ready(s[1], 1)}, true)
-	h.b.Listed([]Listing{{Server: s[0], State: Gone, Weight: 1}}, false)
+	h.b.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Draining, Weight: 1}}, false)
+	h.b.UpdateEndpoints([]EndpointUpdate{ready(s[0], 0), ready(s[1], 1)}, true)
+	h.b.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Gone, Weight: 1}}, false)
 	got := h.warmUp(50, always(0.1))
 	assert.Equal(t, 50, got[s[1]])
 }
 
 func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
-	h, _ := story(1, func(s *Settings) { s.MustWatch, s.MustAskIn = true, 10 })
+	h, _ := story(1, func(s *Settings) { s.MustSubscribe, s.MaxPollInterval = true, 10 })
 	h.until(103)
 	assert.Equal(t, 1, h.watches)
-	h.b.ListFailed(false, 0, math.Inf(1))
+	h.b.EndpointWatchFailed(false, 0, math.Inf(1))
 	h.until(106)
 	assert.Equal(t, 2, h.watches)
 	for range 6 {
-		h.b.Listed(nil, false) // and lists that come in between change nothing
-		h.b.ListFailed(false, 0, math.Inf(1))
+		h.b.UpdateEndpoints(nil, false) // and lists that come in between change nothing
+		h.b.EndpointWatchFailed(false, 0, math.Inf(1))
 	}
 	h.until(107)
 	assert.Equal(t, 2, h.watches, "an overrun discovery is spared")
-	h.b.ListFailed(true, 0, math.Inf(1))
+	h.b.EndpointWatchFailed(true, 0, math.Inf(1))
 	h.until(107.5)
 	assert.Equal(t, 3, h.watches, "a silent one, or one that has had no call yet, is not waited for")
 	h.until(130)
@@ -108,7 +108,7 @@
 	asked := func(seed int64, most float64) float64 {
 		h, _ := seeded(seed, 1, nil)
 		for range 9 {
-			h.b.ListFailed(false, 0, most)
+			h.b.EndpointWatchFailed(false, 0, most)
 		}
 		from, next := h.now, h.watches+1
 		for h.watches < next {
@@ -131,7 +131,9 @@
 
 func TestAProcessThatIsNewAsksInTheTimeThatTheHostAllows(t *testing.T) {
 	for seed := range int64(30) {
-		h, _ := seeded(seed, 1, func(s *Settings) { s.MustWatch, s.MustAskIn, s.Instances, s.AskWithin = true, 60, 300, 3 })
+		h, _ := seeded(seed, 1, func(s *Settings) {
+			s.MustSubscribe, s.MaxPollInterval, s.Instances, s.MaxFirstPollDelay = true, 60, 300, 3
+		})
 		h.until(103)
 		assert.Equal(t, 1, h.watches)
 	}
@@ -140,7 +142,7 @@
 func TestColdServerGetsNoMoreThanItsPart(t *testing.T) {
 	h, s := story(3, nil)
 	h.warmUp(100, always(0.1))
-	h.b.Listed([]Listing{{Server: s[0], Weight: 1, CameUp: h.now}}, false)
+	h.b.UpdateEndpoints([]EndpointUpdate{{Server: s[0], Weight: 1, StartedAt: h.now}}, false)
 	got := h.warmUp(30, always(0.1))
 	assert.LessOrEqual(t, got[s[0]], 5)
 }
@@ -224,7 +226,7 @@
 }
 
 func TestGiveUpCountsAsATimeOutOfTheServer(t *testing.T) {
-	h, s := story(2, func(s *Settings) { s.SecondCopies = false })
+	h, s := story(2, func(s *Settings) { s.Hedging = false })
 	h.warmUp(20, always(1.5))
 	for range 60 {
 		h.arrive(lookup)
@@ -253,7 +255,7 @@
 
 func TestTrafficBeyondAQuotaGivesWayFirst(t *testing.T) {
 	h, _ := story(2, func(s *Settings) {
-		s.OverShare = 0.05
+		s.OverQuotaWeight = 0.05
 		s.Tenants = []Tenant{{Quota: 1}, {Quota: 1000}}
 	})
 	pushed := [2]int{}
@@ -381,7 +383,7 @@
 }
 
 func TestOneRPCOfASmallTenantIsNotBeyondItsQuota(t *testing.T) {
-	h, _ := story(4, func(s *Settings) { s.Instances, s.OverShare, s.Tenants = 300, 0.1, []Tenant{{Quota: 15}} })
+	h, _ := story(4, func(s *Settings) { s.Instances, s.OverQuotaWeight, s.Tenants = 300, 0.1, []Tenant{{Quota: 15}} })
 	assert.Equal(t, 1.0, h.arrive(lookup).early)
 	for range 5 {
 		h.arrive(lookup)
@@ -401,7 +403,7 @@
 	}
 	assert.Less(t, len(met), 30, "each node would try every jammed server once, and hundreds of nodes keep it jammed")
 	started := &Server{}
-	h.b.Listed([]Listing{{Server: started, Weight: 1, CameUp: h.now}}, false)
+	h.b.UpdateEndpoints([]EndpointUpdate{{Server: started, Weight: 1, StartedAt: h.now}}, false)
 	assert.Less(t, h.b.pace(started, 0.5, h.now), h.b.pace(s[99], 0.5, h.now), "one just started cannot have jammed")
 }
 
@@ -443,7 +445,7 @@
 		h.arrive(lookup)
 		out := h.last()
 		next := []*Server{{}, {}}
-		h.b.Listed([]Listing{ready(next[0], 0), ready(next[1], 1)}, true)
+		h.b.UpdateEndpoints([]EndpointUpdate{ready(next[0], 0), ready(next[1], 1)}, true)
 		assert.Contains(t, h.b.servers, out.Server, "its pick is still out")
 		assert.LessOrEqual(t, len(h.b.servers), 4)
 		h.until(h.now + 0.3)
@@ -451,15 +453,15 @@
 		h.warmUp(4, always(0.3))
 		s = next
 	}
-	h.b.Listed(nil, false)
+	h.b.UpdateEndpoints(nil, false)
 	assert.ElementsMatch(t, s, h.b.servers)
 	kept := 0
 	for _, r := range h.b.rows {
 		kept += r.n
 	}
 	assert.LessOrEqual(t, kept, len(s)*len(h.b.rows), "nor do their entries count in the means")
-	h.b.Listed([]Listing{{Server: s[0], State: Gone, Weight: 1}}, false)
-	h.b.Listed([]Listing{ready(s[0], 0)}, false)
+	h.b.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Gone, Weight: 1}}, false)
+	h.b.UpdateEndpoints([]EndpointUpdate{ready(s[0], 0)}, false)
 	assert.Len(t, h.b.servers, 2, "one that comes back starts anew")
 	h.warmUp(9, always(0.3))
 }
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -12,7 +12,7 @@
 
 // fault counts a failure against its server and ejects one that only fails. The entries alone would send
 // each method and tenant into the same fault once more.
-func (b *Balancer) fault(p *Pick, now float64) {
+func (b *Balancer) fault(p *Attempt, now float64) {
 	s := p.Server
 	b.pay(p, paceCap*p.due, now)
 	b.learn(p, p.RPC.rules.Deadline, true, now)
@@ -24,7 +24,7 @@
 
 // silence is a fault of a pick's server. Where idle connections are dropped unseen, no word since it was sent
 // says nothing of the server: two servers mute after an idle time tell how long is too long.
-func (b *Balancer) silence(p *Pick, now float64) {
+func (b *Balancer) silence(p *Attempt, now float64) {
 	s := p.Server
 	b.fault(p, now)
 	if s.heard >= p.sent || p.idle <= b.idleOK.read(now, idleHalf) {
@@ -39,8 +39,8 @@
 }
 
 // overtake counts a late pick before its end, by its age, or as a failure if its server is silent since.
-func (b *Balancer) overtake(p *Pick, now float64) {
-	if p.charged || p.RPC.Coming || now-p.sent < p.late*0.99 {
+func (b *Balancer) overtake(p *Attempt, now float64) {
+	if p.charged || p.RPC.BodyPending || now-p.sent < p.late*0.99 {
 		return
 	}
 	p.charged = true
--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -60,7 +60,7 @@
 	}
 	// A hung server looks sound until its time-outs land: a late pick counts before it ends.
 	if len(s.pending) > 0 {
-		if p := s.pending[0]; now-p.sent > p.late && !p.RPC.Coming {
+		if p := s.pending[0]; now-p.sent > p.late && !p.RPC.BodyPending {
 			q += now - p.sent
 		}
 	}
@@ -95,7 +95,7 @@
 
 func (b *Balancer) typical(method int, now float64) float64 {
 	m := &b.methods[method]
-	return m.took.read(now, doneHalf, 0.3*m.LatencyTarget, 1)
+	return m.took.read(now, doneHalf, 0.3*m.LatencyObjective, 1)
 }
 
 // pace is how long a server takes over what its rows lead to expect, whatever the method or tenant. One not
@@ -114,7 +114,7 @@
 	return (s.cost.read(now, paceHalf) + doubt*unknown) / (s.due.read(now, paceHalf) + doubt)
 }
 
-func (b *Balancer) pay(p *Pick, cost, now float64) {
+func (b *Balancer) pay(p *Attempt, cost, now float64) {
 	p.Server.cost.add(cost, now, paceHalf)
 	p.Server.due.add(p.due, now, paceHalf)
 	b.cost.add(cost, now, othersHalf)
@@ -122,7 +122,7 @@
 }
 
 // learn is the Q-router's update of the entry that the pick used.
-func (b *Balancer) learn(p *Pick, cost float64, failed bool, now float64) {
+func (b *Balancer) learn(p *Attempt, cost float64, failed bool, now float64) {
 	s := p.Server
 	e := &s.entries[p.row]
 	q := p.due
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -11,13 +11,13 @@
 )
 
 // lateAfter is when to look at a pick again: when it is late, or when another could just still be in time.
-func (b *Balancer) lateAfter(p *Pick, now float64) float64 {
+func (b *Balancer) lateAfter(p *Attempt, now float64) float64 {
 	return max(min(p.late, p.RPC.useful-now-patience*p.due), patience*p.due)
 }
 
 // late is a pick that should have been answered by now. If the server has answered nothing since, it may
 // hang, and its time-outs would come too late: that counts as a failure at once.
-func (b *Balancer) late(p *Pick, now float64) {
+func (b *Balancer) late(p *Attempt, now float64) {
 	s, r := p.Server, p.RPC
 	silent := s.heard < p.sent
 	b.overtake(p, now)
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -6,10 +6,10 @@
 type fakeHost struct {
 	b       *Balancer
 	now     float64
-	sent    []*Pick
+	sent    []*Attempt
 	pushed  map[*RPC]float64
 	aborted map[*RPC]bool
-	cancels []*Pick
+	cancels []*Attempt
 	watches int
 	closed  []*Server
 	timers  []timer
@@ -20,14 +20,14 @@
 	what any
 }
 
-func (h *fakeHost) Now() float64                  { return h.now }
-func (h *fakeHost) Send(p *Pick, timeout float64) { h.sent = append(h.sent, p) }
-func (h *fakeHost) Cancel(p *Pick)                { h.cancels = append(h.cancels, p) }
-func (h *fakeHost) CloseIdle(s *Server)           { h.closed = append(h.closed, s) }
-func (h *fakeHost) PushBack(r *RPC, wait float64) { h.pushed[r] = wait }
-func (h *fakeHost) Abort(r *RPC)                  { h.aborted[r] = true }
-func (h *fakeHost) Watch()                        { h.watches++ }
-func (h *fakeHost) After(delay float64, what any) {
+func (h *fakeHost) Now() float64                     { return h.now }
+func (h *fakeHost) Send(p *Attempt, timeout float64) { h.sent = append(h.sent, p) }
+func (h *fakeHost) Cancel(p *Attempt)                { h.cancels = append(h.cancels, p) }
+func (h *fakeHost) CloseIdleConnections(s *Server)   { h.closed = append(h.closed, s) }
+func (h *fakeHost) PushBack(r *RPC, wait float64)    { h.pushed[r] = wait }
+func (h *fakeHost) Abort(r *RPC)                     { h.aborted[r] = true }
+func (h *fakeHost) WatchEndpoints()                  { h.watches++ }
+func (h *fakeHost) StartTimer(delay float64, what any) {
 	h.timers = append(h.timers, timer{h.now + delay, what})
 }
 
@@ -41,7 +41,7 @@
 		next := h.timers[0]
 		h.timers = h.timers[1:]
 		h.now = max(h.now, next.at)
-		h.b.Wake(next.what)
+		h.b.TimerFired(next.what)
 	}
 	h.now = t
 }
@@ -52,14 +52,16 @@
 	return r
 }
 
-func (h *fakeHost) last() *Pick { return h.sent[len(h.sent)-1] }
+func (h *fakeHost) last() *Attempt { return h.sent[len(h.sent)-1] }
 
 // done ends a pick; an ok or an earlier end closes its RPC, as on the wire.
-func (h *fakeHost) done(p *Pick, res Result) {
-	h.b.Done(p, res, res == OK || !p.RPC.open, h.now-p.sent, nil)
+func (h *fakeHost) done(p *Attempt, res Result) {
+	h.b.AttemptDone(p, res, res == OK || !p.RPC.open, h.now-p.sent, nil)
 }
 
-func ready(s *Server, zone int) Listing { return Listing{Server: s, Weight: 1, Zone: zone} }
+func ready(s *Server, zone int) EndpointUpdate {
+	return EndpointUpdate{Server: s, Weight: 1, Zone: zone}
+}
 
 const (
 	lookup = iota // idempotent
@@ -72,24 +74,24 @@
 func story(n int, edit func(*Settings)) (*fakeHost, []*Server) { return seeded(1, n, edit) }
 
 func seeded(seed int64, n int, edit func(*Settings)) (*fakeHost, []*Server) {
-	s := Settings{Instances: 1, MaxPicks: 5, MayCancel: true, SecondCopies: true, MaxRetryAfter: 2,
-		ColdFrom: 0.2, ColdFor: 20, FallMultiple: 3, FallFor: 3, Methods: []Method{
-			{LatencyTarget: 2.5, Deadline: 6, Utility: 10},
-			{LatencyTarget: 2.5, Deadline: 6, Utility: 10, Repeat: Deduplicated, Window: 10},
-			{LatencyTarget: 2.5, Deadline: 6, Utility: 10, Repeat: Deduplicated, Scope: ScopeZone, Window: 1},
-			{LatencyTarget: 2.5, Deadline: 6, Utility: 10, Repeat: NonIdempotent}}}
+	s := Settings{Instances: 1, MaxAttempts: 5, MayCancel: true, Hedging: true, MaxRetryAfter: 2,
+		SlowStartFraction: 0.2, SlowStartDuration: 20, OverloadMultiple: 3, OverloadWindow: 3, Methods: []Method{
+			{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10},
+			{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10, Idempotency: Deduplicated, DedupWindow: 10},
+			{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10, Idempotency: Deduplicated, DedupScope: ScopeZone, DedupWindow: 1},
+			{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10, Idempotency: NonIdempotent}}}
 	if edit != nil {
 		edit(&s)
 	}
 	h := &fakeHost{now: 100, pushed: map[*RPC]float64{}, aborted: map[*RPC]bool{}}
 	h.b = New(h, s, seed)
 	var servers []*Server
-	var list []Listing
+	var list []EndpointUpdate
 	for i := range n {
 		servers = append(servers, &Server{})
 		list = append(list, ready(servers[i], i%2))
 	}
-	h.b.Listed(list, true)
+	h.b.UpdateEndpoints(list, true)
 	return h, servers
 }
 
--- a/decide/host.go
+++ b/decide/host.go
@@ -12,48 +12,48 @@
 	Now() float64
 	// Send starts a pick; its result comes back through Balancer.Done. A timeout of 0 lasts till the
 	// client's deadline.
-	Send(p *Pick, timeout float64)
-	Cancel(p *Pick)
-	// CloseIdle closes the connections to a server that carry nothing.
-	CloseIdle(s *Server)
+	Send(p *Attempt, timeout float64)
+	Cancel(p *Attempt)
+	// CloseIdleConnections closes the connections to a server that carry nothing.
+	CloseIdleConnections(s *Server)
 	// PushBack ends an RPC with the promise that retrying is harmless; wait advises when.
 	PushBack(r *RPC, wait float64)
 	// Abort ends an RPC and promises nothing.
 	Abort(r *RPC)
-	// After calls Balancer.Wake with what, once the delay has passed. It cannot be taken back; the host may leave out
+	// StartTimer calls Balancer.Wake with what, once the delay has passed. It cannot be taken back; the host may leave out
 	// the ring for an RPC that has ended or a pick whose result has come, since Wake does nothing then.
-	After(delay float64, what any)
-	// Watch subscribes to changes of the server list; Balancer.Listed or Balancer.ListFailed answers.
-	Watch()
+	StartTimer(delay float64, what any)
+	// WatchEndpoints subscribes to changes of the server list; Balancer.Listed or Balancer.ListFailed answers.
+	WatchEndpoints()
 }
 
-// Repeat says what may happen to a method's RPC once it may have run.
-type Repeat int
+// Idempotency says what may happen to a method's RPC once it may have run.
+type Idempotency int
 
 const (
-	Idempotent Repeat = iota
+	Idempotent Idempotency = iota
 	Deduplicated
 	NonIdempotent
 )
 
-// Scope is the group of servers that drops repeats of a deduplicated RPC.
-type Scope int
+// DedupScope is the group of servers that drops repeats of a deduplicated RPC.
+type DedupScope int
 
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Method is one kind of RPC. Times are in seconds.
 type Method struct {
-	LatencyTarget float64
-	Deadline      float64
-	Utility       float64
-	LateUtility   float64 // fraction of Utility for an ok after the target
-	Repeat        Repeat
-	Scope         Scope
-	Window        float64
+	LatencyObjective float64
+	Deadline         float64
+	PriorityWeight   float64
+	LateWeight       float64 // fraction of Utility for an ok after the target
+	Idempotency      Idempotency
+	DedupScope       DedupScope
+	DedupWindow      float64
 }
 
 // Tenant is one customer; Quota is its share in RPCs a second over all nodes.
@@ -68,21 +68,21 @@
 	Zone    int
 	Stage   int // tier this instance sends into; 0 is the one that clients reach
 
-	Instances     int
-	MaxPicks      int
-	MayCancel     bool
-	SecondCopies  bool
-	MaxRetryAfter float64 // 0: clients are told nothing
-	OverShare     float64 // fraction of the utility left to traffic beyond a tenant's quota
-	CrossZone     float64 // price of a pick that crosses zones
-	MustWatch     bool    // the server list has to be asked for
-	MustAskIn     float64
-	AskWithin     float64 // the longest wait before the first ask; 0: no bound
-
-	ColdFrom     float64
-	ColdFor      float64
-	FallMultiple float64
-	FallFor      float64
+	Instances         int
+	MaxAttempts       int
+	MayCancel         bool
+	Hedging           bool
+	MaxRetryAfter     float64 // 0: clients are told nothing
+	OverQuotaWeight   float64 // fraction of the utility left to traffic beyond a tenant's quota
+	CrossZoneCost     float64 // price of a pick that crosses zones
+	MustSubscribe     bool    // the server list has to be asked for
+	MaxPollInterval   float64
+	MaxFirstPollDelay float64 // the longest wait before the first ask; 0: no bound
+
+	SlowStartFraction float64
+	SlowStartDuration float64
+	OverloadMultiple  float64
+	OverloadWindow    float64
 }
 
 // State is a server's standing in the list.
@@ -94,14 +94,14 @@
 	Gone
 )
 
-// Listing is one line of the server list.
-type Listing struct {
-	Server *Server
-	State  State
-	Zone   int
-	Cell   int
-	Weight float64
-	CameUp float64 // 0: long ago
+// EndpointUpdate is one line of the server list.
+type EndpointUpdate struct {
+	Server    *Server
+	State     State
+	Zone      int
+	Cell      int
+	Weight    float64
+	StartedAt float64 // 0: long ago
 }
 
 // Result is how a pick or a probe ended.
@@ -110,45 +110,45 @@
 const (
 	OK Result = iota
 	Failed
-	Full
+	Rejected
 	TimedOut
 	ConnectFailed
 	Reset
 	Canceled
-	Ignored
+	NotSent
 )
 
 // NeverRan tells the results that prove a pick had no effect.
-func (r Result) NeverRan() bool { return r == Full || r == ConnectFailed || r == Ignored }
+func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// Load is a server's report of itself: the RPCs that it held, this one and those of other nodes included; negative
+// LoadReport is a server's report of itself: the RPCs that it held, this one and those of other nodes included; negative
 // if it did not say.
-type Load struct {
-	Held float64
+type LoadReport struct {
+	InFlight float64
 }
 
 // Server is one server of the tier below. One that has gone and has no pick out is forgotten.
 type Server struct {
-	Of any // the host's own
+	HostData any // the host's own
 	server
 }
 
 // RPC is one request that the instance has taken and owes an answer.
 type RPC struct {
-	Method   int
-	Tenant   int
-	Deadline float64
-	Work     float64 // a rough hint of its cost in any unit; 0: none
-	Retry    bool    // the client says that it has asked before
-	Coming   bool    // its body is still on its way, through its pick: its time begins with Balancer.Came
-	Of       any     // the host's own
+	Method      int
+	Tenant      int
+	Deadline    float64
+	WorkHint    float64 // a rough hint of its cost in any unit; 0: none
+	Retry       bool    // the client says that it has asked before
+	BodyPending bool    // its body is still on its way, through its pick: its time begins with Balancer.Came
+	HostData    any     // the host's own
 	rpc
 }
 
-// Pick is one attempt of an RPC at a server.
-type Pick struct {
-	RPC    *RPC
-	Server *Server
-	Of     any // the host's own
+// Attempt is one attempt of an RPC at a server.
+type Attempt struct {
+	RPC      *RPC
+	Server   *Server
+	HostData any // the host's own
 	pick
 }
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -9,8 +9,8 @@
 
 type watchAgain struct{ turn int }
 
-// Listed takes news of the servers; a full list also tells which have left.
-func (b *Balancer) Listed(list []Listing, full bool) {
+// UpdateEndpoints takes news of the servers; a full list also tells which have left.
+func (b *Balancer) UpdateEndpoints(list []EndpointUpdate, full bool) {
 	now := b.host.Now()
 	b.list++
 	for _, l := range list {
@@ -19,10 +19,10 @@
 			s.entries = make([]entry, len(b.rows))
 			b.servers = append(b.servers, s)
 			b.restart(s, now)
-		} else if l.CameUp > s.cameUp {
+		} else if l.StartedAt > s.cameUp {
 			b.restart(s, now)
 		}
-		s.state, s.zone, s.cell, s.weight, s.cameUp = l.State, l.Zone, l.Cell, max(l.Weight, 0.01), l.CameUp
+		s.state, s.zone, s.cell, s.weight, s.cameUp = l.State, l.Zone, l.Cell, max(l.Weight, 0.01), l.StartedAt
 		s.seen = b.list
 	}
 	b.near = slices.DeleteFunc(b.near, func(s *Server) bool {
@@ -63,14 +63,14 @@
 	s.tokens, s.tokensAt = b.rng.Float64(), now
 }
 
-// ListFailed asks again, later each time while failures say that the list is overrun. Anew says that this
+// EndpointWatchFailed asks again, later each time while failures say that the list is overrun. Anew says that this
 // one does not: there had been news for a while, or discovery had no call that it could fail. What discovery
 // had meanwhile binds in time: no pause is over most. Least keeps a fleet from asking a busy one too soon.
-func (b *Balancer) ListFailed(anew bool, least, most float64) {
+func (b *Balancer) EndpointWatchFailed(anew bool, least, most float64) {
 	if anew {
 		b.watchBackoff = 0
 	}
 	b.watchBackoff = min(max(0.25, b.watchBackoff*2), 4)
 	b.watchTurn++
-	b.host.After(min(max(1.5*b.watchBackoff, least), most)*(1+2*b.rng.Float64())/3, watchAgain{b.watchTurn})
+	b.host.StartTimer(min(max(1.5*b.watchBackoff, least), most)*(1+2*b.rng.Float64())/3, watchAgain{b.watchTurn})
 }
--- a/decide/neighbours_test.go
+++ b/decide/neighbours_test.go
@@ -28,7 +28,7 @@
 	assert.False(t, ill.near)
 	// What drains makes room at once.
 	first := h.b.near[0]
-	h.b.Listed([]Listing{{Server: first, State: Draining, Weight: 1}}, false)
+	h.b.UpdateEndpoints([]EndpointUpdate{{Server: first, State: Draining, Weight: 1}}, false)
 	assert.NotContains(t, h.b.near, first)
 	assert.Contains(t, s, h.b.near[0])
 }
@@ -37,7 +37,7 @@
 	const seeds = 40
 	there := 0
 	for seed := range int64(seeds) {
-		h, servers := seeded(seed, 2, func(s *Settings) { s.SecondCopies = false })
+		h, servers := seeded(seed, 2, func(s *Settings) { s.Hedging = false })
 		say := func(s *Server, held float64) {
 			r := &RPC{Method: lookup, Deadline: h.now + 6}
 			r.open, r.rules = true, h.b.methods[lookup].rules
@@ -45,7 +45,7 @@
 			h.b.begin(r, h.now)
 			h.b.send(r, s, h.now)
 			h.until(h.now + 0.1)
-			h.b.Done(r.picks[0], OK, true, 0.1, &Load{Held: held})
+			h.b.AttemptDone(r.picks[0], OK, true, 0.1, &LoadReport{InFlight: held})
 		}
 		h.warmUp(40, always(0.1))
 		for range 3 {
@@ -73,7 +73,7 @@
 	h.warmUp(60, always(0.5))
 	for range 20 { // both jam: answers take four times the target
 		for _, x := range s {
-			p := &Pick{RPC: &RPC{}, Server: x, pick: pick{sent: h.now - 10, due: 10, row: h.b.blocks[lookup][0]}}
+			p := &Attempt{RPC: &RPC{}, Server: x, pick: pick{sent: h.now - 10, due: 10, row: h.b.blocks[lookup][0]}}
 			p.RPC.rules = h.b.methods[lookup].rules
 			h.b.ok(p, 10, h.now)
 		}
@@ -108,7 +108,7 @@
 	for seed := range int64(50) {
 		h, s := seeded(seed, 4, func(s *Settings) { s.Tenants = []Tenant{{Quota: 1000}, {Quota: 1000}} })
 		h.warmUp(200, always(0.1)) // of the first tenant
-		p := &Pick{RPC: &RPC{}, Server: s[0], pick: pick{sent: h.now - 5, due: 0.1, row: h.b.blocks[lookup][1]}}
+		p := &Attempt{RPC: &RPC{}, Server: s[0], pick: pick{sent: h.now - 5, due: 0.1, row: h.b.blocks[lookup][1]}}
 		p.RPC.rules = h.b.methods[lookup].rules
 		h.b.ok(p, 5, h.now)
 		r := &RPC{Method: lookup, Tenant: 1, Deadline: h.now + 6}
@@ -119,7 +119,7 @@
 
 // On parkvej-dk a connection idle for a second swallowed half of the picks while idle ones were dropped unseen.
 func TestIdleConnectionsFoundMuteAreClosedBeforeTheyAreUsed(t *testing.T) {
-	h, _ := story(4, func(s *Settings) { s.SecondCopies = false })
+	h, _ := story(4, func(s *Settings) { s.Hedging = false })
 	h.warmUp(200, always(0.05)) // never idle for long
 	assert.Empty(t, h.closed)
 	mute := map[*Server]bool{}
@@ -164,7 +164,7 @@
 			q, _ := h.b.estimate(r, s, typical, h.now)
 			return q - h.b.mean(h.b.row(r, s, h.now), typical)*h.b.pace(s, typical, h.now)
 		}
-		h.b.learn(&Pick{RPC: r, Server: s, pick: pick{row: h.b.row(r, s, h.now), due: 0.1}}, 1.5, false, h.now)
+		h.b.learn(&Attempt{RPC: r, Server: s, pick: pick{row: h.b.row(r, s, h.now), due: 0.1}}, 1.5, false, h.now)
 		first := above()
 		h.until(h.now + fade*typical)
 		assert.InDelta(t, first/2, above(), first/50, "%d servers", n)
@@ -174,7 +174,7 @@
 func TestAHeavyRPCIsNoSignOfASlowServer(t *testing.T) {
 	h, _ := story(2, nil)
 	ask := func(work, took float64) {
-		r := &RPC{Work: work, Deadline: h.now + 6}
+		r := &RPC{WorkHint: work, Deadline: h.now + 6}
 		h.b.Arrived(r)
 		h.until(h.now + took)
 		h.done(h.last(), OK)
@@ -187,7 +187,7 @@
 		ask(5, 0.4) // five times the work, about as much longer
 	}
 	assert.Less(t, h.b.typical(lookup, h.now), 1.5*calm)
-	r := &RPC{Work: 1e9, Deadline: h.now + 6}
+	r := &RPC{WorkHint: 1e9, Deadline: h.now + 6}
 	h.b.Arrived(r)
 	assert.False(t, r.size > 5, "a hint is rough: no more than five times the mean is believed")
 }
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -19,9 +19,9 @@
 	r.open, r.rules = true, m.rules
 	b.begin(r, now)
 	value := m.value
-	if r.Work > 0 {
-		m.work.add(r.Work, now, othersHalf)
-		r.size = min(max(r.Work/m.work.read(now, othersHalf, r.Work, 1), 0.2), 5) - 1
+	if r.WorkHint > 0 {
+		m.work.add(r.WorkHint, now, othersHalf)
+		r.size = min(max(r.WorkHint/m.work.read(now, othersHalf, r.WorkHint, 1), 0.2), 5) - 1
 	}
 	if r.Tenant < len(b.tenants) && !b.inner {
 		t := &b.tenants[r.Tenant]
@@ -37,42 +37,42 @@
 		b.giveUp(r)
 		return
 	}
-	if !r.Coming {
-		b.host.After(r.useful-now, r)
+	if !r.BodyPending {
+		b.host.StartTimer(r.useful-now, r)
 	}
 	b.pickOr(r, now)
 }
 
 // begin starts an RPC's time.
 func (b *Balancer) begin(r *RPC, now float64) {
-	r.came, r.useful = now, now+r.rules.LatencyTarget
-	if r.rules.LateUtility > 0 {
+	r.came, r.useful = now, now+r.rules.LatencyObjective
+	if r.rules.LateWeight > 0 {
 		r.useful = r.Deadline
 	}
 	r.useful = min(r.useful, r.Deadline-margin)
 }
 
-// Came is the end of a body that came while its pick was out: only now can its server begin.
-func (b *Balancer) Came(r *RPC) {
+// BodyReceived is the end of a body that came while its pick was out: only now can its server begin.
+func (b *Balancer) BodyReceived(r *RPC) {
 	now := b.host.Now()
-	r.Coming = false
+	r.BodyPending = false
 	b.begin(r, now)
-	b.host.After(r.useful-now, r)
+	b.host.StartTimer(r.useful-now, r)
 	for _, p := range r.picks {
 		if p.out {
 			p.sent = now
-			b.host.After(b.lateAfter(p, now), p)
+			b.host.StartTimer(b.lateAfter(p, now), p)
 		}
 	}
 }
 
-// Wake is a timer's ring.
-func (b *Balancer) Wake(what any) {
+// TimerFired is a timer's ring.
+func (b *Balancer) TimerFired(what any) {
 	now := b.host.Now()
 	switch w := what.(type) {
 	case watchAgain:
 		if w.turn == b.watchTurn {
-			b.host.Watch()
+			b.host.WatchEndpoints()
 		}
 	case *RPC:
 		if w.open && !w.started {
@@ -87,7 +87,7 @@
 			}
 			b.giveUp(w)
 		}
-	case *Pick:
+	case *Attempt:
 		if w.out && w.RPC.open && !w.RPC.started {
 			b.late(w, now)
 		}
@@ -95,7 +95,7 @@
 }
 
 // Started is a streamed answer that has begun: the client owns the pick.
-func (b *Balancer) Started(p *Pick) {
+func (b *Balancer) Started(p *Attempt) {
 	p.RPC.started = true
 	for _, o := range p.RPC.picks {
 		if o != p {
@@ -104,16 +104,16 @@
 	}
 }
 
-// Done is a pick's result. With last set the RPC has ended, by this or earlier.
-func (b *Balancer) Done(p *Pick, res Result, last bool, took float64, load *Load) {
+// AttemptDone is a pick's result. With last set the RPC has ended, by this or earlier.
+func (b *Balancer) AttemptDone(p *Attempt, res Result, last bool, took float64, load *LoadReport) {
 	now := b.host.Now()
 	s, r := p.Server, p.RPC
 	p.out = false
 	r.out--
 	b.out--
-	s.pending = slices.DeleteFunc(s.pending, func(o *Pick) bool { return o == p })
-	if load != nil && load.Held >= 0 {
-		s.others, s.othersAt = max(0, load.Held-float64(len(s.pending))-1), now
+	s.pending = slices.DeleteFunc(s.pending, func(o *Attempt) bool { return o == p })
+	if load != nil && load.InFlight >= 0 {
+		s.others, s.othersAt = max(0, load.InFlight-float64(len(s.pending))-1), now
 		if p.blind {
 			b.heldThere.add(s.others, now, doneHalf)
 		}
@@ -132,12 +132,12 @@
 		// A cancel teaches nothing, unless the pick was late by then: a server that swallows picks, each
 		// cancelled when its copy wins, would keep its low entry and draw the next one.
 		b.overtake(p, now)
-	case Ignored:
+	case NotSent:
 	case TimedOut:
 		if !p.charged && s.heard < p.sent {
 			b.silence(p, now)
 		}
-	case Full:
+	case Rejected:
 		s.heard = now
 		b.fault(p, now)
 	default:
@@ -153,7 +153,7 @@
 	}
 }
 
-func (b *Balancer) ok(p *Pick, took, now float64) {
+func (b *Balancer) ok(p *Attempt, took, now float64) {
 	s, m := p.Server, &b.methods[p.RPC.Method]
 	s.heard, s.strikes, s.backoff = now, 0, 0
 	s.used = now
@@ -170,8 +170,8 @@
 	b.learn(p, took, false, now)
 }
 
-// Vanished is a client that has left.
-func (b *Balancer) Vanished(r *RPC) { b.close(r) }
+// ClientGone is a client that has left.
+func (b *Balancer) ClientGone(r *RPC) { b.close(r) }
 
 func (b *Balancer) close(r *RPC) {
 	if r.open {
@@ -183,7 +183,7 @@
 	}
 }
 
-func (b *Balancer) cancel(p *Pick) {
+func (b *Balancer) cancel(p *Attempt) {
 	if p.out && b.cancels {
 		b.host.Cancel(p)
 	}
@@ -191,14 +191,14 @@
 
 func (b *Balancer) send(r *RPC, s *Server, now float64) {
 	i, typical := b.row(r, s, now), b.typical(r.Method, now)
-	p := &Pick{RPC: r, Server: s, pick: pick{sent: now, row: i, out: true, due: b.mean(i, typical)}}
+	p := &Attempt{RPC: r, Server: s, pick: pick{sent: now, row: i, out: true, due: b.mean(i, typical)}}
 	seen := b.fresh(s, typical, now)
 	p.blind = seen < 0.5
 	b.blinds.add(1-seen, now, doneHalf)
 	b.join(r, s, typical, now)
 	p.extra = typical * r.size
 	// Where answers take a hair's breadth, the node's own hiccups would else pass for hung servers.
-	p.late = max(lateFactor*(p.due+max(p.extra, 0)), negligibleWait*r.rules.LatencyTarget)
+	p.late = max(lateFactor*(p.due+max(p.extra, 0)), negligibleWait*r.rules.LatencyObjective)
 	if b.cold(s, now) < 1 {
 		s.tokens--
 	}
@@ -213,13 +213,13 @@
 	if p.idle = now - s.used; s.used == 0 || len(s.pending) > 1 {
 		p.idle = 0
 	} else if s.dead || b.idleMost > 0 && p.idle > b.idleMost*math.Exp2((now-b.idleAt)/idleHalf) {
-		b.host.CloseIdle(s)
+		b.host.CloseIdleConnections(s)
 		p.idle, s.dead, s.linked = 0, false, false
 	}
 	p.opens = !s.linked
 	s.used = now
 	b.host.Send(p, 0)
-	if wait := b.lateAfter(p, now); now+wait < r.useful && !r.Coming {
-		b.host.After(wait, p)
+	if wait := b.lateAfter(p, now); now+wait < r.useful && !r.BodyPending {
+		b.host.StartTimer(wait, p)
 	}
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -10,7 +10,7 @@
 
 // pickOr sends the RPC's next pick or, if there is nowhere to send it, ends it.
 func (b *Balancer) pickOr(r *RPC, now float64) {
-	if (r.Coming || now < r.useful) && b.mayRepeat(r, now) {
+	if (r.BodyPending || now < r.useful) && b.mayRepeat(r, now) {
 		if s := b.choose(r, now); s != nil {
 			b.send(r, s, now)
 			return
@@ -27,21 +27,21 @@
 		return false
 	}
 	m := r.rules
-	return r.ran == nil || m.Repeat == Idempotent || m.Repeat == Deduplicated && now < r.ran.sent+m.Window-margin
+	return r.ran == nil || m.Idempotency == Idempotent || m.Idempotency == Deduplicated && now < r.ran.sent+m.DedupWindow-margin
 }
 
 // within tells whether a server drops repeats of what first may have run.
 func (m *rules) within(s, first *Server) bool {
-	if m.Repeat == Idempotent || m.Scope == ScopeAll {
+	if m.Idempotency == Idempotent || m.DedupScope == ScopeAll {
 		return true
 	}
-	return s.zone == first.zone && (m.Scope == ScopeZone || s.cell == first.cell)
+	return s.zone == first.zone && (m.DedupScope == ScopeZone || s.cell == first.cell)
 }
 
 // unrun finds the first pick that may have run, now that p is known not to have.
-func (b *Balancer) unrun(r *RPC, p *Pick) {
+func (b *Balancer) unrun(r *RPC, p *Attempt) {
 	p.unran, r.ran = true, nil
-	if i := slices.IndexFunc(r.picks, func(o *Pick) bool { return !o.unran }); i >= 0 {
+	if i := slices.IndexFunc(r.picks, func(o *Attempt) bool { return !o.unran }); i >= 0 {
 		r.ran = r.picks[i]
 	}
 }
@@ -51,10 +51,10 @@
 func (r *RPC) harmless() bool {
 	m := r.rules
 	switch {
-	case r.ran == nil || m.Repeat == Idempotent:
+	case r.ran == nil || m.Idempotency == Idempotent:
 		return true
-	case m.Repeat == Deduplicated && m.Scope == ScopeAll:
-		return r.Deadline <= r.ran.sent+m.Window
+	case m.Idempotency == Deduplicated && m.DedupScope == ScopeAll:
+		return r.Deadline <= r.ran.sent+m.DedupWindow
 	default:
 		return false
 	}
@@ -64,7 +64,7 @@
 func (b *Balancer) giveUp(r *RPC) {
 	if r.harmless() {
 		// Soon enough that the next try can still be in time; a later one would take room from RPCs that can.
-		wait := retryAfterShare * r.rules.LatencyTarget
+		wait := retryAfterShare * r.rules.LatencyObjective
 		if b.host.Now()-r.came > wait {
 			wait = b.maxWait
 		}
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -113,5 +113,5 @@
 
 // met tells whether a server has had a pick of the RPC, or has one out.
 func (r *RPC) met(s *Server, out bool) bool {
-	return slices.ContainsFunc(r.picks, func(p *Pick) bool { return p.Server == s && (p.out || !out) })
+	return slices.ContainsFunc(r.picks, func(p *Attempt) bool { return p.Server == s && (p.out || !out) })
 }
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -24,8 +24,8 @@
 	return max(b.best, b.floorRate)
 }
 
-// StartRate is the rate of a server in slow start, as far as this node knows: by what one warm server answers it. It changes nothing.
-func (b *Balancer) StartRate(s *Server) (rate float64, starting bool) {
+// SlowStartRate is the rate of a server in slow start, as far as this node knows: by what one warm server answers it. It changes nothing.
+func (b *Balancer) SlowStartRate(s *Server) (rate float64, starting bool) {
 	now := b.host.Now()
 	part := b.cold(s, now)
 	if part >= 1 {
--- a/internal/config/nodeconfig/golden_test.go
+++ b/internal/config/nodeconfig/golden_test.go
@@ -174,7 +174,7 @@
 			testutil.EqualGolden(t, test.golden, generatedSettings(t, pool))
 			read, err := settings.Parse(testutil.Golden(t, test.golden))
 			require.NoError(t, err)
-			read.AskWithin = config.Limits.ListEvery.Seconds()
+			read.MaxFirstPollDelay = config.Limits.ListEvery.Seconds()
 			assert.Equal(t, read, pool.Node)
 		})
 	}
@@ -186,7 +186,7 @@
 	assert.Equal(t, quota.Config{Reserve: 0.25, Return: 3, Busy: 0.8, Total: config.Shares.Total}, config.Shares)
 	assert.Equal(t, quota.Spec{Name: "booking", Guarantee: 0.35, Weight: 2.5, Tenants: []float64{3.5, 4.5}},
 		config.Pools[0].Spec)
-	assert.Equal(t, []node.Entry{
+	assert.Equal(t, []node.Endpoint{
 		{ID: "127.0.0.1:9000", Addr: "127.0.0.1:9000", State: decide.Ready, Weight: 1},
 		{ID: "[::1]:9001", Addr: "[::1]:9001", State: decide.Ready, Weight: 1},
 	}, config.Pools[1].Static)
--- a/internal/config/nodeconfig/nodeconfig.go
+++ b/internal/config/nodeconfig/nodeconfig.go
@@ -186,9 +186,9 @@
 type Pool struct {
 	Service
 	Spec    quota.Spec
-	Node    *settings.Node
-	Static  []node.Entry // its servers, where it has no discovery
-	Same    string       // equal texts: the module's instance can stay
+	Node    *settings.Instance
+	Static  []node.Endpoint // its servers, where it has no discovery
+	Same    string          // equal texts: the module's instance can stay
 	Timeout limits.Limits
 }
 
@@ -508,14 +508,14 @@
 		quota.Conns: int64(l.Descriptors - l.Connections)}
 	for i := range c.Pools {
 		c.Pools[i].Timeout = c.Limits.For(c.Pools[i].Node)
-		c.Pools[i].Node.AskWithin = c.Limits.ListEvery.Seconds()
+		c.Pools[i].Node.MaxFirstPollDelay = c.Limits.ListEvery.Seconds()
 	}
 	return nil
 }
 
 // longest is what the door keeps to: all services' longest deadline.
-func longest(pools []Pool) *settings.Node {
-	n := &settings.Node{}
+func longest(pools []Pool) *settings.Instance {
+	n := &settings.Instance{}
 	for _, p := range pools {
 		n.Methods = append(n.Methods, p.Node.Methods...)
 	}
@@ -541,7 +541,7 @@
 		n, perr := strconv.Atoi(port)
 		bad(err != nil || net.ParseIP(host) == nil || perr != nil || n < 1 || n > 65535, ".servers: %q is no IP with a port", a)
 		bad(slices.Contains(s.Servers[:i], a), ".servers: %s stands twice", a)
-		p.Static = append(p.Static, node.Entry{ID: a, Addr: a, State: decide.Ready, Weight: 1})
+		p.Static = append(p.Static, node.Endpoint{ID: a, Addr: a, State: decide.Ready, Weight: 1})
 	}
 	bad(s.Speaks != "http" && s.Speaks != "fastcgi", ".speaks: %q is neither http nor fastcgi", s.Speaks)
 	bad(s.Speaks == "http" && len(s.Params) > 0, ".params: they are for servers that speak fastcgi")
--- a/internal/controlplane/endpoints/delivery_test.go
+++ b/internal/controlplane/endpoints/delivery_test.go
@@ -48,7 +48,7 @@
 				require.NoError(b, err)
 				list, err := Parse(message)
 				require.NoError(b, err)
-				core.Listed(list.Entries(nil, zap.NewNop()), list.Complete)
+				core.UpdateEndpoints(list.Entries(nil, zap.NewNop()), list.Complete)
 			}
 		})
 	}
@@ -60,8 +60,8 @@
 	core := idleCore(t)
 	list, err := Parse(indented(t, servers, "ready"))
 	require.NoError(t, err)
-	core.Listed(list.Entries(nil, zap.NewNop()), list.Complete)
-	assert.Len(t, core.Known(), servers)
+	core.UpdateEndpoints(list.Entries(nil, zap.NewNop()), list.Complete)
+	assert.Len(t, core.Endpoints(), servers)
 	assert.GreaterOrEqual(t, MaxMembers, servers)
 	l := len(strings.TrimSpace(string(indented(t, servers, "ready"))))
 	assert.Less(t, l, 4<<20, "an indented list of them fits into limits.ListBytes")
--- a/internal/controlplane/endpoints/endpoints_test.go
+++ b/internal/controlplane/endpoints/endpoints_test.go
@@ -25,7 +25,7 @@
 )
 
 type news struct {
-	entries []node.Entry
+	entries []node.Endpoint
 	full    bool
 	failed  bool
 	anew    bool
@@ -33,8 +33,10 @@
 
 type fakeCore chan news
 
-func (c fakeCore) Listed(e []node.Entry, full bool) { c <- news{entries: e, full: full} }
-func (c fakeCore) ListFailed(f node.ListFailure)    { c <- news{failed: true, anew: f.ResetBackoff} }
+func (c fakeCore) UpdateEndpoints(e []node.Endpoint, full bool) { c <- news{entries: e, full: full} }
+func (c fakeCore) EndpointWatchFailed(f node.WatchFailure) {
+	c <- news{failed: true, anew: f.ResetBackoff}
+}
 
 func (c fakeCore) next(t *testing.T) news {
 	t.Helper()
@@ -127,8 +129,8 @@
 	assert.Equal(t, "GET /registry/instances?follow=1&since=41 HTTP/1.1", testutil.Receive(t, asked))
 	n := core.next(t)
 	assert.True(t, n.full)
-	assert.Equal(t, []node.Entry{{ID: "a", Addr: "127.0.0.1:80", State: decide.Ready, Zone: 1, Cell: 3, Weight: 1.5, Listed: 43,
-		Started: time.UnixMilli(1800000000000)}}, n.entries)
+	assert.Equal(t, []node.Endpoint{{ID: "a", Addr: "127.0.0.1:80", State: decide.Ready, Zone: 1, Cell: 3, Weight: 1.5, Revision: 43,
+		StartedAt: time.UnixMilli(1800000000000)}}, n.entries)
 	n = core.next(t)
 	assert.False(t, n.full)
 	assert.Equal(t, decide.Draining, n.entries[0].State)
@@ -365,8 +367,8 @@
 	got := l.Entries([]string{"south"}, zap.NewNop())
 	assert.Len(t, got, 3)
 	assert.Equal(t, "good", got[0].ID)
-	assert.Equal(t, node.Entry{ID: "left", State: decide.Gone, Zone: -1, Weight: 1, Listed: 1}, got[1])
-	assert.Equal(t, node.Entry{ID: "bare", Addr: "[::1]:80", Zone: -1, Weight: 1, Listed: 1}, got[2])
+	assert.Equal(t, node.Endpoint{ID: "left", State: decide.Gone, Zone: -1, Weight: 1, Revision: 1}, got[1])
+	assert.Equal(t, node.Endpoint{ID: "bare", Addr: "[::1]:80", Zone: -1, Weight: 1, Revision: 1}, got[2])
 }
 
 func FuzzParse(f *testing.F) {
--- a/internal/controlplane/endpoints/golden_test.go
+++ b/internal/controlplane/endpoints/golden_test.go
@@ -50,18 +50,18 @@
 			UpSince: 1712998800789,
 		},
 	}}, list)
-	assert.Equal(t, []node.Entry{
+	assert.Equal(t, []node.Endpoint{
 		{
 			ID: "pod-1", Addr: "10.1.0.1:8080", State: decide.Ready, Zone: 0, Cell: 3, Weight: 1.5,
-			Started: time.UnixMilli(1712998800123), Listed: 41,
+			StartedAt: time.UnixMilli(1712998800123), Revision: 41,
 		},
 		{
 			ID: "pod-2", Addr: "[fd00::2]:8081", State: decide.Draining, Zone: 1, Cell: 4, Weight: 2.5,
-			Started: time.UnixMilli(1712998800456), Listed: 41,
+			StartedAt: time.UnixMilli(1712998800456), Revision: 41,
 		},
 		{
 			ID: "pod-3", Addr: "10.1.0.3:8083", State: decide.Gone, Zone: -1, Cell: 5, Weight: 3.5,
-			Started: time.UnixMilli(1712998800789), Listed: 41,
+			StartedAt: time.UnixMilli(1712998800789), Revision: 41,
 		},
 	}, list.Entries(goldenZones, zap.NewNop()))
 }
@@ -72,20 +72,20 @@
 	assert.False(t, list.Complete)
 	require.Len(t, list.Members, 15)
 	core, logs := observer.New(zapcore.WarnLevel)
-	assert.Equal(t, []node.Entry{
+	assert.Equal(t, []node.Endpoint{
 		{
 			ID: "other-case", Addr: "10.1.0.1:8080", State: decide.Ready, Zone: 0, Cell: 3, Weight: 1.5,
-			Started: time.UnixMilli(1712998800123), Listed: 42,
+			StartedAt: time.UnixMilli(1712998800123), Revision: 42,
 		},
 		{
 			ID: "unknown-key", Addr: "10.1.0.2:8080", State: decide.Ready, Zone: 1, Cell: 4, Weight: 2.5,
-			Started: time.UnixMilli(1712998800456), Listed: 42,
+			StartedAt: time.UnixMilli(1712998800456), Revision: 42,
 		},
-		{ID: "last", Addr: "10.1.0.3:8080", State: decide.Draining, Zone: 0, Weight: 3.5, Listed: 42},
-		{ID: "fields-left-out", Addr: "10.1.0.4:8080", State: decide.Ready, Zone: -1, Weight: 1, Listed: 42},
-		{ID: "nulls", Addr: "10.1.0.5:8080", State: decide.Ready, Zone: -1, Weight: 1, Listed: 42},
-		{ID: "out-of-range", Addr: "10.1.0.6:8080", State: decide.Ready, Zone: -1, Cell: -1, Weight: 1, Listed: 42},
-		{ID: "no-address", State: decide.Gone, Zone: -1, Weight: 1, Listed: 42},
+		{ID: "last", Addr: "10.1.0.3:8080", State: decide.Draining, Zone: 0, Weight: 3.5, Revision: 42},
+		{ID: "fields-left-out", Addr: "10.1.0.4:8080", State: decide.Ready, Zone: -1, Weight: 1, Revision: 42},
+		{ID: "nulls", Addr: "10.1.0.5:8080", State: decide.Ready, Zone: -1, Weight: 1, Revision: 42},
+		{ID: "out-of-range", Addr: "10.1.0.6:8080", State: decide.Ready, Zone: -1, Cell: -1, Weight: 1, Revision: 42},
+		{ID: "no-address", State: decide.Gone, Zone: -1, Weight: 1, Revision: 42},
 	}, list.Entries(goldenZones, zap.New(core)))
 	var skipped bytes.Buffer
 	for _, line := range logs.All() {
--- a/internal/controlplane/endpoints/list.go
+++ b/internal/controlplane/endpoints/list.go
@@ -96,8 +96,8 @@
 
 // Entries turns a message into the core's words. A line that can't be used is left out and told: one bad line
 // must not cost the others.
-func (l *List) Entries(zones []string, log *zap.Logger) []node.Entry {
-	out := make([]node.Entry, 0, len(l.Members))
+func (l *List) Entries(zones []string, log *zap.Logger) []node.Endpoint {
+	out := make([]node.Endpoint, 0, len(l.Members))
 	skipped := 0
 	for i := range l.Members {
 		m := &l.Members[i]
@@ -108,13 +108,13 @@
 			}
 			continue
 		}
-		e := node.Entry{ID: m.ID, Addr: m.HostPort, State: state, Zone: slices.Index(zones, m.Locality),
-			Cell: m.Cell, Weight: m.Size, Listed: l.Revision}
+		e := node.Endpoint{ID: m.ID, Addr: m.HostPort, State: state, Zone: slices.Index(zones, m.Locality),
+			Cell: m.Cell, Weight: m.Size, Revision: l.Revision}
 		if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
 			e.Weight = 1
 		}
 		if m.UpSince > 0 && m.UpSince < 1e15 {
-			e.Started = time.UnixMilli(int64(m.UpSince))
+			e.StartedAt = time.UnixMilli(int64(m.UpSince))
 		}
 		out = append(out, e)
 	}
--- a/internal/controlplane/endpoints/moves_test.go
+++ b/internal/controlplane/endpoints/moves_test.go
@@ -66,8 +66,8 @@
 	told chan bool
 }
 
-func (c toldCore) ListFailed(f node.ListFailure) {
-	c.Core.ListFailed(f)
+func (c toldCore) EndpointWatchFailed(f node.WatchFailure) {
+	c.Core.EndpointWatchFailed(f)
 	c.told <- f.ResetBackoff
 }
 
--- a/internal/controlplane/endpoints/told_test.go
+++ b/internal/controlplane/endpoints/told_test.go
@@ -295,11 +295,11 @@
 	last time.Time
 }
 
-func (h *hearing) Listed(e []node.Entry, full bool) {
+func (h *hearing) UpdateEndpoints(e []node.Endpoint, full bool) {
 	h.mu.Lock()
 	h.last = time.Now()
 	h.mu.Unlock()
-	h.Core.Listed(e, full)
+	h.Core.UpdateEndpoints(e, full)
 }
 
 func (h *hearing) heard(since time.Time) bool {
@@ -327,7 +327,7 @@
 	require.NoError(t, err)
 	l, err := limits.Fill(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, s)
 	require.NoError(t, err)
-	s.AskWithin = l.ListEvery.Seconds()
+	s.MaxFirstPollDelay = l.ListEvery.Seconds()
 	m := &follower{budget: budget}
 	m.w = New("127.0.0.1:1", nil, l, m.budget, zap.NewNop())
 	m.w.dial = dial
--- a/internal/controlplane/endpoints/watch.go
+++ b/internal/controlplane/endpoints/watch.go
@@ -19,9 +19,9 @@
 
 // Core takes the news.
 type Core interface {
-	Listed(entries []node.Entry, full bool)
-	// ListFailed tells that a watch has ended, never began, or has not begun for so long that another call is wanted beside it.
-	ListFailed(node.ListFailure)
+	UpdateEndpoints(entries []node.Endpoint, full bool)
+	// EndpointWatchFailed tells that a watch has ended, never began, or has not begun for so long that another call is wanted beside it.
+	EndpointWatchFailed(node.WatchFailure)
 }
 
 // Watcher keeps one watch at discovery, whenever the module asks for it and as soon as discovery has moved. A call that is not
@@ -180,7 +180,7 @@
 	var shortage *ShortageError
 	anew := errors.As(err, &shortage) || lasted || w.movedLately || errors.Is(err, os.ErrDeadlineExceeded) || err == errUnanswered || err == errNoDescriptor
 	first, revision := !w.failing, w.revision
-	failure := node.ListFailure{ResetBackoff: anew, MaxPause: w.limits.ListEvery - time.Since(c.lastHeard)}
+	failure := node.WatchFailure{ResetBackoff: anew, MaxPause: w.limits.ListEvery - time.Since(c.lastHeard)}
 	if c.delivered { // a watch that ends may do so instead of telling
 		failure.MaxPause = min(failure.MaxPause, w.limits.ListAgain)
 	}
@@ -192,11 +192,11 @@
 			zap.String("discovery", c.at), zap.Int64("revision", revision))
 	}
 	failure.MaxPause = max(0, failure.MaxPause)
-	w.core.ListFailed(failure)
+	w.core.EndpointWatchFailed(failure)
 }
 
 // refused sets the pause after a call that discovery refused. The lock is held.
-func (w *Watcher) refused(err error, failure *node.ListFailure) {
+func (w *Watcher) refused(err error, failure *node.WatchFailure) {
 	var refusal *RefusedError
 	if !errors.As(err, &refusal) {
 		w.refusedSince = time.Time{}
@@ -344,8 +344,8 @@
 	}
 	w.mu.Unlock()
 	if old {
-		w.core.Listed(nil, false)
+		w.core.UpdateEndpoints(nil, false)
 		return
 	}
-	w.core.Listed(l.Entries(w.zones, w.log), l.Complete)
+	w.core.UpdateEndpoints(l.Entries(w.zones, w.log), l.Complete)
 }
--- a/internal/controlplane/recordcache/fleet_test.go
+++ b/internal/controlplane/recordcache/fleet_test.go
@@ -132,14 +132,14 @@
 	done func()
 }
 
-func (c *waits) Listed(entries []node.Entry, _ bool) {
+func (c *waits) UpdateEndpoints(entries []node.Endpoint, _ bool) {
 	for _, e := range entries {
 		if e.ID == c.id && e.State == decide.Draining && !c.seen.Swap(true) {
 			c.done()
 		}
 	}
 }
-func (c *waits) ListFailed(node.ListFailure) {}
+func (c *waits) EndpointWatchFailed(node.WatchFailure) {}
 
 // BenchmarkFleet is what a fleet's nodes ask of the store of record, each by itself or through three replicas of the controller: at their start, at rest, for a
 // drain that an operator records, for one that discovery tells all nodes, and for an operator's while discovery tells of a zone's end. Bytes a node are
@@ -176,10 +176,10 @@
 		}
 	}
 	const services, servers = 30, 15
-	list := func(replica int, phase decide.State, from, to int) (l []node.Entry) { // each replica of the controller numbers its lists by itself
+	list := func(replica int, phase decide.State, from, to int) (l []node.Endpoint) { // each replica of the controller numbers its lists by itself
 		for i := from; i < to; i++ {
-			l = append(l, node.Entry{ID: fmt.Sprint("pod-", i), Addr: fmt.Sprintf("10.0.0.%d:8080", i), State: phase, Weight: 1, Started: time.UnixMilli(1000),
-				Listed: int64(1000*replica + 1)})
+			l = append(l, node.Endpoint{ID: fmt.Sprint("pod-", i), Addr: fmt.Sprintf("10.0.0.%d:8080", i), State: phase, Weight: 1, StartedAt: time.UnixMilli(1000),
+				Revision: int64(1000*replica + 1)})
 		}
 		return l
 	}
@@ -215,7 +215,7 @@
 		var of []*Sink
 		for s := range services {
 			x := k.Sink(fmt.Sprint("s", s), &core{})
-			x.Listed(list(i%3, decide.Ready, 0, servers), true)
+			x.UpdateEndpoints(list(i%3, decide.Ready, 0, servers), true)
 			of = append(of, x)
 		}
 		sinks = append(sinks, of)
@@ -280,14 +280,14 @@
 	told("an operator's drain", "pod-0", func() { drain("pod-0") })
 	told("discovery's", "pod-1", func() {
 		for i := range n {
-			go sinks[i][0].Listed(list(i%3, decide.Draining, 1, 2), false)
+			go sinks[i][0].UpdateEndpoints(list(i%3, decide.Draining, 1, 2), false)
 		}
 	})
 	told("an operator's while discovery tells of a zone's 56", "pod-2", func() {
 		for i := range n {
 			go func() {
 				for s := 2; s < services; s++ {
-					sinks[i][s].Listed(list(i%3, decide.Draining, 13, 15), false)
+					sinks[i][s].UpdateEndpoints(list(i%3, decide.Draining, 13, 15), false)
 				}
 			}()
 		}
--- a/internal/controlplane/recordcache/recordcache.go
+++ b/internal/controlplane/recordcache/recordcache.go
@@ -506,13 +506,13 @@
 
 var phases = map[decide.State]string{decide.Ready: "ready", decide.Draining: "draining", decide.Gone: "gone"}
 
-// Listed takes a list of discovery's. It goes on to the core merged, and to the record when that has time.
-func (s *Sink) Listed(entries []node.Entry, full bool) {
+// UpdateEndpoints takes a list of discovery's. It goes on to the core merged, and to the record when that has time.
+func (s *Sink) UpdateEndpoints(entries []node.Endpoint, full bool) {
 	list := make([]record.Sighting, 0, len(entries))
 	for _, e := range entries {
-		x := record.Sighting{ID: e.ID, Addr: e.Addr, Phase: phases[e.State], Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Listed: e.Listed}
-		if !e.Started.IsZero() {
-			x.Start = e.Started.UnixMilli()
+		x := record.Sighting{ID: e.ID, Addr: e.Addr, Phase: phases[e.State], Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Listed: e.Revision}
+		if !e.StartedAt.IsZero() {
+			x.Start = e.StartedAt.UnixMilli()
 		}
 		list = append(list, x)
 	}
@@ -525,8 +525,8 @@
 	ring(k.dirty)
 }
 
-// ListFailed passes it on.
-func (s *Sink) ListFailed(f node.ListFailure) { s.core.ListFailed(f) }
+// EndpointWatchFailed passes it on.
+func (s *Sink) EndpointWatchFailed(f node.WatchFailure) { s.core.EndpointWatchFailed(f) }
 
 // pass gives cores their lists anew, if they have changed.
 func (k *Keeper) pass(service string) {
@@ -550,14 +550,14 @@
 	k.mu.Lock()
 	list := k.view.Servers(s.service, k.millis())
 	k.mu.Unlock()
-	entries := make([]node.Entry, 0, len(list))
+	entries := make([]node.Endpoint, 0, len(list))
 	for _, l := range list {
-		e := node.Entry{ID: l.ID, Addr: l.Addr, Zone: l.Zone, Cell: l.Cell, Weight: max(l.Weight, 0.01), State: decide.Ready, Listed: l.Listed}
+		e := node.Endpoint{ID: l.ID, Addr: l.Addr, Zone: l.Zone, Cell: l.Cell, Weight: max(l.Weight, 0.01), State: decide.Ready, Revision: l.Listed}
 		if l.Phase != "ready" {
 			e.State = decide.Draining
 		}
 		if l.Start > 0 {
-			e.Started = time.UnixMilli(l.Start)
+			e.StartedAt = time.UnixMilli(l.Start)
 		}
 		entries = append(entries, e)
 	}
@@ -566,7 +566,7 @@
 		return
 	}
 	s.last = string(text)
-	s.core.Listed(entries, true)
+	s.core.UpdateEndpoints(entries, true)
 }
 
 // Status is what the status page shows.
--- a/internal/controlplane/recordcache/recordcache_test.go
+++ b/internal/controlplane/recordcache/recordcache_test.go
@@ -78,7 +78,7 @@
 	state map[string]decide.State
 }
 
-func (c *core) Listed(entries []node.Entry, full bool) {
+func (c *core) UpdateEndpoints(entries []node.Endpoint, full bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lists++
@@ -87,7 +87,7 @@
 		c.state[e.ID] = e.State
 	}
 }
-func (c *core) ListFailed(node.ListFailure) {}
+func (c *core) EndpointWatchFailed(node.WatchFailure) {}
 
 func (c *core) is(id string) (decide.State, bool) {
 	c.mu.Lock()
@@ -166,10 +166,10 @@
 	return false
 }
 
-func list(phase decide.State, ids ...string) []node.Entry {
-	var out []node.Entry
+func list(phase decide.State, ids ...string) []node.Endpoint {
+	var out []node.Endpoint
 	for _, id := range ids {
-		out = append(out, node.Entry{ID: id, Addr: id + ":1", State: phase, Weight: 1, Started: time.UnixMilli(1000)})
+		out = append(out, node.Endpoint{ID: id, Addr: id + ":1", State: phase, Weight: 1, StartedAt: time.UnixMilli(1000)})
 	}
 	return out
 }
@@ -183,10 +183,10 @@
 	c := &core{}
 	sink := k.Sink("s", c)
 	ids := []string{"a", "b", "d", "e", "f"}
-	sink.Listed(list(decide.Ready, ids...), true)
+	sink.UpdateEndpoints(list(decide.Ready, ids...), true)
 	r.s.Stall(true)
 	for _, id := range ids {
-		sink.Listed(list(decide.Draining, id), false)
+		sink.UpdateEndpoints(list(decide.Draining, id), false)
 		state, _ := c.is(id)
 		assert.Equal(t, decide.Draining, state, "in force when the word returns")
 	}
@@ -205,7 +205,7 @@
 	k := r.open()
 	c := &core{}
 	sink := k.Sink("s", c)
-	sink.Listed(list(decide.Ready, "a", "b"), true)
+	sink.UpdateEndpoints(list(decide.Ready, "a", "b"), true)
 	require.Eventually(t, func() bool { return k.Status().Waiting == 0 }, 20*time.Second, time.Millisecond)
 	r.s.Refuse(true)
 	r.s.Cut()
@@ -225,7 +225,7 @@
 	sink = k.Sink("s", c)
 	c.becomes(t, "a", decide.Draining)
 	c.becomes(t, "b", decide.Ready)
-	sink.Listed(list(decide.Ready, "a", "b"), true) // an old list
+	sink.UpdateEndpoints(list(decide.Ready, "a", "b"), true) // an old list
 	c.becomes(t, "a", decide.Draining)
 	r.s.Refuse(false)
 	require.Eventually(t, func() bool { return r.recorded("s/a") }, 20*time.Second, time.Millisecond)
@@ -248,8 +248,8 @@
 	other = r.open()
 	defer other.Close()
 	c, d := &core{}, &core{}
-	k.Sink("s", c).Listed(list(decide.Ready, "a", "b"), true)
-	other.Sink("s", d).Listed(list(decide.Ready, "a", "b"), true)
+	k.Sink("s", c).UpdateEndpoints(list(decide.Ready, "a", "b"), true)
+	other.Sink("s", d).UpdateEndpoints(list(decide.Ready, "a", "b"), true)
 	backup := filepath.Join(t.TempDir(), "backup")
 	require.NoError(t, r.s.Backup(backup))
 	k.Drain("s/a", record.Drained{Since: 1, By: "op"})
@@ -376,7 +376,7 @@
 	for i := range 40 {
 		ids = append(ids, fmt.Sprint("a", i))
 	}
-	sink.Listed(list(decide.Ready, ids...), true)
+	sink.UpdateEndpoints(list(decide.Ready, ids...), true)
 	k.Drain("s/a7", record.Drained{Since: 1, By: "operator"})
 	require.Eventually(t, func() bool { return r.recorded("s/a7") }, 20*time.Second, 5*time.Millisecond)
 	require.Eventually(t, func() bool { return k.Status().Waiting == 0 }, 20*time.Second, 5*time.Millisecond)
@@ -445,7 +445,7 @@
 	r.s.Refuse(true)
 	k := r.open()
 	defer k.Close()
-	k.Sink("s", &core{}).Listed(list(decide.Ready, "a"), true)
+	k.Sink("s", &core{}).UpdateEndpoints(list(decide.Ready, "a"), true)
 	k.Drain("s/a", record.Drained{Start: 1000, Since: 1, By: "op"})
 	time.Sleep(500 * time.Millisecond) // some tries have failed by now
 	require.NoError(t, os.Mkdir(folder, 0o700))
--- a/internal/controlplane/recordserver/recordserver_test.go
+++ b/internal/controlplane/recordserver/recordserver_test.go
@@ -109,7 +109,7 @@
 	state map[string]decide.State
 }
 
-func (c *core) Listed(entries []node.Entry, _ bool) {
+func (c *core) UpdateEndpoints(entries []node.Endpoint, _ bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state = map[string]decide.State{}
@@ -117,7 +117,7 @@
 		c.state[e.ID] = e.State
 	}
 }
-func (c *core) ListFailed(node.ListFailure) {}
+func (c *core) EndpointWatchFailed(node.WatchFailure) {}
 
 func (c *core) drained(id string) bool {
 	c.mu.Lock()
@@ -141,9 +141,9 @@
 	return func() (store.Store, error) { return sqlstore.OpenThere(p.pg.Address()) }
 }
 
-func list(phase decide.State, ids ...string) (out []node.Entry) {
+func list(phase decide.State, ids ...string) (out []node.Endpoint) {
 	for _, id := range ids {
-		out = append(out, node.Entry{ID: id, Addr: "10.0.0.1:80", State: phase, Weight: 1, Started: time.UnixMilli(1000)})
+		out = append(out, node.Endpoint{ID: id, Addr: "10.0.0.1:80", State: phase, Weight: 1, StartedAt: time.UnixMilli(1000)})
 	}
 	return out
 }
@@ -190,18 +190,18 @@
 	for name, k := range all {
 		cores[name] = &core{}
 		sinks[name] = k.Sink("s", cores[name])
-		sinks[name].Listed(list(decide.Ready, "a", "b", "c", "d"), true)
+		sinks[name].UpdateEndpoints(list(decide.Ready, "a", "b", "c", "d"), true)
 	}
 	p.write(record.Drain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
 	for _, name := range []string{"old", "new"} {
 		p.becomes(name+" hears an operator", func() bool { return cores[name].drained("a") })
 	}
-	sinks["new"].Listed(list(decide.Draining, "b"), false)
+	sinks["new"].UpdateEndpoints(list(decide.Draining, "b"), false)
 	p.becomes("the old one hears what the new one was told", func() bool { return cores["old"].drained("b") })
-	sinks["old"].Listed(list(decide.Draining, "c"), false)
+	sinks["old"].UpdateEndpoints(list(decide.Draining, "c"), false)
 	p.becomes("and the other way", func() bool { return cores["new"].drained("c") })
 	assert.Contains(t, all["early"].Status().Fault, later, "what it waits for is named")
-	sinks["early"].Listed(list(decide.Draining, "d"), false)
+	sinks["early"].UpdateEndpoints(list(decide.Draining, "d"), false)
 	assert.True(t, cores["early"].drained("d"), "in force at once, whoever listens")
 	p.relay(later, nil) // its controller is new
 	for name, c := range cores {
@@ -218,7 +218,7 @@
 	p := newPlace(t)
 	one, two := p.relay("", nil), p.relay("", nil)
 	k, c := p.node("n", through(one.addr, two.addr)), &core{}
-	k.Sink("s", c).Listed(list(decide.Ready, "a", "b", "d"), true)
+	k.Sink("s", c).UpdateEndpoints(list(decide.Ready, "a", "b", "d"), true)
 	p.becomes("at the first", func() bool { return one.Status().Nodes == 1 })
 	one.stop()
 	p.write(record.Drain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
@@ -248,7 +248,7 @@
 	}()
 	good := p.relay("", nil)
 	c := &core{}
-	p.node("n", through(mute.Addr().String(), good.addr)).Sink("s", c).Listed(list(decide.Ready, "a"), true)
+	p.node("n", through(mute.Addr().String(), good.addr)).Sink("s", c).UpdateEndpoints(list(decide.Ready, "a"), true)
 	begun := time.Now()
 	p.write(record.Drain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
 	p.becomes("told by the other", func() bool { return c.drained("a") })
@@ -268,10 +268,10 @@
 	p.becomes("the replica says so", func() bool { return r.Status().Fault != "" })
 	fresh, c := p.node("fresh", through(r.addr)), &core{}
 	sink := fresh.Sink("s", c)
-	sink.Listed(list(decide.Ready, "a", "b"), true)
+	sink.UpdateEndpoints(list(decide.Ready, "a", "b"), true)
 	assert.True(t, c.drained("a"), "known from the replica's copy")
 	assert.Len(t, fresh.Of(record.Route), 1)
-	sink.Listed(list(decide.Draining, "b"), false)
+	sink.UpdateEndpoints(list(decide.Draining, "b"), false)
 	assert.True(t, c.drained("b"), "in force before it is recorded")
 	p.becomes("its word grows old", func() bool { return fresh.Status().HeardAgo > 0.3 })
 	p.pg.Refuse(false)
@@ -325,11 +325,11 @@
 	r := p.relay("", nil)
 	k, c := p.node("n", through(r.addr)), &core{}
 	sink := k.Sink("s", c)
-	sink.Listed(list(decide.Ready, "a", "b"), true)
+	sink.UpdateEndpoints(list(decide.Ready, "a", "b"), true)
 	p.becomes("recorded", func() bool { return k.Status().Waiting == 0 && p.recorded(record.Server, "s/a") })
 	backup := filepath.Join(t.TempDir(), "backup")
 	require.NoError(t, p.pg.Backup(backup))
-	sink.Listed(list(decide.Draining, "a"), false)
+	sink.UpdateEndpoints(list(decide.Draining, "a"), false)
 	p.becomes("recorded", func() bool { return p.recorded(record.Drain, "s/a") })
 	require.NoError(t, p.pg.Restore(backup))
 	p.becomes("written again", func() bool { return p.recorded(record.Drain, "s/a") })
@@ -371,10 +371,10 @@
 	t.Cleanup(func() { end(); run.Wait() })
 	k, is := p.node("n", through(ln.Addr().String())), &core{}
 	sink := k.Sink("s", is)
-	sink.Listed(list(decide.Ready, "a"), true)
+	sink.UpdateEndpoints(list(decide.Ready, "a"), true)
 	p.becomes("recorded", func() bool { return k.Status().Waiting == 0 && p.recorded(record.Server, "s/a") })
 	require.NoError(t, p.pg.Backup(backup))
-	sink.Listed(list(decide.Draining, "a"), false) // a drain, and then a sighting
+	sink.UpdateEndpoints(list(decide.Draining, "a"), false) // a drain, and then a sighting
 	p.becomes("both are there", func() bool { return k.Status().Waiting == 0 && p.recorded(record.Drain, "s/a") })
 	assert.True(t, is.drained("a"))
 }
@@ -555,7 +555,7 @@
 				c := &core{}
 				k := p.node(fmt.Sprint("n", i), through(addrs[i%3], addrs[(i+1)%3]))
 				s := k.Sink("s", c)
-				s.Listed(list(decide.Ready, "a", "b", "c"), true)
+				s.UpdateEndpoints(list(decide.Ready, "a", "b", "c"), true)
 				nodes, cores, sinks = append(nodes, k), append(cores, c), append(sinks, s)
 			}
 			settled := func() bool {
@@ -570,8 +570,8 @@
 			before := p.pg.Counts()
 			for i, s := range sinks { // a drain that discovery tells all of, each replica of it with its own numbers
 				e := list(decide.Draining, "a")
-				e[0].Listed = int64(1000 * (i%3 + 1))
-				go s.Listed(e, false)
+				e[0].Revision = int64(1000 * (i%3 + 1))
+				go s.UpdateEndpoints(e, false)
 			}
 			p.write(record.Drain, "s/b", `{"start_ms":0,"since_ms":1,"by":"op"}`)
 			p.becomes("told to all", func() bool {
--- a/internal/core/node/barred.go
+++ b/internal/core/node/barred.go
@@ -37,7 +37,7 @@
 	b := Ban{Since: c.wall(), StartKnown: true}
 	s := c.servers[id]
 	if s != nil {
-		b.Started = s.last.Started
+		b.Started = s.last.StartedAt
 	}
 	c.barred[id] = b
 	if s != nil && s.state == decide.Ready {
@@ -72,24 +72,24 @@
 // listed then, else by the clocks.
 func (c *Core) toldRestart(s *Server, b Ban) bool {
 	if b.StartKnown {
-		return !s.last.Started.Equal(b.Started)
+		return !s.last.StartedAt.Equal(b.Started)
 	}
-	return s.last.Started.After(b.Since.Add(-c.listClock.lead))
+	return s.last.StartedAt.After(b.Since.Add(-c.listClock.lead))
 }
 
-// Started is the start that the list tells of a server, the zero time for long ago.
-func (c *Core) Started(id string) (at time.Time, listed bool) {
+// StartTime is the start that the list tells of a server, the zero time for long ago.
+func (c *Core) StartTime(id string) (at time.Time, listed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.servers[id]
 	if s == nil {
 		return time.Time{}, false
 	}
-	return s.last.Started, true
+	return s.last.StartedAt, true
 }
 
-// Kept tells what keeps a server from being sent to: "" is nothing, or it was never listed here.
-func (c *Core) Kept(id string) string {
+// ExclusionReason tells what keeps a server from being sent to: "" is nothing, or it was never listed here.
+func (c *Core) ExclusionReason(id string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.servers[id]
@@ -108,15 +108,15 @@
 // everListed tells whether a server stands in the list or did lately.
 func (c *Core) everListed(id string) bool { return c.servers[id] != nil || c.known.has(id) }
 
-// Listings are the names of servers that were ever listed, as far as they are remembered.
-func (c *Core) Listings() []string {
+// KnownServers are the names of servers that were ever listed, as far as they are remembered.
+func (c *Core) KnownServers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.known.all()
 }
 
-// Succeed takes over what another process of this node knew: who is out, and which servers were listed. A ban of this process stays as it is.
-func (c *Core) Succeed(barred map[string]Ban, listed []string) {
+// Inherit takes over what another process of this node knew: who is out, and which servers were listed. A ban of this process stays as it is.
+func (c *Core) Inherit(barred map[string]Ban, listed []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range listed {
@@ -139,7 +139,7 @@
 
 // stateOf is a listed server's state under the operators' word. While it is out it is kept, also where the list says that it
 // has gone: it is being restarted, and how it was used before tells how to begin with it again.
-func (c *Core) stateOf(e Entry) decide.State {
+func (c *Core) stateOf(e Endpoint) decide.State {
 	if _, out := c.barred[e.ID]; out {
 		return decide.Draining
 	}
@@ -149,13 +149,13 @@
 // tell tells the module of one server anew.
 func (c *Core) tell(s *Server) {
 	s.set(c.stateOf(s.last))
-	c.balancer.Listed([]decide.Listing{c.listing(s)}, false)
+	c.balancer.UpdateEndpoints([]decide.EndpointUpdate{c.listing(s)}, false)
 	c.arm()
 }
 
 // listing is a server as the module hears of it.
-func (c *Core) listing(s *Server) decide.Listing {
-	return decide.Listing{Server: s.obj, State: s.state, Zone: s.last.Zone, Cell: s.last.Cell, Weight: s.last.Weight, CameUp: c.cameUp(s)}
+func (c *Core) listing(s *Server) decide.EndpointUpdate {
+	return decide.EndpointUpdate{Server: s.obj, State: s.state, Zone: s.last.Zone, Cell: s.last.Cell, Weight: s.last.Weight, StartedAt: c.cameUp(s)}
 }
 
 // names remembers names, the latest at least. Under deploys all day the ids there have been would else fill the memory.
--- a/internal/core/node/guard.go
+++ b/internal/core/node/guard.go
@@ -18,17 +18,17 @@
 // held up for a moment.
 const lateSlack = 150 * time.Millisecond
 
-// Observe has events and violations recorded. It is called before anything is served.
-func (c *Core) Observe(r *telemetry.Recorder) {
+// SetRecorder has events and violations recorded. It is called before anything is served.
+func (c *Core) SetRecorder(r *telemetry.Recorder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.telemetry = r
 }
 
 // endings names attempts' results.
-var endings = map[decide.Result]telemetry.Reason{decide.OK: telemetry.Succeeded, decide.Failed: telemetry.Failed, decide.Full: telemetry.TurnedAway,
+var endings = map[decide.Result]telemetry.Reason{decide.OK: telemetry.Succeeded, decide.Failed: telemetry.Failed, decide.Rejected: telemetry.TurnedAway,
 	decide.TimedOut: telemetry.TimedOut, decide.ConnectFailed: telemetry.Unreached, decide.Reset: telemetry.Reset, decide.Canceled: telemetry.Canceled,
-	decide.Ignored: telemetry.Unsent}
+	decide.NotSent: telemetry.Unsent}
 
 // causes names what a further attempt follows, by how the one before ended.
 var causes = map[telemetry.Reason]telemetry.Reason{telemetry.Failed: telemetry.EarlierFailed, telemetry.TurnedAway: telemetry.EarlierTurnedAway,
@@ -47,10 +47,10 @@
 }
 
 // mayHaveRun tells whether an attempt may have had its effect: it was begun, and no result proves that it did not.
-func (p *Pick) mayHaveRun() bool { return p.begun && !p.neverRan }
+func (p *Attempt) mayHaveRun() bool { return p.begun && !p.neverRan }
 
 // firstRun is the first attempt of an RPC, but for one, that may have run; nil if there is none.
-func (r *RPC) firstRun(but *Pick) *Pick {
+func (r *RPC) firstRun(but *Attempt) *Attempt {
 	for _, p := range r.attempts {
 		if p != but && p.mayHaveRun() {
 			return p
@@ -61,40 +61,40 @@
 
 // mayRepeat tells whether an attempt may begin now, after those before it. A connect can take longer than what was left of the window in
 // which repeats are dropped, and a server may have been listed in another group since the attempt was ordered.
-func (c *Core) mayRepeat(p *Pick, now time.Duration) bool {
+func (c *Core) mayRepeat(p *Attempt, now time.Duration) bool {
 	r := p.rpc
 	first := r.firstRun(p)
 	if first == nil {
 		return true
 	}
-	switch r.method.Repeat {
+	switch r.method.Idempotency {
 	case decide.NonIdempotent:
 		return false
 	case decide.Deduplicated:
-		return now < first.begunAt+duration(r.method.Window) && sameGroup(r.method.Scope, p.Server, first.Server)
+		return now < first.begunAt+duration(r.method.DedupWindow) && sameGroup(r.method.DedupScope, p.Server, first.Server)
 	default:
 		return true
 	}
 }
 
 // checkRepeat looks whether an attempt that is ordered now may follow those before it, those on their way included.
-func (c *Core) checkRepeat(p *Pick, now time.Duration) {
+func (c *Core) checkRepeat(p *Attempt, now time.Duration) {
 	r := p.rpc
 	for _, o := range r.attempts {
 		switch {
 		case o == p || o.neverRan:
-		case r.method.Repeat == decide.NonIdempotent:
+		case r.method.Idempotency == decide.NonIdempotent:
 			c.violation(telemetry.RepeatedUnproven, p, "an attempt at %s may have run, or may yet", o.Server.id)
-		case r.method.Repeat == decide.Deduplicated && now >= o.sent+duration(r.method.Window):
+		case r.method.Idempotency == decide.Deduplicated && now >= o.sent+duration(r.method.DedupWindow):
 			c.violation(telemetry.RepeatedTooLate, p, "%v after the attempt at %s", now-o.sent, o.Server.id)
-		case r.method.Repeat == decide.Deduplicated && !sameGroup(r.method.Scope, p.Server, o.Server):
+		case r.method.Idempotency == decide.Deduplicated && !sameGroup(r.method.DedupScope, p.Server, o.Server):
 			c.violation(telemetry.RepeatedUnproven, p, "%s is in another group, and may have run it", o.Server.id)
 		}
 	}
 }
 
 // sameGroup tells whether two servers drop repeats of each other's requests.
-func sameGroup(scope decide.Scope, a, b *Server) bool {
+func sameGroup(scope decide.DedupScope, a, b *Server) bool {
 	switch scope {
 	case decide.ScopeZone:
 		return a.last.Zone == b.last.Zone
@@ -107,19 +107,19 @@
 
 // checkSlowStart counts what this node begins at a server in slow start against what the operators allow all nodes together, by what one
 // warm server answers this node: past that its own part alone is too much.
-func (c *Core) checkSlowStart(p *Pick, now time.Duration) {
+func (c *Core) checkSlowStart(p *Attempt, now time.Duration) {
 	s := p.Server
-	rate, starting := c.balancer.StartRate(s.obj)
+	rate, starting := c.balancer.SlowStartRate(s.obj)
 	if !starting {
 		s.starts = nil
 		return
 	}
-	window := duration(c.settings.FallFor)
+	window := duration(c.settings.OverloadWindow)
 	s.starts = append(s.starts, now)
 	for now-s.starts[0] > window {
 		s.starts = s.starts[1:]
 	}
-	if limit := startLimit(c.settings.FallMultiple * rate * c.settings.FallFor); float64(len(s.starts)) > limit {
+	if limit := startLimit(c.settings.OverloadMultiple * rate * c.settings.OverloadWindow); float64(len(s.starts)) > limit {
 		c.violation(telemetry.StartedTooFast, p, "%d in %v, %.1f allowed", len(s.starts), window, limit)
 	}
 }
@@ -134,9 +134,9 @@
 }
 
 // checkEnd looks whether an attempt that something came of had been let through.
-func (c *Core) checkEnd(p *Pick, res decide.Result) {
+func (c *Core) checkEnd(p *Attempt, res decide.Result) {
 	switch res {
-	case decide.OK, decide.Failed, decide.Full, decide.Reset:
+	case decide.OK, decide.Failed, decide.Rejected, decide.Reset:
 		if !p.begun {
 			c.violation(telemetry.SentAfterEnd, p, "it ended with %v and was never let through", p.result)
 		}
@@ -147,10 +147,10 @@
 func (r *RPC) harmless() bool {
 	first := r.firstRun(nil)
 	switch {
-	case first == nil || r.method.Repeat == decide.Idempotent:
+	case first == nil || r.method.Idempotency == decide.Idempotent:
 		return true
-	case r.method.Repeat == decide.Deduplicated && r.method.Scope == decide.ScopeAll:
-		return r.Deadline <= first.begunAt+duration(r.method.Window)
+	case r.method.Idempotency == decide.Deduplicated && r.method.DedupScope == decide.ScopeAll:
+		return r.Deadline <= first.begunAt+duration(r.method.DedupWindow)
 	default:
 		return false
 	}
@@ -175,22 +175,22 @@
 // answers notes that an RPC gets its final answer now.
 func (c *Core) answers(r *RPC, why telemetry.Reason) {
 	now := c.clock.Now()
-	if late := now - r.Deadline; late > lateSlack && !r.obj.Coming {
+	if late := now - r.Deadline; late > lateSlack && !r.obj.BodyPending {
 		c.telemetry.Violation(telemetry.Violation{Rule: telemetry.AnsweredLate, Request: r.request, Detail: late.String()})
 	}
 	r.answered = true
 	c.telemetry.Record(telemetry.Event{Kind: telemetry.RequestAnswered, Reason: why, Request: r.request, Took: r.Deadline - now})
 }
 
-func (c *Core) violation(rule telemetry.Rule, p *Pick, format string, args ...any) {
+func (c *Core) violation(rule telemetry.Rule, p *Attempt, format string, args ...any) {
 	c.telemetry.Violation(telemetry.Violation{Rule: rule, Request: p.rpc.request, Server: p.Server.id, Detail: fmt.Sprintf(format, args...)})
 }
 
 // recordState notes a change of a server's state.
-func (c *Core) recordState(s *Server, e Entry, state decide.State) {
+func (c *Core) recordState(s *Server, e Endpoint, state decide.State) {
 	why := telemetry.NoReason
 	switch {
-	case s.seen > 0 && e.Started.After(s.last.Started):
+	case s.seen > 0 && e.StartedAt.After(s.last.StartedAt):
 		why = telemetry.Restarted
 		s.starts = nil
 	case s.seen > 0 && s.state == state:
--- a/internal/core/node/guard_test.go
+++ b/internal/core/node/guard_test.go
@@ -14,9 +14,9 @@
 )
 
 // observed begins a core whose violations are counted.
-func observed(t *testing.T, edit func(*settings.Node)) (*story, *telemetry.Recorder) {
+func observed(t *testing.T, edit func(*settings.Instance)) (*story, *telemetry.Recorder) {
 	s, r := begin(t, edit), telemetry.NewRecorder(zap.NewNop(), nil)
-	s.Observe(r)
+	s.SetRecorder(r)
 	return s, r
 }
 
@@ -24,10 +24,10 @@
 func (s *story) order(r *RPC, server string, at time.Duration) (begun bool) {
 	s.mu.Lock()
 	s.clock.now = at
-	p := &decide.Pick{RPC: &r.obj, Server: s.servers[server].obj}
+	p := &decide.Attempt{RPC: &r.obj, Server: s.servers[server].obj}
 	s.Send(p, 0)
 	s.mu.Unlock()
-	return s.Begin(p.Of.(*Pick), &breaker{})
+	return s.Begin(p.HostData.(*Attempt), &breaker{})
 }
 
 // The guard counts what breaks the rules on repeats, whatever orders it.
@@ -47,10 +47,10 @@
 		"deduplicated, past, never ran":   {book, true, 1100 * time.Millisecond, telemetry.RepeatedTooLate, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, counts := observed(t, func(n *settings.Node) { n.Methods[book].Window = 1 })
+			s, counts := observed(t, func(n *settings.Instance) { n.Methods[book].DedupWindow = 1 })
 			s.list("a", "b")
 			r := s.arrive(c.method)
-			first := next(t, r).Pick
+			first := next(t, r).Attempt
 			begun := s.clock.now
 			require.True(t, s.Begin(first, &breaker{}))
 			other := "a"
@@ -71,25 +71,25 @@
 // An attempt that was ordered within its window, and whose connect took longer than what was left of it, is not begun, and nobody is told
 // that asking again is harmless.
 func TestAnAttemptWhoseConnectOutlastsItsWindowIsNotBegun(t *testing.T) {
-	s, counts := observed(t, func(n *settings.Node) { n.Methods[book].Window = 1 })
+	s, counts := observed(t, func(n *settings.Instance) { n.Methods[book].DedupWindow = 1 })
 	s.list("a", "b")
 	r := s.arrive(book)
-	first := next(t, r).Pick
+	first := next(t, r).Attempt
 	require.True(t, s.Begin(first, &breaker{}))
 	s.clock.now += 900 * time.Millisecond
-	s.Done(first, decide.Reset, nil)
-	second := next(t, r).Pick
-	require.True(t, s.Hold(second, &breaker{}))
+	s.AttemptDone(first, decide.Reset, nil)
+	second := next(t, r).Attempt
+	require.True(t, s.Bind(second, &breaker{}))
 	s.clock.now += 150 * time.Millisecond // its connect
 	assert.False(t, s.Begin(second, &breaker{}))
-	s.Done(second, decide.Ignored, nil)
-	assert.Equal(t, Abort, next(t, r).Kind)
+	s.AttemptDone(second, decide.NotSent, nil)
+	assert.Equal(t, OrderAbort, next(t, r).Kind)
 	assert.Zero(t, counts.Violations(telemetry.RepeatedTooLate)+counts.Violations(telemetry.PushbackUnsafe))
 }
 
 func TestTheGuardCountsASlowStartThatIsTooFast(t *testing.T) {
 	s, counts := observed(t, nil)
-	s.Listed([]Entry{entry("b", decide.Ready), {ID: "a", Addr: "a:80", State: decide.Ready, Weight: 1, Started: wall}}, true)
+	s.UpdateEndpoints([]Endpoint{entry("b", decide.Ready), {ID: "a", Addr: "a:80", State: decide.Ready, Weight: 1, StartedAt: wall}}, true)
 	r := s.arrive(find)
 	for range 99 {
 		for len(r.Orders) > 0 {
@@ -118,18 +118,18 @@
 	s, counts := observed(t, nil)
 	s.list("a", "b")
 	r := s.arrive(find)
-	first := next(t, r).Pick
+	first := next(t, r).Attempt
 	require.True(t, s.Begin(first, &breaker{}))
-	s.Done(first, decide.Failed, nil)
-	second := next(t, r).Pick
+	s.AttemptDone(first, decide.Failed, nil)
+	second := next(t, r).Attempt
 	require.True(t, s.Begin(second, &breaker{}))
-	s.Done(second, decide.OK, &Answer{})
+	s.AttemptDone(second, decide.OK, &Response{})
 	assert.EqualValues(t, 1, counts.Count(telemetry.AttemptOrdered, telemetry.FirstAttempt))
 	assert.EqualValues(t, 1, counts.Count(telemetry.AttemptOrdered, telemetry.EarlierFailed))
 	assert.EqualValues(t, 1, counts.Count(telemetry.AttemptEnded, telemetry.Succeeded))
 	assert.EqualValues(t, 1, counts.Count(telemetry.RequestAnswered, telemetry.ServedByServer))
 	none := begin(t, nil)
-	none.Observe(counts)
+	none.SetRecorder(counts)
 	none.arrive(find)
 	assert.EqualValues(t, 1, counts.Count(telemetry.RequestAnswered, telemetry.NotAdmitted))
 	s.list("a")
--- a/internal/core/node/host.go
+++ b/internal/core/node/host.go
@@ -25,17 +25,17 @@
 func (c *Core) Now() float64 { return seconds(c.clock.Now()) + epoch }
 
 // Send orders a pick. It lasts till its time-out or, without one, till its RPC's deadline.
-func (c *Core) Send(p *decide.Pick, timeout float64) {
-	r := p.RPC.Of.(*RPC)
+func (c *Core) Send(p *decide.Attempt, timeout float64) {
+	r := p.RPC.HostData.(*RPC)
 	now := c.clock.Now()
-	k := &Pick{Server: p.Server.Of.(*Server), Deadline: r.Deadline, obj: p, rpc: r, sent: now, at: len(c.picks)}
+	k := &Attempt{Server: p.Server.HostData.(*Server), Deadline: r.Deadline, obj: p, rpc: r, sent: now, at: len(c.picks)}
 	if timeout != 0 {
 		k.Deadline = min(k.Deadline, now+duration(timeout))
 	}
-	k.Anew, k.Server.worn = k.Server.worn, false
-	p.Of = k
+	k.FreshConnection, k.Server.worn = k.Server.worn, false
+	p.HostData = k
 	k.end.What = k
-	if r.obj.Coming { // its time has not begun; who reads the body bounds how long that takes
+	if r.obj.BodyPending { // its time has not begun; who reads the body bounds how long that takes
 		k.Deadline = math.MaxInt64
 	} else {
 		c.timers.Add(&k.end, k.Deadline)
@@ -46,12 +46,12 @@
 	r.attempts = append(r.attempts, k)
 	r.out++
 	k.Server.out++
-	r.Orders <- Order{Kind: Send, Pick: k}
+	r.Orders <- Order{Kind: OrderSend, Attempt: k}
 }
 
 // Cancel gives a pick up: whoever carries it out closes its connection.
-func (c *Core) Cancel(p *decide.Pick) {
-	k := p.Of.(*Pick)
+func (c *Core) Cancel(p *decide.Attempt) {
+	k := p.HostData.(*Attempt)
 	if k.done || k.canceled {
 		return
 	}
@@ -59,20 +59,20 @@
 	c.giveUp(k)
 }
 
-// CloseIdle has the idle connections to a server closed before the next pick there, which opens its own.
-func (c *Core) CloseIdle(s *decide.Server) { s.Of.(*Server).worn = true }
+// CloseIdleConnections has the idle connections to a server closed before the next pick there, which opens its own.
+func (c *Core) CloseIdleConnections(s *decide.Server) { s.HostData.(*Server).worn = true }
 
 // PushBack orders the answer that promises that retrying is harmless.
 func (c *Core) PushBack(r *decide.RPC, wait float64) {
-	c.checkPushback(r.Of.(*RPC))
-	c.answer(r, Order{Kind: PushBack, Wait: duration(wait)})
+	c.checkPushback(r.HostData.(*RPC))
+	c.answer(r, Order{Kind: OrderPushBack, RetryAfter: duration(wait)})
 }
 
 // Abort orders the answer that promises nothing.
-func (c *Core) Abort(r *decide.RPC) { c.answer(r, Order{Kind: Abort}) }
+func (c *Core) Abort(r *decide.RPC) { c.answer(r, Order{Kind: OrderAbort}) }
 
 func (c *Core) answer(r *decide.RPC, o Order) {
-	k := r.Of.(*RPC)
+	k := r.HostData.(*RPC)
 	if k.ended {
 		c.checkSecondAnswer(k)
 		return
@@ -82,15 +82,15 @@
 	c.end(k)
 }
 
-// After rings the module's timer. That of an RPC or a pick is taken back when it is over: kept till it ends, the timers of
+// StartTimer rings the module's timer. That of an RPC or a pick is taken back when it is over: kept till it ends, the timers of
 // two seconds' RPCs would be most of what the node holds.
-func (c *Core) After(delay float64, what any) {
+func (c *Core) StartTimer(delay float64, what any) {
 	var t *timingwheel.Timer
 	switch w := what.(type) {
 	case *decide.RPC:
-		t = &w.Of.(*RPC).ring
-	case *decide.Pick:
-		t = &w.Of.(*Pick).ring
+		t = &w.HostData.(*RPC).ring
+	case *decide.Attempt:
+		t = &w.HostData.(*Attempt).ring
 	}
 	if t == nil || t.Set() {
 		t = &timingwheel.Timer{}
@@ -99,5 +99,5 @@
 	c.timers.Add(t, c.clock.Now()+duration(delay))
 }
 
-// Watch asks for changes of the list.
-func (c *Core) Watch() { c.watch() }
+// WatchEndpoints asks for changes of the list.
+func (c *Core) WatchEndpoints() { c.watch() }
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -21,37 +21,37 @@
 	AfterFunc(d time.Duration, f func())
 }
 
-// Kind is what the module orders for an RPC.
-type Kind int
+// OrderKind is what the module orders for an RPC.
+type OrderKind int
 
 const (
-	Send     Kind = iota
-	PushBack      // retrying is harmless
-	Abort         // no promise
-	Served
-	Left // not the core's: the caller has left, by who watches its connection, once at most
+	OrderSend     OrderKind = iota
+	OrderPushBack           // retrying is harmless
+	OrderAbort              // no promise
+	OrderServed
+	OrderClientGone // not the core's: the caller has left, by who watches its connection, once at most
 )
 
 // Order is one thing to be done for an RPC, by the one that serves it.
 type Order struct {
-	Kind   Kind
-	Pick   *Pick         // of a Send
-	Wait   time.Duration // of a PushBack: when to come again
-	Answer *Answer       // of a Served
+	Kind       OrderKind
+	Attempt    *Attempt      // of a Send
+	RetryAfter time.Duration // of a PushBack: when to come again
+	Response   *Response     // of a Served
 }
 
-// Answer is a server's, to be passed on unchanged.
-type Answer struct {
-	Type string
-	Body []byte
-	Rest Rest // of the body; nil: that is all
-	Held int  // of the process's bytes: who has passed it on gives them back
+// Response is a server's, to be passed on unchanged.
+type Response struct {
+	ContentType   string
+	Body          []byte
+	BodyStream    BodyStream // of the body; nil: that is all
+	ReservedBytes int        // of the process's bytes: who has passed it on gives them back
 }
 
-// Rest is what of an answer had not come yet when it was passed on. Who gets the answer has to close it.
-type Rest interface {
+// BodyStream is what of an answer had not come yet when it was passed on. Who gets the answer has to close it.
+type BodyStream interface {
 	Read(to []byte) (int, error)
-	Length() int64
+	Remaining() int64
 	Close(whole bool)
 }
 
@@ -67,29 +67,29 @@
 
 	request  string        // the caller's id of it
 	method   decide.Method // as it was when the request came: that rule holds to its end
-	attempts []*Pick
+	attempts []*Attempt
 	answered bool
 }
 
-// Breaker is what carries a pick out. Break makes whatever waits there return at once, and waits for nothing itself.
-type Breaker interface{ Break() }
-
-// Pick is one attempt of an RPC at a server.
-type Pick struct {
-	Server   *Server
-	Load     string // the server's report that came with its answer
-	Anew     bool   // idle connections to the server may have been dropped unseen: they are closed, and one is opened
-	Deadline time.Duration
-	obj      *decide.Pick
-	rpc      *RPC
-	by       Breaker
-	ring     timingwheel.Timer
-	end      timingwheel.Timer
-	at       int // in the core's picks
-	sent     time.Duration
-	canceled bool
-	expired  bool
-	done     bool
+// Canceler is what carries a pick out. Break makes whatever waits there return at once, and waits for nothing itself.
+type Canceler interface{ Cancel() }
+
+// Attempt is one attempt of an RPC at a server.
+type Attempt struct {
+	Server          *Server
+	LoadReport      string // the server's report that came with its answer
+	FreshConnection bool   // idle connections to the server may have been dropped unseen: they are closed, and one is opened
+	Deadline        time.Duration
+	obj             *decide.Attempt
+	rpc             *RPC
+	by              Canceler
+	ring            timingwheel.Timer
+	end             timingwheel.Timer
+	at              int // in the core's picks
+	sent            time.Duration
+	canceled        bool
+	expired         bool
+	done            bool
 
 	begun    bool          // its first byte was let through
 	begunAt  time.Duration // when
@@ -105,9 +105,9 @@
 	state decide.State
 	ready atomic.Bool // state is Ready, for who does not hold the core's mutex
 	seen  int
-	out   int   // picks
-	worn  bool  // its idle connections are not to be trusted
-	last  Entry // as it was listed
+	out   int      // picks
+	worn  bool     // its idle connections are not to be trusted
+	last  Endpoint // as it was listed
 	// Since when it is back by an operator's word, by the module's clock, where the list had not told of a start meanwhile: taken for that
 	// start until it does. 0: it is not.
 	back float64
@@ -123,16 +123,16 @@
 	s.ready.Store(state == decide.Ready)
 }
 
-// Entry is one line of the server list.
-type Entry struct {
-	ID      string       `json:"ID"`
-	Addr    string       `json:"Addr"`
-	State   decide.State `json:"State"`
-	Zone    int          `json:"Zone"`
-	Cell    int          `json:"Cell"`
-	Weight  float64      `json:"Weight"`
-	Started time.Time    `json:"Started"` // zero: long ago
-	Listed  int64        `json:"Listed"`  // the list's revision that told so; 0: not known
+// Endpoint is one line of the server list.
+type Endpoint struct {
+	ID        string       `json:"ID"`
+	Addr      string       `json:"Addr"`
+	State     decide.State `json:"State"`
+	Zone      int          `json:"Zone"`
+	Cell      int          `json:"Cell"`
+	Weight    float64      `json:"Weight"`
+	StartedAt time.Time    `json:"Started"` // zero: long ago
+	Revision  int64        `json:"Listed"`  // the list's revision that told so; 0: not known
 }
 
 // grain is the step of the core's timers.
@@ -158,14 +158,14 @@
 	mu       sync.Mutex
 	balancer *decide.Balancer
 	servers  map[string]*Server
-	settings *settings.Node // in force; names in their slots
+	settings *settings.Instance // in force; names in their slots
 	// The most attempts that any settings of this process allowed: a class that has left them keeps its own.
 	mostPicks int
 	methods   []slot // of the module's, by number
 	tenants   []slot
 	barred    map[string]Ban // taken out by an operator
 	known     names          // that were ever listed
-	picks     []*Pick        // out
+	picks     []*Attempt     // out
 	open      int            // RPCs owed an answer
 	timers    *timingwheel.Wheel
 	armed     time.Duration // when the clock will ring; 0: not at all
@@ -178,24 +178,24 @@
 }
 
 // New starts the core. The module's wish to watch the list goes to watch, which must not wait.
-func New(s *settings.Node, seed int64, clock Clock, wall time.Time, watch func()) *Core {
+func New(s *settings.Instance, seed int64, clock Clock, wall time.Time, watch func()) *Core {
 	c := &Core{clock: clock, origin: wall.Add(-clock.Now()), settings: s, watch: watch,
 		servers: map[string]*Server{}, barred: map[string]Ban{}, timers: timingwheel.New(grain, clock.Now(), 1024)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.mostPicks = s.MaxPicks
+	c.mostPicks = s.MaxAttempts
 	c.methods, c.tenants = make([]slot, len(s.Methods)), make([]slot, max(1, len(s.Tenants)))
 	c.balancer = decide.New(c, s.Settings, seed)
 	c.arm()
-	if !s.MustWatch {
+	if !s.MustSubscribe {
 		watch() // the module expects changes to come unasked; here somebody has to ask
 	}
 	return c
 }
 
-// Left names who wants to hear of servers that take nothing new any more, or are elsewhere now: nobody should go on
+// OnServersUnavailable names who wants to hear of servers that take nothing new any more, or are elsewhere now: nobody should go on
 // keeping connections to them.
-func (c *Core) Left(f func([]*Server)) {
+func (c *Core) OnServersUnavailable(f func([]*Server)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.left = f
@@ -211,25 +211,25 @@
 	}
 }
 
-// Listed takes news of the servers.
-func (c *Core) Listed(entries []Entry, full bool) {
+// UpdateEndpoints takes news of the servers.
+func (c *Core) UpdateEndpoints(entries []Endpoint, full bool) {
 	if left, tell := c.listed(entries, full); len(left) > 0 && tell != nil {
 		tell(left)
 	}
 }
 
-func (c *Core) listed(entries []Entry, full bool) (left []*Server, tell func([]*Server)) {
+func (c *Core) listed(entries []Endpoint, full bool) (left []*Server, tell func([]*Server)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lists++
 	c.listClock.observe(entries, c.wall())
-	list := make([]decide.Listing, 0, len(entries))
+	list := make([]decide.EndpointUpdate, 0, len(entries))
 	for _, e := range entries {
 		s := c.servers[e.ID]
 		state := c.stateOf(e)
 		if s == nil {
 			s = &Server{id: e.ID, obj: &decide.Server{}}
-			s.obj.Of = s
+			s.obj.HostData = s
 			c.servers[e.ID] = s
 			c.known.add(e.ID)
 		} else if s.state == decide.Ready && (state != decide.Ready || e.Addr != s.addr) {
@@ -258,7 +258,7 @@
 			}
 		}
 	}
-	c.balancer.Listed(list, full)
+	c.balancer.UpdateEndpoints(list, full)
 	for _, s := range gone {
 		c.forget(s)
 	}
@@ -279,11 +279,11 @@
 	}
 }
 
-// Known is the list of servers as the core holds it.
-func (c *Core) Known() []Entry {
+// Endpoints is the list of servers as the core holds it.
+func (c *Core) Endpoints() []Endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]Entry, 0, len(c.servers))
+	out := make([]Endpoint, 0, len(c.servers))
 	for _, s := range c.servers {
 		if s.state != decide.Gone {
 			out = append(out, s.last)
@@ -292,8 +292,8 @@
 	return out
 }
 
-// ListFailure tells how a call for the server list, or its watch, has failed, in terms of when the next call is due.
-type ListFailure struct {
+// WatchFailure tells how a call for the server list, or its watch, has failed, in terms of when the next call is due.
+type WatchFailure struct {
 	// ResetBackoff says that the failure is no sign of an overloaded discovery: pauses begin with the shortest again.
 	ResetBackoff bool
 	// The pause before the next call is drawn from a third to the whole of a span that grows with each failure and lies
@@ -301,41 +301,41 @@
 	MinPause, MaxPause time.Duration
 }
 
-// ListFailed tells that a watch has ended or never began. The module asks again in its own time, within the failure's bounds.
-func (c *Core) ListFailed(f ListFailure) {
+// EndpointWatchFailed tells that a watch has ended or never began. The module asks again in its own time, within the failure's bounds.
+func (c *Core) EndpointWatchFailed(f WatchFailure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.balancer.ListFailed(f.ResetBackoff, seconds(f.MinPause), seconds(f.MaxPause))
+	c.balancer.EndpointWatchFailed(f.ResetBackoff, seconds(f.MinPause), seconds(f.MaxPause))
 	c.arm()
 }
 
 // Arrival is a request as the frontend has read it.
 type Arrival struct {
-	Request        string // its id, for logs
+	RequestID      string // its id, for logs
 	Method, Tenant int
 	Deadline       time.Duration // of the core's clock: its caller waits until then
 	Retry          bool          // its caller has asked before
-	// Coming: of its body the rest is on its way still, and goes to its server as it comes: its time begins with Came.
-	Coming bool
-	Work   float64 // the caller's hint of its cost, 0 for none; it counts where the settings say that hints come
+	// BodyPending: of its body the rest is on its way still, and goes to its server as it comes: its time begins with Came.
+	BodyPending bool
+	WorkHint    float64 // the caller's hint of its cost, 0 for none; it counts where the settings say that hints come
 }
 
 // Arrived takes a request and returns its RPC, whose orders tell what to do.
 func (c *Core) Arrived(a Arrival) *RPC {
-	r := &RPC{Deadline: a.Deadline, request: a.Request, obj: decide.RPC{Method: a.Method, Tenant: a.Tenant, Deadline: seconds(a.Deadline) + epoch,
-		Retry: a.Retry, Coming: a.Coming}}
-	r.obj.Of = r
+	r := &RPC{Deadline: a.Deadline, request: a.RequestID, obj: decide.RPC{Method: a.Method, Tenant: a.Tenant, Deadline: seconds(a.Deadline) + epoch,
+		Retry: a.Retry, BodyPending: a.BodyPending}}
+	r.obj.HostData = r
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.settings.Hints {
-		r.obj.Work = a.Work
+	if c.settings.WorkHints {
+		r.obj.WorkHint = a.WorkHint
 	}
 	r.method = c.balancer.Method(a.Method)
 	r.Orders = make(chan Order, min(c.mostPicks, maxQueued)+endOrders)
 	c.open++
 	c.methods[a.Method].held++
 	c.tenants[a.Tenant].held++
-	c.telemetry.Record(telemetry.Event{Kind: telemetry.RequestTaken, Request: a.Request, Took: a.Deadline - c.clock.Now()})
+	c.telemetry.Record(telemetry.Event{Kind: telemetry.RequestTaken, Request: a.RequestID, Took: a.Deadline - c.clock.Now()})
 	c.cause = telemetry.NotAdmitted
 	c.balancer.Arrived(&r.obj)
 	c.leaves(r)
@@ -343,12 +343,12 @@
 	return r
 }
 
-// Came tells that the last byte of a pick's request has been written: its RPC's time runs from now on.
-func (c *Core) Came(p *Pick, left time.Duration) {
+// BodyReceived tells that the last byte of a pick's request has been written: its RPC's time runs from now on.
+func (c *Core) BodyReceived(p *Attempt, left time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := p.rpc
-	if r.ended || !r.obj.Coming {
+	if r.ended || !r.obj.BodyPending {
 		return
 	}
 	now := c.clock.Now()
@@ -356,24 +356,24 @@
 	r.obj.Deadline = seconds(r.Deadline) + epoch
 	p.Deadline, p.sent = r.Deadline, now
 	c.timers.Add(&p.end, p.Deadline)
-	c.balancer.Came(&r.obj)
+	c.balancer.BodyReceived(&r.obj)
 	c.arm()
 }
 
-// Vanished tells that the RPC's caller has left.
-func (c *Core) Vanished(r *RPC) {
+// ClientGone tells that the RPC's caller has left.
+func (c *Core) ClientGone(r *RPC) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.ended {
 		return
 	}
 	c.end(r)
-	c.balancer.Vanished(&r.obj)
+	c.balancer.ClientGone(&r.obj)
 	c.leaves(r)
 }
 
-// Hold names what carries a pick out, before its server is reached. It is false if the pick is not wanted any more.
-func (c *Core) Hold(p *Pick, by Breaker) bool {
+// Bind names what carries a pick out, before its server is reached. It is false if the pick is not wanted any more.
+func (c *Core) Bind(p *Attempt, by Canceler) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.by = by
@@ -382,7 +382,7 @@
 
 // Begin is asked right before a pick's first byte is written, by what writes it. A connect can take longer than a drain's
 // grace, and the RPC can be over by then.
-func (c *Core) Begin(p *Pick, by Breaker) bool {
+func (c *Core) Begin(p *Attempt, by Canceler) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.by = by
@@ -396,8 +396,8 @@
 	return true
 }
 
-// Remains is how long a pick may still last.
-func (c *Core) Remains(p *Pick) time.Duration { return p.Deadline - c.clock.Now() }
+// TimeLeft is how long a pick may still last.
+func (c *Core) TimeLeft(p *Attempt) time.Duration { return p.Deadline - c.clock.Now() }
 
 // Address is where a server is reached now, and whether it takes anything new.
 func (c *Core) Address(s *Server) (addr string, ready bool) {
@@ -409,9 +409,9 @@
 // Ready tells, without waiting for anyone, whether a server takes anything new.
 func (c *Core) Ready(s *Server) bool { return s.ready.Load() }
 
-// Done takes a pick's result, and its answer if that was ok. Each pick has one; from then on nothing breaks what carried
+// AttemptDone takes a pick's result, and its answer if that was ok. Each pick has one; from then on nothing breaks what carried
 // it out. It tells whether the answer is its RPC's.
-func (c *Core) Done(p *Pick, res decide.Result, answer *Answer) (served bool) {
+func (c *Core) AttemptDone(p *Attempt, res decide.Result, answer *Response) (served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p.done {
@@ -430,7 +430,7 @@
 	r := p.rpc
 	r.out--
 	switch {
-	case res == decide.OK || res == decide.Full || res == decide.Failed:
+	case res == decide.OK || res == decide.Rejected || res == decide.Failed:
 	case p.canceled:
 		res = decide.Canceled // what broke it was the cancel
 	case p.expired && res == decide.Reset:
@@ -440,24 +440,24 @@
 	c.checkEnd(p, res)
 	c.telemetry.Record(telemetry.Event{Kind: telemetry.AttemptEnded, Reason: p.result, Request: r.request, Server: p.Server.id, Took: c.clock.Now() - p.sent})
 	if res == decide.OK && !r.ended {
-		r.Orders <- Order{Kind: Served, Answer: answer}
+		r.Orders <- Order{Kind: OrderServed, Response: answer}
 		c.answers(r, telemetry.ServedByServer)
 		c.end(r)
 		served = true
 	}
 	c.cause = telemetry.AttemptsFailed
-	var load *decide.Load
-	if c.settings.Reports && p.Load != "" {
-		load, _ = c.settings.Load(p.Load) // one that can't be read is none: it is no reason to fail its answer
+	var load *decide.LoadReport
+	if c.settings.LoadReports && p.LoadReport != "" {
+		load, _ = c.settings.ParseLoadReport(p.LoadReport) // one that can't be read is none: it is no reason to fail its answer
 	}
-	c.balancer.Done(p.obj, res, r.ended, seconds(c.clock.Now()-p.sent), load)
+	c.balancer.AttemptDone(p.obj, res, r.ended, seconds(c.clock.Now()-p.sent), load)
 	c.leaves(r)
 	c.arm()
 	return served
 }
 
-// Open tells how many RPCs are owed an answer.
-func (c *Core) Open() int {
+// InFlight tells how many RPCs are owed an answer.
+func (c *Core) InFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open
@@ -470,9 +470,9 @@
 }
 
 // giveUp breaks what carries a pick out.
-func (c *Core) giveUp(p *Pick) {
+func (c *Core) giveUp(p *Attempt) {
 	if p.by != nil {
-		p.by.Break()
+		p.by.Cancel()
 	}
 }
 
@@ -496,14 +496,14 @@
 	c.armed = 0
 	c.timers.Advance(c.clock.Now(), atOnce, func(t *timingwheel.Timer) {
 		switch w := t.What.(type) {
-		case *Pick: // its time is over
+		case *Attempt: // its time is over
 			w.expired = true
 			c.giveUp(w)
 		default:
 			c.cause = telemetry.TimeUp
-			c.balancer.Wake(w)
+			c.balancer.TimerFired(w)
 			if r, ok := w.(*decide.RPC); ok {
-				c.leaves(r.Of.(*RPC))
+				c.leaves(r.HostData.(*RPC))
 			}
 		}
 	})
--- a/internal/core/node/node_test.go
+++ b/internal/core/node/node_test.go
@@ -46,7 +46,7 @@
 
 type breaker struct{ broken bool }
 
-func (b *breaker) Break() { b.broken = true }
+func (b *breaker) Cancel() { b.broken = true }
 
 // nothingHeld is a core without RPCs, picks or their timers.
 func (s *story) nothingHeld(t *testing.T) {
@@ -70,13 +70,13 @@
 	watches int
 }
 
-func begin(t *testing.T, edit func(*settings.Node)) *story {
-	k := decide.Method{LatencyTarget: 2, Deadline: 5, Utility: 1}
-	s := &settings.Node{Settings: decide.Settings{Methods: []decide.Method{k, k, k}, Instances: 1, MaxPicks: 3,
-		MayCancel: true, SecondCopies: true, MaxRetryAfter: 1, MustWatch: true, MustAskIn: 1,
-		ColdFrom: 0.1, ColdFor: 20, FallMultiple: 2, FallFor: 3}}
-	s.Methods[book].Repeat, s.Methods[book].Window = decide.Deduplicated, 10
-	s.Methods[charge].Repeat = decide.NonIdempotent
+func begin(t *testing.T, edit func(*settings.Instance)) *story {
+	k := decide.Method{LatencyObjective: 2, Deadline: 5, PriorityWeight: 1}
+	s := &settings.Instance{Settings: decide.Settings{Methods: []decide.Method{k, k, k}, Instances: 1, MaxAttempts: 3,
+		MayCancel: true, Hedging: true, MaxRetryAfter: 1, MustSubscribe: true, MaxPollInterval: 1,
+		SlowStartFraction: 0.1, SlowStartDuration: 20, OverloadMultiple: 2, OverloadWindow: 3}}
+	s.Methods[book].Idempotency, s.Methods[book].DedupWindow = decide.Deduplicated, 10
+	s.Methods[charge].Idempotency = decide.NonIdempotent
 	if edit != nil {
 		edit(s)
 	}
@@ -85,16 +85,16 @@
 	return st
 }
 
-func entry(id string, state decide.State) Entry {
-	return Entry{ID: id, Addr: id + ":80", State: state, Weight: 1}
+func entry(id string, state decide.State) Endpoint {
+	return Endpoint{ID: id, Addr: id + ":80", State: state, Weight: 1}
 }
 
 func (s *story) list(ids ...string) {
-	var all []Entry
+	var all []Endpoint
 	for _, id := range ids {
 		all = append(all, entry(id, decide.Ready))
 	}
-	s.Listed(all, true)
+	s.UpdateEndpoints(all, true)
 }
 
 func (s *story) arrive(method int) *RPC {
@@ -115,16 +115,16 @@
 
 func TestHintsOfWorkCountWhereTheSettingsAskForThem(t *testing.T) {
 	for _, on := range []bool{false, true} {
-		s := begin(t, func(n *settings.Node) { n.Hints = on })
+		s := begin(t, func(n *settings.Instance) { n.WorkHints = on })
 		s.list("a")
 		same := s.settings
 		go func() { // SIGHUP may come at any time
 			for range 50 {
-				s.Retune(same)
+				s.UpdateSettings(same)
 			}
 		}()
 		for range 50 {
-			assert.Equal(t, on, s.Arrived(Arrival{Method: find, Deadline: time.Minute, Work: 7}).obj.Work == 7)
+			assert.Equal(t, on, s.Arrived(Arrival{Method: find, Deadline: time.Minute, WorkHint: 7}).obj.WorkHint == 7)
 		}
 	}
 }
@@ -133,15 +133,15 @@
 	s := begin(t, nil)
 	s.list("a", "b")
 	r := s.arrive(find)
-	p := next(t, r).Pick
+	p := next(t, r).Attempt
 	assert.True(t, s.Begin(p, nil))
-	answer := &Answer{Body: []byte("x")}
-	s.Done(p, decide.OK, answer)
+	answer := &Response{Body: []byte("x")}
+	s.AttemptDone(p, decide.OK, answer)
 	o := next(t, r)
-	assert.Equal(t, Served, o.Kind)
-	assert.Same(t, answer, o.Answer)
-	s.Done(p, decide.OK, answer)
-	s.Vanished(r)
+	assert.Equal(t, OrderServed, o.Kind)
+	assert.Same(t, answer, o.Response)
+	s.AttemptDone(p, decide.OK, answer)
+	s.ClientGone(r)
 	s.clock.until(10 * time.Second)
 	assert.Empty(t, r.Orders)
 	s.nothingHeld(t)
@@ -151,15 +151,15 @@
 	s := begin(t, nil)
 	s.list("a")
 	r := s.arrive(book)
-	p := next(t, r).Pick
+	p := next(t, r).Attempt
 	b := &breaker{}
 	assert.True(t, s.Begin(p, b))
 	s.clock.until(s.clock.now + 2*time.Second + grain)
-	assert.Equal(t, PushBack, next(t, r).Kind, "all servers drop a repeat: asking again is harmless")
+	assert.Equal(t, OrderPushBack, next(t, r).Kind, "all servers drop a repeat: asking again is harmless")
 	assert.True(t, b.broken, "the exchange has to close its connection")
 	assert.False(t, s.Begin(p, b), "a slow connect came up after the answer")
-	assert.Equal(t, 0, s.Open())
-	s.Done(p, decide.ConnectFailed, nil)
+	assert.Equal(t, 0, s.InFlight())
+	s.AttemptDone(p, decide.ConnectFailed, nil)
 	s.nothingHeld(t)
 }
 
@@ -167,25 +167,25 @@
 	s := begin(t, nil)
 	s.list("a", "b")
 	r := s.arrive(charge)
-	p := next(t, r).Pick
-	s.Done(p, decide.ConnectFailed, nil)
-	p = next(t, r).Pick
-	s.Done(p, decide.Reset, nil)
-	assert.Equal(t, Abort, next(t, r).Kind)
+	p := next(t, r).Attempt
+	s.AttemptDone(p, decide.ConnectFailed, nil)
+	p = next(t, r).Attempt
+	s.AttemptDone(p, decide.Reset, nil)
+	assert.Equal(t, OrderAbort, next(t, r).Kind)
 	assert.Empty(t, r.Orders)
 }
 
 func TestAPickOutlivesItsRPCWhereCancelsAreNotAllowed(t *testing.T) {
-	s := begin(t, func(n *settings.Node) { n.MayCancel = false })
+	s := begin(t, func(n *settings.Instance) { n.MayCancel = false })
 	s.list("a")
 	r := s.arrive(find)
-	p := next(t, r).Pick
+	p := next(t, r).Attempt
 	b := &breaker{}
-	s.Hold(p, b)
-	s.Vanished(r)
+	s.Bind(p, b)
+	s.ClientGone(r)
 	assert.False(t, b.broken)
 	assert.False(t, s.Begin(p, b), "not yet written: the caller has gone")
-	s.Done(p, decide.OK, &Answer{})
+	s.AttemptDone(p, decide.OK, &Response{})
 	assert.Empty(t, r.Orders, "nobody is left to be answered")
 	s.nothingHeld(t)
 }
@@ -194,49 +194,49 @@
 	s := begin(t, nil)
 	s.list("a")
 	r := s.arrive(find)
-	p := next(t, r).Pick
+	p := next(t, r).Attempt
 	b := &breaker{}
 	s.Begin(p, b)
-	s.Vanished(r)
-	s.Vanished(r)
+	s.ClientGone(r)
+	s.ClientGone(r)
 	assert.True(t, b.broken)
-	assert.False(t, s.Hold(p, b), "one that comes late is told")
-	s.Done(p, decide.Reset, nil)
+	assert.False(t, s.Bind(p, b), "one that comes late is told")
+	s.AttemptDone(p, decide.Reset, nil)
 	assert.Empty(t, r.Orders)
 	s.nothingHeld(t)
 }
 
 func TestAServerThatDrainsBetweenConnectAndWriteGetsNothing(t *testing.T) {
 	for _, how := range []func(*story, string){
-		func(s *story, id string) { s.Listed([]Entry{entry(id, decide.Draining)}, false) },
-		func(s *story, id string) { s.Listed([]Entry{entry(id, decide.Gone)}, false) },
-		func(s *story, id string) { s.Listed([]Entry{entry("c", decide.Ready)}, true) },
+		func(s *story, id string) { s.UpdateEndpoints([]Endpoint{entry(id, decide.Draining)}, false) },
+		func(s *story, id string) { s.UpdateEndpoints([]Endpoint{entry(id, decide.Gone)}, false) },
+		func(s *story, id string) { s.UpdateEndpoints([]Endpoint{entry("c", decide.Ready)}, true) },
 	} {
 		s := begin(t, nil)
 		s.list("a", "b", "c")
 		var r *RPC
-		var p *Pick
+		var p *Attempt
 		for r, p = s.arrive(find), nil; ; r = s.arrive(find) {
-			if p = next(t, r).Pick; p.Server.id != "c" {
+			if p = next(t, r).Attempt; p.Server.id != "c" {
 				break
 			}
 		}
 		how(s, p.Server.id)
 		assert.False(t, s.Begin(p, nil))
-		s.Done(p, decide.Ignored, nil)
+		s.AttemptDone(p, decide.NotSent, nil)
 		o := next(t, r)
-		assert.Equal(t, Send, o.Kind, "the RPC goes elsewhere")
-		assert.NotSame(t, p.Server, o.Pick.Server)
+		assert.Equal(t, OrderSend, o.Kind, "the RPC goes elsewhere")
+		assert.NotSame(t, p.Server, o.Attempt.Server)
 	}
 }
 
 func TestAServerThatMovesIsFollowed(t *testing.T) {
 	s := begin(t, nil)
 	s.list("a")
-	p := next(t, s.arrive(find)).Pick
+	p := next(t, s.arrive(find)).Attempt
 	e := entry("a", decide.Ready)
 	e.Addr = "elsewhere:80"
-	s.Listed([]Entry{e}, false)
+	s.UpdateEndpoints([]Endpoint{e}, false)
 	addr, ready := s.Address(p.Server)
 	assert.Equal(t, "elsewhere:80", addr)
 	assert.True(t, ready)
@@ -248,23 +248,23 @@
 // over.
 func TestAServerThatStartedJustBeforeThisNodeIsCold(t *testing.T) {
 	sent := func(started time.Time) int {
-		s := begin(t, func(n *settings.Node) { n.MaxPicks = 1 })
+		s := begin(t, func(n *settings.Instance) { n.MaxAttempts = 1 })
 		warm, other := entry("warm", decide.Ready), entry("other", decide.Ready)
-		other.Started = started
-		s.Listed([]Entry{warm, other}, true)
+		other.StartedAt = started
+		s.UpdateEndpoints([]Endpoint{warm, other}, true)
 		n := 0
 		for range 200 {
 			r := s.arrive(find)
 			for len(r.Orders) > 0 {
 				o := next(t, r)
-				if o.Kind != Send {
+				if o.Kind != OrderSend {
 					continue
 				}
-				if o.Pick.Server.id == "other" {
+				if o.Attempt.Server.id == "other" {
 					n++
 				}
 				s.clock.until(s.clock.now + 20*time.Millisecond)
-				s.Done(o.Pick, decide.OK, &Answer{})
+				s.AttemptDone(o.Attempt, decide.OK, &Response{})
 			}
 		}
 		return n
@@ -284,11 +284,11 @@
 	assert.Equal(t, 1, s.watches)
 	for range 3 {
 		n := s.watches
-		s.ListFailed(ListFailure{MaxPause: time.Hour})
+		s.EndpointWatchFailed(WatchFailure{MaxPause: time.Hour})
 		s.clock.until(s.clock.now + 7*time.Second)
 		assert.Equal(t, n+1, s.watches)
 	}
-	assert.Equal(t, 1, begin(t, func(n *settings.Node) { n.MustWatch = false }).watches,
+	assert.Equal(t, 1, begin(t, func(n *settings.Instance) { n.MustSubscribe = false }).watches,
 		"where the module expects news unasked, the node asks by itself")
 }
 
@@ -296,7 +296,7 @@
 	s := begin(t, nil)
 	s.list("a")
 	r := s.arrive(find)
-	p := next(t, r).Pick
+	p := next(t, r).Attempt
 	b := &breaker{}
 	assert.True(t, s.Begin(p, b))
 	s.Close()
@@ -309,15 +309,15 @@
 func TestAPickLastsNoLongerThanItsCallerWaits(t *testing.T) {
 	s := begin(t, nil)
 	s.list("a")
-	p := next(t, s.arrive(find)).Pick
-	assert.Equal(t, 4*time.Second, s.Remains(p))
+	p := next(t, s.arrive(find)).Attempt
+	assert.Equal(t, 4*time.Second, s.TimeLeft(p))
 	b := &breaker{}
 	assert.True(t, s.Begin(p, b))
 	s.clock.now += 4 * time.Second
 	assert.False(t, s.Begin(p, b))
 	s.clock.until(s.clock.now + grain)
 	assert.True(t, b.broken, "and what waits for its answer returns")
-	s.Done(p, decide.Reset, nil)
+	s.AttemptDone(p, decide.Reset, nil)
 }
 
 func TestServersThatHaveLeftAreForgotten(t *testing.T) {
@@ -325,15 +325,15 @@
 	for i := range 500 {
 		s.list(fmt.Sprint("a", i), fmt.Sprint("b", i))
 		r := s.arrive(find)
-		p := next(t, r).Pick
+		p := next(t, r).Attempt
 		s.list(fmt.Sprint("a", i+1), fmt.Sprint("b", i+1))
 		_, ready := s.Address(p.Server)
 		assert.False(t, ready)
 		s.clock.until(s.clock.now + 100*time.Millisecond)
-		s.Done(p, decide.OK, &Answer{})
+		s.AttemptDone(p, decide.OK, &Response{})
 		assert.LessOrEqual(t, len(s.servers), 3)
 	}
-	s.Listed([]Entry{entry("a500", decide.Gone), entry("never seen", decide.Gone)}, false)
+	s.UpdateEndpoints([]Endpoint{entry("a500", decide.Gone), entry("never seen", decide.Gone)}, false)
 	assert.Len(t, s.servers, 1)
 }
 
@@ -343,91 +343,91 @@
 	assert.False(t, s.Detach("c"))
 	assert.False(t, s.Attach("c"))
 	var gone []string
-	s.Left(func(all []*Server) {
+	s.OnServersUnavailable(func(all []*Server) {
 		for _, x := range all {
 			gone = append(gone, x.id)
 		}
 	})
 	r := s.arrive(find)
-	p := next(t, r).Pick
+	p := next(t, r).Attempt
 	out := p.Server.id
 	assert.True(t, s.Detach(out))
 	assert.True(t, s.Detach(out), "the call may be repeated")
 	assert.Equal(t, []string{out}, gone)
 	assert.False(t, s.Begin(p, nil), "a connect that took longer than the grace")
-	s.Done(p, decide.Ignored, nil)
+	s.AttemptDone(p, decide.NotSent, nil)
 	for range 50 {
 		s.list("a", "b")
-		p := next(t, s.arrive(find)).Pick
+		p := next(t, s.arrive(find)).Attempt
 		assert.NotEqual(t, out, p.Server.id)
-		s.Done(p, decide.OK, &Answer{})
+		s.AttemptDone(p, decide.OK, &Response{})
 	}
 	s.list("c")
 	s.list("a", "b", "c")
 	for range 50 {
-		p := next(t, s.arrive(find)).Pick
+		p := next(t, s.arrive(find)).Attempt
 		assert.NotEqual(t, out, p.Server.id, "also after it had left the list")
-		s.Done(p, decide.OK, &Answer{})
+		s.AttemptDone(p, decide.OK, &Response{})
 	}
-	assert.Contains(t, s.Kept(out), "operator")
+	assert.Contains(t, s.ExclusionReason(out), "operator")
 	s.list("c")
 	assert.True(t, s.Attach(out))
-	assert.Contains(t, s.Kept(out), "does not have it")
-	s.Listed([]Entry{{ID: out, Addr: "x:80", State: decide.Draining, Weight: 1}}, false)
-	assert.Contains(t, s.Kept(out), "draining")
+	assert.Contains(t, s.ExclusionReason(out), "does not have it")
+	s.UpdateEndpoints([]Endpoint{{ID: out, Addr: "x:80", State: decide.Draining, Weight: 1}}, false)
+	assert.Contains(t, s.ExclusionReason(out), "draining")
 	assert.True(t, s.Detach(out))
 	s.list("a", "b", "c")
 	assert.True(t, s.Attach(out))
 	assert.True(t, s.Attach(out))
-	assert.Empty(t, s.Kept(out)+s.Kept("never"))
-	assert.Positive(t, s.listing(s.servers[out]).CameUp, "it was restarted: cold, though the list does not say so")
+	assert.Empty(t, s.ExclusionReason(out)+s.ExclusionReason("never"))
+	assert.Positive(t, s.listing(s.servers[out]).StartedAt, "it was restarted: cold, though the list does not say so")
 	s.clock.now += time.Minute
-	s.Listed([]Entry{{ID: out, Addr: "x:80", State: decide.Ready, Weight: 1, Started: s.wall()}}, false)
-	assert.InDelta(t, s.Now(), s.listing(s.servers[out]).CameUp, 0.1, "what the list says of its start goes before")
+	s.UpdateEndpoints([]Endpoint{{ID: out, Addr: "x:80", State: decide.Ready, Weight: 1, StartedAt: s.wall()}}, false)
+	assert.InDelta(t, s.Now(), s.listing(s.servers[out]).StartedAt, 0.1, "what the list says of its start goes before")
 	assert.True(t, s.Ready(s.servers[out]))
 }
 
 func TestOpenRPCsKeepTheRulesTheyCameUnder(t *testing.T) {
-	names := func(s *settings.Node) { s.MethodNames = []string{"find", "book", "charge"} }
+	names := func(s *settings.Instance) { s.MethodNames = []string{"find", "book", "charge"} }
 	s := begin(t, names)
 	s.list("a", "b", "c")
 	r := s.arrive(find) // idempotent, three picks
-	first := next(t, r).Pick
+	first := next(t, r).Attempt
 	once := s.arrive(charge)
-	paid := next(t, once).Pick
+	paid := next(t, once).Attempt
 	for range 40 { // what is learned of a server has to outlive the change
 		x := s.arrive(book)
-		p := next(t, x).Pick
+		p := next(t, x).Attempt
 		s.clock.now += time.Millisecond
-		s.Done(p, decide.OK, &Answer{})
+		s.AttemptDone(p, decide.OK, &Response{})
 	}
 	// Charge may be repeated from now on, find not, and book has left for pay.
-	k := decide.Method{LatencyTarget: 1, Deadline: 2, Utility: 1}
-	fresh := &settings.Node{Settings: s.settings.Settings, MethodNames: []string{"charge", "pay", "find"}}
-	fresh.Methods, fresh.MaxPicks = []decide.Method{k, k, k}, 2
-	fresh.Methods[2].Repeat = decide.NonIdempotent
-	is := s.Retune(fresh)
+	k := decide.Method{LatencyObjective: 1, Deadline: 2, PriorityWeight: 1}
+	fresh := &settings.Instance{Settings: s.settings.Settings, MethodNames: []string{"charge", "pay", "find"}}
+	fresh.Methods, fresh.MaxAttempts = []decide.Method{k, k, k}, 2
+	fresh.Methods[2].Idempotency = decide.NonIdempotent
+	is := s.UpdateSettings(fresh)
 	assert.Equal(t, []string{"find", "", "charge", "pay"}, is.MethodNames, "a slot that was just left is not used again")
-	s.Done(first, decide.Failed, nil)
+	s.AttemptDone(first, decide.Failed, nil)
 	second := next(t, r)
-	require.Equal(t, Send, second.Kind, "it may still be repeated")
-	s.Done(second.Pick, decide.Failed, nil)
+	require.Equal(t, OrderSend, second.Kind, "it may still be repeated")
+	s.AttemptDone(second.Attempt, decide.Failed, nil)
 	third := next(t, r)
-	require.Equal(t, Send, third.Kind, "and has the picks that it came with")
-	s.Done(third.Pick, decide.Failed, nil)
-	assert.Equal(t, PushBack, next(t, r).Kind)
-	s.Done(paid, decide.Failed, nil)
-	assert.Equal(t, Abort, next(t, once).Kind, "it was not to be repeated when it came")
+	require.Equal(t, OrderSend, third.Kind, "and has the picks that it came with")
+	s.AttemptDone(third.Attempt, decide.Failed, nil)
+	assert.Equal(t, OrderPushBack, next(t, r).Kind)
+	s.AttemptDone(paid, decide.Failed, nil)
+	assert.Equal(t, OrderAbort, next(t, once).Kind, "it was not to be repeated when it came")
 	r = s.arrive(find)
-	s.Done(next(t, r).Pick, decide.Failed, nil)
-	assert.Equal(t, Abort, next(t, r).Kind, "those that come now are under the new rules")
+	s.AttemptDone(next(t, r).Attempt, decide.Failed, nil)
+	assert.Equal(t, OrderAbort, next(t, r).Kind, "those that come now are under the new rules")
 	r = s.arrive(3)
-	s.Done(next(t, r).Pick, decide.Failed, nil)
-	s.Done(next(t, r).Pick, decide.Failed, nil)
-	assert.Equal(t, PushBack, next(t, r).Kind, "two picks at most")
+	s.AttemptDone(next(t, r).Attempt, decide.Failed, nil)
+	s.AttemptDone(next(t, r).Attempt, decide.Failed, nil)
+	assert.Equal(t, OrderPushBack, next(t, r).Kind, "two picks at most")
 	s.clock.until(s.clock.now + 2*slotRest)
 	fresh.MethodNames = []string{"charge", "tip", "find"}
-	assert.Equal(t, []string{"find", "tip", "charge", ""}, s.Retune(fresh).MethodNames)
+	assert.Equal(t, []string{"find", "tip", "charge", ""}, s.UpdateSettings(fresh).MethodNames)
 	s.nothingHeld(t)
 	for i := range s.methods {
 		assert.Zero(t, s.methods[i].held)
@@ -437,36 +437,36 @@
 func TestTheTimeOfABodyThatComesLateBeginsWithItsEnd(t *testing.T) {
 	s := begin(t, nil)
 	s.list("a", "b")
-	r := s.Arrived(Arrival{Method: charge, Deadline: s.clock.now + 4*time.Second, Coming: true})
-	p := next(t, r).Pick
+	r := s.Arrived(Arrival{Method: charge, Deadline: s.clock.now + 4*time.Second, BodyPending: true})
+	p := next(t, r).Attempt
 	assert.True(t, s.Begin(p, nil))
 	s.clock.until(s.clock.now + time.Minute) // far beyond its target and its deadline
 	assert.Empty(t, r.Orders)
 	assert.True(t, s.Begin(p, nil))
-	s.Came(p, 4*time.Second)
+	s.BodyReceived(p, 4*time.Second)
 	assert.Equal(t, s.clock.now+4*time.Second, r.Deadline)
 	b := &breaker{}
 	s.Begin(p, b)
 	s.clock.until(s.clock.now + 3*time.Second)
-	assert.Equal(t, Abort, next(t, r).Kind, "it may have run by then")
+	assert.Equal(t, OrderAbort, next(t, r).Kind, "it may have run by then")
 	assert.True(t, b.broken)
-	s.Done(p, decide.Reset, nil)
+	s.AttemptDone(p, decide.Reset, nil)
 	// Broken before its end it never ran; what was sent is gone, so no other server can have it.
-	r = s.Arrived(Arrival{Method: charge, Deadline: s.clock.now + 4*time.Second, Coming: true})
-	s.Done(next(t, r).Pick, decide.ConnectFailed, nil)
+	r = s.Arrived(Arrival{Method: charge, Deadline: s.clock.now + 4*time.Second, BodyPending: true})
+	s.AttemptDone(next(t, r).Attempt, decide.ConnectFailed, nil)
 	for o := next(t, r); ; o = next(t, r) {
-		if o.Kind == PushBack {
+		if o.Kind == OrderPushBack {
 			break
 		}
-		require.Equal(t, Send, o.Kind)
-		s.Done(o.Pick, decide.Ignored, nil)
+		require.Equal(t, OrderSend, o.Kind)
+		s.AttemptDone(o.Attempt, decide.NotSent, nil)
 	}
 	// A caller that leaves meanwhile.
-	r = s.Arrived(Arrival{Method: charge, Deadline: s.clock.now + 4*time.Second, Coming: true})
-	p = next(t, r).Pick
-	s.Vanished(r)
-	s.Came(p, time.Second)
-	s.Done(p, decide.Reset, nil)
+	r = s.Arrived(Arrival{Method: charge, Deadline: s.clock.now + 4*time.Second, BodyPending: true})
+	p = next(t, r).Attempt
+	s.ClientGone(r)
+	s.BodyReceived(p, time.Second)
+	s.AttemptDone(p, decide.Reset, nil)
 	s.clock.until(s.clock.now + time.Minute)
 	s.nothingHeld(t)
 }
@@ -474,16 +474,16 @@
 // A server that was restarted while it was out is cold, and unknown: it must neither be pushed over nor left lying, and who
 // sent most there before has to find out first how it is.
 func TestAServerThatIsCalledBackIsUsedSoonAndGently(t *testing.T) {
-	s := begin(t, func(s *settings.Node) { s.Instances = 9 })
+	s := begin(t, func(s *settings.Instance) { s.Instances = 9 })
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	s.list(ids...)
 	to := map[string][]time.Duration{}
 	work := func(d time.Duration) {
 		for end := s.clock.now + d; s.clock.now < end; {
-			p := next(t, s.arrive(find)).Pick
+			p := next(t, s.arrive(find)).Attempt
 			to[p.Server.id] = append(to[p.Server.id], s.clock.now)
 			s.clock.until(s.clock.now + 20*time.Millisecond)
-			s.Done(p, decide.OK, &Answer{})
+			s.AttemptDone(p, decide.OK, &Response{})
 			s.clock.until(s.clock.now + 80*time.Millisecond)
 		}
 	}
@@ -494,8 +494,8 @@
 	s.list(slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return id == busiest })...)
 	work(3 * time.Second)
 	back := entry(busiest, decide.Ready)
-	back.Started = s.wall()
-	s.Listed([]Entry{back}, false)
+	back.StartedAt = s.wall()
+	s.UpdateEndpoints([]Endpoint{back}, false)
 	work(3 * time.Second)
 	assert.Len(t, to[busiest], before)
 	assert.True(t, s.Attach(busiest))
@@ -513,14 +513,14 @@
 // Settings may allow any number of attempts, and fewer after a change: an RPC's orders find room without the memory for all of them.
 func TestOrdersHaveRoomWhateverTheSettingsAllow(t *testing.T) {
 	for _, most := range []int{1, 5, 1 << 40} {
-		s := begin(t, func(n *settings.Node) { n.MaxPicks = most })
+		s := begin(t, func(n *settings.Instance) { n.MaxAttempts = most })
 		s.list("a")
 		r := s.arrive(find)
 		assert.LessOrEqual(t, cap(r.Orders), maxQueued+endOrders)
 		assert.GreaterOrEqual(t, cap(r.Orders), min(most, maxQueued)+endOrders)
-		fewer := &settings.Node{Settings: s.settings.Settings, MethodNames: []string{"find"}}
-		fewer.MaxPicks = 1
-		s.Retune(fewer)
+		fewer := &settings.Instance{Settings: s.settings.Settings, MethodNames: []string{"find"}}
+		fewer.MaxAttempts = 1
+		s.UpdateSettings(fewer)
 		assert.GreaterOrEqual(t, cap(s.arrive(find).Orders), min(most, maxQueued)+endOrders, "a class that has left keeps its attempts")
 	}
 }
--- a/internal/core/node/retune.go
+++ b/internal/core/node/retune.go
@@ -16,21 +16,21 @@
 // heard that the name is gone.
 const slotRest = 90 * time.Second
 
-// Retune puts other settings in force and returns them with every name at its number. RPCs that are open keep the rules
+// UpdateSettings puts other settings in force and returns them with every name at its number. RPCs that are open keep the rules
 // that they came under, and what was learned of servers stays.
-func (c *Core) Retune(s *settings.Node) *settings.Node {
+func (c *Core) UpdateSettings(s *settings.Instance) *settings.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
 	free := func(all []slot) func(int) bool {
 		return func(i int) bool { return all[i].held == 0 && now >= all[i].left+slotRest }
 	}
-	fresh := s.Over(c.settings, free(c.methods), free(c.tenants))
+	fresh := s.WithSlotsOf(c.settings, free(c.methods), free(c.tenants))
 	c.methods = moved(c.methods, c.settings.MethodNames, fresh.MethodNames, now)
 	c.tenants = moved(c.tenants, c.settings.TenantNames, fresh.TenantNames, now)
 	c.settings = fresh
-	c.mostPicks = max(c.mostPicks, fresh.MaxPicks)
-	c.balancer.Retune(fresh.Settings)
+	c.mostPicks = max(c.mostPicks, fresh.MaxAttempts)
+	c.balancer.UpdateSettings(fresh.Settings)
 	c.arm()
 	return fresh
 }
--- a/internal/core/node/starttimes.go
+++ b/internal/core/node/starttimes.go
@@ -28,16 +28,16 @@
 }
 
 // observe takes a message's start times. Wall is the time now, by the clock that the process began with.
-func (l *listClock) observe(entries []Entry, wall time.Time) {
+func (l *listClock) observe(entries []Endpoint, wall time.Time) {
 	sees, newest := l.lists >= oldLists, l.newest
 	l.lists++
 	for _, e := range entries {
-		if e.Started.IsZero() || !e.Started.After(newest) || e.State == decide.Gone {
+		if e.StartedAt.IsZero() || !e.StartedAt.After(newest) || e.State == decide.Gone {
 			continue
 		}
-		age := wall.Sub(e.Started)
-		if e.Started.After(l.newest) {
-			l.newest = e.Started
+		age := wall.Sub(e.StartedAt)
+		if e.StartedAt.After(l.newest) {
+			l.newest = e.StartedAt
 		}
 		if l.lead > age { // no start lies ahead
 			l.lead = age
@@ -63,15 +63,15 @@
 	}
 }
 
-// ListTime is what the list's clock shows now, as far as it is known, for a process that follows this one.
-func (c *Core) ListTime() time.Time {
+// ListClock is what the list's clock shows now, as far as it is known, for a process that follows this one.
+func (c *Core) ListClock() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.wall().Add(-c.listClock.lead)
 }
 
-// FollowListTime takes over what another process knew of the list's clock just now.
-func (c *Core) FollowListTime(now time.Time) {
+// AdoptListClock takes over what another process knew of the list's clock just now.
+func (c *Core) AdoptListClock(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !now.IsZero() {
@@ -83,7 +83,7 @@
 // clock must not look like another start.
 func (c *Core) cameUp(s *Server) float64 {
 	up := 0.0
-	if started := s.last.Started; !started.IsZero() {
+	if started := s.last.StartedAt; !started.IsZero() {
 		if !s.startSeen.Equal(started) {
 			ago := c.wall().Sub(started) - c.listClock.lead
 			// The module reads 0 as long ago, so what started before its clock is kept just above.
--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -176,8 +176,8 @@
 
 	q.Sender = c
 	c.shows(q)
-	rpc := service.core.Arrived(node.Arrival{Request: q.Trace, Method: class.slot, Tenant: tenant, Deadline: came + q.Left, Retry: q.SecondTry,
-		Coming: q.Rest != nil, Work: q.Work})
+	rpc := service.core.Arrived(node.Arrival{RequestID: q.Trace, Method: class.slot, Tenant: tenant, Deadline: came + q.Left, Retry: q.SecondTry,
+		BodyPending: q.Rest != nil, WorkHint: q.Work})
 	c.watch(rpc)
 	var a *httpwire.Answer
 	held := 0 // by the answer
@@ -193,7 +193,7 @@
 			default:
 			}
 			if givenUp {
-				service.core.Vanished(rpc) // nothing more is ordered
+				service.core.ClientGone(rpc) // nothing more is ordered
 			}
 		}
 		var o node.Order
@@ -217,20 +217,20 @@
 			}
 		}
 		switch o.Kind {
-		case node.Send:
+		case node.OrderSend:
 			if givenUp {
-				service.core.Done(o.Pick, decide.Ignored, nil)
+				service.core.AttemptDone(o.Attempt, decide.NotSent, nil)
 				continue
 			}
 			if !sent && q.Rest == nil {
 				c.checkDeadline(q, rpc, read-waited)
 			}
 			sent = true
-			service.picks.Start(o.Pick, q)
-		case node.Served:
-			a = &httpwire.Answer{Status: 200, Type: o.Answer.Type, Body: o.Answer.Body, Old: q.Old}
-			if o.Answer.Rest != nil {
-				a.Rest = o.Answer.Rest
+			service.picks.Start(o.Attempt, q)
+		case node.OrderServed:
+			a = &httpwire.Answer{Status: 200, Type: o.Response.ContentType, Body: o.Response.Body, Old: q.Old}
+			if o.Response.BodyStream != nil {
+				a.Rest = o.Response.BodyStream
 			}
 			if class.large.Load() != (a.Rest != nil) {
 				class.large.Store(a.Rest != nil)
@@ -239,13 +239,13 @@
 				large = true
 				f.large.Add(1)
 			}
-			held = o.Answer.Held
-		case node.PushBack:
+			held = o.Response.ReservedBytes
+		case node.OrderPushBack:
 			f.turns(c, service.share != nil)
-			a = &httpwire.Answer{Status: 503, RetryAfter: o.Wait}
-		case node.Abort:
+			a = &httpwire.Answer{Status: 503, RetryAfter: o.RetryAfter}
+		case node.OrderAbort:
 			a = &httpwire.Answer{Status: 504}
-		case node.Left:
+		case node.OrderClientGone:
 			if c.stays(q, rpc) {
 				continue
 			}
@@ -272,17 +272,17 @@
 
 // giveUp ends an RPC whose caller has left, and the picks that were ordered meanwhile: nobody sends them any more.
 func (v *Service) giveUp(rpc *node.RPC, answers limits.Room) {
-	v.core.Vanished(rpc)
+	v.core.ClientGone(rpc)
 	for {
 		select {
 		case o := <-rpc.Orders:
-			if o.Kind == node.Send {
-				v.core.Done(o.Pick, decide.Ignored, nil)
+			if o.Kind == node.OrderSend {
+				v.core.AttemptDone(o.Attempt, decide.NotSent, nil)
 			}
-			if o.Kind == node.Served {
-				answers.Give(o.Answer.Held)
-				if o.Answer.Rest != nil {
-					o.Answer.Rest.Close(false)
+			if o.Kind == node.OrderServed {
+				answers.Give(o.Response.ReservedBytes)
+				if o.Response.BodyStream != nil {
+					o.Response.BodyStream.Close(false)
 				}
 			}
 		default:
@@ -365,6 +365,6 @@
 // tell tells the RPC, once, whoever of the two finds out first.
 func (c *conn) tell() {
 	if rpc := c.rpc.Swap(nil); rpc != nil {
-		rpc.Orders <- node.Order{Kind: node.Left}
+		rpc.Orders <- node.Order{Kind: node.OrderClientGone}
 	}
 }
--- a/internal/dataplane/frontend/conn_write.go
+++ b/internal/dataplane/frontend/conn_write.go
@@ -85,7 +85,7 @@
 		ok = write(net.Buffers{c.gateway.end(nil, 0, fcgi.Complete)})
 	}
 	a.Rest.Close(ok)
-	if t, is := c.Conn.(*net.TCPConn); is && !ok && a.Old && a.Rest.Length() < 0 {
+	if t, is := c.Conn.(*net.TCPConn); is && !ok && a.Old && a.Rest.Remaining() < 0 {
 		t.SetLinger(0)
 	}
 	return ok
--- a/internal/dataplane/frontend/endings_test.go
+++ b/internal/dataplane/frontend/endings_test.go
@@ -58,7 +58,7 @@
 		rpc := testutil.Receive(t, core.came)
 		leave(c)
 		assert.Same(t, rpc, testutil.Receive(t, core.vanished), way)
-		rpc.Orders <- node.Order{Kind: node.Send}
+		rpc.Orders <- node.Order{Kind: node.OrderSend}
 		assert.Eventually(t, func() bool { return connections(f) == 0 && f.making.Load() == 0 }, 20*time.Second, time.Millisecond, way)
 		assert.Empty(t, core.started, way)
 		assert.Empty(t, core.came, "%s: and nobody waits for what it had asked next", way)
@@ -77,7 +77,7 @@
 		stays := dial(t, ln.Addr().String())
 		stays.askAs("stays")
 		f.Serve(ln)
-		testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.PushBack}
+		testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderPushBack}
 		assert.Equal(t, 503, stays.hears(t).StatusCode, way)
 		assert.Eventually(t, func() bool { return connections(f) == 1 }, 20*time.Second, time.Millisecond, way)
 		assert.Empty(t, core.came, way)
@@ -114,7 +114,7 @@
 			return n
 		}
 		require.Eventually(t, func() bool { return left() == 1 }, 20*time.Second, time.Millisecond, way)
-		rpc.Orders <- node.Order{Kind: node.PushBack}
+		rpc.Orders <- node.Order{Kind: node.OrderPushBack}
 		assert.Equal(t, 503, first.hears(t).StatusCode, way)
 		assert.Eventually(t, func() bool { return connections(f) == 1 }, 20*time.Second, time.Millisecond, way)
 		assert.Empty(t, core.came, way)
@@ -138,7 +138,7 @@
 // Go chooses at random among what is ready, so a single play would not tell.
 func TestAnAnswerThatIsThereGoesBeforeTheEndAndAPickDoesNot(t *testing.T) {
 	for range 20 {
-		f, core, addr := halt(t, node.Order{Kind: node.Send}, node.Order{Kind: node.Served, Answer: &node.Answer{Body: []byte("well")}})
+		f, core, addr := halt(t, node.Order{Kind: node.OrderSend}, node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}})
 		c := dial(t, addr)
 		c.ask()
 		assert.Equal(t, 200, c.hears(t).StatusCode)
@@ -146,13 +146,13 @@
 		assert.Eventually(t, func() bool { return connections(f) == 0 }, 20*time.Second, time.Millisecond)
 		core.mu.Lock()
 		assert.Empty(t, core.started)
-		assert.Equal(t, []decide.Result{decide.Ignored}, core.done, "its server's count goes back")
+		assert.Equal(t, []decide.Result{decide.NotSent}, core.done, "its server's count goes back")
 		core.mu.Unlock()
 	}
 }
 
 func TestWhatTheEndCutsShortIsPushedBackIfNothingWasSent(t *testing.T) {
-	f, core, addr := halt(t, node.Order{Kind: node.Send})
+	f, core, addr := halt(t, node.Order{Kind: node.OrderSend})
 	c := dial(t, addr)
 	io.WriteString(c, request("read before")+request("read after"))
 	r := c.hears(t)
@@ -170,7 +170,7 @@
 	f.Stop()
 	c := dial(t, addr)
 	io.WriteString(c, request("first")+request("second"+strings.Repeat("x", 2000)))
-	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{Body: []byte("well")}}
+	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}}
 	r := c.hears(t)
 	assert.Equal(t, 200, r.StatusCode)
 	assert.True(t, r.Close)
@@ -190,7 +190,7 @@
 	rpc := testutil.Receive(t, core.came)
 	c.flood()
 	c.Close()
-	rpc.Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{Body: []byte("well")}}
+	rpc.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}}
 	assert.Eventually(t, func() bool { return connections(f) == 0 && f.making.Load() == 0 }, 20*time.Second, time.Millisecond)
 	assert.Empty(t, core.came)
 	assert.Empty(t, core.started)
@@ -242,7 +242,7 @@
 	go func() { ended <- f.Drain(t.Context()) }()
 	for _, c := range callers {
 		rpc := testutil.Receive(t, core.came)
-		rpc.Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{Body: []byte("well")}}
+		rpc.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}}
 		r := c.hears(t)
 		assert.Equal(t, 200, r.StatusCode)
 		assert.True(t, r.Close)
@@ -262,7 +262,7 @@
 	rests, c := dial(t, addr), dial(t, addr)
 	rests.ask()
 	first := testutil.Receive(t, core.came)
-	first.Orders <- node.Order{Kind: node.PushBack}
+	first.Orders <- node.Order{Kind: node.OrderPushBack}
 	rests.hears(t)
 	c.ask()
 	testutil.Receive(t, core.came)
--- a/internal/dataplane/frontend/frontend_test.go
+++ b/internal/dataplane/frontend/frontend_test.go
@@ -59,21 +59,21 @@
 	return r
 }
 
-func (c *fakeCore) Vanished(r *node.RPC) {
+func (c *fakeCore) ClientGone(r *node.RPC) {
 	if c.atVanished != nil {
 		c.atVanished(r)
 	}
 	c.vanished <- r
 }
 
-func (c *fakeCore) Done(_ *node.Pick, res decide.Result, _ *node.Answer) bool {
+func (c *fakeCore) AttemptDone(_ *node.Attempt, res decide.Result, _ *node.Response) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.done = append(c.done, res)
 	return true
 }
 
-func (c *fakeCore) Start(_ *node.Pick, q *httpwire.Request) {
+func (c *fakeCore) Start(_ *node.Attempt, q *httpwire.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.started = append(c.started, q.Trace)
@@ -94,7 +94,7 @@
 func beginWith(t *testing.T, l limits.Limits, orders ...node.Order) (*Server, *fakeCore, string) {
 	leaks := goleak.IgnoreCurrent()
 	core := &fakeCore{orders: orders, came: make(chan *node.RPC, 99), vanished: make(chan *node.RPC, 99)}
-	s := &settings.Node{MethodNames: []string{"find"}, Settings: decide.Settings{Methods: make([]decide.Method, 1)}}
+	s := &settings.Instance{MethodNames: []string{"find"}, Settings: decide.Settings{Methods: make([]decide.Method, 1)}}
 	watch, err := poller.New()
 	require.NoError(t, err)
 	f := New(l, limits.NewBudget(9, 0, nil), func() time.Duration { return time.Minute }, zap.NewNop(), watch)
@@ -159,7 +159,7 @@
 	rpc := testutil.Receive(t, core.came)
 	copier.askAs("mine")
 	assert.Equal(t, 409, copier.hears(t).StatusCode)
-	rpc.Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{Body: []byte("well")}}
+	rpc.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}}
 	assert.Equal(t, 200, owner.hears(t).StatusCode)
 	copier = dial(t, addr)
 	copier.askAs("mine")
@@ -205,7 +205,7 @@
 	closed chan bool
 }
 
-func (f following) Length() int64    { return 1 << 24 }
+func (f following) Remaining() int64 { return 1 << 24 }
 func (f following) Close(whole bool) { f.closed <- whole }
 
 // Small requests have to get through among large answers, and nobody holds a place by reading next to nothing.
@@ -218,7 +218,7 @@
 	large := dial(t, addr)
 	large.ask()
 	rpc := testutil.Receive(t, core.came)
-	rpc.Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{Body: []byte("begun"), Rest: rest}}
+	rpc.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("begun"), BodyStream: rest}}
 	line, err := large.r.ReadString('\n') // the rest is not read, or a byte at a time
 	require.NoError(t, err)
 	assert.Contains(t, line, "200")
@@ -241,7 +241,7 @@
 		next.ask()
 		small := testutil.Receive(t, core.came)
 		assert.Equal(t, counts, f.large.Load())
-		small.Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{Body: []byte("well")}}
+		small.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}}
 		assert.Equal(t, 200, next.hears(t).StatusCode)
 	}
 }
@@ -269,7 +269,7 @@
 		require.Eventually(t, func() bool { _, on := count(); return on }, 20*time.Second, time.Millisecond)
 		c.ask()
 		rpc := testutil.Receive(t, core.came)
-		rpc.Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{Body: []byte("well")}}
+		rpc.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}}
 		assert.Equal(t, 200, c.hears(t).StatusCode, name)
 		_, err := c.r.ReadByte()
 		assert.ErrorIs(t, err, io.EOF, "%s: and is its last", name)
@@ -278,13 +278,13 @@
 
 // Callers hear of new settings later than the node, which takes what either may send until then.
 func TestAClassThatChangesItsEffectIsTakenInEitherFormForAWhile(t *testing.T) {
-	service := func(r decide.Repeat) *Service {
-		n := &settings.Node{MethodNames: []string{"a"}}
-		n.Methods = []decide.Method{{Repeat: r}}
+	service := func(r decide.Idempotency) *Service {
+		n := &settings.Instance{MethodNames: []string{"a"}}
+		n.Methods = []decide.Method{{Idempotency: r}}
 		return NewService("", n, nil, nil, nil)
 	}
-	forms := map[decide.Repeat]httpwire.Request{decide.Idempotent: {Verb: "GET"}, decide.Deduplicated: {Verb: "POST", Key: "k"}, decide.NonIdempotent: {Verb: "POST"}}
-	status := func(v *Service, r decide.Repeat, now time.Duration) int {
+	forms := map[decide.Idempotency]httpwire.Request{decide.Idempotent: {Verb: "GET"}, decide.Deduplicated: {Verb: "POST", Key: "k"}, decide.NonIdempotent: {Verb: "POST"}}
+	status := func(v *Service, r decide.Idempotency, now time.Duration) int {
 		q := forms[r]
 		q.Path, q.Method, q.Trace, q.HasLeft = "/a", "a", "id", true
 		if _, _, bad := v.check(&q, &limits.Limits{}, now); bad != nil {
@@ -315,7 +315,7 @@
 
 func TestATenantThatLeavesIsServedUntilItsCallersHaveHeardOfIt(t *testing.T) {
 	service := func(names ...string) *Service {
-		n := &settings.Node{MethodNames: []string{"a"}, TenantNames: names}
+		n := &settings.Instance{MethodNames: []string{"a"}, TenantNames: names}
 		n.Methods = []decide.Method{{}}
 		return NewService("", n, nil, nil, nil)
 	}
@@ -330,8 +330,8 @@
 }
 
 func TestOrdersAreCarriedOutInTurn(t *testing.T) {
-	_, core, addr := begin(t, node.Order{Kind: node.Send}, node.Order{Kind: node.Send},
-		node.Order{Kind: node.PushBack, Wait: 250 * time.Millisecond})
+	_, core, addr := begin(t, node.Order{Kind: node.OrderSend}, node.Order{Kind: node.OrderSend},
+		node.Order{Kind: node.OrderPushBack, RetryAfter: 250 * time.Millisecond})
 	c := dial(t, addr)
 	c.askAs("t1")
 	r := c.hears(t)
@@ -346,7 +346,7 @@
 // The caller's time runs from when its request had come, and not from when it was read: here at a standing clock, but for that wait. On a
 // connection that has only just come it may have lain there since the accept, which is before the caller has its connection.
 func TestACallersTimeRunsFromWhenItsRequestHadCome(t *testing.T) {
-	_, core, addr := begin(t, node.Order{Kind: node.PushBack})
+	_, core, addr := begin(t, node.Order{Kind: node.OrderPushBack})
 	connecting := time.Now()
 	c := dial(t, addr)
 	for i := range 3 {
@@ -362,7 +362,7 @@
 		assert.LessOrEqual(t, deadline, time.Minute+time.Second)
 		assert.Greater(t, deadline, time.Minute+time.Second-time.Since(since), "request %d", i)
 		core.mu.Lock()
-		core.orders = []node.Order{{Kind: node.PushBack}}
+		core.orders = []node.Order{{Kind: node.OrderPushBack}}
 		core.mu.Unlock()
 	}
 }
@@ -376,15 +376,15 @@
 	time.Sleep(20 * time.Millisecond)
 	assert.Empty(t, core.came)
 	assert.Empty(t, core.vanished, "more bytes are no farewell")
-	first.Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{Body: []byte("one")}}
+	first.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("one")}}
 	assert.Equal(t, 200, c.hears(t).StatusCode)
-	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.Abort}
+	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderAbort}
 	assert.Equal(t, 504, c.hears(t).StatusCode)
 }
 
 func TestPicksOrderedForACallerThatLeftAreEndedUnsent(t *testing.T) {
 	_, core, addr := begin(t)
-	core.atVanished = func(r *node.RPC) { r.Orders <- node.Order{Kind: node.Send} } // ordered as the news came
+	core.atVanished = func(r *node.RPC) { r.Orders <- node.Order{Kind: node.OrderSend} } // ordered as the news came
 	c := dial(t, addr)
 	c.ask()
 	r := testutil.Receive(t, core.came)
@@ -393,7 +393,7 @@
 	assert.Eventually(t, func() bool {
 		core.mu.Lock()
 		defer core.mu.Unlock()
-		return len(core.done) == 1 && core.done[0] == decide.Ignored
+		return len(core.done) == 1 && core.done[0] == decide.NotSent
 	}, time.Second, time.Millisecond)
 	assert.Empty(t, core.started)
 }
@@ -417,12 +417,12 @@
 	assert.Equal(t, 503, r.StatusCode)
 	assert.Equal(t, "0.500", r.Header.Get("Retry-After"))
 	assert.Empty(t, core.came, "the module has not taken it")
-	ra.Orders <- node.Order{Kind: node.Abort}
-	rb.Orders <- node.Order{Kind: node.Abort}
+	ra.Orders <- node.Order{Kind: node.OrderAbort}
+	rb.Orders <- node.Order{Kind: node.OrderAbort}
 	a.hears(t)
 	b.hears(t)
 	a.ask()
-	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.Abort}
+	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderAbort}
 	assert.Equal(t, 504, a.hears(t).StatusCode, "there is room again")
 }
 
@@ -439,9 +439,9 @@
 	assert.ErrorIs(t, err, io.EOF, "the oldest idle one is closed, and not reset")
 	last := idle[5]
 	last.ask()
-	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.Abort}
+	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderAbort}
 	assert.Equal(t, 504, last.hears(t).StatusCode)
-	r.Orders <- node.Order{Kind: node.Abort}
+	r.Orders <- node.Order{Kind: node.OrderAbort}
 	assert.Equal(t, 504, busy.hears(t).StatusCode)
 }
 
@@ -473,15 +473,15 @@
 	r := testutil.Receive(t, core.came)
 	idle := dial(t, addr)
 	idle.ask()
-	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.Abort}
+	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderAbort}
 	assert.Equal(t, 504, idle.hears(t).StatusCode)
 	third := dial(t, addr)
 	third.ask()
-	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.Abort}
+	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderAbort}
 	assert.Equal(t, 504, third.hears(t).StatusCode)
 	_, err = idle.r.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	r.Orders <- node.Order{Kind: node.Abort}
+	r.Orders <- node.Order{Kind: node.OrderAbort}
 	assert.Equal(t, 504, busy.hears(t).StatusCode)
 }
 
@@ -505,7 +505,7 @@
 	f.rest(chosen, time.Hour)
 	f.mu.Unlock()
 	f.endRest([]*conn{chosen}, telemetry.Draining)
-	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.Abort}
+	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderAbort}
 	r := c.hears(t)
 	assert.Equal(t, 504, r.StatusCode)
 	assert.True(t, r.Close)
@@ -513,7 +513,7 @@
 
 // Read to the last byte of its buffer a connection may hold more, of which no event tells again.
 func TestARequestThatFillsItsBufferDoesNotHideTheNext(t *testing.T) {
-	_, core, addr := begin(t, node.Order{Kind: node.Abort})
+	_, core, addr := begin(t, node.Order{Kind: node.OrderAbort})
 	for fill := range 20 {
 		c := dial(t, addr)
 		head := func(more int) string {
@@ -537,8 +537,8 @@
 	l.ComeBack, l.Refused = time.Minute, 0
 	l.Callers, l.Connections, l.CallerIdle, l.Wire = 64, 4000, time.Minute, httpwire.Sizes{Buffer: 2048, Read: 512, Head: 16384, Body: 65536, Chunk: 256}
 	leaks := goleak.IgnoreCurrent()
-	core := &fakeCore{orders: []node.Order{{Kind: node.Abort}}, came: make(chan *node.RPC, 4000), vanished: make(chan *node.RPC, 99)}
-	s := &settings.Node{MethodNames: []string{"find"}, Settings: decide.Settings{Methods: make([]decide.Method, 1)}}
+	core := &fakeCore{orders: []node.Order{{Kind: node.OrderAbort}}, came: make(chan *node.RPC, 4000), vanished: make(chan *node.RPC, 99)}
+	s := &settings.Instance{MethodNames: []string{"find"}, Settings: decide.Settings{Methods: make([]decide.Method, 1)}}
 	watch, err := poller.New()
 	require.NoError(t, err)
 	f := New(l, limits.NewBudget(5000, 0, nil), func() time.Duration { return time.Minute }, zap.NewNop(), watch)
@@ -611,7 +611,7 @@
 func TestCallersThatDripGiveWay(t *testing.T) {
 	l := bounds()
 	l.Callers, l.Refused, l.Connections = 4, 4, 8 // two slow ones
-	f, core, addr := beginWith(t, l, node.Order{Kind: node.Abort})
+	f, core, addr := beginWith(t, l, node.Order{Kind: node.OrderAbort})
 	var drips []*caller
 	for i := range 2 {
 		c := dial(t, addr)
@@ -663,7 +663,7 @@
 	f, core, addr := begin(t)
 	a, b, half := dial(t, addr), dial(t, addr), dial(t, addr)
 	half.ask()
-	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{}}
+	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{}}
 	half.hears(t) // one that has brought no whole request yet would give way
 	a.ask()
 	testutil.Receive(t, core.came)
@@ -684,18 +684,18 @@
 
 func TestTheEndAbortsWhatIsStillOut(t *testing.T) {
 	for _, x := range []struct {
-		repeat decide.Repeat
+		repeat decide.Idempotency
 		orders []node.Order
 		status int
 	}{
-		{decide.NonIdempotent, []node.Order{{Kind: node.Send}}, 504}, // it may have run
-		{decide.Deduplicated, []node.Order{{Kind: node.Send}}, 504},
-		{decide.Idempotent, []node.Order{{Kind: node.Send}}, 503},
+		{decide.NonIdempotent, []node.Order{{Kind: node.OrderSend}}, 504}, // it may have run
+		{decide.Deduplicated, []node.Order{{Kind: node.OrderSend}}, 504},
+		{decide.Idempotent, []node.Order{{Kind: node.OrderSend}}, 503},
 		{decide.NonIdempotent, nil, 503}, // nothing was sent
 	} {
 		f, core, addr := begin(t, x.orders...)
-		n := &settings.Node{MethodNames: []string{"find"}}
-		n.Methods = []decide.Method{{Repeat: x.repeat}}
+		n := &settings.Instance{MethodNames: []string{"find"}}
+		n.Methods = []decide.Method{{Idempotency: x.repeat}}
 		f.Swap(&Table{Only: NewService("only", n, core, core, nil)})
 		c := dial(t, addr)
 		io.WriteString(c, verb(x.repeat)+" /find HTTP/1.1\r\nX-Qos: find\r\nX-Trace-Id: t\r\nX-Expires-In-Ms: 1000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
--- a/internal/dataplane/frontend/gateway_test.go
+++ b/internal/dataplane/frontend/gateway_test.go
@@ -88,7 +88,7 @@
 	l.CallerIdle, l.IDs, l.Wire.Buffer, l.Wire.Read = time.Minute, 10_000, 4096, 512
 	core := &answering{}
 	f := New(l, limits.NewBudget(99, 0, nil), func() time.Duration { return time.Minute }, zap.NewNop(), watch)
-	f.Swap(&Table{Only: NewService("only", &settings.Node{MethodNames: []string{"find"}, Settings: decide.Settings{Methods: make([]decide.Method, 1)}}, core, core, nil)})
+	f.Swap(&Table{Only: NewService("only", &settings.Instance{MethodNames: []string{"find"}, Settings: decide.Settings{Methods: make([]decide.Method, 1)}}, core, core, nil)})
 	for name, way := range map[string]*Gateway{"http": nil, "fastcgi": {}} {
 		b.Run(name, func(b *testing.B) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,7 +130,7 @@
 
 func (*answering) Arrived(node.Arrival) *node.RPC {
 	r := &node.RPC{Orders: make(chan node.Order, 9)}
-	r.Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{Type: "text/x", Body: []byte("hi")}}
+	r.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{ContentType: "text/x", Body: []byte("hi")}}
 	return r
 }
 
--- a/internal/dataplane/frontend/gone_test.go
+++ b/internal/dataplane/frontend/gone_test.go
@@ -47,26 +47,26 @@
 	atHold  func()
 }
 
-func (r *relay) Start(p *node.Pick, q *httpwire.Request) {
+func (r *relay) Start(p *node.Attempt, q *httpwire.Request) {
 	r.starts <- func() { r.Pool.Start(p, q) }
 }
 
-func (r *relay) Done(_ *node.Pick, res decide.Result, _ *node.Answer) bool {
+func (r *relay) AttemptDone(_ *node.Attempt, res decide.Result, _ *node.Response) bool {
 	r.results <- res
 	return false
 }
 func (r *relay) Address(*node.Server) (string, bool) { return r.server.String(), true }
 func (r *relay) Ready(*node.Server) bool             { return true }
-func (r *relay) Hold(*node.Pick, node.Breaker) bool {
+func (r *relay) Bind(*node.Attempt, node.Canceler) bool {
 	if r.atHold != nil {
 		r.atHold()
 	}
 	return true
 }
-func (r *relay) Begin(*node.Pick, node.Breaker) bool { return true }
-func (r *relay) Remains(*node.Pick) time.Duration    { return time.Second }
-func (r *relay) Came(*node.Pick, time.Duration)      {}
-func (r *relay) Left(func([]*node.Server))           {}
+func (r *relay) Begin(*node.Attempt, node.Canceler) bool   { return true }
+func (r *relay) TimeLeft(*node.Attempt) time.Duration      { return time.Second }
+func (r *relay) BodyReceived(*node.Attempt, time.Duration) {}
+func (r *relay) OnServersUnavailable(func([]*node.Server)) {}
 
 func (r *relay) serve(ln net.Listener) {
 	for {
@@ -106,7 +106,7 @@
 	budget := limits.NewBudget(99, 0, nil)
 	r.Pool = upstream.NewPool(r, l, budget, nil)
 	r.f = New(l, budget, func() time.Duration { return time.Minute }, zap.NewNop(), watch)
-	s := &settings.Node{MethodNames: []string{"find", "put"}, Settings: decide.Settings{Methods: []decide.Method{{}, {Repeat: decide.NonIdempotent}}}}
+	s := &settings.Instance{MethodNames: []string{"find", "put"}, Settings: decide.Settings{Methods: []decide.Method{{}, {Idempotency: decide.NonIdempotent}}}}
 	r.f.Swap(&Table{Only: NewService("only", s, r, r, nil)})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -233,7 +233,7 @@
 
 // order has a pick ordered and returns what lets it go.
 func (r *relay) order(t *testing.T, rpc *node.RPC) func() {
-	rpc.Orders <- node.Order{Kind: node.Send, Pick: &node.Pick{Server: &node.Server{}}}
+	rpc.Orders <- node.Order{Kind: node.OrderSend, Attempt: &node.Attempt{Server: &node.Server{}}}
 	return testutil.Receive(t, r.starts)
 }
 
@@ -301,7 +301,7 @@
 					})
 					select {
 					case res := <-r.results:
-						assert.Equal(t, decide.Ignored, res)
+						assert.Equal(t, decide.NotSent, res)
 					case text := <-r.heard:
 						t.Fatalf("the server got %.40q", text)
 					case <-time.After(20 * time.Second):
@@ -338,7 +338,7 @@
 		raw := r.one(t).raw
 		leave(c)
 		require.Eventually(t, func() bool { return hasEnded(raw) }, 20*time.Second, time.Millisecond)
-		rpc.Orders <- node.Order{Kind: node.Served, Answer: &node.Answer{Body: []byte("well")}}
+		rpc.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}}
 		for more := true; more; {
 			select {
 			case rpc := <-r.came: // it is taken, and looked after before its first byte
@@ -383,11 +383,11 @@
 	c := dial(t, r.addr)
 	io.WriteString(c, front.find+string(fcgi.AppendAbort(nil, 1)))
 	rpc := testutil.Receive(t, r.came)
-	rpc.Orders <- node.Order{Kind: node.Send, Pick: &node.Pick{Server: &node.Server{}}}
+	rpc.Orders <- node.Order{Kind: node.OrderSend, Attempt: &node.Attempt{Server: &node.Server{}}}
 	select {
 	case start := <-r.starts:
 		start()
-		assert.Equal(t, decide.Ignored, testutil.Receive(t, r.results))
+		assert.Equal(t, decide.NotSent, testutil.Receive(t, r.results))
 	case rpc := <-r.vanished:
 		r.vanished <- rpc
 	}
@@ -425,7 +425,7 @@
 	testutil.Receive(t, behind.entered)
 	rpc := testutil.Receive(t, r.came)
 	r.order(t, rpc)()
-	assert.Equal(t, decide.Ignored, testutil.Receive(t, r.results))
+	assert.Equal(t, decide.NotSent, testutil.Receive(t, r.results))
 	assert.Same(t, rpc, testutil.Receive(t, r.vanished))
 	assert.Empty(t, r.heard)
 }
--- a/internal/dataplane/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -30,13 +30,13 @@
 // Core is what a request's life asks and tells the node's core.
 type Core interface {
 	Arrived(node.Arrival) *node.RPC
-	Vanished(*node.RPC)
-	Done(*node.Pick, decide.Result, *node.Answer) (served bool)
+	ClientGone(*node.RPC)
+	AttemptDone(*node.Attempt, decide.Result, *node.Response) (served bool)
 }
 
 // Picks carries out picks, without keeping anyone waiting, and reports their results to the core.
 type Picks interface {
-	Start(*node.Pick, *httpwire.Request)
+	Start(*node.Attempt, *httpwire.Request)
 }
 
 // Server owns the listeners and the callers' connections. It serves one Table of services after another; each request
--- a/internal/dataplane/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -44,12 +44,12 @@
 }
 
 // NewService makes one; the share may be nil.
-func NewService(name string, s *settings.Node, core Core, picks Picks, share Share) *Service {
+func NewService(name string, s *settings.Instance, core Core, picks Picks, share Share) *Service {
 	v := &Service{Name: name, core: core, picks: picks, share: share, methods: map[string]class{}, tenants: map[string]tenant{},
 		empty: make(chan struct{})}
 	for i, m := range s.MethodNames {
 		if m != "" { // else a slot that another class has left
-			v.methods[m] = class{slot: i, repeat: s.Methods[i].Repeat, large: &atomic.Bool{}}
+			v.methods[m] = class{slot: i, repeat: s.Methods[i].Idempotency, large: &atomic.Bool{}}
 		}
 	}
 	for i, t := range s.TenantNames {
@@ -63,14 +63,14 @@
 // class is a method as callers name it.
 type class struct {
 	slot   int
-	repeat decide.Repeat
+	repeat decide.Idempotency
 	until  time.Duration // 0: for good
 	former []form        // its effect was another: a request may come in that one's form, too, for a while
 	large  *atomic.Bool  // its last answer was: its next one counts as large from the start
 }
 
 type form struct {
-	repeat decide.Repeat
+	repeat decide.Idempotency
 	until  time.Duration
 }
 
@@ -80,7 +80,7 @@
 }
 
 // misfit is the status of a request that does not have the form of an effect; 0: it has.
-func misfit(r decide.Repeat, q *httpwire.Request) int {
+func misfit(r decide.Idempotency, q *httpwire.Request) int {
 	switch {
 	case q.Verb != verb(r):
 		return 405
@@ -90,7 +90,7 @@
 	return 0
 }
 
-func verb(r decide.Repeat) string {
+func verb(r decide.Idempotency) string {
 	if r == decide.Idempotent {
 		return "GET"
 	}
--- a/internal/dataplane/services/services.go
+++ b/internal/dataplane/services/services.go
@@ -152,9 +152,9 @@
 		p.watcher.Move(x.Discovery)
 	} else if !slices.Equal(p.Servers, x.Servers) {
 		if p.sink != nil {
-			p.sink.Listed(x.Static, true)
+			p.sink.UpdateEndpoints(x.Static, true)
 		} else {
-			p.core.Listed(x.Static, true)
+			p.core.UpdateEndpoints(x.Static, true)
 		}
 	}
 	p.Pool = x
@@ -188,9 +188,9 @@
 		ask = p.watcher.Ask
 	}
 	p.core = node.New(x.Node, c.SeedOf(x.Name), s.clock, time.Now(), ask)
-	p.core.Observe(s.Telemetry)
+	p.core.SetRecorder(s.Telemetry)
 	if before != nil {
-		p.core.FollowListTime(before.core.ListTime())
+		p.core.AdoptListClock(before.core.ListClock())
 	}
 	if s.Begun != nil {
 		s.Begun(p.core)
@@ -206,12 +206,12 @@
 	if p.watcher != nil {
 		p.watcher.Follow(to)
 		if before != nil && before.Discovery == x.Discovery && slices.Equal(before.Zones, x.Zones) {
-			to.Listed(before.core.Known(), true)
+			to.UpdateEndpoints(before.core.Endpoints(), true)
 		}
 		p.watcher.Ask() // nothing is known: the module's own first asking is spread for fleets that start together
 		p.owned.Go(func() { p.watcher.Run(life) })
 	} else {
-		to.Listed(x.Static, true)
+		to.UpdateEndpoints(x.Static, true)
 	}
 	p.conns = upstream.NewPool(p.core, x.Timeout, count, s.poller)
 	p.conns.Observe(s.Telemetry)
@@ -346,7 +346,7 @@
 	defer s.mu.Unlock()
 	n := 0
 	for _, p := range s.all() {
-		n += p.core.Open()
+		n += p.core.InFlight()
 	}
 	return n
 }
--- a/internal/dataplane/upstream/exchange.go
+++ b/internal/dataplane/upstream/exchange.go
@@ -22,7 +22,7 @@
 // another.
 type exchange struct {
 	pool *Pool
-	pick *node.Pick
+	pick *node.Attempt
 	q    *httpwire.Request
 
 	// stage goes from running to broken or to over, once.
@@ -39,17 +39,17 @@
 )
 
 // Start carries out a pick without keeping anyone waiting.
-func (p *Pool) Start(pick *node.Pick, q *httpwire.Request) {
+func (p *Pool) Start(pick *node.Attempt, q *httpwire.Request) {
 	p.workers.Do(&exchange{pool: p, pick: pick, q: q})
 }
 
 // Exchange carries out one pick and tells the core how it ended, once. It never sends anything again.
-func (p *Pool) Exchange(pick *node.Pick, q *httpwire.Request) {
+func (p *Pool) Exchange(pick *node.Attempt, q *httpwire.Request) {
 	(&exchange{pool: p, pick: pick, q: q}).Run()
 }
 
-// Break makes what waits return at once. The core calls it while it holds its mutex; neither call here waits.
-func (x *exchange) Break() {
+// Cancel makes what waits return at once. The core calls it while it holds its mutex; neither call here waits.
+func (x *exchange) Cancel() {
 	if !x.stage.CompareAndSwap(running, broken) {
 		return
 	}
@@ -65,14 +65,14 @@
 // Run carries it out.
 func (x *exchange) Run() {
 	res, answer := x.run()
-	served := x.pool.core.Done(x.pick, res, answer)
+	served := x.pool.core.AttemptDone(x.pick, res, answer)
 	if answer != nil && !served {
-		x.pool.bytes.Give(answer.Held)
+		x.pool.bytes.Give(answer.ReservedBytes)
 	}
-	if answer == nil || answer.Rest == nil {
+	if answer == nil || answer.BodyStream == nil {
 		return
 	}
-	rest := answer.Rest.(*rest)
+	rest := answer.BodyStream.(*rest)
 	if served && <-rest.read && rest.Ended() && rest.again && !x.conn.beyond() {
 		x.conn.streams = false
 		x.conn.onTime()
@@ -92,39 +92,39 @@
 // Close tells that no more of it is read.
 func (r *rest) Close(whole bool) { r.read <- whole }
 
-func (x *exchange) run() (decide.Result, *node.Answer) {
+func (x *exchange) run() (decide.Result, *node.Response) {
 	p := x.pool
 	server := x.pick.Server
 	addr, ready := p.core.Address(server)
 	if !ready {
-		return decide.Ignored, nil
+		return decide.NotSent, nil
 	}
 	if body := x.q.Rest; body != nil {
 		if !body.Claim() { // it has gone to another server, or its caller is not read any more
-			return decide.Ignored, nil
+			return decide.NotSent, nil
 		}
 		defer body.Release()
 	}
-	if x.pick.Anew {
+	if x.pick.FreshConnection {
 		p.closeIdle(server, telemetry.Stale)
 	}
 	c := p.reuse(server, addr)
 	if c == nil {
 		if !p.budget.Take() {
-			return decide.Ignored, nil // no descriptor: the server is not to blame
+			return decide.NotSent, nil // no descriptor: the server is not to blame
 		}
 		raw, err := x.dial(addr)
 		if err != nil {
 			p.budget.Give()
 			if socket.KindOf(err).Passing() {
-				return decide.Ignored, nil // as with a budget that is spent
+				return decide.NotSent, nil // as with a budget that is spent
 			}
 			return decide.ConnectFailed, nil
 		}
 		c = p.newConn(raw, addr)
 		if at, _ := p.core.Address(server); at != addr {
 			p.close(c, telemetry.Stale) // it came back elsewhere under its name while the connect lasted: who is here now is another
-			return decide.Ignored, nil
+			return decide.NotSent, nil
 		}
 	}
 	x.conn = c
@@ -135,16 +135,16 @@
 		} else {
 			p.close(c, telemetry.NotReusable)
 		}
-		return decide.Ignored, nil
+		return decide.NotSent, nil
 	}
 	res, answer, whole := x.talk(c)
 	switch running := x.stage.CompareAndSwap(running, over); {
-	case running && answer != nil && answer.Rest != nil:
+	case running && answer != nil && answer.BodyStream != nil:
 		c.onTime()
 		c.streams, c.first = true, time.Now()
-	case answer != nil && answer.Rest != nil:
+	case answer != nil && answer.BodyStream != nil:
 		p.close(c, telemetry.NotReusable)
-		p.bytes.Give(answer.Held)
+		p.bytes.Give(answer.ReservedBytes)
 		return decide.Reset, nil // given up as it began
 	case !running || !whole:
 		p.close(c, telemetry.NotReusable)
@@ -167,7 +167,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(x.pool.connect.Load()))
 	defer cancel()
 	x.cancel = cancel
-	if !x.pool.core.Hold(x.pick, x) {
+	if !x.pool.core.Bind(x.pick, x) {
 		return nil, context.Canceled
 	}
 	var short error
@@ -198,12 +198,12 @@
 var heads = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
 // talk writes the request and reads the answer. The connection can be used again only after a whole one.
-func (x *exchange) talk(c *conn) (res decide.Result, answer *node.Answer, whole bool) {
+func (x *exchange) talk(c *conn) (res decide.Result, answer *node.Response, whole bool) {
 	// One write: it is known whether its last byte went out.
 	head := heads.Get().(*[]byte)
 	left := x.q.Left
 	if x.q.Rest == nil {
-		left = x.pool.core.Remains(x.pick)
+		left = x.pool.core.TimeLeft(x.pick)
 	}
 	var msg []byte
 	if c.app == nil {
@@ -241,7 +241,7 @@
 }
 
 // answer reads it.
-func (x *exchange) answer(c *conn) (res decide.Result, answer *node.Answer, whole bool) {
+func (x *exchange) answer(c *conn) (res decide.Result, answer *node.Response, whole bool) {
 	c.by = x
 	r, err := c.reader.ReadResponse()
 	c.by = nil
@@ -252,19 +252,19 @@
 		return decide.Reset, nil, false // the core tells one that it broke itself
 	}
 	c.onTime()
-	x.pick.Load = r.Load
+	x.pick.LoadReport = r.Load
 	whole = !r.Close && r.Rest == nil && !c.beyond()
 	if r.Status == 200 {
-		answer = &node.Answer{Type: r.Type, Body: r.Body, Held: r.Held}
+		answer = &node.Response{ContentType: r.Type, Body: r.Body, ReservedBytes: r.Held}
 		if r.Rest != nil {
-			answer.Rest = &rest{Rest: r.Rest, again: !r.Close, read: make(chan bool, 1)}
+			answer.BodyStream = &rest{Rest: r.Rest, again: !r.Close, read: make(chan bool, 1)}
 		}
 		return decide.OK, answer, whole
 	}
 	x.pool.bytes.Give(r.Held)
 	switch {
 	case (r.Status == 503 || r.Status == 504) && r.NeverRan:
-		return decide.Full, nil, whole
+		return decide.Rejected, nil, whole
 	}
 	return decide.Failed, nil, whole
 }
@@ -274,7 +274,7 @@
 func (x *exchange) upload(c *conn, head []byte) (res decide.Result, ok bool) {
 	body := x.q.Rest
 	defer body.Release()
-	chunked := body.Length() < 0
+	chunked := body.Remaining() < 0
 	piece, frame := httpwire.Piece(), make([]byte, 0, 16)
 	defer httpwire.Done(piece)
 	last := httpwire.LastChunk
@@ -289,7 +289,7 @@
 	for !body.Ended() {
 		n, err := body.Read(*piece)
 		if err != nil && !errors.Is(err, io.EOF) {
-			return decide.Ignored, false // its caller's fault, not the server's
+			return decide.NotSent, false // its caller's fault, not the server's
 		}
 		if n > 0 && !write((*piece)[:n]) {
 			return decide.ConnectFailed, false
@@ -299,7 +299,7 @@
 		return decide.ConnectFailed, false
 	}
 	c.SetWriteDeadline(time.Time{})
-	x.pool.core.Came(x.pick, x.q.Left)
+	x.pool.core.BodyReceived(x.pick, x.q.Left)
 	if x.isBroken() {
 		c.SetDeadline(time.Unix(1, 0))
 	}
--- a/internal/dataplane/upstream/fastcgi.go
+++ b/internal/dataplane/upstream/fastcgi.go
@@ -79,8 +79,8 @@
 	switch {
 	case q.Rest == nil && (q.Verb != "GET" || len(q.Body) > 0):
 		put("CONTENT_LENGTH", strconv.Itoa(len(q.Body)))
-	case q.Rest != nil && q.Rest.Length() >= 0:
-		put("CONTENT_LENGTH", strconv.FormatInt(int64(len(q.Body))+q.Rest.Length(), 10))
+	case q.Rest != nil && q.Rest.Remaining() >= 0:
+		put("CONTENT_LENGTH", strconv.FormatInt(int64(len(q.Body))+q.Rest.Remaining(), 10))
 	}
 	put("HTTP_HOST", host)
 	put(paramTrace, q.Trace)
--- a/internal/dataplane/upstream/fastcgi_test.go
+++ b/internal/dataplane/upstream/fastcgi_test.go
@@ -44,9 +44,9 @@
 		"in two records":               {out("Content-Type: tex") + out("t/x\r\nContent-Length: 2\r\n\r\nh") + out("i") + end(0, fcgi.Complete), false, decide.OK},
 		"with words beside it":         {record(fcgi.Stderr, 1, "warning") + ok + record(fcgi.Stderr, 1, "") + end(0, fcgi.Complete), false, decide.OK},
 		"with a word of no request":    {record(fcgi.Values, 0, "") + ok + record(fcgi.Unknown, 0, "\x09\x00\x00\x00\x00\x00\x00\x00") + end(0, fcgi.Complete), false, decide.OK},
-		"overloaded":                   {end(0, fcgi.Overloaded), false, decide.Full},
-		"one at a time":                {end(0, fcgi.CantMpx), false, decide.Full},
-		"marked as never run":          {out("Status: 503\nX-Never-Ran: 1\n\n") + end(0, fcgi.Complete), false, decide.Full},
+		"overloaded":                   {end(0, fcgi.Overloaded), false, decide.Rejected},
+		"one at a time":                {end(0, fcgi.CantMpx), false, decide.Rejected},
+		"marked as never run":          {out("Status: 503\nX-Never-Ran: 1\n\n") + end(0, fcgi.Complete), false, decide.Rejected},
 		"overloaded after it began":    {ok + end(0, fcgi.Overloaded), false, decide.Failed},
 		"unknown role":                 {end(0, fcgi.UnknownRole), false, decide.Failed},
 		"503 without the mark":         {out("Status: 503\n\n") + end(0, fcgi.Complete), false, decide.Failed},
@@ -83,7 +83,7 @@
 			}
 			assert.Equal(t, c.want, s.pick())
 			if c.want == decide.OK {
-				assert.Equal(t, &node.Answer{Type: "text/x", Body: []byte("hi")}, s.core.answer)
+				assert.Equal(t, &node.Response{ContentType: "text/x", Body: []byte("hi")}, s.core.answer)
 			}
 		})
 	}
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -23,12 +23,12 @@
 type Core interface {
 	Address(*node.Server) (addr string, ready bool)
 	Ready(*node.Server) bool
-	Hold(*node.Pick, node.Breaker) bool
-	Begin(*node.Pick, node.Breaker) bool
-	Remains(*node.Pick) time.Duration
-	Came(*node.Pick, time.Duration)
-	Done(*node.Pick, decide.Result, *node.Answer) (served bool)
-	Left(func([]*node.Server))
+	Bind(*node.Attempt, node.Canceler) bool
+	Begin(*node.Attempt, node.Canceler) bool
+	TimeLeft(*node.Attempt) time.Duration
+	BodyReceived(*node.Attempt, time.Duration)
+	AttemptDone(*node.Attempt, decide.Result, *node.Response) (served bool)
+	OnServersUnavailable(func([]*node.Server))
 }
 
 // Budget counts descriptors; limits.Budget is one.
@@ -95,7 +95,7 @@
 	p.oldest.older, p.oldest.newer = &p.oldest, &p.oldest
 	p.Tune(l)
 	budget.Evict(p.Evict)
-	core.Left(p.left)
+	core.OnServersUnavailable(p.left)
 	return p
 }
 
--- a/internal/dataplane/upstream/upstream_test.go
+++ b/internal/dataplane/upstream/upstream_test.go
@@ -32,7 +32,7 @@
 	left    time.Duration
 	leaves  func([]*node.Server)
 	results []decide.Result
-	answer  *node.Answer
+	answer  *node.Response
 	atHold  func()
 }
 
@@ -45,20 +45,20 @@
 	_, ready := c.Address(nil)
 	return ready
 }
-func (c *fakeCore) Hold(*node.Pick, node.Breaker) bool {
+func (c *fakeCore) Bind(*node.Attempt, node.Canceler) bool {
 	if c.atHold != nil {
 		c.atHold()
 	}
 	return true
 }
-func (c *fakeCore) Begin(_ *node.Pick, by node.Breaker) bool {
-	time.AfterFunc(c.left, by.Break) // late ones must find nothing to break
+func (c *fakeCore) Begin(_ *node.Attempt, by node.Canceler) bool {
+	time.AfterFunc(c.left, by.Cancel) // late ones must find nothing to break
 	return !c.refuses
 }
-func (c *fakeCore) Remains(*node.Pick) time.Duration { return c.left }
-func (c *fakeCore) Left(f func([]*node.Server))      { c.leaves = f }
-func (c *fakeCore) Came(*node.Pick, time.Duration)   {}
-func (c *fakeCore) Done(_ *node.Pick, r decide.Result, a *node.Answer) bool {
+func (c *fakeCore) TimeLeft(*node.Attempt) time.Duration        { return c.left }
+func (c *fakeCore) OnServersUnavailable(f func([]*node.Server)) { c.leaves = f }
+func (c *fakeCore) BodyReceived(*node.Attempt, time.Duration)   {}
+func (c *fakeCore) AttemptDone(_ *node.Attempt, r decide.Result, a *node.Response) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.results = append(c.results, r)
@@ -152,7 +152,7 @@
 }
 
 func (s *story) pick() decide.Result {
-	s.Exchange(&node.Pick{Server: s.server}, s.q)
+	s.Exchange(&node.Attempt{Server: s.server}, s.q)
 	return s.core.results[len(s.core.results)-1]
 }
 
@@ -163,8 +163,8 @@
 	for text, want := range map[string]decide.Result{
 		okText:                       decide.OK,
 		"HTTP/1.1 500 No\r\n" + head: decide.Failed,
-		"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n" + head: decide.Full,
-		"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\n" + head: decide.Full,
+		"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n" + head: decide.Rejected,
+		"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\n" + head: decide.Rejected,
 		// Without the mark it may have run, whatever the number seems to say.
 		"HTTP/1.1 503 No\r\n" + head:                       decide.Failed,
 		"HTTP/1.1 503 No\r\nX-Never-Ran: 0\r\n" + head:     decide.Failed,
@@ -179,7 +179,7 @@
 		s := begin(serve(t, answers(text)).Addr().String(), 5)
 		assert.Equal(t, want, s.pick(), "%q", text)
 		if want == decide.OK {
-			assert.Equal(t, &node.Answer{Type: "text/x", Body: []byte("hi")}, s.core.answer)
+			assert.Equal(t, &node.Response{ContentType: "text/x", Body: []byte("hi")}, s.core.answer)
 		} else {
 			assert.Nil(t, s.core.answer)
 		}
@@ -221,7 +221,7 @@
 		defer s.core.mu.Unlock()
 		s.core.addr = is.Addr().String()
 	}
-	assert.Equal(t, decide.Ignored, s.pick())
+	assert.Equal(t, decide.NotSent, s.pick())
 	_, sent := was.count()
 	assert.Zero(t, sent)
 	assert.Equal(t, 5, s.budget.Left())
@@ -285,7 +285,7 @@
 		whole: decide.Reset} {
 		raw := &brokenPipe{takes: takes}
 		s.core.left = time.Second
-		got, _, again := (&exchange{pool: s.Pool, pick: &node.Pick{}, q: s.q}).talk(s.newConn(raw, ""))
+		got, _, again := (&exchange{pool: s.Pool, pick: &node.Attempt{}, q: s.q}).talk(s.newConn(raw, ""))
 		assert.Equal(t, want, got, "broken after %d of %d bytes", takes, whole)
 		assert.False(t, again)
 	}
@@ -303,7 +303,7 @@
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE} {
 		s := begin("127.0.0.1:1", 5)
 		s.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("socket", e) }
-		assert.Equal(t, decide.Ignored, s.pick(), e)
+		assert.Equal(t, decide.NotSent, s.pick(), e)
 		assert.Equal(t, 5, s.budget.Left())
 
 		s = begin(serve(t, answers(okText)).Addr().String(), 5)
@@ -338,9 +338,9 @@
 	s := begin(server.Addr().String(), 1)
 	s.core.left = time.Hour
 	for range 50 {
-		x := &exchange{pool: s.Pool, pick: &node.Pick{Server: s.server}, q: s.q}
+		x := &exchange{pool: s.Pool, pick: &node.Attempt{Server: s.server}, q: s.q}
 		x.Run()
-		x.Break()
+		x.Cancel()
 	}
 	for _, r := range s.core.results {
 		assert.Equal(t, decide.OK, r)
@@ -353,14 +353,14 @@
 	server := serve(t, answers(okText))
 	s := begin(server.Addr().String(), 5)
 	s.core.refuses = true
-	assert.Equal(t, decide.Ignored, s.pick())
+	assert.Equal(t, decide.NotSent, s.pick())
 	s.core.refuses = false
 	assert.Equal(t, decide.OK, s.pick())
 	conns, requests := server.count()
 	assert.Equal(t, 1, conns, "the connection that was made is kept")
 	assert.Equal(t, 1, requests)
 	s.core.gone = true
-	assert.Equal(t, decide.Ignored, s.pick(), "a server that has left is not even called")
+	assert.Equal(t, decide.NotSent, s.pick(), "a server that has left is not even called")
 }
 
 func TestConnectionsAreUsedAgainTheLastOneFirst(t *testing.T) {
@@ -368,7 +368,7 @@
 	s := begin(server.Addr().String(), 9)
 	var at sync.WaitGroup
 	for range 3 {
-		at.Go(func() { s.Exchange(&node.Pick{Server: s.server}, s.q) })
+		at.Go(func() { s.Exchange(&node.Attempt{Server: s.server}, s.q) })
 	}
 	at.Wait()
 	before, _ := server.count()
@@ -448,7 +448,7 @@
 	s := begin(server.Addr().String(), 5)
 	s.limits.ServerIdle = time.Hour
 	assert.Equal(t, decide.OK, s.pick())
-	s.Exchange(&node.Pick{Server: s.server, Anew: true}, s.q) // the module does not trust the idle one
+	s.Exchange(&node.Attempt{Server: s.server, FreshConnection: true}, s.q) // the module does not trust the idle one
 	assert.True(t, testutil.Receive(t, closed))
 	s.core.leaves([]*node.Server{s.server})
 	assert.True(t, testutil.Receive(t, closed))
@@ -488,7 +488,7 @@
 	// With none idle the pick has not been sent, and no server is to blame.
 	assert.True(t, s.Evict())
 	require.True(t, s.budget.Take())
-	assert.Equal(t, decide.Ignored, s.pick())
+	assert.Equal(t, decide.NotSent, s.pick())
 }
 
 func TestALargeBodyGoesOutWhole(t *testing.T) {
@@ -567,7 +567,7 @@
 					assert.Equal(t, want, testutil.Receive(t, over), what)
 					continue
 				}
-				answer := func() *node.Answer {
+				answer := func() *node.Response {
 					s.core.mu.Lock()
 					defer s.core.mu.Unlock()
 					return s.core.answer
@@ -577,7 +577,7 @@
 				got, err := len(answer().Body), error(nil)
 				for piece := make([]byte, 1<<12); err == nil; {
 					var n int
-					n, err = answer().Rest.Read(piece)
+					n, err = answer().BodyStream.Read(piece)
 					got += n
 				}
 				if name == "end" {
@@ -586,7 +586,7 @@
 				} else {
 					assert.NotErrorIs(t, err, io.EOF, what)
 				}
-				answer().Rest.Close(name == "end")
+				answer().BodyStream.Close(name == "end")
 				testutil.Receive(t, over)
 			}
 		}
--- a/internal/lab/cost/golden_test.go
+++ b/internal/lab/cost/golden_test.go
@@ -28,6 +28,6 @@
 	read, err := settings.Parse(config.Settings)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"find"}, read.MethodNames)
-	assert.Equal(t, 4, read.MaxPicks)
+	assert.Equal(t, 4, read.MaxAttempts)
 	assert.Equal(t, 2.0, read.Methods[0].Deadline)
 }
--- a/internal/lab/fleet/hollow.go
+++ b/internal/lab/fleet/hollow.go
@@ -359,8 +359,8 @@
 
 var phaseOf = map[decide.State]string{decide.Ready: Ready, decide.Draining: Draining, decide.Gone: Gone}
 
-func (w *witness) Listed(entries []node.Entry, full bool) {
-	w.Core.Listed(entries, full)
+func (w *witness) UpdateEndpoints(entries []node.Endpoint, full bool) {
+	w.Core.UpdateEndpoints(entries, full)
 	now := time.Now().UnixNano()
 	x := w.x
 	var news []Event
--- a/internal/lab/run/golden_test.go
+++ b/internal/lab/run/golden_test.go
@@ -120,7 +120,7 @@
 	read, err := settings.Parse(config.Settings)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"find", "book", "charge"}, read.MethodNames)
-	assert.Equal(t, 0.205, read.Methods[1].Window)
+	assert.Equal(t, 0.205, read.Methods[1].DedupWindow)
 	assert.Equal(t, 1, read.Zone)
 }
 
--- a/internal/protocol/httpwire/message.go
+++ b/internal/protocol/httpwire/message.go
@@ -184,10 +184,10 @@
 	to = strconv.AppendInt(to, max(1, left.Milliseconds()), 10)
 	to = append(to, "\r\n"...)
 	switch {
-	case q.Rest != nil && q.Rest.Length() < 0:
+	case q.Rest != nil && q.Rest.Remaining() < 0:
 		to = header(to, headerEncoding, "chunked")
 	case q.Rest != nil:
-		to = length(to, len(q.Body)+int(q.Rest.Length()))
+		to = length(to, len(q.Body)+int(q.Rest.Remaining()))
 	case q.Verb != "GET" || len(q.Body) > 0:
 		to = length(to, len(q.Body))
 	}
@@ -339,14 +339,14 @@
 // Following is the rest of a body that is passed on while it comes.
 type Following interface {
 	io.Reader
-	// Length is how much is still to come, or -1.
-	Length() int64
+	// Remaining is how much is still to come, or -1.
+	Remaining() int64
 	// Close is called once, with whether all of it was read.
 	Close(whole bool)
 }
 
 // Chunked tells whether the answer goes out in chunks.
-func (a *Answer) Chunked() bool { return a.Rest != nil && a.Rest.Length() < 0 && !a.Old }
+func (a *Answer) Chunked() bool { return a.Rest != nil && a.Rest.Remaining() < 0 && !a.Old }
 
 // AppendHead writes the answer's head.
 func (a *Answer) AppendHead(to []byte) []byte {
@@ -368,8 +368,8 @@
 	switch {
 	case a.Chunked():
 		to = header(to, headerEncoding, "chunked")
-	case a.Rest != nil && a.Rest.Length() >= 0:
-		to = length(to, len(a.Body)+int(a.Rest.Length()))
+	case a.Rest != nil && a.Rest.Remaining() >= 0:
+		to = length(to, len(a.Body)+int(a.Rest.Remaining()))
 	case a.Rest == nil:
 		to = length(to, len(a.Body))
 	}
--- a/internal/protocol/httpwire/rest.go
+++ b/internal/protocol/httpwire/rest.go
@@ -32,8 +32,8 @@
 	byEnd // of the connection
 )
 
-// Length is how much is still to come, or -1 where nobody knows.
-func (b *Rest) Length() int64 {
+// Remaining is how much is still to come, or -1 where nobody knows.
+func (b *Rest) Remaining() int64 {
 	if b.kind != byLength {
 		return -1
 	}
