--- a/internal/protocol/settings/change.go
+++ b/internal/protocol/settings/change.go
@@ -10,10 +10,10 @@
 	"robincart/decide"
 )
 
-// Over lays settings into the slots of those in force: a name that stays keeps its number, a new one gets a slot that free
+// WithSlotsOf lays settings into the slots of those in force: a name that stays keeps its number, a new one gets a slot that free
 // says may be used again, or one more. What has left is an empty name. Zones keep their order, since the list of servers is
 // read by it.
-func (n *Node) Over(old *Node, freeMethod, freeTenant func(slot int) bool) *Node {
+func (n *Instance) WithSlotsOf(old *Instance, freeMethod, freeTenant func(slot int) bool) *Instance {
 	out := *n
 	out.ZoneNames, out.Zone = old.ZoneNames, old.Zone
 	names, from := slots(old.MethodNames, n.MethodNames, freeMethod)
@@ -62,10 +62,10 @@
 	return names, from
 }
 
-// Whole finds what a configuration lacks that takes another one's place: every key that stands in the one in force has to
+// CheckComplete finds what a configuration lacks that takes another one's place: every key that stands in the one in force has to
 // be there. Half an edit can still be JSON, and what it lacks would silently take a default. What is under skipped keys is
 // not looked into.
-func Whole(old, fresh json.RawMessage, skip ...string) error {
+func CheckComplete(old, fresh json.RawMessage, skip ...string) error {
 	var was, is any
 	if err := json.Unmarshal(old, &was); err != nil {
 		return nil // nothing to compare with
@@ -152,8 +152,8 @@
 	return keys
 }
 
-// Serves checks what a node that callers name classes to needs beside what Parse checks.
-func (n *Node) Serves() error {
+// ValidateNames checks what a node that callers name classes to needs beside what Parse checks.
+func (n *Instance) ValidateNames() error {
 	for _, all := range []struct {
 		what  string
 		names []string
@@ -170,9 +170,9 @@
 	return nil
 }
 
-// Between are settings for the time in which callers may still go by those before: a method that stays is repeated only as
+// DuringTransition are settings for the time in which callers may still go by those before: a method that stays is repeated only as
 // both allow, since what its callers expect of it is not known yet.
-func (n *Node) Between(before *Node) *Node {
+func (n *Instance) DuringTransition(before *Instance) *Instance {
 	out := *n
 	out.Methods = slices.Clone(n.Methods)
 	for i, name := range n.MethodNames {
@@ -182,12 +182,12 @@
 		}
 		m, was := &out.Methods[i], before.Methods[k]
 		switch {
-		case m.Repeat != was.Repeat:
+		case m.Idempotency != was.Idempotency:
 			// A request of either form may come, with a key or without: what drops its repeats is not known.
-			m.Repeat, m.Window, m.Scope = decide.NonIdempotent, 0, 0
-		case m.Repeat == decide.Deduplicated:
-			m.Window = min(m.Window, was.Window)
-			m.Scope = max(m.Scope, was.Scope)
+			m.Idempotency, m.DedupWindow, m.DedupScope = decide.NonIdempotent, 0, 0
+		case m.Idempotency == decide.Deduplicated:
+			m.DedupWindow = min(m.DedupWindow, was.DedupWindow)
+			m.DedupScope = max(m.DedupScope, was.DedupScope)
 		}
 	}
 	return &out
--- a/internal/protocol/settings/change_test.go
+++ b/internal/protocol/settings/change_test.go
@@ -15,9 +15,9 @@
 func TestNamesKeepTheirNumbers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}), 1, 5, rapid.ID[string])
-		var now *Node
+		var now *Instance
 		for step := range 8 {
-			n := &Node{MethodNames: names.Draw(t, "methods"), TenantNames: names.Draw(t, "tenants")}
+			n := &Instance{MethodNames: names.Draw(t, "methods"), TenantNames: names.Draw(t, "tenants")}
 			for i := range n.MethodNames {
 				n.Methods = append(n.Methods, decide.Method{Deadline: float64(10*step + i + 1)})
 			}
@@ -30,7 +30,7 @@
 			}
 			held := rapid.SliceOfN(rapid.Bool(), 99, 99).Draw(t, "held")
 			free := func(i int) bool { return !held[i] }
-			is := n.Over(now, free, free)
+			is := n.WithSlotsOf(now, free, free)
 			seen := map[string]bool{}
 			for i, name := range is.MethodNames {
 				if i < len(now.MethodNames) && now.MethodNames[i] != "" && name != "" && name != now.MethodNames[i] {
@@ -66,23 +66,23 @@
 }
 
 func TestWhileCallersGoByEitherAMethodIsRepeatedOnlyAsBothAllow(t *testing.T) {
-	once, free := decide.Method{Repeat: decide.NonIdempotent, Deadline: 2}, decide.Method{Deadline: 1}
-	zone := decide.Method{Repeat: decide.Deduplicated, Scope: decide.ScopeZone, Window: 5}
-	all := decide.Method{Repeat: decide.Deduplicated, Window: 9}
+	once, free := decide.Method{Idempotency: decide.NonIdempotent, Deadline: 2}, decide.Method{Deadline: 1}
+	zone := decide.Method{Idempotency: decide.Deduplicated, DedupScope: decide.ScopeZone, DedupWindow: 5}
+	all := decide.Method{Idempotency: decide.Deduplicated, DedupWindow: 9}
 	for _, x := range []struct{ was, is, between decide.Method }{
-		{once, free, decide.Method{Repeat: decide.NonIdempotent, Deadline: 1}},
+		{once, free, decide.Method{Idempotency: decide.NonIdempotent, Deadline: 1}},
 		{free, once, once},
-		{zone, free, decide.Method{Repeat: decide.NonIdempotent, Deadline: 1}},
-		{free, zone, decide.Method{Repeat: decide.NonIdempotent}},
+		{zone, free, decide.Method{Idempotency: decide.NonIdempotent, Deadline: 1}},
+		{free, zone, decide.Method{Idempotency: decide.NonIdempotent}},
 		{zone, all, zone},
 		{all, zone, zone},
-		{once, all, decide.Method{Repeat: decide.NonIdempotent}},
+		{once, all, decide.Method{Idempotency: decide.NonIdempotent}},
 	} {
-		n := &Node{MethodNames: []string{"new", "a"}}
+		n := &Instance{MethodNames: []string{"new", "a"}}
 		n.Methods = []decide.Method{free, x.is}
-		before := &Node{MethodNames: []string{"", "a"}}
+		before := &Instance{MethodNames: []string{"", "a"}}
 		before.Methods = []decide.Method{{}, x.was}
-		got := n.Between(before)
+		got := n.DuringTransition(before)
 		assert.Equal(t, []decide.Method{free, x.between}, got.Methods)
 		assert.Equal(t, x.is, n.Methods[1])
 	}
@@ -100,12 +100,12 @@
 		`{"a":2,"known":1,"s":7}`:                            "s is no object any more",
 		`{"a":2,"known":1,"s":{"Classes":{},"Zones":["z"]}}`: "s.Classes is no array any more",
 	} {
-		err := Whole(json.RawMessage(old), json.RawMessage(fresh), "known")
+		err := CheckComplete(json.RawMessage(old), json.RawMessage(fresh), "known")
 		if lacks == "" {
 			assert.NoError(t, err, fresh)
 		} else {
 			assert.EqualError(t, err, lacks, fresh)
 		}
 	}
-	assert.Error(t, Whole(json.RawMessage(old), json.RawMessage(old[:len(old)-1])))
+	assert.Error(t, CheckComplete(json.RawMessage(old), json.RawMessage(old[:len(old)-1])))
 }
--- a/internal/protocol/settings/golden_test.go
+++ b/internal/protocol/settings/golden_test.go
@@ -28,25 +28,25 @@
 }
 
 // fullNode returns what settings.json says.
-func fullNode() *Node {
-	return &Node{
+func fullNode() *Instance {
+	return &Instance{
 		Settings: decide.Settings{
 			Methods: []decide.Method{
-				{LatencyTarget: 1.002, Deadline: 1.003, Utility: 6, LateUtility: 0.04, Repeat: decide.Deduplicated,
-					Scope: decide.ScopeZone, Window: 1.005},
-				{LatencyTarget: 1.008, Deadline: 1.009, Utility: 12, LateUtility: 0.1, Repeat: decide.NonIdempotent,
-					Scope: decide.ScopeCell, Window: 1.011},
+				{LatencyObjective: 1.002, Deadline: 1.003, PriorityWeight: 6, LateWeight: 0.04, Idempotency: decide.Deduplicated,
+					DedupScope: decide.ScopeZone, DedupWindow: 1.005},
+				{LatencyObjective: 1.008, Deadline: 1.009, PriorityWeight: 12, LateWeight: 0.1, Idempotency: decide.NonIdempotent,
+					DedupScope: decide.ScopeCell, DedupWindow: 1.011},
 			},
 			Tenants: []decide.Tenant{{Quota: 25}, {Quota: 27}},
-			Zone:    1, Stage: 2, Instances: 30, MaxPicks: 13, MayCancel: true, SecondCopies: true,
-			MaxRetryAfter: 1.015, OverShare: 0.31, CrossZone: 0.18, MustWatch: true, MustAskIn: 1.023,
-			ColdFrom: 0.19, ColdFor: 1.02, FallMultiple: 21, FallFor: 1.022,
+			Zone:    1, Stage: 2, Instances: 30, MaxAttempts: 13, MayCancel: true, Hedging: true,
+			MaxRetryAfter: 1.015, OverQuotaWeight: 0.31, CrossZoneCost: 0.18, MustSubscribe: true, MaxPollInterval: 1.023,
+			SlowStartFraction: 0.19, SlowStartDuration: 1.02, OverloadMultiple: 21, OverloadWindow: 1.022,
 		},
 		MethodNames:  []string{"class-1", "class-7"},
 		TenantNames:  []string{"tenant-24", "tenant-26"},
 		ZoneNames:    []string{"zone-28", "zone-29"},
-		ReportFields: []string{"concurrent", "depth"}, Reports: true, Hints: true,
-		ConnectTimeout: 1016 * time.Millisecond, ServerIdle: 1017 * time.Millisecond, MaxOpen: 14,
+		ReportFields: []string{"concurrent", "depth"}, LoadReports: true, WorkHints: true,
+		ConnectTimeout: 1016 * time.Millisecond, ServerIdleTimeout: 1017 * time.Millisecond, MaxInFlight: 14,
 	}
 }
 
@@ -59,10 +59,10 @@
 func TestGolden_SettingsLeftOutAreZero(t *testing.T) {
 	got, err := Parse([]byte(golden(t, "settings_required.json")))
 	require.NoError(t, err)
-	assert.Equal(t, &Node{
+	assert.Equal(t, &Instance{
 		Settings: decide.Settings{
-			Methods:   []decide.Method{{LatencyTarget: 0.002, Deadline: 0.003, Repeat: decide.Idempotent}},
-			Instances: 1, MaxPicks: 1,
+			Methods:   []decide.Method{{LatencyObjective: 0.002, Deadline: 0.003, Idempotency: decide.Idempotent}},
+			Instances: 1, MaxAttempts: 1,
 		},
 		MethodNames: []string{""},
 	}, got)
@@ -73,20 +73,20 @@
 func TestGolden_EachSwitchAndWordIsItsOwn(t *testing.T) {
 	for _, test := range []struct {
 		text, instead string
-		change        func(*Node)
+		change        func(*Instance)
 	}{
-		{`"MayCancel": true`, `"MayCancel": false`, func(n *Node) { n.MayCancel = false }},
-		{`"RetryAfter": true`, `"RetryAfter": false`, func(n *Node) { n.MaxRetryAfter = 0 }},
-		{`"SecondCopies": true`, `"SecondCopies": false`, func(n *Node) { n.SecondCopies = false }},
-		{`"Hints": true`, `"Hints": false`, func(n *Node) { n.Hints = false }},
-		{`"RegistryMode": "subscribe"`, `"RegistryMode": "automatic"`, func(n *Node) { n.MustWatch = false }},
-		{`"How": "piggyback"`, `"How": "pull"`, func(n *Node) { n.Reports = false }},
-		{`"How": "piggyback"`, `"How": "silent"`, func(n *Node) { n.Reports = false }},
-		{`"How": "piggyback"`, `"How": ""`, func(n *Node) { n.Reports = false }},
-		{`"Repeat": "once"`, `"Repeat": "repeatable"`, func(n *Node) { n.Methods[1].Repeat = decide.Idempotent }},
-		{`"Repeat": "once"`, `"Repeat": "by_key"`, func(n *Node) { n.Methods[1].Repeat = decide.Deduplicated }},
-		{`"DedupScope": "cell"`, `"DedupScope": "all"`, func(n *Node) { n.Methods[1].Scope = decide.ScopeAll }},
-		{`"DedupScope": "cell"`, `"DedupScope": ""`, func(n *Node) { n.Methods[1].Scope = decide.ScopeAll }},
+		{`"MayCancel": true`, `"MayCancel": false`, func(n *Instance) { n.MayCancel = false }},
+		{`"RetryAfter": true`, `"RetryAfter": false`, func(n *Instance) { n.MaxRetryAfter = 0 }},
+		{`"SecondCopies": true`, `"SecondCopies": false`, func(n *Instance) { n.Hedging = false }},
+		{`"Hints": true`, `"Hints": false`, func(n *Instance) { n.WorkHints = false }},
+		{`"RegistryMode": "subscribe"`, `"RegistryMode": "automatic"`, func(n *Instance) { n.MustSubscribe = false }},
+		{`"How": "piggyback"`, `"How": "pull"`, func(n *Instance) { n.LoadReports = false }},
+		{`"How": "piggyback"`, `"How": "silent"`, func(n *Instance) { n.LoadReports = false }},
+		{`"How": "piggyback"`, `"How": ""`, func(n *Instance) { n.LoadReports = false }},
+		{`"Repeat": "once"`, `"Repeat": "repeatable"`, func(n *Instance) { n.Methods[1].Idempotency = decide.Idempotent }},
+		{`"Repeat": "once"`, `"Repeat": "by_key"`, func(n *Instance) { n.Methods[1].Idempotency = decide.Deduplicated }},
+		{`"DedupScope": "cell"`, `"DedupScope": "all"`, func(n *Instance) { n.Methods[1].DedupScope = decide.ScopeAll }},
+		{`"DedupScope": "cell"`, `"DedupScope": ""`, func(n *Instance) { n.Methods[1].DedupScope = decide.ScopeAll }},
 	} {
 		t.Run(test.instead, func(t *testing.T) {
 			whole := golden(t, "settings.json")
@@ -151,10 +151,10 @@
 
 func TestGolden_WholeNamesTheMissingKey(t *testing.T) {
 	whole := golden(t, "settings.json")
-	require.NoError(t, Whole([]byte(whole), []byte(whole)))
+	require.NoError(t, CheckComplete([]byte(whole), []byte(whole)))
 	for _, path := range keyPaths {
 		t.Run(path, func(t *testing.T) {
-			assert.EqualError(t, Whole([]byte(whole), without(t, whole, path)), path+" is missing")
+			assert.EqualError(t, CheckComplete([]byte(whole), without(t, whole, path)), path+" is missing")
 		})
 	}
 }
@@ -164,6 +164,6 @@
 	whole := golden(t, "settings.json")
 	once := strings.Replace(whole, `"Repeat": "by_key"`, `"Repeat": "once"`, 1)
 	for _, key := range []string{"WindowMs", "DedupScope"} {
-		assert.NoError(t, Whole([]byte(whole), without(t, once, "Classes[0]."+key)), key)
+		assert.NoError(t, CheckComplete([]byte(whole), without(t, once, "Classes[0]."+key)), key)
 	}
 }
--- a/internal/protocol/settings/settings.go
+++ b/internal/protocol/settings/settings.go
@@ -14,19 +14,19 @@
 	"robincart/decide"
 )
 
-// Node is what one instance is told: what its decisions use, and what only its door and its sockets need.
-type Node struct {
+// Instance is what one instance is told: what its decisions use, and what only its door and its sockets need.
+type Instance struct {
 	decide.Settings
 
-	MethodNames    []string // as callers name them, in the order of Methods
-	TenantNames    []string
-	ZoneNames      []string
-	ReportFields   []string      // what a load report holds, in this order
-	Reports        bool          // servers report with their answers
-	Hints          bool          // callers give hints of what their requests cost
-	ConnectTimeout time.Duration // 0: not told
-	ServerIdle     time.Duration // a server closes an idle connection by then; 0: not told
-	MaxOpen        int           // RPCs held at once; 0: not told
+	MethodNames       []string // as callers name them, in the order of Methods
+	TenantNames       []string
+	ZoneNames         []string
+	ReportFields      []string      // what a load report holds, in this order
+	LoadReports       bool          // servers report with their answers
+	WorkHints         bool          // callers give hints of what their requests cost
+	ConnectTimeout    time.Duration // 0: not told
+	ServerIdleTimeout time.Duration // a server closes an idle connection by then; 0: not told
+	MaxInFlight       int           // RPCs held at once; 0: not told
 }
 
 type object struct {
@@ -77,14 +77,14 @@
 	OverShareWorth float64  `json:"OverShareWorth"`
 }
 
-var repeats = map[string]decide.Repeat{
+var repeats = map[string]decide.Idempotency{
 	"repeatable": decide.Idempotent, "by_key": decide.Deduplicated, "once": decide.NonIdempotent}
 
-var scopes = map[string]decide.Scope{
+var scopes = map[string]decide.DedupScope{
 	"": decide.ScopeAll, "all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell}
 
 // Parse reads the object and names the first setting that can't be worked with.
-func Parse(text []byte) (*Node, error) {
+func Parse(text []byte) (*Instance, error) {
 	o := &object{}
 	if err := json.Unmarshal(text, o); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -145,30 +145,30 @@
 	return nil
 }
 
-func (o *object) node() *Node {
+func (o *object) node() *Instance {
 	picks := 1
 	if o.Limits.MaxAttempts != nil {
 		picks = *o.Limits.MaxAttempts
 	}
-	n := &Node{
+	n := &Instance{
 		Settings: decide.Settings{
-			Zone: o.MyZone, Stage: o.Stage, Instances: max(1, o.Instances), MaxPicks: picks,
-			MayCancel: o.Limits.MayCancel, SecondCopies: o.Limits.SecondCopies,
-			MaxRetryAfter: o.retryAfter(),
-			OverShare:     o.OverShareWorth, CrossZone: o.Deductions.CrossZone,
-			MustWatch: o.RegistryMode == "subscribe", MustAskIn: o.Rules.MustAskInMs / 1000,
-			ColdFrom: o.Rules.ColdFrom, ColdFor: o.Rules.ColdMs / 1000,
-			FallMultiple: o.Rules.FallMultiple, FallFor: o.Rules.FallMs / 1000,
+			Zone: o.MyZone, Stage: o.Stage, Instances: max(1, o.Instances), MaxAttempts: picks,
+			MayCancel: o.Limits.MayCancel, Hedging: o.Limits.SecondCopies,
+			MaxRetryAfter:   o.retryAfter(),
+			OverQuotaWeight: o.OverShareWorth, CrossZoneCost: o.Deductions.CrossZone,
+			MustSubscribe: o.RegistryMode == "subscribe", MaxPollInterval: o.Rules.MustAskInMs / 1000,
+			SlowStartFraction: o.Rules.ColdFrom, SlowStartDuration: o.Rules.ColdMs / 1000,
+			OverloadMultiple: o.Rules.FallMultiple, OverloadWindow: o.Rules.FallMs / 1000,
 		},
-		ZoneNames: o.Zones, ReportFields: o.Report.Fields, Reports: o.Report.How == "piggyback", Hints: o.Hints, MaxOpen: o.Limits.MaxOpen,
-		ConnectTimeout: Millis(o.Limits.ConnectTimeoutMs), ServerIdle: Millis(o.Limits.ConnIdleMs),
+		ZoneNames: o.Zones, ReportFields: o.Report.Fields, LoadReports: o.Report.How == "piggyback", WorkHints: o.Hints, MaxInFlight: o.Limits.MaxOpen,
+		ConnectTimeout: Milliseconds(o.Limits.ConnectTimeoutMs), ServerIdleTimeout: Milliseconds(o.Limits.ConnIdleMs),
 	}
 	for _, k := range o.Classes {
 		n.MethodNames = append(n.MethodNames, k.Name)
 		n.Methods = append(n.Methods, decide.Method{
-			LatencyTarget: min(k.AimMs, k.DeadlineMs) / 1000, Deadline: k.DeadlineMs / 1000,
-			Utility: k.Credit, LateUtility: k.LateWorth, Repeat: repeats[k.Repeat],
-			Scope: scopes[k.DedupScope], Window: k.WindowMs / 1000})
+			LatencyObjective: min(k.AimMs, k.DeadlineMs) / 1000, Deadline: k.DeadlineMs / 1000,
+			PriorityWeight: k.Credit, LateWeight: k.LateWorth, Idempotency: repeats[k.Repeat],
+			DedupScope: scopes[k.DedupScope], DedupWindow: k.WindowMs / 1000})
 	}
 	for _, t := range o.Tenants {
 		n.TenantNames = append(n.TenantNames, t.Name)
@@ -177,13 +177,13 @@
 	return n
 }
 
-// Load reads a server's report: its values, separated by commas, in the order of ReportFields.
-func (n *Node) Load(report string) (*decide.Load, error) {
+// ParseLoadReport reads a server's report: its values, separated by commas, in the order of ReportFields.
+func (n *Instance) ParseLoadReport(report string) (*decide.LoadReport, error) {
 	parts := strings.Split(report, ",")
 	if len(report) > 256 || len(parts) != len(n.ReportFields) {
 		return nil, fmt.Errorf("load report %.60q has %d values, not %d", report, len(parts), len(n.ReportFields))
 	}
-	l := &decide.Load{Held: -1}
+	l := &decide.LoadReport{InFlight: -1}
 	for i, part := range parts {
 		if part = strings.TrimSpace(part); part == "-" {
 			continue
@@ -193,7 +193,7 @@
 			return nil, fmt.Errorf("load value %.60q is not a number", part)
 		}
 		if n.ReportFields[i] == "concurrent" {
-			l.Held = max(0, x) // noise may take it below
+			l.InFlight = max(0, x) // noise may take it below
 		}
 	}
 	return l, nil
@@ -207,7 +207,7 @@
 	return o.Limits.MaxRetryAfterMs / 1000
 }
 
-// Millis turns milliseconds of the settings into a Duration, a day at most: what is longer means never.
-func Millis(ms float64) time.Duration {
+// Milliseconds turns milliseconds of the settings into a Duration, a day at most: what is longer means never.
+func Milliseconds(ms float64) time.Duration {
 	return time.Duration(min(ms, 86_400_000) * float64(time.Millisecond))
 }
--- a/internal/protocol/settings/settings_test.go
+++ b/internal/protocol/settings/settings_test.go
@@ -21,14 +21,14 @@
 	n, err := Parse([]byte(whole))
 	require.NoError(t, err)
 	assert.Equal(t, []string{"find", "book"}, n.MethodNames)
-	assert.Equal(t, 2.0, n.Methods[0].LatencyTarget, "a target past the deadline is the deadline")
-	assert.Equal(t, decide.Method{LatencyTarget: 2.5, Deadline: 6, Utility: 10, LateUtility: 0.3,
-		Repeat: decide.Deduplicated, Scope: decide.ScopeZone, Window: 10}, n.Methods[1])
+	assert.Equal(t, 2.0, n.Methods[0].LatencyObjective, "a target past the deadline is the deadline")
+	assert.Equal(t, decide.Method{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10, LateWeight: 0.3,
+		Idempotency: decide.Deduplicated, DedupScope: decide.ScopeZone, DedupWindow: 10}, n.Methods[1])
 	assert.Equal(t, []string{"acme"}, n.TenantNames)
 	assert.Equal(t, 250*time.Millisecond, n.ConnectTimeout)
-	assert.Equal(t, 30*time.Second, n.ServerIdle)
-	assert.True(t, n.MustWatch && n.MayCancel)
-	assert.Equal(t, []int{2, 1, 5, 1}, []int{n.Stage, n.Zone, n.MaxPicks, n.Instances})
+	assert.Equal(t, 30*time.Second, n.ServerIdleTimeout)
+	assert.True(t, n.MustSubscribe && n.MayCancel)
+	assert.Equal(t, []int{2, 1, 5, 1}, []int{n.Stage, n.Zone, n.MaxAttempts, n.Instances})
 }
 
 func TestTheFirstBadSettingIsNamed(t *testing.T) {
@@ -62,16 +62,16 @@
 	for how, reports := range map[string]bool{"piggyback": true, "pull": false, "silent": false} {
 		n, err := Parse([]byte(strings.Replace(whole, `"Fields":`, `"How":"`+how+`","Fields":`, 1)))
 		require.NoError(t, err)
-		assert.Equal(t, reports, n.Reports, how)
+		assert.Equal(t, reports, n.LoadReports, how)
 	}
-	n := &Node{ReportFields: []string{"depth", "concurrent"}}
+	n := &Instance{ReportFields: []string{"depth", "concurrent"}}
 	for report, held := range map[string]float64{"2,3.5": 3.5, " 2 , 3": 3, "2,-": -1, "-,0": 0, "1,-2": 0} {
-		l, err := n.Load(report)
+		l, err := n.ParseLoadReport(report)
 		require.NoError(t, err, report)
-		assert.Equal(t, &decide.Load{Held: held}, l, report)
+		assert.Equal(t, &decide.LoadReport{InFlight: held}, l, report)
 	}
 	for _, report := range []string{"", "3", "1,2,3", "1,x", "1,NaN", "1,Inf", "1,1e300", "1," + strings.Repeat("0", 300)} {
-		_, err := n.Load(report)
+		_, err := n.ParseLoadReport(report)
 		assert.Error(t, err, report)
 	}
 }
@@ -84,7 +84,7 @@
 		if err != nil {
 			return
 		}
-		if len(n.Methods) == 0 || n.MaxPicks < 1 || n.Instances < 1 || n.ConnectTimeout < 0 || n.ServerIdle < 0 {
+		if len(n.Methods) == 0 || n.MaxAttempts < 1 || n.Instances < 1 || n.ConnectTimeout < 0 || n.ServerIdleTimeout < 0 {
 			t.Fatalf("took %+v", n)
 		}
 	})
--- a/internal/resources/limits/limits.go
+++ b/internal/resources/limits/limits.go
@@ -90,7 +90,7 @@
 )
 
 // Fill makes the limits of a node from its machine and its settings.
-func Fill(m Machine, s *settings.Node) (Limits, error) {
+func Fill(m Machine, s *settings.Instance) (Limits, error) {
 	switch {
 	case !(m.Cores > 0) || m.Cores > 1024:
 		return Limits{}, fmt.Errorf("limits.cores is %v", m.Cores)
@@ -153,8 +153,8 @@
 	// under a half.
 	l.Refused = min(refusedMax, l.Descriptors/8)
 	l.Callers = (l.Descriptors - l.Refused - 1) * 10 / 21
-	if s.MaxOpen > 0 {
-		l.Callers = min(l.Callers, s.MaxOpen)
+	if s.MaxInFlight > 0 {
+		l.Callers = min(l.Callers, s.MaxInFlight)
 	}
 	if l.Callers < 1 {
 		return Limits{}, errors.New("limits.sockets leaves no caller a connection")
@@ -170,8 +170,8 @@
 	for _, m := range s.Methods {
 		longest = max(longest, m.Deadline)
 	}
-	l.IDLife = settings.Millis(longest * 1000) // no server knows a request for longer
-	l.StopMost = min(settings.Millis(longest*1000), stopLongest) + stopSpare
+	l.IDLife = settings.Milliseconds(longest * 1000) // no server knows a request for longer
+	l.StopMost = min(settings.Milliseconds(longest*1000), stopLongest) + stopSpare
 	return l, nil
 }
 
@@ -184,14 +184,14 @@
 }
 
 // For are the limits with one service's own times towards its servers.
-func (l Limits) For(s *settings.Node) Limits {
+func (l Limits) For(s *settings.Instance) Limits {
 	if s.ConnectTimeout > 0 {
 		l.Connect = s.ConnectTimeout
 	}
-	if s.ServerIdle > 0 {
+	if s.ServerIdleTimeout > 0 {
 		// The server's clock starts with its answer and ours when that has come: a request must not cross the
 		// close.
-		l.ServerIdle = s.ServerIdle - min(time.Second, s.ServerIdle/4)
+		l.ServerIdle = s.ServerIdleTimeout - min(time.Second, s.ServerIdleTimeout/4)
 	}
 	return l
 }
--- a/internal/resources/limits/limits_test.go
+++ b/internal/resources/limits/limits_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestLimitsLeaveRoomOnBothSides(t *testing.T) {
-	s := &settings.Node{ServerIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond}
+	s := &settings.Instance{ServerIdleTimeout: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond}
 	s.Methods = []decide.Method{{Deadline: 6}}
 	for _, sockets := range []int{24, 64, 1024, 4096} {
 		l, err := Fill(Machine{Cores: 0.5, MemoryMB: 192, Sockets: sockets}, s)
@@ -35,7 +35,7 @@
 		assert.Equal(t, binds, l.ListTold)
 		assert.Greater(t, l.ListSilence, 2*time.Second, "an empty line comes every 2 s")
 	}
-	s.MaxOpen = 7
+	s.MaxInFlight = 7
 	l, err := Fill(Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, s)
 	assert.NoError(t, err)
 	assert.Equal(t, 7, l.Callers, "the settings allow fewer")
@@ -88,7 +88,7 @@
 
 // Many connections for few requests, as far as the limits allow: the callers that rest leave a connection for each request that is out, and discovery's.
 func TestWhoHoldsManyConnectionsKeepsThoseOfServersAndDiscovery(t *testing.T) {
-	s := &settings.Node{}
+	s := &settings.Instance{}
 	s.Methods = []decide.Method{{Deadline: 6}}
 	for _, requests := range []int{1, 5, 20, 100} {
 		l, err := Fill(Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, s)
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -18,7 +18,7 @@
 type request struct {
 	id    string
 	obj   *decide.RPC
-	picks []*decide.Pick
+	picks []*decide.Attempt
 	out   int
 	ended bool
 }
@@ -28,21 +28,21 @@
 	told     bool // news of the list since its last failure
 	hub      *Hub
 	id       int
-	conf     *settings.Node
+	conf     *settings.Instance
 	balancer *decide.Balancer
 	servers  map[string]*server
 	names    map[*decide.Server]string
 	rpcs     map[string]*request
 	ids      map[*decide.RPC]*request
-	picks    map[*decide.Pick]int
+	picks    map[*decide.Attempt]int
 	wakes    map[int]any
 	lastWake int
 }
 
 var results = map[string]decide.Result{
-	"Ok": decide.OK, "Failed": decide.Failed, "QueueFull": decide.Full, "TimedOut": decide.TimedOut,
+	"Ok": decide.OK, "Failed": decide.Failed, "QueueFull": decide.Rejected, "TimedOut": decide.TimedOut,
 	"ConnectError": decide.ConnectFailed, "ResetByPeer": decide.Reset, "Canceled": decide.Canceled,
-	"Ignored": decide.Ignored}
+	"Ignored": decide.NotSent}
 
 func (in *instance) event(name string, f *fields) error {
 	switch name {
@@ -59,7 +59,7 @@
 		}
 		if r := in.rpcs[id]; r != nil && !r.ended {
 			in.end(r)
-			in.balancer.Vanished(r.obj)
+			in.balancer.ClientGone(r.obj)
 		}
 		return nil
 	case "RING":
@@ -72,7 +72,7 @@
 			return fmt.Errorf("timer %d was never set", token)
 		}
 		delete(in.wakes, token)
-		in.balancer.Wake(what)
+		in.balancer.TimerFired(what)
 		return nil
 	case "ESTABLISHED":
 		id := f.text()
@@ -118,7 +118,7 @@
 		return err
 	}
 	if kind == "FAILED" {
-		in.balancer.ListFailed(in.told, 0, math.Inf(1)) // its rules name no time for that
+		in.balancer.EndpointWatchFailed(in.told, 0, math.Inf(1)) // its rules name no time for that
 		in.told = false
 		return nil
 	}
@@ -130,7 +130,7 @@
 	if !ok {
 		return fmt.Errorf("list %d was never set up", page)
 	}
-	list := make([]decide.Listing, 0, len(rows))
+	list := make([]decide.EndpointUpdate, 0, len(rows))
 	for _, r := range rows {
 		s := in.servers[r.addr]
 		if s == nil {
@@ -138,10 +138,10 @@
 			in.servers[r.addr] = s
 			in.names[s.obj] = r.addr
 		}
-		list = append(list, decide.Listing{Server: s.obj, State: r.state, Zone: r.zone, Cell: r.cell,
-			Weight: r.weight, CameUp: r.cameUp})
+		list = append(list, decide.EndpointUpdate{Server: s.obj, State: r.state, Zone: r.zone, Cell: r.cell,
+			Weight: r.weight, StartedAt: r.cameUp})
 	}
-	in.balancer.Listed(list, kind != "INCREMENTAL")
+	in.balancer.UpdateEndpoints(list, kind != "INCREMENTAL")
 	return nil
 }
 
@@ -151,7 +151,7 @@
 	marks := f.integer()
 	r.Retry = marks&2 != 0
 	if hint := f.ms(); marks&1 != 0 {
-		r.Work = max(0, hint)
+		r.WorkHint = max(0, hint)
 	}
 	r.Method = f.integer()
 	r.Tenant = f.integer()
@@ -205,17 +205,17 @@
 	if last {
 		r.ended = true
 	}
-	in.balancer.Done(p, result, last, took, load)
+	in.balancer.AttemptDone(p, result, last, took, load)
 	in.drop(r)
 	return nil
 }
 
-func (in *instance) load(f *fields) *decide.Load {
+func (in *instance) load(f *fields) *decide.LoadReport {
 	s := f.text()
 	if s == "-" || s == "" {
 		return nil
 	}
-	l, err := in.conf.Load(s)
+	l, err := in.conf.ParseLoadReport(s)
 	if err != nil {
 		f.fail("%w", err)
 	}
@@ -267,7 +267,7 @@
 func (in *instance) Now() float64 { return in.hub.now }
 
 // Send writes a ROUTE.
-func (in *instance) Send(p *decide.Pick, timeout float64) {
+func (in *instance) Send(p *decide.Attempt, timeout float64) {
 	r, addr := in.ids[p.RPC], in.names[p.Server]
 	if r == nil || r.ended || addr == "" {
 		in.fault("send for an RPC that has ended, or to a server never listed")
@@ -280,7 +280,7 @@
 }
 
 // Cancel writes an UNDO_SEND.
-func (in *instance) Cancel(p *decide.Pick) {
+func (in *instance) Cancel(p *decide.Attempt) {
 	n, out := in.picks[p]
 	if !out || !in.conf.MayCancel {
 		in.fault("cancel of a pick that is not out, or where cancels are not allowed")
@@ -289,8 +289,8 @@
 	in.put("UNDO_SEND", in.ids[p.RPC].id, strconv.Itoa(n))
 }
 
-// CloseIdle writes a FREE_LINKS.
-func (in *instance) CloseIdle(s *decide.Server) {
+// CloseIdleConnections writes a FREE_LINKS.
+func (in *instance) CloseIdleConnections(s *decide.Server) {
 	addr := in.names[s]
 	if addr == "" {
 		in.fault("closing connections to a server never listed")
@@ -315,12 +315,12 @@
 	in.end(q)
 }
 
-// After writes an AFTER.
-func (in *instance) After(delay float64, what any) {
+// StartTimer writes an AFTER.
+func (in *instance) StartTimer(delay float64, what any) {
 	in.lastWake++
 	in.wakes[in.lastWake] = what
 	in.put("AFTER", strconv.Itoa(in.lastWake), ms(max(delay, 0)))
 }
 
-// Watch writes a WATCH.
-func (in *instance) Watch() { in.put("WATCH", "1") }
+// WatchEndpoints writes a WATCH.
+func (in *instance) WatchEndpoints() { in.put("WATCH", "1") }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -182,7 +182,7 @@
 		return err
 	}
 	in := &instance{hub: h, id: id, conf: c, servers: map[string]*server{}, rpcs: map[string]*request{},
-		names: map[*decide.Server]string{}, ids: map[*decide.RPC]*request{}, picks: map[*decide.Pick]int{},
+		names: map[*decide.Server]string{}, ids: map[*decide.RPC]*request{}, picks: map[*decide.Attempt]int{},
 		wakes: map[int]any{}}
 	h.instances[id] = in
 	in.balancer = decide.New(in, c.Settings, int64(seed))
--- a/internal/system/keys/keys_test.go
+++ b/internal/system/keys/keys_test.go
@@ -126,10 +126,10 @@
 	assert.Equal(t, 1, logs.FilterMessageSnippet("has ended").Len())
 }
 
-type lists chan []node.Entry
+type lists chan []node.Endpoint
 
-func (l lists) Listed(e []node.Entry, _ bool) { l <- e }
-func (l lists) ListFailed(node.ListFailure)   {}
+func (l lists) UpdateEndpoints(e []node.Endpoint, _ bool) { l <- e }
+func (l lists) EndpointWatchFailed(node.WatchFailure)     {}
 
 // A node follows a list over keys, and goes on with new ones on both sides.
 func TestANodeFollowsItsControllerOverKeys(t *testing.T) {
@@ -161,7 +161,7 @@
 		all.Go(func() { w.Run(life) })
 		return told
 	}
-	hears := func(l lists) []node.Entry {
+	hears := func(l lists) []node.Endpoint {
 		select {
 		case e := <-l:
 			return e
