--- a/cmd/robincart-controller/main.go
+++ b/cmd/robincart-controller/main.go
@@ -199,7 +199,7 @@
 		bad(true, "keys: %w", c.Keys.Check())
 	}
 	if f.Record.Store != "" {
-		if c.Store, err = sqlstore.OpenThere(f.Record.Store); err != nil {
+		if c.Store, err = sqlstore.OpenExisting(f.Record.Store); err != nil {
 			bad(true, "record.store: %w", err)
 		}
 	}
--- a/cmd/robincart-record/golden_test.go
+++ b/cmd/robincart-record/golden_test.go
@@ -20,29 +20,29 @@
 )
 
 // goldenExport is a record as it is after an import: no gaps in its revisions, and nothing deleted.
-func goldenExport() (record.Meta, []record.Fact) {
-	return record.Meta{Epoch: "0123456789abcdef01234567", Revision: 5}, []record.Fact{
-		{Key: record.Key{Kind: record.Service, Name: "shop"}, Revision: 1, By: "bob <eu>", Mark: "m1", At: 11,
+func goldenExport() (record.Meta, []record.Entry) {
+	return record.Meta{Epoch: "0123456789abcdef01234567", Revision: 5}, []record.Entry{
+		{Key: record.Key{Kind: record.KindService, Name: "shop"}, Revision: 1, Writer: "bob <eu>", IdempotencyKey: "m1", WrittenAt: 11,
 			Value: json.RawMessage(`{"toml":"[[service]]\nname = \"shop\"\n"}`)},
-		{Key: record.Key{Kind: record.Route, Name: "front"}, Revision: 2, By: "carol", Mark: "m2", At: 12,
+		{Key: record.Key{Kind: record.KindRoute, Name: "front"}, Revision: 2, Writer: "carol", IdempotencyKey: "m2", WrittenAt: 12,
 			Value: json.RawMessage(`{"toml":"[[route]]"}`)},
-		{Key: record.Key{Kind: record.Tenant, Name: "shop/gold"}, Revision: 3, By: "dave", Mark: "m3", At: 13,
+		{Key: record.Key{Kind: record.KindTenant, Name: "shop/gold"}, Revision: 3, Writer: "dave", IdempotencyKey: "m3", WrittenAt: 13,
 			Value: json.RawMessage(`{"quota":100,"weight":2}`)},
-		{Key: record.Key{Kind: record.Server, Name: "shop/a1"}, Revision: 4, By: "node-1", Mark: "m4", At: 14,
+		{Key: record.Key{Kind: record.KindServer, Name: "shop/a1"}, Revision: 4, Writer: "node-1", IdempotencyKey: "m4", WrittenAt: 14,
 			Value: json.RawMessage(`{"addr":"10.0.0.1:80","phase":"ready","start_ms":5,"listed":6,"zone":1}`)},
-		{Key: record.Key{Kind: record.Drain, Name: "shop/ü"}, Revision: 5, By: "alice", Mark: "m5", At: 15,
+		{Key: record.Key{Kind: record.KindDrain, Name: "shop/ü"}, Revision: 5, Writer: "alice", IdempotencyKey: "m5", WrittenAt: 15,
 			Value: json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice","until_ms":7}`)},
 	}
 }
 
 // goldenExportWithDeleted has gaps in its revisions, and a fact that was deleted.
-func goldenExportWithDeleted() (record.Meta, []record.Fact) {
-	return record.Meta{Epoch: "89abcdef0123456789abcdef", Revision: 99}, []record.Fact{
-		{Key: record.Key{Kind: record.Service, Name: "shop"}, Revision: 21, By: "bob", Mark: "m1", At: 11,
+func goldenExportWithDeleted() (record.Meta, []record.Entry) {
+	return record.Meta{Epoch: "89abcdef0123456789abcdef", Revision: 99}, []record.Entry{
+		{Key: record.Key{Kind: record.KindService, Name: "shop"}, Revision: 21, Writer: "bob", IdempotencyKey: "m1", WrittenAt: 11,
 			Value: json.RawMessage(`{"toml":"[[service]]"}`)},
-		{Key: record.Key{Kind: record.Route, Name: "front"}, Revision: 22, Deleted: true,
-			By: "carol", Mark: "m2", At: 12},
-		{Key: record.Key{Kind: record.Tenant, Name: "shop/gold"}, Revision: 33, By: "dave", Mark: "m3", At: 13,
+		{Key: record.Key{Kind: record.KindRoute, Name: "front"}, Revision: 22, Deleted: true,
+			Writer: "carol", IdempotencyKey: "m2", WrittenAt: 12},
+		{Key: record.Key{Kind: record.KindTenant, Name: "shop/gold"}, Revision: 33, Writer: "dave", IdempotencyKey: "m3", WrittenAt: 13,
 			Value: json.RawMessage(`{"quota":100,"weight":2}`)},
 	}
 }
@@ -67,7 +67,7 @@
 }
 
 // exported reads the facts of a store, as its export has them.
-func exported(t *testing.T, storeFlag string) ([]record.Fact, record.Meta) {
+func exported(t *testing.T, storeFlag string) ([]record.Entry, record.Meta) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "export")
 	require.NoError(t, os.WriteFile(path, run(t, "export", storeFlag), 0o600))
@@ -77,10 +77,10 @@
 }
 
 func TestGolden_Export(t *testing.T) {
-	for file, content := range map[string]func() (record.Meta, []record.Fact){
+	for file, content := range map[string]func() (record.Meta, []record.Entry){
 		"export.golden":         goldenExport,
 		"export_deleted.golden": goldenExportWithDeleted,
-		"export_empty.golden": func() (record.Meta, []record.Fact) {
+		"export_empty.golden": func() (record.Meta, []record.Entry) {
 			return record.Meta{Epoch: "epoch-1"}, nil
 		},
 	} {
@@ -129,7 +129,7 @@
 	_, before := goldenExportWithDeleted()
 	service, tenant := before[0], before[2]
 	service.Revision, tenant.Revision = 1, 2
-	assert.Equal(t, []record.Fact{service, tenant}, facts)
+	assert.Equal(t, []record.Entry{service, tenant}, facts)
 	assert.EqualValues(t, 2, meta.Revision)
 }
 
@@ -153,24 +153,24 @@
 	facts, _ := exported(t, storeFlag)
 	require.Len(t, facts, 5)
 	for i := range facts { // by the clock and by chance
-		assert.Positive(t, facts[i].At)
-		assert.True(t, strings.HasPrefix(facts[i].Mark, "hand."), facts[i].Mark)
-		facts[i].At, facts[i].Mark = 0, ""
-		if facts[i].Kind == record.Drain {
+		assert.Positive(t, facts[i].WrittenAt)
+		assert.True(t, strings.HasPrefix(facts[i].IdempotencyKey, "hand."), facts[i].IdempotencyKey)
+		facts[i].WrittenAt, facts[i].IdempotencyKey = 0, ""
+		if facts[i].Kind == record.KindDrain {
 			facts[i].Value = withoutSince(t, facts[i].Value)
 		}
 	}
 	toml := json.RawMessage(`{"toml":"[[service]]\nname = \"shop\"\n"}`)
-	assert.Equal(t, []record.Fact{
-		{Key: record.Key{Kind: record.Service, Name: "shop"}, Revision: 1, By: "bob", Value: toml},
-		{Key: record.Key{Kind: record.Tenant, Name: "shop/gold"}, Revision: 3, By: "dave",
+	assert.Equal(t, []record.Entry{
+		{Key: record.Key{Kind: record.KindService, Name: "shop"}, Revision: 1, Writer: "bob", Value: toml},
+		{Key: record.Key{Kind: record.KindTenant, Name: "shop/gold"}, Revision: 3, Writer: "dave",
 			Value: json.RawMessage(`{"quota":100,"weight":2}`)},
-		{Key: record.Key{Kind: record.Drain, Name: "shop/b2"}, Revision: 5, By: "erin",
+		{Key: record.Key{Kind: record.KindDrain, Name: "shop/b2"}, Revision: 5, Writer: "erin",
 			Value: json.RawMessage(`{"by":"erin","start_ms":0}`)},
-		{Key: record.Key{Kind: record.Drain, Name: "shop/a1"}, Revision: 6, By: "frank",
+		{Key: record.Key{Kind: record.KindDrain, Name: "shop/a1"}, Revision: 6, Writer: "frank",
 			Value: json.RawMessage(
 				`{"by":"alice","ended":true,"over":4,"start_ms":1765000000123,"until_ms":1776132000000}`)},
-		{Key: record.Key{Kind: record.Route, Name: "front"}, Revision: 7, Deleted: true, By: "grace"},
+		{Key: record.Key{Kind: record.KindRoute, Name: "front"}, Revision: 7, Deleted: true, Writer: "grace"},
 	}, facts)
 }
 
--- a/cmd/robincart-record/record.go
+++ b/cmd/robincart-record/record.go
@@ -78,13 +78,13 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "epoch %s, revision %d\n", m.Epoch, m.Revision)
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			for _, f := range record.Sorted(facts) {
+			for _, f := range record.SortEntries(facts) {
 				if kind == "" && !f.Deleted || kind == string(f.Kind) {
 					value := string(f.Value)
 					if f.Deleted {
 						value = "deleted"
 					}
-					fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", f.Kind, f.Name, f.Revision, f.By, time.UnixMilli(f.At).UTC().Format(time.RFC3339), value)
+					fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", f.Kind, f.Name, f.Revision, f.Writer, time.UnixMilli(f.WrittenAt).UTC().Format(time.RFC3339), value)
 				}
 			}
 			return t.Flush()
@@ -151,7 +151,7 @@
 	var start int64
 	drain := &cobra.Command{Use: "drain SERVICE/SERVER", Short: "Record that a server takes nothing new", Args: cobra.ExactArgs(1),
 		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, args []string) error {
-			d := record.Drained{Start: start, Since: time.Now().UnixMilli(), By: by}
+			d := record.Drain{Start: start, Since: time.Now().UnixMilli(), By: by}
 			if until != "" {
 				at, err := time.Parse(time.RFC3339, until)
 				if err != nil {
@@ -164,11 +164,11 @@
 				return err
 			}
 			for _, f := range facts {
-				if f.Kind == record.Drain && f.Name == args[0] {
-					d.Over = f.Revision
+				if f.Kind == record.KindDrain && f.Name == args[0] {
+					d.Supersedes = f.Revision
 				}
 			}
-			return change(ctx, c.OutOrStdout(), s, record.Drain, args[0], record.Any, false, by, d)
+			return change(ctx, c.OutOrStdout(), s, record.KindDrain, args[0], record.AnyRevision, false, by, d)
 		})}
 	drain.Flags().StringVar(&until, "until", "", "a time such as 2026-04-14T02:00:00Z; without it, for good")
 	drain.Flags().Int64Var(&start, "start", 0, "of the process, in ms since 1970; without it whatever runs under that name")
@@ -179,13 +179,13 @@
 				return err
 			}
 			for _, f := range facts {
-				if f.Kind == record.Drain && f.Name == args[0] && !f.Deleted {
-					var d record.Drained
+				if f.Kind == record.KindDrain && f.Name == args[0] && !f.Deleted {
+					var d record.Drain
 					if err := json.Unmarshal(f.Value, &d); err != nil {
 						return err
 					}
-					d.Ended, d.Over = true, f.Revision
-					return change(ctx, c.OutOrStdout(), s, record.Drain, args[0], f.Revision, false, by, d)
+					d.Ended, d.Supersedes = true, f.Revision
+					return change(ctx, c.OutOrStdout(), s, record.KindDrain, args[0], f.Revision, false, by, d)
 				}
 			}
 			return fmt.Errorf("no drain of %s is recorded", args[0])
@@ -193,16 +193,16 @@
 	var expect int64
 	set := &cobra.Command{Use: "set service|route|tenant NAME FILE", Short: "Record a service or route (TOML, as in the operator's file) or a tenant (JSON with quota and weight)", Args: cobra.ExactArgs(3),
 		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, args []string) error {
-			text, err := tomlfile.Read(args[2], record.MostValue/2)
+			text, err := tomlfile.Read(args[2], record.MaxValueSize/2)
 			if err != nil {
 				return err
 			}
 			var value any = map[string]string{"toml": string(text)}
 			k := record.Kind(args[0])
 			switch k {
-			case record.Tenant:
+			case record.KindTenant:
 				value = json.RawMessage(text)
-			case record.Service, record.Route:
+			case record.KindService, record.KindRoute:
 			default:
 				return fmt.Errorf("%q is none of service, route, tenant", args[0])
 			}
@@ -213,7 +213,7 @@
 			return change(ctx, c.OutOrStdout(), s, record.Kind(args[0]), args[1], expect, true, by, nil)
 		})}
 	for _, x := range []*cobra.Command{set, remove} {
-		x.Flags().Int64Var(&expect, "expect", record.Any, "the revision that it has to have (0: none), so that nobody's change is written over")
+		x.Flags().Int64Var(&expect, "expect", record.AnyRevision, "the revision that it has to have (0: none), so that nobody's change is written over")
 	}
 	user := os.Getenv("USER")
 	for _, x := range []*cobra.Command{drain, undrain, set, remove} {
@@ -228,16 +228,16 @@
 }
 
 // all reads the whole record.
-func all(ctx context.Context, s store.Store) (facts []record.Fact, m record.Meta, err error) {
+func all(ctx context.Context, s store.Store) (facts []record.Entry, m record.Meta, err error) {
 	for after := int64(0); ; {
 		p, err := s.Since(ctx, after, 2000)
 		if err != nil {
 			return nil, m, err
 		}
-		if facts, m = append(facts, p.Facts...), p.Meta; len(p.Facts) < 2000 {
+		if facts, m = append(facts, p.Entries...), p.Meta; len(p.Entries) < 2000 {
 			return facts, m, nil
 		}
-		after = p.Facts[len(p.Facts)-1].Revision
+		after = p.Entries[len(p.Entries)-1].Revision
 	}
 }
 
@@ -246,15 +246,15 @@
 	if err != nil {
 		return err
 	}
-	c := record.Change{Key: record.Key{Kind: k, Name: name}, Expect: expect, Delete: remove, By: by, At: time.Now().UnixMilli(),
-		Mark: "hand." + strconv.FormatUint(rand.Uint64(), 36)}
+	c := record.Change{Key: record.Key{Kind: k, Name: name}, ExpectedRevision: expect, Delete: remove, Writer: by, WrittenAt: time.Now().UnixMilli(),
+		IdempotencyKey: "hand." + strconv.FormatUint(rand.Uint64(), 36)}
 	if !remove {
 		if c.Value, err = json.Marshal(value); err != nil {
 			return err
 		}
 	}
 	facts, _, err := s.Write(ctx, m.Epoch, []record.Change{c})
-	for tries := 0; errors.Is(err, store.ErrUnknown) && tries < 3; tries++ { // the mark tells whether it was done
+	for tries := 0; errors.Is(err, store.ErrOutcomeUnknown) && tries < 3; tries++ { // the mark tells whether it was done
 		facts, _, err = s.Write(ctx, m.Epoch, []record.Change{c})
 	}
 	if err != nil {
@@ -273,7 +273,7 @@
 
 const exportForm = "robincart record export 1"
 
-func writeExport(w io.Writer, m record.Meta, facts []record.Fact) error {
+func writeExport(w io.Writer, m record.Meta, facts []record.Entry) error {
 	var body bytes.Buffer
 	e := json.NewEncoder(&body)
 	for _, f := range facts {
@@ -289,7 +289,7 @@
 	return err
 }
 
-func readExport(path string) (facts []record.Fact, m record.Meta, err error) {
+func readExport(path string) (facts []record.Entry, m record.Meta, err error) {
 	text, err := tomlfile.Read(path, 1<<30)
 	if err != nil {
 		return nil, m, err
@@ -305,12 +305,12 @@
 	lines := bufio.NewScanner(bytes.NewReader(body))
 	lines.Buffer(nil, 1<<20)
 	for n := 2; lines.Scan(); n++ {
-		var f record.Fact
+		var f record.Entry
 		if err := json.Unmarshal(lines.Bytes(), &f); err != nil {
 			return nil, m, fmt.Errorf("%s, line %d: %w", path, n, err)
 		}
-		c := record.Change{Key: f.Key, Delete: f.Deleted, By: f.By, Mark: f.Mark, Value: f.Value}
-		if err := c.Valid(); err != nil {
+		c := record.Change{Key: f.Key, Delete: f.Deleted, Writer: f.Writer, IdempotencyKey: f.IdempotencyKey, Value: f.Value}
+		if err := c.Validate(); err != nil {
 			return nil, m, fmt.Errorf("%s, line %d: %w", path, n, err)
 		}
 		facts = append(facts, f)
@@ -323,7 +323,7 @@
 
 // repairPlan says what a node that starts with a snapshot would do with a store.
 func repairPlan(ctx context.Context, w io.Writer, s store.Store, path string) error {
-	snap, found, err := recordcache.PeekSnapshot(path)
+	snap, found, err := recordcache.LoadSnapshot(path)
 	switch {
 	case err != nil:
 		return err
@@ -339,21 +339,21 @@
 	v := record.NewView("plan", 1<<30, func() string { n++; return fmt.Sprint("plan", n) })
 	now := time.Now().UnixMilli()
 	v.Restore(snap, now)
-	v.Store(record.Page{Meta: m, Whole: true, Facts: facts}, now)
-	fmt.Fprintf(w, "the node finds: %v\n", v.Standing)
+	v.ApplyPage(record.Page{Meta: m, Complete: true, Entries: facts}, now)
+	fmt.Fprintf(w, "the node finds: %v\n", v.SyncState)
 	for _, c := range v.Pending(1 << 30) {
 		fmt.Fprintf(w, "would be written again: %s %s %s\n", c.Kind, c.Name, c.Value)
 	}
-	there := map[record.Key]record.Fact{}
+	there := map[record.Key]record.Entry{}
 	for _, f := range facts {
 		there[f.Key] = f
 	}
-	for _, f := range snap.Facts {
-		if t, ok := there[f.Key]; f.Kind != record.Drain && f.Kind != record.Server && (!ok || t.Revision < f.Revision) && string(t.Value) != string(f.Value) {
+	for _, f := range snap.Entries {
+		if t, ok := there[f.Key]; f.Kind != record.KindDrain && f.Kind != record.KindServer && (!ok || t.Revision < f.Revision) && string(t.Value) != string(f.Value) {
 			fmt.Fprintf(w, "the store has an older %s %s (revision %d, the node %d): look, and set it by hand\n", f.Kind, f.Name, t.Revision, f.Revision)
 		}
 	}
-	if v.Waiting() == 0 {
+	if v.PendingCount() == 0 {
 		fmt.Fprintln(w, "nothing would be written")
 	}
 	return nil
@@ -366,7 +366,7 @@
 	if address == "" || socket == "" {
 		return errors.New("ROBINCART_STORE and --socket name the store and the socket")
 	}
-	s, err := sqlstore.OpenThere(address)
+	s, err := sqlstore.OpenExisting(address)
 	if err != nil {
 		return err
 	}
--- a/cmd/robincart/record.go
+++ b/cmd/robincart/record.go
@@ -150,15 +150,15 @@
 }
 
 // keep begins to keep the record, and to show how it stands.
-func keep(c *nodeconfig.Config, ring *keys.Ring, log *zap.Logger) (*recordcache.Keeper, func(), error) {
+func keep(c *nodeconfig.Config, ring *keys.Ring, log *zap.Logger) (*recordcache.Cache, func(), error) {
 	r := c.Record
 	open := func() (store.Store, error) { return agent(r.Store, log) }
-	if addrs, is, _ := store.Controllers(r.Store); is { // no driver, no program beside this one
+	if addrs, is, _ := store.ParseControllers(r.Store); is { // no driver, no program beside this one
 		var secure func(string) *tls.Config
 		if ring != nil {
 			secure = ring.Client
 		}
-		open = func() (store.Store, error) { return store.Through(addrs, secure), nil }
+		open = func() (store.Store, error) { return store.DialControllers(addrs, secure), nil }
 	}
 	var status net.Listener
 	if r.Status != "" {
@@ -169,8 +169,8 @@
 	}
 	start, cancel := context.WithTimeout(context.Background(), 2*time.Duration(r.Timeout))
 	defer cancel()
-	k, err := recordcache.Open(start, recordcache.Config{Name: c.Name, Store: store.Redact(r.Store), Open: open, Snapshot: r.Snapshot, Required: r.Required, MostAge: time.Duration(*r.MostAge),
-		Queue: r.Queue, Timeout: time.Duration(r.Timeout), Poll: time.Duration(r.Poll)}, log)
+	k, err := recordcache.Open(start, recordcache.Config{Name: c.Name, Store: store.Redact(r.Store), Open: open, Snapshot: r.Snapshot, Required: r.Required, MaxStaleness: time.Duration(*r.MostAge),
+		MaxPending: r.Queue, CallTimeout: time.Duration(r.Timeout), PollInterval: time.Duration(r.Poll)}, log)
 	if err != nil {
 		if status != nil {
 			status.Close()
@@ -178,7 +178,7 @@
 		return nil, nil, err
 	}
 	if status != nil {
-		go k.Serve(status)
+		go k.ServeStatus(status)
 	}
 	return k, func() {
 		if status != nil {
@@ -189,13 +189,13 @@
 }
 
 // over puts what the record says over the file. What can't be compiled is logged, and what is in force stays.
-func over(file *nodeconfig.Config, k *recordcache.Keeper, now *nodeconfig.Config, log *zap.Logger) *nodeconfig.Config {
+func over(file *nodeconfig.Config, k *recordcache.Cache, now *nodeconfig.Config, log *zap.Logger) *nodeconfig.Config {
 	if k == nil {
 		return file
 	}
-	var facts []record.Fact
-	for _, kind := range []record.Kind{record.Service, record.Route, record.Tenant} {
-		facts = append(facts, k.Of(kind)...)
+	var facts []record.Entry
+	for _, kind := range []record.Kind{record.KindService, record.KindRoute, record.KindTenant} {
+		facts = append(facts, k.Entries(kind)...)
 	}
 	if len(facts) == 0 {
 		return file
--- a/cmd/robincart/services.go
+++ b/cmd/robincart/services.go
@@ -144,7 +144,7 @@
 			return err
 		}
 		defer end()
-		set.Keeper, facts = kept, kept.Facts()
+		set.Keeper, facts = kept, kept.Changes()
 		c = over(c, kept, c, log)
 	}
 	front.Swap(set.Apply(c))
--- a/cmd/robincart/services_test.go
+++ b/cmd/robincart/services_test.go
@@ -163,11 +163,11 @@
 	begin := func() (stop func()) {
 		ln, err := net.Listen("tcp", at)
 		require.NoError(t, err)
-		r := recordserver.New(up, recordserver.Defaults(), zap.NewNop())
+		r := recordserver.New(up, recordserver.DefaultConfig(), zap.NewNop())
 		ctx, end := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		all.Go(func() { r.Run(ctx) })
-		all.Go(func() { store.ServeWithin(ctx, ln, r, recordserver.Within(10)) })
+		all.Go(func() { store.ServeWithLimits(ctx, ln, r, recordserver.ClientLimits(10)) })
 		stop = sync.OnceFunc(func() { end(); all.Wait() })
 		t.Cleanup(stop)
 		return stop
@@ -180,7 +180,7 @@
 		m, err := up.Meta(t.Context())
 		require.NoError(t, err)
 		value, _ := json.Marshal(map[string]string{"toml": fmt.Sprintf("[[route]]\nname = %q\nhost = %q\nto = \"first\"\n", name, host)})
-		_, _, err = up.Write(t.Context(), m.Epoch, []record.Change{{Key: record.Key{Kind: record.Route, Name: name}, Expect: 0, By: "op", Mark: name, Value: value}})
+		_, _, err = up.Write(t.Context(), m.Epoch, []record.Change{{Key: record.Key{Kind: record.KindRoute, Name: name}, ExpectedRevision: 0, Writer: "op", IdempotencyKey: name, Value: value}})
 		require.NoError(t, err)
 	}
 	becomes := func(host string) {
@@ -191,8 +191,8 @@
 	set("b", "b.example.org")
 	becomes("b.example.org")
 	require.Eventually(t, func() bool {
-		s, found, err := recordcache.PeekSnapshot(filepath.Join(dir, "snap"))
-		return err == nil && found && slices.ContainsFunc(s.Facts, func(f record.Fact) bool { return f.Kind == record.Route })
+		s, found, err := recordcache.LoadSnapshot(filepath.Join(dir, "snap"))
+		return err == nil && found && slices.ContainsFunc(s.Entries, func(f record.Entry) bool { return f.Kind == record.KindRoute })
 	}, 20*time.Second, 5*time.Millisecond)
 	stop()
 	p.Kill()
--- a/internal/config/nodeconfig/golden_test.go
+++ b/internal/config/nodeconfig/golden_test.go
@@ -215,7 +215,7 @@
 			fact{tenant: &Tenant{Name: "acme", Quota: 200.5, Weight: 2.5}}},
 	} {
 		t.Run(test.golden, func(t *testing.T) {
-			got, err := read(record.Fact{Key: test.key, Value: json.RawMessage(testutil.Golden(t, test.golden))})
+			got, err := read(record.Entry{Key: test.key, Value: json.RawMessage(testutil.Golden(t, test.golden))})
 			require.NoError(t, err)
 			assert.Equal(t, test.want, got)
 		})
--- a/internal/config/nodeconfig/record.go
+++ b/internal/config/nodeconfig/record.go
@@ -28,7 +28,7 @@
 	case r.Store == "":
 		return nil
 	case strings.HasPrefix(r.Store, "controllers:"):
-		addrs, _, err := store.Controllers(r.Store)
+		addrs, _, err := store.ParseControllers(r.Store)
 		if err != nil {
 			return bad("store", err.Error())
 		}
@@ -71,9 +71,9 @@
 	tenant  *Tenant
 }
 
-func read(f record.Fact) (one fact, err error) {
+func read(f record.Entry) (one fact, err error) {
 	switch f.Kind {
-	case record.Service, record.Route:
+	case record.KindService, record.KindRoute:
 		var t text
 		var parts struct {
 			Service []Service `toml:"service"`
@@ -86,14 +86,14 @@
 			return one, err
 		}
 		switch {
-		case f.Kind == record.Service && len(parts.Service) == 1 && len(parts.Route) == 0 && parts.Service[0].Name == f.Name:
+		case f.Kind == record.KindService && len(parts.Service) == 1 && len(parts.Route) == 0 && parts.Service[0].Name == f.Name:
 			one.service = &parts.Service[0]
-		case f.Kind == record.Route && len(parts.Route) == 1 && len(parts.Service) == 0 && parts.Route[0].Name == f.Name:
+		case f.Kind == record.KindRoute && len(parts.Route) == 1 && len(parts.Service) == 0 && parts.Route[0].Name == f.Name:
 			one.route = &parts.Route[0]
 		default:
 			return one, fmt.Errorf("it has to be one [[%s]] of that name", f.Kind)
 		}
-	case record.Tenant:
+	case record.KindTenant:
 		_, name, _ := strings.Cut(f.Name, "/")
 		var q tenantQuota
 		if err := json.Unmarshal(f.Value, &q); err != nil || !(q.Quota >= 0) || !(q.Weight >= 0) {
@@ -106,18 +106,18 @@
 
 // Fact tells what is wrong with a service, a route or a tenant by itself. Whether it fits the others only a node can tell, which
 // has them all.
-func Fact(f record.Fact) error {
+func Fact(f record.Entry) error {
 	_, err := read(f)
 	return err
 }
 
 // With is a file with what the record says over it: services and routes by their names, and tenants' quotas. The error holds
 // every mistake, with the fact that it is in; then the file alone, or what was in force, is to go on.
-func (c *Config) With(facts []record.Fact) (*Config, error) {
+func (c *Config) With(facts []record.Entry) (*Config, error) {
 	out := &Config{File: c.File}
 	out.Service, out.Route = slices.Clone(c.File.Service), slices.Clone(c.File.Route)
 	var all []error
-	bad := func(f record.Fact, err error) {
+	bad := func(f record.Entry, err error) {
 		all = append(all, fmt.Errorf("%s %s, revision %d: %w", f.Kind, f.Name, f.Revision, err))
 	}
 	for _, f := range facts {
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -99,8 +99,8 @@
 	bad    map[string]string // objects that were skipped, and why
 	cut    map[string]*cut   // kinds that are not followed
 	gates  int
-	book   *book               // nil without a record
-	relay  *recordserver.Relay // nil where nodes are not told the record
+	book   *book                // nil without a record
+	relay  *recordserver.Server // nil where nodes are not told the record
 }
 
 // New prepares one.
@@ -244,12 +244,12 @@
 		})
 	}
 	if k.c.Store != nil && told != nil {
-		r := recordserver.New(k.c.Store, recordserver.Defaults(), k.log)
+		r := recordserver.New(k.c.Store, recordserver.DefaultConfig(), k.log)
 		k.mu.Lock()
 		k.relay = r
 		k.mu.Unlock()
 		all.Go(func() { r.Run(ctx) })
-		all.Go(func() { store.ServeWithin(ctx, told, r, recordserver.Within(k.c.Callers)) })
+		all.Go(func() { store.ServeWithLimits(ctx, told, r, recordserver.ClientLimits(k.c.Callers)) })
 	}
 	follow := func(group, resource, namespace string, example any, s sink) {
 		from(cache.NewListWatchFromClient(clients[group], resource, namespace, selection.Everything()), resource, example, s)
--- a/internal/controlplane/controller/golden_test.go
+++ b/internal/controlplane/controller/golden_test.go
@@ -216,19 +216,19 @@
 // fakeStore is a record that keeps what is written to it.
 type fakeStore struct {
 	store.Store
-	facts   []record.Fact
+	facts   []record.Entry
 	changes []record.Change
 }
 
 func (s *fakeStore) Since(context.Context, int64, int) (record.Page, error) {
-	return record.Page{Meta: record.Meta{Epoch: "5f2a9c", Revision: 7}, Whole: true, Facts: s.facts}, nil
+	return record.Page{Meta: record.Meta{Epoch: "5f2a9c", Revision: 7}, Complete: true, Entries: s.facts}, nil
 }
 
-func (s *fakeStore) Write(_ context.Context, _ string, changes []record.Change) ([]record.Fact, record.Meta, error) {
+func (s *fakeStore) Write(_ context.Context, _ string, changes []record.Change) ([]record.Entry, record.Meta, error) {
 	for _, change := range changes {
 		s.changes = append(s.changes, change)
-		s.facts = append(s.facts, record.Fact{
-			Key: change.Key, Revision: 7, By: change.By, Mark: change.Mark, Value: change.Value,
+		s.facts = append(s.facts, record.Entry{
+			Key: change.Key, Revision: 7, Writer: change.Writer, IdempotencyKey: change.IdempotencyKey, Value: change.Value,
 		})
 	}
 	return s.facts, record.Meta{}, nil
@@ -316,10 +316,10 @@
 	require.NoError(t, opened.fulfil(t.Context(), []desiredstate.Object{object}, wishes))
 	require.Len(t, kept.changes, 1)
 	change := kept.changes[0]
-	assert.GreaterOrEqual(t, change.At, begun, "milliseconds of Unix time")
-	change.At = 0
+	assert.GreaterOrEqual(t, change.WrittenAt, begun, "milliseconds of Unix time")
+	change.WrittenAt = 0
 	assert.Equal(t, record.Change{
-		Key: record.Key{Kind: "tenant", Name: "booking/acme"}, By: "controller", Mark: "controller-1.boot.1",
+		Key: record.Key{Kind: "tenant", Name: "booking/acme"}, Writer: "controller", IdempotencyKey: "controller-1.boot.1",
 		Value: json.RawMessage(`{"quota":200,"weight":2}`),
 	}, change)
 }
@@ -332,7 +332,7 @@
 			Skipped: map[string]string{"pod booking/odd": "it has no UID"},
 			Gates:   8, Record: "the store is away",
 			Relay: &recordserver.Status{
-				Epoch: "5f2a9c", Revision: 9, Facts: 10, Nodes: 11, HeardAgo: 12.5, Fault: "no answer", Waiting: 13,
+				Epoch: "5f2a9c", Revision: 9, Entries: 10, Nodes: 11, SecondsSinceContact: 12.5, Error: "no answer", Pending: 13,
 				Written: 14, Answered: 15, Merged: 16,
 			},
 			Services: map[string]fanout.Status{
--- a/internal/controlplane/controller/settingobjects.go
+++ b/internal/controlplane/controller/settingobjects.go
@@ -150,11 +150,11 @@
 	}
 	changes, told := desiredstate.Decide(objects, true, facts, meta.Epoch, mark)
 	for i := range changes {
-		changes[i].At = time.Now().UnixMilli()
+		changes[i].WrittenAt = time.Now().UnixMilli()
 		call, cancel := context.WithTimeout(ctx, wishCall)
 		_, _, bad := b.store.Write(call, meta.Epoch, changes[i:i+1])
 		cancel()
-		var lost *record.Conflict
+		var lost *record.ConflictError
 		if bad != nil && !errors.As(bad, &lost) {
 			err = errors.Join(err, fmt.Errorf("%s %s: %w", changes[i].Kind, changes[i].Name, bad))
 		}
@@ -209,7 +209,7 @@
 
 // listOf is the list that a service's wish is about, if this controller tells it.
 func (k *Controller) listOf(s desiredstate.Spec) *fanout.List {
-	i := slices.IndexFunc(k.c.Services, func(x Service) bool { return s.Kind == string(record.Service) && x.Name == s.Name })
+	i := slices.IndexFunc(k.c.Services, func(x Service) bool { return s.Kind == string(record.KindService) && x.Name == s.Name })
 	if i < 0 {
 		return nil
 	}
@@ -217,7 +217,7 @@
 }
 
 // read is the whole record, at one epoch.
-func (b *book) read(ctx context.Context) (facts []record.Fact, meta record.Meta, err error) {
+func (b *book) read(ctx context.Context) (facts []record.Entry, meta record.Meta, err error) {
 	call, cancel := context.WithTimeout(ctx, wishCall)
 	defer cancel()
 	const page = 2000
@@ -227,13 +227,13 @@
 			return nil, meta, err
 		}
 		if len(facts) > 0 && p.Meta.Epoch != meta.Epoch {
-			return nil, meta, record.ErrEpoch
+			return nil, meta, record.ErrEpochMismatch
 		}
-		meta, facts = p.Meta, append(facts, p.Facts...)
-		if len(p.Facts) < page {
+		meta, facts = p.Meta, append(facts, p.Entries...)
+		if len(p.Entries) < page {
 			return facts, meta, nil
 		}
-		if after = p.Facts[page-1].Revision; len(facts) > factsMost {
+		if after = p.Entries[page-1].Revision; len(facts) > factsMost {
 			return nil, meta, fmt.Errorf("the record has more than %d facts", factsMost)
 		}
 	}
--- a/internal/controlplane/controller/settingobjects_test.go
+++ b/internal/controlplane/controller/settingobjects_test.go
@@ -38,7 +38,7 @@
 	set("wrong", "service", "other", "[[service]]\nname = \"front\"\n")
 	api.Set("settings", apiserver.Object{"metadata": map[string]any{"name": "odd", "namespace": "default"}, "spec": "no object"})
 	list := free(t)
-	s, err := sqlstore.OpenThere(at)
+	s, err := sqlstore.OpenExisting(at)
 	require.NoError(t, err)
 	told := free(t)
 	k, err := New(Config{API: &rest.Config{Host: "http://" + api.Addr()}, Namespace: "default", Identity: "one", Lease: "l", Hold: 2 * time.Second, Store: s, Record: told, Callers: 10,
@@ -62,9 +62,9 @@
 		p, err := people.Since(t.Context(), 0, 100)
 		require.NoError(t, err)
 		out := map[string]string{}
-		for _, f := range p.Facts {
+		for _, f := range p.Entries {
 			if !f.Deleted {
-				out[string(f.Kind)+" "+f.Name] = f.By + " " + string(f.Value)
+				out[string(f.Kind)+" "+f.Name] = f.Writer + " " + string(f.Value)
 			}
 		}
 		return out
@@ -74,11 +74,11 @@
 	becomes("odd", "spec: ")
 	assert.Len(t, recorded(), 1)
 	assert.Contains(t, recorded()["service front"], "127.0.0.1:1")
-	through := store.Through([]string{told}, nil) // as a node is told it
+	through := store.DialControllers([]string{told}, nil) // as a node is told it
 	t.Cleanup(func() { through.Close() })
 	require.Eventually(t, func() bool {
 		p, err := through.Since(t.Context(), 0, 100)
-		return err == nil && len(p.Facts) == 1 && p.Facts[0].Name == "front"
+		return err == nil && len(p.Entries) == 1 && p.Entries[0].Name == "front"
 	}, 20*time.Second, 5*time.Millisecond)
 	assert.Equal(t, 1, k.Status().Relay.Nodes)
 	node, err := net.Dial("tcp", list)
@@ -91,7 +91,7 @@
 	// Changed, mended, in somebody's way, and gone.
 	meta, err := people.Meta(t.Context())
 	require.NoError(t, err)
-	_, _, err = people.Write(t.Context(), meta.Epoch, []record.Change{{Key: record.Key{Kind: record.Tenant, Name: "front/acme"}, By: "a person", Mark: "p", Value: []byte(`{"quota":5,"weight":1}`)}})
+	_, _, err = people.Write(t.Context(), meta.Epoch, []record.Change{{Key: record.Key{Kind: record.KindTenant, Name: "front/acme"}, Writer: "a person", IdempotencyKey: "p", Value: []byte(`{"quota":5,"weight":1}`)}})
 	require.NoError(t, err)
 	set("front", "service", "front", "[[service]]\nname = \"front\"\nservers = [\"127.0.0.1:2\"]\n")
 	set("wrong", "tenant", "front/acme", `{"quota":9,"weight":1}`)
--- a/internal/controlplane/desiredstate/desiredstate.go
+++ b/internal/controlplane/desiredstate/desiredstate.go
@@ -48,10 +48,10 @@
 
 // Decide tells what is to be written, and each object's status by its key. Marks come from the function, a new one each time.
 // A fact without an object is taken out only if the objects are whole: a list that is lacking is no word.
-func Decide(objects []Object, whole bool, facts []record.Fact, epoch string, mark func() string) ([]record.Change, map[string]Status) {
-	there := map[record.Key]record.Fact{}
+func Decide(objects []Object, whole bool, facts []record.Entry, epoch string, mark func() string) ([]record.Change, map[string]Status) {
+	there := map[record.Key]record.Entry{}
 	for _, f := range facts {
-		if !f.Deleted && (f.Kind == record.Service || f.Kind == record.Route || f.Kind == record.Tenant) {
+		if !f.Deleted && (f.Kind == record.KindService || f.Kind == record.KindRoute || f.Kind == record.KindTenant) {
 			there[f.Key] = f
 		}
 	}
@@ -71,23 +71,23 @@
 			s.Reason = err.Error()
 		case held:
 			s.Reason = fmt.Sprintf("%s %s is wished for by %s already", key.Kind, key.Name, holder)
-		case is && f.By != By && !same(f.Value, value):
+		case is && f.Writer != By && !same(f.Value, value):
 			holds[key] = o.Key
-			s.Reason = fmt.Sprintf("the record has another %s %s, by %s: take that out first", key.Kind, key.Name, f.By)
+			s.Reason = fmt.Sprintf("the record has another %s %s, by %s: take that out first", key.Kind, key.Name, f.Writer)
 		case is && same(f.Value, value):
 			holds[key] = o.Key
 			s.Accepted, s.Revision, s.Epoch = true, f.Revision, epoch
 		default:
 			holds[key] = o.Key
 			s.Reason = "being written to the record"
-			changes = append(changes, record.Change{Key: key, Expect: f.Revision, By: By, Mark: mark(), Value: value})
+			changes = append(changes, record.Change{Key: key, ExpectedRevision: f.Revision, Writer: By, IdempotencyKey: mark(), Value: value})
 		}
 		told[o.Key] = s
 	}
 	if whole {
 		for key, f := range there {
-			if _, held := holds[key]; !held && f.By == By {
-				changes = append(changes, record.Change{Key: key, Expect: f.Revision, Delete: true, By: By, Mark: mark()})
+			if _, held := holds[key]; !held && f.Writer == By {
+				changes = append(changes, record.Change{Key: key, ExpectedRevision: f.Revision, Delete: true, Writer: By, IdempotencyKey: mark()})
 			}
 		}
 	}
@@ -111,19 +111,19 @@
 	}
 	var value json.RawMessage
 	switch key.Kind {
-	case record.Service, record.Route:
+	case record.KindService, record.KindRoute:
 		var err error
 		if value, err = json.Marshal(map[string]string{"toml": o.Spec.Text}); err != nil {
 			return key, nil, err
 		}
-	case record.Tenant:
+	case record.KindTenant:
 		value = json.RawMessage(o.Spec.Text)
 	default:
 		return key, nil, fmt.Errorf("spec.kind is %q, not service, route or tenant", o.Spec.Kind)
 	}
-	c := record.Change{Key: key, Mark: "check", Value: value}
-	if err := c.Valid(); err != nil {
+	c := record.Change{Key: key, IdempotencyKey: "check", Value: value}
+	if err := c.Validate(); err != nil {
 		return key, nil, err
 	}
-	return key, value, nodeconfig.Fact(record.Fact{Key: key, Value: value})
+	return key, value, nodeconfig.Fact(record.Entry{Key: key, Value: value})
 }
--- a/internal/controlplane/desiredstate/desiredstate_test.go
+++ b/internal/controlplane/desiredstate/desiredstate_test.go
@@ -17,16 +17,16 @@
 	return Object{Key: key, UID: key, Generation: 3, Created: created, Spec: Spec{kind, name, text}}
 }
 
-func fact(kind record.Kind, name, by, value string) record.Fact {
-	return record.Fact{Key: record.Key{Kind: kind, Name: name}, Revision: 7, By: by, Value: json.RawMessage(value)}
+func fact(kind record.Kind, name, by, value string) record.Entry {
+	return record.Entry{Key: record.Key{Kind: kind, Name: name}, Revision: 7, Writer: by, Value: json.RawMessage(value)}
 }
 
 func mark() string { return "m" }
 
 func TestEachWishIsToldHowItStands(t *testing.T) {
 	text, _ := json.Marshal(map[string]string{"toml": service})
-	facts := []record.Fact{fact(record.Service, "s", By, string(text)), fact(record.Tenant, "s/mine", "a person", `{"quota":1,"weight":1}`),
-		fact(record.Route, "left", By, `{"toml":""}`), fact(record.Route, "theirs", "a person", `{"toml":""}`), fact(record.Drain, "s/x", By, `{}`)}
+	facts := []record.Entry{fact(record.KindService, "s", By, string(text)), fact(record.KindTenant, "s/mine", "a person", `{"quota":1,"weight":1}`),
+		fact(record.KindRoute, "left", By, `{"toml":""}`), fact(record.KindRoute, "theirs", "a person", `{"toml":""}`), fact(record.KindDrain, "s/x", By, `{}`)}
 	malformed := wish("d/malformed", 1, "route", "r", "")
 	malformed.Malformed = "no object"
 	objects := []Object{wish("d/late", 9, "service", "s", service), wish("d/first", 1, "service", "s", service), wish("d/theirs", 1, "tenant", "s/mine", `{"quota":2,"weight":1}`),
@@ -40,8 +40,8 @@
 		assert.Contains(t, told[key].Reason, why)
 	}
 	assert.Len(t, changes, 2)
-	assert.Equal(t, record.Change{Key: record.Key{Kind: record.Tenant, Name: "s/new"}, By: By, Mark: "m", Value: json.RawMessage(`{"quota": 2, "weight": 1}`)}, changes[0])
-	assert.Equal(t, record.Change{Key: record.Key{Kind: record.Route, Name: "left"}, Expect: 7, Delete: true, By: By, Mark: "m"}, changes[1])
+	assert.Equal(t, record.Change{Key: record.Key{Kind: record.KindTenant, Name: "s/new"}, Writer: By, IdempotencyKey: "m", Value: json.RawMessage(`{"quota": 2, "weight": 1}`)}, changes[0])
+	assert.Equal(t, record.Change{Key: record.Key{Kind: record.KindRoute, Name: "left"}, ExpectedRevision: 7, Delete: true, Writer: By, IdempotencyKey: "m"}, changes[1])
 	changes, _ = Decide(nil, false, facts, "e", mark)
 	assert.Empty(t, changes, "a list that is lacking is no word")
 }
@@ -50,9 +50,9 @@
 // the objects the same ones hold.
 func TestOneTurnIsEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		facts := map[record.Key]record.Fact{}
+		facts := map[record.Key]record.Entry{}
 		for i := range rapid.IntRange(0, 5).Draw(t, "facts") {
-			f := fact(record.Tenant, fmt.Sprint("s/", i), rapid.SampledFrom([]string{By, "a person"}).Draw(t, "by"), fmt.Sprintf(`{"quota":%d,"weight":1}`, rapid.IntRange(-1, 1).Draw(t, "was")))
+			f := fact(record.KindTenant, fmt.Sprint("s/", i), rapid.SampledFrom([]string{By, "a person"}).Draw(t, "by"), fmt.Sprintf(`{"quota":%d,"weight":1}`, rapid.IntRange(-1, 1).Draw(t, "was")))
 			facts[f.Key] = f
 		}
 		var objects []Object
@@ -60,7 +60,7 @@
 			objects = append(objects, wish(fmt.Sprint("d/", i), int64(rapid.IntRange(0, 2).Draw(t, "created")), "tenant", fmt.Sprint("s/", rapid.IntRange(0, 5).Draw(t, "name")),
 				fmt.Sprintf(`{"quota":%d,"weight":1}`, rapid.IntRange(-1, 1).Draw(t, "is"))))
 		}
-		list := func() (all []record.Fact) {
+		list := func() (all []record.Entry) {
 			for _, f := range facts {
 				all = append(all, f)
 			}
@@ -69,10 +69,10 @@
 		changes, _ := Decide(objects, true, list(), "e", mark)
 		for _, c := range changes {
 			now, is := facts[c.Key]
-			assert.Equal(t, now.Revision, c.Expect)
-			assert.False(t, is && now.By != By, "%+v", c)
+			assert.Equal(t, now.Revision, c.ExpectedRevision)
+			assert.False(t, is && now.Writer != By, "%+v", c)
 			if delete(facts, c.Key); !c.Delete {
-				facts[c.Key] = record.Fact{Key: c.Key, Revision: 8, By: c.By, Value: c.Value}
+				facts[c.Key] = record.Entry{Key: c.Key, Revision: 8, Writer: c.Writer, Value: c.Value}
 			}
 		}
 		again, told := Decide(objects, true, list(), "e", mark)
--- a/internal/controlplane/recordcache/fleet_test.go
+++ b/internal/controlplane/recordcache/fleet_test.go
@@ -47,7 +47,7 @@
 		var addrs []string
 		var all []*traffic.Listener
 		for range 3 {
-			up, err := sqlstore.OpenThere(of)
+			up, err := sqlstore.OpenExisting(of)
 			if err != nil {
 				panic(err)
 			}
@@ -55,9 +55,9 @@
 			if err != nil {
 				panic(err)
 			}
-			r, t := recordserver.New(up, recordserver.Defaults(), zap.NewNop()), traffic.Listen(ln)
+			r, t := recordserver.New(up, recordserver.DefaultConfig(), zap.NewNop()), traffic.Listen(ln)
 			go r.Run(context.Background())
-			go store.ServeWithin(context.Background(), t, r, recordserver.Within(5000))
+			go store.ServeWithLimits(context.Background(), t, r, recordserver.ClientLimits(5000))
 			addrs, all = append(addrs, ln.Addr().String()), append(all, t)
 		}
 		fmt.Println(strings.Join(addrs, ","))
@@ -172,7 +172,7 @@
 		open = func() (store.Store, error) { // a third begins at each
 			addrs := strings.Split(relays.Address, ",")
 			replica++
-			return store.Through(append(addrs[replica%3:], addrs[:replica%3]...), nil), nil
+			return store.DialControllers(append(addrs[replica%3:], addrs[:replica%3]...), nil), nil
 		}
 	}
 	const services, servers = 30, 15
@@ -203,18 +203,18 @@
 		}
 		return s
 	}
-	var ks []*Keeper
-	var sinks [][]*Sink
+	var ks []*Cache
+	var sinks [][]*Subscription
 	begun := time.Now()
 	for i := range n {
-		k, err := Open(b.Context(), Config{Name: fmt.Sprint("n", i), Store: "stand-in", Open: open, Queue: 10_000, Timeout: 2 * time.Second, Poll: time.Second,
-			MostAge: 10 * time.Minute}, zap.NewNop())
+		k, err := Open(b.Context(), Config{Name: fmt.Sprint("n", i), Store: "stand-in", Open: open, MaxPending: 10_000, CallTimeout: 2 * time.Second, PollInterval: time.Second,
+			MaxStaleness: 10 * time.Minute}, zap.NewNop())
 		require.NoError(b, err)
 		defer k.Close()
 		ks = append(ks, k)
-		var of []*Sink
+		var of []*Subscription
 		for s := range services {
-			x := k.Sink(fmt.Sprint("s", s), &core{})
+			x := k.Subscribe(fmt.Sprint("s", s), &core{})
 			x.UpdateEndpoints(list(i%3, decide.Ready, 0, servers), true)
 			of = append(of, x)
 		}
@@ -222,7 +222,7 @@
 	}
 	waiting := func() (w int) {
 		for _, k := range ks {
-			w += k.Status().Waiting
+			w += k.Status().Pending
 		}
 		return w
 	}
@@ -273,7 +273,7 @@
 	drain := func(pod string) {
 		m, err := db.Meta(b.Context())
 		require.NoError(b, err)
-		_, _, err = db.Write(b.Context(), m.Epoch, []record.Change{{Key: record.Key{Kind: record.Drain, Name: "s0/" + pod}, Expect: record.Any, By: "op", Mark: "m" + pod,
+		_, _, err = db.Write(b.Context(), m.Epoch, []record.Change{{Key: record.Key{Kind: record.KindDrain, Name: "s0/" + pod}, ExpectedRevision: record.AnyRevision, Writer: "op", IdempotencyKey: "m" + pod,
 			Value: []byte(`{"start_ms":0,"since_ms":1,"by":"op"}`)}})
 		require.NoError(b, err)
 	}
--- a/internal/controlplane/recordcache/golden_test.go
+++ b/internal/controlplane/recordcache/golden_test.go
@@ -25,23 +25,23 @@
 // goldenSnapshot has a fact of each kind, and all fields of a drain.
 func goldenSnapshot() record.Snapshot {
 	return record.Snapshot{
-		Meta:  record.Meta{Epoch: "epoch-1", Revision: 44},
-		At:    1765000000789,
-		Clock: 1765000000999,
-		Facts: []record.Fact{
-			{Key: record.Key{Kind: record.Drain, Name: "shop/a1"}, Revision: 1, By: "alice <eu>", Mark: "m1", At: 11,
+		Meta:        record.Meta{Epoch: "epoch-1", Revision: 44},
+		LastContact: 1765000000789,
+		LatestTime:  1765000000999,
+		Entries: []record.Entry{
+			{Key: record.Key{Kind: record.KindDrain, Name: "shop/a1"}, Revision: 1, Writer: "alice <eu>", IdempotencyKey: "m1", WrittenAt: 11,
 				Value: json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice"}`)},
-			{Key: record.Key{Kind: record.Service, Name: "shop"}, Revision: 2, By: "bob", Mark: "m2", At: 12,
+			{Key: record.Key{Kind: record.KindService, Name: "shop"}, Revision: 2, Writer: "bob", IdempotencyKey: "m2", WrittenAt: 12,
 				Value: json.RawMessage(`{"toml":"[[service]]\nname = \"shop\"\n"}`)},
-			{Key: record.Key{Kind: record.Tenant, Name: "shop/gold"}, Revision: 3, By: "carol", Mark: "m3", At: 13,
+			{Key: record.Key{Kind: record.KindTenant, Name: "shop/gold"}, Revision: 3, Writer: "carol", IdempotencyKey: "m3", WrittenAt: 13,
 				Value: json.RawMessage(`{"quota":100,"weight":2}`)},
-			{Key: record.Key{Kind: record.Route, Name: "front"}, Revision: 4, By: "dave", Mark: "m4", At: 14,
+			{Key: record.Key{Kind: record.KindRoute, Name: "front"}, Revision: 4, Writer: "dave", IdempotencyKey: "m4", WrittenAt: 14,
 				Value: json.RawMessage(`{"toml":"[[route]]"}`)},
-			{Key: record.Key{Kind: record.Server, Name: "shop/b2"}, Revision: 5, Deleted: true,
-				By: "node-1", Mark: "m5", At: 15},
+			{Key: record.Key{Kind: record.KindServer, Name: "shop/b2"}, Revision: 5, Deleted: true,
+				Writer: "node-1", IdempotencyKey: "m5", WrittenAt: 15},
 		},
-		Drains: map[string]record.Drained{
-			"shop/a1": {Start: 21, Since: 22, By: "erin", Until: 23, Ended: true, Over: 24},
+		Drains: map[string]record.Drain{
+			"shop/a1": {Start: 21, Since: 22, By: "erin", Until: 23, Ended: true, Supersedes: 24},
 			"shop/b2": {Since: 25, By: "frank"},
 		},
 	}
@@ -50,7 +50,7 @@
 func TestGolden_Snapshot(t *testing.T) {
 	for file, want := range map[string]record.Snapshot{
 		"snapshot.golden":       goldenSnapshot(),
-		"snapshot_empty.golden": {Facts: []record.Fact{}},
+		"snapshot_empty.golden": {Entries: []record.Entry{}},
 	} {
 		t.Run(file, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "snapshot")
@@ -71,50 +71,50 @@
 func TestGolden_StatusJSON(t *testing.T) {
 	t.Run("full", func(t *testing.T) {
 		golden.FullJSON(t, "status.json", Status{
-			Store:     "sqlite:/var/lib/record.db",
-			Standing:  "follows",
-			Fault:     "the store is away",
-			Epoch:     "epoch-1",
-			Revision:  41,
-			HeardAgo:  4.5,
-			Waiting:   42,
-			Dropped:   43,
-			Written:   44,
-			SavedAgo:  5.5,
-			Facts:     45,
-			Drained:   []Drain{{Server: "shop/a1", Why: "drained by alice"}},
-			Required:  true,
-			AgeLimit:  "1h0m0s",
-			QueueMost: 46,
+			Store:                "sqlite:/var/lib/record.db",
+			SyncState:            "follows",
+			Error:                "the store is away",
+			Epoch:                "epoch-1",
+			Revision:             41,
+			SecondsSinceContact:  4.5,
+			Pending:              42,
+			Dropped:              43,
+			Written:              44,
+			SecondsSinceSnapshot: 5.5,
+			Entries:              45,
+			Draining:             []DrainingServer{{Server: "shop/a1", Reason: "drained by alice"}},
+			Required:             true,
+			MaxStaleness:         "1h0m0s",
+			MaxPending:           46,
 		})
 	})
 	t.Run("zero", func(t *testing.T) { golden.JSON(t, "status_zero.json", Status{}) })
 }
 
 // goldenKeeper is one whose copy was heard, saved and written to at fixed times.
-func goldenKeeper() *Keeper {
+func goldenKeeper() *Cache {
 	now := time.UnixMilli(1765000010000)
 	view := record.NewView("node-1", 1, func() string { return "mark" })
-	view.Store(record.Page{
-		Meta:  record.Meta{Epoch: "epoch-1", Revision: 41},
-		Whole: true,
-		Facts: goldenSnapshot().Facts,
+	view.ApplyPage(record.Page{
+		Meta:     record.Meta{Epoch: "epoch-1", Revision: 41},
+		Complete: true,
+		Entries:  goldenSnapshot().Entries,
 	}, 1765000005500)
-	view.Discovered("shop", []record.Sighting{
-		{ID: "a1", Addr: "10.0.0.1:80", Phase: "ready", Start: 3, Listed: 9},
-		{ID: "c3", Addr: "10.0.0.3:80", Phase: "ready", Start: 3, Listed: 9},
-		{ID: "d4", Addr: "10.0.0.4:80", Phase: "ready", Start: 3, Listed: 9},
+	view.ApplyDiscovery("shop", []record.Observation{
+		{ID: "a1", Addr: "10.0.0.1:80", Phase: "ready", Start: 3, ListRevision: 9},
+		{ID: "c3", Addr: "10.0.0.3:80", Phase: "ready", Start: 3, ListRevision: 9},
+		{ID: "d4", Addr: "10.0.0.4:80", Phase: "ready", Start: 3, ListRevision: 9},
 	}, true, 1765000006000)
-	return &Keeper{
+	return &Cache{
 		c: Config{
-			Store:    "sqlite:/var/lib/record.db",
-			Required: true,
-			MostAge:  90 * time.Minute,
-			Queue:    500,
+			Store:        "sqlite:/var/lib/record.db",
+			Required:     true,
+			MaxStaleness: 90 * time.Minute,
+			MaxPending:   500,
 		},
 		now:   func() time.Time { return now },
 		view:  view,
-		sinks: map[string]*Sink{"shop": {service: "shop"}},
+		sinks: map[string]*Subscription{"shop": {service: "shop"}},
 		fault: "the store is away",
 		saved: now.Add(-2500 * time.Millisecond),
 		wrote: 7,
@@ -122,7 +122,7 @@
 }
 
 // askPage makes one request to the status page.
-func askPage(t *testing.T, keeper *Keeper, path string) (*http.Response, []byte) {
+func askPage(t *testing.T, keeper *Cache, path string) (*http.Response, []byte) {
 	t.Helper()
 	ours, theirs := net.Pipe()
 	defer ours.Close()
@@ -143,21 +143,21 @@
 func TestGolden_StatusPage(t *testing.T) {
 	keeper := goldenKeeper()
 	assert.Equal(t, Status{
-		Store:     "sqlite:/var/lib/record.db",
-		Standing:  "follows",
-		Fault:     "the store is away",
-		Epoch:     "epoch-1",
-		Revision:  41,
-		HeardAgo:  4.5,
-		Waiting:   1,
-		Dropped:   2,
-		Written:   7,
-		SavedAgo:  2.5,
-		Facts:     4,
-		Drained:   []Drain{{Server: "shop/a1", Why: "drained by alice"}},
-		Required:  true,
-		AgeLimit:  "1h30m0s",
-		QueueMost: 500,
+		Store:                "sqlite:/var/lib/record.db",
+		SyncState:            "follows",
+		Error:                "the store is away",
+		Epoch:                "epoch-1",
+		Revision:             41,
+		SecondsSinceContact:  4.5,
+		Pending:              1,
+		Dropped:              2,
+		Written:              7,
+		SecondsSinceSnapshot: 2.5,
+		Entries:              4,
+		Draining:             []DrainingServer{{Server: "shop/a1", Reason: "drained by alice"}},
+		Required:             true,
+		MaxStaleness:         "1h30m0s",
+		MaxPending:           500,
 	}, keeper.Status())
 	response, body := askPage(t, keeper, "/record")
 	assert.Equal(t, http.StatusOK, response.StatusCode)
@@ -169,7 +169,7 @@
 
 // A node that has reached no store yet, saved nothing and holds nothing.
 func TestGolden_StatusPageAtTheStart(t *testing.T) {
-	keeper := &Keeper{
+	keeper := &Cache{
 		now:  time.Now,
 		view: record.NewView("node-1", 1, func() string { return "mark" }),
 	}
--- a/internal/controlplane/recordcache/recordcache.go
+++ b/internal/controlplane/recordcache/recordcache.go
@@ -26,19 +26,19 @@
 
 // Config is what an operator says of the record.
 type Config struct {
-	Name     string
-	Store    string // its address, for people
-	Open     func() (store.Store, error)
-	Snapshot string        // file; empty: none
-	Required bool          // no start without the store
-	MostAge  time.Duration // that servers known from an old copy alone may be sent to
-	Queue    int           // changes that may wait, drains not counted
-	Timeout  time.Duration // of one call to the store
-	Poll     time.Duration // between looks where nothing is told
+	Name         string
+	Store        string // its address, for people
+	Open         func() (store.Store, error)
+	Snapshot     string        // file; empty: none
+	Required     bool          // no start without the store
+	MaxStaleness time.Duration // that servers known from an old copy alone may be sent to
+	MaxPending   int           // changes that may wait, drains not counted
+	CallTimeout  time.Duration // of one call to the store
+	PollInterval time.Duration // between looks where nothing is told
 }
 
-// Keeper is one node's.
-type Keeper struct {
+// Cache is one node's.
+type Cache struct {
 	c      Config
 	log    *zap.Logger
 	now    func() time.Time
@@ -53,7 +53,7 @@
 
 	mu     sync.Mutex
 	view   *record.View
-	sinks  map[string]*Sink
+	sinks  map[string]*Subscription
 	fault  string // of the store, as last told; empty: none
 	faults int
 	saved  time.Time
@@ -77,8 +77,8 @@
 	mostBytes = 64 << 20
 )
 
-// ErrCrowd is a record that is too large for a node.
-var ErrCrowd = fmt.Errorf("the record has more than %d facts or %d MB: a node takes no more", mostFacts, mostBytes>>20)
+// ErrRecordTooLarge is a record that is too large for a node.
+var ErrRecordTooLarge = fmt.Errorf("the record has more than %d facts or %d MB: a node takes no more", mostFacts, mostBytes>>20)
 
 // batch is how many changes are written in one transaction, at most.
 const batch = 200
@@ -87,27 +87,27 @@
 const batchFirst = 8
 
 // Open reads the snapshot and, where the store is required, the store. The error is what an operator has to mend.
-func Open(ctx context.Context, c Config, log *zap.Logger) (*Keeper, error) {
-	k := &Keeper{c: c, log: log, now: time.Now, notice: make(chan struct{}, 1), dirty: make(chan struct{}, 1), facts: make(chan struct{}, 1),
-		sinks: map[string]*Sink{}, fits: batchFirst}
+func Open(ctx context.Context, c Config, log *zap.Logger) (*Cache, error) {
+	k := &Cache{c: c, log: log, now: time.Now, notice: make(chan struct{}, 1), dirty: make(chan struct{}, 1), facts: make(chan struct{}, 1),
+		sinks: map[string]*Subscription{}, fits: batchFirst}
 	boot := strconv.FormatUint(rand.Uint64(), 36)
-	k.view = record.NewView(c.Name, c.Queue, func() string {
+	k.view = record.NewView(c.Name, c.MaxPending, func() string {
 		k.mark++
 		return c.Name + "." + boot + "." + strconv.FormatUint(k.mark, 36)
 	})
-	k.view.MostAge = c.MostAge.Milliseconds()
+	k.view.MaxStaleness = c.MaxStaleness.Milliseconds()
 	if c.Snapshot != "" {
 		s, found, err := awaitSnapshot(c.Snapshot)
 		switch {
-		case err != nil && !errors.Is(err, ErrTorn):
+		case err != nil && !errors.Is(err, ErrCorruptSnapshot):
 			// Begun without it, the next snapshot would be written over what nobody else may know.
 			return nil, fmt.Errorf("the snapshot can't be read; mend its folder, or move it away to begin without: %w", err)
 		case err != nil:
 			log.Error("the snapshot can't be used", zap.Error(err))
 		case found:
 			k.view.Restore(s, k.millis())
-			log.Info("started from a snapshot", zap.Int("facts", len(s.Facts)), zap.Int64("revision", s.Meta.Revision),
-				zap.Duration("age", time.Duration(k.millis()-s.At)*time.Millisecond))
+			log.Info("started from a snapshot", zap.Int("facts", len(s.Entries)), zap.Int64("revision", s.Meta.Revision),
+				zap.Duration("age", time.Duration(k.millis()-s.LastContact)*time.Millisecond))
 		}
 	}
 	var err error
@@ -131,39 +131,39 @@
 	return k, nil
 }
 
-func (k *Keeper) millis() int64 { return k.now().UnixMilli() }
+func (k *Cache) millis() int64 { return k.now().UnixMilli() }
 
-// Facts tells, by a signal, that services, routes or tenants have changed.
-func (k *Keeper) Facts() <-chan struct{} { return k.facts }
+// Changes tells, by a signal, that services, routes or tenants have changed.
+func (k *Cache) Changes() <-chan struct{} { return k.facts }
 
-// Of are the facts of a kind in force.
-func (k *Keeper) Of(kind record.Kind) []record.Fact {
+// Entries are the facts of a kind in force.
+func (k *Cache) Entries(kind record.Kind) []record.Entry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.view.Facts(kind)
+	return k.view.Entries(kind)
 }
 
 // Close writes what waits, if the store takes it at once, and a last snapshot.
-func (k *Keeper) Close() {
+func (k *Cache) Close() {
 	k.end()
 	k.all.Wait()
 	k.store.Close()
 }
 
 // run follows the store and writes to it, in turn.
-func (k *Keeper) run(ctx context.Context) {
+func (k *Cache) run(ctx context.Context) {
 	var waiter sync.WaitGroup
 	defer waiter.Wait()
 	told := make(chan error, 1)
 	waiter.Go(func() { // the store's word that something was written, beside the writing
 		for ctx.Err() == nil {
-			err := k.store.Wait(ctx, k.c.Poll)
+			err := k.store.Wait(ctx, k.c.PollInterval)
 			select {
 			case told <- err:
 			default:
 			}
 			if err != nil {
-				sleep(ctx, k.c.Poll)
+				sleep(ctx, k.c.PollInterval)
 			}
 		}
 	})
@@ -234,17 +234,17 @@
 }
 
 // stands tells it.
-func (k *Keeper) stands() {
+func (k *Cache) stands() {
 	if c, is := k.store.(copied); is {
 		k.mu.Lock()
-		m := k.view.Stands()
+		m := k.view.Position()
 		k.mu.Unlock()
 		c.At(m)
 	}
 }
 
 // said is when the store said what has just been read.
-func (k *Keeper) said() int64 {
+func (k *Cache) said() int64 {
 	if c, is := k.store.(copied); is {
 		return k.millis() - c.Age().Milliseconds()
 	}
@@ -252,8 +252,8 @@
 }
 
 // follow reads what the store has that this copy has not.
-func (k *Keeper) follow(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, k.c.Timeout)
+func (k *Cache) follow(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, k.c.CallTimeout)
 	defer cancel()
 	m, err := k.store.Meta(ctx)
 	if err != nil {
@@ -263,59 +263,59 @@
 		k.back = true
 	}
 	k.mu.Lock()
-	after, whole := k.view.Wants(m)
+	after, whole := k.view.NextRead(m)
 	if k.back {
 		after, whole = 0, true
 	}
-	same := !whole && after == m.Revision && k.view.Standing == record.Follows
+	same := !whole && after == m.Revision && k.view.SyncState == record.Following
 	if same {
-		k.view.At = k.said()
+		k.view.LastContact = k.said()
 	}
 	k.mu.Unlock()
 	if same {
 		return nil
 	}
-	p := record.Page{Whole: whole}
+	p := record.Page{Complete: whole}
 	bytes := 0
 	for from := after; ; {
 		next, err := k.store.Since(ctx, from, page)
 		if err != nil {
 			return err
 		}
-		if len(p.Facts) > 0 && next.Meta.Epoch != p.Meta.Epoch {
-			return record.ErrEpoch // restored while it was read: from the start, next time
+		if len(p.Entries) > 0 && next.Meta.Epoch != p.Meta.Epoch {
+			return record.ErrEpochMismatch // restored while it was read: from the start, next time
 		}
 		p.Meta = next.Meta
-		p.Facts = append(p.Facts, next.Facts...)
-		for _, f := range next.Facts {
+		p.Entries = append(p.Entries, next.Entries...)
+		for _, f := range next.Entries {
 			bytes += len(f.Name) + len(f.Value)
 		}
-		if len(p.Facts) > mostFacts || bytes > mostBytes {
-			return ErrCrowd
+		if len(p.Entries) > mostFacts || bytes > mostBytes {
+			return ErrRecordTooLarge
 		}
-		if len(next.Facts) < page {
+		if len(next.Entries) < page {
 			break
 		}
-		from = next.Facts[page-1].Revision
+		from = next.Entries[page-1].Revision
 	}
 	k.mu.Lock()
-	if k.view.Size(p) > mostFacts {
+	if k.view.SizeWith(p) > mostFacts {
 		k.mu.Unlock()
-		return ErrCrowd
+		return ErrRecordTooLarge
 	}
-	was := k.view.Standing
-	k.view.Store(p, k.millis())
-	k.view.At = k.said()
-	is := k.view.Standing
+	was := k.view.SyncState
+	k.view.ApplyPage(p, k.millis())
+	k.view.LastContact = k.said()
+	is := k.view.SyncState
 	news := false
-	for _, f := range p.Facts {
-		news = news || f.Kind == record.Service || f.Kind == record.Route || f.Kind == record.Tenant
+	for _, f := range p.Entries {
+		news = news || f.Kind == record.KindService || f.Kind == record.KindRoute || f.Kind == record.KindTenant
 	}
-	waits := k.view.Waiting()
+	waits := k.view.PendingCount()
 	k.mu.Unlock()
 	k.back = false
 	k.stands()
-	if is != was && is != record.Follows {
+	if is != was && is != record.Following {
 		k.log.Warn("the store stands elsewhere than this copy", zap.Stringer("standing", is), zap.String("epoch", p.Meta.Epoch),
 			zap.Int64("revision", p.Meta.Revision), zap.Int("to be written again", waits))
 	}
@@ -328,23 +328,23 @@
 }
 
 // write writes what waits, drains first. A change that something newer has overtaken is given up: the store is right.
-func (k *Keeper) write(ctx context.Context) error {
+func (k *Cache) write(ctx context.Context) error {
 	for {
 		k.mu.Lock()
 		changes, epoch := k.view.Pending(k.fits), k.view.Meta.Epoch
 		k.mu.Unlock()
 		for i := range changes { // drains do not wait for what comes with them
-			if changes[0].Kind == record.Drain && changes[i].Kind != record.Drain {
+			if changes[0].Kind == record.KindDrain && changes[i].Kind != record.KindDrain {
 				changes = changes[:i]
 				break
 			}
 		}
 		if len(changes) == 0 {
 			k.mu.Lock()
-			m, back := k.view.Meta, k.view.Standing == record.Back
+			m, back := k.view.Meta, k.view.SyncState == record.RolledBack
 			k.mu.Unlock()
 			if back { // what was lacking is there again: from here on the store is followed
-				call, cancel := context.WithTimeout(ctx, k.c.Timeout)
+				call, cancel := context.WithTimeout(ctx, k.c.CallTimeout)
 				defer cancel()
 				now, err := k.store.Meta(call)
 				if err != nil {
@@ -352,7 +352,7 @@
 				}
 				if now.Epoch == m.Epoch {
 					k.mu.Lock()
-					k.view.Settled(now)
+					k.view.MarkSynced(now)
 					k.mu.Unlock()
 					k.stands()
 				}
@@ -362,7 +362,7 @@
 		if epoch == "" {
 			return nil // nothing was read yet
 		}
-		call, cancel := context.WithTimeout(ctx, k.c.Timeout)
+		call, cancel := context.WithTimeout(ctx, k.c.CallTimeout)
 		facts, _, err := k.store.Write(call, epoch, changes)
 		switch {
 		case err == nil:
@@ -370,18 +370,18 @@
 		case call.Err() != nil && ctx.Err() == nil: // too much for one call, so far from the store
 			k.fits = max(1, len(changes)/2)
 		}
-		var stale *record.Stale
-		var lost *record.Conflict
+		var stale *record.StaleError
+		var lost *record.ConflictError
 		if errors.As(err, &stale) || errors.As(err, &lost) { // one by one, so that it costs no other
 			facts, err = nil, nil
 			for i, c := range changes {
-				var f []record.Fact
+				var f []record.Entry
 				f, _, err = k.store.Write(call, epoch, changes[i:i+1])
 				switch {
 				case errors.As(err, &stale):
-					f, err = []record.Fact{stale.Now}, nil
+					f, err = []record.Entry{stale.Current}, nil
 				case errors.As(err, &lost):
-					f, err = []record.Fact{lost.Now}, nil
+					f, err = []record.Entry{lost.Current}, nil
 				}
 				if err != nil {
 					changes = changes[:i]
@@ -394,7 +394,7 @@
 		cancel()
 		k.mu.Lock()
 		for i, f := range facts {
-			k.view.Written(changes[i], f)
+			k.view.MarkWritten(changes[i], f)
 			k.wrote++
 		}
 		k.mu.Unlock()
@@ -407,19 +407,19 @@
 }
 
 // failed notes that the store can't be used; the log tells of changes, not of each try.
-func (k *Keeper) failed(err error) {
+func (k *Cache) failed(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.faults++
-	k.view.Lost()
+	k.view.MarkDisconnected()
 	if k.fault == "" {
 		k.log.Error("the store of record can't be used; the node goes on by its own copy", zap.Error(err), zap.String("store", k.c.Store),
-			zap.Int("waiting", k.view.Waiting()))
+			zap.Int("waiting", k.view.PendingCount()))
 	}
 	k.fault = err.Error()
 }
 
-func (k *Keeper) well() {
+func (k *Cache) well() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.fault != "" {
@@ -429,7 +429,7 @@
 }
 
 // save keeps the snapshot as new as the copy, some times a second at most.
-func (k *Keeper) save(ctx context.Context) {
+func (k *Cache) save(ctx context.Context) {
 	failing, took := false, time.Duration(0)
 	for more := true; more; {
 		select {
@@ -437,7 +437,7 @@
 			more = false
 		case <-k.dirty:
 			k.mu.Lock()
-			alone := k.view.Unrecorded()
+			alone := k.view.UnrecordedDrains()
 			k.mu.Unlock()
 			// A twentieth of one core at most, but for what nobody else knows.
 			if pause := 100 * time.Millisecond; alone > 0 {
@@ -465,29 +465,29 @@
 	}
 }
 
-// Drain is an operator's word to this node: in force at once, recorded then.
-func (k *Keeper) Drain(name string, d record.Drained) {
+// AddDrain is an operator's word to this node: in force at once, recorded then.
+func (k *Cache) AddDrain(name string, d record.Drain) {
 	k.mu.Lock()
-	k.view.Drain(name, d, k.millis())
+	k.view.AddDrain(name, d, k.millis())
 	k.mu.Unlock()
 	ring(k.notice)
 	ring(k.dirty)
 	k.pass("")
 }
 
-// Sink stands between one service's discovery and its core.
-type Sink struct {
-	k       *Keeper
+// Subscription stands between one service's discovery and its core.
+type Subscription struct {
+	k       *Cache
 	service string
 	core    endpoints.Core
 	order   sync.Mutex // lists reach the core in the order in which they were merged
 	last    string
 }
 
-// Sink begins to stand there. What the record knows of the service's servers goes to the core at once, so that a node serves
+// Subscribe begins to stand there. What the record knows of the service's servers goes to the core at once, so that a node serves
 // before its discovery answers.
-func (k *Keeper) Sink(service string, core endpoints.Core) *Sink {
-	s := &Sink{k: k, service: service, core: core}
+func (k *Cache) Subscribe(service string, core endpoints.Core) *Subscription {
+	s := &Subscription{k: k, service: service, core: core}
 	k.mu.Lock()
 	k.sinks[service] = s
 	k.mu.Unlock()
@@ -495,8 +495,8 @@
 	return s
 }
 
-// Drop ends it, when its service leaves.
-func (k *Keeper) Drop(s *Sink) {
+// Unsubscribe ends it, when its service leaves.
+func (k *Cache) Unsubscribe(s *Subscription) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.sinks[s.service] == s {
@@ -507,10 +507,10 @@
 var phases = map[decide.State]string{decide.Ready: "ready", decide.Draining: "draining", decide.Gone: "gone"}
 
 // UpdateEndpoints takes a list of discovery's. It goes on to the core merged, and to the record when that has time.
-func (s *Sink) UpdateEndpoints(entries []node.Endpoint, full bool) {
-	list := make([]record.Sighting, 0, len(entries))
+func (s *Subscription) UpdateEndpoints(entries []node.Endpoint, full bool) {
+	list := make([]record.Observation, 0, len(entries))
 	for _, e := range entries {
-		x := record.Sighting{ID: e.ID, Addr: e.Addr, Phase: phases[e.State], Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Listed: e.Revision}
+		x := record.Observation{ID: e.ID, Addr: e.Addr, Phase: phases[e.State], Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, ListRevision: e.Revision}
 		if !e.StartedAt.IsZero() {
 			x.Start = e.StartedAt.UnixMilli()
 		}
@@ -518,7 +518,7 @@
 	}
 	k := s.k
 	k.mu.Lock()
-	k.view.Discovered(s.service, list, full, k.millis())
+	k.view.ApplyDiscovery(s.service, list, full, k.millis())
 	k.mu.Unlock()
 	s.pass()
 	ring(k.notice)
@@ -526,12 +526,12 @@
 }
 
 // EndpointWatchFailed passes it on.
-func (s *Sink) EndpointWatchFailed(f node.WatchFailure) { s.core.EndpointWatchFailed(f) }
+func (s *Subscription) EndpointWatchFailed(f node.WatchFailure) { s.core.EndpointWatchFailed(f) }
 
 // pass gives cores their lists anew, if they have changed.
-func (k *Keeper) pass(service string) {
+func (k *Cache) pass(service string) {
 	k.mu.Lock()
-	var to []*Sink
+	var to []*Subscription
 	for name, s := range k.sinks {
 		if service == "" || name == service {
 			to = append(to, s)
@@ -543,7 +543,7 @@
 	}
 }
 
-func (s *Sink) pass() {
+func (s *Subscription) pass() {
 	s.order.Lock()
 	defer s.order.Unlock()
 	k := s.k
@@ -552,7 +552,7 @@
 	k.mu.Unlock()
 	entries := make([]node.Endpoint, 0, len(list))
 	for _, l := range list {
-		e := node.Endpoint{ID: l.ID, Addr: l.Addr, Zone: l.Zone, Cell: l.Cell, Weight: max(l.Weight, 0.01), State: decide.Ready, Revision: l.Listed}
+		e := node.Endpoint{ID: l.ID, Addr: l.Addr, Zone: l.Zone, Cell: l.Cell, Weight: max(l.Weight, 0.01), State: decide.Ready, Revision: l.ListRevision}
 		if l.Phase != "ready" {
 			e.State = decide.Draining
 		}
@@ -571,59 +571,59 @@
 
 // Status is what the status page shows.
 type Status struct {
-	Store     string  `json:"store"`
-	Standing  string  `json:"standing"`
-	Fault     string  `json:"fault,omitempty"`
-	Epoch     string  `json:"epoch"`
-	Revision  int64   `json:"revision"`
-	HeardAgo  float64 `json:"heard_seconds_ago"`
-	Waiting   int     `json:"waiting"`
-	Dropped   int     `json:"dropped"`
-	Written   int     `json:"written"`
-	SavedAgo  float64 `json:"snapshot_seconds_ago"`
-	Facts     int     `json:"facts"`
-	Drained   []Drain `json:"drained"`
-	Required  bool    `json:"required"`
-	AgeLimit  string  `json:"most_age"`
-	QueueMost int     `json:"queue"`
+	Store                string           `json:"store"`
+	SyncState            string           `json:"standing"`
+	Error                string           `json:"fault,omitempty"`
+	Epoch                string           `json:"epoch"`
+	Revision             int64            `json:"revision"`
+	SecondsSinceContact  float64          `json:"heard_seconds_ago"`
+	Pending              int              `json:"waiting"`
+	Dropped              int              `json:"dropped"`
+	Written              int              `json:"written"`
+	SecondsSinceSnapshot float64          `json:"snapshot_seconds_ago"`
+	Entries              int              `json:"facts"`
+	Draining             []DrainingServer `json:"drained"`
+	Required             bool             `json:"required"`
+	MaxStaleness         string           `json:"most_age"`
+	MaxPending           int              `json:"queue"`
 }
 
-// Drain is one drained server.
-type Drain struct {
+// DrainingServer is one drained server.
+type DrainingServer struct {
 	Server string `json:"server"`
-	Why    string `json:"why"`
+	Reason string `json:"why"`
 }
 
 // Status tells how the record stands.
-func (k *Keeper) Status() Status {
+func (k *Cache) Status() Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
 	v := k.view
-	s := Status{Store: k.c.Store, Standing: v.Standing.String(), Fault: k.fault, Epoch: v.Meta.Epoch, Revision: v.Meta.Revision,
-		HeardAgo: now.Sub(time.UnixMilli(v.At)).Seconds(), Waiting: v.Waiting(), Dropped: v.Dropped, Written: k.wrote, SavedAgo: -1, Drained: []Drain{},
-		Required: k.c.Required, AgeLimit: k.c.MostAge.String(), QueueMost: k.c.Queue}
-	if v.At == 0 {
-		s.HeardAgo = -1
+	s := Status{Store: k.c.Store, SyncState: v.SyncState.String(), Error: k.fault, Epoch: v.Meta.Epoch, Revision: v.Meta.Revision,
+		SecondsSinceContact: now.Sub(time.UnixMilli(v.LastContact)).Seconds(), Pending: v.PendingCount(), Dropped: v.Dropped, Written: k.wrote, SecondsSinceSnapshot: -1, Draining: []DrainingServer{},
+		Required: k.c.Required, MaxStaleness: k.c.MaxStaleness.String(), MaxPending: k.c.MaxPending}
+	if v.LastContact == 0 {
+		s.SecondsSinceContact = -1
 	}
 	if !k.saved.IsZero() {
-		s.SavedAgo = now.Sub(k.saved).Seconds()
+		s.SecondsSinceSnapshot = now.Sub(k.saved).Seconds()
 	}
 	for _, kind := range record.Kinds {
-		s.Facts += len(v.Facts(kind))
+		s.Entries += len(v.Entries(kind))
 	}
 	for name := range k.sinks {
 		for _, l := range v.Servers(name, k.millis()) {
-			if l.Why != "" {
-				s.Drained = append(s.Drained, Drain{name + "/" + l.ID, l.Why})
+			if l.Reason != "" {
+				s.Draining = append(s.Draining, DrainingServer{name + "/" + l.ID, l.Reason})
 			}
 		}
 	}
 	return s
 }
 
-// Serve shows the status on a listener until that is closed. net/http would cost the node a megabyte for it.
-func (k *Keeper) Serve(ln net.Listener) {
+// ServeStatus shows the status on a listener until that is closed. net/http would cost the node a megabyte for it.
+func (k *Cache) ServeStatus(ln net.Listener) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	places := make(chan struct{}, 8)
@@ -645,7 +645,7 @@
 	}
 }
 
-func (k *Keeper) show(c net.Conn) {
+func (k *Cache) show(c net.Conn) {
 	c.SetDeadline(time.Now().Add(2 * time.Second))
 	q, err := httpwire.NewReader(c, httpwire.Sizes{Buffer: 1024, Read: 256, Head: 4096, Body: 0, Chunk: 64}).ReadRequest()
 	a := httpwire.Answer{Status: 404, Close: true}
--- a/internal/controlplane/recordcache/recordcache_test.go
+++ b/internal/controlplane/recordcache/recordcache_test.go
@@ -29,11 +29,11 @@
 // Each cut of a snapshot's writing, and each altered byte: what is read is the old one, the new one, or nothing.
 func TestASnapshotIsReadWholeOrSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "snap")
-	fact := func(name string) record.Fact {
-		return record.Fact{Key: record.Key{Kind: record.Route, Name: name}, Revision: 7, Value: json.RawMessage(`{"a":"b"}`)}
+	fact := func(name string) record.Entry {
+		return record.Entry{Key: record.Key{Kind: record.KindRoute, Name: name}, Revision: 7, Value: json.RawMessage(`{"a":"b"}`)}
 	}
-	old := record.Snapshot{Meta: record.Meta{Epoch: "e", Revision: 1}, Facts: []record.Fact{fact("a"), fact("b")},
-		Drains: map[string]record.Drained{"s/a": {Since: 1, By: "x"}}}
+	old := record.Snapshot{Meta: record.Meta{Epoch: "e", Revision: 1}, Entries: []record.Entry{fact("a"), fact("b")},
+		Drains: map[string]record.Drain{"s/a": {Since: 1, By: "x"}}}
 	fresh := old
 	fresh.Meta.Revision = 2
 	text, err := encode(fresh)
@@ -49,7 +49,7 @@
 	for cut := range len(text) { // a disk that lost what it had said was there
 		require.NoError(t, os.WriteFile(path, text[:cut], 0o600))
 		s, found, err := ReadSnapshot(path)
-		assert.ErrorIs(t, err, ErrTorn)
+		assert.ErrorIs(t, err, ErrCorruptSnapshot)
 		assert.False(t, found)
 		assert.Zero(t, s)
 		assert.NoFileExists(t, path, "set aside")
@@ -118,8 +118,8 @@
 	defer db.Close()
 	_, err = db.Init(t.Context(), false)
 	require.NoError(t, err)
-	return &rig{t: t, s: s, c: Config{Name: "n1", Store: s.Address(), Open: func() (store.Store, error) { return remote(t, s.Address()), nil }, Snapshot: filepath.Join(t.TempDir(), "snap"), Queue: 100, Timeout: 300 * time.Millisecond,
-		Poll: 50 * time.Millisecond, MostAge: time.Hour}}
+	return &rig{t: t, s: s, c: Config{Name: "n1", Store: s.Address(), Open: func() (store.Store, error) { return remote(t, s.Address()), nil }, Snapshot: filepath.Join(t.TempDir(), "snap"), MaxPending: 100, CallTimeout: 300 * time.Millisecond,
+		PollInterval: 50 * time.Millisecond, MaxStaleness: time.Hour}}
 }
 
 // remote is a store as nodes have it: in another process, here behind a socket of this one.
@@ -142,7 +142,7 @@
 	return store.Remote(filepath.Join(dir, "s"))
 }
 
-func (r *rig) open() *Keeper {
+func (r *rig) open() *Cache {
 	k, err := Open(r.t.Context(), r.c, zap.NewNop())
 	require.NoError(r.t, err)
 	return k
@@ -158,8 +158,8 @@
 	if err != nil {
 		return false
 	}
-	for _, f := range p.Facts {
-		if f.Kind == record.Drain && f.Name == name && !f.Deleted {
+	for _, f := range p.Entries {
+		if f.Kind == record.KindDrain && f.Name == name && !f.Deleted {
 			return true
 		}
 	}
@@ -181,7 +181,7 @@
 	k := r.open()
 	defer k.Close()
 	c := &core{}
-	sink := k.Sink("s", c)
+	sink := k.Subscribe("s", c)
 	ids := []string{"a", "b", "d", "e", "f"}
 	sink.UpdateEndpoints(list(decide.Ready, ids...), true)
 	r.s.Stall(true)
@@ -190,10 +190,10 @@
 		state, _ := c.is(id)
 		assert.Equal(t, decide.Draining, state, "in force when the word returns")
 	}
-	require.Eventually(t, func() bool { return k.Status().Fault != "" }, 20*time.Second, time.Millisecond)
-	assert.GreaterOrEqual(t, k.Status().Waiting, len(ids))
+	require.Eventually(t, func() bool { return k.Status().Error != "" }, 20*time.Second, time.Millisecond)
+	assert.GreaterOrEqual(t, k.Status().Pending, len(ids))
 	r.s.Stall(false)
-	require.Eventually(t, func() bool { s := k.Status(); return s.Waiting == 0 && s.Fault == "" && s.Standing == "follows" }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { s := k.Status(); return s.Pending == 0 && s.Error == "" && s.SyncState == "follows" }, 20*time.Second, time.Millisecond)
 	for _, id := range ids {
 		assert.True(t, r.recorded("s/"+id))
 	}
@@ -204,15 +204,15 @@
 	r := newRig(t)
 	k := r.open()
 	c := &core{}
-	sink := k.Sink("s", c)
+	sink := k.Subscribe("s", c)
 	sink.UpdateEndpoints(list(decide.Ready, "a", "b"), true)
-	require.Eventually(t, func() bool { return k.Status().Waiting == 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return k.Status().Pending == 0 }, 20*time.Second, time.Millisecond)
 	r.s.Refuse(true)
 	r.s.Cut()
-	k.Drain("s/a", record.Drained{Start: 1000, Since: 1, By: "op"})
+	k.AddDrain("s/a", record.Drain{Start: 1000, Since: 1, By: "op"})
 	c.becomes(t, "a", decide.Draining)
 	require.Eventually(t, func() bool {
-		s, found, err := PeekSnapshot(r.c.Snapshot)
+		s, found, err := LoadSnapshot(r.c.Snapshot)
 		return err == nil && found && len(s.Drains) == 1
 	}, 20*time.Second, time.Millisecond)
 	saved, err := os.ReadFile(r.c.Snapshot)
@@ -222,7 +222,7 @@
 
 	k = r.open() // the store is still away, and discovery has not spoken
 	c = &core{}
-	sink = k.Sink("s", c)
+	sink = k.Subscribe("s", c)
 	c.becomes(t, "a", decide.Draining)
 	c.becomes(t, "b", decide.Ready)
 	sink.UpdateEndpoints(list(decide.Ready, "a", "b"), true) // an old list
@@ -235,58 +235,58 @@
 	k = r.open() // nothing but the store
 	defer k.Close()
 	c = &core{}
-	k.Sink("s", c)
+	k.Subscribe("s", c)
 	c.becomes(t, "a", decide.Draining)
 }
 
 // Another's drain arrives without asking, its end too; a store that went back to a backup gets what it lost again.
 func TestTheStoresWordArrivesAndABackupLosesNoDrain(t *testing.T) {
 	r := newRig(t)
-	k, other := r.open(), (*Keeper)(nil)
+	k, other := r.open(), (*Cache)(nil)
 	defer k.Close()
 	r.c.Name, r.c.Snapshot = "n2", ""
 	other = r.open()
 	defer other.Close()
 	c, d := &core{}, &core{}
-	k.Sink("s", c).UpdateEndpoints(list(decide.Ready, "a", "b"), true)
-	other.Sink("s", d).UpdateEndpoints(list(decide.Ready, "a", "b"), true)
+	k.Subscribe("s", c).UpdateEndpoints(list(decide.Ready, "a", "b"), true)
+	other.Subscribe("s", d).UpdateEndpoints(list(decide.Ready, "a", "b"), true)
 	backup := filepath.Join(t.TempDir(), "backup")
 	require.NoError(t, r.s.Backup(backup))
-	k.Drain("s/a", record.Drained{Since: 1, By: "op"})
+	k.AddDrain("s/a", record.Drain{Since: 1, By: "op"})
 	d.becomes(t, "a", decide.Draining)
 	require.Eventually(t, func() bool { return r.recorded("s/a") }, 20*time.Second, time.Millisecond)
 	require.NoError(t, r.s.Restore(backup))
 	require.Eventually(t, func() bool { return r.recorded("s/a") }, 20*time.Second, time.Millisecond, "written again")
 	c.becomes(t, "a", decide.Draining)
 	d.becomes(t, "a", decide.Draining)
-	require.Eventually(t, func() bool { return k.Status().Standing == "follows" }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return k.Status().SyncState == "follows" }, 20*time.Second, time.Millisecond)
 }
 
 func TestARequiredStoreThatIsNotThereEndsTheStartAndAnotherDoesNot(t *testing.T) {
-	c := Config{Name: "n", Store: "sqlite:" + filepath.Join(t.TempDir(), "none"), Queue: 9, Timeout: time.Second, Poll: 50 * time.Millisecond, Required: true}
+	c := Config{Name: "n", Store: "sqlite:" + filepath.Join(t.TempDir(), "none"), MaxPending: 9, CallTimeout: time.Second, PollInterval: 50 * time.Millisecond, Required: true}
 	c.Open = func() (store.Store, error) { return sqlstore.Open(c.Store) }
 	_, err := Open(t.Context(), c, zap.NewNop())
-	assert.ErrorIs(t, err, store.ErrNone)
+	assert.ErrorIs(t, err, store.ErrNoRecord)
 	c.Required = false
 	k, err := Open(t.Context(), c, zap.NewNop())
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var served sync.WaitGroup
-	served.Go(func() { k.Serve(ln) })
+	served.Go(func() { k.ServeStatus(ln) })
 	resp, err := http.Get("http://" + ln.Addr().String() + "/record")
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	var s Status
 	require.NoError(t, json.NewDecoder(resp.Body).Decode(&s))
-	assert.Contains(t, s.Fault, "record init")
-	assert.Equal(t, "never reached", s.Standing)
+	assert.Contains(t, s.Error, "record init")
+	assert.Equal(t, "never reached", s.SyncState)
 	db, err := sqlstore.Open(c.Store)
 	require.NoError(t, err)
 	_, err = db.Init(t.Context(), false) // mended while the node runs
 	require.NoError(t, err)
 	require.NoError(t, db.Close())
-	require.Eventually(t, func() bool { return k.Status().Standing == "follows" }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return k.Status().SyncState == "follows" }, 20*time.Second, time.Millisecond)
 	ln.Close()
 	served.Wait()
 	k.Close()
@@ -301,9 +301,9 @@
 			ctx := context.Background()
 			_, err = db.Init(ctx, false)
 			require.NoError(b, err)
-			var facts []record.Fact
+			var facts []record.Entry
 			for i := range n {
-				facts = append(facts, record.Fact{Key: record.Key{Kind: record.Server, Name: fmt.Sprintf("s/server-%d", i)}, Mark: fmt.Sprint(i),
+				facts = append(facts, record.Entry{Key: record.Key{Kind: record.KindServer, Name: fmt.Sprintf("s/server-%d", i)}, IdempotencyKey: fmt.Sprint(i),
 					Value: []byte(fmt.Sprintf(`{"addr":"10.0.0.1:%d","phase":"ready","start_ms":1000,"listed":1}`, i%60000))})
 			}
 			_, err = db.Replace(ctx, facts)
@@ -311,7 +311,7 @@
 			db.Close()
 			for _, from := range []string{"store", "snapshot"} {
 				b.Run(from, func(b *testing.B) {
-					c := Config{Name: "n", Store: "sqlite:" + filepath.Join(dir, "r"), Queue: 9, Timeout: 60 * time.Second, Poll: time.Second, MostAge: time.Hour}
+					c := Config{Name: "n", Store: "sqlite:" + filepath.Join(dir, "r"), MaxPending: 9, CallTimeout: 60 * time.Second, PollInterval: time.Second, MaxStaleness: time.Hour}
 					c.Open = func() (store.Store, error) { return sqlstore.Open(c.Store) }
 					if from == "snapshot" {
 						c.Snapshot = filepath.Join(dir, "snap")
@@ -325,7 +325,7 @@
 						k, err := Open(ctx, c, zap.NewNop())
 						require.NoError(b, err)
 						x := &core{}
-						k.Sink("s", x)
+						k.Subscribe("s", x)
 						require.Len(b, x.state, n)
 						b.StopTimer()
 						k.c.Snapshot = ""
@@ -346,7 +346,7 @@
 	sent [][]record.Change
 }
 
-func (s *far) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Fact, record.Meta, error) {
+func (s *far) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error) {
 	s.mu.Lock()
 	s.sent = append(s.sent, changes)
 	s.mu.Unlock()
@@ -359,8 +359,8 @@
 
 func TestAFarStoreGetsFewerChangesAtOnceAndDrainsFirst(t *testing.T) {
 	r := newRig(t)
-	r.c.Timeout = time.Second
-	r.c.Poll = 20 * time.Millisecond
+	r.c.CallTimeout = time.Second
+	r.c.PollInterval = 20 * time.Millisecond
 	s := &far{fits: 12}
 	open := r.c.Open
 	r.c.Open = func() (store.Store, error) {
@@ -371,21 +371,21 @@
 	k := r.open()
 	defer k.Close()
 	c := &core{}
-	sink := k.Sink("s", c)
+	sink := k.Subscribe("s", c)
 	var ids []string
 	for i := range 40 {
 		ids = append(ids, fmt.Sprint("a", i))
 	}
 	sink.UpdateEndpoints(list(decide.Ready, ids...), true)
-	k.Drain("s/a7", record.Drained{Since: 1, By: "operator"})
+	k.AddDrain("s/a7", record.Drain{Since: 1, By: "operator"})
 	require.Eventually(t, func() bool { return r.recorded("s/a7") }, 20*time.Second, 5*time.Millisecond)
-	require.Eventually(t, func() bool { return k.Status().Waiting == 0 }, 20*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return k.Status().Pending == 0 }, 20*time.Second, 5*time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	drains := 0
 	for _, changes := range s.sent {
 		for _, x := range changes {
-			if x.Kind == record.Drain {
+			if x.Kind == record.KindDrain {
 				drains++
 				assert.Len(t, changes, 1, "a drain waits for nothing else")
 			}
@@ -408,7 +408,7 @@
 	p := record.Page{Meta: record.Meta{Epoch: "e", Revision: after + int64(most)}}
 	for i := range most {
 		n := after + int64(i) + 1
-		p.Facts = append(p.Facts, record.Fact{Key: record.Key{Kind: record.Server, Name: fmt.Sprint("s/", n)}, Revision: n, Value: json.RawMessage(s.value)})
+		p.Entries = append(p.Entries, record.Entry{Key: record.Key{Kind: record.KindServer, Name: fmt.Sprint("s/", n)}, Revision: n, Value: json.RawMessage(s.value)})
 	}
 	return p, nil
 }
@@ -423,16 +423,16 @@
 func TestARecordWithoutEndIsRefusedAndTheCopyStays(t *testing.T) {
 	for name, value := range map[string]string{"facts": `{}`, "bytes": `"` + strings.Repeat("x", 60_000) + `"`} {
 		t.Run(name, func(t *testing.T) {
-			c := Config{Name: "n", Open: func() (store.Store, error) { return &endless{value: value}, nil }, Required: true, Timeout: time.Minute, Poll: time.Second, Queue: 10}
+			c := Config{Name: "n", Open: func() (store.Store, error) { return &endless{value: value}, nil }, Required: true, CallTimeout: time.Minute, PollInterval: time.Second, MaxPending: 10}
 			_, err := Open(t.Context(), c, zap.NewNop())
-			assert.ErrorIs(t, err, ErrCrowd)
+			assert.ErrorIs(t, err, ErrRecordTooLarge)
 			c.Required = false
 			k, err := Open(t.Context(), c, zap.NewNop())
 			require.NoError(t, err)
 			defer k.Close()
 			s := k.Status()
-			assert.Zero(t, s.Facts)
-			assert.Contains(t, s.Fault, "more than 100000 facts or 64 MB")
+			assert.Zero(t, s.Entries)
+			assert.Contains(t, s.Error, "more than 100000 facts or 64 MB")
 		})
 	}
 }
@@ -445,12 +445,12 @@
 	r.s.Refuse(true)
 	k := r.open()
 	defer k.Close()
-	k.Sink("s", &core{}).UpdateEndpoints(list(decide.Ready, "a"), true)
-	k.Drain("s/a", record.Drained{Start: 1000, Since: 1, By: "op"})
+	k.Subscribe("s", &core{}).UpdateEndpoints(list(decide.Ready, "a"), true)
+	k.AddDrain("s/a", record.Drain{Start: 1000, Since: 1, By: "op"})
 	time.Sleep(500 * time.Millisecond) // some tries have failed by now
 	require.NoError(t, os.Mkdir(folder, 0o700))
 	require.Eventually(t, func() bool {
-		s, found, err := PeekSnapshot(r.c.Snapshot)
+		s, found, err := LoadSnapshot(r.c.Snapshot)
 		return err == nil && found && len(s.Drains) == 1
 	}, 20*time.Second, time.Millisecond)
 }
@@ -461,13 +461,13 @@
 	require.NoError(t, os.Symlink(t.TempDir(), r.c.Snapshot)) // it opens, and reading fails; the next snapshot takes its name in one step
 	_, found, err := ReadSnapshot(r.c.Snapshot)
 	assert.Error(t, err)
-	assert.NotErrorIs(t, err, ErrTorn)
+	assert.NotErrorIs(t, err, ErrCorruptSnapshot)
 	assert.False(t, found)
 	_, err = os.Lstat(r.c.Snapshot)
 	assert.NoError(t, err, "not set aside")
 	assert.NoFileExists(t, r.c.Snapshot+".aside")
 	mended := time.AfterFunc(300*time.Millisecond, func() {
-		assert.NoError(t, WriteSnapshot(r.c.Snapshot, record.Snapshot{Drains: map[string]record.Drained{"s/a": {Since: 1, By: "x"}}}))
+		assert.NoError(t, WriteSnapshot(r.c.Snapshot, record.Snapshot{Drains: map[string]record.Drain{"s/a": {Since: 1, By: "x"}}}))
 	})
 	defer mended.Stop()
 	s, found, err := awaitSnapshot(r.c.Snapshot)
--- a/internal/controlplane/recordcache/snapshot.go
+++ b/internal/controlplane/recordcache/snapshot.go
@@ -17,8 +17,8 @@
 
 const mostSnapshot = 256 << 20
 
-// ErrTorn is a snapshot that was not written to its end, or altered since.
-var ErrTorn = errors.New("the snapshot is torn or altered")
+// ErrCorruptSnapshot is a snapshot that was not written to its end, or altered since.
+var ErrCorruptSnapshot = errors.New("the snapshot is torn or altered")
 
 // burst is how many facts are encoded in one go, and breath the pause after them. On one core a request would else wait for
 // thousands of them.
@@ -29,8 +29,8 @@
 
 // encode writes a snapshot's text: what json.Marshal makes of it, but for the order of the keys.
 func encode(s record.Snapshot) ([]byte, error) {
-	facts := s.Facts
-	s.Facts = nil
+	facts := s.Entries
+	s.Entries = nil
 	body, err := json.Marshal(struct {
 		record.Snapshot
 		Facts *int `json:"facts,omitempty"` // they follow
@@ -62,16 +62,16 @@
 	var n int
 	var sum []byte
 	if !ok {
-		return s, fmt.Errorf("%w: no first line", ErrTorn)
+		return s, fmt.Errorf("%w: no first line", ErrCorruptSnapshot)
 	}
 	if k, err := fmt.Sscanf(string(head)+"\n", form, &n, &sum); err != nil || k != 2 {
-		return s, fmt.Errorf("%w: its first line is %.60q", ErrTorn, head)
+		return s, fmt.Errorf("%w: its first line is %.60q", ErrCorruptSnapshot, head)
 	}
 	if is := sha256.Sum256(body); n != len(body) || !bytes.Equal(is[:], sum) {
-		return s, fmt.Errorf("%w: %d bytes of %d, or another checksum", ErrTorn, len(body), n)
+		return s, fmt.Errorf("%w: %d bytes of %d, or another checksum", ErrCorruptSnapshot, len(body), n)
 	}
 	if err := json.Unmarshal(body, &s); err != nil {
-		return s, fmt.Errorf("%w: %w", ErrTorn, err)
+		return s, fmt.Errorf("%w: %w", ErrCorruptSnapshot, err)
 	}
 	return s, nil
 }
@@ -86,13 +86,13 @@
 	return statefile.Write(path, text)
 }
 
-// PeekSnapshot reads a file and leaves it where it is.
-func PeekSnapshot(path string) (s record.Snapshot, found bool, err error) {
+// LoadSnapshot reads a file and leaves it where it is.
+func LoadSnapshot(path string) (s record.Snapshot, found bool, err error) {
 	text, found, err := statefile.Read(path, mostSnapshot)
 	var large *statefile.TooLargeError
 	switch {
 	case errors.As(err, &large):
-		return s, false, fmt.Errorf("%w: %w", ErrTorn, err)
+		return s, false, fmt.Errorf("%w: %w", ErrCorruptSnapshot, err)
 	case err != nil || !found:
 		return s, false, err
 	}
@@ -103,8 +103,8 @@
 // ReadSnapshot reads a file; there being none is no error. One that was not written to its end, ErrTorn, is set aside under another name,
 // which the error tells, and never half used. Any other error says that it can't be read for now, and it stays where it is.
 func ReadSnapshot(path string) (s record.Snapshot, found bool, err error) {
-	s, found, err = PeekSnapshot(path)
-	if !errors.Is(err, ErrTorn) {
+	s, found, err = LoadSnapshot(path)
+	if !errors.Is(err, ErrCorruptSnapshot) {
 		return s, found, err
 	}
 	aside := path + ".aside"
@@ -124,7 +124,7 @@
 func awaitSnapshot(path string) (s record.Snapshot, found bool, err error) {
 	for end := time.Now().Add(readFor); ; time.Sleep(readPause) {
 		s, found, err = ReadSnapshot(path)
-		if err == nil || errors.Is(err, ErrTorn) || time.Now().After(end) {
+		if err == nil || errors.Is(err, ErrCorruptSnapshot) || time.Now().After(end) {
 			return s, found, err
 		}
 	}
--- a/internal/controlplane/recordserver/golden_test.go
+++ b/internal/controlplane/recordserver/golden_test.go
@@ -15,16 +15,16 @@
 func TestGolden_Status(t *testing.T) {
 	t.Run("full", func(t *testing.T) {
 		golden.FullJSON(t, "status.json", Status{
-			Epoch:    "epoch-1",
-			Revision: 41,
-			Facts:    42,
-			Nodes:    43,
-			HeardAgo: 4.5,
-			Fault:    "the store is away",
-			Waiting:  44,
-			Written:  45,
-			Answered: 46,
-			Merged:   47,
+			Epoch:               "epoch-1",
+			Revision:            41,
+			Entries:             42,
+			Nodes:               43,
+			SecondsSinceContact: 4.5,
+			Error:               "the store is away",
+			Pending:             44,
+			Written:             45,
+			Answered:            46,
+			Merged:              47,
 		})
 	})
 	t.Run("zero", func(t *testing.T) { golden.JSON(t, "status_zero.json", Status{}) })
@@ -32,5 +32,5 @@
 
 // Nodes of other versions make these calls.
 func TestGolden_CallsOfNodes(t *testing.T) {
-	assert.Equal(t, []string{"follow", "since", "write"}, Within(1).Calls)
+	assert.Equal(t, []string{"follow", "since", "write"}, ClientLimits(1).AllowedCalls)
 }
--- a/internal/controlplane/recordserver/recordserver.go
+++ b/internal/controlplane/recordserver/recordserver.go
@@ -19,27 +19,27 @@
 
 // Config bounds one.
 type Config struct {
-	Poll    time.Duration // between looks at the store where nothing is told
-	Timeout time.Duration // of one call to the store
-	Gather  time.Duration // between two readings, so that a burst of changes is some words to each node
-	Every   time.Duration // between signs of life
-	Check   time.Duration // for the store's word about one who stands further than the copy
-	Page    int           // facts read, and changes written, in one go
-	Batch   int
+	PollInterval      time.Duration // between looks at the store where nothing is told
+	CallTimeout       time.Duration // of one call to the store
+	BatchDelay        time.Duration // between two readings, so that a burst of changes is some words to each node
+	HeartbeatInterval time.Duration // between signs of life
+	FreshnessTimeout  time.Duration // for the store's word about one who stands further than the copy
+	PageSize          int           // facts read, and changes written, in one go
+	MaxBatch          int
 }
 
-// Defaults keep what is written in force everywhere within some seconds, whichever replica ends.
-func Defaults() Config {
-	return Config{Poll: time.Second, Timeout: 2 * time.Second, Gather: 200 * time.Millisecond, Every: 2 * time.Second, Check: time.Second, Page: 2000, Batch: 200}
+// DefaultConfig keep what is written in force everywhere within some seconds, whichever replica ends.
+func DefaultConfig() Config {
+	return Config{PollInterval: time.Second, CallTimeout: 2 * time.Second, BatchDelay: 200 * time.Millisecond, HeartbeatInterval: 2 * time.Second, FreshnessTimeout: time.Second, PageSize: 2000, MaxBatch: 200}
 }
 
-// Within are the bounds of nodes that call.
-func Within(callers int) store.Bounds {
-	return store.Bounds{Callers: callers, Call: 1 << 20, Head: 5 * time.Second, Write: 2 * time.Second, Calls: []string{"follow", "since", "write"}}
+// ClientLimits are the bounds of nodes that call.
+func ClientLimits(callers int) store.ServerLimits {
+	return store.ServerLimits{MaxClients: callers, MaxCallBytes: 1 << 20, CallTimeout: 5 * time.Second, WriteTimeout: 2 * time.Second, AllowedCalls: []string{"follow", "since", "write"}}
 }
 
-// Relay is one replica's. It is a store.Follower.
-type Relay struct {
+// Server is one replica's. It is a store.Follower.
+type Server struct {
 	c    Config
 	up   store.Store
 	log  *zap.Logger
@@ -61,8 +61,8 @@
 }
 
 // New makes one of a store, which it does not close. Run starts it.
-func New(up store.Store, c Config, log *zap.Logger) *Relay {
-	return &Relay{c: c, up: up, log: log, look: make(chan struct{}, 1), put: make(chan struct{}, 1), news: make(chan struct{}), back: make(chan struct{}),
+func New(up store.Store, c Config, log *zap.Logger) *Server {
+	return &Server{c: c, up: up, log: log, look: make(chan struct{}, 1), put: make(chan struct{}, 1), news: make(chan struct{}), back: make(chan struct{}),
 		round: make(chan struct{})}
 }
 
@@ -83,19 +83,19 @@
 }
 
 // Run follows the store and writes to it until the context ends.
-func (r *Relay) Run(ctx context.Context) {
+func (r *Server) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	all.Go(func() {
 		for ctx.Err() == nil {
-			if err := r.up.Wait(ctx, r.c.Poll); err != nil {
-				sleep(ctx, r.c.Poll)
+			if err := r.up.Wait(ctx, r.c.PollInterval); err != nil {
+				sleep(ctx, r.c.PollInterval)
 			}
 			ring(r.look)
 		}
 	})
 	ring(r.look)
-	last, most := r.c.Gather, r.c.Batch
+	last, most := r.c.BatchDelay, r.c.MaxBatch
 	for {
 		select {
 		case <-ctx.Done():
@@ -111,7 +111,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		pause := r.c.Gather
+		pause := r.c.BatchDelay
 		if err != nil { // a store that comes back must not meet all replicas at once
 			r.refuse(err)
 			pause = min(2*last, 2*time.Second)
@@ -122,7 +122,7 @@
 }
 
 // turn is one reading, whose end is told.
-func (r *Relay) turn(ctx context.Context) error {
+func (r *Server) turn(ctx context.Context) error {
 	r.mu.Lock()
 	r.rounds++
 	r.mu.Unlock()
@@ -134,55 +134,55 @@
 }
 
 // refuse tells those who wait that the store can't be used: they try again in their own time.
-func (r *Relay) refuse(err error) {
+func (r *Server) refuse(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for batch := r.queue.Next(replica.MostWaiting); len(batch) > 0; batch = r.queue.Next(replica.MostWaiting) {
+	for batch := r.queue.Next(replica.MaxPendingWrites); len(batch) > 0; batch = r.queue.Next(replica.MaxPendingWrites) {
 		for _, j := range batch {
 			j.Err = err
 			close(j.Done)
 		}
-		r.queue.Ended(batch)
+		r.queue.Complete(batch)
 	}
 }
 
 // read is one reading of what the store has and the copy has not.
-func (r *Relay) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, r.c.Timeout)
+func (r *Server) read(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, r.c.CallTimeout)
 	defer cancel()
 	m, err := r.up.Meta(ctx)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	after, whole, any := r.copy.Wants(m)
+	after, whole, any := r.copy.NextRead(m)
 	r.mu.Unlock()
 	if !any {
 		return nil
 	}
-	p := record.Page{Whole: whole}
+	p := record.Page{Complete: whole}
 	for {
-		next, err := r.up.Since(ctx, after, r.c.Page)
+		next, err := r.up.Since(ctx, after, r.c.PageSize)
 		if err != nil {
 			return err
 		}
-		if len(p.Facts) > 0 && next.Meta.Epoch != p.Meta.Epoch {
-			return record.ErrEpoch // restored while it was read: from the start, next time
+		if len(p.Entries) > 0 && next.Meta.Epoch != p.Meta.Epoch {
+			return record.ErrEpochMismatch // restored while it was read: from the start, next time
 		}
-		if p.Meta, p.Facts = next.Meta, append(p.Facts, next.Facts...); len(p.Facts) > replica.MostFacts {
+		if p.Meta, p.Entries = next.Meta, append(p.Entries, next.Entries...); len(p.Entries) > replica.MaxEntries {
 			return replica.ErrTooLarge
 		}
-		if len(next.Facts) < r.c.Page {
+		if len(next.Entries) < r.c.PageSize {
 			break
 		}
-		after = next.Facts[len(next.Facts)-1].Revision
+		after = next.Entries[len(next.Entries)-1].Revision
 	}
 	if !whole && (p.Meta.Epoch != m.Epoch || p.Meta.Revision < m.Revision) { // what came is no continuation of the copy
-		return record.ErrEpoch
+		return record.ErrEpochMismatch
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	back, err := r.copy.Take(p)
+	back, err := r.copy.Apply(p)
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 }
 
 // ended notes how a reading went; the log tells of changes.
-func (r *Relay) ended(err error) {
+func (r *Server) ended(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -219,16 +219,16 @@
 // errNothing is said before the first reading.
 var errNothing = errors.New("nothing was read of the record yet")
 
-// Knows tells whether the copy can answer one who stands there. Where the copy does not know, the store is asked first: it may have gone back, or
+// CheckFresh tells whether the copy can answer one who stands there. Where the copy does not know, the store is asked first: it may have gone back, or
 // this replica may be the one that is behind.
-func (r *Relay) Knows(ctx context.Context, at record.Meta) error {
-	ctx, cancel := context.WithTimeout(ctx, r.c.Check)
+func (r *Server) CheckFresh(ctx context.Context, at record.Meta) error {
+	ctx, cancel := context.WithTimeout(ctx, r.c.FreshnessTimeout)
 	defer cancel()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for begun := r.rounds; ; {
 		switch {
-		case r.copy.Knows(at):
+		case r.copy.IsCurrentFor(at):
 			return nil
 		case r.well > begun: // a reading that began after the question
 			return nil
@@ -246,18 +246,18 @@
 		case r.copy.Meta().Epoch == "":
 			return errNothing
 		default:
-			return record.ErrBehind
+			return record.ErrReplicaBehind
 		}
 	}
 }
 
 // stand is where the copy stands. The mutex is held.
-func (r *Relay) stand() store.Stand {
-	return store.Stand{Meta: r.copy.Meta(), Age: time.Since(r.heard).Milliseconds()}
+func (r *Server) stand() store.Position {
+	return store.Position{Meta: r.copy.Meta(), Age: time.Since(r.heard).Milliseconds()}
 }
 
-// Follow tells the copy's stand, and each change of it.
-func (r *Relay) Follow(ctx context.Context, tell func(*store.Stand) error) error {
+// Watch tells the copy's stand, and each change of it.
+func (r *Server) Watch(ctx context.Context, tell func(*store.Position) error) error {
 	r.mu.Lock()
 	if r.copy.Meta().Epoch == "" {
 		r.mu.Unlock()
@@ -271,7 +271,7 @@
 		r.follows--
 		r.mu.Unlock()
 	}()
-	tick := time.NewTicker(r.c.Every)
+	tick := time.NewTicker(r.c.HeartbeatInterval)
 	defer tick.Stop()
 	for say := &s; ; {
 		if err := tell(say); err != nil {
@@ -281,7 +281,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-back:
-			return record.ErrBack
+			return record.ErrRolledBack
 		case <-tick.C:
 		case <-news:
 		}
@@ -297,7 +297,7 @@
 }
 
 // Meta is the copy's.
-func (r *Relay) Meta(context.Context) (record.Meta, error) {
+func (r *Server) Meta(context.Context) (record.Meta, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.copy.Meta().Epoch == "" {
@@ -307,7 +307,7 @@
 }
 
 // Since is the copy's.
-func (r *Relay) Since(_ context.Context, after int64, most int) (record.Page, error) {
+func (r *Server) Since(_ context.Context, after int64, most int) (record.Page, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.copy.Meta().Epoch == "" {
@@ -318,16 +318,16 @@
 
 // Write answers what the copy knows, and has the rest written once for all who ask for it. Unlike a store's it may do some of the changes and not others:
 // who tries the same again with the same marks loses nothing.
-func (r *Relay) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Fact, record.Meta, error) {
-	if err := replica.Allowed(epoch, changes); err != nil {
+func (r *Server) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error) {
+	if err := replica.CheckAllowed(epoch, changes); err != nil {
 		return nil, record.Meta{}, err
 	}
-	facts, jobs := make([]record.Fact, len(changes)), make([]*replica.Job, len(changes))
+	facts, jobs := make([]record.Entry, len(changes)), make([]*replica.PendingWrite, len(changes))
 	var refused error
 	r.mu.Lock()
 	for i, c := range changes {
 		if epoch == r.copy.Meta().Epoch {
-			f, err, known := r.copy.Answer(&c)
+			f, err, known := r.copy.Resolve(&c)
 			if facts[i] = f; known {
 				r.counts.Answered++
 				if refused == nil {
@@ -338,7 +338,7 @@
 		}
 		if jobs[i] = r.queue.Add(epoch, c); jobs[i] == nil {
 			r.mu.Unlock()
-			return nil, record.Meta{}, fmt.Errorf("%w: %d changes wait for the store", store.ErrBusy, replica.MostWaiting)
+			return nil, record.Meta{}, fmt.Errorf("%w: %d changes wait for the store", store.ErrBusy, replica.MaxPendingWrites)
 		}
 	}
 	r.mu.Unlock()
@@ -349,10 +349,10 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, record.Meta{}, fmt.Errorf("%w: %w", store.ErrUnknown, ctx.Err())
+			return nil, record.Meta{}, fmt.Errorf("%w: %w", store.ErrOutcomeUnknown, ctx.Err())
 		case <-j.Done:
 		}
-		if facts[i] = j.Fact; j.Err != nil && refused == nil {
+		if facts[i] = j.Entry; j.Err != nil && refused == nil {
 			refused = j.Err
 		}
 	}
@@ -363,8 +363,8 @@
 }
 
 // reads waits for a while until the copy has what was written: who wrote it would else find this replica behind itself.
-func (r *Relay) reads(ctx context.Context, epoch string, facts []record.Fact) record.Meta {
-	ctx, cancel := context.WithTimeout(ctx, r.c.Check)
+func (r *Server) reads(ctx context.Context, epoch string, facts []record.Entry) record.Meta {
+	ctx, cancel := context.WithTimeout(ctx, r.c.FreshnessTimeout)
 	defer cancel()
 	to := int64(0)
 	for _, f := range facts {
@@ -386,7 +386,7 @@
 }
 
 // write takes the next of what waits to the store, most of it at once, and tells whether there was any.
-func (r *Relay) write(ctx context.Context, most *int) bool {
+func (r *Server) write(ctx context.Context, most *int) bool {
 	r.mu.Lock()
 	batch := r.queue.Next(*most)
 	r.mu.Unlock()
@@ -397,15 +397,15 @@
 	if err := r.send(ctx, batch); errors.Is(err, context.DeadlineExceeded) {
 		*most = max(len(batch)/2, 1)
 	} else if err == nil && len(batch) == *most {
-		*most = min(2**most, r.c.Batch)
+		*most = min(2**most, r.c.MaxBatch)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.Ended(batch)
+	r.queue.Complete(batch)
 	r.counts.Written += len(batch)
 	for _, j := range batch {
 		if r.copy.Meta().Epoch == j.Epoch {
-			r.copy.Wrote(j.Fact)
+			r.copy.NoteWritten(j.Entry)
 		}
 		close(j.Done)
 	}
@@ -413,39 +413,39 @@
 }
 
 // send writes a batch in one transaction, or where one of it is refused each by itself, so that it costs no other.
-func (r *Relay) send(ctx context.Context, batch []*replica.Job) error {
+func (r *Server) send(ctx context.Context, batch []*replica.PendingWrite) error {
 	changes := make([]record.Change, len(batch))
 	for i, j := range batch {
 		changes[i] = j.Change
 	}
-	call := func(changes []record.Change) ([]record.Fact, error) {
-		ctx, cancel := context.WithTimeout(ctx, r.c.Timeout)
+	call := func(changes []record.Change) ([]record.Entry, error) {
+		ctx, cancel := context.WithTimeout(ctx, r.c.CallTimeout)
 		defer cancel()
 		facts, _, err := r.up.Write(ctx, batch[0].Epoch, changes)
 		return facts, err
 	}
 	facts, err := call(changes)
-	var stale *record.Stale
-	var lost *record.Conflict
+	var stale *record.StaleError
+	var lost *record.ConflictError
 	if len(batch) > 1 && (errors.As(err, &stale) || errors.As(err, &lost)) {
 		for i, j := range batch {
-			var f []record.Fact
+			var f []record.Entry
 			if f, j.Err = call(changes[i : i+1]); j.Err == nil {
-				j.Fact = f[0]
+				j.Entry = f[0]
 			}
 		}
 		return nil
 	}
 	for i, j := range batch {
 		if j.Err = err; err == nil {
-			j.Fact = facts[i]
+			j.Entry = facts[i]
 		}
 	}
 	return err
 }
 
 // Wait returns when the copy has changed, or after a while.
-func (r *Relay) Wait(ctx context.Context, most time.Duration) error {
+func (r *Server) Wait(ctx context.Context, most time.Duration) error {
 	r.mu.Lock()
 	news := r.news
 	r.mu.Unlock()
@@ -463,42 +463,42 @@
 var errPeople = errors.New("that is done at the store itself")
 
 // Init, Replace and Verify are people's, at the store.
-func (r *Relay) Init(context.Context, bool) ([]string, error) { return nil, errPeople }
+func (r *Server) Init(context.Context, bool) ([]string, error) { return nil, errPeople }
 
 // Replace is not done here.
-func (r *Relay) Replace(context.Context, []record.Fact) (record.Meta, error) {
+func (r *Server) Replace(context.Context, []record.Entry) (record.Meta, error) {
 	return record.Meta{}, errPeople
 }
 
 // Verify is not done here.
-func (r *Relay) Verify(context.Context) ([]string, error) { return nil, errPeople }
+func (r *Server) Verify(context.Context) ([]string, error) { return nil, errPeople }
 
 // Close leaves the store open: others use it.
-func (r *Relay) Close() error { return nil }
+func (r *Server) Close() error { return nil }
 
 // Status is what the status page shows.
 type Status struct {
-	Epoch    string  `json:"epoch"`
-	Revision int64   `json:"revision"`
-	Facts    int     `json:"facts"`
-	Nodes    int     `json:"nodes"` // that follow
-	HeardAgo float64 `json:"heard_seconds_ago"`
-	Fault    string  `json:"fault,omitempty"`
-	Waiting  int     `json:"waiting"`  // changes
-	Written  int     `json:"written"`  // sent to the store
-	Answered int     `json:"answered"` // from the copy
-	Merged   int     `json:"merged"`   // with another node's
+	Epoch               string  `json:"epoch"`
+	Revision            int64   `json:"revision"`
+	Entries             int     `json:"facts"`
+	Nodes               int     `json:"nodes"` // that follow
+	SecondsSinceContact float64 `json:"heard_seconds_ago"`
+	Error               string  `json:"fault,omitempty"`
+	Pending             int     `json:"waiting"`  // changes
+	Written             int     `json:"written"`  // sent to the store
+	Answered            int     `json:"answered"` // from the copy
+	Merged              int     `json:"merged"`   // with another node's
 }
 
 // Status tells how it stands.
-func (r *Relay) Status() Status {
+func (r *Server) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.counts
-	s.Epoch, s.Revision, s.Facts, s.Nodes, s.Fault = r.copy.Meta().Epoch, r.copy.Meta().Revision, r.copy.Len(), r.follows, r.fault
-	s.Waiting, s.Merged, s.HeardAgo = r.queue.Waiting(), r.queue.Merged, -1
+	s.Epoch, s.Revision, s.Entries, s.Nodes, s.Error = r.copy.Meta().Epoch, r.copy.Meta().Revision, r.copy.Len(), r.follows, r.fault
+	s.Pending, s.Merged, s.SecondsSinceContact = r.queue.Len(), r.queue.Merged, -1
 	if !r.heard.IsZero() {
-		s.HeardAgo = time.Since(r.heard).Seconds()
+		s.SecondsSinceContact = time.Since(r.heard).Seconds()
 	}
 	return s
 }
--- a/internal/controlplane/recordserver/recordserver_test.go
+++ b/internal/controlplane/recordserver/recordserver_test.go
@@ -64,7 +64,7 @@
 	return c.Store.Meta(ctx)
 }
 
-func (c *cuttable) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Fact, record.Meta, error) {
+func (c *cuttable) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error) {
 	if c.away.Load() {
 		return nil, record.Meta{}, errAway
 	}
@@ -72,7 +72,7 @@
 }
 
 type relayed struct {
-	*Relay
+	*Server
 	up   *cuttable
 	addr string
 	stop func()
@@ -80,7 +80,7 @@
 
 // relay starts one; addr is where nodes call, "": a new one.
 func (p *place) relay(addr string, ring *keys.Ring) *relayed {
-	up, err := sqlstore.OpenThere(p.pg.Address())
+	up, err := sqlstore.OpenExisting(p.pg.Address())
 	require.NoError(p.t, err)
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -91,13 +91,13 @@
 	if ring != nil {
 		ln = tls.NewListener(ln, ring.Server())
 	}
-	c := Defaults()
-	c.Poll, c.Timeout, c.Gather, c.Every, c.Check = 50*time.Millisecond, 300*time.Millisecond, 5*time.Millisecond, 100*time.Millisecond, 500*time.Millisecond
-	x.Relay = New(x.up, c, zap.NewNop())
+	c := DefaultConfig()
+	c.PollInterval, c.CallTimeout, c.BatchDelay, c.HeartbeatInterval, c.FreshnessTimeout = 50*time.Millisecond, 300*time.Millisecond, 5*time.Millisecond, 100*time.Millisecond, 500*time.Millisecond
+	x.Server = New(x.up, c, zap.NewNop())
 	ctx, end := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { x.Run(ctx) })
-	all.Go(func() { store.ServeWithin(ctx, ln, x.Relay, Within(100)) })
+	all.Go(func() { store.ServeWithLimits(ctx, ln, x.Server, ClientLimits(100)) })
 	x.stop = sync.OnceFunc(func() { end(); all.Wait(); up.Close() })
 	p.t.Cleanup(x.stop)
 	return x
@@ -125,20 +125,20 @@
 	return c.state[id] == decide.Draining
 }
 
-func (p *place) node(name string, open func() (store.Store, error)) *recordcache.Keeper {
-	k, err := recordcache.Open(p.t.Context(), recordcache.Config{Name: name, Store: "test", Open: open, Snapshot: filepath.Join(p.t.TempDir(), "snap"), Queue: 100, Timeout: time.Second,
-		Poll: 50 * time.Millisecond, MostAge: time.Hour}, zap.NewNop())
+func (p *place) node(name string, open func() (store.Store, error)) *recordcache.Cache {
+	k, err := recordcache.Open(p.t.Context(), recordcache.Config{Name: name, Store: "test", Open: open, Snapshot: filepath.Join(p.t.TempDir(), "snap"), MaxPending: 100, CallTimeout: time.Second,
+		PollInterval: 50 * time.Millisecond, MaxStaleness: time.Hour}, zap.NewNop())
 	require.NoError(p.t, err)
 	p.t.Cleanup(sync.OnceFunc(k.Close))
 	return k
 }
 
 func through(addrs ...string) func() (store.Store, error) {
-	return func() (store.Store, error) { return store.Through(addrs, nil), nil }
+	return func() (store.Store, error) { return store.DialControllers(addrs, nil), nil }
 }
 
 func (p *place) direct() func() (store.Store, error) {
-	return func() (store.Store, error) { return sqlstore.OpenThere(p.pg.Address()) }
+	return func() (store.Store, error) { return sqlstore.OpenExisting(p.pg.Address()) }
 }
 
 func list(phase decide.State, ids ...string) (out []node.Endpoint) {
@@ -152,7 +152,7 @@
 	p.t.Helper()
 	m, err := p.db.Meta(p.t.Context())
 	require.NoError(p.t, err)
-	facts, _, err := p.db.Write(p.t.Context(), m.Epoch, []record.Change{{Key: record.Key{Kind: kind, Name: name}, Expect: record.Any, By: "op", Mark: fmt.Sprint(time.Now().UnixNano()),
+	facts, _, err := p.db.Write(p.t.Context(), m.Epoch, []record.Change{{Key: record.Key{Kind: kind, Name: name}, ExpectedRevision: record.AnyRevision, Writer: "op", IdempotencyKey: fmt.Sprint(time.Now().UnixNano()),
 		Value: json.RawMessage(value)}})
 	require.NoError(p.t, err)
 	return facts[0].Revision
@@ -163,7 +163,7 @@
 	if err != nil {
 		return false
 	}
-	for _, f := range s.Facts {
+	for _, f := range s.Entries {
 		if f.Kind == kind && f.Name == name && !f.Deleted {
 			return true
 		}
@@ -185,14 +185,14 @@
 	later := ln.Addr().String()
 	ln.Close()
 	cores := map[string]*core{}
-	all := map[string]*recordcache.Keeper{"old": p.node("old", p.direct()), "new": p.node("new", through(r.addr)), "early": p.node("early", through(later))}
-	sinks := map[string]*recordcache.Sink{}
+	all := map[string]*recordcache.Cache{"old": p.node("old", p.direct()), "new": p.node("new", through(r.addr)), "early": p.node("early", through(later))}
+	sinks := map[string]*recordcache.Subscription{}
 	for name, k := range all {
 		cores[name] = &core{}
-		sinks[name] = k.Sink("s", cores[name])
+		sinks[name] = k.Subscribe("s", cores[name])
 		sinks[name].UpdateEndpoints(list(decide.Ready, "a", "b", "c", "d"), true)
 	}
-	p.write(record.Drain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
+	p.write(record.KindDrain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
 	for _, name := range []string{"old", "new"} {
 		p.becomes(name+" hears an operator", func() bool { return cores[name].drained("a") })
 	}
@@ -200,7 +200,7 @@
 	p.becomes("the old one hears what the new one was told", func() bool { return cores["old"].drained("b") })
 	sinks["old"].UpdateEndpoints(list(decide.Draining, "c"), false)
 	p.becomes("and the other way", func() bool { return cores["new"].drained("c") })
-	assert.Contains(t, all["early"].Status().Fault, later, "what it waits for is named")
+	assert.Contains(t, all["early"].Status().Error, later, "what it waits for is named")
 	sinks["early"].UpdateEndpoints(list(decide.Draining, "d"), false)
 	assert.True(t, cores["early"].drained("d"), "in force at once, whoever listens")
 	p.relay(later, nil) // its controller is new
@@ -209,7 +209,7 @@
 	}
 	p.becomes("nothing waits", func() bool {
 		s := all["early"].Status()
-		return s.Waiting == 0 && s.Standing == "follows" && s.Fault == ""
+		return s.Pending == 0 && s.SyncState == "follows" && s.Error == ""
 	})
 }
 
@@ -218,17 +218,17 @@
 	p := newPlace(t)
 	one, two := p.relay("", nil), p.relay("", nil)
 	k, c := p.node("n", through(one.addr, two.addr)), &core{}
-	k.Sink("s", c).UpdateEndpoints(list(decide.Ready, "a", "b", "d"), true)
+	k.Subscribe("s", c).UpdateEndpoints(list(decide.Ready, "a", "b", "d"), true)
 	p.becomes("at the first", func() bool { return one.Status().Nodes == 1 })
 	one.stop()
-	p.write(record.Drain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
+	p.write(record.KindDrain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
 	p.becomes("told by the second", func() bool { return c.drained("a") && two.Status().Nodes == 1 })
 	two.stop()
-	p.becomes("none is left", func() bool { return k.Status().Fault != "" })
+	p.becomes("none is left", func() bool { return k.Status().Error != "" })
 	assert.True(t, c.drained("a"))
-	p.write(record.Drain, "s/b", `{"start_ms":0,"since_ms":1,"by":"op"}`)
+	p.write(record.KindDrain, "s/b", `{"start_ms":0,"since_ms":1,"by":"op"}`)
 	p.relay(one.addr, nil)
-	p.becomes("told by the first again", func() bool { return c.drained("b") && k.Status().Fault == "" })
+	p.becomes("told by the first again", func() bool { return c.drained("b") && k.Status().Error == "" })
 }
 
 // A replica that hangs, with its connections open, is left for another.
@@ -248,9 +248,9 @@
 	}()
 	good := p.relay("", nil)
 	c := &core{}
-	p.node("n", through(mute.Addr().String(), good.addr)).Sink("s", c).UpdateEndpoints(list(decide.Ready, "a"), true)
+	p.node("n", through(mute.Addr().String(), good.addr)).Subscribe("s", c).UpdateEndpoints(list(decide.Ready, "a"), true)
 	begun := time.Now()
-	p.write(record.Drain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
+	p.write(record.KindDrain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
 	p.becomes("told by the other", func() bool { return c.drained("a") })
 	assert.Less(t, time.Since(begun), 10*time.Second, "what is written is in force everywhere by then")
 }
@@ -259,26 +259,26 @@
 func TestAReplicaServesItsCopyWhileTheStoreIsAway(t *testing.T) {
 	p := newPlace(t)
 	r := p.relay("", nil)
-	p.write(record.Drain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
-	p.write(record.Route, "r", `{"toml":"x"}`)
+	p.write(record.KindDrain, "s/a", `{"start_ms":0,"since_ms":1,"by":"op"}`)
+	p.write(record.KindRoute, "r", `{"toml":"x"}`)
 	old := p.node("old", through(r.addr))
-	p.becomes("heard", func() bool { return len(old.Of(record.Route)) == 1 })
+	p.becomes("heard", func() bool { return len(old.Entries(record.KindRoute)) == 1 })
 	p.pg.Refuse(true)
 	p.pg.Cut()
-	p.becomes("the replica says so", func() bool { return r.Status().Fault != "" })
+	p.becomes("the replica says so", func() bool { return r.Status().Error != "" })
 	fresh, c := p.node("fresh", through(r.addr)), &core{}
-	sink := fresh.Sink("s", c)
+	sink := fresh.Subscribe("s", c)
 	sink.UpdateEndpoints(list(decide.Ready, "a", "b"), true)
 	assert.True(t, c.drained("a"), "known from the replica's copy")
-	assert.Len(t, fresh.Of(record.Route), 1)
+	assert.Len(t, fresh.Entries(record.KindRoute), 1)
 	sink.UpdateEndpoints(list(decide.Draining, "b"), false)
 	assert.True(t, c.drained("b"), "in force before it is recorded")
-	p.becomes("its word grows old", func() bool { return fresh.Status().HeardAgo > 0.3 })
+	p.becomes("its word grows old", func() bool { return fresh.Status().SecondsSinceContact > 0.3 })
 	p.pg.Refuse(false)
-	p.becomes("recorded when the store is back", func() bool { return p.recorded(record.Drain, "s/b") })
+	p.becomes("recorded when the store is back", func() bool { return p.recorded(record.KindDrain, "s/b") })
 	p.becomes("all is well", func() bool {
 		s := fresh.Status()
-		return s.Fault == "" && s.Waiting == 0 && s.HeardAgo < 5 && r.Status().Fault == ""
+		return s.Error == "" && s.Pending == 0 && s.SecondsSinceContact < 5 && r.Status().Error == ""
 	})
 }
 
@@ -288,32 +288,32 @@
 		t.Run(fmt.Sprint("imported ", imported), func(t *testing.T) {
 			p := newPlace(t)
 			near, far := p.relay("", nil), p.relay("", nil)
-			p.write(record.Route, "r", `{"toml":"first"}`)
+			p.write(record.KindRoute, "r", `{"toml":"first"}`)
 			p.becomes("both have it", func() bool { return near.Status().Revision == 1 && far.Status().Revision == 1 })
 			k := p.node("n", through(near.addr, far.addr))
 			far.up.away.Store(true)
-			p.becomes("cut off", func() bool { return far.Status().Fault != "" })
+			p.becomes("cut off", func() bool { return far.Status().Error != "" })
 			if imported {
 				page, err := p.db.Since(t.Context(), 0, 100)
 				require.NoError(t, err)
-				page.Facts[0].Value = json.RawMessage(`{"toml":"second"}`)
-				_, err = p.db.Replace(t.Context(), page.Facts)
+				page.Entries[0].Value = json.RawMessage(`{"toml":"second"}`)
+				_, err = p.db.Replace(t.Context(), page.Entries)
 				require.NoError(t, err)
 			} else {
-				p.write(record.Route, "r", `{"toml":"second"}`)
+				p.write(record.KindRoute, "r", `{"toml":"second"}`)
 			}
 			is := func(want string) bool {
-				f := k.Of(record.Route)
+				f := k.Entries(record.KindRoute)
 				return len(f) == 1 && string(f[0].Value) == `{"toml":"`+want+`"}`
 			}
 			p.becomes("the near one tells it", func() bool { return is("second") })
 			near.stop()
-			p.becomes("the far one says that it is behind", func() bool { return k.Status().Fault != "" })
-			assert.Contains(t, k.Status().Fault, "no controller tells the record")
+			p.becomes("the far one says that it is behind", func() bool { return k.Status().Error != "" })
+			assert.Contains(t, k.Status().Error, "no controller tells the record")
 			assert.True(t, is("second"))
 			assert.Zero(t, far.Status().Nodes)
 			far.up.away.Store(false)
-			p.becomes("together again", func() bool { return k.Status().Fault == "" && far.Status().Nodes == 1 })
+			p.becomes("together again", func() bool { return k.Status().Error == "" && far.Status().Nodes == 1 })
 			assert.True(t, is("second"))
 		})
 	}
@@ -324,18 +324,18 @@
 	p := newPlace(t)
 	r := p.relay("", nil)
 	k, c := p.node("n", through(r.addr)), &core{}
-	sink := k.Sink("s", c)
+	sink := k.Subscribe("s", c)
 	sink.UpdateEndpoints(list(decide.Ready, "a", "b"), true)
-	p.becomes("recorded", func() bool { return k.Status().Waiting == 0 && p.recorded(record.Server, "s/a") })
+	p.becomes("recorded", func() bool { return k.Status().Pending == 0 && p.recorded(record.KindServer, "s/a") })
 	backup := filepath.Join(t.TempDir(), "backup")
 	require.NoError(t, p.pg.Backup(backup))
 	sink.UpdateEndpoints(list(decide.Draining, "a"), false)
-	p.becomes("recorded", func() bool { return p.recorded(record.Drain, "s/a") })
+	p.becomes("recorded", func() bool { return p.recorded(record.KindDrain, "s/a") })
 	require.NoError(t, p.pg.Restore(backup))
-	p.becomes("written again", func() bool { return p.recorded(record.Drain, "s/a") })
+	p.becomes("written again", func() bool { return p.recorded(record.KindDrain, "s/a") })
 	assert.True(t, c.drained("a"))
-	p.becomes("followed", func() bool { return k.Status().Standing == "follows" && k.Status().Waiting == 0 })
-	p.write(record.Drain, "s/b", `{"start_ms":0,"since_ms":1,"by":"op"}`)
+	p.becomes("followed", func() bool { return k.Status().SyncState == "follows" && k.Status().Pending == 0 })
+	p.write(record.KindDrain, "s/b", `{"start_ms":0,"since_ms":1,"by":"op"}`)
 	p.becomes("and what comes after arrives", func() bool { return c.drained("b") })
 }
 
@@ -346,9 +346,9 @@
 	back func()
 }
 
-func (r *restored) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Fact, record.Meta, error) {
+func (r *restored) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error) {
 	facts, m, err := r.Store.Write(ctx, epoch, changes)
-	if err == nil && changes[0].Kind == record.Drain {
+	if err == nil && changes[0].Kind == record.KindDrain {
 		r.once.Do(r.back)
 	}
 	return facts, m, err
@@ -359,23 +359,23 @@
 	p := newPlace(t)
 	backup := filepath.Join(t.TempDir(), "backup")
 	up := &restored{Store: p.db, back: func() { assert.NoError(t, p.pg.Restore(backup)) }}
-	c := Defaults()
-	c.Poll, c.Gather, c.Check = 50*time.Millisecond, time.Millisecond, 100*time.Millisecond // the node's call ends well in its time
+	c := DefaultConfig()
+	c.PollInterval, c.BatchDelay, c.FreshnessTimeout = 50*time.Millisecond, time.Millisecond, 100*time.Millisecond // the node's call ends well in its time
 	r := New(up, c, zap.NewNop())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, end := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	run.Go(func() { r.Run(ctx) })
-	run.Go(func() { store.ServeWithin(ctx, ln, r, Within(9)) })
+	run.Go(func() { store.ServeWithLimits(ctx, ln, r, ClientLimits(9)) })
 	t.Cleanup(func() { end(); run.Wait() })
 	k, is := p.node("n", through(ln.Addr().String())), &core{}
-	sink := k.Sink("s", is)
+	sink := k.Subscribe("s", is)
 	sink.UpdateEndpoints(list(decide.Ready, "a"), true)
-	p.becomes("recorded", func() bool { return k.Status().Waiting == 0 && p.recorded(record.Server, "s/a") })
+	p.becomes("recorded", func() bool { return k.Status().Pending == 0 && p.recorded(record.KindServer, "s/a") })
 	require.NoError(t, p.pg.Backup(backup))
 	sink.UpdateEndpoints(list(decide.Draining, "a"), false) // a drain, and then a sighting
-	p.becomes("both are there", func() bool { return k.Status().Waiting == 0 && p.recorded(record.Drain, "s/a") })
+	p.becomes("both are there", func() bool { return k.Status().Pending == 0 && p.recorded(record.KindDrain, "s/a") })
 	assert.True(t, is.drained("a"))
 }
 
@@ -387,7 +387,7 @@
 	n    atomic.Int64
 }
 
-func (h *held) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Fact, record.Meta, error) {
+func (h *held) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error) {
 	h.n.Add(1)
 	h.came <- struct{}{}
 	<-h.free
@@ -398,8 +398,8 @@
 func TestManyNodesWritesAreOne(t *testing.T) {
 	p := newPlace(t)
 	up := &held{Store: p.db, came: make(chan struct{}, 100), free: make(chan struct{})}
-	c := Defaults()
-	c.Gather = time.Millisecond
+	c := DefaultConfig()
+	c.BatchDelay = time.Millisecond
 	r := New(up, c, zap.NewNop())
 	ctx, end := context.WithCancel(t.Context())
 	var run sync.WaitGroup
@@ -408,14 +408,14 @@
 	p.becomes("read", func() bool { _, err := r.Meta(ctx); return err == nil })
 	m, _ := r.Meta(ctx)
 	change := func(name, phase string, start, mark int) record.Change {
-		return record.Change{Key: record.Key{Kind: record.Server, Name: name}, Expect: record.Any, By: fmt.Sprint("n", mark), Mark: fmt.Sprint(name, phase, start, mark),
+		return record.Change{Key: record.Key{Kind: record.KindServer, Name: name}, ExpectedRevision: record.AnyRevision, Writer: fmt.Sprint("n", mark), IdempotencyKey: fmt.Sprint(name, phase, start, mark),
 			Value: json.RawMessage(fmt.Sprintf(`{"addr":"10.0.0.1:80","phase":%q,"start_ms":%d,"listed":%d}`, phase, start, mark))}
 	}
 	var all sync.WaitGroup
-	write := func(changes ...record.Change) (*record.Fact, *error) {
-		fact, err := new(record.Fact), new(error)
+	write := func(changes ...record.Change) (*record.Entry, *error) {
+		fact, err := new(record.Entry), new(error)
 		all.Go(func() {
-			var f []record.Fact
+			var f []record.Entry
 			if f, _, *err = r.Write(ctx, m.Epoch, changes); *err == nil {
 				*fact = f[0]
 			}
@@ -424,7 +424,7 @@
 	}
 	first, _ := write(change("s/a", "draining", 5, 0))
 	<-up.came // the first is on its way, and is held
-	var facts []*record.Fact
+	var facts []*record.Entry
 	var errs []*error
 	for i := 1; i < 50; i++ {
 		f, err := write(change("s/a", "draining", 5, i))
@@ -444,21 +444,21 @@
 	<-up.came
 	_, stale := write(change("s/a", "ready", 4, 0)) // an older process than is recorded
 	good, fine := write(change("s/b", "ready", 1, 0))
-	p.becomes("both asked", func() bool { s := r.Status(); return s.Waiting+s.Answered >= 2 })
+	p.becomes("both asked", func() bool { s := r.Status(); return s.Pending+s.Answered >= 2 })
 	close(up.free)
 	all.Wait()
-	var is *record.Stale
+	var is *record.StaleError
 	assert.ErrorAs(t, *stale, &is)
 	assert.NoError(t, *fine)
 	assert.NotZero(t, good.Revision)
-	_, _, err := r.Write(ctx, m.Epoch, []record.Change{{Key: record.Key{Kind: record.Route, Name: "r"}, Expect: record.Any, Mark: "m", Value: json.RawMessage(`{}`)}})
+	_, _, err := r.Write(ctx, m.Epoch, []record.Change{{Key: record.Key{Kind: record.KindRoute, Name: "r"}, ExpectedRevision: record.AnyRevision, IdempotencyKey: "m", Value: json.RawMessage(`{}`)}})
 	assert.ErrorContains(t, err, "and nothing else")
 	gone, stop := context.WithCancel(ctx)
 	stop()
 	_, _, err = r.Write(gone, m.Epoch, []record.Change{change("s/c", "ready", 1, 0)})
-	assert.ErrorIs(t, err, store.ErrUnknown, "who does not wait does not know")
+	assert.ErrorIs(t, err, store.ErrOutcomeUnknown, "who does not wait does not know")
 	_, _, err = r.Write(ctx, "other", []record.Change{change("s/d", "ready", 1, 0)})
-	assert.ErrorIs(t, err, record.ErrEpoch)
+	assert.ErrorIs(t, err, record.ErrEpochMismatch)
 }
 
 // far is a store to which each change takes a while, as over a long way.
@@ -467,7 +467,7 @@
 	each time.Duration
 }
 
-func (f *far) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Fact, record.Meta, error) {
+func (f *far) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error) {
 	select {
 	case <-ctx.Done():
 		return nil, record.Meta{}, ctx.Err()
@@ -479,8 +479,8 @@
 // More waits than a far store can take in one call's time: it is written in smaller parts, drains before it.
 func TestAFarStoreIsWrittenInSmallerParts(t *testing.T) {
 	p := newPlace(t)
-	c := Defaults()
-	c.Gather, c.Timeout = time.Millisecond, 400*time.Millisecond
+	c := DefaultConfig()
+	c.BatchDelay, c.CallTimeout = time.Millisecond, 400*time.Millisecond
 	r := New(&far{p.db, 20 * time.Millisecond}, c, zap.NewNop())
 	ctx, end := context.WithCancel(t.Context())
 	var run sync.WaitGroup
@@ -490,7 +490,7 @@
 	m, _ := r.Meta(ctx)
 	var changes []record.Change
 	for i := range 100 { // two seconds of them
-		changes = append(changes, record.Change{Key: record.Key{Kind: record.Server, Name: fmt.Sprint("s/", i)}, Expect: record.Any, By: "n", Mark: fmt.Sprint("m", i),
+		changes = append(changes, record.Change{Key: record.Key{Kind: record.KindServer, Name: fmt.Sprint("s/", i)}, ExpectedRevision: record.AnyRevision, Writer: "n", IdempotencyKey: fmt.Sprint("m", i),
 			Value: json.RawMessage(`{"addr":"10.0.0.1:80","phase":"ready","start_ms":5,"listed":1}`)})
 	}
 	var all sync.WaitGroup
@@ -501,11 +501,11 @@
 			}
 		}
 	})
-	p.becomes("the first part is tried", func() bool { return r.Status().Waiting > 0 || r.Status().Written > 0 })
-	_, _, err := r.Write(ctx, m.Epoch, []record.Change{{Key: record.Key{Kind: record.Drain, Name: "s/1"}, Expect: record.Any, By: "n", Mark: "d", Value: json.RawMessage(`{"start_ms":5,"since_ms":1,"by":"discovery"}`)}})
+	p.becomes("the first part is tried", func() bool { return r.Status().Pending > 0 || r.Status().Written > 0 })
+	_, _, err := r.Write(ctx, m.Epoch, []record.Change{{Key: record.Key{Kind: record.KindDrain, Name: "s/1"}, ExpectedRevision: record.AnyRevision, Writer: "n", IdempotencyKey: "d", Value: json.RawMessage(`{"start_ms":5,"since_ms":1,"by":"discovery"}`)}})
 	assert.NoError(t, err)
 	all.Wait()
-	assert.True(t, p.recorded(record.Server, "s/99"))
+	assert.True(t, p.recorded(record.KindServer, "s/99"))
 }
 
 // With keys, who shows none is told nothing and writes nothing.
@@ -521,7 +521,7 @@
 	}
 	r := p.relay("", ring(dir, "controller"))
 	try := func(secure func(string) *tls.Config) (record.Meta, error) {
-		s := store.Through([]string{r.addr}, secure)
+		s := store.DialControllers([]string{r.addr}, secure)
 		defer s.Close()
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
@@ -549,18 +549,18 @@
 				addrs, replicas = append(addrs, r.addr), append(replicas, r)
 			}
 			var cores []*core
-			var sinks []*recordcache.Sink
-			var nodes []*recordcache.Keeper
+			var sinks []*recordcache.Subscription
+			var nodes []*recordcache.Cache
 			for i := range n {
 				c := &core{}
 				k := p.node(fmt.Sprint("n", i), through(addrs[i%3], addrs[(i+1)%3]))
-				s := k.Sink("s", c)
+				s := k.Subscribe("s", c)
 				s.UpdateEndpoints(list(decide.Ready, "a", "b", "c"), true)
 				nodes, cores, sinks = append(nodes, k), append(cores, c), append(sinks, s)
 			}
 			settled := func() bool {
 				for _, k := range nodes {
-					if k.Status().Waiting > 0 {
+					if k.Status().Pending > 0 {
 						return false
 					}
 				}
@@ -573,7 +573,7 @@
 				e[0].Revision = int64(1000 * (i%3 + 1))
 				go s.UpdateEndpoints(e, false)
 			}
-			p.write(record.Drain, "s/b", `{"start_ms":0,"since_ms":1,"by":"op"}`)
+			p.write(record.KindDrain, "s/b", `{"start_ms":0,"since_ms":1,"by":"op"}`)
 			p.becomes("told to all", func() bool {
 				for _, c := range cores {
 					if !c.drained("a") || !c.drained("b") {
--- a/internal/dataplane/services/services.go
+++ b/internal/dataplane/services/services.go
@@ -30,7 +30,7 @@
 // Set is the services in force.
 type Set struct {
 	// Keeper, if set before the first Apply, keeps the record of the services' servers.
-	Keeper *recordcache.Keeper
+	Keeper *recordcache.Cache
 	// Begun, if set before the first Apply, is told of each service's core before it hears of its servers.
 	Begun func(*node.Core)
 	// Keys, if set before the first Apply, are shown to discovery, and ask for its own.
@@ -62,8 +62,8 @@
 	nodeconfig.Pool
 	service *frontend.Service
 	core    *node.Core
-	watcher *endpoints.Watcher // nil with a static list
-	sink    *recordcache.Sink  // between discovery and the core, where there is a record
+	watcher *endpoints.Watcher        // nil with a static list
+	sink    *recordcache.Subscription // between discovery and the core, where there is a record
 	conns   *upstream.Pool
 	share   *share
 	end     context.CancelFunc
@@ -200,7 +200,7 @@
 		to = s.Heard(x.Name, to)
 	}
 	if s.Keeper != nil {
-		p.sink = s.Keeper.Sink(x.Name, to)
+		p.sink = s.Keeper.Subscribe(x.Name, to)
 		to = p.sink
 	}
 	if p.watcher != nil {
@@ -230,7 +230,7 @@
 func (s *Set) retire(p *pool) {
 	s.leave = append(s.leave, p)
 	if p.sink != nil {
-		s.Keeper.Drop(p.sink)
+		s.Keeper.Unsubscribe(p.sink)
 	}
 	empty := p.service.Close()
 	if p.share != nil {
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -341,7 +341,7 @@
 			continue
 		}
 		shown := map[string]bool{}
-		for _, d := range s.Drained {
+		for _, d := range s.Draining {
 			shown[strings.TrimPrefix(d.Server, "s/")] = true
 		}
 		for _, x := range r.servers {
@@ -403,17 +403,17 @@
 		}
 		call, cancel := context.WithTimeout(ctx, 2*time.Second)
 		meta, err := s.Meta(call)
-		var facts []record.Fact
+		var facts []record.Entry
 		if err == nil {
-			value, _ := json.Marshal(record.Drained{Start: x.start, Since: time.Now().UnixMilli(), By: "chaos"})
-			c := []record.Change{{Key: record.Key{Kind: record.Drain, Name: "s/" + x.id}, Expect: record.Any, By: "chaos", Mark: fmt.Sprint("chaos", n), Value: value}}
+			value, _ := json.Marshal(record.Drain{Start: x.start, Since: time.Now().UnixMilli(), By: "chaos"})
+			c := []record.Change{{Key: record.Key{Kind: record.KindDrain, Name: "s/" + x.id}, ExpectedRevision: record.AnyRevision, Writer: "chaos", IdempotencyKey: fmt.Sprint("chaos", n), Value: value}}
 			r.mu.Lock()
 			x.drained = true // even if nobody learns whether it was written
 			r.mu.Unlock()
 			facts, _, err = s.Write(call, meta.Epoch, c)
 		}
 		cancel()
-		var stale *record.Stale
+		var stale *record.StaleError
 		switch {
 		case err == nil:
 			r.mu.Lock()
@@ -502,7 +502,7 @@
 	for i, n := range r.nodes {
 		for {
 			st, err := n.read()
-			if err == nil && st.Standing == "follows" && st.Waiting == 0 && st.Fault == "" {
+			if err == nil && st.SyncState == "follows" && st.Pending == 0 && st.Error == "" {
 				break
 			}
 			if time.Now().After(limit) {
@@ -523,10 +523,10 @@
 	if err != nil {
 		return err
 	}
-	there := map[string]record.Drained{}
-	for _, f := range page.Facts {
-		var d record.Drained
-		if f.Kind == record.Drain && !f.Deleted && json.Unmarshal(f.Value, &d) == nil {
+	there := map[string]record.Drain{}
+	for _, f := range page.Entries {
+		var d record.Drain
+		if f.Kind == record.KindDrain && !f.Deleted && json.Unmarshal(f.Value, &d) == nil {
 			there[strings.TrimPrefix(f.Name, "s/")] = d
 		}
 	}
@@ -536,7 +536,7 @@
 			return err
 		}
 		shown := map[string]bool{}
-		for _, d := range st.Drained {
+		for _, d := range st.Draining {
 			shown[strings.TrimPrefix(d.Server, "s/")] = true
 		}
 		r.mu.Lock()
--- a/internal/lab/chaos/golden_test.go
+++ b/internal/lab/chaos/golden_test.go
@@ -36,21 +36,21 @@
 	status, err := (&one{status: strings.TrimPrefix(page.URL, "http://")}).read()
 	require.NoError(t, err)
 	assert.Equal(t, recordcache.Status{
-		Store:     "sqlite:/golden/record.db",
-		Standing:  "follows",
-		Fault:     "fault-101",
-		Epoch:     "epoch-102",
-		Revision:  103,
-		HeardAgo:  104.5,
-		Waiting:   105,
-		Dropped:   106,
-		Written:   107,
-		SavedAgo:  108.5,
-		Facts:     109,
-		Drained:   []recordcache.Drain{{Server: "s/s1", Why: "why-110"}, {Server: "s/s2", Why: "why-111"}},
-		Required:  true,
-		AgeLimit:  "1h0m0s",
-		QueueMost: 112,
+		Store:                "sqlite:/golden/record.db",
+		SyncState:            "follows",
+		Error:                "fault-101",
+		Epoch:                "epoch-102",
+		Revision:             103,
+		SecondsSinceContact:  104.5,
+		Pending:              105,
+		Dropped:              106,
+		Written:              107,
+		SecondsSinceSnapshot: 108.5,
+		Entries:              109,
+		Draining:             []recordcache.DrainingServer{{Server: "s/s1", Reason: "why-110"}, {Server: "s/s2", Reason: "why-111"}},
+		Required:             true,
+		MaxStaleness:         "1h0m0s",
+		MaxPending:           112,
 	}, status)
 	labtest.RequireEveryFieldSet(t, "json", status)
 }
--- a/internal/lab/fleet/hollow.go
+++ b/internal/lab/fleet/hollow.go
@@ -100,7 +100,7 @@
 	number  int
 	place   Place
 	file    *nodeconfig.Config
-	keep    *recordcache.Keeper
+	keep    *recordcache.Cache
 	set     *services.Set
 	poller  *poller.Poller
 	life    context.Context
@@ -208,15 +208,15 @@
 			return err
 		}
 		r := x.file.Record
-		x.keep, err = recordcache.Open(x.life, recordcache.Config{Name: name, Store: u.Redacted(), MostAge: time.Duration(*r.MostAge), Queue: r.Queue, Timeout: time.Duration(r.Timeout),
-			Poll: time.Duration(r.Poll), Open: func() (store.Store, error) {
+		x.keep, err = recordcache.Open(x.life, recordcache.Config{Name: name, Store: u.Redacted(), MaxStaleness: time.Duration(*r.MostAge), MaxPending: r.Queue, CallTimeout: time.Duration(r.Timeout),
+			PollInterval: time.Duration(r.Poll), Open: func() (store.Store, error) {
 				if h.Open != nil {
 					return h.Open(number)
 				}
 				if len(s.Relays) > 0 {
 					return x.through(), nil
 				}
-				return sqlstore.OpenThrough(s.Address, func(ctx context.Context, _, _ string) (net.Conn, error) {
+				return sqlstore.OpenWithDialer(s.Address, func(ctx context.Context, _, _ string) (net.Conn, error) {
 					return h.net.Dial(ctx, x.place, s.Store.Place, s.Store.Addr, &h.record)
 				})
 			}}, log)
@@ -234,7 +234,7 @@
 				select {
 				case <-x.life.Done():
 					return
-				case <-x.keep.Facts():
+				case <-x.keep.Changes():
 				}
 				if fresh := x.over(now); fresh != now {
 					now = fresh
@@ -252,9 +252,9 @@
 
 // over puts what the record says over the file, as the program does.
 func (x *hollow) over(now *nodeconfig.Config) *nodeconfig.Config {
-	var facts []record.Fact
-	for _, kind := range []record.Kind{record.Service, record.Route, record.Tenant} {
-		facts = append(facts, x.keep.Of(kind)...)
+	var facts []record.Entry
+	for _, kind := range []record.Kind{record.KindService, record.KindRoute, record.KindTenant} {
+		facts = append(facts, x.keep.Entries(kind)...)
 	}
 	if len(facts) == 0 {
 		return x.file
@@ -331,7 +331,7 @@
 			far = append(far, t.addr)
 		}
 	}
-	return store.ThroughBy(func(ctx context.Context, addr string) (net.Conn, error) {
+	return store.DialControllersWith(func(ctx context.Context, addr string) (net.Conn, error) {
 		return h.net.Dial(ctx, x.place, at[addr], addr, &h.record)
 	}, append(near, far...), nil)
 }
@@ -442,7 +442,7 @@
 	if x == nil || x.keep == nil {
 		return fmt.Errorf("node %d does not run, or keeps no record", number)
 	}
-	x.keep.Drain(server, record.Drained{Since: time.Now().UnixMilli(), By: "operator"})
+	x.keep.AddDrain(server, record.Drain{Since: time.Now().UnixMilli(), By: "operator"})
 	return nil
 }
 
@@ -462,9 +462,9 @@
 	for _, x := range h.nodes {
 		if x.keep != nil {
 			s := x.keep.Status()
-			u.Waiting += s.Waiting
-			u.Facts = max(u.Facts, s.Facts)
-			if s.Standing != record.Follows.String() {
+			u.Waiting += s.Pending
+			u.Facts = max(u.Facts, s.Entries)
+			if s.SyncState != record.Following.String() {
 				u.Behind++
 			}
 		}
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -68,8 +68,8 @@
 type shelf struct {
 	mu    sync.Mutex
 	meta  record.Meta
-	facts map[record.Key]record.Fact
-	log   []record.Fact
+	facts map[record.Key]record.Entry
+	log   []record.Entry
 	wake  chan struct{}
 
 	writes, pages, sent int // calls that write, calls that read, facts sent
@@ -87,7 +87,7 @@
 }
 
 func newShelf() *shelf {
-	return &shelf{meta: record.Meta{Epoch: "e"}, facts: map[record.Key]record.Fact{}, wake: make(chan struct{})}
+	return &shelf{meta: record.Meta{Epoch: "e"}, facts: map[record.Key]record.Entry{}, wake: make(chan struct{})}
 }
 
 func (s *shelf) Meta(context.Context) (record.Meta, error) {
@@ -100,17 +100,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pages++
-	p := record.Page{Meta: s.meta, Whole: after == 0}
+	p := record.Page{Meta: s.meta, Complete: after == 0}
 	for _, f := range s.log {
-		if f.Revision > after && s.facts[f.Key].Revision == f.Revision && len(p.Facts) < most {
-			p.Facts = append(p.Facts, f)
+		if f.Revision > after && s.facts[f.Key].Revision == f.Revision && len(p.Entries) < most {
+			p.Entries = append(p.Entries, f)
 		}
 	}
-	s.sent += len(p.Facts)
+	s.sent += len(p.Entries)
 	return p, nil
 }
 
-func (s *shelf) Write(_ context.Context, epoch string, changes []record.Change) (out []record.Fact, m record.Meta, err error) {
+func (s *shelf) Write(_ context.Context, epoch string, changes []record.Change) (out []record.Entry, m record.Meta, err error) {
 	s.mu.Lock()
 	if s.gather > 0 {
 		goOn := s.goOn
@@ -125,28 +125,28 @@
 	defer s.mu.Unlock()
 	s.writes++
 	if epoch != s.meta.Epoch {
-		return nil, m, record.ErrEpoch
+		return nil, m, record.ErrEpochMismatch
 	}
 	before := s.meta.Revision
-	type done struct{ f record.Fact }
+	type done struct{ f record.Entry }
 	var all []done
 	for _, c := range changes {
-		var now *record.Fact
+		var now *record.Entry
 		if f, is := s.facts[c.Key]; is {
 			now = &f
 		}
-		outcome, err := record.Decide(now, &c)
+		outcome, err := record.Evaluate(now, &c)
 		if err != nil {
 			return nil, s.meta, err
 		}
-		if outcome != record.Write {
+		if outcome != record.OutcomeWrite {
 			if now == nil {
-				now = &record.Fact{Key: c.Key}
+				now = &record.Entry{Key: c.Key}
 			}
 			out = append(out, *now)
 			continue
 		}
-		f := record.Fact{Key: c.Key, Revision: before + int64(len(all)) + 1, Deleted: c.Delete, By: c.By, Mark: c.Mark, At: c.At, Value: c.Value}
+		f := record.Entry{Key: c.Key, Revision: before + int64(len(all)) + 1, Deleted: c.Delete, Writer: c.Writer, IdempotencyKey: c.IdempotencyKey, WrittenAt: c.WrittenAt, Value: c.Value}
 		all, out = append(all, done{f}), append(out, f)
 	}
 	for _, d := range all {
@@ -176,7 +176,7 @@
 }
 
 func (s *shelf) Init(context.Context, bool) ([]string, error) { return nil, nil }
-func (s *shelf) Replace(context.Context, []record.Fact) (record.Meta, error) {
+func (s *shelf) Replace(context.Context, []record.Entry) (record.Meta, error) {
 	return record.Meta{}, errors.ErrUnsupported
 }
 func (s *shelf) Verify(context.Context) ([]string, error) { return nil, nil }
--- a/internal/record/record/golden_test.go
+++ b/internal/record/record/golden_test.go
@@ -16,65 +16,65 @@
 	"robincart/internal/testutil/golden"
 )
 
-func goldenFact() Fact {
-	return Fact{
-		Key:      Key{Kind: Server, Name: "shop/a1"},
-		Revision: 41,
-		Deleted:  true,
-		By:       "node-1 <eu>",
-		Mark:     "node-1.boot.7",
-		At:       1765000000123,
-		Value:    json.RawMessage(`{"addr":"10.0.0.1:8080","phase":"ready"}`),
+func goldenFact() Entry {
+	return Entry{
+		Key:            Key{Kind: KindServer, Name: "shop/a1"},
+		Revision:       41,
+		Deleted:        true,
+		Writer:         "node-1 <eu>",
+		IdempotencyKey: "node-1.boot.7",
+		WrittenAt:      1765000000123,
+		Value:          json.RawMessage(`{"addr":"10.0.0.1:8080","phase":"ready"}`),
 	}
 }
 
 func goldenChange() Change {
 	return Change{
-		Key:    Key{Kind: Drain, Name: "shop/b2"},
-		Expect: 42,
-		Delete: true,
-		By:     "node-2",
-		Mark:   "node-2.boot.8",
-		At:     1765000000456,
-		Value:  json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice"}`),
+		Key:              Key{Kind: KindDrain, Name: "shop/b2"},
+		ExpectedRevision: 42,
+		Delete:           true,
+		Writer:           "node-2",
+		IdempotencyKey:   "node-2.boot.8",
+		WrittenAt:        1765000000456,
+		Value:            json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice"}`),
 	}
 }
 
-func goldenSighting() Sighting {
-	return Sighting{
-		Addr:   "10.0.0.1:8080",
-		Phase:  "ready",
-		Start:  1764000000001,
-		Listed: 77,
-		Zone:   2,
-		Cell:   3,
-		Weight: 1.5,
+func goldenSighting() Observation {
+	return Observation{
+		Addr:         "10.0.0.1:8080",
+		Phase:        "ready",
+		Start:        1764000000001,
+		ListRevision: 77,
+		Zone:         2,
+		Cell:         3,
+		Weight:       1.5,
 	}
 }
 
-func goldenDrained() Drained {
-	return Drained{
-		Start: 1764000000001,
-		Since: 1765000000002,
-		By:    "alice",
-		Until: 1766000000003,
-		Ended: true,
-		Over:  43,
+func goldenDrained() Drain {
+	return Drain{
+		Start:      1764000000001,
+		Since:      1765000000002,
+		By:         "alice",
+		Until:      1766000000003,
+		Ended:      true,
+		Supersedes: 43,
 	}
 }
 
 // factOfEachKind pins the names of the kinds as well.
-func factOfEachKind() []Fact {
-	return []Fact{
-		{Key: Key{Kind: Drain, Name: "shop/a1"}, Revision: 1, By: "alice", Mark: "m1", At: 11,
+func factOfEachKind() []Entry {
+	return []Entry{
+		{Key: Key{Kind: KindDrain, Name: "shop/a1"}, Revision: 1, Writer: "alice", IdempotencyKey: "m1", WrittenAt: 11,
 			Value: json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice"}`)},
-		{Key: Key{Kind: Service, Name: "shop"}, Revision: 2, By: "bob", Mark: "m2", At: 12,
+		{Key: Key{Kind: KindService, Name: "shop"}, Revision: 2, Writer: "bob", IdempotencyKey: "m2", WrittenAt: 12,
 			Value: json.RawMessage(`{"toml":"[[service]]"}`)},
-		{Key: Key{Kind: Tenant, Name: "shop/gold"}, Revision: 3, By: "carol", Mark: "m3", At: 13,
+		{Key: Key{Kind: KindTenant, Name: "shop/gold"}, Revision: 3, Writer: "carol", IdempotencyKey: "m3", WrittenAt: 13,
 			Value: json.RawMessage(`{"quota":100,"weight":2}`)},
-		{Key: Key{Kind: Route, Name: "front"}, Revision: 4, By: "dave", Mark: "m4", At: 14,
+		{Key: Key{Kind: KindRoute, Name: "front"}, Revision: 4, Writer: "dave", IdempotencyKey: "m4", WrittenAt: 14,
 			Value: json.RawMessage(`{"toml":"[[route]]"}`)},
-		{Key: Key{Kind: Server, Name: "shop/a1"}, Revision: 5, Deleted: true, By: "node-1", Mark: "m5", At: 15},
+		{Key: Key{Kind: KindServer, Name: "shop/a1"}, Revision: 5, Deleted: true, Writer: "node-1", IdempotencyKey: "m5", WrittenAt: 15},
 	}
 }
 
@@ -82,32 +82,32 @@
 	meta := Meta{Epoch: "epoch-1", Revision: 44}
 	t.Run("meta", func(t *testing.T) { golden.FullJSON(t, "meta.json", meta) })
 	t.Run("fact", func(t *testing.T) { golden.FullJSON(t, "fact.json", goldenFact()) })
-	t.Run("fact zero", func(t *testing.T) { golden.JSON(t, "fact_zero.json", Fact{}) })
+	t.Run("fact zero", func(t *testing.T) { golden.JSON(t, "fact_zero.json", Entry{}) })
 	t.Run("change", func(t *testing.T) { golden.FullJSON(t, "change.json", goldenChange()) })
 	t.Run("conflict", func(t *testing.T) {
-		golden.FullJSON(t, "conflict.json", Conflict{Change: goldenChange(), Now: goldenFact()})
+		golden.FullJSON(t, "conflict.json", ConflictError{Change: goldenChange(), Current: goldenFact()})
 	})
 	t.Run("stale", func(t *testing.T) {
-		golden.FullJSON(t, "stale.json", Stale{Change: goldenChange(), Now: goldenFact()})
+		golden.FullJSON(t, "stale.json", StaleError{Change: goldenChange(), Current: goldenFact()})
 	})
 	t.Run("sighting", func(t *testing.T) {
 		// Service and ID are of the fact's name and stay out of its value: FullJSON passes over them.
 		golden.FullJSON(t, "sighting.json", goldenSighting())
 	})
-	t.Run("sighting zero", func(t *testing.T) { golden.JSON(t, "sighting_zero.json", Sighting{}) })
+	t.Run("sighting zero", func(t *testing.T) { golden.JSON(t, "sighting_zero.json", Observation{}) })
 	t.Run("drained", func(t *testing.T) { golden.FullJSON(t, "drained.json", goldenDrained()) })
-	t.Run("drained zero", func(t *testing.T) { golden.JSON(t, "drained_zero.json", Drained{}) })
+	t.Run("drained zero", func(t *testing.T) { golden.JSON(t, "drained_zero.json", Drain{}) })
 	t.Run("page", func(t *testing.T) {
-		golden.FullJSON(t, "page.json", Page{Meta: meta, Whole: true, Facts: factOfEachKind()})
+		golden.FullJSON(t, "page.json", Page{Meta: meta, Complete: true, Entries: factOfEachKind()})
 	})
 	t.Run("page zero", func(t *testing.T) { golden.JSON(t, "page_zero.json", Page{}) })
 	t.Run("snapshot", func(t *testing.T) {
 		golden.FullJSON(t, "snapshot.json", Snapshot{
-			Meta:   meta,
-			At:     1765000000789,
-			Clock:  1765000000999,
-			Facts:  factOfEachKind(),
-			Drains: map[string]Drained{"shop/a1": goldenDrained(), "shop/b2": {Since: 7, By: "bob"}},
+			Meta:        meta,
+			LastContact: 1765000000789,
+			LatestTime:  1765000000999,
+			Entries:     factOfEachKind(),
+			Drains:      map[string]Drain{"shop/a1": goldenDrained(), "shop/b2": {Since: 7, By: "bob"}},
 		})
 	})
 	t.Run("snapshot zero", func(t *testing.T) { golden.JSON(t, "snapshot_zero.json", Snapshot{}) })
@@ -137,22 +137,22 @@
 		marks++
 		return fmt.Sprintf("mark-%d", marks)
 	})
-	leftLongAgo := Fact{
-		Key:      Key{Kind: Server, Name: "shop/e5"},
-		Revision: 9,
-		Mark:     "m9",
-		At:       1,
-		Value:    json.RawMessage(`{"addr":"10.0.0.5:80","phase":"gone","start_ms":1,"listed":1}`),
+	leftLongAgo := Entry{
+		Key:            Key{Kind: KindServer, Name: "shop/e5"},
+		Revision:       9,
+		IdempotencyKey: "m9",
+		WrittenAt:      1,
+		Value:          json.RawMessage(`{"addr":"10.0.0.5:80","phase":"gone","start_ms":1,"listed":1}`),
 	}
-	view.Store(Page{Meta: Meta{Epoch: "epoch-1", Revision: 9}, Whole: true, Facts: []Fact{leftLongAgo}}, 1_000)
-	view.Discovered("shop", []Sighting{
-		{ID: "c3", Addr: "10.0.0.3:80", Phase: "ready", Start: 3, Listed: 70},
+	view.ApplyPage(Page{Meta: Meta{Epoch: "epoch-1", Revision: 9}, Complete: true, Entries: []Entry{leftLongAgo}}, 1_000)
+	view.ApplyDiscovery("shop", []Observation{
+		{ID: "c3", Addr: "10.0.0.3:80", Phase: "ready", Start: 3, ListRevision: 70},
 	}, true, 2_000)
-	view.Discovered("shop", []Sighting{
-		{ID: "a1", Addr: "10.0.0.1:80", Phase: "ready", Start: 1, Listed: 71, Zone: 2, Cell: 3, Weight: 1.5},
-		{ID: "b2", Addr: "10.0.0.2:80", Phase: "draining", Start: 2, Listed: 72},
+	view.ApplyDiscovery("shop", []Observation{
+		{ID: "a1", Addr: "10.0.0.1:80", Phase: "ready", Start: 1, ListRevision: 71, Zone: 2, Cell: 3, Weight: 1.5},
+		{ID: "b2", Addr: "10.0.0.2:80", Phase: "draining", Start: 2, ListRevision: 72},
 	}, true, 3_000)
-	view.Drain("shop/d4", Drained{Start: 4, Since: 3_500, By: "alice", Until: 90_000}, 4_000)
+	view.AddDrain("shop/d4", Drain{Start: 4, Since: 3_500, By: "alice", Until: 90_000}, 4_000)
 	view.Prune(700_000, 600_000)
 
 	var written bytes.Buffer
@@ -165,12 +165,12 @@
 
 // The status page shows these words.
 func TestGolden_StandingWords(t *testing.T) {
-	for standing, want := range map[Standing]string{
-		Never:   "never reached",
-		Follows: "follows",
-		Back:    "went back",
-		Other:   "another epoch",
-		Alone:   "lost",
+	for standing, want := range map[SyncState]string{
+		NeverSynced:  "never reached",
+		Following:    "follows",
+		RolledBack:   "went back",
+		EpochChanged: "another epoch",
+		Disconnected: "lost",
 	} {
 		assert.Equal(t, want, standing.String())
 	}
--- a/internal/record/record/view.go
+++ b/internal/record/record/view.go
@@ -7,78 +7,78 @@
 	"strings"
 )
 
-// Standing is how a node's copy stands to its store.
-type Standing int
+// SyncState is how a node's copy stands to its store.
+type SyncState int
 
 const (
-	Never Standing = iota // no store was reached since the start
-	Follows
-	Back  // the store is older than this copy, in the same epoch: restored without a word
-	Other // the store has another epoch than this copy had: it was made anew, restored or imported
-	Alone // the store was lost; this copy is of the last time it was reached
+	NeverSynced SyncState = iota // no store was reached since the start
+	Following
+	RolledBack   // the store is older than this copy, in the same epoch: restored without a word
+	EpochChanged // the store has another epoch than this copy had: it was made anew, restored or imported
+	Disconnected // the store was lost; this copy is of the last time it was reached
 )
 
-func (s Standing) String() string {
+func (s SyncState) String() string {
 	return []string{"never reached", "follows", "went back", "another epoch", "lost"}[s]
 }
 
-// Listed is a server as the node is to take it.
-type Listed struct {
-	Sighting
-	Why string // of a phase that discovery does not say
+// ListedServer is a server as the node is to take it.
+type ListedServer struct {
+	Observation
+	Reason string // of a phase that discovery does not say
 }
 
 // View is what a node knows. What it merges comes through its methods; Servers and Pending are what follows. It is not safe
 // for concurrent use.
 type View struct {
-	MostAge int64 // milliseconds that servers known from an old copy alone may be sent to; 0: for ever
-
-	Meta     Meta
-	Standing Standing
-	At       int64 // when the store was last heard
-	Clock    int64 // the latest time heard: the machine's may be set back
-
-	facts      map[Key]Fact
-	wrote      int64                          // the highest revision of what this node wrote: the store stood there, whether or not it was read since
-	discovered map[string]map[string]Sighting // by service
-	heard      map[string]bool                // services whose discovery has spoken since the start
-	own        map[string]Drained             // drains that this node was told, by name
-	pending    map[Key]Change                 // to be written, one a key
-	Dropped    int                            // sightings that were not queued since the queue was full
-	Most       int                            // pending at most, drains not counted
+	MaxStaleness int64 // milliseconds that servers known from an old copy alone may be sent to; 0: for ever
+
+	Meta        Meta
+	SyncState   SyncState
+	LastContact int64 // when the store was last heard
+	LatestTime  int64 // the latest time heard: the machine's may be set back
+
+	facts      map[Key]Entry
+	wrote      int64                             // the highest revision of what this node wrote: the store stood there, whether or not it was read since
+	discovered map[string]map[string]Observation // by service
+	heard      map[string]bool                   // services whose discovery has spoken since the start
+	own        map[string]Drain                  // drains that this node was told, by name
+	pending    map[Key]Change                    // to be written, one a key
+	Dropped    int                               // sightings that were not queued since the queue was full
+	MaxPending int                               // pending at most, drains not counted
 	mark       func() string
 	by         string
 }
 
 // NewView starts with nothing known. Marks come from the function, a new one each time; by is the node's name.
 func NewView(by string, most int, mark func() string) *View {
-	return &View{facts: map[Key]Fact{}, discovered: map[string]map[string]Sighting{}, heard: map[string]bool{}, own: map[string]Drained{},
-		pending: map[Key]Change{}, Most: most, mark: mark, by: by}
+	return &View{facts: map[Key]Entry{}, discovered: map[string]map[string]Observation{}, heard: map[string]bool{}, own: map[string]Drain{},
+		pending: map[Key]Change{}, MaxPending: most, mark: mark, by: by}
 }
 
 func (v *View) tick(now int64) int64 {
-	v.Clock = max(v.Clock, now)
-	return v.Clock
+	v.LatestTime = max(v.LatestTime, now)
+	return v.LatestTime
 }
 
 // Snapshot is what a node keeps on its own disk.
 type Snapshot struct {
-	Meta   Meta               `json:"meta"`
-	At     int64              `json:"at_ms"`
-	Clock  int64              `json:"clock_ms"`
-	Facts  []Fact             `json:"facts"`
-	Drains map[string]Drained `json:"drains"` // told to this node, and perhaps not recorded yet
+	Meta        Meta             `json:"meta"`
+	LastContact int64            `json:"at_ms"`
+	LatestTime  int64            `json:"clock_ms"`
+	Entries     []Entry          `json:"facts"`
+	Drains      map[string]Drain `json:"drains"` // told to this node, and perhaps not recorded yet
 }
 
 // Snapshot is a copy of what must outlast the process.
 func (v *View) Snapshot() Snapshot {
-	return Snapshot{Meta: v.Meta, At: v.At, Clock: v.Clock, Facts: slices.Collect(maps.Values(v.facts)), Drains: maps.Clone(v.own)}
+	return Snapshot{Meta: v.Meta, LastContact: v.LastContact, LatestTime: v.LatestTime, Entries: slices.Collect(maps.Values(v.facts)), Drains: maps.Clone(v.own)}
 }
 
 // Restore begins with a snapshot. It is an old copy until the store has been reached.
 func (v *View) Restore(s Snapshot, now int64) {
-	v.Meta, v.At, v.Clock, v.Standing = s.Meta, s.At, max(s.Clock, now), Never
-	for _, f := range s.Facts {
+	v.Meta, v.LastContact, v.LatestTime, v.SyncState = s.Meta, s.LastContact, max(s.LatestTime, now), NeverSynced
+	for _, f := range s.Entries {
 		v.facts[f.Key] = f
 		v.wrote = max(v.wrote, f.Revision)
 	}
@@ -89,58 +89,58 @@
 
 // Page is news from the store: what changed after a revision, or with Whole all of it.
 type Page struct {
-	Meta  Meta   `json:"Meta"`
-	Whole bool   `json:"Whole"`
-	Facts []Fact `json:"Facts"`
+	Meta     Meta    `json:"Meta"`
+	Complete bool    `json:"Whole"`
+	Entries  []Entry `json:"Facts"`
 }
 
-// Stands is where this copy stands: as far as it has read, or has written.
-func (v *View) Stands() Meta { return Meta{v.Meta.Epoch, max(v.Meta.Revision, v.wrote)} }
+// Position is where this copy stands: as far as it has read, or has written.
+func (v *View) Position() Meta { return Meta{v.Meta.Epoch, max(v.Meta.Revision, v.wrote)} }
 
-// Wants is what to ask the store for next, given where it stands: all of it, or what came after a revision.
-func (v *View) Wants(m Meta) (after int64, whole bool) {
-	if s := v.Stands(); m.Epoch != s.Epoch || m.Revision < s.Revision {
+// NextRead is what to ask the store for next, given where it stands: all of it, or what came after a revision.
+func (v *View) NextRead(m Meta) (after int64, whole bool) {
+	if s := v.Position(); m.Epoch != s.Epoch || m.Revision < s.Revision {
 		return 0, true
 	}
 	return v.Meta.Revision, false
 }
 
-// Store takes news from the store. Whatever it says, no drain that this node knows is forgotten by it: those that it lacks
+// ApplyPage takes news from the store. Whatever it says, no drain that this node knows is forgotten by it: those that it lacks
 // are to be written again.
-func (v *View) Store(p Page, now int64) {
+func (v *View) ApplyPage(p Page, now int64) {
 	v.tick(now)
 	switch {
-	case v.Meta.Epoch == "" || p.Meta.Epoch == v.Meta.Epoch && p.Meta.Revision >= v.Stands().Revision:
-		v.Standing = Follows
+	case v.Meta.Epoch == "" || p.Meta.Epoch == v.Meta.Epoch && p.Meta.Revision >= v.Position().Revision:
+		v.SyncState = Following
 	case p.Meta.Epoch == v.Meta.Epoch:
-		v.Standing = Back
+		v.SyncState = RolledBack
 	default:
-		v.Standing = Other
+		v.SyncState = EpochChanged
 	}
-	drains := map[string]Fact{}
+	drains := map[string]Entry{}
 	for k, f := range v.facts {
-		if k.Kind == Drain && !f.Deleted {
+		if k.Kind == KindDrain && !f.Deleted {
 			drains[k.Name] = f
 		}
 	}
-	if p.Whole && v.Standing != Back {
+	if p.Complete && v.SyncState != RolledBack {
 		clear(v.facts)
 	}
-	for _, f := range p.Facts {
-		if was, ok := v.facts[f.Key]; ok && v.Standing == Back && was.Revision >= f.Revision {
+	for _, f := range p.Entries {
+		if was, ok := v.facts[f.Key]; ok && v.SyncState == RolledBack && was.Revision >= f.Revision {
 			continue // the copy is newer: it stays until the store has passed it
 		}
 		v.facts[f.Key] = f
 	}
 	told := map[Key]bool{}
-	for _, f := range p.Facts {
+	for _, f := range p.Entries {
 		told[f.Key] = true
 		v.overtaken(f)
 	}
 	for name, f := range drains {
 		// What a whole page lacks the store has lost; a drain that was taken back stands in it as deleted.
-		if p.Whole && !told[f.Key] || v.Standing == Other && v.facts[f.Key].Mark != f.Mark {
-			var d Drained
+		if p.Complete && !told[f.Key] || v.SyncState == EpochChanged && v.facts[f.Key].IdempotencyKey != f.IdempotencyKey {
+			var d Drain
 			if json.Unmarshal(f.Value, &d) == nil {
 				v.tell(name, d)
 			}
@@ -148,35 +148,35 @@
 	}
 	// What the store has by now need not be written; what it lacks must be, also after it went back.
 	for name, d := range v.own {
-		f, ok := v.facts[Key{Drain, name}]
-		var there Drained
-		if ok && !f.Deleted && json.Unmarshal(f.Value, &there) == nil && !v.beyond(d, there, f.Revision) && (v.Standing == Follows || told[f.Key]) {
+		f, ok := v.facts[Key{KindDrain, name}]
+		var there Drain
+		if ok && !f.Deleted && json.Unmarshal(f.Value, &there) == nil && !v.beyond(d, there, f.Revision) && (v.SyncState == Following || told[f.Key]) {
 			if there.Ended || there.last() > d.last() || there == d {
 				delete(v.own, name)
 			}
-			delete(v.pending, Key{Drain, name})
+			delete(v.pending, Key{KindDrain, name})
 			continue
 		}
-		if ok && f.Deleted && v.Standing == Follows && f.Revision > 0 && v.written(name) {
+		if ok && f.Deleted && v.SyncState == Following && f.Revision > 0 && v.written(name) {
 			delete(v.own, name) // ended by hand, after it was recorded
 			continue
 		}
 		v.queueDrain(name, d)
 	}
-	if v.Standing != Back {
+	if v.SyncState != RolledBack {
 		v.Meta, v.wrote = p.Meta, 0
 	}
-	v.At = now
+	v.LastContact = now
 }
 
 // overtaken takes what waits to be written about a server out, if a fact that the store has says it already. All nodes hear of
 // a server at once and each would else write it, and of those far from the store a whole list of writes that change nothing may
 // never be done in the time of one call.
-func (v *View) overtaken(f Fact) {
+func (v *View) overtaken(f Entry) {
 	c, waits := v.pending[f.Key]
-	var s Sighting
+	var s Observation
 	switch {
-	case !waits || f.Kind != Server:
+	case !waits || f.Kind != KindServer:
 	case c.Delete:
 		if f.Deleted {
 			delete(v.pending, f.Key)
@@ -188,29 +188,29 @@
 
 // written tells whether a drain of this node has been recorded: then its absence is somebody's word.
 func (v *View) written(name string) bool {
-	_, waits := v.pending[Key{Drain, name}]
+	_, waits := v.pending[Key{KindDrain, name}]
 	return !waits
 }
 
-// Settled ends a Back or Other once what was lacking has been written: from there the store is followed.
-func (v *View) Settled(m Meta) {
+// MarkSynced ends a Back or Other once what was lacking has been written: from there the store is followed.
+func (v *View) MarkSynced(m Meta) {
 	if len(v.pending) == 0 || m.Revision >= v.Meta.Revision {
-		v.Meta, v.wrote, v.Standing = m, 0, Follows
+		v.Meta, v.wrote, v.SyncState = m, 0, Following
 	}
 }
 
-// Lost tells that the store can't be reached.
-func (v *View) Lost() {
-	if v.Standing != Never {
-		v.Standing = Alone
+// MarkDisconnected tells that the store can't be reached.
+func (v *View) MarkDisconnected() {
+	if v.SyncState != NeverSynced {
+		v.SyncState = Disconnected
 	}
 }
 
-// Discovered takes a service's list, or with full unset changes of it.
-func (v *View) Discovered(service string, list []Sighting, full bool, now int64) {
+// ApplyDiscovery takes a service's list, or with full unset changes of it.
+func (v *View) ApplyDiscovery(service string, list []Observation, full bool, now int64) {
 	v.tick(now)
 	was := v.discovered[service]
-	is := map[string]Sighting{}
+	is := map[string]Observation{}
 	if !full {
 		maps.Copy(is, was)
 	}
@@ -236,8 +236,8 @@
 		// A drain by discovery's word is a fact of its own: a later list from an older source must not undo it.
 		if s.Phase == "draining" {
 			name := service + "/" + s.ID
-			if d, ok := v.drain(name); !ok || !covers(d, s.Start, v.Clock) {
-				v.Drain(name, Drained{Start: s.Start, Since: now, By: "discovery"}, now)
+			if d, ok := v.drain(name); !ok || !covers(d, s.Start, v.LatestTime) {
+				v.AddDrain(name, Drain{Start: s.Start, Since: now, By: "discovery"}, now)
 			}
 		}
 		v.sight(s)
@@ -245,68 +245,68 @@
 }
 
 // toldBy tells whether a fact says all that a sighting does, whose value this is.
-func (s *Sighting) toldBy(f Fact, value []byte) bool {
-	var was Sighting
+func (s *Observation) toldBy(f Entry, value []byte) bool {
+	var was Observation
 	if f.Deleted || json.Unmarshal(f.Value, &was) != nil {
 		return false
 	}
 	same := was
-	same.Listed = s.Listed
+	same.ListRevision = s.ListRevision
 	b, _ := json.Marshal(same)
 	return string(b) == string(value) || s.Start < was.Start || s.Start == was.Start && rank(s.Phase) < rank(was.Phase)
 }
 
 // sight queues a sighting, if it says more than is recorded.
-func (v *View) sight(s Sighting) {
-	k := Key{Server, s.Service + "/" + s.ID}
+func (v *View) sight(s Observation) {
+	k := Key{KindServer, s.Service + "/" + s.ID}
 	value, _ := json.Marshal(s)
 	if f, ok := v.facts[k]; ok && s.toldBy(f, value) {
 		return
 	}
-	if _, waits := v.pending[k]; !waits && len(v.pending) >= v.Most {
+	if _, waits := v.pending[k]; !waits && len(v.pending) >= v.MaxPending {
 		v.Dropped++ // the next list brings it again
 		return
 	}
-	v.pending[k] = Change{Key: k, Expect: Any, By: v.by, Mark: v.mark(), At: v.Clock, Value: value}
+	v.pending[k] = Change{Key: k, ExpectedRevision: AnyRevision, Writer: v.by, IdempotencyKey: v.mark(), WrittenAt: v.LatestTime, Value: value}
 }
 
-// Drain is somebody's word to this node. It is in force before it is recorded.
-func (v *View) Drain(name string, d Drained, now int64) {
+// AddDrain is somebody's word to this node. It is in force before it is recorded.
+func (v *View) AddDrain(name string, d Drain, now int64) {
 	v.tick(now)
-	d.Over = max(d.Over, v.facts[Key{Drain, name}].Revision)
+	d.Supersedes = max(d.Supersedes, v.facts[Key{KindDrain, name}].Revision)
 	v.tell(name, d)
 }
 
-func (v *View) tell(name string, d Drained) {
-	if was, ok := v.own[name]; ok && older(d, was) && !(was.Ended && d.Over > was.Over) {
+func (v *View) tell(name string, d Drain) {
+	if was, ok := v.own[name]; ok && older(d, was) && !(was.Ended && d.Supersedes > was.Supersedes) {
 		return
 	}
 	v.own[name] = d
 	v.queueDrain(name, d)
 }
 
-func (v *View) queueDrain(name string, d Drained) {
-	k := Key{Drain, name}
+func (v *View) queueDrain(name string, d Drain) {
+	k := Key{KindDrain, name}
 	value, _ := json.Marshal(d)
 	if c, ok := v.pending[k]; ok && string(c.Value) == string(value) {
 		return // the mark stays: it may have been written
 	}
-	v.pending[k] = Change{Key: k, Expect: Any, By: v.by, Mark: v.mark(), At: v.Clock, Value: value}
+	v.pending[k] = Change{Key: k, ExpectedRevision: AnyRevision, Writer: v.by, IdempotencyKey: v.mark(), WrittenAt: v.LatestTime, Value: value}
 }
 
 // drain is what is known of a server's drain, from the record and from this node's own memory: what says most.
-func (v *View) drain(name string) (d Drained, ok bool) {
-	if f, is := v.facts[Key{Drain, name}]; is && !f.Deleted && json.Unmarshal(f.Value, &d) == nil {
+func (v *View) drain(name string) (d Drain, ok bool) {
+	if f, is := v.facts[Key{KindDrain, name}]; is && !f.Deleted && json.Unmarshal(f.Value, &d) == nil {
 		ok = true
 	}
-	if own, is := v.own[name]; is && (!ok || v.beyond(own, d, v.facts[Key{Drain, name}].Revision)) {
+	if own, is := v.own[name]; is && (!ok || v.beyond(own, d, v.facts[Key{KindDrain, name}].Revision)) {
 		return own, true
 	}
 	return d, ok
 }
 
 // beyond tells whether a drain of this node's says more than the recorded one at a revision.
-func (v *View) beyond(own, recorded Drained, revision int64) bool {
+func (v *View) beyond(own, recorded Drain, revision int64) bool {
 	if recorded.Ended && !own.Ended {
 		return own.again(recorded, revision)
 	}
@@ -314,56 +314,56 @@
 }
 
 // covers tells whether a drain holds for a process that started at a time, 0 if that is not known.
-func covers(d Drained, start, now int64) bool {
+func covers(d Drain, start, now int64) bool {
 	return !d.Ended && (d.Until == 0 || now < d.Until) && (d.Start == 0 || start <= d.Start)
 }
 
 // Servers is a service's list as the node is to take it now. Where discovery has spoken its list is the base; where it has
 // not, the record's sightings are, unless they are too old to be sent to. Drains hold over either.
-func (v *View) Servers(service string, now int64) []Listed {
+func (v *View) Servers(service string, now int64) []ListedServer {
 	now = v.tick(now)
-	base := map[string]Listed{}
+	base := map[string]ListedServer{}
 	if v.heard[service] {
 		for id, s := range v.discovered[service] {
-			base[id] = Listed{Sighting: s}
+			base[id] = ListedServer{Observation: s}
 		}
 	} else {
-		old := v.Standing != Follows && v.MostAge > 0 && now-v.At > v.MostAge
+		old := v.SyncState != Following && v.MaxStaleness > 0 && now-v.LastContact > v.MaxStaleness
 		for k, f := range v.facts {
 			id, is := strings.CutPrefix(k.Name, service+"/")
-			var s Sighting
-			if k.Kind != Server || !is || f.Deleted || json.Unmarshal(f.Value, &s) != nil || s.Phase == "gone" {
+			var s Observation
+			if k.Kind != KindServer || !is || f.Deleted || json.Unmarshal(f.Value, &s) != nil || s.Phase == "gone" {
 				continue
 			}
 			s.Service, s.ID = service, id
-			l := Listed{Sighting: s}
+			l := ListedServer{Observation: s}
 			if old && s.Phase == "ready" {
-				l.Phase, l.Why = "draining", "known from an old copy only"
+				l.Phase, l.Reason = "draining", "known from an old copy only"
 			}
 			base[id] = l
 		}
 		for id, s := range v.discovered[service] { // changes without a whole list
-			base[id] = Listed{Sighting: s}
+			base[id] = ListedServer{Observation: s}
 		}
 	}
-	out := make([]Listed, 0, len(base))
+	out := make([]ListedServer, 0, len(base))
 	for id, l := range base {
 		if d, ok := v.drain(service + "/" + id); ok && l.Phase == "ready" && covers(d, l.Start, now) {
-			l.Phase, l.Why = "draining", "drained by "+d.By
+			l.Phase, l.Reason = "draining", "drained by "+d.By
 		}
 		out = append(out, l)
 	}
-	slices.SortFunc(out, func(a, b Listed) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b ListedServer) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
-// Size is how many facts the view would hold with a page, deleted ones included.
-func (v *View) Size(p Page) int {
-	if p.Whole {
-		return len(p.Facts)
+// SizeWith is how many facts the view would hold with a page, deleted ones included.
+func (v *View) SizeWith(p Page) int {
+	if p.Complete {
+		return len(p.Entries)
 	}
 	n := len(v.facts)
-	for _, f := range p.Facts {
+	for _, f := range p.Entries {
 		if _, has := v.facts[f.Key]; !has {
 			n++
 		}
@@ -371,15 +371,15 @@
 	return n
 }
 
-// Facts are those of a kind, by name.
-func (v *View) Facts(k Kind) []Fact {
-	var out []Fact
+// Entries are those of a kind, by name.
+func (v *View) Entries(k Kind) []Entry {
+	var out []Entry
 	for _, f := range v.facts {
 		if f.Kind == k && !f.Deleted {
 			out = append(out, f)
 		}
 	}
-	return Sorted(out)
+	return SortEntries(out)
 }
 
 // Pending are the changes to be written next, drains first; a key stands in it once.
@@ -398,11 +398,11 @@
 	return out[:min(most, len(out))]
 }
 
-// Unrecorded is how many drains this node alone knows.
-func (v *View) Unrecorded() int {
+// UnrecordedDrains is how many drains this node alone knows.
+func (v *View) UnrecordedDrains() int {
 	n := 0
 	for k := range v.pending {
-		if k.Kind == Drain {
+		if k.Kind == KindDrain {
 			n++
 		}
 	}
@@ -414,23 +414,23 @@
 func (v *View) Prune(now, keep int64) {
 	now = v.tick(now)
 	for k, f := range v.facts {
-		var s Sighting
-		if k.Kind != Server || f.Deleted || now-f.At <= keep || json.Unmarshal(f.Value, &s) != nil || s.Phase != "gone" || len(v.pending) >= v.Most {
+		var s Observation
+		if k.Kind != KindServer || f.Deleted || now-f.WrittenAt <= keep || json.Unmarshal(f.Value, &s) != nil || s.Phase != "gone" || len(v.pending) >= v.MaxPending {
 			continue
 		}
 		if _, waits := v.pending[k]; !waits {
-			v.pending[k] = Change{Key: k, Expect: f.Revision, Delete: true, By: v.by, Mark: v.mark(), At: now}
+			v.pending[k] = Change{Key: k, ExpectedRevision: f.Revision, Delete: true, Writer: v.by, IdempotencyKey: v.mark(), WrittenAt: now}
 		}
 	}
 }
 
-// Waiting is how many changes wait.
-func (v *View) Waiting() int { return len(v.pending) }
+// PendingCount is how many changes wait.
+func (v *View) PendingCount() int { return len(v.pending) }
 
-// Written tells that a change is recorded as a fact, or with Revision 0 that the store would not have it since something
+// MarkWritten tells that a change is recorded as a fact, or with Revision 0 that the store would not have it since something
 // newer is there.
-func (v *View) Written(c Change, f Fact) {
-	if now, ok := v.pending[c.Key]; ok && now.Mark == c.Mark {
+func (v *View) MarkWritten(c Change, f Entry) {
+	if now, ok := v.pending[c.Key]; ok && now.IdempotencyKey == c.IdempotencyKey {
 		delete(v.pending, c.Key)
 	}
 	if f.Revision > 0 {
--- a/internal/record/replica/replica_test.go
+++ b/internal/record/replica/replica_test.go
@@ -13,77 +13,77 @@
 	"robincart/internal/record/record"
 )
 
-func fact(name string, revision int64, value string) record.Fact {
-	return record.Fact{Key: record.Key{Kind: record.Server, Name: name}, Revision: revision, Mark: fmt.Sprint("m", revision), Value: json.RawMessage(value)}
+func fact(name string, revision int64, value string) record.Entry {
+	return record.Entry{Key: record.Key{Kind: record.KindServer, Name: name}, Revision: revision, IdempotencyKey: fmt.Sprint("m", revision), Value: json.RawMessage(value)}
 }
 
 func sighting(name, phase string, listed int) record.Change {
-	return record.Change{Key: record.Key{Kind: record.Server, Name: name}, Expect: record.Any, By: "n", Mark: fmt.Sprint(name, phase, listed),
+	return record.Change{Key: record.Key{Kind: record.KindServer, Name: name}, ExpectedRevision: record.AnyRevision, Writer: "n", IdempotencyKey: fmt.Sprint(name, phase, listed),
 		Value: json.RawMessage(fmt.Sprintf(`{"addr":"10.0.0.1:80","phase":%q,"start_ms":5,"listed":%d}`, phase, listed))}
 }
 
 func TestACopySaysWhatTheStoreWouldSay(t *testing.T) {
 	c := &Copy{}
-	assert.False(t, c.Knows(record.Meta{}), "nothing was read")
-	_, whole, any := c.Wants(record.Meta{Epoch: "e", Revision: 4})
+	assert.False(t, c.IsCurrentFor(record.Meta{}), "nothing was read")
+	_, whole, any := c.NextRead(record.Meta{Epoch: "e", Revision: 4})
 	assert.True(t, whole && any)
-	back, err := c.Take(record.Page{Meta: record.Meta{Epoch: "e", Revision: 4}, Whole: true, Facts: []record.Fact{fact("s/a", 1, `{}`), fact("s/b", 4, `{}`), fact("s/c", 2, `{}`)}})
+	back, err := c.Apply(record.Page{Meta: record.Meta{Epoch: "e", Revision: 4}, Complete: true, Entries: []record.Entry{fact("s/a", 1, `{}`), fact("s/b", 4, `{}`), fact("s/c", 2, `{}`)}})
 	require.NoError(t, err)
 	assert.False(t, back)
-	_, _, any = c.Wants(record.Meta{Epoch: "e", Revision: 4})
+	_, _, any = c.NextRead(record.Meta{Epoch: "e", Revision: 4})
 	assert.False(t, any)
 	p := c.Since(0, 2) // as a store pages: this far it is known
-	assert.Equal(t, []int64{1, 2, 2}, []int64{p.Facts[0].Revision, p.Facts[1].Revision, p.Meta.Revision})
-	assert.False(t, p.Whole)
+	assert.Equal(t, []int64{1, 2, 2}, []int64{p.Entries[0].Revision, p.Entries[1].Revision, p.Meta.Revision})
+	assert.False(t, p.Complete)
 	p = c.Since(2, 2)
-	assert.Len(t, p.Facts, 1)
+	assert.Len(t, p.Entries, 1)
 	assert.EqualValues(t, 4, p.Meta.Revision)
-	assert.True(t, c.Since(0, 9).Whole)
-	assert.Empty(t, c.Since(9, 9).Facts)
+	assert.True(t, c.Since(0, 9).Complete)
+	assert.Empty(t, c.Since(9, 9).Entries)
 
-	after, whole, any := c.Wants(record.Meta{Epoch: "e", Revision: 6})
+	after, whole, any := c.NextRead(record.Meta{Epoch: "e", Revision: 6})
 	assert.True(t, after == 4 && !whole && any)
-	back, err = c.Take(record.Page{Meta: record.Meta{Epoch: "e", Revision: 6}, Facts: []record.Fact{fact("s/a", 6, `{"x":1}`)}})
+	back, err = c.Apply(record.Page{Meta: record.Meta{Epoch: "e", Revision: 6}, Entries: []record.Entry{fact("s/a", 6, `{"x":1}`)}})
 	require.NoError(t, err)
 	assert.False(t, back)
-	assert.Equal(t, []int64{2, 4, 6}, []int64{c.Since(0, 9).Facts[0].Revision, c.Since(0, 9).Facts[1].Revision, c.Since(0, 9).Facts[2].Revision})
+	assert.Equal(t, []int64{2, 4, 6}, []int64{c.Since(0, 9).Entries[0].Revision, c.Since(0, 9).Entries[1].Revision, c.Since(0, 9).Entries[2].Revision})
 
 	for at, knows := range map[record.Meta]bool{{}: true, {Epoch: "e", Revision: 6}: true, {Epoch: "e", Revision: 7}: false, {Epoch: "f", Revision: 1}: false} {
-		assert.Equal(t, knows, c.Knows(at), "%+v", at)
+		assert.Equal(t, knows, c.IsCurrentFor(at), "%+v", at)
 	}
-	_, whole, any = c.Wants(record.Meta{Epoch: "e", Revision: 5})
+	_, whole, any = c.NextRead(record.Meta{Epoch: "e", Revision: 5})
 	assert.True(t, whole && any, "it went back")
-	back, err = c.Take(record.Page{Meta: record.Meta{Epoch: "e", Revision: 5}, Whole: true, Facts: []record.Fact{fact("s/a", 1, `{}`)}})
+	back, err = c.Apply(record.Page{Meta: record.Meta{Epoch: "e", Revision: 5}, Complete: true, Entries: []record.Entry{fact("s/a", 1, `{}`)}})
 	require.NoError(t, err)
 	assert.True(t, back)
 	assert.Equal(t, 1, c.Len())
-	back, _ = c.Take(record.Page{Meta: record.Meta{Epoch: "f", Revision: 9}, Whole: true})
+	back, _ = c.Apply(record.Page{Meta: record.Meta{Epoch: "f", Revision: 9}, Complete: true})
 	assert.True(t, back, "another epoch")
-	c.Wrote(fact("s/a", 10, `{}`))
-	_, whole, any = c.Wants(record.Meta{Epoch: "f", Revision: 9})
+	c.NoteWritten(fact("s/a", 10, `{}`))
+	_, whole, any = c.NextRead(record.Meta{Epoch: "f", Revision: 9})
 	assert.True(t, whole && any, "it went back behind what was written")
-	back, _ = c.Take(record.Page{Meta: record.Meta{Epoch: "f", Revision: 9}, Whole: true})
+	back, _ = c.Apply(record.Page{Meta: record.Meta{Epoch: "f", Revision: 9}, Complete: true})
 	assert.True(t, back)
-	_, _, any = c.Wants(record.Meta{Epoch: "f", Revision: 9})
+	_, _, any = c.NextRead(record.Meta{Epoch: "f", Revision: 9})
 	assert.False(t, any)
 }
 
 func TestARecordBeyondTheBoundsIsNamedAndTheCopyStays(t *testing.T) {
 	c := &Copy{}
-	_, err := c.Take(record.Page{Meta: record.Meta{Epoch: "e", Revision: 1}, Whole: true, Facts: []record.Fact{fact("s/a", 1, `{}`)}})
+	_, err := c.Apply(record.Page{Meta: record.Meta{Epoch: "e", Revision: 1}, Complete: true, Entries: []record.Entry{fact("s/a", 1, `{}`)}})
 	require.NoError(t, err)
-	many := make([]record.Fact, MostFacts+1)
+	many := make([]record.Entry, MaxEntries+1)
 	for i := range many {
 		many[i] = fact(fmt.Sprint("s/", i), int64(i+2), `{}`)
 	}
-	large := []record.Fact{}
-	value := `"` + strings.Repeat("x", record.MostValue) + `"`
-	for i := range MostBytes/record.MostValue + 1 {
+	large := []record.Entry{}
+	value := `"` + strings.Repeat("x", record.MaxValueSize) + `"`
+	for i := range MaxBytes/record.MaxValueSize + 1 {
 		large = append(large, fact(fmt.Sprint("s/", i), int64(i+2), value))
 	}
-	for _, facts := range [][]record.Fact{many, large} {
+	for _, facts := range [][]record.Entry{many, large} {
 		for _, whole := range []bool{false, true} {
-			_, err := c.Take(record.Page{Meta: record.Meta{Epoch: "e", Revision: 1 << 40}, Whole: whole, Facts: facts})
+			_, err := c.Apply(record.Page{Meta: record.Meta{Epoch: "e", Revision: 1 << 40}, Complete: whole, Entries: facts})
 			assert.ErrorIs(t, err, ErrTooLarge)
 			assert.Equal(t, 1, c.Len())
 			assert.EqualValues(t, 1, c.Meta().Revision)
@@ -92,35 +92,35 @@
 }
 
 func TestANodeWritesWhatItWasToldOfServersAndNothingElse(t *testing.T) {
-	drain := record.Change{Key: record.Key{Kind: record.Drain, Name: "s/a"}, Expect: record.Any, By: "n", Mark: "m", Value: json.RawMessage(`{"start_ms":1,"since_ms":1,"by":"discovery"}`)}
-	prune := record.Change{Key: record.Key{Kind: record.Server, Name: "s/a"}, Expect: 4, Delete: true, By: "n", Mark: "m"}
-	assert.NoError(t, Allowed("e", []record.Change{drain, prune, sighting("s/b", "ready", 1)}))
+	drain := record.Change{Key: record.Key{Kind: record.KindDrain, Name: "s/a"}, ExpectedRevision: record.AnyRevision, Writer: "n", IdempotencyKey: "m", Value: json.RawMessage(`{"start_ms":1,"since_ms":1,"by":"discovery"}`)}
+	prune := record.Change{Key: record.Key{Kind: record.KindServer, Name: "s/a"}, ExpectedRevision: 4, Delete: true, Writer: "n", IdempotencyKey: "m"}
+	assert.NoError(t, CheckAllowed("e", []record.Change{drain, prune, sighting("s/b", "ready", 1)}))
 	undo := drain
 	undo.Delete = true
-	route := record.Change{Key: record.Key{Kind: record.Route, Name: "r"}, Expect: record.Any, Mark: "m", Value: json.RawMessage(`{"toml":""}`)}
+	route := record.Change{Key: record.Key{Kind: record.KindRoute, Name: "r"}, ExpectedRevision: record.AnyRevision, IdempotencyKey: "m", Value: json.RawMessage(`{"toml":""}`)}
 	service, tenant := route, route
-	service.Kind, tenant.Kind, tenant.Name = record.Service, record.Tenant, "s/t"
+	service.Kind, tenant.Kind, tenant.Name = record.KindService, record.KindTenant, "s/t"
 	for _, c := range []record.Change{undo, route, service, tenant} {
-		assert.ErrorContains(t, Allowed("e", []record.Change{drain, c}), "and nothing else", "%s", c.Kind)
+		assert.ErrorContains(t, CheckAllowed("e", []record.Change{drain, c}), "and nothing else", "%s", c.Kind)
 	}
 	bad := drain
 	bad.Value = json.RawMessage(`{`)
-	assert.ErrorContains(t, Allowed("e", []record.Change{bad}), "no JSON")
-	assert.ErrorIs(t, Allowed(strings.Repeat("e", 1000), []record.Change{drain}), record.ErrEpoch)
+	assert.ErrorContains(t, CheckAllowed("e", []record.Change{bad}), "no JSON")
+	assert.ErrorIs(t, CheckAllowed(strings.Repeat("e", 1000), []record.Change{drain}), record.ErrEpochMismatch)
 	long := sighting("s/a", "ready", 1)
-	long.Value = json.RawMessage(`{"phase":"ready","addr":"` + strings.Repeat("x", MostValue) + `"}`)
-	assert.ErrorContains(t, Allowed("e", []record.Change{long}), "more than 4096")
-	assert.ErrorContains(t, Allowed("e", make([]record.Change, MostChanges+1)), "more than")
+	long.Value = json.RawMessage(`{"phase":"ready","addr":"` + strings.Repeat("x", MaxValueSize) + `"}`)
+	assert.ErrorContains(t, CheckAllowed("e", []record.Change{long}), "more than 4096")
+	assert.ErrorContains(t, CheckAllowed("e", make([]record.Change, MaxChangesPerCall+1)), "more than")
 }
 
 func TestWhatTheCopyKnowsNeedNotBeWritten(t *testing.T) {
 	c := &Copy{}
 	ready, gone := sighting("s/a", "ready", 1), sighting("s/b", "gone", 1)
-	_, err := c.Take(record.Page{Meta: record.Meta{Epoch: "e", Revision: 4}, Whole: true, Facts: []record.Fact{
-		{Key: ready.Key, Revision: 3, Mark: "m3", Value: ready.Value}, {Key: gone.Key, Revision: 4, Mark: "m4", Value: gone.Value}}})
+	_, err := c.Apply(record.Page{Meta: record.Meta{Epoch: "e", Revision: 4}, Complete: true, Entries: []record.Entry{
+		{Key: ready.Key, Revision: 3, IdempotencyKey: "m3", Value: ready.Value}, {Key: gone.Key, Revision: 4, IdempotencyKey: "m4", Value: gone.Value}}})
 	require.NoError(t, err)
 	ask := func(x record.Change) (int64, error, bool) {
-		f, err, known := c.Answer(&x)
+		f, err, known := c.Resolve(&x)
 		return f.Revision, err, known
 	}
 	r, err, known := ask(sighting("s/a", "ready", 2))
@@ -130,15 +130,15 @@
 	_, _, known = ask(sighting("s/c", "ready", 2))
 	assert.False(t, known)
 	_, err, known = ask(sighting("s/b", "ready", 2))
-	var stale *record.Stale
+	var stale *record.StaleError
 	assert.True(t, known)
 	assert.ErrorAs(t, err, &stale, "a process that left does not come back")
-	prune := record.Change{Key: gone.Key, Expect: 2, Delete: true, By: "n", Mark: "p"}
+	prune := record.Change{Key: gone.Key, ExpectedRevision: 2, Delete: true, Writer: "n", IdempotencyKey: "p"}
 	_, err, known = ask(prune)
-	var lost *record.Conflict
+	var lost *record.ConflictError
 	assert.True(t, known)
 	assert.ErrorAs(t, err, &lost)
-	prune.Expect = 9 // its writer has seen more than this copy
+	prune.ExpectedRevision = 9 // its writer has seen more than this copy
 	_, _, known = ask(prune)
 	assert.False(t, known)
 }
@@ -156,34 +156,34 @@
 	b := q.Add("e", sighting("s/b", "ready", 1))
 	assert.Equal(t, 439, q.Merged)
 	batch := q.Next(10)
-	assert.Equal(t, []*Job{first, b}, batch, "each key once, one epoch")
+	assert.Equal(t, []*PendingWrite{first, b}, batch, "each key once, one epoch")
 	assert.Same(t, first, q.Add("e", sighting("s/a", "ready", 7)), "what is at the store already stands for it, too")
-	q.Ended(batch)
+	q.Complete(batch)
 	again := q.Add("e", sighting("s/a", "ready", 7))
 	assert.NotSame(t, first, again)
-	for _, want := range []*Job{drained, other} { // in their order, where the first of a key has ended
+	for _, want := range []*PendingWrite{drained, other} { // in their order, where the first of a key has ended
 		batch = q.Next(1)
-		assert.Equal(t, []*Job{want}, batch)
-		q.Ended(batch)
+		assert.Equal(t, []*PendingWrite{want}, batch)
+		q.Complete(batch)
 	}
 	late := q.Add("e", sighting("s/z", "ready", 1))
-	drain := q.Add("f", record.Change{Key: record.Key{Kind: record.Drain, Name: "s/z"}, Expect: record.Any, Mark: "m", Value: json.RawMessage(`{"start_ms":1,"since_ms":1,"by":"discovery"}`)})
-	for _, want := range [][]*Job{{drain}, {again, late}} { // a drain goes first and by itself
+	drain := q.Add("f", record.Change{Key: record.Key{Kind: record.KindDrain, Name: "s/z"}, ExpectedRevision: record.AnyRevision, IdempotencyKey: "m", Value: json.RawMessage(`{"start_ms":1,"since_ms":1,"by":"discovery"}`)})
+	for _, want := range [][]*PendingWrite{{drain}, {again, late}} { // a drain goes first and by itself
 		batch = q.Next(9)
 		assert.Equal(t, want, batch)
-		q.Ended(batch)
+		q.Complete(batch)
 	}
 	for i := 0; q.Add("e", sighting(fmt.Sprint("s/", i), "ready", 1)) != nil; i++ {
-		require.Less(t, i, MostWaiting)
+		require.Less(t, i, MaxPendingWrites)
 	}
-	assert.Equal(t, MostWaiting, q.Waiting())
+	assert.Equal(t, MaxPendingWrites, q.Len())
 	for n := 0; ; n++ {
 		batch := q.Next(200)
 		if len(batch) == 0 {
 			break
 		}
-		require.Less(t, n, MostWaiting)
-		q.Ended(batch)
+		require.Less(t, n, MaxPendingWrites)
+		q.Complete(batch)
 	}
 	assert.Empty(t, q.by, "nothing is kept of what has ended")
 }
@@ -193,20 +193,20 @@
 func TestChangingReplicasTakesNobodyBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		meta := record.Meta{Epoch: "e0"}
-		facts := map[record.Key]record.Fact{}
+		facts := map[record.Key]record.Entry{}
 		page := func(after int64, whole bool) record.Page {
-			p := record.Page{Meta: meta, Whole: whole}
+			p := record.Page{Meta: meta, Complete: whole}
 			for _, f := range facts {
 				if whole || f.Revision > after {
-					p.Facts = append(p.Facts, f)
+					p.Entries = append(p.Entries, f)
 				}
 			}
 			return p
 		}
 		copies := []*Copy{{}, {}, {}}
 		reads := func(c *Copy) {
-			if after, whole, any := c.Wants(meta); any {
-				if _, err := c.Take(page(after, whole)); err != nil {
+			if after, whole, any := c.NextRead(meta); any {
+				if _, err := c.Apply(page(after, whole)); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -217,7 +217,7 @@
 		}
 		nodes := []*node{{has: map[record.Key]int64{}}, {has: map[record.Key]int64{}}}
 		follows := func(n *node, c *Copy, away bool) {
-			if !c.Knows(n.at) {
+			if !c.IsCurrentFor(n.at) {
 				if away {
 					return // it is told "behind"
 				}
@@ -228,7 +228,7 @@
 				n.at = record.Meta{}
 			}
 			p := c.Since(n.at.Revision, 1000)
-			for _, f := range p.Facts {
+			for _, f := range p.Entries {
 				if f.Revision < n.has[f.Key] {
 					t.Fatalf("taken back to %d from %d", f.Revision, n.has[f.Key])
 				}
--- a/internal/record/store/controllers.go
+++ b/internal/record/store/controllers.go
@@ -35,8 +35,8 @@
 // controllersScheme begins the address of such a store.
 const controllersScheme = "controllers:"
 
-// Controllers are the addresses of replicas in a store's address, nearest first. Is tells whether it has that form at all.
-func Controllers(address string) (addrs []string, is bool, err error) {
+// ParseControllers are the addresses of replicas in a store's address, nearest first. Is tells whether it has that form at all.
+func ParseControllers(address string) (addrs []string, is bool, err error) {
 	text, is := strings.CutPrefix(address, controllersScheme)
 	if !is {
 		return nil, false, nil
@@ -76,14 +76,14 @@
 	changed chan struct{} // closed when any of that changes
 }
 
-// Through is the record as the first of the controller's replicas has it that can be reached and is not behind. Secure, if set, makes the keys for a connection.
-func Through(addrs []string, secure func(addr string) *tls.Config) Store {
+// DialControllers is the record as the first of the controller's replicas has it that can be reached and is not behind. Secure, if set, makes the keys for a connection.
+func DialControllers(addrs []string, secure func(addr string) *tls.Config) Store {
 	d := net.Dialer{KeepAlive: -1}
-	return ThroughBy(func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }, addrs, secure)
+	return DialControllersWith(func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }, addrs, secure)
 }
 
-// ThroughBy is Through over connections that are made elsewhere.
-func ThroughBy(reach func(ctx context.Context, addr string) (net.Conn, error), addrs []string, secure func(addr string) *tls.Config) Store {
+// DialControllersWith is Through over connections that are made elsewhere.
+func DialControllersWith(reach func(ctx context.Context, addr string) (net.Conn, error), addrs []string, secure func(addr string) *tls.Config) Store {
 	ctx, end := context.WithCancel(context.Background())
 	s := &through{addrs: addrs, reach: reach, secure: secure, most: mostReply, end: end, news: make(chan struct{}, 1), changed: make(chan struct{}), why: errors.New("not reached yet")}
 	s.all.Go(func() { s.run(ctx) })
@@ -101,7 +101,7 @@
 		}
 		s.mu.Lock()
 		s.at, s.why = "", err
-		s.back = s.back || errors.Is(err, record.ErrBack)
+		s.back = s.back || errors.Is(err, record.ErrRolledBack)
 		s.stir()
 		s.mu.Unlock()
 		if time.Since(begun) > silence {
@@ -222,10 +222,10 @@
 	return is.age()
 }
 
-func (s *Stand) age() time.Duration { return time.Duration(min(s.Age, 1<<40)) * time.Millisecond }
+func (s *Position) age() time.Duration { return time.Duration(min(s.Age, 1<<40)) * time.Millisecond }
 
 // line reads what a replica says; nil is a sign of life.
-func line(in *bufio.Reader) (*Stand, error) {
+func line(in *bufio.Reader) (*Position, error) {
 	text, err := in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		err = errors.New("a line without end")
@@ -234,7 +234,7 @@
 		return nil, err
 	}
 	var is struct {
-		Stand
+		Position
 		Fault string `json:"fault"`
 		Name  string `json:"name"`
 	}
@@ -248,7 +248,7 @@
 	if is.Meta.Epoch == "" || is.Meta.Revision < 0 || is.Age < 0 {
 		return nil, errors.New("no proper line: it does not say where the record stands")
 	}
-	return &is.Stand, nil
+	return &is.Position, nil
 }
 
 // At tells where the caller stands, so that no replica that is behind takes it back.
@@ -331,7 +331,7 @@
 	}
 }
 
-func (s *through) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Fact, record.Meta, error) {
+func (s *through) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error) {
 	r, err := s.call(ctx, call{Op: "write", Epoch: epoch, Changes: changes})
 	if err == nil && len(r.Facts) != len(changes) {
 		err = fmt.Errorf("the controller answered %d of %d changes", len(r.Facts), len(changes))
@@ -352,7 +352,7 @@
 }
 
 func (s *through) Init(context.Context, bool) ([]string, error) { return nil, errPeople }
-func (s *through) Replace(context.Context, []record.Fact) (record.Meta, error) {
+func (s *through) Replace(context.Context, []record.Entry) (record.Meta, error) {
 	return record.Meta{}, errPeople
 }
 func (s *through) Verify(context.Context) ([]string, error) { return nil, errPeople }
--- a/internal/record/store/controllers_test.go
+++ b/internal/record/store/controllers_test.go
@@ -43,7 +43,7 @@
 }
 
 func metaOf(t *testing.T, within time.Duration, addrs ...string) (record.Meta, error) {
-	s := Through(addrs, nil)
+	s := DialControllers(addrs, nil)
 	defer s.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
@@ -95,14 +95,14 @@
 		}
 		fmt.Fprintln(c, more)
 	})
-	s := Through([]string{addr}, nil)
+	s := DialControllers([]string{addr}, nil)
 	defer s.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	m, err := s.Meta(ctx)
 	require.NoError(t, err)
 	assert.Equal(t, record.Meta{Epoch: "e", Revision: 7}, m)
-	change := record.Change{Key: record.Key{Kind: record.Drain, Name: "s/a"}, Expect: record.Any, Mark: "m", Value: json.RawMessage(`{}`)}
+	change := record.Change{Key: record.Key{Kind: record.KindDrain, Name: "s/a"}, ExpectedRevision: record.AnyRevision, IdempotencyKey: "m", Value: json.RawMessage(`{}`)}
 	more = `{"meta":{"epoch":"e","revision":8}}`
 	_, _, err = s.Write(ctx, "e", []record.Change{change})
 	assert.ErrorContains(t, err, "0 of 1 changes")
@@ -138,7 +138,7 @@
 		}
 	}
 	one, two := peer(t, tell("one")), peer(t, tell("two"))
-	s := Through([]string{one, two}, nil)
+	s := DialControllers([]string{one, two}, nil)
 	defer s.Close()
 	at := func() string { m, _ := s.Meta(t.Context()); return m.Epoch }
 	require.Equal(t, "one", at())
@@ -155,16 +155,16 @@
 }
 
 func TestControllersAreRead(t *testing.T) {
-	addrs, is, err := Controllers("controllers:10.0.0.5:8600,10.0.1.5:8600")
+	addrs, is, err := ParseControllers("controllers:10.0.0.5:8600,10.0.1.5:8600")
 	assert.Equal(t, []string{"10.0.0.5:8600", "10.0.1.5:8600"}, addrs)
 	assert.True(t, is)
 	assert.NoError(t, err)
-	_, is, err = Controllers("postgres://a@b/c")
+	_, is, err = ParseControllers("postgres://a@b/c")
 	assert.False(t, is)
 	assert.NoError(t, err)
 	for text, want := range map[string]string{"": `"" is no address`, "10.0.0.5": "is no address", ":8600": "is no address", "a:1,a:1": "stands twice",
 		"a:1,": "is no address", "a:1" + strings.Repeat(",b:1", 8): "more than 8"} {
-		_, is, err := Controllers("controllers:" + text)
+		_, is, err := ParseControllers("controllers:" + text)
 		assert.True(t, is)
 		assert.ErrorContains(t, err, want, text)
 	}
@@ -180,7 +180,7 @@
 	return record.Meta{Epoch: "e", Revision: 3}, nil
 }
 func (s *shelf) Since(_ context.Context, after int64, most int) (record.Page, error) {
-	return record.Page{Meta: record.Meta{Epoch: "e", Revision: after}, Facts: make([]record.Fact, 0, most)}, nil
+	return record.Page{Meta: record.Meta{Epoch: "e", Revision: after}, Entries: make([]record.Entry, 0, most)}, nil
 }
 func (s *shelf) Wait(ctx context.Context, _ time.Duration) error {
 	close(s.waits)
@@ -192,7 +192,7 @@
 func TestWhoCallsIsBounded(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, leaks) }) // after what is registered later
-	serve := func(network, addr string, b *Bounds) net.Listener {
+	serve := func(network, addr string, b *ServerLimits) net.Listener {
 		ln, err := net.Listen(network, addr)
 		require.NoError(t, err)
 		ctx, end := context.WithCancel(t.Context())
@@ -202,13 +202,13 @@
 			if b == nil {
 				Serve(ctx, ln, s)
 			} else {
-				ServeWithin(ctx, ln, s, *b)
+				ServeWithLimits(ctx, ln, s, *b)
 			}
 		})
 		t.Cleanup(func() { end(); all.Wait() })
 		return ln
 	}
-	ln := serve("tcp", "127.0.0.1:0", &Bounds{Callers: 2, Call: 100, Head: 200 * time.Millisecond, Write: time.Second, Calls: []string{"since"}})
+	ln := serve("tcp", "127.0.0.1:0", &ServerLimits{MaxClients: 2, MaxCallBytes: 100, CallTimeout: 200 * time.Millisecond, WriteTimeout: time.Second, AllowedCalls: []string{"since"}})
 	ask := func(text string) string {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
