--- a/internal/record/store/golden_test.go
+++ b/internal/record/store/golden_test.go
@@ -32,40 +32,40 @@
 	goldenKnown = record.Meta{Epoch: "epoch-2", Revision: 42}
 )
 
-func goldenFact() record.Fact {
-	return record.Fact{
-		Key:      record.Key{Kind: record.Server, Name: "shop/a1"},
-		Revision: 43,
-		Deleted:  true,
-		By:       "node-1",
-		Mark:     "node-1.boot.7",
-		At:       1765000000123,
-		Value:    json.RawMessage(`{"addr":"10.0.0.1:8080","phase":"ready"}`),
+func goldenFact() record.Entry {
+	return record.Entry{
+		Key:            record.Key{Kind: record.KindServer, Name: "shop/a1"},
+		Revision:       43,
+		Deleted:        true,
+		Writer:         "node-1",
+		IdempotencyKey: "node-1.boot.7",
+		WrittenAt:      1765000000123,
+		Value:          json.RawMessage(`{"addr":"10.0.0.1:8080","phase":"ready"}`),
 	}
 }
 
 func goldenChange() record.Change {
 	return record.Change{
-		Key:    record.Key{Kind: record.Drain, Name: "shop/b2"},
-		Expect: 44,
-		Delete: true,
-		By:     "node-2",
-		Mark:   "node-2.boot.8",
-		At:     1765000000456,
-		Value:  json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice"}`),
+		Key:              record.Key{Kind: record.KindDrain, Name: "shop/b2"},
+		ExpectedRevision: 44,
+		Delete:           true,
+		Writer:           "node-2",
+		IdempotencyKey:   "node-2.boot.8",
+		WrittenAt:        1765000000456,
+		Value:            json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice"}`),
 	}
 }
 
 func goldenPage() record.Page {
-	return record.Page{Meta: goldenMeta, Whole: true, Facts: []record.Fact{goldenFact()}}
+	return record.Page{Meta: goldenMeta, Complete: true, Entries: []record.Entry{goldenFact()}}
 }
 
-func goldenConflict() *record.Conflict {
-	return &record.Conflict{Change: goldenChange(), Now: goldenFact()}
+func goldenConflict() *record.ConflictError {
+	return &record.ConflictError{Change: goldenChange(), Current: goldenFact()}
 }
 
-func goldenStale() *record.Stale {
-	return &record.Stale{Change: goldenChange(), Now: goldenFact()}
+func goldenStale() *record.StaleError {
+	return &record.StaleError{Change: goldenChange(), Current: goldenFact()}
 }
 
 func TestGolden_JSON(t *testing.T) {
@@ -85,7 +85,7 @@
 		golden.FullJSON(t, "reply.json", reply{
 			Meta:     goldenMeta,
 			Page:     goldenPage(),
-			Facts:    []record.Fact{goldenFact()},
+			Facts:    []record.Entry{goldenFact()},
 			Fault:    "what went wrong",
 			Name:     "behind",
 			Conflict: goldenConflict(),
@@ -93,26 +93,26 @@
 		})
 	})
 	t.Run("reply zero", func(t *testing.T) { golden.JSON(t, "reply_zero.json", reply{}) })
-	t.Run("stand", func(t *testing.T) { golden.FullJSON(t, "stand.json", Stand{Meta: goldenMeta, Age: 250}) })
-	t.Run("stand zero", func(t *testing.T) { golden.JSON(t, "stand_zero.json", Stand{}) })
+	t.Run("stand", func(t *testing.T) { golden.FullJSON(t, "stand.json", Position{Meta: goldenMeta, Age: 250}) })
+	t.Run("stand zero", func(t *testing.T) { golden.JSON(t, "stand_zero.json", Position{}) })
 }
 
 // Each side knows a fault of the other by its name, whatever its text.
 func TestGolden_FaultNames(t *testing.T) {
 	names := map[string]error{
 		"foreign":   ErrForeign,
-		"newer":     ErrNewer,
-		"older":     ErrOlder,
-		"none":      ErrNone,
+		"newer":     ErrSchemaNewer,
+		"older":     ErrSchemaOlder,
+		"none":      ErrNoRecord,
 		"damaged":   ErrDamaged,
-		"denied":    ErrDenied,
-		"unknown":   ErrUnknown,
-		"full":      ErrFull,
+		"denied":    ErrAccessDenied,
+		"unknown":   ErrOutcomeUnknown,
+		"full":      ErrDiskFull,
 		"busy":      ErrBusy,
 		"read only": ErrReadOnly,
-		"epoch":     record.ErrEpoch,
-		"behind":    record.ErrBehind,
-		"back":      record.ErrBack,
+		"epoch":     record.ErrEpochMismatch,
+		"behind":    record.ErrReplicaBehind,
+		"back":      record.ErrRolledBack,
 	}
 	assert.Len(t, faults, len(names))
 	for name, known := range names {
@@ -201,7 +201,7 @@
 	assert.Equal(t, goldenPage(), page)
 	facts, meta, err := remote.Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
 	require.NoError(t, err)
-	assert.Equal(t, []record.Fact{goldenFact()}, facts)
+	assert.Equal(t, []record.Entry{goldenFact()}, facts)
 	assert.Equal(t, goldenMeta, meta)
 	require.NoError(t, remote.Wait(t.Context(), 2500*time.Millisecond))
 	golden.Check(t, "remote_calls.jsonl", calls.bytes())
@@ -248,7 +248,7 @@
 			connection.Write(write)
 		}
 	})
-	controllers := Through([]string{address}, nil)
+	controllers := DialControllers([]string{address}, nil)
 	defer controllers.Close()
 	meta, err := controllers.Meta(t.Context())
 	require.NoError(t, err)
@@ -259,7 +259,7 @@
 	assert.Equal(t, goldenPage(), page)
 	facts, meta, err := controllers.Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
 	require.NoError(t, err)
-	assert.Equal(t, []record.Fact{goldenFact()}, facts)
+	assert.Equal(t, []record.Entry{goldenFact()}, facts)
 	assert.Equal(t, goldenMeta, meta)
 	golden.Check(t, "controller_calls.jsonl", calls.bytes())
 }
@@ -287,12 +287,12 @@
 
 func (s *fixedStore) Write(
 	_ context.Context, epoch string, changes []record.Change,
-) ([]record.Fact, record.Meta, error) {
+) ([]record.Entry, record.Meta, error) {
 	s.note("write %s, as expected: %t", epoch, assert.ObjectsAreEqual([]record.Change{goldenChange()}, changes))
 	if s.refusal != nil {
 		return nil, record.Meta{}, s.refusal
 	}
-	return []record.Fact{goldenFact()}, goldenMeta, nil
+	return []record.Entry{goldenFact()}, goldenMeta, nil
 }
 
 func (s *fixedStore) Wait(_ context.Context, most time.Duration) error {
@@ -303,18 +303,18 @@
 // fixedFollower is a replica that tells two stands, with a sign of life between, and then that the record went back.
 type fixedFollower struct{ fixedStore }
 
-func (s *fixedFollower) Knows(_ context.Context, at record.Meta) error {
+func (s *fixedFollower) CheckFresh(_ context.Context, at record.Meta) error {
 	s.note("knows %s %d", at.Epoch, at.Revision)
 	return nil
 }
 
-func (s *fixedFollower) Follow(_ context.Context, tell func(*Stand) error) error {
-	for _, stand := range []*Stand{{Meta: goldenMeta, Age: 250}, nil, {Meta: goldenKnown}} {
+func (s *fixedFollower) Watch(_ context.Context, tell func(*Position) error) error {
+	for _, stand := range []*Position{{Meta: goldenMeta, Age: 250}, nil, {Meta: goldenKnown}} {
 		if err := tell(stand); err != nil {
 			return err
 		}
 	}
-	return &fault{"what went wrong", record.ErrBack}
+	return &fault{"what went wrong", record.ErrRolledBack}
 }
 
 // exchange sends a call's line to a store that is served, and reads all of the answer.
@@ -388,13 +388,13 @@
 // What a node reads off the connection by which a replica tells where the record stands.
 func TestGolden_FollowStream(t *testing.T) {
 	stream := bufio.NewReaderSize(bytes.NewReader(golden.Read(t, "follow_stream.jsonl")), mostLine)
-	for _, want := range []*Stand{{Meta: goldenMeta, Age: 250}, nil, {Meta: goldenKnown}} {
+	for _, want := range []*Position{{Meta: goldenMeta, Age: 250}, nil, {Meta: goldenKnown}} {
 		stand, err := line(stream)
 		require.NoError(t, err)
 		assert.Equal(t, want, stand)
 	}
 	_, err := line(stream)
-	assert.ErrorIs(t, err, record.ErrBack)
+	assert.ErrorIs(t, err, record.ErrRolledBack)
 	assert.EqualError(t, err, "what went wrong")
 	_, err = line(stream)
 	assert.ErrorIs(t, err, io.EOF)
--- a/internal/record/store/remote.go
+++ b/internal/record/store/remote.go
@@ -33,17 +33,17 @@
 }
 
 type reply struct {
-	Meta     record.Meta      `json:"meta"`
-	Page     record.Page      `json:"page"`
-	Facts    []record.Fact    `json:"facts,omitempty"`
-	Fault    string           `json:"fault,omitempty"` // its text
-	Name     string           `json:"name,omitempty"`  // of a known one
-	Conflict *record.Conflict `json:"conflict,omitempty"`
-	Stale    *record.Stale    `json:"stale,omitempty"`
+	Meta     record.Meta           `json:"meta"`
+	Page     record.Page           `json:"page"`
+	Facts    []record.Entry        `json:"facts,omitempty"`
+	Fault    string                `json:"fault,omitempty"` // its text
+	Name     string                `json:"name,omitempty"`  // of a known one
+	Conflict *record.ConflictError `json:"conflict,omitempty"`
+	Stale    *record.StaleError    `json:"stale,omitempty"`
 }
 
-var faults = map[string]error{"foreign": ErrForeign, "newer": ErrNewer, "older": ErrOlder, "none": ErrNone, "damaged": ErrDamaged, "denied": ErrDenied,
-	"unknown": ErrUnknown, "full": ErrFull, "busy": ErrBusy, "read only": ErrReadOnly, "epoch": record.ErrEpoch, "behind": record.ErrBehind, "back": record.ErrBack}
+var faults = map[string]error{"foreign": ErrForeign, "newer": ErrSchemaNewer, "older": ErrSchemaOlder, "none": ErrNoRecord, "damaged": ErrDamaged, "denied": ErrAccessDenied,
+	"unknown": ErrOutcomeUnknown, "full": ErrDiskFull, "busy": ErrBusy, "read only": ErrReadOnly, "epoch": record.ErrEpochMismatch, "behind": record.ErrReplicaBehind, "back": record.ErrRolledBack}
 
 func (r *reply) fail(err error) {
 	if err == nil {
@@ -114,7 +114,7 @@
 			err = ctx.Err()
 		}
 		if c.Op == "write" { // it may have gone through
-			err = errors.Join(ErrUnknown, err)
+			err = errors.Join(ErrOutcomeUnknown, err)
 		}
 		return reply{}, fmt.Errorf("%s: %w", who, err)
 	}
@@ -131,7 +131,7 @@
 	return r.Page, err
 }
 
-func (s *remote) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Fact, record.Meta, error) {
+func (s *remote) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error) {
 	r, err := s.call(ctx, call{Op: "write", Epoch: epoch, Changes: changes})
 	return r.Facts, r.Meta, err
 }
@@ -146,43 +146,43 @@
 var errPeople = errors.New("run robincart record for that")
 
 func (s *remote) Init(context.Context, bool) ([]string, error) { return nil, errPeople }
-func (s *remote) Replace(context.Context, []record.Fact) (record.Meta, error) {
+func (s *remote) Replace(context.Context, []record.Entry) (record.Meta, error) {
 	return record.Meta{}, errPeople
 }
 func (s *remote) Verify(context.Context) ([]string, error) { return nil, errPeople }
 func (s *remote) Close() error                             { return nil }
 
-// Stand is where a record stands, and how old that word is.
-type Stand struct {
+// Position is where a record stands, and how old that word is.
+type Position struct {
 	Meta record.Meta `json:"meta"`
 	Age  int64       `json:"age_ms"` // since the store said so
 }
 
-// Follower is a store that answers from a copy, and tells many who follow it where that stands.
-type Follower interface {
+// Replica is a store that answers from a copy, and tells many who follow it where that stands.
+type Replica interface {
 	Store
-	// Knows returns nil if the copy is not behind one who stands there, else record.ErrBehind.
-	Knows(ctx context.Context, at record.Meta) error
-	// Follow tells each change of the copy's stand, and nil in between as a sign of life, until the context or the telling ends, or the copy goes back.
-	Follow(ctx context.Context, tell func(*Stand) error) error
+	// CheckFresh returns nil if the copy is not behind one who stands there, else record.ErrBehind.
+	CheckFresh(ctx context.Context, at record.Meta) error
+	// Watch tells each change of the copy's stand, and nil in between as a sign of life, until the context or the telling ends, or the copy goes back.
+	Watch(ctx context.Context, tell func(*Position) error) error
 }
 
-// Bounds are of those who call.
-type Bounds struct {
-	Callers int           // connections at most
-	Call    int64         // bytes of one call
-	Head    time.Duration // until the call is there
-	Write   time.Duration // of a line to one who follows
-	Calls   []string      // that are answered; nil: all
+// ServerLimits are of those who call.
+type ServerLimits struct {
+	MaxClients   int           // connections at most
+	MaxCallBytes int64         // bytes of one call
+	CallTimeout  time.Duration // until the call is there
+	WriteTimeout time.Duration // of a line to one who follows
+	AllowedCalls []string      // that are answered; nil: all
 }
 
 // Serve answers calls to a store on a listener until the context ends.
 func Serve(ctx context.Context, ln net.Listener, s Store) {
-	ServeWithin(ctx, ln, s, Bounds{Call: mostCall, Head: 10 * time.Second, Write: 10 * time.Second})
+	ServeWithLimits(ctx, ln, s, ServerLimits{MaxCallBytes: mostCall, CallTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second})
 }
 
-// ServeWithin is Serve for callers of whom there may be too many, or some who mean no good.
-func ServeWithin(ctx context.Context, ln net.Listener, s Store, b Bounds) {
+// ServeWithLimits is Serve for callers of whom there may be too many, or some who mean no good.
+func ServeWithLimits(ctx context.Context, ln net.Listener, s Store, b ServerLimits) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
@@ -196,7 +196,7 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		if callers.Add(1) > int64(b.Callers) && b.Callers > 0 {
+		if callers.Add(1) > int64(b.MaxClients) && b.MaxClients > 0 {
 			callers.Add(-1)
 			c.Close() // it tries elsewhere
 			continue
@@ -209,10 +209,10 @@
 	}
 }
 
-func answer(ctx context.Context, c net.Conn, s Store, b Bounds) {
-	c.SetDeadline(time.Now().Add(b.Head))
+func answer(ctx context.Context, c net.Conn, s Store, b ServerLimits) {
+	c.SetDeadline(time.Now().Add(b.CallTimeout))
 	var q call
-	in := bufio.NewReader(io.LimitReader(c, b.Call))
+	in := bufio.NewReader(io.LimitReader(c, b.MaxCallBytes))
 	line, err := in.ReadBytes('\n')
 	var r reply
 	if err == nil {
@@ -223,7 +223,7 @@
 	} else {
 		left := min(max(q.Left, 0), time.Hour)
 		c.SetDeadline(time.Now().Add(left + 10*time.Second))
-		f, copies := s.(Follower)
+		f, copies := s.(Replica)
 		stays := q.Op == "follow" && copies
 		var cancel context.CancelFunc
 		if stays {
@@ -240,16 +240,16 @@
 		}()
 		defer func() { c.Close(); <-gone }()
 		if copies && q.At != nil && q.Op != "write" {
-			err = f.Knows(ctx, *q.At)
+			err = f.CheckFresh(ctx, *q.At)
 		}
 		switch {
 		case err != nil:
-		case b.Calls != nil && !slices.Contains(b.Calls, q.Op):
+		case b.AllowedCalls != nil && !slices.Contains(b.AllowedCalls, q.Op):
 			err = fmt.Errorf("no call named %.20q here", q.Op)
 		case stays:
 			c.SetReadDeadline(time.Time{})
-			err = f.Follow(ctx, func(s *Stand) error {
-				c.SetWriteDeadline(time.Now().Add(b.Write))
+			err = f.Watch(ctx, func(s *Position) error {
+				c.SetWriteDeadline(time.Now().Add(b.WriteTimeout))
 				text := []byte{}
 				if s != nil {
 					text, _ = json.Marshal(s)
@@ -257,7 +257,7 @@
 				_, err := c.Write(append(text, '\n'))
 				return err
 			})
-			c.SetWriteDeadline(time.Now().Add(b.Write))
+			c.SetWriteDeadline(time.Now().Add(b.WriteTimeout))
 		case q.Op == "meta":
 			r.Meta, err = s.Meta(ctx)
 		case q.Op == "since":
--- a/internal/record/store/sqlstore/database.go
+++ b/internal/record/store/sqlstore/database.go
@@ -26,12 +26,12 @@
 // Open prepares a store; nothing is reached yet. The address is sqlite:PATH or a postgres:// one.
 func Open(address string) (store.Store, error) { return open(address, true) }
 
-// OpenThere prepares a store that has to be there: a node that comes before its file must not make an empty one in its
+// OpenExisting prepares a store that has to be there: a node that comes before its file must not make an empty one in its
 // place, which it would go on reading when the file is put back.
-func OpenThere(address string) (store.Store, error) { return open(address, false) }
+func OpenExisting(address string) (store.Store, error) { return open(address, false) }
 
-// OpenThrough prepares a store at a postgres:// address that is reached another way than by the machine's own network.
-func OpenThrough(address string, dial func(ctx context.Context, network, addr string) (net.Conn, error)) (store.Store, error) {
+// OpenWithDialer prepares a store at a postgres:// address that is reached another way than by the machine's own network.
+func OpenWithDialer(address string, dial func(ctx context.Context, network, addr string) (net.Conn, error)) (store.Store, error) {
 	return openPostgres(address, dial)
 }
 
@@ -129,9 +129,9 @@
 func checkSchema(schema int64) error {
 	switch {
 	case schema > Schema:
-		return fmt.Errorf("%w (schema %d; this program knows %d)", store.ErrNewer, schema, Schema)
+		return fmt.Errorf("%w (schema %d; this program knows %d)", store.ErrSchemaNewer, schema, Schema)
 	case schema < Schema:
-		return fmt.Errorf("%w (schema %d; this program writes %d)", store.ErrOlder, schema, Schema)
+		return fmt.Errorf("%w (schema %d; this program writes %d)", store.ErrSchemaOlder, schema, Schema)
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 		return record.Meta{}, s.faulty(err)
 	}
 	if tables == 0 {
-		return record.Meta{}, store.ErrNone
+		return record.Meta{}, store.ErrNoRecord
 	}
 	m, schema, err := s.standing(ctx, s.db)
 	if err == nil {
@@ -170,32 +170,32 @@
 	}
 	defer rows.Close()
 	for rows.Next() {
-		var f record.Fact
+		var f record.Entry
 		var deleted int64
 		var value string
-		if err := rows.Scan(&f.Kind, &f.Name, &f.Revision, &deleted, &f.By, &f.Mark, &f.At, &value); err != nil {
+		if err := rows.Scan(&f.Kind, &f.Name, &f.Revision, &deleted, &f.Writer, &f.IdempotencyKey, &f.WrittenAt, &value); err != nil {
 			return page, s.faulty(err)
 		}
 		if f.Deleted = deleted != 0; value != "" {
 			f.Value = []byte(value)
 		}
-		page.Facts = append(page.Facts, f)
+		page.Entries = append(page.Entries, f)
 	}
 	if err := rows.Err(); err != nil {
 		return page, s.faulty(err)
 	}
-	page.Meta, page.Whole = m, after == 0 && len(page.Facts) < most
-	if len(page.Facts) == most { // more is to come: this far it is known
-		page.Meta.Revision = page.Facts[most-1].Revision
+	page.Meta, page.Complete = m, after == 0 && len(page.Entries) < most
+	if len(page.Entries) == most { // more is to come: this far it is known
+		page.Meta.Revision = page.Entries[most-1].Revision
 	}
 	return page, nil
 }
 
-func (s *database) fact(ctx context.Context, tx *sql.Tx, k record.Key) (*record.Fact, error) {
-	f := record.Fact{Key: k}
+func (s *database) fact(ctx context.Context, tx *sql.Tx, k record.Key) (*record.Entry, error) {
+	f := record.Entry{Key: k}
 	var deleted int64
 	var value string
-	err := tx.QueryRowContext(ctx, s.q.one, string(k.Kind), k.Name).Scan(&f.Revision, &deleted, &f.By, &f.Mark, &f.At, &value)
+	err := tx.QueryRowContext(ctx, s.q.one, string(k.Kind), k.Name).Scan(&f.Revision, &deleted, &f.Writer, &f.IdempotencyKey, &f.WrittenAt, &value)
 	if errors.Is(err, sql.ErrNoRows) {
 		return nil, nil
 	}
@@ -205,7 +205,7 @@
 	return &f, err
 }
 
-func (s *database) Write(ctx context.Context, epoch string, changes []record.Change) (facts []record.Fact, m record.Meta, err error) {
+func (s *database) Write(ctx context.Context, epoch string, changes []record.Change) (facts []record.Entry, m record.Meta, err error) {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
 		return nil, m, s.faulty(err)
@@ -224,7 +224,7 @@
 		return nil, m, err
 	}
 	if m.Epoch != epoch {
-		return nil, m, record.ErrEpoch
+		return nil, m, record.ErrEpochMismatch
 	}
 	before := m.Revision
 	for i := range changes {
@@ -233,19 +233,19 @@
 		if err != nil {
 			return nil, m, s.faulty(err)
 		}
-		outcome, err := record.Decide(now, c)
+		outcome, err := record.Evaluate(now, c)
 		if err != nil {
 			return nil, record.Meta{Epoch: epoch, Revision: before}, err
 		}
-		if outcome != record.Write {
+		if outcome != record.OutcomeWrite {
 			if now == nil {
-				now = &record.Fact{Key: c.Key}
+				now = &record.Entry{Key: c.Key}
 			}
 			facts = append(facts, *now)
 			continue
 		}
 		m.Revision++
-		f := record.Fact{Key: c.Key, Revision: m.Revision, Deleted: c.Delete, By: c.By, Mark: c.Mark, At: c.At}
+		f := record.Entry{Key: c.Key, Revision: m.Revision, Deleted: c.Delete, Writer: c.Writer, IdempotencyKey: c.IdempotencyKey, WrittenAt: c.WrittenAt}
 		if !c.Delete {
 			f.Value = c.Value
 		}
@@ -263,12 +263,12 @@
 	return facts, m, s.commit(tx)
 }
 
-func (s *database) put(ctx context.Context, tx *sql.Tx, f record.Fact) error {
+func (s *database) put(ctx context.Context, tx *sql.Tx, f record.Entry) error {
 	deleted := int64(0)
 	if f.Deleted {
 		deleted = 1
 	}
-	_, err := tx.ExecContext(ctx, s.q.put, string(f.Kind), f.Name, f.Revision, deleted, f.By, f.Mark, f.At, string(f.Value))
+	_, err := tx.ExecContext(ctx, s.q.put, string(f.Kind), f.Name, f.Revision, deleted, f.Writer, f.IdempotencyKey, f.WrittenAt, string(f.Value))
 	return s.faulty(err)
 }
 
@@ -280,7 +280,7 @@
 		return s.faulty(err)
 	}
 	if n, err := r.RowsAffected(); err != nil || n != 1 {
-		return fmt.Errorf("another writer was faster: %w", errors.Join(err, record.ErrEpoch))
+		return fmt.Errorf("another writer was faster: %w", errors.Join(err, record.ErrEpochMismatch))
 	}
 	if s.d.notify != "" {
 		if _, err := tx.ExecContext(ctx, s.d.notify, strconv.FormatInt(to, 10)); err != nil {
@@ -296,10 +296,10 @@
 	if err == nil {
 		return nil
 	}
-	if k := s.d.fault(err); k != nil && !errors.Is(k, store.ErrUnknown) {
+	if k := s.d.fault(err); k != nil && !errors.Is(k, store.ErrOutcomeUnknown) {
 		return fmt.Errorf("%w (%w)", k, err)
 	}
-	return fmt.Errorf("%w: %w", store.ErrUnknown, err)
+	return fmt.Errorf("%w: %w", store.ErrOutcomeUnknown, err)
 }
 
 func (s *database) Init(ctx context.Context, dry bool) (did []string, err error) {
@@ -346,7 +346,7 @@
 	return did, s.commit(tx)
 }
 
-func (s *database) Replace(ctx context.Context, facts []record.Fact) (m record.Meta, err error) {
+func (s *database) Replace(ctx context.Context, facts []record.Entry) (m record.Meta, err error) {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
 		return m, s.faulty(err)
@@ -400,14 +400,14 @@
 		if err != nil {
 			return wrong, err
 		}
-		for _, f := range page.Facts {
+		for _, f := range page.Entries {
 			after = f.Revision
-			c := record.Change{Key: f.Key, Delete: f.Deleted, By: f.By, Mark: f.Mark, Value: f.Value}
-			if err := c.Valid(); err != nil {
+			c := record.Change{Key: f.Key, Delete: f.Deleted, Writer: f.Writer, IdempotencyKey: f.IdempotencyKey, Value: f.Value}
+			if err := c.Validate(); err != nil {
 				wrong = append(wrong, fmt.Sprintf("revision %d: %v", f.Revision, err))
 			}
 		}
-		if len(page.Facts) < 1000 {
+		if len(page.Entries) < 1000 {
 			return wrong, nil
 		}
 	}
--- a/internal/record/store/sqlstore/golden_test.go
+++ b/internal/record/store/sqlstore/golden_test.go
@@ -28,35 +28,35 @@
 // it.
 func goldenChanges() []record.Change {
 	return []record.Change{
-		{Key: record.Key{Kind: record.Service, Name: "shop"}, Expect: 0, By: "bob", Mark: "mark-1", At: 11,
+		{Key: record.Key{Kind: record.KindService, Name: "shop"}, ExpectedRevision: 0, Writer: "bob", IdempotencyKey: "mark-1", WrittenAt: 11,
 			Value: json.RawMessage(`{"toml":"[[service]]\nname = \"shop\"\n"}`)},
-		{Key: record.Key{Kind: record.Route, Name: "front"}, Expect: 0, By: "carol", Mark: "mark-2", At: 12,
+		{Key: record.Key{Kind: record.KindRoute, Name: "front"}, ExpectedRevision: 0, Writer: "carol", IdempotencyKey: "mark-2", WrittenAt: 12,
 			Value: json.RawMessage(`{"toml":"[[route]]"}`)},
-		{Key: record.Key{Kind: record.Tenant, Name: "shop/gold"}, Expect: 0, By: "dave", Mark: "mark-3", At: 13,
+		{Key: record.Key{Kind: record.KindTenant, Name: "shop/gold"}, ExpectedRevision: 0, Writer: "dave", IdempotencyKey: "mark-3", WrittenAt: 13,
 			Value: json.RawMessage(`{"quota":100,"weight":2}`)},
-		{Key: record.Key{Kind: record.Server, Name: "shop/a1"}, Expect: record.Any,
-			By: "node-1", Mark: "mark-4", At: 14,
+		{Key: record.Key{Kind: record.KindServer, Name: "shop/a1"}, ExpectedRevision: record.AnyRevision,
+			Writer: "node-1", IdempotencyKey: "mark-4", WrittenAt: 14,
 			Value: json.RawMessage(`{"addr":"10.0.0.1:80","phase":"ready","start_ms":5,"listed":6,"zone":1}`)},
-		{Key: record.Key{Kind: record.Drain, Name: "shop/ü"}, Expect: record.Any, By: "alice", Mark: "mark-5", At: 15,
+		{Key: record.Key{Kind: record.KindDrain, Name: "shop/ü"}, ExpectedRevision: record.AnyRevision, Writer: "alice", IdempotencyKey: "mark-5", WrittenAt: 15,
 			Value: json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice","until_ms":7}`)},
-		{Key: record.Key{Kind: record.Route, Name: "front"}, Expect: 2, Delete: true,
-			By: "erin", Mark: "mark-6", At: 16},
+		{Key: record.Key{Kind: record.KindRoute, Name: "front"}, ExpectedRevision: 2, Delete: true,
+			Writer: "erin", IdempotencyKey: "mark-6", WrittenAt: 16},
 	}
 }
 
 // goldenFacts are what record.db holds.
-func goldenFacts() []record.Fact {
-	return []record.Fact{
-		{Key: record.Key{Kind: record.Service, Name: "shop"}, Revision: 1, By: "bob", Mark: "mark-1", At: 11,
+func goldenFacts() []record.Entry {
+	return []record.Entry{
+		{Key: record.Key{Kind: record.KindService, Name: "shop"}, Revision: 1, Writer: "bob", IdempotencyKey: "mark-1", WrittenAt: 11,
 			Value: json.RawMessage(`{"toml":"[[service]]\nname = \"shop\"\n"}`)},
-		{Key: record.Key{Kind: record.Tenant, Name: "shop/gold"}, Revision: 3, By: "dave", Mark: "mark-3", At: 13,
+		{Key: record.Key{Kind: record.KindTenant, Name: "shop/gold"}, Revision: 3, Writer: "dave", IdempotencyKey: "mark-3", WrittenAt: 13,
 			Value: json.RawMessage(`{"quota":100,"weight":2}`)},
-		{Key: record.Key{Kind: record.Server, Name: "shop/a1"}, Revision: 4, By: "node-1", Mark: "mark-4", At: 14,
+		{Key: record.Key{Kind: record.KindServer, Name: "shop/a1"}, Revision: 4, Writer: "node-1", IdempotencyKey: "mark-4", WrittenAt: 14,
 			Value: json.RawMessage(`{"addr":"10.0.0.1:80","phase":"ready","start_ms":5,"listed":6,"zone":1}`)},
-		{Key: record.Key{Kind: record.Drain, Name: "shop/ü"}, Revision: 5, By: "alice", Mark: "mark-5", At: 15,
+		{Key: record.Key{Kind: record.KindDrain, Name: "shop/ü"}, Revision: 5, Writer: "alice", IdempotencyKey: "mark-5", WrittenAt: 15,
 			Value: json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice","until_ms":7}`)},
-		{Key: record.Key{Kind: record.Route, Name: "front"}, Revision: 6, Deleted: true,
-			By: "erin", Mark: "mark-6", At: 16},
+		{Key: record.Key{Kind: record.KindRoute, Name: "front"}, Revision: 6, Deleted: true,
+			Writer: "erin", IdempotencyKey: "mark-6", WrittenAt: 16},
 	}
 }
 
@@ -65,7 +65,7 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "record.db")
 	require.NoError(t, os.WriteFile(path, golden.Read(t, "record.db"), 0o600))
-	opened, err := OpenThere("sqlite:" + path)
+	opened, err := OpenExisting("sqlite:" + path)
 	require.NoError(t, err)
 	t.Cleanup(func() { opened.Close() })
 	return opened
@@ -136,7 +136,7 @@
 	assert.Equal(t, want, meta)
 	page, err := opened.Since(t.Context(), 0, 100)
 	require.NoError(t, err)
-	assert.Equal(t, record.Page{Meta: want, Whole: true, Facts: goldenFacts()}, page)
+	assert.Equal(t, record.Page{Meta: want, Complete: true, Entries: goldenFacts()}, page)
 	wrong, err := opened.Verify(t.Context())
 	require.NoError(t, err)
 	assert.Empty(t, wrong)
@@ -148,22 +148,22 @@
 func TestGolden_DatabaseIsWritten(t *testing.T) {
 	opened := goldenDatabase(t)
 	again := goldenChanges()[0]
-	over := record.Change{Key: record.Key{Kind: record.Tenant, Name: "shop/gold"}, Expect: 3,
-		By: "frank", Mark: "mark-7", At: 17, Value: json.RawMessage(`{"quota":200,"weight":2}`)}
-	fresh := record.Change{Key: record.Key{Kind: record.Route, Name: "front"}, Expect: 0,
-		By: "grace", Mark: "mark-8", At: 18, Value: json.RawMessage(`{"toml":""}`)}
+	over := record.Change{Key: record.Key{Kind: record.KindTenant, Name: "shop/gold"}, ExpectedRevision: 3,
+		Writer: "frank", IdempotencyKey: "mark-7", WrittenAt: 17, Value: json.RawMessage(`{"quota":200,"weight":2}`)}
+	fresh := record.Change{Key: record.Key{Kind: record.KindRoute, Name: "front"}, ExpectedRevision: 0,
+		Writer: "grace", IdempotencyKey: "mark-8", WrittenAt: 18, Value: json.RawMessage(`{"toml":""}`)}
 	facts, meta, err := opened.Write(t.Context(), goldenEpoch, []record.Change{again, over, fresh})
 	require.NoError(t, err)
 	assert.Equal(t, record.Meta{Epoch: goldenEpoch, Revision: 8}, meta)
-	want := []record.Fact{
+	want := []record.Entry{
 		goldenFacts()[0], // its mark is there
-		{Key: over.Key, Revision: 7, By: "frank", Mark: "mark-7", At: 17, Value: over.Value},
-		{Key: fresh.Key, Revision: 8, By: "grace", Mark: "mark-8", At: 18, Value: fresh.Value},
+		{Key: over.Key, Revision: 7, Writer: "frank", IdempotencyKey: "mark-7", WrittenAt: 17, Value: over.Value},
+		{Key: fresh.Key, Revision: 8, Writer: "grace", IdempotencyKey: "mark-8", WrittenAt: 18, Value: fresh.Value},
 	}
 	assert.Equal(t, want, facts)
 	page, err := opened.Since(t.Context(), 6, 100)
 	require.NoError(t, err)
-	assert.Equal(t, record.Page{Meta: meta, Facts: want[1:]}, page)
+	assert.Equal(t, record.Page{Meta: meta, Entries: want[1:]}, page)
 	wrong, err := opened.Verify(t.Context())
 	require.NoError(t, err)
 	assert.Empty(t, wrong)
--- a/internal/record/store/sqlstore/postgres.go
+++ b/internal/record/store/sqlstore/postgres.go
@@ -55,9 +55,9 @@
 			}
 			switch {
 			case strings.HasPrefix(e.Code, "28"), e.Code == "42501", e.Code == "3D000":
-				return store.ErrDenied
+				return store.ErrAccessDenied
 			case e.Code == "53100":
-				return store.ErrFull
+				return store.ErrDiskFull
 			case e.Code == "40001", e.Code == "40P01", e.Code == "55P03", e.Code == "53300":
 				return store.ErrBusy
 			case e.Code == "25006":
@@ -65,7 +65,7 @@
 			case strings.HasPrefix(e.Code, "XX"):
 				return store.ErrDamaged
 			case strings.HasPrefix(e.Code, "08"), strings.HasPrefix(e.Code, "57P"):
-				return store.ErrUnknown
+				return store.ErrOutcomeUnknown
 			}
 			return errOther
 		}}), config: c}, nil
--- a/internal/record/store/sqlstore/sqlite.go
+++ b/internal/record/store/sqlstore/sqlite.go
@@ -46,13 +46,13 @@
 				return store.ErrDamaged
 			case lib.SQLITE_CANTOPEN:
 				if make {
-					return store.ErrDenied
+					return store.ErrAccessDenied
 				}
-				return store.ErrNone
+				return store.ErrNoRecord
 			case lib.SQLITE_PERM, lib.SQLITE_READONLY, lib.SQLITE_AUTH:
-				return store.ErrDenied
+				return store.ErrAccessDenied
 			case lib.SQLITE_FULL:
-				return store.ErrFull
+				return store.ErrDiskFull
 			case lib.SQLITE_BUSY, lib.SQLITE_LOCKED:
 				return store.ErrBusy
 			}
--- a/internal/record/store/sqlstore/store_test.go
+++ b/internal/record/store/sqlstore/store_test.go
@@ -55,19 +55,19 @@
 }
 
 func route(name string, expect int64, mark, value string) record.Change {
-	return record.Change{Key: record.Key{Kind: record.Route, Name: name}, Expect: expect, By: "test", Mark: mark, At: 7, Value: json.RawMessage(value)}
+	return record.Change{Key: record.Key{Kind: record.KindRoute, Name: name}, ExpectedRevision: expect, Writer: "test", IdempotencyKey: mark, WrittenAt: 7, Value: json.RawMessage(value)}
 }
 
 func TestARecordIsMadeOnceAndBroughtForwardOnly(t *testing.T) {
 	each(t, func(t *testing.T, open func() store.Store, _ *pgstand.Server) {
 		s, ctx := open(), t.Context()
 		_, err := s.Meta(ctx)
-		assert.ErrorIs(t, err, store.ErrNone)
+		assert.ErrorIs(t, err, store.ErrNoRecord)
 		did, err := s.Init(ctx, true)
 		assert.NoError(t, err)
 		assert.Len(t, did, 3)
 		_, err = s.Meta(ctx)
-		assert.ErrorIs(t, err, store.ErrNone, "a dry run leaves nothing")
+		assert.ErrorIs(t, err, store.ErrNoRecord, "a dry run leaves nothing")
 		m := begun(t, s)
 		assert.Len(t, m.Epoch, 24)
 		did, err = s.Init(ctx, false)
@@ -77,9 +77,9 @@
 		assert.NoError(t, err)
 		assert.Equal(t, m, again)
 		for _, schema := range []int{1, Schema + 1} {
-			want := store.ErrOlder
+			want := store.ErrSchemaOlder
 			if schema > Schema {
-				want = store.ErrNewer
+				want = store.ErrSchemaNewer
 			}
 			_, err = db(s).Exec(fmt.Sprint("UPDATE record_meta SET schema_version = ", schema))
 			require.NoError(t, err)
@@ -91,7 +91,7 @@
 			assert.ErrorIs(t, err, want)
 		}
 		_, err = s.Init(ctx, false)
-		assert.ErrorIs(t, err, store.ErrNewer)
+		assert.ErrorIs(t, err, store.ErrSchemaNewer)
 		_, err = db(s).Exec("UPDATE record_meta SET application = 'another', schema_version = 2")
 		require.NoError(t, err)
 		_, err = s.Meta(ctx)
@@ -115,21 +115,21 @@
 		assert.EqualValues(t, 2, m.Revision)
 		assert.EqualValues(t, 1, facts[0].Revision)
 		_, _, err = s.Write(ctx, m.Epoch, []record.Change{route("c", 0, "3", "1"), route("a", 0, "4", "2")})
-		var lost *record.Conflict
+		var lost *record.ConflictError
 		require.ErrorAs(t, err, &lost)
-		assert.JSONEq(t, `{"to":"x"}`, string(lost.Now.Value), "the loser sees what won")
+		assert.JSONEq(t, `{"to":"x"}`, string(lost.Current.Value), "the loser sees what won")
 		page, err := s.Since(ctx, 0, 9)
 		require.NoError(t, err)
-		assert.True(t, page.Whole)
-		assert.Len(t, page.Facts, 2, "nothing of a change that lost is there")
-		assert.Equal(t, facts, page.Facts)
-		facts, m, err = s.Write(ctx, m.Epoch, []record.Change{route("a", 1, "5", `{"to":"y"}`), {Key: record.Key{Kind: record.Route, Name: "b"}, Expect: 2, Delete: true, Mark: "6"}})
+		assert.True(t, page.Complete)
+		assert.Len(t, page.Entries, 2, "nothing of a change that lost is there")
+		assert.Equal(t, facts, page.Entries)
+		facts, m, err = s.Write(ctx, m.Epoch, []record.Change{route("a", 1, "5", `{"to":"y"}`), {Key: record.Key{Kind: record.KindRoute, Name: "b"}, ExpectedRevision: 2, Delete: true, IdempotencyKey: "6"}})
 		require.NoError(t, err)
 		assert.EqualValues(t, 4, m.Revision)
 		page, err = s.Since(ctx, 2, 9)
 		require.NoError(t, err)
-		assert.False(t, page.Whole)
-		assert.Equal(t, facts, page.Facts, "what was deleted is told, too")
+		assert.False(t, page.Complete)
+		assert.Equal(t, facts, page.Entries, "what was deleted is told, too")
 		page, err = s.Since(ctx, 0, 1)
 		require.NoError(t, err)
 		assert.EqualValues(t, 3, page.Meta.Revision, "a page stands where it ends")
@@ -138,12 +138,12 @@
 		assert.Equal(t, m, m2)
 		assert.EqualValues(t, 3, again[0].Revision)
 		_, _, err = s.Write(ctx, "other", []record.Change{route("a", 3, "7", "1")})
-		assert.ErrorIs(t, err, record.ErrEpoch)
-		fresh, err := s.Replace(ctx, page.Facts)
+		assert.ErrorIs(t, err, record.ErrEpochMismatch)
+		fresh, err := s.Replace(ctx, page.Entries)
 		require.NoError(t, err)
 		assert.NotEqual(t, m.Epoch, fresh.Epoch)
 		_, _, err = s.Write(ctx, m.Epoch, []record.Change{route("a", 1, "8", "1")})
-		assert.ErrorIs(t, err, record.ErrEpoch, "who has not seen the new epoch writes nothing into it")
+		assert.ErrorIs(t, err, record.ErrEpochMismatch, "who has not seen the new epoch writes nothing into it")
 		wrong, err := s.Verify(ctx)
 		assert.NoError(t, err)
 		assert.Empty(t, wrong)
@@ -163,7 +163,7 @@
 		woke := make(chan error, 1)
 		go func() { woke <- b.Wait(ctx, 30*time.Second) }()
 		for i := range 200 {
-			_, _, err := a.Write(ctx, m.Epoch, []record.Change{route("a", record.Any, fmt.Sprint(i), fmt.Sprint(i))})
+			_, _, err := a.Write(ctx, m.Epoch, []record.Change{route("a", record.AnyRevision, fmt.Sprint(i), fmt.Sprint(i))})
 			require.NoError(t, err)
 			select {
 			case err := <-woke:
@@ -185,7 +185,7 @@
 	assert.ErrorIs(t, err, store.ErrForeign)
 	s = opener(t, "sqlite:"+filepath.Join(dir, "none", "x"))()
 	_, err = s.Meta(t.Context())
-	assert.ErrorIs(t, err, store.ErrDenied)
+	assert.ErrorIs(t, err, store.ErrAccessDenied)
 
 	path = filepath.Join(dir, "damaged")
 	s = opener(t, "sqlite:"+path)()
@@ -210,9 +210,9 @@
 	defer p.Stop()
 	begun(t, opener(t, p.Address())())
 	_, err = opener(t, strings.Replace(p.Address(), "cart", "horse", 1))().Meta(t.Context())
-	assert.ErrorIs(t, err, store.ErrDenied)
+	assert.ErrorIs(t, err, store.ErrAccessDenied)
 	assert.NotContains(t, err.Error(), "horse")
-	for code, want := range map[string]error{"40001": store.ErrBusy, "53300": store.ErrBusy, "25006": store.ErrReadOnly, "53100": store.ErrFull, "XX001": store.ErrDamaged} {
+	for code, want := range map[string]error{"40001": store.ErrBusy, "53300": store.ErrBusy, "25006": store.ErrReadOnly, "53100": store.ErrDiskFull, "XX001": store.ErrDamaged} {
 		p.Fail(code, 1)
 		_, _, err := opener(t, p.Address())().Write(t.Context(), "x", nil)
 		assert.ErrorIs(t, err, want, code)
@@ -236,7 +236,7 @@
 		p.Commit(fault, 1)
 		c := []record.Change{route(fmt.Sprint("r", i), 0, fmt.Sprint("m", i), "1")}
 		_, _, err = s.Write(t.Context(), m.Epoch, c)
-		require.ErrorIs(t, err, store.ErrUnknown)
+		require.ErrorIs(t, err, store.ErrOutcomeUnknown)
 		facts, now, err := s.Write(t.Context(), m.Epoch, c)
 		require.NoError(t, err)
 		assert.EqualValues(t, i+1, facts[0].Revision)
@@ -315,18 +315,18 @@
 						again = false
 						if !in.write {
 							page, err := s.Since(t.Context(), 0, 9)
-							if again = err != nil; !again && len(page.Facts) > 0 {
-								out = result{revision: page.Facts[0].Revision, mark: page.Facts[0].Mark}
+							if again = err != nil; !again && len(page.Entries) > 0 {
+								out = result{revision: page.Entries[0].Revision, mark: page.Entries[0].IdempotencyKey}
 							}
 							continue
 						}
 						facts, _, err := s.Write(t.Context(), m.Epoch, []record.Change{route("r", in.expect, in.mark, fmt.Sprintf("%q", in.mark))})
-						var lost *record.Conflict
+						var lost *record.ConflictError
 						switch {
 						case err == nil:
-							out = result{revision: facts[0].Revision, mark: facts[0].Mark}
+							out = result{revision: facts[0].Revision, mark: facts[0].IdempotencyKey}
 						case errors.As(err, &lost):
-							out = result{revision: lost.Now.Revision, mark: lost.Now.Mark}
+							out = result{revision: lost.Current.Revision, mark: lost.Current.IdempotencyKey}
 						default:
 							again = true
 						}
@@ -369,7 +369,7 @@
 				for i := 0; b.Loop(); i++ {
 					var cs []record.Change
 					for k := range batch {
-						cs = append(cs, route(fmt.Sprint(k), record.Any, fmt.Sprintf("%d.%d.%d", batch, i, k), fmt.Sprint(i)))
+						cs = append(cs, route(fmt.Sprint(k), record.AnyRevision, fmt.Sprintf("%d.%d.%d", batch, i, k), fmt.Sprint(i)))
 					}
 					if _, _, err := s.Write(ctx, m.Epoch, cs); err != nil {
 						b.Fatal(err)
--- a/internal/record/store/store.go
+++ b/internal/record/store/store.go
@@ -14,18 +14,18 @@
 
 // What can be wrong with a store, for people to act on.
 var (
-	ErrForeign = errors.New("this database holds something else than a record of robincart")
-	ErrNewer   = errors.New("the record was written by a newer robincart: start that one, or restore a backup made by this one")
-	ErrOlder   = errors.New("the record has an older schema: run robincart record init to bring it forward")
-	ErrNone    = errors.New("there is no record yet: run robincart record init")
-	ErrDamaged = errors.New("the database is damaged: restore a backup (robincart record import)")
-	ErrDenied  = errors.New("the database refuses this user: check user, password and rights")
-	// ErrUnknown is a transaction of which nobody knows whether it was done: its connection ended while it was committed.
+	ErrForeign      = errors.New("this database holds something else than a record of robincart")
+	ErrSchemaNewer  = errors.New("the record was written by a newer robincart: start that one, or restore a backup made by this one")
+	ErrSchemaOlder  = errors.New("the record has an older schema: run robincart record init to bring it forward")
+	ErrNoRecord     = errors.New("there is no record yet: run robincart record init")
+	ErrDamaged      = errors.New("the database is damaged: restore a backup (robincart record import)")
+	ErrAccessDenied = errors.New("the database refuses this user: check user, password and rights")
+	// ErrOutcomeUnknown is a transaction of which nobody knows whether it was done: its connection ended while it was committed.
 	// The same changes, with the same marks, may be written again.
-	ErrUnknown  = errors.New("whether the change was written is not known")
-	ErrFull     = errors.New("the disk is full: make room, nothing was written")
-	ErrBusy     = errors.New("another writer holds the record")
-	ErrReadOnly = errors.New("the database takes no writes now") // a standby, or one in recovery
+	ErrOutcomeUnknown = errors.New("whether the change was written is not known")
+	ErrDiskFull       = errors.New("the disk is full: make room, nothing was written")
+	ErrBusy           = errors.New("another writer holds the record")
+	ErrReadOnly       = errors.New("the database takes no writes now") // a standby, or one in recovery
 )
 
 // Store is one record. Every call ends with its context.
@@ -36,13 +36,13 @@
 	Since(ctx context.Context, after int64, most int) (record.Page, error)
 	// Write does all of the changes or none. A change that loses a race is a *record.Conflict, one that is too old a
 	// *record.Stale. The facts stand in the order of the changes.
-	Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Fact, record.Meta, error)
+	Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error)
 	// Wait returns when something may have been written, or after a while.
 	Wait(ctx context.Context, most time.Duration) error
 	// Init makes the record or brings its schema forward. It tells what it did, or with dry set would do.
 	Init(ctx context.Context, dry bool) ([]string, error)
 	// Replace puts facts in the place of all there are, under a new epoch.
-	Replace(ctx context.Context, facts []record.Fact) (record.Meta, error)
+	Replace(ctx context.Context, facts []record.Entry) (record.Meta, error)
 	// Verify looks for what should not be, and tells it.
 	Verify(context.Context) ([]string, error)
 	Close() error
