--- a/cmd/robincart-controller/main.go
+++ b/cmd/robincart-controller/main.go
@@ -91,12 +91,12 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s follows %s in namespace %s, lease %s for %v\n", k.Identity, k.API.Host, k.Namespace, k.Lease, k.Hold)
+				fmt.Fprintf(c.OutOrStdout(), "%s follows %s in namespace %s, lease %s for %v\n", k.Identity, k.API.Host, k.Namespace, k.LeaseName, k.LeaseDuration)
 				for _, s := range k.Services {
-					fmt.Fprintf(c.OutOrStdout(), "list %s of service %s, port %q, at %s\n", s.Name, s.Service, s.Port, s.Listen)
+					fmt.Fprintf(c.OutOrStdout(), "list %s of service %s, port %q, at %s\n", s.ListName, s.ServiceName, s.Port, s.Listen)
 				}
-				if k.Record != "" {
-					fmt.Fprintf(c.OutOrStdout(), "the record for nodes at %s, %d of them at most\n", k.Record, k.Callers)
+				if k.RecordAddress != "" {
+					fmt.Fprintf(c.OutOrStdout(), "the record for nodes at %s, %d of them at most\n", k.RecordAddress, k.MaxRecordClients)
 				}
 				return nil
 			}}, certs())
@@ -174,8 +174,8 @@
 	tomlfile.Default(&f.API.Namespace, "default")
 	tomlfile.Default(&f.Leader.Lease, "robincart-controller")
 	tomlfile.Default(&f.Leader.Hold, tomlfile.Duration(6*time.Second))
-	c = controller.Config{Namespace: f.API.Namespace, Identity: f.Identity, Lease: f.Leader.Lease, Hold: f.Leader.Hold.Of(), Status: f.Status,
-		Membership: membership.Defaults(), Fanout: fanout.Defaults()}
+	c = controller.Config{Namespace: f.API.Namespace, Identity: f.Identity, LeaseName: f.Leader.Lease, LeaseDuration: f.Leader.Hold.Of(), StatusAddress: f.Status,
+		Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig()}
 	var all []error
 	bad := func(is bool, format string, args ...any) {
 		if is {
@@ -183,18 +183,18 @@
 		}
 	}
 	m := &c.Membership
-	for to, from := range map[*float64]*tomlfile.Duration{&m.Flap: f.Membership.Flap, &m.FlapMost: f.Membership.FlapMost, &m.ShrinkFor: f.Membership.ShrinkFor,
-		&m.Forget: f.Membership.Forget, &m.ColdFor: f.Membership.ColdFor} {
+	for to, from := range map[*float64]*tomlfile.Duration{&m.FlapDelay: f.Membership.Flap, &m.MaxFlapDelay: f.Membership.FlapMost, &m.ShrinkHold: f.Membership.ShrinkFor,
+		&m.ForgetAfter: f.Membership.Forget, &m.SlowStartDuration: f.Membership.ColdFor} {
 		if from != nil {
 			*to = from.Of().Seconds()
 		}
 	}
-	for to, from := range map[*float64]*float64{&m.ShrinkAt: f.Membership.ShrinkAt, &m.ColdMost: f.Membership.ColdMost} {
+	for to, from := range map[*float64]*float64{&m.MaxShrinkFraction: f.Membership.ShrinkAt, &m.MaxSlowStartFraction: f.Membership.ColdMost} {
 		if from != nil {
 			*to = *from
 		}
 	}
-	m.Cordons = f.Membership.Cordons
+	m.DrainCordoned = f.Membership.Cordons
 	if c.Keys = f.Keys; c.Keys.Check() != nil {
 		bad(true, "keys: %w", c.Keys.Check())
 	}
@@ -204,27 +204,27 @@
 		}
 	}
 	tomlfile.Default(&f.Record.Callers, 5000)
-	c.Record, c.Callers = f.Record.Listen, f.Record.Callers
-	if c.Record != "" {
-		host, _, err := net.SplitHostPort(c.Record)
+	c.RecordAddress, c.MaxRecordClients = f.Record.Listen, f.Record.Callers
+	if c.RecordAddress != "" {
+		host, _, err := net.SplitHostPort(c.RecordAddress)
 		ip := net.ParseIP(host)
-		bad(err != nil, "record.listen: %q is no address with a port", c.Record)
+		bad(err != nil, "record.listen: %q is no address with a port", c.RecordAddress)
 		bad(f.Record.Store == "", "record.listen: there is no record.store to tell of")
 		// Who may call writes drains: nobody may who shows no key.
 		bad(err == nil && !c.Keys.On() && (ip == nil || !ip.IsLoopback()), "record.listen: without [keys] it has to be a loopback address, and %s is none", host)
 	}
 	bad(f.Record.Callers < 0, "record.callers: it must not be negative")
-	if err := m.Valid(); err != nil {
+	if err := m.Validate(); err != nil {
 		all = append(all, fmt.Errorf("membership: %w", err))
 	}
 	if f.Fanout.History > 0 {
 		c.Fanout.History = f.Fanout.History
 	}
 	if f.Fanout.Watchers > 0 {
-		c.Fanout.Watchers = f.Fanout.Watchers
+		c.Fanout.MaxWatchers = f.Fanout.Watchers
 	}
 	bad(f.Fanout.History < 0 || f.Fanout.Watchers < 0, "fanout: history and watchers must not be negative")
-	bad(c.Hold < time.Second, "leader.hold: %v is below 1s", c.Hold)
+	bad(c.LeaseDuration < time.Second, "leader.hold: %v is below 1s", c.LeaseDuration)
 	bad(len(f.Service) == 0, "service: there is none")
 	if len(f.Service) > mostServices {
 		return c, fmt.Errorf("%s:\nservice: %d are more than %d", path, len(f.Service), mostServices)
@@ -239,7 +239,7 @@
 		_, _, err := net.SplitHostPort(s.Listen)
 		bad(err != nil, "service[%d].listen: %q is no address with a port", i+1, s.Listen)
 		names, listens, services = append(names, s.Name), append(listens, s.Listen), append(services, s.Service)
-		c.Services = append(c.Services, controller.Service{Name: s.Name, Service: s.Service, Port: s.Port, Listen: s.Listen})
+		c.Services = append(c.Services, controller.Service{ListName: s.Name, ServiceName: s.Service, Port: s.Port, Listen: s.Listen})
 	}
 	if f.Status != "" {
 		_, _, err := net.SplitHostPort(f.Status)
--- a/cmd/robincart/config.go
+++ b/cmd/robincart/config.go
@@ -87,7 +87,7 @@
 	}
 	m := c.Machine
 	if c.Admin != "" {
-		m.Sockets -= admin.Defaults().Descriptors()
+		m.Sockets -= admin.DefaultLimits().Descriptors()
 	}
 	c.limits, err = limits.Fill(m, c.node)
 	if err != nil {
@@ -98,7 +98,7 @@
 }
 
 // mover is what follows another discovery.
-type mover interface{ Move(addr string) }
+type mover interface{ SetAddress(addr string) }
 
 // reload reads the file again and returns the configuration in force. Of what has changed the discovery's
 // address and the settings are taken, and the address goes before EDGE_DISCOVERY, which is as old as the process; all else
@@ -136,7 +136,7 @@
 	now.text = fresh.text
 	if now.file = fresh.file; now.file != c.file {
 		now.Discovery = now.file
-		w.Move(now.Discovery)
+		w.SetAddress(now.Discovery)
 	}
 	tuned := !bytes.Equal(fresh.Settings, c.Settings)
 	if tuned {
--- a/cmd/robincart/endings_test.go
+++ b/cmd/robincart/endings_test.go
@@ -24,7 +24,7 @@
 // A process that looks for the one before it has a listener already, and the kernel takes callers for it.
 func TestATermBeforeTheNodeServesLosesNobody(t *testing.T) {
 	l, _ := newPlace(t, newServer(t, says(200, "well")))
-	before, err := handover.Listen(handover.Path(l.dir, "n1 "+l.addr)) // it says nothing, and is waited for
+	before, err := handover.Listen(handover.SocketPath(l.dir, "n1 "+l.addr)) // it says nothing, and is waited for
 	require.NoError(t, err)
 	defer before.Close()
 	l.config["admin_addr"] = freeAddress(t)
--- a/cmd/robincart/golden_test.go
+++ b/cmd/robincart/golden_test.go
@@ -113,7 +113,7 @@
 	for file, state := range stateCases {
 		t.Run(file, func(t *testing.T) {
 			near, far := socketPair(t)
-			require.NoError(t, handover.NewLink(near).State(state.sent))
+			require.NoError(t, handover.NewLink(near).SendState(state.sent))
 			require.NoError(t, near.Close())
 			sent, err := io.ReadAll(far)
 			require.NoError(t, err)
@@ -129,7 +129,7 @@
 			_, err := near.Write([]byte(golden(t, file)))
 			require.NoError(t, err)
 			var got known
-			require.NoError(t, handover.NewLink(far).First(&got, stateTime))
+			require.NoError(t, handover.NewLink(far).ReceiveState(&got, stateTime))
 			assert.Equal(t, state.read, got)
 		})
 	}
--- a/cmd/robincart/main.go
+++ b/cmd/robincart/main.go
@@ -150,9 +150,9 @@
 	budget.Callers(l.Connections)
 	watcher := endpoints.New(c.Discovery, c.node.ZoneNames, l, budget, log)
 	recorder := telemetry.NewRecorder(log, newTrace(os.Getenv, c.Name))
-	core := node.New(c.node, c.seed(), clk, time.Now(), watcher.Ask)
+	core := node.New(c.node, c.seed(), clk, time.Now(), watcher.RequestWatch)
 	core.SetRecorder(recorder)
-	watcher.Start(core, c.list)
+	watcher.StartWith(core, c.list)
 	pool := upstream.NewPool(core, l, budget, watch)
 	pool.Observe(recorder)
 	front := frontend.New(l, budget, clk.Now, log, watch)
@@ -169,7 +169,7 @@
 	next := &succession{log: log, ops: ops, front: front, core: core, pool: pool, budget: budget, limits: l, door: in}
 	next.succeed(os.Getenv("TMPDIR"), c.Name+" "+c.Listen)
 	if next.before != nil {
-		watcher.Ask() // the module's own first asking is spread for fleets that start together
+		watcher.RequestWatch() // the module's own first asking is spread for fleets that start together
 	}
 	closeAdmin, err := operated(c.Admin, ops, log)
 	if err != nil {
--- a/cmd/robincart/operate.go
+++ b/cmd/robincart/operate.go
@@ -38,16 +38,16 @@
 
 // Detach takes a server out of every service that lists it, or did.
 func (o *operations) Detach(server string) error {
-	return o.do(handover.Word{Call: admin.PathDetach, Server: server}, nil)
+	return o.do(handover.Command{Path: admin.PathDetach, Server: server}, nil)
 }
 
 // Attach lets it back into all of them.
 func (o *operations) Attach(server string) error {
-	return o.do(handover.Word{Call: admin.PathAttach, Server: server}, nil)
+	return o.do(handover.Command{Path: admin.PathAttach, Server: server}, nil)
 }
 
-// Kept is what one of the services has against it.
-func (o *operations) Kept(server string) string {
+// ExclusionReason is what one of the services has against it.
+func (o *operations) ExclusionReason(server string) string {
 	for _, c := range o.cores() {
 		if why := c.ExclusionReason(server); why != "" {
 			return why
@@ -56,17 +56,17 @@
 	return ""
 }
 
-func (o *operations) Lame(on bool) error {
-	w := handover.Word{Call: admin.PathOff}
+func (o *operations) SetLameDuck(on bool) error {
+	w := handover.Command{Path: admin.PathLameDuckOff}
 	if on {
-		w.Call = admin.PathOn
+		w.Path = admin.PathLameDuckOn
 	}
 	return o.do(w, nil)
 }
 
 // do does a call, tells this node's other processes but the one that it came from, and keeps what it says. What can't be kept is in force
 // all the same, and written as soon as that can be; whoever called is told.
-func (o *operations) do(w handover.Word, from *handover.Link) error {
+func (o *operations) do(w handover.Command, from *handover.Link) error {
 	o.mu.Lock()
 	if err := o.apply(w); err != nil {
 		o.mu.Unlock()
@@ -74,8 +74,8 @@
 	}
 	for l := range o.links {
 		if l != from {
-			if err := l.Word(w); err != nil {
-				o.log.Warn("another process of this node could not be told", zap.String("call", w.Call), zap.Error(err))
+			if err := l.SendCommand(w); err != nil {
+				o.log.Warn("another process of this node could not be told", zap.String("call", w.Path), zap.Error(err))
 			}
 		}
 	}
@@ -90,14 +90,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), keepWithin)
 	defer cancel()
 	if err := o.file.await(ctx, number); err != nil {
-		return &admin.NotKeptError{Cause: err}
+		return &admin.NotPersistedError{Cause: err}
 	}
 	return nil
 }
 
 // apply puts a call in force. The lock of calls is held.
-func (o *operations) apply(w handover.Word) error {
-	switch w.Call {
+func (o *operations) apply(w handover.Command) error {
+	switch w.Path {
 	case admin.PathDetach:
 		// Noted first: a service that begins meanwhile hears of it one way or the other.
 		fresh := o.note(w.Server, true)
@@ -112,14 +112,14 @@
 			return admin.ErrNeverListed
 		}
 		o.note(w.Server, false)
-	case admin.PathOn, admin.PathOff:
-		on := w.Call == admin.PathOn
+	case admin.PathLameDuckOn, admin.PathLameDuckOff:
+		on := w.Path == admin.PathLameDuckOn
 		o.state.Lock()
 		o.said.Lame = on
 		o.state.Unlock()
 		o.front.Lame(on)
 	default:
-		return fmt.Errorf("%q is no call", w.Call)
+		return fmt.Errorf("%q is no call", w.Path)
 	}
 	o.state.Lock()
 	if o.spoken != nil {
@@ -313,5 +313,5 @@
 	if err != nil {
 		return nil, fmt.Errorf("the operators' address: %w", err)
 	}
-	return admin.Serve(ln, o, admin.Defaults(), log).Close, nil
+	return admin.Serve(ln, o, admin.DefaultLimits(), log).Close, nil
 }
--- a/cmd/robincart/operate_test.go
+++ b/cmd/robincart/operate_test.go
@@ -185,7 +185,7 @@
 
 type moved struct{ to []string }
 
-func (m *moved) Move(addr string) { m.to = append(m.to, addr) }
+func (m *moved) SetAddress(addr string) { m.to = append(m.to, addr) }
 
 func TestAListenerThatIsNoneIsOnePlainMessage(t *testing.T) {
 	d := newDiscovery(t)
--- a/cmd/robincart/operatorstate.go
+++ b/cmd/robincart/operatorstate.go
@@ -94,7 +94,7 @@
 // peek reads the file once. One that is torn is logged, and read as empty.
 func (f *operatorFile) peek() (before said, err error) {
 	err = handover.Load(f.path, &before)
-	var torn *handover.TornError
+	var torn *handover.CorruptError
 	if errors.As(err, &torn) {
 		f.log.Error("what operators told the process before can't be read; bans have to be told again", zap.Error(err))
 		return said{}, nil
--- a/cmd/robincart/succeed.go
+++ b/cmd/robincart/succeed.go
@@ -121,7 +121,7 @@
 	if dir == "" {
 		return
 	}
-	s.path = handover.Path(dir, name)
+	s.path = handover.SocketPath(dir, name)
 	s.ops.file = newOperatorFile(s.path+".said", s.log)
 	if s.door.file == nil {
 		s.ops.restore()
@@ -196,7 +196,7 @@
 		if bad != nil {
 			return known{}, err // of the time before, if there was one
 		}
-		if err = link.First(&told, stateTime); err == nil && told.Form != form {
+		if err = link.ReceiveState(&told, stateTime); err == nil && told.Form != form {
 			err = fmt.Errorf("it speaks form %d and this one %d", told.Form, form)
 		}
 		if err == nil {
@@ -222,8 +222,8 @@
 		return
 	}
 	s.log.Info("callers are taken over from the process before")
-	s.all.Go(func() { s.before.Run((*forebear)(s)) })
-	if err := s.before.Takes(); err != nil {
+	s.all.Go(func() { s.before.Serve((*forebear)(s)) })
+	if err := s.before.SendReady(); err != nil {
 		s.log.Warn("the process before this one could not be told", zap.Error(err))
 	}
 }
@@ -246,14 +246,14 @@
 			continue
 		}
 		s.ops.mu.Lock() // what is said from now on goes to it as a word
-		err = l.State(known{Form: form, Said: s.ops.sayings(), Unread: s.ops.unread(), Servers: s.core.Endpoints(), Listed: s.core.KnownServers(), Held: s.limits.Descriptors - s.budget.Left(),
+		err = l.SendState(known{Form: form, Said: s.ops.sayings(), Unread: s.ops.unread(), Servers: s.core.Endpoints(), Listed: s.core.KnownServers(), Held: s.limits.Descriptors - s.budget.Left(),
 			Seed: s.front.Seed(), ListTime: s.core.ListClock()})
 		s.ops.links[l] = struct{}{}
 		s.ops.mu.Unlock()
 		if err != nil {
 			s.log.Warn("a successor could not be told", zap.Error(err))
 		}
-		s.all.Go(func() { l.Run((*heir)(s)) })
+		s.all.Go(func() { l.Serve((*heir)(s)) })
 	}
 }
 
@@ -286,8 +286,8 @@
 // heir is what a process does with its successor's words.
 type heir succession
 
-// Takes hands callers over: this process lets go of the listener, and connections go over between requests.
-func (h *heir) Takes() {
+// SuccessorReady hands callers over: this process lets go of the listener, and connections go over between requests.
+func (h *heir) SuccessorReady() {
 	h.mu.Lock()
 	h.gave = true
 	link := h.heir
@@ -296,23 +296,23 @@
 	h.log.Info("callers are handed to a successor")
 	h.door.listener().Close()
 	// No request begins here from now on but on connections that are in use, which have one by then.
-	if err := link.IDs(h.front.IDs()); err != nil {
+	if err := link.SendRequestIDs(h.front.IDs()); err != nil {
 		h.log.Warn("the successor could not be told which requests are open", zap.Error(err))
 	}
-	h.front.PassOn(link.Conn)
+	h.front.PassOn(link.SendConnection)
 	for h.pool.Evict() { // its descriptors count against the successor's
 	}
 	(*succession)(h).part(2)
 }
 
-func (h *heir) Conn(c net.Conn, _ bool) { c.Close() } // not a successor's to send
+func (h *heir) Connection(c net.Conn, _ bool) { c.Close() } // not a successor's to send
 
-func (h *heir) IDs([]byte) {} // nor these
+func (h *heir) RequestIDs([]byte) {} // nor these
 
-func (h *heir) Word(w handover.Word) { h.ops.do(w, h.heir) }
+func (h *heir) Command(w handover.Command) { h.ops.do(w, h.heir) }
 
-// Ended takes callers up again where the successor has died and nobody ends this process: nobody else would take them.
-func (h *heir) Ended(err error) {
+// Disconnected takes callers up again where the successor has died and nobody ends this process: nobody else would take them.
+func (h *heir) Disconnected(err error) {
 	h.ops.link(h.heir, false)
 	h.mu.Lock()
 	resumes := h.gave && !h.stopping
@@ -342,11 +342,11 @@
 // forebear is what a process does with the words of the one before it.
 type forebear succession
 
-func (f *forebear) Takes() {}
+func (f *forebear) SuccessorReady() {}
 
-func (f *forebear) IDs(all []byte) { f.front.TakeIDs(all) }
+func (f *forebear) RequestIDs(all []byte) { f.front.TakeIDs(all) }
 
-func (f *forebear) Conn(c net.Conn, asked bool) {
+func (f *forebear) Connection(c net.Conn, asked bool) {
 	if f.lent > 0 { // it holds one less
 		f.lent--
 		f.budget.Give()
@@ -354,9 +354,9 @@
 	f.front.Adopt(c, asked)
 }
 
-func (f *forebear) Word(w handover.Word) { f.ops.do(w, f.before) }
+func (f *forebear) Command(w handover.Command) { f.ops.do(w, f.before) }
 
-func (f *forebear) Ended(error) {
+func (f *forebear) Disconnected(error) {
 	f.ops.link(f.before, false)
 	for ; f.lent > 0; f.lent-- {
 		f.budget.Give()
--- a/cmd/robincart/succeed_test.go
+++ b/cmd/robincart/succeed_test.go
@@ -234,14 +234,14 @@
 func TestASuccessorStartsWhateverIsInItsWay(t *testing.T) {
 	slow := newServer(t, after(time.Second, says(200, "x")))
 	l, _ := newPlace(t, slow)
-	sock := handover.Path(l.dir, fmt.Sprint(l.config["name"], " ", l.addr))
+	sock := handover.SocketPath(l.dir, fmt.Sprint(l.config["name"], " ", l.addr))
 	// Somebody else's socket, who says what is no state, or one of another form.
 	for _, says := range []any{"foreign", known{Form: form + 1, Said: said{Lame: true}}} {
 		ln, err := handover.Listen(sock)
 		require.NoError(t, err)
 		go func() {
 			if c, err := ln.AcceptUnix(); err == nil {
-				handover.NewLink(c).State(says)
+				handover.NewLink(c).SendState(says)
 			}
 		}()
 		require.NoError(t, os.WriteFile(sock+".said", []byte("torn"), 0o600))
--- a/cmd/robinlab/apiserver.go
+++ b/cmd/robinlab/apiserver.go
@@ -67,7 +67,7 @@
 	c.Flags().StringVar(&service, "service", "booking-api", "the cluster manager's Service")
 	c.Flags().IntVar(&pods, "pods", 10, "how many")
 	c.Flags().IntVar(&machines, "machines", 3, "that pods are spread over")
-	c.Flags().StringVar(&gate, "gate", "", "a readiness gate of each pod; the controller's own is "+controller.Gate)
+	c.Flags().StringVar(&gate, "gate", "", "a readiness gate of each pod; the controller's own is "+controller.ReadinessGate)
 	c.Flags().DurationVar(&roll, "roll", 0, "replace a pod so often; 0: when told to")
 	return c
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -20,34 +20,34 @@
 
 // The calls.
 const (
-	PathReady  = "/_ready"
-	PathDetach = "/_servers/detach"
-	PathAttach = "/_servers/attach"
-	PathOn     = "/_lameduck/on"
-	PathOff    = "/_lameduck/off"
+	PathReady       = "/_ready"
+	PathDetach      = "/_servers/detach"
+	PathAttach      = "/_servers/attach"
+	PathLameDuckOn  = "/_lameduck/on"
+	PathLameDuckOff = "/_lameduck/off"
 )
 
 // Node is what the calls act on. None of them may wait for a peer. A call that changes something returns ErrNeverListed where it names a
 // server that was never listed, and a NotKeptError where what it says is in force but would be forgotten by a process that follows.
 type Node interface {
-	Ready() bool                // this process takes callers
-	Detach(server string) error // nothing more to a server
-	Attach(server string) error // it may serve again
-	Kept(server string) string  // what keeps it out all the same
-	Lame(on bool) error         // empty the node, or let it work again
+	Ready() bool                          // this process takes callers
+	Detach(server string) error           // nothing more to a server
+	Attach(server string) error           // it may serve again
+	ExclusionReason(server string) string // what keeps it out all the same
+	SetLameDuck(on bool) error            // empty the node, or let it work again
 }
 
 // ErrNeverListed is of a call that names a server which no list ever had.
 var ErrNeverListed = errors.New("no such server was ever listed")
 
-// NotKeptError is of a call that is in force and could not be written down.
-type NotKeptError struct{ Cause error }
+// NotPersistedError is of a call that is in force and could not be written down.
+type NotPersistedError struct{ Cause error }
 
-func (e *NotKeptError) Error() string {
+func (e *NotPersistedError) Error() string {
 	return "it is in force, and not kept: a process that follows a kill would not know it; it is tried again, and this call may be, too: " + e.Cause.Error()
 }
 
-func (e *NotKeptError) Unwrap() error { return e.Cause }
+func (e *NotPersistedError) Unwrap() error { return e.Cause }
 
 // refusal is the answer to a call that has failed.
 func refusal(err error) (status int, body []byte) {
@@ -59,23 +59,23 @@
 
 // Limits bound what callers may cost.
 type Limits struct {
-	Conns int           // at once
-	Call  time.Duration // from the connect to the call's last byte
-	Write time.Duration // for the answer
+	MaxConnections int           // at once
+	CallTimeout    time.Duration // from the connect to the call's last byte
+	WriteTimeout   time.Duration // for the answer
 	// Linger is for what follows a call that could not be read.
 	Linger time.Duration
 	Wire   httpwire.Sizes
 }
 
-// Defaults leave a caller who waits one second a place, whatever others do.
-func Defaults() Limits {
-	return Limits{Conns: 8, Call: 5 * time.Second, Write: time.Second, Linger: 200 * time.Millisecond,
+// DefaultLimits leave a caller who waits one second a place, whatever others do.
+func DefaultLimits() Limits {
+	return Limits{MaxConnections: 8, CallTimeout: 5 * time.Second, WriteTimeout: time.Second, Linger: 200 * time.Millisecond,
 		Wire: httpwire.Sizes{Buffer: 1 << 10, Read: 512, Head: 8 << 10, Body: 8 << 10, Chunk: 64}}
 }
 
 // Descriptors is how many the address needs at most: the listener, the connections, and one that is taken before another
 // gives way.
-func (l Limits) Descriptors() int { return l.Conns + 2 }
+func (l Limits) Descriptors() int { return l.MaxConnections + 2 }
 
 // Server is the address.
 type Server struct {
@@ -130,7 +130,7 @@
 			continue
 		}
 		// Those that finish no call must not keep out one that does: the oldest gives way.
-		if len(s.conns) >= s.limits.Conns {
+		if len(s.conns) >= s.limits.MaxConnections {
 			s.conns[0].Close()
 			s.conns = s.conns[1:]
 		}
@@ -152,7 +152,7 @@
 			}
 		}
 	}()
-	c.SetReadDeadline(time.Now().Add(s.limits.Call))
+	c.SetReadDeadline(time.Now().Add(s.limits.CallTimeout))
 	q, err := httpwire.NewReader(socket.Patient{Conn: c}, s.limits.Wire).ReadRequest()
 	a := &httpwire.Answer{}
 	if err != nil {
@@ -165,7 +165,7 @@
 		a.Status, a.Allow, a.Body = s.call(q)
 	}
 	a.Close, a.Type = true, "application/json"
-	c.SetWriteDeadline(time.Now().Add(s.limits.Write))
+	c.SetWriteDeadline(time.Now().Add(s.limits.WriteTimeout))
 	body := a.Body
 	if q != nil && q.Verb == "HEAD" {
 		body = nil
@@ -185,7 +185,7 @@
 		want = "GET"
 	}
 	switch q.Path {
-	case PathReady, PathDetach, PathAttach, PathOn, PathOff:
+	case PathReady, PathDetach, PathAttach, PathLameDuckOn, PathLameDuckOff:
 	default:
 		return http.StatusNotFound, "", says("no such call")
 	}
@@ -198,9 +198,9 @@
 			return http.StatusServiceUnavailable, "", says("not ready")
 		}
 		return http.StatusOK, "", says("ready")
-	case PathOn, PathOff:
-		on := q.Path == PathOn
-		err := s.node.Lame(on)
+	case PathLameDuckOn, PathLameDuckOff:
+		on := q.Path == PathLameDuckOn
+		err := s.node.SetLameDuck(on)
 		s.log.Info("the node is emptied", zap.Bool("on", on), zap.NamedError("not kept", err))
 		if err != nil {
 			status, body := refusal(err)
@@ -231,7 +231,7 @@
 		return status, "", body
 	}
 	s.log.Info("a server is taken "+done+" by an operator", zap.String("server", *of.Host))
-	if why := s.node.Kept(*of.Host); q.Path == PathAttach && why != "" {
+	if why := s.node.ExclusionReason(*of.Host); q.Path == PathAttach && why != "" {
 		done += "; " + why // a ban is one of the words that a server has to be free of
 	}
 	return http.StatusOK, "", says(done)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -42,18 +42,18 @@
 
 func (f *fake) outcome(id string) error {
 	if f.failing {
-		return &NotKeptError{Cause: syscall.ENOSPC}
+		return &NotPersistedError{Cause: syscall.ENOSPC}
 	}
 	if id != "s1" {
 		return ErrNeverListed
 	}
 	return nil
 }
-func (f *fake) Kept(string) string { return "" }
-func (f *fake) Lame(on bool) error {
+func (f *fake) ExclusionReason(string) string { return "" }
+func (f *fake) SetLameDuck(on bool) error {
 	f.note(fmt.Sprint("lame ", on))
 	if f.failing {
-		return &NotKeptError{Cause: syscall.ENOSPC}
+		return &NotPersistedError{Cause: syscall.ENOSPC}
 	}
 	return nil
 }
@@ -91,18 +91,18 @@
 
 // What can't be kept is refused, though it is in force, and the answer says so.
 func TestACallThatCannotBeKeptIsRefused(t *testing.T) {
-	s, f := begin(t, Defaults())
+	s, f := begin(t, DefaultLimits())
 	f.failing = true
-	for _, text := range []string{post(PathDetach, `{"host":"s1"}`), post(PathAttach, `{"host":"s1"}`), post(PathOn, ""), post(PathOff, "")} {
+	for _, text := range []string{post(PathDetach, `{"host":"s1"}`), post(PathAttach, `{"host":"s1"}`), post(PathLameDuckOn, ""), post(PathLameDuckOff, "")} {
 		assert.Equal(t, 503, call(t, s, text), "%.40q", text)
 	}
 	assert.Equal(t, []string{"out s1", "back s1", "lame true", "lame false"}, f.heard)
-	assert.ErrorContains(t, &NotKeptError{Cause: syscall.ENOSPC}, "in force")
-	assert.ErrorIs(t, &NotKeptError{Cause: syscall.ENOSPC}, syscall.ENOSPC)
+	assert.ErrorContains(t, &NotPersistedError{Cause: syscall.ENOSPC}, "in force")
+	assert.ErrorIs(t, &NotPersistedError{Cause: syscall.ENOSPC}, syscall.ENOSPC)
 }
 
 func TestEachCallIsDoneOrRefused(t *testing.T) {
-	s, f := begin(t, Defaults())
+	s, f := begin(t, DefaultLimits())
 	for _, x := range []struct {
 		text   string
 		status int
@@ -115,8 +115,8 @@
 		{"POST /_servers/detach HTTP/1.1\r\nHost: n\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"hos\r\n8\r\nt\":\"s1\"}\r\n0\r\n\r\n", 200, "out s1"},
 		{post(PathAttach, `{"host":"s1"}`), 200, "back s1"},
 		{post(PathAttach, `{"host":"nobody"}`), 404, "back nobody"},
-		{post(PathOn, ""), 200, "lame true"},
-		{post(PathOff, "{}"), 200, "lame false"},
+		{post(PathLameDuckOn, ""), 200, "lame true"},
+		{post(PathLameDuckOff, "{}"), 200, "lame false"},
 		{post(PathDetach, `{"host":""}`), 400, ""},
 		{post(PathDetach, `{"host":7}`), 400, ""},
 		{post(PathDetach, `{"host":"s1"}{"host":"s2"}`), 400, ""},
@@ -146,10 +146,10 @@
 func FuzzCall(f *testing.F) {
 	f.Add([]byte(post(PathDetach, `{"host":"s1"}`)))
 	f.Add([]byte(post(PathAttach, `{"host":"s1"} x`)))
-	f.Add([]byte(post(PathOn, "")))
+	f.Add([]byte(post(PathLameDuckOn, "")))
 	f.Add([]byte(post(PathDetach, `{"HOST":null,"host":{}}`)))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		q, err := httpwire.NewReader(bytes.NewReader(text), Defaults().Wire).ReadRequest()
+		q, err := httpwire.NewReader(bytes.NewReader(text), DefaultLimits().Wire).ReadRequest()
 		if err != nil {
 			return
 		}
@@ -163,8 +163,8 @@
 }
 
 func TestCallersThatFinishNothingKeepNobodyOut(t *testing.T) {
-	l := Defaults()
-	l.Conns = 3
+	l := DefaultLimits()
+	l.MaxConnections = 3
 	s, _ := begin(t, l)
 	var idle []net.Conn
 	for i := range 20 {
@@ -187,6 +187,6 @@
 		assert.False(t, errors.Is(err, os.ErrDeadlineExceeded), "still open")
 	}
 	s.mu.Lock()
-	assert.LessOrEqual(t, len(s.conns), l.Conns)
+	assert.LessOrEqual(t, len(s.conns), l.MaxConnections)
 	s.mu.Unlock()
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -28,8 +28,8 @@
 	told     string
 }
 
-func (s *scripted) Ready() bool        { return !s.notReady }
-func (s *scripted) Kept(string) string { return s.keptBy }
+func (s *scripted) Ready() bool                   { return !s.notReady }
+func (s *scripted) ExclusionReason(string) string { return s.keptBy }
 
 func (s *scripted) Detach(server string) error {
 	s.told = "detach " + server
@@ -41,7 +41,7 @@
 	return s.failure
 }
 
-func (s *scripted) Lame(on bool) error {
+func (s *scripted) SetLameDuck(on bool) error {
 	s.told = fmt.Sprint("lame ", on)
 	return s.failure
 }
@@ -51,7 +51,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	server := Serve(listener, node, Defaults(), zap.NewNop())
+	server := Serve(listener, node, DefaultLimits(), zap.NewNop())
 	defer server.Close()
 	conn, err := net.Dial("tcp", server.Addr())
 	require.NoError(t, err)
@@ -68,7 +68,7 @@
 
 func TestGolden_CallsAndAnswers(t *testing.T) {
 	const server = `{"host":"server-1"}`
-	notKept := &NotKeptError{Cause: syscall.ENOSPC}
+	notKept := &NotPersistedError{Cause: syscall.ENOSPC}
 	keptBy := "the list does not have it now"
 	var transcript strings.Builder
 	for _, test := range []struct {
--- a/internal/config/nodeconfig/nodeconfig.go
+++ b/internal/config/nodeconfig/nodeconfig.go
@@ -493,7 +493,7 @@
 	}
 	m := c.Machine
 	if c.Admin.Listen != "" {
-		m.Sockets -= admin.Defaults().Descriptors()
+		m.Sockets -= admin.DefaultLimits().Descriptors()
 	}
 	m.Sockets -= 2 * max(0, len(c.Listen)+len(c.Gateway)-1) // each further listener, and what it has just taken
 	l, err := limits.Fill(m, longest(c.Pools))
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -42,38 +42,38 @@
 	"robincart/internal/system/keys"
 )
 
-// Gate is the condition type of the readiness gate that paces cold starts: a Pod that names it in spec.readinessGates is ready
+// ReadinessGate is the condition type of the readiness gate that paces cold starts: a Pod that names it in spec.readinessGates is ready
 // only once the controller has let it in.
-const Gate = "robincart.dev/may-serve"
+const ReadinessGate = "robincart.dev/may-serve"
 
 // Epochs are the upper bits of a revision: a leader's lists stand above all of earlier leaders'.
 const epochBits = 40
 
 // Service is one list.
 type Service struct {
-	Name    string // of the list
-	Service string // of the cluster manager's Service
-	Port    string // name of the port, or its number; "": the first
-	Listen  string // where nodes ask
+	ListName    string // of the list
+	ServiceName string // of the cluster manager's Service
+	Port        string // name of the port, or its number; "": the first
+	Listen      string // where nodes ask
 }
 
 // Config is what an operator says.
 type Config struct {
-	API        *rest.Config
-	Namespace  string
-	Identity   string
-	Lease      string
-	Hold       time.Duration // of the lease
-	Membership membership.Config
-	Fanout     fanout.Config
-	Services   []Service
-	Status     string     // address of the status page
-	Keys       keys.Files // towards nodes; none: plain TCP
+	API           *rest.Config
+	Namespace     string
+	Identity      string
+	LeaseName     string
+	LeaseDuration time.Duration // of the lease
+	Membership    membership.Config
+	Fanout        fanout.Config
+	Services      []Service
+	StatusAddress string     // address of the status page
+	Keys          keys.Files // towards nodes; none: plain TCP
 	// Store, if set, is the record that the settings of the API go into. Run closes it.
 	Store store.Store
-	// Record is the address at which nodes are told the record by this replica, so that they need not ask the store; "": nowhere.
-	Record  string
-	Callers int // nodes there, at most
+	// RecordAddress is the address at which nodes are told the record by this replica, so that they need not ask the store; "": nowhere.
+	RecordAddress    string
+	MaxRecordClients int // nodes there, at most
 }
 
 // Controller is one replica.
@@ -105,20 +105,20 @@
 
 // New prepares one.
 func New(c Config, log *zap.Logger) (*Controller, error) {
-	if err := c.Membership.Valid(); err != nil {
+	if err := c.Membership.Validate(); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
-	if c.Record != "" && c.Store == nil {
+	if c.RecordAddress != "" && c.Store == nil {
 		return nil, errors.New("the record can't be told to nodes: there is no store of it")
 	}
-	c.Fanout.Epoch = func(revision int64) int64 { return revision >> epochBits }
+	c.Fanout.EpochOf = func(revision int64) int64 { return revision >> epochBits }
 	k := &Controller{c: c, log: log, begin: time.Now(), whole: make(chan struct{}), base: rand.Int63n(1 << (epochBits - 1)), state: membership.New(c.Membership, 0), synced: map[string]bool{}, lists: map[string]*fanout.List{},
 		names: map[string]string{}, conds: map[string][]core.PodCondition{}, bad: map[string]string{}, cut: map[string]*cut{}}
 	for _, s := range c.Services {
-		if k.lists[s.Service] != nil {
-			return nil, fmt.Errorf("service %s stands twice", s.Service)
+		if k.lists[s.ServiceName] != nil {
+			return nil, fmt.Errorf("service %s stands twice", s.ServiceName)
 		}
-		k.lists[s.Service] = fanout.New(c.Fanout, log.With(zap.String("service", s.Name)))
+		k.lists[s.ServiceName] = fanout.New(c.Fanout, log.With(zap.String("service", s.ListName)))
 	}
 	return k, nil
 }
@@ -150,8 +150,8 @@
 			ln.Close()
 		}
 	}()
-	if k.c.Status != "" {
-		ln, err := net.Listen("tcp", k.c.Status)
+	if k.c.StatusAddress != "" {
+		ln, err := net.Listen("tcp", k.c.StatusAddress)
 		if err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
@@ -180,8 +180,8 @@
 		}
 	}
 	var told net.Listener
-	if k.c.Record != "" {
-		if told, err = net.Listen("tcp", k.c.Record); err != nil {
+	if k.c.RecordAddress != "" {
+		if told, err = net.Listen("tcp", k.c.RecordAddress); err != nil {
 			return fmt.Errorf("record.listen: %w", err)
 		}
 		listeners = append(listeners, told)
@@ -214,10 +214,10 @@
 			if ring != nil {
 				ln = tls.NewListener(ln, ring.Server())
 			}
-			k.lists[s.Service].Serve(ctx, ln)
+			k.lists[s.ServiceName].Serve(ctx, ln)
 		})
 	}
-	if k.c.Status != "" {
+	if k.c.StatusAddress != "" {
 		srv := &http.Server{Handler: http.HandlerFunc(k.page), ReadHeaderTimeout: time.Second, WriteTimeout: 2 * time.Second}
 		all.Go(func() { srv.Serve(listeners[0]) })
 		defer srv.Close()
@@ -249,7 +249,7 @@
 		k.relay = r
 		k.mu.Unlock()
 		all.Go(func() { r.Run(ctx) })
-		all.Go(func() { store.ServeWithLimits(ctx, told, r, recordserver.ClientLimits(k.c.Callers)) })
+		all.Go(func() { store.ServeWithLimits(ctx, told, r, recordserver.ClientLimits(k.c.MaxRecordClients)) })
 	}
 	follow := func(group, resource, namespace string, example any, s sink) {
 		from(cache.NewListWatchFromClient(clients[group], resource, namespace, selection.Everything()), resource, example, s)
@@ -436,7 +436,9 @@
 		if x, there, _ := o.Store.GetByKey(key); there && !is[key] {
 			if p, pod := x.(*core.Pod); pod {
 				o.k.forget(p)
-				o.k.apply(func(m *membership.State, now float64) []membership.Change { return m.PodMissing(string(p.UID), now) })
+				o.k.apply(func(m *membership.State, now float64) []membership.Change {
+					return m.MarkPodMissing(string(p.UID), now)
+				})
 			} else {
 				o.pass(x, true)
 			}
@@ -473,16 +475,16 @@
 func (k *Controller) renew() {
 	for of, l := range k.lists {
 		var all []fanout.Member
-		for _, m := range k.state.List(of) {
+		for _, m := range k.state.Members(of) {
 			all = append(all, k.member(m))
 		}
-		l.Replace(k.epoch<<epochBits+k.base+k.state.Revision()+1, all)
+		l.PublishSnapshot(k.epoch<<epochBits+k.base+k.state.Revision()+1, all)
 	}
 }
 
 func (k *Controller) member(m membership.Member) fanout.Member {
 	return fanout.Member{ID: m.ID, HostPort: m.Addr, Locality: m.Zone, Phase: string(m.Phase), Size: 1,
-		UpSince: k.begin.Add(time.Duration(m.UpSince * float64(time.Second))).UnixMilli()}
+		UpSince: k.begin.Add(time.Duration(m.StartedAt * float64(time.Second))).UnixMilli()}
 }
 
 // apply lets something be heard, and tells nodes what follows.
@@ -498,9 +500,9 @@
 		news[c.Service] = append(news[c.Service], k.member(c.Member))
 	}
 	for of, l := range k.lists {
-		l.Tell(news[of])
+		l.PublishDelta(news[of])
 		if len(k.cut) == 0 {
-			l.Heard()
+			l.NoteSourceAlive()
 		}
 	}
 }
@@ -521,11 +523,11 @@
 func (k *Controller) slice(key string, x any, gone bool) {
 	s, ok := x.(*discovery.EndpointSlice)
 	if gone || !ok {
-		k.apply(func(m *membership.State, now float64) []membership.Change { return m.SliceGone(key, now) })
+		k.apply(func(m *membership.State, now float64) []membership.Change { return m.DeleteSlice(key, now) })
 		return
 	}
 	of := s.Labels[discovery.LabelServiceName]
-	i := slices.IndexFunc(k.c.Services, func(v Service) bool { return v.Service == of })
+	i := slices.IndexFunc(k.c.Services, func(v Service) bool { return v.ServiceName == of })
 	if i < 0 {
 		return
 	}
@@ -550,9 +552,9 @@
 		es = append(es, m)
 	}
 	k.apply(func(m *membership.State, now float64) []membership.Change {
-		changes := m.Slice(key, of, es, now)
-		if n := m.Refused(key); n > 0 {
-			why = fmt.Sprintf("%d endpoints are left out: the service has more than %d servers, those that left lately included", n, membership.MostServers)
+		changes := m.UpdateSlice(key, of, es, now)
+		if n := m.Rejected(key); n > 0 {
+			why = fmt.Sprintf("%d endpoints are left out: the service has more than %d servers, those that left lately included", n, membership.MaxServers)
 		}
 		return changes
 	})
@@ -581,32 +583,32 @@
 	}
 	if gone {
 		k.forget(p)
-		k.apply(func(m *membership.State, now float64) []membership.Change { return m.PodGone(string(p.UID), now) })
+		k.apply(func(m *membership.State, now float64) []membership.Change { return m.DeletePod(string(p.UID), now) })
 		return
 	}
-	m := membership.Pod{UID: string(p.UID), Name: p.Name, Deleting: p.DeletionTimestamp != nil, Ended: p.Status.Phase == core.PodFailed || p.Status.Phase == core.PodSucceeded}
+	m := membership.Pod{UID: string(p.UID), Name: p.Name, Deleting: p.DeletionTimestamp != nil, Finished: p.Status.Phase == core.PodFailed || p.Status.Phase == core.PodSucceeded}
 	for _, c := range p.Status.Conditions {
 		switch {
 		case c.Type == core.ContainersReady:
-			m.Whole = c.Status == core.ConditionTrue
-		case c.Type == Gate:
-			m.Gate = c.Status == core.ConditionTrue
+			m.ContainersReady = c.Status == core.ConditionTrue
+		case c.Type == ReadinessGate:
+			m.GateOpen = c.Status == core.ConditionTrue
 		}
 	}
 	for _, c := range p.Status.ContainerStatuses {
 		if c.State.Running != nil {
-			m.Started = max(m.Started, c.State.Running.StartedAt.Sub(k.begin).Seconds())
+			m.StartedAt = max(m.StartedAt, c.State.Running.StartedAt.Sub(k.begin).Seconds())
 		}
 	}
 	for _, g := range p.Spec.ReadinessGates {
-		if g.ConditionType == Gate {
-			m.Service = p.Labels["robincart.dev/service"]
+		if g.ConditionType == ReadinessGate {
+			m.GatedService = p.Labels["robincart.dev/service"]
 		}
 	}
 	k.mu.Lock()
 	k.names[m.UID], k.conds[m.UID] = p.Name, p.Status.Conditions
 	k.mu.Unlock()
-	k.apply(func(s *membership.State, now float64) []membership.Change { return s.Pod(m, now) })
+	k.apply(func(s *membership.State, now float64) []membership.Change { return s.UpdatePod(m, now) })
 }
 
 // forget drops what is kept of a pod for its gate: under deploys all day it would else grow with every pod there has been.
@@ -621,18 +623,18 @@
 	n, ok := x.(*core.Node)
 	m := membership.Node{Missing: gone || !ok}
 	if ok && !gone {
-		m.Zone, m.Cordon = n.Labels["topology.kubernetes.io/zone"], n.Spec.Unschedulable
+		m.Zone, m.Cordoned = n.Labels["topology.kubernetes.io/zone"], n.Spec.Unschedulable
 		for _, t := range n.Spec.Taints {
-			m.Evicts = m.Evicts || t.Effect == core.TaintEffectNoExecute
+			m.Evicting = m.Evicting || t.Effect == core.TaintEffectNoExecute
 		}
 	}
-	k.apply(func(s *membership.State, now float64) []membership.Change { return s.Node(key, m, now) })
+	k.apply(func(s *membership.State, now float64) []membership.Change { return s.UpdateNode(key, m, now) })
 }
 
 // lease follows who leads: with each change of hands an epoch begins, and nodes are told whole lists above all earlier ones.
 func (k *Controller) lease(key string, x any, gone bool) {
 	l, ok := x.(*coordination.Lease)
-	if gone || !ok || l.Name != k.c.Lease || l.Spec.LeaseTransitions == nil {
+	if gone || !ok || l.Name != k.c.LeaseName || l.Spec.LeaseTransitions == nil {
 		return
 	}
 	k.mu.Lock()
@@ -648,11 +650,11 @@
 
 // elect takes part in the choice of a leader, who alone writes.
 func (k *Controller) elect(ctx context.Context, client rest.Interface) {
-	lock := &resourcelock.LeaseLock{LeaseMeta: metav1.ObjectMeta{Namespace: k.c.Namespace, Name: k.c.Lease}, Client: typed.New(client),
+	lock := &resourcelock.LeaseLock{LeaseMeta: metav1.ObjectMeta{Namespace: k.c.Namespace, Name: k.c.LeaseName}, Client: typed.New(client),
 		LockConfig: resourcelock.ResourceLockConfig{Identity: k.c.Identity}}
 	for ctx.Err() == nil {
-		e, err := leaderelection.NewLeaderElector(leaderelection.LeaderElectionConfig{Lock: lock, LeaseDuration: k.c.Hold, RenewDeadline: k.c.Hold * 2 / 3,
-			RetryPeriod: k.c.Hold / 6, ReleaseOnCancel: true, Callbacks: leaderelection.LeaderCallbacks{
+		e, err := leaderelection.NewLeaderElector(leaderelection.LeaderElectionConfig{Lock: lock, LeaseDuration: k.c.LeaseDuration, RenewDeadline: k.c.LeaseDuration * 2 / 3,
+			RetryPeriod: k.c.LeaseDuration / 6, ReleaseOnCancel: true, Callbacks: leaderelection.LeaderCallbacks{
 				OnStartedLeading: func(context.Context) { k.lead(true) }, OnStoppedLeading: func() { k.lead(false) }}})
 		if err != nil {
 			k.log.Error("no leader can be chosen", zap.Error(err))
@@ -678,14 +680,14 @@
 		k.mu.Unlock()
 		return
 	}
-	uids := k.state.Gates(k.now())
+	uids := k.state.OpenGates(k.now())
 	k.mu.Unlock()
 	for _, uid := range uids {
 		k.mu.Lock()
 		name, conds := k.names[uid], slices.Clone(k.conds[uid])
 		k.mu.Unlock()
-		conds = slices.DeleteFunc(conds, func(c core.PodCondition) bool { return c.Type == Gate })
-		conds = append(conds, core.PodCondition{Type: Gate, Status: core.ConditionTrue, Reason: "LetIn", LastTransitionTime: metav1.Now()})
+		conds = slices.DeleteFunc(conds, func(c core.PodCondition) bool { return c.Type == ReadinessGate })
+		conds = append(conds, core.PodCondition{Type: ReadinessGate, Status: core.ConditionTrue, Reason: "LetIn", LastTransitionTime: metav1.Now()})
 		body, err := json.Marshal(map[string]any{"status": map[string]any{"conditions": conds}})
 		if err == nil {
 			call, cancel := context.WithTimeout(ctx, 5*time.Second)
@@ -703,39 +705,39 @@
 
 // Status is what the status page shows.
 type Status struct {
-	Identity string                   `json:"identity"`
-	Leads    bool                     `json:"leads"`
-	Epoch    int64                    `json:"epoch"`
-	Whole    bool                     `json:"whole"`
-	Cut      map[string]float64       `json:"cut_seconds"` // kinds that can't be followed, for how long
-	Skipped  map[string]string        `json:"skipped"`
-	Gates    int                      `json:"gates_opened"`
-	Record   string                   `json:"record,omitempty"` // what keeps it from following the settings
-	Relay    *recordserver.Status     `json:"relay,omitempty"`  // the record as nodes are told it here
-	Services map[string]fanout.Status `json:"services"`
+	Identity     string                   `json:"identity"`
+	Leading      bool                     `json:"leads"`
+	Epoch        int64                    `json:"epoch"`
+	Synced       bool                     `json:"whole"`
+	Disconnected map[string]float64       `json:"cut_seconds"` // kinds that can't be followed, for how long
+	Skipped      map[string]string        `json:"skipped"`
+	GatesOpened  int                      `json:"gates_opened"`
+	RecordError  string                   `json:"record,omitempty"` // what keeps it from following the settings
+	RecordServer *recordserver.Status     `json:"relay,omitempty"`  // the record as nodes are told it here
+	Services     map[string]fanout.Status `json:"services"`
 }
 
 // Status tells how this replica stands.
 func (k *Controller) Status() Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := Status{Identity: k.c.Identity, Leads: k.leads, Epoch: k.epoch, Whole: k.ready(), Cut: map[string]float64{}, Skipped: map[string]string{}, Gates: k.gates,
+	s := Status{Identity: k.c.Identity, Leading: k.leads, Epoch: k.epoch, Synced: k.ready(), Disconnected: map[string]float64{}, Skipped: map[string]string{}, GatesOpened: k.gates,
 		Services: map[string]fanout.Status{}}
 	if k.book != nil {
-		s.Record = k.book.fault
+		s.RecordError = k.book.fault
 	}
 	if k.relay != nil {
 		r := k.relay.Status()
-		s.Relay = &r
+		s.RecordServer = &r
 	}
 	for kind, c := range k.cut {
-		s.Cut[kind] = time.Since(c.since).Seconds()
+		s.Disconnected[kind] = time.Since(c.since).Seconds()
 	}
 	for key, why := range k.bad {
 		s.Skipped[key] = why
 	}
 	for _, v := range k.c.Services {
-		s.Services[v.Name] = k.lists[v.Service].Status()
+		s.Services[v.ListName] = k.lists[v.ServiceName].Status()
 	}
 	return s
 }
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -58,8 +58,8 @@
 
 // reach starts one that reaches the API at an address; stop ends the first.
 func (s *story) reach(name, at, api string) *Controller {
-	k, err := New(Config{API: &rest.Config{Host: "http://" + api}, Namespace: "default", Identity: name, Lease: "l", Hold: 2 * time.Second,
-		Membership: membership.Defaults(), Fanout: fanout.Defaults(), Services: []Service{{Name: "s", Service: "s", Listen: at}}}, zap.NewNop())
+	k, err := New(Config{API: &rest.Config{Host: "http://" + api}, Namespace: "default", Identity: name, LeaseName: "l", LeaseDuration: 2 * time.Second,
+		Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig(), Services: []Service{{ListName: "s", ServiceName: "s", Listen: at}}}, zap.NewNop())
 	require.NoError(s.t, err)
 	ctx, end := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -153,7 +153,7 @@
 	s.api.Set("endpointslices", slice("a"))
 	s.api.Hang(false)
 	s.becomes(map[string]string{"a": "ready"})
-	require.Eventually(t, func() bool { return s.k.Status().Leads && s.k.Status().Epoch > 0 }, 20*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return s.k.Status().Leading && s.k.Status().Epoch > 0 }, 20*time.Second, 10*time.Millisecond)
 	_, first := s.list(s.at)
 	lease := s.api.Get("leases", "default", "l")
 	spec := lease["spec"].(map[string]any)
@@ -218,16 +218,16 @@
 		for i := range 12 {
 			conds := []map[string]any{{"type": "ContainersReady", "status": "True"}}
 			if i < 8 {
-				conds = append(conds, map[string]any{"type": Gate, "status": "True"})
+				conds = append(conds, map[string]any{"type": ReadinessGate, "status": "True"})
 			}
 			a.Set("pods", apiserver.Object{"metadata": map[string]any{"name": fmt.Sprint("p", i), "namespace": "default", "labels": map[string]any{"robincart.dev/service": "s"}},
-				"spec": map[string]any{"readinessGates": []map[string]any{{"conditionType": Gate}}}, "status": map[string]any{"phase": "Running", "conditions": conds}})
+				"spec": map[string]any{"readinessGates": []map[string]any{{"conditionType": ReadinessGate}}}, "status": map[string]any{"phase": "Running", "conditions": conds}})
 		}
 	})
 	open := func() (n int) {
 		for i := range 12 {
 			b, _ := json.Marshal(s.api.Get("pods", "default", fmt.Sprint("p", i))["status"])
-			if strings.Contains(string(b), Gate) {
+			if strings.Contains(string(b), ReadinessGate) {
 				n++
 			}
 		}
@@ -243,8 +243,8 @@
 	require.NoError(t, err)
 	defer api.Stop()
 	api.Token = "right"
-	c := Config{API: &rest.Config{Host: "http://" + api.Addr(), BearerToken: "wrong"}, Namespace: "default", Identity: "x", Lease: "l", Hold: time.Second,
-		Membership: membership.Defaults(), Fanout: fanout.Defaults(), Services: []Service{{Name: "s", Service: "s", Listen: free(t)}}}
+	c := Config{API: &rest.Config{Host: "http://" + api.Addr(), BearerToken: "wrong"}, Namespace: "default", Identity: "x", LeaseName: "l", LeaseDuration: time.Second,
+		Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig(), Services: []Service{{ListName: "s", ServiceName: "s", Listen: free(t)}}}
 	k, err := New(c, zap.NewNop())
 	require.NoError(t, err)
 	assert.ErrorContains(t, k.Run(t.Context()), "Unauthorized")
@@ -263,22 +263,22 @@
 func TestALeaderThatIsCutOffServesOnAndIsSucceeded(t *testing.T) {
 	s := begin(t, func(a *apiserver.Server) { a.Set("endpointslices", slice("a", "b")) })
 	s.becomes(map[string]string{"a": "ready", "b": "ready"})
-	require.Eventually(t, func() bool { return s.k.Status().Leads }, 20*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return s.k.Status().Leading }, 20*time.Second, 5*time.Millisecond)
 	wire := newWire(t, s.api.Addr())
 	require.Eventually(t, func() bool { return s.k.Status().Epoch > 0 }, 20*time.Second, 5*time.Millisecond)
 	first := s.k.Status().Epoch
 	second := s.reach("two", free(t), wire.addr())
-	require.Eventually(t, func() bool { return second.Status().Whole }, 20*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return second.Status().Synced }, 20*time.Second, 5*time.Millisecond)
 	// The first one hands the lead over, so that the second, behind the wire, leads; then the wire is cut.
 	s.stop()
-	require.Eventually(t, func() bool { return second.Status().Leads && second.Status().Epoch > first }, 20*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return second.Status().Leading && second.Status().Epoch > first }, 20*time.Second, 5*time.Millisecond)
 	cut := second.Status().Epoch
 	wire.cut(true)
 	third := s.replica("three", s.at)
-	require.Eventually(t, func() bool { return third.Status().Leads && third.Status().Epoch > cut }, 20*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return third.Status().Leading && third.Status().Epoch > cut }, 20*time.Second, 5*time.Millisecond)
 	require.Eventually(t, func() bool {
 		st := second.Status()
-		return !st.Leads && st.Cut["endpointslices"] > 0 && st.Cut["pods"] > 0
+		return !st.Leading && st.Disconnected["endpointslices"] > 0 && st.Disconnected["pods"] > 0
 	}, 20*time.Second, 5*time.Millisecond, "it says what it can't follow: %v", probe{second})
 	s.api.Set("endpointslices", slice("b", "c"))
 	s.becomes(map[string]string{"b": "ready", "c": "ready"})
@@ -294,7 +294,7 @@
 	wire.cut(false)
 	require.Eventually(t, func() bool {
 		is, at := s.list(second.c.Services[0].Listen)
-		return assert.ObjectsAreEqual(map[string]string{"b": "ready", "c": "ready"}, is) && at>>epochBits == now>>epochBits && len(second.Status().Cut) == 0
+		return assert.ObjectsAreEqual(map[string]string{"b": "ready", "c": "ready"}, is) && at>>epochBits == now>>epochBits && len(second.Status().Disconnected) == 0
 	}, 30*time.Second, 5*time.Millisecond, "and it follows again")
 }
 
@@ -370,11 +370,11 @@
 	at := taken.Addr().String()
 	there, err := sqlstore.Open("sqlite:" + filepath.Join(t.TempDir(), "record.db"))
 	require.NoError(t, err)
-	_, err = New(Config{Record: at, Membership: membership.Defaults(), Fanout: fanout.Defaults()}, zap.NewNop())
+	_, err = New(Config{RecordAddress: at, Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig()}, zap.NewNop())
 	assert.ErrorContains(t, err, "there is no store")
-	for _, c := range []Config{{Services: []Service{{Name: "s", Service: "s", Listen: at}}}, {Record: at, Store: there, Services: []Service{{Name: "s", Service: "s", Listen: free(t)}}}} {
-		c.API, c.Namespace, c.Identity, c.Lease, c.Hold = &rest.Config{Host: "http://" + api.Addr()}, "default", "one", "l", 2*time.Second
-		c.Membership, c.Fanout = membership.Defaults(), fanout.Defaults()
+	for _, c := range []Config{{Services: []Service{{ListName: "s", ServiceName: "s", Listen: at}}}, {RecordAddress: at, Store: there, Services: []Service{{ListName: "s", ServiceName: "s", Listen: free(t)}}}} {
+		c.API, c.Namespace, c.Identity, c.LeaseName, c.LeaseDuration = &rest.Config{Host: "http://" + api.Addr()}, "default", "one", "l", 2*time.Second
+		c.Membership, c.Fanout = membership.DefaultConfig(), fanout.DefaultConfig()
 		k, err := New(c, zap.NewNop())
 		require.NoError(t, err)
 		ended := make(chan error, 1)
--- a/internal/controlplane/controller/golden_test.go
+++ b/internal/controlplane/controller/golden_test.go
@@ -110,9 +110,9 @@
 	t.Helper()
 	config := Config{
 		API: &rest.Config{Host: "http://api.example.org", Transport: api}, Namespace: "booking",
-		Identity: "controller-1", Lease: "booking-controller", Hold: 6 * time.Second,
-		Membership: membership.Defaults(), Fanout: fanout.Defaults(),
-		Services: []Service{{Name: "booking", Service: "booking-api", Port: "http", Listen: "127.0.0.1:0"}},
+		Identity: "controller-1", LeaseName: "booking-controller", LeaseDuration: 6 * time.Second,
+		Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig(),
+		Services: []Service{{ListName: "booking", ServiceName: "booking-api", Port: "http", Listen: "127.0.0.1:0"}},
 	}
 	controller, err := New(config, zap.NewNop())
 	require.NoError(t, err)
@@ -144,7 +144,7 @@
 // toldMembers are a service's members as nodes are told them.
 func toldMembers(controller *Controller) []fanout.Member {
 	var members []fanout.Member
-	for _, member := range controller.state.List("booking-api") {
+	for _, member := range controller.state.Members("booking-api") {
 		members = append(members, controller.member(member))
 	}
 	return members
@@ -190,7 +190,7 @@
 	controller.openGates(t.Context())
 	require.Len(t, api.requests(), 1)
 	testutil.EqualGolden(t, "pod-gate.http", []byte(api.requests()[0].String()))
-	assert.Equal(t, "robincart.dev/may-serve", string(Gate))
+	assert.Equal(t, "robincart.dev/may-serve", string(ReadinessGate))
 }
 
 func TestElect_GoldenLease(t *testing.T) {
@@ -256,7 +256,7 @@
 	opened.hear("booking/odd", goldenSetting(t, "setting-malformed.json"), false)
 	assert.Equal(t, wish{
 		Object: desiredstate.Object{
-			Key: "booking/acme-quota", UID: "uid-acme-quota", Generation: 3, Created: 1712998800000,
+			Key: "booking/acme-quota", UID: "uid-acme-quota", Generation: 3, CreatedAt: 1712998800000,
 			Spec: desiredstate.Spec{Kind: "tenant", Name: "booking/acme", Text: `{"quota": 200, "weight": 2}`},
 		},
 		namespace: "booking", name: "acme-quota",
@@ -327,16 +327,16 @@
 func TestStatus_Golden(t *testing.T) {
 	for name, want := range map[string]Status{
 		"status.json": {
-			Identity: "controller-1", Leads: true, Epoch: 7, Whole: true,
-			Cut:     map[string]float64{"endpointslices": 2.5, "pods": 3.5},
-			Skipped: map[string]string{"pod booking/odd": "it has no UID"},
-			Gates:   8, Record: "the store is away",
-			Relay: &recordserver.Status{
+			Identity: "controller-1", Leading: true, Epoch: 7, Synced: true,
+			Disconnected: map[string]float64{"endpointslices": 2.5, "pods": 3.5},
+			Skipped:      map[string]string{"pod booking/odd": "it has no UID"},
+			GatesOpened:  8, RecordError: "the store is away",
+			RecordServer: &recordserver.Status{
 				Epoch: "5f2a9c", Revision: 9, Entries: 10, Nodes: 11, SecondsSinceContact: 12.5, Error: "no answer", Pending: 13,
 				Written: 14, Answered: 15, Merged: 16,
 			},
 			Services: map[string]fanout.Status{
-				"booking": {Revision: 17, Servers: 18, Watchers: 19, Refused: 20, Wholes: 21, HeardAgo: 22.5},
+				"booking": {Revision: 17, Servers: 18, Watchers: 19, Rejected: 20, Snapshots: 21, SecondsSinceSource: 22.5},
 			},
 		},
 		"status-zero.json": {},
--- a/internal/controlplane/controller/settingobjects.go
+++ b/internal/controlplane/controller/settingobjects.go
@@ -87,7 +87,7 @@
 		delete(b.all, key)
 	} else {
 		w := wish{namespace: u.GetNamespace(), name: u.GetName(), Object: desiredstate.Object{Key: key, UID: string(u.GetUID()), Generation: u.GetGeneration(),
-			Created: u.GetCreationTimestamp().UnixMilli()}}
+			CreatedAt: u.GetCreationTimestamp().UnixMilli()}}
 		if err := into(u.Object["spec"], &w.Spec); err != nil {
 			w.Malformed = err.Error()
 		}
@@ -148,7 +148,7 @@
 		b.count++
 		return b.k.c.Identity + "." + b.boot + "." + strconv.Itoa(b.count)
 	}
-	changes, told := desiredstate.Decide(objects, true, facts, meta.Epoch, mark)
+	changes, told := desiredstate.Reconcile(objects, true, facts, meta.Epoch, mark)
 	for i := range changes {
 		changes[i].WrittenAt = time.Now().UnixMilli()
 		call, cancel := context.WithTimeout(ctx, wishCall)
@@ -161,7 +161,7 @@
 	}
 	if len(changes) > 0 && err == nil { // what was written is told at once
 		if facts, meta, err = b.read(ctx); err == nil {
-			_, told = desiredstate.Decide(objects, true, facts, meta.Epoch, mark)
+			_, told = desiredstate.Reconcile(objects, true, facts, meta.Epoch, mark)
 		}
 	}
 	count := time.Since(b.counted) >= nodesAge
@@ -209,11 +209,11 @@
 
 // listOf is the list that a service's wish is about, if this controller tells it.
 func (k *Controller) listOf(s desiredstate.Spec) *fanout.List {
-	i := slices.IndexFunc(k.c.Services, func(x Service) bool { return s.Kind == string(record.KindService) && x.Name == s.Name })
+	i := slices.IndexFunc(k.c.Services, func(x Service) bool { return s.Kind == string(record.KindService) && x.ListName == s.Name })
 	if i < 0 {
 		return nil
 	}
-	return k.lists[k.c.Services[i].Service]
+	return k.lists[k.c.Services[i].ServiceName]
 }
 
 // read is the whole record, at one epoch.
--- a/internal/controlplane/controller/settingobjects_test.go
+++ b/internal/controlplane/controller/settingobjects_test.go
@@ -41,14 +41,14 @@
 	s, err := sqlstore.OpenExisting(at)
 	require.NoError(t, err)
 	told := free(t)
-	k, err := New(Config{API: &rest.Config{Host: "http://" + api.Addr()}, Namespace: "default", Identity: "one", Lease: "l", Hold: 2 * time.Second, Store: s, Record: told, Callers: 10,
-		Membership: membership.Defaults(), Fanout: fanout.Defaults(), Services: []Service{{Name: "front", Service: "s", Listen: list}}}, zap.NewNop())
+	k, err := New(Config{API: &rest.Config{Host: "http://" + api.Addr()}, Namespace: "default", Identity: "one", LeaseName: "l", LeaseDuration: 2 * time.Second, Store: s, RecordAddress: told, MaxRecordClients: 10,
+		Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig(), Services: []Service{{ListName: "front", ServiceName: "s", Listen: list}}}, zap.NewNop())
 	require.NoError(t, err)
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- k.Run(ctx) }()
 	t.Cleanup(func() { end(); assert.NoError(t, <-done) })
-	require.Eventually(t, func() bool { return k.Status().Record != "" }, 20*time.Second, 5*time.Millisecond, "there is no record yet, and it says so")
+	require.Eventually(t, func() bool { return k.Status().RecordError != "" }, 20*time.Second, 5*time.Millisecond, "there is no record yet, and it says so")
 	_, err = people.Init(t.Context(), false)
 	require.NoError(t, err)
 	status := func(name string) string {
@@ -80,14 +80,14 @@
 		p, err := through.Since(t.Context(), 0, 100)
 		return err == nil && len(p.Entries) == 1 && p.Entries[0].Name == "front"
 	}, 20*time.Second, 5*time.Millisecond)
-	assert.Equal(t, 1, k.Status().Relay.Nodes)
+	assert.Equal(t, 1, k.Status().RecordServer.Nodes)
 	node, err := net.Dial("tcp", list)
 	require.NoError(t, err)
 	defer node.Close()
 	fmt.Fprintf(node, "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nHost: a\r\n\r\n")
 	becomes("front", "nodes:1")
 	becomes("front", "listRevision:")
-	assert.Empty(t, k.Status().Record)
+	assert.Empty(t, k.Status().RecordError)
 	// Changed, mended, in somebody's way, and gone.
 	meta, err := people.Meta(t.Context())
 	require.NoError(t, err)
--- a/internal/controlplane/desiredstate/desiredstate.go
+++ b/internal/controlplane/desiredstate/desiredstate.go
@@ -14,15 +14,15 @@
 	"robincart/internal/record/record"
 )
 
-// By is who writes these facts. Facts by anybody else are not touched.
-const By = "controller"
+// Writer is who writes these facts. Facts by anybody else are not touched.
+const Writer = "controller"
 
 // Object is one wish as the API has it.
 type Object struct {
 	Key        string // NAMESPACE/NAME
 	UID        string
 	Generation int64
-	Created    int64 // in milliseconds of Unix time
+	CreatedAt  int64 // in milliseconds of Unix time
 	Spec       Spec
 	Malformed  string // why its spec could not be read; empty: it could
 }
@@ -46,9 +46,9 @@
 	ListRevision int64 `json:"listRevision,omitempty"`
 }
 
-// Decide tells what is to be written, and each object's status by its key. Marks come from the function, a new one each time.
+// Reconcile tells what is to be written, and each object's status by its key. Marks come from the function, a new one each time.
 // A fact without an object is taken out only if the objects are whole: a list that is lacking is no word.
-func Decide(objects []Object, whole bool, facts []record.Entry, epoch string, mark func() string) ([]record.Change, map[string]Status) {
+func Reconcile(objects []Object, whole bool, facts []record.Entry, epoch string, mark func() string) ([]record.Change, map[string]Status) {
 	there := map[record.Key]record.Entry{}
 	for _, f := range facts {
 		if !f.Deleted && (f.Kind == record.KindService || f.Kind == record.KindRoute || f.Kind == record.KindTenant) {
@@ -57,7 +57,7 @@
 	}
 	objects = slices.Clone(objects)
 	slices.SortFunc(objects, func(a, b Object) int { // the first who wished holds a name
-		return cmp.Or(cmp.Compare(a.Created, b.Created), cmp.Compare(a.UID, b.UID))
+		return cmp.Or(cmp.Compare(a.CreatedAt, b.CreatedAt), cmp.Compare(a.UID, b.UID))
 	})
 	var changes []record.Change
 	told, holds := map[string]Status{}, map[record.Key]string{}
@@ -71,7 +71,7 @@
 			s.Reason = err.Error()
 		case held:
 			s.Reason = fmt.Sprintf("%s %s is wished for by %s already", key.Kind, key.Name, holder)
-		case is && f.Writer != By && !same(f.Value, value):
+		case is && f.Writer != Writer && !same(f.Value, value):
 			holds[key] = o.Key
 			s.Reason = fmt.Sprintf("the record has another %s %s, by %s: take that out first", key.Kind, key.Name, f.Writer)
 		case is && same(f.Value, value):
@@ -80,14 +80,14 @@
 		default:
 			holds[key] = o.Key
 			s.Reason = "being written to the record"
-			changes = append(changes, record.Change{Key: key, ExpectedRevision: f.Revision, Writer: By, IdempotencyKey: mark(), Value: value})
+			changes = append(changes, record.Change{Key: key, ExpectedRevision: f.Revision, Writer: Writer, IdempotencyKey: mark(), Value: value})
 		}
 		told[o.Key] = s
 	}
 	if whole {
 		for key, f := range there {
-			if _, held := holds[key]; !held && f.Writer == By {
-				changes = append(changes, record.Change{Key: key, ExpectedRevision: f.Revision, Delete: true, Writer: By, IdempotencyKey: mark()})
+			if _, held := holds[key]; !held && f.Writer == Writer {
+				changes = append(changes, record.Change{Key: key, ExpectedRevision: f.Revision, Delete: true, Writer: Writer, IdempotencyKey: mark()})
 			}
 		}
 	}
--- a/internal/controlplane/desiredstate/desiredstate_test.go
+++ b/internal/controlplane/desiredstate/desiredstate_test.go
@@ -14,7 +14,7 @@
 const service = "[[service]]\nname = \"s\"\nservers = [\"127.0.0.1:1\"]\n"
 
 func wish(key string, created int64, kind, name, text string) Object {
-	return Object{Key: key, UID: key, Generation: 3, Created: created, Spec: Spec{kind, name, text}}
+	return Object{Key: key, UID: key, Generation: 3, CreatedAt: created, Spec: Spec{kind, name, text}}
 }
 
 func fact(kind record.Kind, name, by, value string) record.Entry {
@@ -25,14 +25,14 @@
 
 func TestEachWishIsToldHowItStands(t *testing.T) {
 	text, _ := json.Marshal(map[string]string{"toml": service})
-	facts := []record.Entry{fact(record.KindService, "s", By, string(text)), fact(record.KindTenant, "s/mine", "a person", `{"quota":1,"weight":1}`),
-		fact(record.KindRoute, "left", By, `{"toml":""}`), fact(record.KindRoute, "theirs", "a person", `{"toml":""}`), fact(record.KindDrain, "s/x", By, `{}`)}
+	facts := []record.Entry{fact(record.KindService, "s", Writer, string(text)), fact(record.KindTenant, "s/mine", "a person", `{"quota":1,"weight":1}`),
+		fact(record.KindRoute, "left", Writer, `{"toml":""}`), fact(record.KindRoute, "theirs", "a person", `{"toml":""}`), fact(record.KindDrain, "s/x", Writer, `{}`)}
 	malformed := wish("d/malformed", 1, "route", "r", "")
 	malformed.Malformed = "no object"
 	objects := []Object{wish("d/late", 9, "service", "s", service), wish("d/first", 1, "service", "s", service), wish("d/theirs", 1, "tenant", "s/mine", `{"quota":2,"weight":1}`),
 		wish("d/new", 1, "tenant", "s/new", `{"quota": 2, "weight": 1}`), wish("d/kind", 1, "drain", "s/x", "{}"), wish("d/quota", 1, "tenant", "s/q", `{"quota":-1}`),
 		wish("d/toml", 1, "route", "r", "[[route]]\nname = \"other\"\n"), wish("d/tenant", 1, "tenant", "no service", `{}`), malformed}
-	changes, told := Decide(objects, true, facts, "e", mark)
+	changes, told := Reconcile(objects, true, facts, "e", mark)
 	assert.Equal(t, Status{Accepted: true, Generation: 3, Revision: 7, Epoch: "e"}, told["d/first"])
 	for key, why := range map[string]string{"d/late": "d/first already", "d/theirs": "by a person", "d/new": "being written", "d/kind": "spec.kind", "d/quota": "quota",
 		"d/toml": "of that name", "d/tenant": "SERVICE/NAME", "d/malformed": "no object"} {
@@ -40,9 +40,9 @@
 		assert.Contains(t, told[key].Reason, why)
 	}
 	assert.Len(t, changes, 2)
-	assert.Equal(t, record.Change{Key: record.Key{Kind: record.KindTenant, Name: "s/new"}, Writer: By, IdempotencyKey: "m", Value: json.RawMessage(`{"quota": 2, "weight": 1}`)}, changes[0])
-	assert.Equal(t, record.Change{Key: record.Key{Kind: record.KindRoute, Name: "left"}, ExpectedRevision: 7, Delete: true, Writer: By, IdempotencyKey: "m"}, changes[1])
-	changes, _ = Decide(nil, false, facts, "e", mark)
+	assert.Equal(t, record.Change{Key: record.Key{Kind: record.KindTenant, Name: "s/new"}, Writer: Writer, IdempotencyKey: "m", Value: json.RawMessage(`{"quota": 2, "weight": 1}`)}, changes[0])
+	assert.Equal(t, record.Change{Key: record.Key{Kind: record.KindRoute, Name: "left"}, ExpectedRevision: 7, Delete: true, Writer: Writer, IdempotencyKey: "m"}, changes[1])
+	changes, _ = Reconcile(nil, false, facts, "e", mark)
 	assert.Empty(t, changes, "a list that is lacking is no word")
 }
 
@@ -52,7 +52,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		facts := map[record.Key]record.Entry{}
 		for i := range rapid.IntRange(0, 5).Draw(t, "facts") {
-			f := fact(record.KindTenant, fmt.Sprint("s/", i), rapid.SampledFrom([]string{By, "a person"}).Draw(t, "by"), fmt.Sprintf(`{"quota":%d,"weight":1}`, rapid.IntRange(-1, 1).Draw(t, "was")))
+			f := fact(record.KindTenant, fmt.Sprint("s/", i), rapid.SampledFrom([]string{Writer, "a person"}).Draw(t, "by"), fmt.Sprintf(`{"quota":%d,"weight":1}`, rapid.IntRange(-1, 1).Draw(t, "was")))
 			facts[f.Key] = f
 		}
 		var objects []Object
@@ -66,19 +66,19 @@
 			}
 			return all
 		}
-		changes, _ := Decide(objects, true, list(), "e", mark)
+		changes, _ := Reconcile(objects, true, list(), "e", mark)
 		for _, c := range changes {
 			now, is := facts[c.Key]
 			assert.Equal(t, now.Revision, c.ExpectedRevision)
-			assert.False(t, is && now.Writer != By, "%+v", c)
+			assert.False(t, is && now.Writer != Writer, "%+v", c)
 			if delete(facts, c.Key); !c.Delete {
 				facts[c.Key] = record.Entry{Key: c.Key, Revision: 8, Writer: c.Writer, Value: c.Value}
 			}
 		}
-		again, told := Decide(objects, true, list(), "e", mark)
+		again, told := Reconcile(objects, true, list(), "e", mark)
 		assert.Empty(t, again)
 		assert.Len(t, told, len(objects))
-		_, shuffled := Decide(rapid.Permutation(objects).Draw(t, "order"), true, list(), "e", mark)
+		_, shuffled := Reconcile(rapid.Permutation(objects).Draw(t, "order"), true, list(), "e", mark)
 		assert.Equal(t, told, shuffled)
 	})
 }
--- a/internal/controlplane/desiredstate/golden_test.go
+++ b/internal/controlplane/desiredstate/golden_test.go
@@ -67,18 +67,18 @@
 // A golden value that is in the record already is found again, and nothing is written.
 func TestDecide_GoldenFactIsAccepted(t *testing.T) {
 	object := Object{
-		Key: "booking/tables", UID: "u", Generation: 3, Created: 1712998800123,
+		Key: "booking/tables", UID: "u", Generation: 3, CreatedAt: 1712998800123,
 		Spec: Spec{Kind: "service", Name: "tables", Text: goldenText},
 	}
 	stored := record.Entry{
 		Key: record.Key{Kind: "service", Name: "tables"}, Revision: 7, Writer: "controller",
 		Value: json.RawMessage(testutil.Golden(t, "fact-service.json")),
 	}
-	changes, statuses := Decide([]Object{object}, true, []record.Entry{stored}, "5f2a9c", mark)
+	changes, statuses := Reconcile([]Object{object}, true, []record.Entry{stored}, "5f2a9c", mark)
 	assert.Empty(t, changes)
 	want := Status{Accepted: true, Generation: 3, Revision: 7, Epoch: "5f2a9c"}
 	assert.Equal(t, map[string]Status{"booking/tables": want}, statuses)
-	changes, _ = Decide([]Object{object}, true, nil, "5f2a9c", mark)
+	changes, _ = Reconcile([]Object{object}, true, nil, "5f2a9c", mark)
 	require.Len(t, changes, 1)
 	assert.Equal(t, "controller", changes[0].Writer, "who wrote a fact is stored with it")
 }
--- a/internal/controlplane/endpoints/call.go
+++ b/internal/controlplane/endpoints/call.go
@@ -65,7 +65,7 @@
 		return err
 	}
 	if status != 200 {
-		return &RefusedError{Status: status}
+		return &RejectedError{Status: status}
 	}
 	// A discovery that was cut off says nothing; one that lives sends an empty line every other second.
 	messages := feed{from: stream, most: w.limits.ListBytes, chunk: make([]byte, w.limits.Wire.Buffer),
--- a/internal/controlplane/endpoints/crowd_test.go
+++ b/internal/controlplane/endpoints/crowd_test.go
@@ -52,7 +52,7 @@
 	}
 	var conflict *ConflictError
 	require.ErrorAs(t, twice(true, "ready", "draining"), &conflict)
-	assert.Equal(t, ConflictError{ID: "b", First: "ready", Then: "draining"}, *conflict)
+	assert.Equal(t, ConflictError{ID: "b", FirstPhase: "ready", SecondPhase: "draining"}, *conflict)
 	assert.ErrorContains(t, conflict, "take one out")
 	assert.NoError(t, twice(true, "draining", "draining"))
 	assert.NoError(t, twice(false, "draining", "gone", "ready"))
@@ -60,7 +60,7 @@
 	_, err := Parse(crowd(100_000, func(int) string { return "{}" }))
 	require.ErrorAs(t, err, &limit)
 	assert.Equal(t, 100_000, limit.Entries)
-	var message *MessageError
+	var message *MalformedError
 	_, err = Parse([]byte(`{"revision":-1}`))
 	require.ErrorAs(t, err, &message)
 	_, err = Parse([]byte(`[`))
@@ -85,7 +85,7 @@
 	for err = w.room(ready); err == nil; err = w.room(ready) {
 		n++
 	}
-	var turnover *TurnoverError
+	var turnover *IncompleteTurnoverError
 	assert.ErrorAs(t, err, &turnover)
 	assert.Equal(t, MaxMembers/1000-1, n)
 	assert.Zero(t, w.revision, "the next watch is told all of it")
--- a/internal/controlplane/endpoints/endpoints_test.go
+++ b/internal/controlplane/endpoints/endpoints_test.go
@@ -103,13 +103,13 @@
 	core := make(fakeCore, 9)
 	list, err := Parse([]byte(known))
 	require.NoError(t, err)
-	w.Start(core, list)
+	w.StartWith(core, list)
 	core.next(t)
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { w.Run(ctx); close(done) }()
 	t.Cleanup(func() { end(); <-done; ln.Close() })
-	w.Ask()
+	w.RequestWatch()
 	return core, w, asked
 }
 
@@ -166,7 +166,7 @@
 		}
 		silent := name == "no answer" || name == "silence" || name == "half a message"
 		assert.Equal(t, news{failed: true, anew: silent}, n, name)
-		w.Ask()
+		w.RequestWatch()
 		assert.Contains(t, testutil.Receive(t, asked), "since=41", name)
 		assert.Contains(t, testutil.Receive(t, asked), "since=41", name)
 		assert.Equal(t, "a", core.next(t).entries[0].ID, "%s: the next watch has a descriptor again", name)
@@ -201,7 +201,7 @@
 	})
 	assert.Equal(t, "a", core.next(t).entries[0].ID)
 	testutil.Receive(t, asked)
-	w.Move(fresh.Addr().String())
+	w.SetAddress(fresh.Addr().String())
 	assert.NoError(t, testutil.Receive(t, ended), "the old watch and its descriptor are given back")
 	c, err := fresh.Accept()
 	require.NoError(t, err)
@@ -222,13 +222,13 @@
 	testutil.Receive(t, asked)
 	here := w.addr
 	for range 3 {
-		w.Move(freeAddress(t))
+		w.SetAddress(freeAddress(t))
 		assert.Equal(t, news{failed: true, anew: true}, core.next(t))
 	}
-	w.Move(here)
+	w.SetAddress(here)
 	assert.Contains(t, testutil.Receive(t, asked), "since=0")
 	assert.Equal(t, news{failed: true, anew: true}, core.next(t))
-	w.Ask()
+	w.RequestWatch()
 	assert.Equal(t, news{failed: true}, core.next(t), "this discovery has had its call")
 }
 
@@ -238,13 +238,13 @@
 	core, w, asked := watch(t, nothing, sayAndClose("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), mute, mute, say(head, line(42, false, member1("a", "draining"))))
 	first := testutil.Receive(t, asked)
 	assert.Equal(t, news{failed: true}, core.next(t))
-	w.Ask()
+	w.RequestWatch()
 	testutil.Receive(t, asked)
 	assert.Equal(t, news{failed: true, anew: true}, core.next(t))
-	w.Ask()
+	w.RequestWatch()
 	assert.Equal(t, first, testutil.Receive(t, asked))
 	assert.Equal(t, news{failed: true, anew: true}, core.next(t))
-	w.Ask()
+	w.RequestWatch()
 	assert.Equal(t, decide.Draining, core.next(t).entries[0].State)
 }
 
@@ -259,7 +259,7 @@
 		testutil.Receive(t, asked)
 		stand = append(stand, testutil.Receive(t, conns))
 		assert.Equal(t, news{failed: true, anew: true}, core.next(t), "another call is wanted")
-		w.Ask()
+		w.RequestWatch()
 	}
 	testutil.Receive(t, asked)
 	stand = append(stand, testutil.Receive(t, conns))
@@ -334,7 +334,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	go w.Run(ctx)
-	w.Ask()
+	w.RequestWatch()
 	assert.Equal(t, news{failed: true}, core.next(t))
 }
 
@@ -347,7 +347,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	go w.Run(ctx)
-	w.Ask()
+	w.RequestWatch()
 	assert.Equal(t, news{failed: true, anew: true}, core.next(t), "discovery has had no call")
 }
 
@@ -397,11 +397,11 @@
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { w.Run(ctx); close(done) }()
-	w.Ask()
+	w.RequestWatch()
 	assert.Equal(t, news{failed: true}, core.next(t))
 	for budget.Take() {
 	}
-	w.Ask()
+	w.RequestWatch()
 	assert.Equal(t, news{failed: true}, core.next(t), "it has a descriptor, and discovery is called")
 	end()
 	<-done
--- a/internal/controlplane/endpoints/errors.go
+++ b/internal/controlplane/endpoints/errors.go
@@ -6,12 +6,12 @@
 	"robincart/internal/system/socket"
 )
 
-// RefusedError is a call for the server list that discovery answered with something else than a list.
-type RefusedError struct {
+// RejectedError is a call for the server list that discovery answered with something else than a list.
+type RejectedError struct {
 	Status int // of HTTP
 }
 
-func (e *RefusedError) Error() string {
+func (e *RejectedError) Error() string {
 	return fmt.Sprintf("discovery answered %d: the list held stays and the call is made again; if this lasts, look at discovery's load "+
 		"and at the number of nodes that call it", e.Status)
 }
@@ -28,32 +28,32 @@
 
 // ConflictError is a whole list that names a server twice, in two phases. The list held stays.
 type ConflictError struct {
-	ID    string
-	First string // phase
-	Then  string
+	ID          string
+	FirstPhase  string // phase
+	SecondPhase string
 }
 
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("server list: %.100q is named as %s and as %s in one whole list: two processes have one name, or discovery holds an old "+
-		"entry; take one out", e.ID, e.First, e.Then)
+		"entry; take one out", e.ID, e.FirstPhase, e.SecondPhase)
 }
 
-// MessageError is a message that can't be read as one of the list. The list held stays.
-type MessageError struct {
+// MalformedError is a message that can't be read as one of the list. The list held stays.
+type MalformedError struct {
 	Cause error
 }
 
-func (e *MessageError) Error() string {
+func (e *MalformedError) Error() string {
 	return fmt.Sprintf("server list: %v: what answers there is no discovery, or one of another version", e.Cause)
 }
 
-func (e *MessageError) Unwrap() error { return e.Cause }
+func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// TurnoverError is a watch whose changes have named more servers since the last whole list than a service may have. Many may have
+// IncompleteTurnoverError is a watch whose changes have named more servers since the last whole list than a service may have. Many may have
 // left since, so the whole list is asked for.
-type TurnoverError struct{}
+type IncompleteTurnoverError struct{}
 
-func (e *TurnoverError) Error() string {
+func (e *IncompleteTurnoverError) Error() string {
 	return fmt.Sprintf("server list: changes named more than %d servers since the last whole list, which is asked for; if this lasts, see "+
 		"what makes servers come and go", MaxMembers)
 }
--- a/internal/controlplane/endpoints/list.go
+++ b/internal/controlplane/endpoints/list.go
@@ -63,13 +63,13 @@
 func Parse(text []byte) (*List, error) {
 	l := &List{}
 	if err := json.Unmarshal(text, l); err != nil {
-		return nil, &MessageError{Cause: err}
+		return nil, &MalformedError{Cause: err}
 	}
 	if len(l.Members) > MaxMembers {
 		return nil, &EntryLimitError{Entries: len(l.Members)}
 	}
 	if l.Revision < 0 {
-		return nil, &MessageError{Cause: fmt.Errorf("revision %d", l.Revision)}
+		return nil, &MalformedError{Cause: fmt.Errorf("revision %d", l.Revision)}
 	}
 	if !l.Complete {
 		return l, nil
@@ -85,7 +85,7 @@
 	phaseOf := make(map[string]string, len(l.Members))
 	for _, m := range l.Members {
 		if phase, named := phaseOf[m.ID]; named && phase != m.Phase && m.err == nil {
-			return &ConflictError{ID: m.ID, First: phase, Then: m.Phase}
+			return &ConflictError{ID: m.ID, FirstPhase: phase, SecondPhase: m.Phase}
 		}
 		if m.err == nil && m.ID != "" {
 			phaseOf[m.ID] = m.Phase
--- a/internal/controlplane/endpoints/moves_test.go
+++ b/internal/controlplane/endpoints/moves_test.go
@@ -78,15 +78,15 @@
 	clk, asks := &handClock{}, atomic.Int64{}
 	core := toldCore{node.New(n, 1, clk, time.Now(), func() { asks.Add(1) }), make(chan bool, 9)}
 	w := New(freeAddress(t), nil, limits.Limits{ListConnect: time.Second, ListFirst: time.Second, ListTold: time.Second, ListEvery: time.Hour, ListSilence: time.Hour}, limits.NewBudget(1, 0, nil), zap.NewNop())
-	w.Follow(core)
+	w.SetReceiver(core)
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { w.Run(ctx); close(done) }()
 	defer func() { end(); <-done; core.Close() }()
-	w.Ask()
+	w.RequestWatch()
 	assert.False(t, testutil.Receive(t, core.told))
 	for range 3 {
-		w.Move(freeAddress(t))
+		w.SetAddress(freeAddress(t))
 		assert.True(t, testutil.Receive(t, core.told))
 	}
 	for range 10_000 {
--- a/internal/controlplane/endpoints/told_test.go
+++ b/internal/controlplane/endpoints/told_test.go
@@ -320,7 +320,7 @@
 	return startedWith(t, ctx, all, d.dial, seed, instances, limits.NewBudget(2, 0, nil))
 }
 
-func startedWith(t *testing.T, ctx context.Context, all *sync.WaitGroup, dial Dial, seed int64, instances int, budget *limits.Budget) *follower {
+func startedWith(t *testing.T, ctx context.Context, all *sync.WaitGroup, dial DialFunc, seed int64, instances int, budget *limits.Budget) *follower {
 	t.Helper()
 	s, err := settings.Parse(fmt.Appendf(nil, `{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],"Instances":%d,`+
 		`"RegistryMode":"subscribe","Rules":{"MustAskInMs":60000}}`, instances))
@@ -331,8 +331,8 @@
 	m := &follower{budget: budget}
 	m.w = New("127.0.0.1:1", nil, l, m.budget, zap.NewNop())
 	m.w.dial = dial
-	m.Core = node.New(s, seed, bubbleClock{time.Now()}, time.Now(), m.w.Ask)
-	m.w.Follow(m)
+	m.Core = node.New(s, seed, bubbleClock{time.Now()}, time.Now(), m.w.RequestWatch)
+	m.w.SetReceiver(m)
 	all.Go(func() { m.w.Run(ctx); m.Close() })
 	return m
 }
@@ -526,7 +526,7 @@
 			moved := make([]time.Time, nodes)
 			for _, i := range rand.New(rand.NewSource(int64(play))).Perm(nodes) {
 				moved[i] = time.Now()
-				fleet[i].w.Move("127.0.0.1:2")
+				fleet[i].w.SetAddress("127.0.0.1:2")
 				time.Sleep(100 * time.Millisecond)
 			}
 			// The lists of before were heard before the move, so a later one is of the new discovery.
@@ -601,7 +601,7 @@
 		"moves": func(d *turns, f *follower, r *rand.Rand, lasts time.Duration) {
 			d.become(trouble(1 + r.Intn(int(brief))))
 			for end, i := time.Now().Add(lasts), 2; time.Now().Before(end); i++ {
-				f.w.Move(fmt.Sprintf("127.0.0.1:%d", i))
+				f.w.SetAddress(fmt.Sprintf("127.0.0.1:%d", i))
 				time.Sleep(min(time.Until(end), time.Duration(r.Float64()*float64(5*time.Second))))
 			}
 		},
--- a/internal/controlplane/endpoints/watch.go
+++ b/internal/controlplane/endpoints/watch.go
@@ -17,8 +17,8 @@
 	"robincart/internal/resources/limits"
 )
 
-// Core takes the news.
-type Core interface {
+// Receiver takes the news.
+type Receiver interface {
 	UpdateEndpoints(entries []node.Endpoint, full bool)
 	// EndpointWatchFailed tells that a watch has ended, never began, or has not begun for so long that another call is wanted beside it.
 	EndpointWatchFailed(node.WatchFailure)
@@ -33,8 +33,8 @@
 	log    *zap.Logger
 	wake   chan struct{}
 	secure func(addr string) *tls.Config // nil: discovery speaks plain TCP
-	dial   Dial
-	core   Core
+	dial   DialFunc
+	core   Receiver
 
 	mu          sync.Mutex
 	addr        string
@@ -66,26 +66,26 @@
 		heard: time.Now(), wake: make(chan struct{}, 1), dial: (&net.Dialer{KeepAlive: -1}).DialContext}
 }
 
-// Dial connects, as net.Dialer does.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+// DialFunc connects, as net.Dialer does.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Through has discovery reached another way than by the machine's own network. It is told before Run.
-func (w *Watcher) Through(d Dial) { w.dial = d }
+// SetDialer has discovery reached another way than by the machine's own network. It is told before Run.
+func (w *Watcher) SetDialer(d DialFunc) { w.dial = d }
 
-// Secure has discovery reached over TLS, by a configuration for each connection. It is told before Run.
-func (w *Watcher) Secure(by func(addr string) *tls.Config) { w.secure = by }
+// SetTLS has discovery reached over TLS, by a configuration for each connection. It is told before Run.
+func (w *Watcher) SetTLS(by func(addr string) *tls.Config) { w.secure = by }
 
-// Ask wants a watch; it never waits. While one lasts, or a call may still be answered in time, that is enough.
-func (w *Watcher) Ask() {
+// RequestWatch wants a watch; it never waits. While one lasts, or a call may still be answered in time, that is enough.
+func (w *Watcher) RequestWatch() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.asked = true
 	w.ring()
 }
 
-// Move names another discovery. It is watched at once: the module's pauses spare a discovery that is overrun,
+// SetAddress names another discovery. It is watched at once: the module's pauses spare a discovery that is overrun,
 // and this one has had no call yet. The list held stays until the new one tells.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
@@ -105,14 +105,14 @@
 	}
 }
 
-// Start hands over the list that the node had before its start. It may be old.
-func (w *Watcher) Start(core Core, known *List) {
+// StartWith hands over the list that the node had before its start. It may be old.
+func (w *Watcher) StartWith(core Receiver, known *List) {
 	w.core = core
 	w.take(known)
 }
 
-// Follow names the core where there is no list from before the start.
-func (w *Watcher) Follow(core Core) { w.core = core }
+// SetReceiver names the core where there is no list from before the start.
+func (w *Watcher) SetReceiver(core Receiver) { w.core = core }
 
 // Run watches until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
@@ -197,7 +197,7 @@
 
 // refused sets the pause after a call that discovery refused. The lock is held.
 func (w *Watcher) refused(err error, failure *node.WatchFailure) {
-	var refusal *RefusedError
+	var refusal *RejectedError
 	if !errors.As(err, &refusal) {
 		w.refusedSince = time.Time{}
 		return
@@ -331,7 +331,7 @@
 		return nil
 	}
 	w.revision, w.named = 0, 0
-	return &TurnoverError{}
+	return &IncompleteTurnoverError{}
 }
 
 // take passes news on. A change that is older than the list held would bring back what has left: of
--- a/internal/controlplane/fanout/fanout.go
+++ b/internal/controlplane/fanout/fanout.go
@@ -38,17 +38,17 @@
 
 // Config bounds a List.
 type Config struct {
-	History  int                        // changes kept for those who come back
-	Every    time.Duration              // between empty lines
-	Write    time.Duration              // for what is written to one watcher
-	Watchers int                        // at most
-	Gather   time.Duration              // changes that are no drains wait so long for others
-	Epoch    func(revision int64) int64 // nil: there are none
+	History           int                        // changes kept for those who come back
+	HeartbeatInterval time.Duration              // between empty lines
+	WriteTimeout      time.Duration              // for what is written to one watcher
+	MaxWatchers       int                        // at most
+	BatchDelay        time.Duration              // changes that are no drains wait so long for others
+	EpochOf           func(revision int64) int64 // nil: there are none
 }
 
-// Defaults keep a node's view within its grace.
-func Defaults() Config {
-	return Config{History: 4096, Every: 2 * time.Second, Write: 2 * time.Second, Watchers: 10_000, Gather: 20 * time.Millisecond}
+// DefaultConfig keep a node's view within its grace.
+func DefaultConfig() Config {
+	return Config{History: 4096, HeartbeatInterval: 2 * time.Second, WriteTimeout: 2 * time.Second, MaxWatchers: 10_000, BatchDelay: 20 * time.Millisecond}
 }
 
 // entry is one step of the history: encoded once.
@@ -83,8 +83,8 @@
 	return &List{c: c, log: log, wake: make(chan struct{})}
 }
 
-// Replace puts a whole list in force, at a revision beyond all that nodes have seen.
-func (l *List) Replace(revision int64, members []Member) {
+// PublishSnapshot puts a whole list in force, at a revision beyond all that nodes have seen.
+func (l *List) PublishSnapshot(revision int64, members []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.members, l.order, l.history, l.waiting = map[string]Member{}, nil, nil, nil
@@ -95,9 +95,9 @@
 	l.stir()
 }
 
-// Tell puts changes in force. Drains and what is told with them go out at once; the rest is gathered for a moment, so that
+// PublishDelta puts changes in force. Drains and what is told with them go out at once; the rest is gathered for a moment, so that
 // the start of thousands is some messages and not thousands.
-func (l *List) Tell(changes []Member) {
+func (l *List) PublishDelta(changes []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.members == nil || len(changes) == 0 {
@@ -110,10 +110,10 @@
 		urgent = urgent || m.Phase != "ready"
 	}
 	switch {
-	case urgent || l.c.Gather <= 0:
+	case urgent || l.c.BatchDelay <= 0:
 		l.flush()
 	case l.timer == nil:
-		l.timer = time.AfterFunc(l.c.Gather, func() {
+		l.timer = time.AfterFunc(l.c.BatchDelay, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			l.flush()
@@ -121,8 +121,8 @@
 	}
 }
 
-// Heard notes that the word from above is still to be had, so that the list's age can be told.
-func (l *List) Heard() {
+// NoteSourceAlive notes that the word from above is still to be had, so that the list's age can be told.
+func (l *List) NoteSourceAlive() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.at = time.Now()
@@ -199,7 +199,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// One that stands in a later epoch has heard a newer leader than this replica has: it must not be taken back.
-	if l.members == nil || since == l.revision && !first || l.c.Epoch != nil && l.c.Epoch(since) > l.c.Epoch(l.revision) {
+	if l.members == nil || since == l.revision && !first || l.c.EpochOf != nil && l.c.EpochOf(since) > l.c.EpochOf(l.revision) {
 		return nil, since, l.wake
 	}
 	if since == l.revision {
@@ -237,21 +237,21 @@
 
 // Status is how a list stands.
 type Status struct {
-	Revision int64   `json:"revision"`
-	Servers  int     `json:"servers"`
-	Watchers int64   `json:"watchers"`
-	Refused  int64   `json:"refused"`
-	Wholes   int64   `json:"whole_lists_sent"`
-	HeardAgo float64 `json:"heard_seconds_ago"`
+	Revision           int64   `json:"revision"`
+	Servers            int     `json:"servers"`
+	Watchers           int64   `json:"watchers"`
+	Rejected           int64   `json:"refused"`
+	Snapshots          int64   `json:"whole_lists_sent"`
+	SecondsSinceSource float64 `json:"heard_seconds_ago"`
 }
 
 // Status tells it.
 func (l *List) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Status{Revision: l.revision, Servers: len(l.members), Watchers: l.watchers.Load(), Refused: l.refused.Load(), Wholes: l.wholes.Load(), HeardAgo: -1}
+	s := Status{Revision: l.revision, Servers: len(l.members), Watchers: l.watchers.Load(), Rejected: l.refused.Load(), Snapshots: l.wholes.Load(), SecondsSinceSource: -1}
 	if !l.at.IsZero() {
-		s.HeardAgo = time.Since(l.at).Seconds()
+		s.SecondsSinceSource = time.Since(l.at).Seconds()
 	}
 	return s
 }
@@ -272,7 +272,7 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		if l.watchers.Add(1) > int64(l.c.Watchers) {
+		if l.watchers.Add(1) > int64(l.c.MaxWatchers) {
 			l.watchers.Add(-1)
 			l.refused.Add(1)
 			if _, plain := c.(*net.TCPConn); plain { // else it would first have to be spoken to, while others wait
@@ -298,7 +298,7 @@
 		return
 	}
 	say := func(status string, headers string, body []byte) {
-		c.SetWriteDeadline(time.Now().Add(l.c.Write))
+		c.SetWriteDeadline(time.Now().Add(l.c.WriteTimeout))
 		fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\nConnection: close\r\n\r\n%s", status, headers, len(body), body)
 	}
 	since, err := strconv.ParseInt(q.URL.Query().Get("since"), 10, 64)
@@ -339,15 +339,15 @@
 		c.Read(make([]byte, 1))
 	}()
 	defer func() { c.Close(); <-left }()
-	c.SetWriteDeadline(time.Now().Add(l.c.Write))
+	c.SetWriteDeadline(time.Now().Add(l.c.WriteTimeout))
 	if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
 		return
 	}
-	tick := time.NewTicker(l.c.Every)
+	tick := time.NewTicker(l.c.HeartbeatInterval)
 	defer tick.Stop()
 	for {
 		for text != nil {
-			c.SetWriteDeadline(time.Now().Add(l.c.Write))
+			c.SetWriteDeadline(time.Now().Add(l.c.WriteTimeout))
 			if _, err := c.Write(text); err != nil {
 				return // too slow, or gone: it asks again by its revision
 			}
@@ -361,7 +361,7 @@
 		case <-wake:
 			text, at, wake = l.next(at, false)
 		case <-tick.C:
-			c.SetWriteDeadline(time.Now().Add(l.c.Write))
+			c.SetWriteDeadline(time.Now().Add(l.c.WriteTimeout))
 			if _, err := c.Write(empty); err != nil {
 				return
 			}
--- a/internal/controlplane/fanout/fanout_test.go
+++ b/internal/controlplane/fanout/fanout_test.go
@@ -93,8 +93,8 @@
 }
 
 func TestWatchersFollowWhateverTheyMissed(t *testing.T) {
-	c := Defaults()
-	c.History, c.Gather = 64, 0
+	c := DefaultConfig()
+	c.History, c.BatchDelay = 64, 0
 	l, addr := begin(t, c)
 	r, err := http.Get("http://" + addr + "/registry/instances")
 	require.NoError(t, err)
@@ -104,14 +104,14 @@
 	for i := range 50 {
 		all = append(all, server(i, "ready"))
 	}
-	l.Replace(100, all)
+	l.PublishSnapshot(100, all)
 	a := watch(t, addr, 0)
 	a.until(t, 100)
 	assert.Len(t, a.list, 50)
 	for i := range 30 {
-		l.Tell([]Member{server(i, "draining")})
+		l.PublishDelta([]Member{server(i, "draining")})
 		if i%2 == 0 {
-			l.Tell([]Member{server(i, "gone")})
+			l.PublishDelta([]Member{server(i, "gone")})
 		}
 	}
 	a.until(t, 145)
@@ -145,10 +145,10 @@
 
 // One that does not read holds up nobody and costs no backlog.
 func TestASlowWatcherHoldsUpNobody(t *testing.T) {
-	c := Defaults()
-	c.Write, c.Gather, c.History = 2*time.Second, 0, 100
+	c := DefaultConfig()
+	c.WriteTimeout, c.BatchDelay, c.History = 2*time.Second, 0, 100
 	l, addr := begin(t, c)
-	l.Replace(1, nil)
+	l.PublishSnapshot(1, nil)
 	slow, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer slow.Close()
@@ -158,7 +158,7 @@
 	for i := range 3000 {
 		m := server(i%400, "ready")
 		m.HostPort = fmt.Sprintf("%0500d:80", i)
-		if l.Tell([]Member{m}); i%100 == 99 { // it reads on: where the machine stalls it would else pass for a slow one
+		if l.PublishDelta([]Member{m}); i%100 == 99 { // it reads on: where the machine stalls it would else pass for a slow one
 			a.until(t, int64(i+2))
 		}
 	}
@@ -172,17 +172,17 @@
 		for i := range 50 {
 			m := server(i, "ready")
 			m.HostPort = fmt.Sprintf("%0500d:80", n+i)
-			l.Tell([]Member{m})
+			l.PublishDelta([]Member{m})
 		}
 		a.until(t, int64(n+50))
 	}
 }
 
 func TestMoreThanManyAreToldToComeAgain(t *testing.T) {
-	c := Defaults()
-	c.Watchers = 2
+	c := DefaultConfig()
+	c.MaxWatchers = 2
 	l, addr := begin(t, c)
-	l.Replace(1, nil)
+	l.PublishSnapshot(1, nil)
 	watch(t, addr, 0)
 	watch(t, addr, 0)
 	c3, err := net.Dial("tcp", addr)
@@ -198,12 +198,12 @@
 	for _, servers := range []int{1000, 20000} {
 		for _, watchers := range []int{1, 100, 1000, 5000} {
 			b.Run(fmt.Sprintf("%d servers, %d watchers", servers, watchers), func(b *testing.B) {
-				l, addr := begin(b, Defaults())
+				l, addr := begin(b, DefaultConfig())
 				var all []Member
 				for i := range servers {
 					all = append(all, server(i, "ready"))
 				}
-				l.Replace(1, all)
+				l.PublishSnapshot(1, all)
 				ws := make([]*watcher, watchers)
 				var begun sync.WaitGroup
 				for lane := range 32 {
@@ -223,7 +223,7 @@
 					for _, w := range ws {
 						told.Go(func() { w.until(b, at) })
 					}
-					l.Tell([]Member{server(i%servers, "draining")})
+					l.PublishDelta([]Member{server(i%servers, "draining")})
 					told.Wait()
 				}
 				b.StopTimer()
--- a/internal/controlplane/fanout/golden_test.go
+++ b/internal/controlplane/fanout/golden_test.go
@@ -54,7 +54,7 @@
 
 func TestStatus_Golden(t *testing.T) {
 	for name, want := range map[string]Status{
-		"status.json":      {Revision: 41, Servers: 2, Watchers: 3, Refused: 4, Wholes: 5, HeardAgo: 6.5},
+		"status.json":      {Revision: 41, Servers: 2, Watchers: 3, Rejected: 4, Snapshots: 5, SecondsSinceSource: 6.5},
 		"status-zero.json": {},
 	} {
 		t.Run(name, func(t *testing.T) { testutil.EqualGoldenJSON(t, name, want) })
@@ -63,10 +63,10 @@
 
 // goldenList holds the golden members at revision 41. It sends no empty lines.
 func goldenList() *List {
-	config := Defaults()
-	config.Every = time.Hour
+	config := DefaultConfig()
+	config.HeartbeatInterval = time.Hour
 	list := New(config, zap.NewNop())
-	list.Replace(41, goldenMembers())
+	list.PublishSnapshot(41, goldenMembers())
 	return list
 }
 
@@ -103,7 +103,7 @@
 	line, err := lines.ReadBytes('\n')
 	require.NoError(t, err)
 	testutil.EqualGolden(t, "whole.json", line)
-	list.Tell(goldenChange())
+	list.PublishDelta(goldenChange())
 	line, err = lines.ReadBytes('\n')
 	require.NoError(t, err)
 	testutil.EqualGolden(t, "change.json", line)
@@ -125,7 +125,7 @@
 		list                *List
 	}{
 		{"nothing known", "GET /registry/instances", "503 Service Unavailable\r\nRetry-After: 1\r\n",
-			New(Defaults(), zap.NewNop())},
+			New(DefaultConfig(), zap.NewNop())},
 		{"other path", "GET /instances", "404 Not Found\r\n", goldenList()},
 		{"other method", "POST /registry/instances", "405 Method Not Allowed\r\nAllow: GET\r\n", goldenList()},
 		{"malformed revision", "GET /registry/instances?since=-1", "400 Bad Request\r\n", goldenList()},
--- a/internal/controlplane/membership/membership.go
+++ b/internal/controlplane/membership/membership.go
@@ -12,19 +12,19 @@
 
 // Config is what an operator may set.
 type Config struct {
-	Flap      float64 // a server that lost its readiness and has it again waits so long, twice that after the next loss, and so on
-	FlapMost  float64
-	ShrinkAt  float64 // part of a service's servers that may vanish at once without a word about each
-	ShrinkFor float64 // so long what vanished beyond that is kept, until somebody says more
-	Forget    float64 // a server that has gone is remembered so long: an old event must not bring it back
-	ColdFor   float64 // a server is cold so long after it was let in
-	ColdMost  float64 // part of a service's servers that may be cold at once, by the readiness gate
-	Cordons   bool    // a cordoned node's servers drain, too
+	FlapDelay            float64 // a server that lost its readiness and has it again waits so long, twice that after the next loss, and so on
+	MaxFlapDelay         float64
+	MaxShrinkFraction    float64 // part of a service's servers that may vanish at once without a word about each
+	ShrinkHold           float64 // so long what vanished beyond that is kept, until somebody says more
+	ForgetAfter          float64 // a server that has gone is remembered so long: an old event must not bring it back
+	SlowStartDuration    float64 // a server is cold so long after it was let in
+	MaxSlowStartFraction float64 // part of a service's servers that may be cold at once, by the readiness gate
+	DrainCordoned        bool    // a cordoned node's servers drain, too
 }
 
-// Defaults are used where nothing is set.
-func Defaults() Config {
-	return Config{Flap: 1, FlapMost: 30, ShrinkAt: 0.5, ShrinkFor: 60, Forget: 600, ColdFor: 20, ColdMost: 0.25}
+// DefaultConfig are used where nothing is set.
+func DefaultConfig() Config {
+	return Config{FlapDelay: 1, MaxFlapDelay: 30, MaxShrinkFraction: 0.5, ShrinkHold: 60, ForgetAfter: 600, SlowStartDuration: 20, MaxSlowStartFraction: 0.25}
 }
 
 // Endpoint is one line of an EndpointSlice.
@@ -39,22 +39,22 @@
 
 // Pod is what counts of a Pod.
 type Pod struct {
-	UID      string
-	Name     string
-	Service  string // whose readiness gate it has; "" if none
-	Deleting bool
-	Ended    bool    // failed or succeeded
-	Started  float64 // when its containers were; 0: not known
-	Whole    bool    // all its containers are ready
-	Gate     bool    // the readiness gate is open
+	UID             string
+	Name            string
+	GatedService    string // whose readiness gate it has; "" if none
+	Deleting        bool
+	Finished        bool    // failed or succeeded
+	StartedAt       float64 // when its containers were; 0: not known
+	ContainersReady bool    // all its containers are ready
+	GateOpen        bool    // the readiness gate is open
 }
 
 // Node is what counts of a Node.
 type Node struct {
-	Zone    string
-	Evicts  bool // a taint that takes its pods away
-	Cordon  bool
-	Missing bool
+	Zone     string
+	Evicting bool // a taint that takes its pods away
+	Cordoned bool
+	Missing  bool
 }
 
 // Phase is a server's standing.
@@ -68,12 +68,12 @@
 
 // Member is one line of the list.
 type Member struct {
-	ID      string
-	Addr    string
-	Zone    string
-	Phase   Phase
-	UpSince float64
-	Why     string
+	ID        string
+	Addr      string
+	Zone      string
+	Phase     Phase
+	StartedAt float64
+	Reason    string
 }
 
 // Change is one line that changed, and its revision.
@@ -127,11 +127,11 @@
 	refused  map[string]int // by slice: endpoints beyond MostServers
 }
 
-// MostServers is how many servers of a service are kept, those that left lately included: nodes take no longer list.
-const MostServers = 20_000
+// MaxServers is how many servers of a service are kept, those that left lately included: nodes take no longer list.
+const MaxServers = 20_000
 
-// Refused is how many endpoints of a slice were left out since its service has too many.
-func (s *State) Refused(key string) int { return s.refused[key] }
+// Rejected is how many endpoints of a slice were left out since its service has too many.
+func (s *State) Rejected(key string) int { return s.refused[key] }
 
 // New starts with nothing known, at a revision: one that no earlier leader has reached.
 func New(c Config, revision int64) *State {
@@ -150,8 +150,8 @@
 	return e.Addr
 }
 
-// Slice takes a slice of a service as it is now. What it no longer names has vanished from it.
-func (s *State) Slice(key, of string, endpoints []Endpoint, now float64) []Change {
+// UpdateSlice takes a slice of a service as it is now. What it no longer names has vanished from it.
+func (s *State) UpdateSlice(key, of string, endpoints []Endpoint, now float64) []Change {
 	s.tick(now)
 	was, is := s.slices[key], map[string]Endpoint{}
 	v := s.services[of]
@@ -169,7 +169,7 @@
 	delete(s.refused, key)
 	for k, e := range is {
 		x := v.servers[k]
-		if x == nil && len(v.servers) >= MostServers {
+		if x == nil && len(v.servers) >= MaxServers {
 			s.refused[key]++
 			continue
 		}
@@ -190,8 +190,8 @@
 	return s.settle()
 }
 
-// SliceGone is a slice that is no longer there.
-func (s *State) SliceGone(key string, now float64) []Change {
+// DeleteSlice is a slice that is no longer there.
+func (s *State) DeleteSlice(key string, now float64) []Change {
 	s.tick(now)
 	if v := s.services[s.owner[key]]; v != nil {
 		s.drop(key, v, s.slices[key], nil)
@@ -229,10 +229,10 @@
 	}
 }
 
-// Pod takes a pod as it is now. What was seen to end does not come back, whatever an older event says.
-func (s *State) Pod(p Pod, now float64) []Change {
+// UpdatePod takes a pod as it is now. What was seen to end does not come back, whatever an older event says.
+func (s *State) UpdatePod(p Pod, now float64) []Change {
 	s.tick(now)
-	if p.Ended || p.Deleting {
+	if p.Finished || p.Deleting {
 		if _, known := s.ended[p.UID]; !known {
 			s.ended[p.UID] = now
 		}
@@ -244,9 +244,9 @@
 	return s.settle()
 }
 
-// PodMissing is a pod that a whole list lacks: it was deleted while nobody watched, or the list is not whole. Nothing is
+// MarkPodMissing is a pod that a whole list lacks: it was deleted while nobody watched, or the list is not whole. Nothing is
 // concluded by that alone; where no slice names it either, it has vanished.
-func (s *State) PodMissing(uid string, now float64) []Change {
+func (s *State) MarkPodMissing(uid string, now float64) []Change {
 	s.tick(now)
 	delete(s.pods, uid)
 	for x := range s.byPod[uid] {
@@ -255,18 +255,18 @@
 	return s.settle()
 }
 
-// PodGone is a pod that was deleted.
-func (s *State) PodGone(uid string, now float64) []Change {
+// DeletePod is a pod that was deleted.
+func (s *State) DeletePod(uid string, now float64) []Change {
 	s.tick(now)
 	if p, known := s.pods[uid]; known || s.byPod[uid] != nil {
-		p.UID, p.Ended = uid, true
-		return s.Pod(p, now)
+		p.UID, p.Finished = uid, true
+		return s.UpdatePod(p, now)
 	}
 	return s.settle()
 }
 
-// Node takes a node as it is now; a missing one is gone.
-func (s *State) Node(name string, n Node, now float64) []Change {
+// UpdateNode takes a node as it is now; a missing one is gone.
+func (s *State) UpdateNode(name string, n Node, now float64) []Change {
 	s.tick(now)
 	if n.Missing {
 		delete(s.nodes, name) // its pods are told of by themselves
@@ -287,7 +287,7 @@
 		s.dirty[x] = true
 	}
 	for uid, at := range s.ended {
-		if s.now-at > s.c.Forget && s.byPod[uid] == nil {
+		if s.now-at > s.c.ForgetAfter && s.byPod[uid] == nil {
 			delete(s.ended, uid)
 			delete(s.pods, uid)
 			delete(s.granted, uid)
@@ -310,7 +310,7 @@
 		delete(s.waits, x)
 		was := x.Member
 		s.decide(x)
-		if x.Phase == Gone && x.gone > 0 && s.now-x.gone > s.c.Forget && len(x.slices) == 0 {
+		if x.Phase == Gone && x.gone > 0 && s.now-x.gone > s.c.ForgetAfter && len(x.slices) == 0 {
 			delete(s.services[x.service].servers, x.ID)
 			unlink(s.byPod, x.pod, x)
 			unlink(s.byNode, x.node, x)
@@ -318,7 +318,7 @@
 			s.waits[x] = true
 		}
 		quiet := was
-		quiet.Why = x.Why
+		quiet.Reason = x.Reason
 		if quiet == x.Member || !x.told && x.Phase == Gone {
 			continue
 		}
@@ -358,19 +358,19 @@
 		x.drained = "its pod ends"
 	case terminating:
 		x.drained = "its endpoint terminates"
-	case n.Evicts:
+	case n.Evicting:
 		x.drained = "its node is being emptied"
-	case n.Cordon && s.c.Cordons:
+	case n.Cordoned && s.c.DrainCordoned:
 		x.drained = "its node is cordoned"
 	}
 	switch {
 	case x.drained != "":
 		x.kept = 0
 		switch {
-		case !named, known && p.Ended && !p.Deleting:
+		case !named, known && p.Finished && !p.Deleting:
 			s.leave(x)
 		default:
-			x.Phase, x.Why = Draining, x.drained
+			x.Phase, x.Reason = Draining, x.drained
 			x.gone = 0
 		}
 	case !named && x.told:
@@ -382,9 +382,9 @@
 		if x.Phase == Ready {
 			x.lost = true
 			x.losses++
-			x.Phase, x.Why = Draining, "not ready"
+			x.Phase, x.Reason = Draining, "not ready"
 		} else if x.Phase == Gone && x.told {
-			x.Phase, x.Why = Draining, "not ready"
+			x.Phase, x.Reason = Draining, "not ready"
 		}
 	default:
 		s.rise(x, p, known)
@@ -397,10 +397,10 @@
 	x.kept, x.gone = 0, 0
 	switch {
 	case x.Phase == Ready:
-		x.Why = ""
+		x.Reason = ""
 		return
 	case x.lost && x.steady == 0:
-		x.steady = s.now + min(s.c.Flap*float64(uint64(1)<<min(x.losses-1, 20)), s.c.FlapMost)
+		x.steady = s.now + min(s.c.FlapDelay*float64(uint64(1)<<min(x.losses-1, 20)), s.c.MaxFlapDelay)
 		s.waits[x] = true
 		return
 	case x.lost && s.now < x.steady:
@@ -409,20 +409,20 @@
 	}
 	switch {
 	case x.lost || x.told:
-		x.UpSince = s.now
-	case known && p.Started > 0:
-		x.UpSince = p.Started
+		x.StartedAt = s.now
+	case known && p.StartedAt > 0:
+		x.StartedAt = p.StartedAt
 	default:
-		x.UpSince = s.now
+		x.StartedAt = s.now
 	}
-	x.Phase, x.Why, x.lost, x.steady = Ready, "", false, 0
+	x.Phase, x.Reason, x.lost, x.steady = Ready, "", false, 0
 }
 
 func (s *State) leave(x *server) {
 	if x.Phase != Gone || x.gone == 0 {
 		x.gone = s.now
 	}
-	x.Phase, x.Why, x.kept = Gone, "", 0
+	x.Phase, x.Reason, x.kept = Gone, "", 0
 }
 
 // countVanished counts what vanishes now and has vanished lately, before anything is made of one of them.
@@ -434,7 +434,7 @@
 			continue
 		}
 		v := s.services[x.service]
-		if v.vanished == 0 || s.now-v.since > s.c.ShrinkFor {
+		if v.vanished == 0 || s.now-v.since > s.c.ShrinkHold {
 			v.vanished, v.since, v.of = 0, s.now, 0
 			for _, y := range v.servers {
 				if y.Phase == Ready {
@@ -462,24 +462,24 @@
 func (s *State) vanish(x *server) {
 	v := s.services[x.service]
 	// Where others stand in their places it is a deploy, and not a list that lacks them.
-	few := float64(v.vanished) <= s.c.ShrinkAt*float64(v.of) && v.vanished < v.of || float64(v.alive) >= (1-s.c.ShrinkAt)*float64(v.of) && v.alive > 0
-	if s.now-x.kept > s.c.ShrinkFor || few && s.pods[x.pod].UID == "" {
+	few := float64(v.vanished) <= s.c.MaxShrinkFraction*float64(v.of) && v.vanished < v.of || float64(v.alive) >= (1-s.c.MaxShrinkFraction)*float64(v.of) && v.alive > 0
+	if s.now-x.kept > s.c.ShrinkHold || few && s.pods[x.pod].UID == "" {
 		s.leave(x)
 		return
 	}
 	if x.Phase == Ready && few {
 		// Few: the careful word is that it drains, until its pod says more.
-		x.Phase, x.Why = Draining, "vanished, and its pod lives"
+		x.Phase, x.Reason = Draining, "vanished, and its pod lives"
 		x.lost = true
 		x.losses++
 	} else if x.Phase == Ready {
-		x.Why = "kept: many vanished at once without a word"
+		x.Reason = "kept: many vanished at once without a word"
 	}
 	s.waits[x] = true
 }
 
-// List is a service's list, those that have gone left out.
-func (s *State) List(of string) []Member {
+// Members is a service's list, those that have gone left out.
+func (s *State) Members(of string) []Member {
 	var out []Member
 	if v := s.services[of]; v != nil {
 		for _, x := range v.servers {
@@ -492,9 +492,9 @@
 	return out
 }
 
-// Gates are the pods whose readiness gate is to be opened now: their containers are ready, and no more than a part of their
+// OpenGates are the pods whose readiness gate is to be opened now: their containers are ready, and no more than a part of their
 // service is cold at once. A cluster manager that rolls a deployment waits for the gate, and so keeps the pace.
-func (s *State) Gates(now float64) []string {
+func (s *State) OpenGates(now float64) []string {
 	s.now = max(s.now, now)
 	type group struct {
 		total, cold int
@@ -502,35 +502,35 @@
 	}
 	groups := map[string]*group{}
 	for uid, p := range s.pods {
-		if _, ended := s.ended[uid]; ended || p.Service == "" {
+		if _, ended := s.ended[uid]; ended || p.GatedService == "" {
 			continue
 		}
-		g := groups[p.Service]
+		g := groups[p.GatedService]
 		if g == nil {
 			g = &group{}
-			groups[p.Service] = g
+			groups[p.GatedService] = g
 		}
 		g.total++
 		at, granted := s.granted[uid]
 		switch {
-		case p.Gate && !granted: // by an earlier leader
-			if s.granted[uid] = s.now - s.c.ColdFor; p.Started != 0 {
-				s.granted[uid] = p.Started
+		case p.GateOpen && !granted: // by an earlier leader
+			if s.granted[uid] = s.now - s.c.SlowStartDuration; p.StartedAt != 0 {
+				s.granted[uid] = p.StartedAt
 			}
-			if s.now-s.granted[uid] < s.c.ColdFor {
+			if s.now-s.granted[uid] < s.c.SlowStartDuration {
 				g.cold++
 			}
-		case granted && s.now-at < s.c.ColdFor:
+		case granted && s.now-at < s.c.SlowStartDuration:
 			g.cold++
-		case !granted && p.Whole:
+		case !granted && p.ContainersReady:
 			g.wait = append(g.wait, p)
 		}
 	}
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
 		g := groups[name]
-		slices.SortFunc(g.wait, func(a, b Pod) int { return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.UID, b.UID)) })
-		most := max(1, int(s.c.ColdMost*float64(g.total)))
+		slices.SortFunc(g.wait, func(a, b Pod) int { return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.UID, b.UID)) })
+		most := max(1, int(s.c.MaxSlowStartFraction*float64(g.total)))
 		if g.total == len(g.wait) { // all are new: nothing is there to be spared
 			most = g.total
 		}
@@ -542,17 +542,17 @@
 	return out
 }
 
-// Valid tells what is wrong with a configuration.
-func (c Config) Valid() error {
+// Validate tells what is wrong with a configuration.
+func (c Config) Validate() error {
 	switch {
-	case c.Flap < 0 || c.FlapMost < c.Flap:
-		return fmt.Errorf("flap %v and flap_most %v: both at least 0, the second not below the first", c.Flap, c.FlapMost)
-	case !(c.ShrinkAt > 0 && c.ShrinkAt <= 1) || c.ShrinkFor <= 0:
-		return fmt.Errorf("shrink_at %v must be above 0 and at most 1, shrink_for %v above 0", c.ShrinkAt, c.ShrinkFor)
-	case c.Forget < c.ShrinkFor:
-		return fmt.Errorf("forget %v must not be below shrink_for %v", c.Forget, c.ShrinkFor)
-	case !(c.ColdMost > 0 && c.ColdMost <= 1) || c.ColdFor < 0:
-		return fmt.Errorf("cold_most %v must be above 0 and at most 1, cold_for %v not below 0", c.ColdMost, c.ColdFor)
+	case c.FlapDelay < 0 || c.MaxFlapDelay < c.FlapDelay:
+		return fmt.Errorf("flap %v and flap_most %v: both at least 0, the second not below the first", c.FlapDelay, c.MaxFlapDelay)
+	case !(c.MaxShrinkFraction > 0 && c.MaxShrinkFraction <= 1) || c.ShrinkHold <= 0:
+		return fmt.Errorf("shrink_at %v must be above 0 and at most 1, shrink_for %v above 0", c.MaxShrinkFraction, c.ShrinkHold)
+	case c.ForgetAfter < c.ShrinkHold:
+		return fmt.Errorf("forget %v must not be below shrink_for %v", c.ForgetAfter, c.ShrinkHold)
+	case !(c.MaxSlowStartFraction > 0 && c.MaxSlowStartFraction <= 1) || c.SlowStartDuration < 0:
+		return fmt.Errorf("cold_most %v must be above 0 and at most 1, cold_for %v not below 0", c.MaxSlowStartFraction, c.SlowStartDuration)
 	}
 	return nil
 }
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -15,7 +15,7 @@
 
 func phases(s *State, of string) map[string]Phase {
 	out := map[string]Phase{}
-	for _, m := range s.List(of) {
+	for _, m := range s.Members(of) {
 		out[m.ID] = m.Phase
 	}
 	return out
@@ -29,18 +29,20 @@
 		ends bool
 		say  func(s *State, now float64) []Change
 	}{
-		{"slice ready", false, func(s *State, now float64) []Change { return s.Slice("k", "s", []Endpoint{up("p"), up("q")}, now) }},
-		{"slice without it", false, func(s *State, now float64) []Change { return s.Slice("k", "s", []Endpoint{up("q")}, now) }},
+		{"slice ready", false, func(s *State, now float64) []Change {
+			return s.UpdateSlice("k", "s", []Endpoint{up("p"), up("q")}, now)
+		}},
+		{"slice without it", false, func(s *State, now float64) []Change { return s.UpdateSlice("k", "s", []Endpoint{up("q")}, now) }},
 		{"slice terminating", true, func(s *State, now float64) []Change {
 			e := up("p")
 			e.Terminating, e.Ready = true, false
-			return s.Slice("k", "s", []Endpoint{e, up("q")}, now)
+			return s.UpdateSlice("k", "s", []Endpoint{e, up("q")}, now)
 		}},
-		{"pod lives", false, func(s *State, now float64) []Change { return s.Pod(Pod{UID: "p"}, now) }},
-		{"pod deleting", true, func(s *State, now float64) []Change { return s.Pod(Pod{UID: "p", Deleting: true}, now) }},
-		{"pod gone", true, func(s *State, now float64) []Change { return s.PodGone("p", now) }},
-		{"node emptied", true, func(s *State, now float64) []Change { return s.Node("n1", Node{Evicts: true}, now) }},
-		{"node well", false, func(s *State, now float64) []Change { return s.Node("n1", Node{}, now) }},
+		{"pod lives", false, func(s *State, now float64) []Change { return s.UpdatePod(Pod{UID: "p"}, now) }},
+		{"pod deleting", true, func(s *State, now float64) []Change { return s.UpdatePod(Pod{UID: "p", Deleting: true}, now) }},
+		{"pod gone", true, func(s *State, now float64) []Change { return s.DeletePod("p", now) }},
+		{"node emptied", true, func(s *State, now float64) []Change { return s.UpdateNode("n1", Node{Evicting: true}, now) }},
+		{"node well", false, func(s *State, now float64) []Change { return s.UpdateNode("n1", Node{}, now) }},
 		{"time", false, func(s *State, now float64) []Change { return s.Tick(now) }},
 	}
 	n := 0
@@ -48,9 +50,9 @@
 	play = func(order []int) {
 		if len(order) == 5 {
 			n++
-			s := New(Defaults(), 0)
-			s.Slice("k", "s", []Endpoint{up("p"), up("q")}, 0)
-			s.Pod(Pod{UID: "p"}, 0)
+			s := New(DefaultConfig(), 0)
+			s.UpdateSlice("k", "s", []Endpoint{up("p"), up("q")}, 0)
+			s.UpdatePod(Pod{UID: "p"}, 0)
 			list := phases(s, "s")
 			ended, revision := false, s.Revision()
 			for i, w := range order {
@@ -81,35 +83,35 @@
 }
 
 func TestAPodReplacedUnderItsAddressIsAnother(t *testing.T) {
-	s := New(Defaults(), 0)
-	s.Slice("k", "s", []Endpoint{{Addr: "a:80", Pod: "old", Ready: true}}, 0)
-	s.Pod(Pod{UID: "old", Deleting: true}, 1)
-	s.Slice("k", "s", []Endpoint{{Addr: "a:80", Pod: "new", Ready: true}}, 1.05)
+	s := New(DefaultConfig(), 0)
+	s.UpdateSlice("k", "s", []Endpoint{{Addr: "a:80", Pod: "old", Ready: true}}, 0)
+	s.UpdatePod(Pod{UID: "old", Deleting: true}, 1)
+	s.UpdateSlice("k", "s", []Endpoint{{Addr: "a:80", Pod: "new", Ready: true}}, 1.05)
 	assert.Equal(t, map[string]Phase{"new": Ready}, phases(s, "s"))
-	s.Slice("k", "s", []Endpoint{{Addr: "a:80", Pod: "old", Ready: true}, {Addr: "a:80", Pod: "new", Ready: true}}, 1.1)
+	s.UpdateSlice("k", "s", []Endpoint{{Addr: "a:80", Pod: "old", Ready: true}, {Addr: "a:80", Pod: "new", Ready: true}}, 1.1)
 	assert.Equal(t, map[string]Phase{"new": Ready, "old": Draining}, phases(s, "s"))
 }
 
 func TestFlapsAreDampedAndDrainsAreNot(t *testing.T) {
-	s := New(Defaults(), 0)
+	s := New(DefaultConfig(), 0)
 	now, lost := 0.0, up("p")
 	lost.Ready = false
-	s.Slice("k", "s", []Endpoint{up("p")}, now)
+	s.UpdateSlice("k", "s", []Endpoint{up("p")}, now)
 	assert.Equal(t, Ready, phases(s, "s")["p"], "the first time at once")
 	for _, wait := range []float64{1, 2, 4, 8, 16, 30, 30} {
 		now += 100
-		s.Slice("k", "s", []Endpoint{lost}, now)
+		s.UpdateSlice("k", "s", []Endpoint{lost}, now)
 		assert.Equal(t, Draining, phases(s, "s")["p"], "a loss counts at once")
 		now++
-		s.Slice("k", "s", []Endpoint{up("p")}, now)
+		s.UpdateSlice("k", "s", []Endpoint{up("p")}, now)
 		s.Tick(now + wait - 0.01)
 		assert.Equal(t, Draining, phases(s, "s")["p"])
 		s.Tick(now + wait)
 		assert.Equal(t, Ready, phases(s, "s")["p"], "after %v", wait)
-		assert.Equal(t, now+wait, s.List("s")[0].UpSince, "as one that has just started")
+		assert.Equal(t, now+wait, s.Members("s")[0].StartedAt, "as one that has just started")
 		now += wait
 	}
-	s.Pod(Pod{UID: "p", Deleting: true}, now)
+	s.UpdatePod(Pod{UID: "p", Deleting: true}, now)
 	assert.Equal(t, Draining, phases(s, "s")["p"])
 }
 
@@ -121,11 +123,11 @@
 		return out
 	}
 	start := func() *State {
-		s := New(Defaults(), 0)
+		s := New(DefaultConfig(), 0)
 		for i := range 10 {
-			s.Pod(Pod{UID: fmt.Sprint("p", i)}, 0)
+			s.UpdatePod(Pod{UID: fmt.Sprint("p", i)}, 0)
 		}
-		s.Slice("k", "s", all(10), 0)
+		s.UpdateSlice("k", "s", all(10), 0)
 		return s
 	}
 	ready := func(s *State) (n int) {
@@ -137,22 +139,22 @@
 		return n
 	}
 	s := start()
-	s.Slice("k", "s", nil, 1)
+	s.UpdateSlice("k", "s", nil, 1)
 	assert.Equal(t, 10, ready(s), "an API fault: what it does not speak of lives on")
-	s.Slice("k", "s", all(10), 2)
+	s.UpdateSlice("k", "s", all(10), 2)
 	s.Tick(40)
 	assert.Equal(t, 10, ready(s))
-	s.SliceGone("k", 50)
+	s.DeleteSlice("k", 50)
 	assert.Equal(t, 10, ready(s))
 	s.Tick(111)
 	assert.Empty(t, phases(s, "s"), "after its time it is believed")
 
 	s = start()
 	for i := range 10 { // scaled to zero: of each pod its end is told
-		s.Pod(Pod{UID: fmt.Sprint("p", i), Deleting: true}, 1)
+		s.UpdatePod(Pod{UID: fmt.Sprint("p", i), Deleting: true}, 1)
 	}
 	assert.Zero(t, ready(s))
-	s.Slice("k", "s", nil, 1.1)
+	s.UpdateSlice("k", "s", nil, 1.1)
 	assert.Empty(t, phases(s, "s"))
 
 	s = start() // all replaced while nobody watched
@@ -161,38 +163,38 @@
 		fresh = append(fresh, up(fmt.Sprint("new", i)))
 	}
 	for i := range 10 {
-		s.PodMissing(fmt.Sprint("p", i), 1)
+		s.MarkPodMissing(fmt.Sprint("p", i), 1)
 	}
 	assert.Equal(t, 10, ready(s), "pods that a list lacks, and slices name: nothing is concluded")
-	s.Slice("k", "s", fresh, 1)
+	s.UpdateSlice("k", "s", fresh, 1)
 	assert.Len(t, phases(s, "s"), 10)
 	assert.NotContains(t, phases(s, "s"), "p0")
 
 	s = start()
-	s.Slice("k", "s", all(9), 1)
+	s.UpdateSlice("k", "s", all(9), 1)
 	assert.Equal(t, Draining, phases(s, "s")["p9"], "one alone drains until its pod says more")
-	s.PodGone("p9", 2)
+	s.DeletePod("p9", 2)
 	assert.NotContains(t, phases(s, "s"), "p9")
 }
 
 func TestFewAreColdAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Defaults()
+		c := DefaultConfig()
 		s := New(c, 0)
 		total := rapid.IntRange(4, 40).Draw(t, "pods")
 		born := map[string]float64{}
 		for i := range total {
 			uid := fmt.Sprint("old", i)
-			s.Pod(Pod{UID: uid, Service: "s", Whole: true, Gate: true, Started: -1000}, 0)
+			s.UpdatePod(Pod{UID: uid, GatedService: "s", ContainersReady: true, GateOpen: true, StartedAt: -1000}, 0)
 		}
 		now := 0.0
 		for i := range total { // a rolling restart, as fast as the cluster manager likes
 			now += rapid.Float64Range(0, 10).Draw(t, "pause")
-			s.Pod(Pod{UID: fmt.Sprint("new", i), Service: "s", Whole: true, Started: now}, now)
+			s.UpdatePod(Pod{UID: fmt.Sprint("new", i), GatedService: "s", ContainersReady: true, StartedAt: now}, now)
 			if rapid.Bool().Draw(t, "end") {
-				s.PodGone(fmt.Sprint("old", i), now)
+				s.DeletePod(fmt.Sprint("old", i), now)
 			}
-			for _, uid := range s.Gates(now) {
+			for _, uid := range s.OpenGates(now) {
 				assert.NotContains(t, born, uid, "a gate is opened once")
 				born[uid] = now
 			}
@@ -203,15 +205,15 @@
 				}
 			}
 			for _, at := range born {
-				if now-at < c.ColdFor {
+				if now-at < c.SlowStartDuration {
 					cold++
 				}
 			}
-			assert.LessOrEqual(t, cold, max(1, int(c.ColdMost*float64(living+1))))
+			assert.LessOrEqual(t, cold, max(1, int(c.MaxSlowStartFraction*float64(living+1))))
 		}
 		for range 200 {
 			now += 5
-			for _, uid := range s.Gates(now) {
+			for _, uid := range s.OpenGates(now) {
 				born[uid] = now
 			}
 		}
@@ -222,7 +224,7 @@
 // Whatever is told, who follows the changes has the list, revisions rise by one, and nothing that was seen to end is ready.
 func TestChangesAddUpToTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(Defaults(), 7)
+		s := New(DefaultConfig(), 7)
 		list := map[string]Member{}
 		ended := map[string]bool{}
 		now, revision := 0.0, int64(7)
@@ -243,20 +245,20 @@
 						es = append(es, e)
 					}
 				}
-				out = s.Slice(rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "slice"), "s", es, now)
+				out = s.UpdateSlice(rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "slice"), "s", es, now)
 			case 2:
-				out = s.SliceGone("k1", now)
+				out = s.DeleteSlice("k1", now)
 			case 3:
-				out = s.Pod(Pod{UID: p}, now)
+				out = s.UpdatePod(Pod{UID: p}, now)
 			case 4:
 				if s.pods[p].UID != "" || s.byPod[p] != nil {
 					ended[p] = true
 				}
-				out = s.PodGone(p, now)
+				out = s.DeletePod(p, now)
 			case 5:
 				out = s.Tick(now)
 			case 6:
-				out = s.Node("n1", Node{Cordon: rapid.Bool().Draw(t, "cordon")}, now)
+				out = s.UpdateNode("n1", Node{Cordoned: rapid.Bool().Draw(t, "cordon")}, now)
 			}
 			drains := true
 			for _, c := range out {
@@ -271,11 +273,11 @@
 				drains = drains && c.Phase == Draining
 			}
 			got := map[string]Member{}
-			for _, m := range s.List("s") {
+			for _, m := range s.Members("s") {
 				got[m.ID] = m
 				assert.False(t, m.Phase == Ready && ended[m.ID], "%s has ended", m.ID)
 				if x, ok := list[m.ID]; ok {
-					m.Why, x.Why = "", ""
+					m.Reason, x.Reason = "", ""
 					assert.Equal(t, m, x)
 				}
 			}
@@ -285,21 +287,21 @@
 }
 
 func TestAServiceWithTooManyServersIsBoundedAndNamed(t *testing.T) {
-	s := New(Defaults(), 0)
+	s := New(DefaultConfig(), 0)
 	var es []Endpoint
-	for i := range MostServers + 3 {
+	for i := range MaxServers + 3 {
 		es = append(es, up(fmt.Sprint("p", i)))
 	}
-	s.Slice("a", "web", es, 1)
-	assert.Equal(t, 3, s.Refused("a"))
-	assert.Len(t, phases(s, "web"), MostServers)
-	s.Slice("b", "mail", es[:4400], 1) // ten times the target
-	assert.Zero(t, s.Refused("b"))
-	s.Slice("c", "web", es[:5], 2)
-	s.Slice("c", "web", []Endpoint{up("new")}, 2)
-	assert.Equal(t, 1, s.Refused("c"))
-	s.SliceGone("c", 3)
-	assert.Zero(t, s.Refused("c"))
-	s.Slice("a", "web", es[:10], 4)
-	assert.Zero(t, s.Refused("a"))
+	s.UpdateSlice("a", "web", es, 1)
+	assert.Equal(t, 3, s.Rejected("a"))
+	assert.Len(t, phases(s, "web"), MaxServers)
+	s.UpdateSlice("b", "mail", es[:4400], 1) // ten times the target
+	assert.Zero(t, s.Rejected("b"))
+	s.UpdateSlice("c", "web", es[:5], 2)
+	s.UpdateSlice("c", "web", []Endpoint{up("new")}, 2)
+	assert.Equal(t, 1, s.Rejected("c"))
+	s.DeleteSlice("c", 3)
+	assert.Zero(t, s.Rejected("c"))
+	s.UpdateSlice("a", "web", es[:10], 4)
+	assert.Zero(t, s.Rejected("a"))
 }
--- a/internal/controlplane/recordcache/recordcache.go
+++ b/internal/controlplane/recordcache/recordcache.go
@@ -479,14 +479,14 @@
 type Subscription struct {
 	k       *Cache
 	service string
-	core    endpoints.Core
+	core    endpoints.Receiver
 	order   sync.Mutex // lists reach the core in the order in which they were merged
 	last    string
 }
 
 // Subscribe begins to stand there. What the record knows of the service's servers goes to the core at once, so that a node serves
 // before its discovery answers.
-func (k *Cache) Subscribe(service string, core endpoints.Core) *Subscription {
+func (k *Cache) Subscribe(service string, core endpoints.Receiver) *Subscription {
 	s := &Subscription{k: k, service: service, core: core}
 	k.mu.Lock()
 	k.sinks[service] = s
--- a/internal/dataplane/services/services.go
+++ b/internal/dataplane/services/services.go
@@ -36,11 +36,11 @@
 	// Keys, if set before the first Apply, are shown to discovery, and ask for its own.
 	Keys *keys.Ring
 	// Dial, if set before the first Apply, reaches discovery in the place of the machine's own network.
-	Dial endpoints.Dial
+	Dial endpoints.DialFunc
 	// Telemetry, if set before the first Apply, has what the services do recorded.
 	Telemetry *telemetry.Recorder
 	// Heard, if set before the first Apply, stands between the news of a service's servers and its core.
-	Heard func(service string, core endpoints.Core) endpoints.Core
+	Heard func(service string, core endpoints.Receiver) endpoints.Receiver
 
 	poller *poller.Poller
 	clock  node.Clock
@@ -149,7 +149,7 @@
 		g.mu.Unlock()
 	}
 	if p.watcher != nil {
-		p.watcher.Move(x.Discovery)
+		p.watcher.SetAddress(x.Discovery)
 	} else if !slices.Equal(p.Servers, x.Servers) {
 		if p.sink != nil {
 			p.sink.UpdateEndpoints(x.Static, true)
@@ -180,12 +180,12 @@
 	if x.Discovery != "" {
 		p.watcher = endpoints.New(x.Discovery, x.Node.ZoneNames, x.Timeout, s.budget, log)
 		if s.Keys != nil {
-			p.watcher.Secure(s.Keys.Client)
+			p.watcher.SetTLS(s.Keys.Client)
 		}
 		if s.Dial != nil {
-			p.watcher.Through(s.Dial)
+			p.watcher.SetDialer(s.Dial)
 		}
-		ask = p.watcher.Ask
+		ask = p.watcher.RequestWatch
 	}
 	p.core = node.New(x.Node, c.SeedOf(x.Name), s.clock, time.Now(), ask)
 	p.core.SetRecorder(s.Telemetry)
@@ -195,7 +195,7 @@
 	if s.Begun != nil {
 		s.Begun(p.core)
 	}
-	var to endpoints.Core = p.core
+	var to endpoints.Receiver = p.core
 	if s.Heard != nil {
 		to = s.Heard(x.Name, to)
 	}
@@ -204,11 +204,11 @@
 		to = p.sink
 	}
 	if p.watcher != nil {
-		p.watcher.Follow(to)
+		p.watcher.SetReceiver(to)
 		if before != nil && before.Discovery == x.Discovery && slices.Equal(before.Zones, x.Zones) {
 			to.UpdateEndpoints(before.core.Endpoints(), true)
 		}
-		p.watcher.Ask() // nothing is known: the module's own first asking is spread for fleets that start together
+		p.watcher.RequestWatch() // nothing is known: the module's own first asking is spread for fleets that start together
 		p.owned.Go(func() { p.watcher.Run(life) })
 	} else {
 		to.UpdateEndpoints(x.Static, true)
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -69,17 +69,17 @@
 func TestGolden_MessageIsWrittenByteForByte(t *testing.T) {
 	caller := tcpConn(t)
 	for file, send := range map[string]func(*Link) error{
-		"state.message":          func(l *Link) error { return l.State(fullState) },
-		"state_zero.message":     func(l *Link) error { return l.State(sampleState{}) },
-		"takes.message":          func(l *Link) error { return l.Takes() },
-		"ids.message":            func(l *Link) error { return l.IDs([]byte("\x01\x02\x03\xfd\xfe\xff")) },
-		"ids_none.message":       func(l *Link) error { return l.IDs([]byte{}) },
-		"ids_nil.message":        func(l *Link) error { return l.IDs(nil) },
-		"conn_asked.message":     func(l *Link) error { return l.Conn(caller, true) },
-		"conn_unasked.message":   func(l *Link) error { return l.Conn(caller, false) },
-		"word_server.message":    func(l *Link) error { return l.Word(Word{Call: "/_servers/detach", Server: "server-1"}) },
-		"word_no_server.message": func(l *Link) error { return l.Word(Word{Call: "/_lameduck/on"}) },
-		"word_zero.message":      func(l *Link) error { return l.Word(Word{}) },
+		"state.message":          func(l *Link) error { return l.SendState(fullState) },
+		"state_zero.message":     func(l *Link) error { return l.SendState(sampleState{}) },
+		"takes.message":          func(l *Link) error { return l.SendReady() },
+		"ids.message":            func(l *Link) error { return l.SendRequestIDs([]byte("\x01\x02\x03\xfd\xfe\xff")) },
+		"ids_none.message":       func(l *Link) error { return l.SendRequestIDs([]byte{}) },
+		"ids_nil.message":        func(l *Link) error { return l.SendRequestIDs(nil) },
+		"conn_asked.message":     func(l *Link) error { return l.SendConnection(caller, true) },
+		"conn_unasked.message":   func(l *Link) error { return l.SendConnection(caller, false) },
+		"word_server.message":    func(l *Link) error { return l.SendCommand(Command{Path: "/_servers/detach", Server: "server-1"}) },
+		"word_no_server.message": func(l *Link) error { return l.SendCommand(Command{Path: "/_lameduck/on"}) },
+		"word_zero.message":      func(l *Link) error { return l.SendCommand(Command{}) },
 	} {
 		t.Run(file, func(t *testing.T) {
 			near, far := socketPair(t)
@@ -97,7 +97,7 @@
 	Takes int
 	IDs   [][]byte
 	Asked []bool
-	Words []Word
+	Words []Command
 }
 
 // recorder is a peer that notes what it is handed.
@@ -106,12 +106,12 @@
 	ended error
 }
 
-func (r *recorder) Takes()          { r.received.Takes++ }
-func (r *recorder) IDs(all []byte)  { r.received.IDs = append(r.received.IDs, all) }
-func (r *recorder) Word(word Word)  { r.Words = append(r.Words, word) }
-func (r *recorder) Ended(err error) { r.ended = err }
+func (r *recorder) SuccessorReady()        { r.received.Takes++ }
+func (r *recorder) RequestIDs(all []byte)  { r.received.IDs = append(r.received.IDs, all) }
+func (r *recorder) Command(word Command)   { r.Words = append(r.Words, word) }
+func (r *recorder) Disconnected(err error) { r.ended = err }
 
-func (r *recorder) Conn(conn net.Conn, asked bool) {
+func (r *recorder) Connection(conn net.Conn, asked bool) {
 	conn.Close()
 	r.Asked = append(r.Asked, asked)
 }
@@ -124,9 +124,9 @@
 		"ids_nil.message":        {IDs: [][]byte{nil}},
 		"conn_asked.message":     {Asked: []bool{true}},
 		"conn_unasked.message":   {Asked: []bool{false}},
-		"word_server.message":    {Words: []Word{{Call: "/_servers/detach", Server: "server-1"}}},
-		"word_no_server.message": {Words: []Word{{Call: "/_lameduck/on"}}},
-		"word_zero.message":      {Words: []Word{{}}},
+		"word_server.message":    {Words: []Command{{Path: "/_servers/detach", Server: "server-1"}}},
+		"word_no_server.message": {Words: []Command{{Path: "/_lameduck/on"}}},
+		"word_zero.message":      {Words: []Command{{}}},
 	} {
 		t.Run(file, func(t *testing.T) {
 			near, far := socketPair(t)
@@ -142,7 +142,7 @@
 			require.NoError(t, err)
 			require.NoError(t, near.Close())
 			var got recorder
-			NewLink(far).Run(&got)
+			NewLink(far).Serve(&got)
 			assert.ErrorIs(t, got.ended, io.EOF)
 			assert.Equal(t, want, got.received)
 		})
@@ -156,7 +156,7 @@
 			_, err := near.Write(golden(t, file))
 			require.NoError(t, err)
 			var got sampleState
-			require.NoError(t, NewLink(far).First(&got, sendTime))
+			require.NoError(t, NewLink(far).ReceiveState(&got, sendTime))
 			assert.Equal(t, want, got)
 		})
 	}
@@ -188,5 +188,5 @@
 
 // Processes of two versions find each other by this path.
 func TestGolden_Path(t *testing.T) {
-	assert.Equal(t, "/run/robincart-0a6fc62514e7e683.sock", Path("/run", "node-1 127.0.0.1:3000"))
+	assert.Equal(t, "/run/robincart-0a6fc62514e7e683.sock", SocketPath("/run", "node-1 127.0.0.1:3000"))
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -70,24 +70,24 @@
 	return nil
 }
 
-// Word is one call of an operator.
-type Word struct {
-	Call   string `json:"Call"`
+// Command is one call of an operator.
+type Command struct {
+	Path   string `json:"Call"`
 	Server string `json:"Server,omitempty"`
 }
 
 // Peer is what an end does with what comes. The methods are called one at a time.
 type Peer interface {
-	Takes()                      // the successor takes callers
-	IDs(all []byte)              // of requests that began before
-	Conn(c net.Conn, asked bool) // a caller's connection
-	Word(Word)                   // an operator's
-	Ended(err error)             // the other end has gone
+	SuccessorReady()                   // the successor takes callers
+	RequestIDs(all []byte)             // of requests that began before
+	Connection(c net.Conn, asked bool) // a caller's connection
+	Command(Command)                   // an operator's
+	Disconnected(err error)            // the other end has gone
 }
 
-// Path is where a process of a name listens for its successor. Names may be of any length and form, and the kernel takes
+// SocketPath is where a process of a name listens for its successor. Names may be of any length and form, and the kernel takes
 // 107 bytes.
-func Path(dir, name string) string {
+func SocketPath(dir, name string) string {
 	sum := sha256.Sum256([]byte(name))
 	return filepath.Join(dir, fmt.Sprintf("robincart-%x.sock", sum[:8]))
 }
@@ -152,21 +152,21 @@
 // Close ends it.
 func (l *Link) Close() error { return l.c.Close() }
 
-// State sends what a process knows.
-func (l *Link) State(state any) error { return l.send(kindState, state, nil) }
+// SendState sends what a process knows.
+func (l *Link) SendState(state any) error { return l.send(kindState, state, nil) }
 
-// Takes tells that this process takes callers.
-func (l *Link) Takes() error { return l.send(kindTakes, struct{}{}, nil) }
+// SendReady tells that this process takes callers.
+func (l *Link) SendReady() error { return l.send(kindTakes, struct{}{}, nil) }
 
-// IDs sends those of requests that began here.
-func (l *Link) IDs(all []byte) error { return l.send(kindIDs, all, nil) }
+// SendRequestIDs sends those of requests that began here.
+func (l *Link) SendRequestIDs(all []byte) error { return l.send(kindIDs, all, nil) }
 
-// Word passes on what an operator said.
-func (l *Link) Word(w Word) error { return l.send(kindWord, w, nil) }
+// SendCommand passes on what an operator said.
+func (l *Link) SendCommand(w Command) error { return l.send(kindWord, w, nil) }
 
-// Conn sends a caller's connection over; asked tells whether it has brought a request. This process has to close its own
+// SendConnection sends a caller's connection over; asked tells whether it has brought a request. This process has to close its own
 // copy.
-func (l *Link) Conn(c net.Conn, asked bool) error {
+func (l *Link) SendConnection(c net.Conn, asked bool) error {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return fmt.Errorf("%T is no socket", c)
@@ -201,8 +201,8 @@
 	return err
 }
 
-// First reads the state, the first that comes.
-func (l *Link) First(state any, within time.Duration) error {
+// ReceiveState reads the state, the first that comes.
+func (l *Link) ReceiveState(state any, within time.Duration) error {
 	l.c.SetReadDeadline(time.Now().Add(within))
 	defer l.c.SetReadDeadline(time.Time{})
 	kind, text, fd, err := l.read()
@@ -218,8 +218,8 @@
 	return json.Unmarshal(text, state)
 }
 
-// Run hands what comes to a peer until the other end goes.
-func (l *Link) Run(p Peer) {
+// Serve hands what comes to a peer until the other end goes.
+func (l *Link) Serve(p Peer) {
 	for {
 		kind, text, fd, err := l.read()
 		if err == nil {
@@ -230,7 +230,7 @@
 		}
 		if err != nil {
 			l.c.Close()
-			p.Ended(err)
+			p.Disconnected(err)
 			return
 		}
 	}
@@ -239,19 +239,19 @@
 func (l *Link) take(p Peer, kind byte, text []byte, fd *int) error {
 	switch kind {
 	case kindTakes:
-		p.Takes()
+		p.SuccessorReady()
 	case kindIDs:
 		var all []byte
 		if err := json.Unmarshal(text, &all); err != nil {
 			return err
 		}
-		p.IDs(all)
+		p.RequestIDs(all)
 	case kindWord:
-		var w Word
+		var w Command
 		if err := json.Unmarshal(text, &w); err != nil {
 			return err
 		}
-		p.Word(w)
+		p.Command(w)
 	case kindConn:
 		var asked bool
 		if err := json.Unmarshal(text, &asked); err != nil || *fd < 0 {
@@ -263,7 +263,7 @@
 		if err != nil {
 			return nil // it ended on the way
 		}
-		p.Conn(c, asked)
+		p.Connection(c, asked)
 	default:
 		return fmt.Errorf("handover: a message of kind %q", kind)
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -17,24 +17,24 @@
 
 type peer struct {
 	conns chan net.Conn
-	words chan Word
+	words chan Command
 	ended chan error
 }
 
 func newPeer() *peer {
-	return &peer{make(chan net.Conn, 100), make(chan Word, 9), make(chan error, 1)}
+	return &peer{make(chan net.Conn, 100), make(chan Command, 9), make(chan error, 1)}
 }
-func (p *peer) Takes()         { p.words <- Word{Call: "takes"} }
-func (p *peer) IDs(all []byte) { p.words <- Word{Call: string(all)} }
-func (p *peer) Conn(c net.Conn, asked bool) {
+func (p *peer) SuccessorReady()       { p.words <- Command{Path: "takes"} }
+func (p *peer) RequestIDs(all []byte) { p.words <- Command{Path: string(all)} }
+func (p *peer) Connection(c net.Conn, asked bool) {
 	if asked {
 		p.conns <- c
 	} else {
 		c.Close()
 	}
 }
-func (p *peer) Word(w Word)     { p.words <- w }
-func (p *peer) Ended(err error) { p.ended <- err }
+func (p *peer) Command(w Command)      { p.words <- w }
+func (p *peer) Disconnected(err error) { p.ended <- err }
 
 func one[T any](t *testing.T, from chan T) T {
 	t.Helper()
@@ -51,7 +51,7 @@
 func pair(t *testing.T) (old, heir *Link) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	path := Path(dir, "a name\nof any form")
+	path := SocketPath(dir, "a name\nof any form")
 	stale, err := Listen(path)
 	require.NoError(t, err)
 	stale.Close()
@@ -69,12 +69,12 @@
 func TestStateConnectionsAndWordsComeAcrossInOrder(t *testing.T) {
 	old, heir := pair(t)
 	big := strings.Repeat("x", 3<<20) // far more than the kernel holds for a message
-	go old.State(big)
+	go old.SendState(big)
 	var got string
-	require.NoError(t, heir.First(&got, 20*time.Second))
+	require.NoError(t, heir.ReceiveState(&got, 20*time.Second))
 	assert.Equal(t, big, got)
 	p := newPeer()
-	go heir.Run(p)
+	go heir.Serve(p)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -87,11 +87,11 @@
 		in, err := ln.Accept()
 		require.NoError(t, err)
 		c.Write([]byte("crossed"))
-		require.NoError(t, old.Conn(in, true))
+		require.NoError(t, old.SendConnection(in, true))
 		in.Close()
 	}
-	require.NoError(t, old.IDs([]byte("ids")))
-	require.NoError(t, old.Word(Word{Call: "/x", Server: "s1"}))
+	require.NoError(t, old.SendRequestIDs([]byte("ids")))
+	require.NoError(t, old.SendCommand(Command{Path: "/x", Server: "s1"}))
 	for _, c := range callers {
 		in := one(t, p.conns)
 		buf := make([]byte, 7)
@@ -106,8 +106,8 @@
 		require.NoError(t, err)
 		assert.Equal(t, "!", string(buf[:n]))
 	}
-	assert.Equal(t, Word{Call: "ids"}, one(t, p.words))
-	assert.Equal(t, Word{Call: "/x", Server: "s1"}, one(t, p.words))
+	assert.Equal(t, Command{Path: "ids"}, one(t, p.words))
+	assert.Equal(t, Command{Path: "/x", Server: "s1"}, one(t, p.words))
 	old.Close()
 	assert.Error(t, one(t, p.ended))
 }
@@ -126,7 +126,7 @@
 		"no descriptor": message('C', "true"), "cut off": "W\x00", "torn": message('W', "{}")[:headSize] + "{ ", "no ids": message('I', "7")} {
 		old, heir := pair(t)
 		p := newPeer()
-		go heir.Run(p)
+		go heir.Serve(p)
 		old.c.Write([]byte(text))
 		if name == "cut off" {
 			old.Close()
@@ -162,12 +162,12 @@
 		}()
 		l := NewLink(ends[0])
 		var state any
-		if l.First(&state, 20*time.Second) != nil {
+		if l.ReceiveState(&state, 20*time.Second) != nil {
 			l.Close()
 			return
 		}
-		p := &peer{make(chan net.Conn, 1), make(chan Word, len(text)), make(chan error, 1)}
-		l.Run(p)
+		p := &peer{make(chan net.Conn, 1), make(chan Command, len(text)), make(chan error, 1)}
+		l.Serve(p)
 		if <-p.ended == nil {
 			t.Fatal("it ended without a reason")
 		}
--- a/internal/handover/kept.go
+++ b/internal/handover/kept.go
@@ -8,17 +8,17 @@
 	"robincart/internal/system/statefile"
 )
 
-// TornError is of a file whose content can't be believed. It has been set aside.
-type TornError struct {
-	Path, Aside string
-	Cause       error
+// CorruptError is of a file whose content can't be believed. It has been set aside.
+type CorruptError struct {
+	Path, MovedTo string
+	Cause         error
 }
 
-func (e *TornError) Error() string {
-	return fmt.Sprintf("%s: %v; it is set aside as %s", e.Path, e.Cause, e.Aside)
+func (e *CorruptError) Error() string {
+	return fmt.Sprintf("%s: %v; it is set aside as %s", e.Path, e.Cause, e.MovedTo)
 }
 
-func (e *TornError) Unwrap() error { return e.Cause }
+func (e *CorruptError) Unwrap() error { return e.Cause }
 
 // Save writes what has to outlive this process, whole or not at all.
 func Save(path string, what any) error {
@@ -44,8 +44,8 @@
 	if err == nil {
 		return nil
 	}
-	torn := &TornError{Path: path, Aside: path + ".bad", Cause: err}
-	if err := statefile.SetAside(path, torn.Aside); err != nil {
+	torn := &CorruptError{Path: path, MovedTo: path + ".bad", Cause: err}
+	if err := statefile.SetAside(path, torn.MovedTo); err != nil {
 		return err
 	}
 	return torn
--- a/internal/lab/fleet/hollow.go
+++ b/internal/lab/fleet/hollow.go
@@ -347,12 +347,12 @@
 }
 
 // heard stands before a core and notes what has come into force there.
-func (x *hollow) heard(_ string, core endpoints.Core) endpoints.Core {
-	return &witness{Core: core, x: x, mine: map[string]bool{}}
+func (x *hollow) heard(_ string, core endpoints.Receiver) endpoints.Receiver {
+	return &witness{Receiver: core, x: x, mine: map[string]bool{}}
 }
 
 type witness struct {
-	endpoints.Core
+	endpoints.Receiver
 	x    *hollow
 	mine map[string]bool
 }
@@ -360,7 +360,7 @@
 var phaseOf = map[decide.State]string{decide.Ready: Ready, decide.Draining: Draining, decide.Gone: Gone}
 
 func (w *witness) UpdateEndpoints(entries []node.Endpoint, full bool) {
-	w.Core.UpdateEndpoints(entries, full)
+	w.Receiver.UpdateEndpoints(entries, full)
 	now := time.Now().UnixNano()
 	x := w.x
 	var news []Event
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -203,11 +203,11 @@
 	var all sync.WaitGroup
 	byAddr := map[string]*door{}
 	for i := range services {
-		c := fanout.Defaults()
+		c := fanout.DefaultConfig()
 		// Each change by itself, and no clock: whatever the machine does meanwhile, nobody is given up.
-		c.Gather, c.Every, c.Write = 0, time.Hour, time.Hour
+		c.BatchDelay, c.HeartbeatInterval, c.WriteTimeout = 0, time.Hour, time.Hour
 		l, d := fanout.New(c, zap.NewNop()), newDoor()
-		l.Replace(1, []fanout.Member{member(i, 0, Ready), member(i, 1, Ready)})
+		l.PublishSnapshot(1, []fanout.Member{member(i, 0, Ready), member(i, 1, Ready)})
 		all.Go(func() { l.Serve(life, d) })
 		addr := fmt.Sprint("list:", i+1)
 		byAddr[addr] = d
@@ -282,13 +282,13 @@
 			m0, b0 := f.news()
 			for c := range changes {
 				s := c % 3
-				f.lists[s].Tell([]fanout.Member{member(s, 10+c, Ready)})
+				f.lists[s].PublishDelta([]fanout.Member{member(s, 10+c, Ready)})
 				f.all(member(s, 10+c, Ready).HostPort, Ready)
 			}
 			m1, b1 := f.news()
 			assert.EqualValues(t, changes*nodes, m1-m0, "one message a node and change, and no whole list")
 			bytes[i] = float64(b1-b0) / changes / float64(nodes)
-			f.lists[0].Tell([]fanout.Member{member(0, 0, Draining)})
+			f.lists[0].PublishDelta([]fanout.Member{member(0, 0, Draining)})
 			f.all(member(0, 0, Ready).HostPort, Draining)
 		})
 	}
@@ -316,11 +316,11 @@
 			const drains = 2
 			for n := range drains {
 				s.together(nodes)
-				f.lists[0].Tell([]fanout.Member{member(0, 20+n, Ready)})
+				f.lists[0].PublishDelta([]fanout.Member{member(0, 20+n, Ready)})
 				f.all(member(0, 20+n, Ready).HostPort, Ready)
 				quiet()
 				s.together(nodes)
-				f.lists[0].Tell([]fanout.Member{member(0, 20+n, Draining)})
+				f.lists[0].PublishDelta([]fanout.Member{member(0, 20+n, Draining)})
 				f.all(member(0, 20+n, Ready).HostPort, Draining)
 				quiet()
 			}
--- a/internal/system/keys/keys_test.go
+++ b/internal/system/keys/keys_test.go
@@ -140,8 +140,8 @@
 	require.NoError(t, err)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	list := fanout.New(fanout.Defaults(), zap.NewNop())
-	list.Replace(7, []fanout.Member{{ID: "a", HostPort: "127.0.0.1:80", Locality: "z", Phase: "ready", Size: 1}})
+	list := fanout.New(fanout.DefaultConfig(), zap.NewNop())
+	list.PublishSnapshot(7, []fanout.Member{{ID: "a", HostPort: "127.0.0.1:80", Locality: "z", Phase: "ready", Size: 1}})
 	life, end := context.WithCancel(t.Context())
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -153,11 +153,11 @@
 			ListFirst: 10 * time.Second, ListEvery: 20 * time.Second, ListTold: 10 * time.Second, ListSilence: 10 * time.Second}
 		w := endpoints.New(plain.Addr().String(), []string{"z"}, l, limits.NewBudget(1, 0, nil), zap.New(logged))
 		told := make(lists, 9)
-		w.Follow(told)
+		w.SetReceiver(told)
 		if by != nil {
-			w.Secure(by)
+			w.SetTLS(by)
 		}
-		w.Ask()
+		w.RequestWatch()
 		all.Go(func() { w.Run(life) })
 		return told
 	}
--- a/internal/system/statefile/statefile.go
+++ b/internal/system/statefile/statefile.go
@@ -49,12 +49,12 @@
 
 // TooLargeError is of a file that holds more than its reader takes.
 type TooLargeError struct {
-	Path string
-	Most int64
+	Path  string
+	Limit int64
 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("%s: over %d bytes: it is no file of this program", e.Path, e.Most)
+	return fmt.Sprintf("%s: over %d bytes: it is no file of this program", e.Path, e.Limit)
 }
 
 // Read reads a file; found is false where there is none. An error says that it can't be read for now, and nothing of what is in it.
@@ -72,7 +72,7 @@
 	case err != nil:
 		return nil, false, err
 	case int64(len(content)) > most:
-		return nil, true, &TooLargeError{Path: path, Most: most}
+		return nil, true, &TooLargeError{Path: path, Limit: most}
 	}
 	return content, true, nil
 }
