--- a/cmd/robincart/record.go
+++ b/cmd/robincart/record.go
@@ -161,16 +161,16 @@
 		open = func() (store.Store, error) { return store.DialControllers(addrs, secure), nil }
 	}
 	var status net.Listener
-	if r.Status != "" {
+	if r.StatusAddress != "" {
 		var err error
-		if status, err = socket.Listen("tcp", r.Status); err != nil {
+		if status, err = socket.Listen("tcp", r.StatusAddress); err != nil {
 			return nil, nil, fmt.Errorf("record.status: %w", err)
 		}
 	}
-	start, cancel := context.WithTimeout(context.Background(), 2*time.Duration(r.Timeout))
+	start, cancel := context.WithTimeout(context.Background(), 2*time.Duration(r.CallTimeout))
 	defer cancel()
-	k, err := recordcache.Open(start, recordcache.Config{Name: c.Name, Store: store.Redact(r.Store), Open: open, Snapshot: r.Snapshot, Required: r.Required, MaxStaleness: time.Duration(*r.MostAge),
-		MaxPending: r.Queue, CallTimeout: time.Duration(r.Timeout), PollInterval: time.Duration(r.Poll)}, log)
+	k, err := recordcache.Open(start, recordcache.Config{Name: c.Name, Store: store.Redact(r.Store), Open: open, Snapshot: r.Snapshot, Required: r.Required, MaxStaleness: time.Duration(*r.MaxStaleness),
+		MaxPending: r.MaxPending, CallTimeout: time.Duration(r.CallTimeout), PollInterval: time.Duration(r.PollInterval)}, log)
 	if err != nil {
 		if status != nil {
 			status.Close()
@@ -200,11 +200,11 @@
 	if len(facts) == 0 {
 		return file
 	}
-	fresh, err := file.With(facts)
+	fresh, err := file.WithRecord(facts)
 	if err != nil {
 		log.Error("what the record says of services and routes can't be used; the old one stays", zap.Strings("mistakes", strings.Split(err.Error(), "\n")))
 		return now
 	}
-	fresh.KeepProcess(now)
+	fresh.KeepProcessSettings(now)
 	return fresh
 }
--- a/cmd/robincart/services.go
+++ b/cmd/robincart/services.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	log := newLog(c.Log.Form, level, c.Name)
+	log := newLog(c.Log.Format, level, c.Name)
 	defer log.Sync()
 	l := c.Limits
 	process(l)
@@ -123,8 +123,8 @@
 	set := services.New(c, clk, budget, log, watch)
 	set.Telemetry = recorder
 	ops := newOperations(front, set.Cores, log)
-	if c.Admin.Kept != "" {
-		ops.file = newOperatorFile(c.Admin.Kept, log)
+	if c.Admin.StateFile != "" {
+		ops.file = newOperatorFile(c.Admin.StateFile, log)
 		ops.restore()
 	}
 	set.Begun = ops.begun
@@ -176,7 +176,7 @@
 				log.Error("the new configuration can't be used; the old one stays", zap.Strings("mistakes", strings.Split(err.Error(), "\n")))
 				return nil
 			}
-			if waits := fresh.KeepProcess(c); len(waits) > 0 {
+			if waits := fresh.KeepProcessSettings(c); len(waits) > 0 {
 				log.Warn("some of the new configuration waits for a restart", zap.Strings("keys", waits))
 			}
 			written = fresh
@@ -202,7 +202,7 @@
 
 // openGateways listens where gateways that speak FastCGI are to be served.
 func openGateways(c *nodeconfig.Config) (all []gatewayListener, err error) {
-	for _, g := range c.Gateway {
+	for _, g := range c.Gateways {
 		network, addr := "tcp", g.Listen
 		if path, unix := strings.CutPrefix(g.Listen, "unix:"); unix {
 			network, addr = "unix", path
@@ -219,8 +219,8 @@
 		if err != nil {
 			return nil, errors.Join(fmt.Errorf("listen: %w", err), closeGateways(all))
 		}
-		all = append(all, gatewayListener{ln, &frontend.Gateway{Trace: g.Params.Trace, Class: g.Params.Class, Tenant: g.Params.Tenant, Key: g.Params.Key, Left: g.Params.Left,
-			OfTenant: g.Tenant, OfLeft: time.Duration(g.Left), Overloaded: g.Overloaded, Total: c.Limits.Callers}})
+		all = append(all, gatewayListener{ln, &frontend.Gateway{Trace: g.Params.TraceID, Class: g.Params.Class, Tenant: g.Params.Tenant, Key: g.Params.IdempotencyKey, Left: g.Params.TimeLeft,
+			OfTenant: g.DefaultTenant, OfLeft: time.Duration(g.DefaultTimeLeft), Overloaded: g.Overloaded, Total: c.Limits.Callers}})
 	}
 	return all, nil
 }
@@ -240,8 +240,8 @@
 	}
 	w := c.OutOrStdout()
 	fmt.Fprintf(w, "%s listens on %s; %d connections of callers, %d requests at once, %d connections to servers, %d MB for bodies\n", f.Name, strings.Join(f.Listen, ", "), f.Limits.Connections,
-		f.Shares.Total[quota.Held], f.Shares.Total[quota.Conns], f.Shares.Total[quota.Bytes]>>20)
-	for _, g := range f.Gateway {
+		f.Quota.Total[quota.InFlight], f.Quota.Total[quota.Connections], f.Quota.Total[quota.BodyBytes]>>20)
+	for _, g := range f.Gateways {
 		fmt.Fprintf(w, "gateways that speak FastCGI at %s\n", g.Listen)
 	}
 	for _, p := range f.Pools {
@@ -250,13 +250,13 @@
 			from = fmt.Sprintf("%d servers", len(p.Servers))
 		}
 		methods := []string{}
-		for _, m := range p.Method {
-			methods = append(methods, fmt.Sprintf("%s (%s, %v)", m.Name, m.Repeat, time.Duration(m.Deadline)))
+		for _, m := range p.Methods {
+			methods = append(methods, fmt.Sprintf("%s (%s, %v)", m.Name, m.Idempotency, time.Duration(m.Deadline)))
 		}
 		part := "no bounds"
 		if !f.Sharing.Off {
-			part = fmt.Sprintf("%d requests guaranteed, %d of them never lent, weight %g", int(p.Guarantee*float64(f.Shares.Total[quota.Held])),
-				int(p.Guarantee*f.Shares.Reserve*float64(f.Shares.Total[quota.Held])), p.Weight)
+			part = fmt.Sprintf("%d requests guaranteed, %d of them never lent, weight %g", int(p.Guarantee*float64(f.Quota.Total[quota.InFlight])),
+				int(p.Guarantee*f.Quota.ReservedFraction*float64(f.Quota.Total[quota.InFlight])), p.Weight)
 		}
 		fmt.Fprintf(w, "service %s: %s; %s; methods %s\n", p.Name, from, part, strings.Join(methods, ", "))
 	}
--- a/internal/config/nodeconfig/golden_test.go
+++ b/internal/config/nodeconfig/golden_test.go
@@ -32,35 +32,35 @@
 		Name:    "node-7",
 		Listen:  []string{"127.0.0.1:3001", "[::1]:3002"},
 		Seed:    "8c1f30d27a5be964",
-		Log:     Log{Level: "debug", Form: "console"},
+		Log:     Log{Level: "debug", Format: "console"},
 		Machine: limits.Machine{Cores: 2.5, MemoryMB: 384, Sockets: 4096},
-		Callers: Callers{Connections: 1500, Requests: 700, Idle: Duration(45 * time.Second)},
-		Admin:   Admin{Listen: "127.0.0.1:3900", Kept: "/var/lib/robincart/said.json"},
+		Clients: Clients{Connections: 1500, Requests: 700, IdleTimeout: Duration(45 * time.Second)},
+		Admin:   Admin{Listen: "127.0.0.1:3900", StateFile: "/var/lib/robincart/said.json"},
 		Record: Record{
-			Store:    "controllers:127.0.0.1:8600,[::1]:8601",
-			Snapshot: "/var/lib/robincart/record.json",
-			Required: true,
-			MostAge:  new(Duration(7 * time.Minute)),
-			Queue:    1234,
-			Timeout:  Duration(1500 * time.Millisecond),
-			Poll:     Duration(700 * time.Millisecond),
-			Status:   "127.0.0.1:3901",
+			Store:         "controllers:127.0.0.1:8600,[::1]:8601",
+			Snapshot:      "/var/lib/robincart/record.json",
+			Required:      true,
+			MaxStaleness:  new(Duration(7 * time.Minute)),
+			MaxPending:    1234,
+			CallTimeout:   Duration(1500 * time.Millisecond),
+			PollInterval:  Duration(700 * time.Millisecond),
+			StatusAddress: "127.0.0.1:3901",
 		},
 		Keys: keys.Files{
 			Cert: "/etc/robincart/node.pem", Key: "/etc/robincart/node.key", CA: "/etc/robincart/ca.pem",
 		},
-		Sharing: Sharing{Off: true, Reserve: new(0.25), Return: new(Duration(3 * time.Second)), Busy: new(0.8)},
-		Gateway: []Gateway{{
-			Listen:     "unix:/run/robincart/desk.sock",
-			Overloaded: true,
-			Tenant:     "walk-in",
-			Left:       Duration(2500 * time.Millisecond),
+		Sharing: Sharing{Off: true, ReservedFraction: new(0.25), RevokeAfter: new(Duration(3 * time.Second)), CPUThreshold: new(0.8)},
+		Gateways: []Gateway{{
+			Listen:          "unix:/run/robincart/desk.sock",
+			Overloaded:      true,
+			DefaultTenant:   "walk-in",
+			DefaultTimeLeft: Duration(2500 * time.Millisecond),
 			Params: GatewayParams{
-				Trace: "REQUEST_ID", Class: "RPC", Tenant: "CUSTOMER", Key: "ONCE", Left: "TIME_LEFT",
+				TraceID: "REQUEST_ID", Class: "RPC", Tenant: "CUSTOMER", IdempotencyKey: "ONCE", TimeLeft: "TIME_LEFT",
 			},
 		}},
-		Service: []Service{everyKeyBooking(), everyKeyDesk()},
-		Route: []Route{
+		Services: []Service{everyKeyBooking(), everyKeyDesk()},
+		Routes: []Route{
 			{
 				Name: "booking", Host: "booking.example.org", Path: "/book", Class: "book-table", Header: "X-Region",
 				Value: "north", To: "booking",
@@ -75,40 +75,40 @@
 
 func everyKeyBooking() Service {
 	return Service{
-		Name:          "booking",
-		Discovery:     "127.0.0.1:8500",
-		Speaks:        "http",
-		Weight:        2.5,
-		Guarantee:     0.35,
-		Nodes:         6,
-		Stage:         1,
-		Zone:          "zone-b",
-		Zones:         []string{"zone-a", "zone-b"},
-		MaxPicks:      4,
-		NoCancel:      true,
-		SecondCopies:  true,
-		NoRetryAfter:  true,
-		MaxRetryAfter: Duration(2200 * time.Millisecond),
-		MustAskIn:     Duration(11 * time.Second),
-		Connect:       Duration(350 * time.Millisecond),
-		Idle:          Duration(33 * time.Second),
-		ColdFrom:      0.14,
-		ColdFor:       Duration(21 * time.Second),
-		FallMultiple:  1.75,
-		FallFor:       Duration(13 * time.Second),
-		Method: []Method{
+		Name:              "booking",
+		Discovery:         "127.0.0.1:8500",
+		Protocol:          "http",
+		Weight:            2.5,
+		Guarantee:         0.35,
+		Nodes:             6,
+		Stage:             1,
+		Zone:              "zone-b",
+		Zones:             []string{"zone-a", "zone-b"},
+		MaxAttempts:       4,
+		NoCancel:          true,
+		Hedging:           true,
+		NoRetryAfter:      true,
+		MaxRetryAfter:     Duration(2200 * time.Millisecond),
+		MaxPollInterval:   Duration(11 * time.Second),
+		ConnectTimeout:    Duration(350 * time.Millisecond),
+		IdleTimeout:       Duration(33 * time.Second),
+		SlowStartFraction: 0.14,
+		SlowStartDuration: Duration(21 * time.Second),
+		OverloadMultiple:  1.75,
+		OverloadWindow:    Duration(13 * time.Second),
+		Methods: []Method{
 			{
-				Name: "book-table", Repeat: "deduplicated", Scope: "zone", Window: Duration(14 * time.Second),
-				Target: Duration(2600 * time.Millisecond), Deadline: Duration(6 * time.Second), Utility: new(9.5),
-				LateUtility: 0.3,
+				Name: "book-table", Idempotency: "deduplicated", DedupScope: "zone", DedupWindow: Duration(14 * time.Second),
+				LatencyObjective: Duration(2600 * time.Millisecond), Deadline: Duration(6 * time.Second), PriorityWeight: new(9.5),
+				LateWeight: 0.3,
 			},
 			{
-				Name: "find-table", Repeat: "idempotent", Scope: "cell", Window: Duration(15 * time.Second),
-				Target: Duration(1700 * time.Millisecond), Deadline: Duration(3 * time.Second), Utility: new(1.25),
-				LateUtility: 0.4,
+				Name: "find-table", Idempotency: "idempotent", DedupScope: "cell", DedupWindow: Duration(15 * time.Second),
+				LatencyObjective: Duration(1700 * time.Millisecond), Deadline: Duration(3 * time.Second), PriorityWeight: new(1.25),
+				LateWeight: 0.4,
 			},
 		},
-		Tenant: []Tenant{
+		Tenants: []Tenant{
 			{Name: "acme", Quota: 200.5, Weight: 3.5},
 			{Name: "ruenthai", Quota: 300, Weight: 4.5},
 		},
@@ -117,11 +117,11 @@
 
 func everyKeyDesk() Service {
 	return Service{
-		Name:    "desk",
-		Servers: []string{"127.0.0.1:9000", "[::1]:9001"},
-		Speaks:  "fastcgi",
-		Params:  map[string]string{"SCRIPT_FILENAME": "/srv/desk/index.php", "DOCUMENT_ROOT": "/srv/desk"},
-		Method:  []Method{{Name: "open-desk", Deadline: Duration(4 * time.Second)}},
+		Name:     "desk",
+		Servers:  []string{"127.0.0.1:9000", "[::1]:9001"},
+		Protocol: "fastcgi",
+		Params:   map[string]string{"SCRIPT_FILENAME": "/srv/desk/index.php", "DOCUMENT_ROOT": "/srv/desk"},
+		Methods:  []Method{{Name: "open-desk", Deadline: Duration(4 * time.Second)}},
 	}
 }
 
@@ -141,9 +141,9 @@
 		Name:    "node-7",
 		Listen:  []string{"127.0.0.1:3001"},
 		Machine: limits.Machine{MemoryMB: 384},
-		Service: []Service{{
-			Name: "desk", Servers: []string{"127.0.0.1:9000"}, MaxPicks: 4,
-			Method: []Method{{Name: "open-desk", LateUtility: 0.3, Deadline: Duration(3 * time.Second)}},
+		Services: []Service{{
+			Name: "desk", Servers: []string{"127.0.0.1:9000"}, MaxAttempts: 4,
+			Methods: []Method{{Name: "open-desk", LateWeight: 0.3, Deadline: Duration(3 * time.Second)}},
 		}},
 	}, decodeGolden(t, "other-case.toml"))
 }
@@ -152,8 +152,8 @@
 // spoken to.
 func generatedSettings(t *testing.T, pool Pool) []byte {
 	t.Helper()
-	text, found := strings.CutSuffix(pool.Same, fmt.Sprintf(" %s %q", pool.Speaks, pool.Params))
-	require.True(t, found, pool.Same)
+	text, found := strings.CutSuffix(pool.Fingerprint, fmt.Sprintf(" %s %q", pool.Protocol, pool.Params))
+	require.True(t, found, pool.Fingerprint)
 	return []byte(text + "\n")
 }
 
@@ -175,7 +175,7 @@
 			read, err := settings.Parse(testutil.Golden(t, test.golden))
 			require.NoError(t, err)
 			read.MaxFirstPollDelay = config.Limits.ListEvery.Seconds()
-			assert.Equal(t, read, pool.Node)
+			assert.Equal(t, read, pool.Settings)
 		})
 	}
 }
@@ -183,13 +183,13 @@
 func TestCompile_EveryKey(t *testing.T) {
 	config, err := Parse(testutil.Golden(t, "every-key.toml"), 0)
 	require.NoError(t, err)
-	assert.Equal(t, quota.Config{Reserve: 0.25, Return: 3, Busy: 0.8, Total: config.Shares.Total}, config.Shares)
+	assert.Equal(t, quota.Config{ReservedFraction: 0.25, RevokeAfter: 3, CPUThreshold: 0.8, Total: config.Quota.Total}, config.Quota)
 	assert.Equal(t, quota.Spec{Name: "booking", Guarantee: 0.35, Weight: 2.5, Tenants: []float64{3.5, 4.5}},
-		config.Pools[0].Spec)
+		config.Pools[0].QuotaSpec)
 	assert.Equal(t, []node.Endpoint{
 		{ID: "127.0.0.1:9000", Addr: "127.0.0.1:9000", State: decide.Ready, Weight: 1},
 		{ID: "[::1]:9001", Addr: "[::1]:9001", State: decide.Ready, Weight: 1},
-	}, config.Pools[1].Static)
+	}, config.Pools[1].StaticEndpoints)
 	assert.Equal(t, []int{1500, 700}, []int{config.Limits.Connections, config.Limits.Callers})
 	assert.Equal(t, 45*time.Second, config.Limits.CallerIdle)
 }
@@ -197,8 +197,8 @@
 // recordedService is the service of testdata/record-service.json.
 func recordedService() Service {
 	return Service{
-		Name: "tables", Servers: []string{"127.0.0.1:3101"}, MaxPicks: 4,
-		Method: []Method{{Name: "find-table", Deadline: Duration(3 * time.Second)}},
+		Name: "tables", Servers: []string{"127.0.0.1:3101"}, MaxAttempts: 4,
+		Methods: []Method{{Name: "find-table", Deadline: Duration(3 * time.Second)}},
 	}
 }
 
--- a/internal/config/nodeconfig/nodeconfig.go
+++ b/internal/config/nodeconfig/nodeconfig.go
@@ -31,76 +31,76 @@
 
 // File is the operator's file, as it is written.
 type File struct {
-	Name    string         `toml:"name"`
-	Listen  []string       `toml:"listen"`
-	Seed    string         `toml:"seed"`
-	Log     Log            `toml:"log"`
-	Machine limits.Machine `toml:"machine"`
-	Callers Callers        `toml:"callers"`
-	Admin   Admin          `toml:"admin"`
-	Record  Record         `toml:"record"`
-	Keys    keys.Files     `toml:"keys"` // towards discovery; none: plain TCP
-	Sharing Sharing        `toml:"sharing"`
-	Gateway []Gateway      `toml:"gateway"`
-	Service []Service      `toml:"service"`
-	Route   []Route        `toml:"route"`
+	Name     string         `toml:"name"`
+	Listen   []string       `toml:"listen"`
+	Seed     string         `toml:"seed"`
+	Log      Log            `toml:"log"`
+	Machine  limits.Machine `toml:"machine"`
+	Clients  Clients        `toml:"callers"`
+	Admin    Admin          `toml:"admin"`
+	Record   Record         `toml:"record"`
+	Keys     keys.Files     `toml:"keys"` // towards discovery; none: plain TCP
+	Sharing  Sharing        `toml:"sharing"`
+	Gateways []Gateway      `toml:"gateway"`
+	Services []Service      `toml:"service"`
+	Routes   []Route        `toml:"route"`
 }
 
 // Gateway is an address where gateways that speak FastCGI are listened to.
 type Gateway struct {
-	Listen     string        `toml:"listen"`     // address, or unix:PATH
-	Overloaded bool          `toml:"overloaded"` // a pushback is END_REQUEST with OVERLOADED
-	Tenant     string        `toml:"tenant"`     // of who sends none
-	Left       Duration      `toml:"left"`       // of who sends no time
-	Params     GatewayParams `toml:"params"`
+	Listen          string        `toml:"listen"`     // address, or unix:PATH
+	Overloaded      bool          `toml:"overloaded"` // a pushback is END_REQUEST with OVERLOADED
+	DefaultTenant   string        `toml:"tenant"`     // of who sends none
+	DefaultTimeLeft Duration      `toml:"left"`       // of who sends no time
+	Params          GatewayParams `toml:"params"`
 }
 
 // GatewayParams names the params that a gateway uses for what it can't send in the protocol's own headers.
 type GatewayParams struct {
-	Trace  string `toml:"trace"`
-	Class  string `toml:"class"`
-	Tenant string `toml:"tenant"`
-	Key    string `toml:"key"`
-	Left   string `toml:"left"`
+	TraceID        string `toml:"trace"`
+	Class          string `toml:"class"`
+	Tenant         string `toml:"tenant"`
+	IdempotencyKey string `toml:"key"`
+	TimeLeft       string `toml:"left"`
 }
 
 // Log says how the log is written.
 type Log struct {
-	Level string `toml:"level"` // debug, info, warn, error
-	Form  string `toml:"form"`  // json, console
+	Level  string `toml:"level"` // debug, info, warn, error
+	Format string `toml:"form"`  // json, console
 }
 
 // Record says where the record is kept. Without a store there is none.
 type Record struct {
-	Store    string    `toml:"store"`    // sqlite:PATH, or postgres://...
-	Snapshot string    `toml:"snapshot"` // this node's own copy, a file
-	Required bool      `toml:"required"` // no start without the store
-	MostAge  *Duration `toml:"most_age"` // that servers known from an old copy alone may be sent to; 0s: for ever
-	Queue    int       `toml:"queue"`    // changes that may wait for the store, drains not counted
-	Timeout  Duration  `toml:"timeout"`  // of one call to the store
-	Poll     Duration  `toml:"poll"`     // between looks at it where nothing is told
-	Status   string    `toml:"status"`   // loopback address where GET /record tells how it stands
+	Store         string    `toml:"store"`    // sqlite:PATH, or postgres://...
+	Snapshot      string    `toml:"snapshot"` // this node's own copy, a file
+	Required      bool      `toml:"required"` // no start without the store
+	MaxStaleness  *Duration `toml:"most_age"` // that servers known from an old copy alone may be sent to; 0s: for ever
+	MaxPending    int       `toml:"queue"`    // changes that may wait for the store, drains not counted
+	CallTimeout   Duration  `toml:"timeout"`  // of one call to the store
+	PollInterval  Duration  `toml:"poll"`     // between looks at it where nothing is told
+	StatusAddress string    `toml:"status"`   // loopback address where GET /record tells how it stands
 }
 
 // Admin says where operators' calls are answered. Without an address there is none.
 type Admin struct {
-	Listen string `toml:"listen"`
-	Kept   string `toml:"kept"` // a file that keeps what they said over a restart; empty: it ends with the process
+	Listen    string `toml:"listen"`
+	StateFile string `toml:"kept"` // a file that keeps what they said over a restart; empty: it ends with the process
 }
 
-// Callers says how many connections callers may hold, and for how long. Zeros leave what the machine gives.
-type Callers struct {
+// Clients says how many connections callers may hold, and for how long. Zeros leave what the machine gives.
+type Clients struct {
 	Connections int      `toml:"connections"` // at once, those that rest included
 	Requests    int      `toml:"requests"`    // at once
-	Idle        Duration `toml:"idle"`        // that one may rest
+	IdleTimeout Duration `toml:"idle"`        // that one may rest
 }
 
 // Sharing says how services share the node.
 type Sharing struct {
-	Off     bool      `toml:"off"`     // no bounds between services
-	Reserve *float64  `toml:"reserve"` // part of each guarantee that is never lent
-	Return  *Duration `toml:"return"`
-	Busy    *float64  `toml:"busy"` // part of the cores above which those beyond their part are turned away
+	Off              bool      `toml:"off"`     // no bounds between services
+	ReservedFraction *float64  `toml:"reserve"` // part of each guarantee that is never lent
+	RevokeAfter      *Duration `toml:"return"`
+	CPUThreshold     *float64  `toml:"busy"` // part of the cores above which those beyond their part are turned away
 }
 
 // Service is one pool.
@@ -108,42 +108,42 @@
 	Name      string            `toml:"name"`
 	Discovery string            `toml:"discovery"`
 	Servers   []string          `toml:"servers"` // addresses, where there is no discovery
-	Speaks    string            `toml:"speaks"`  // http, or fastcgi
+	Protocol  string            `toml:"speaks"`  // http, or fastcgi
 	Params    map[string]string `toml:"params"`  // of FastCGI, that its servers want beside those of each request
 	Weight    float64           `toml:"weight"`
 	Guarantee float64           `toml:"guarantee"`
 
-	Nodes         int      `toml:"nodes"` // that send to these servers
-	Stage         int      `toml:"stage"` // tier; 0 is the one that clients reach
-	Zone          string   `toml:"zone"`
-	Zones         []string `toml:"zones"`
-	MaxPicks      int      `toml:"max_picks"`
-	NoCancel      bool     `toml:"no_cancel"`
-	SecondCopies  bool     `toml:"second_copies"`
-	NoRetryAfter  bool     `toml:"no_retry_after"`
-	MaxRetryAfter Duration `toml:"max_retry_after"`
-	MustAskIn     Duration `toml:"must_ask_in"`
-	Connect       Duration `toml:"connect"`
-	Idle          Duration `toml:"idle"` // after which servers close a connection
-	ColdFrom      float64  `toml:"cold_from"`
-	ColdFor       Duration `toml:"cold_for"`
-	FallMultiple  float64  `toml:"fall_multiple"`
-	FallFor       Duration `toml:"fall_for"`
-
-	Method []Method `toml:"method"`
-	Tenant []Tenant `toml:"tenant"`
+	Nodes             int      `toml:"nodes"` // that send to these servers
+	Stage             int      `toml:"stage"` // tier; 0 is the one that clients reach
+	Zone              string   `toml:"zone"`
+	Zones             []string `toml:"zones"`
+	MaxAttempts       int      `toml:"max_picks"`
+	NoCancel          bool     `toml:"no_cancel"`
+	Hedging           bool     `toml:"second_copies"`
+	NoRetryAfter      bool     `toml:"no_retry_after"`
+	MaxRetryAfter     Duration `toml:"max_retry_after"`
+	MaxPollInterval   Duration `toml:"must_ask_in"`
+	ConnectTimeout    Duration `toml:"connect"`
+	IdleTimeout       Duration `toml:"idle"` // after which servers close a connection
+	SlowStartFraction float64  `toml:"cold_from"`
+	SlowStartDuration Duration `toml:"cold_for"`
+	OverloadMultiple  float64  `toml:"fall_multiple"`
+	OverloadWindow    Duration `toml:"fall_for"`
+
+	Methods []Method `toml:"method"`
+	Tenants []Tenant `toml:"tenant"`
 }
 
 // Method is one kind of RPC.
 type Method struct {
-	Name        string   `toml:"name"`
-	Repeat      string   `toml:"repeat"` // idempotent, deduplicated, non-idempotent
-	Scope       string   `toml:"scope"`  // of the servers that drop repeats: all, zone, cell
-	Window      Duration `toml:"window"`
-	Target      Duration `toml:"target"`
-	Deadline    Duration `toml:"deadline"`
-	Utility     *float64 `toml:"utility"`
-	LateUtility float64  `toml:"late_utility"`
+	Name             string   `toml:"name"`
+	Idempotency      string   `toml:"repeat"` // idempotent, deduplicated, non-idempotent
+	DedupScope       string   `toml:"scope"`  // of the servers that drop repeats: all, zone, cell
+	DedupWindow      Duration `toml:"window"`
+	LatencyObjective Duration `toml:"target"`
+	Deadline         Duration `toml:"deadline"`
+	PriorityWeight   *float64 `toml:"utility"`
+	LateWeight       float64  `toml:"late_utility"`
 }
 
 // Tenant is one customer of a service.
@@ -178,18 +178,18 @@
 	File
 	Table  *routes.Table
 	Pools  []Pool // in the order of the file's services
-	Shares quota.Config
+	Quota  quota.Config
 	Limits limits.Limits
 }
 
 // Pool is one service, compiled.
 type Pool struct {
 	Service
-	Spec    quota.Spec
-	Node    *settings.Instance
-	Static  []node.Endpoint // its servers, where it has no discovery
-	Same    string          // equal texts: the module's instance can stay
-	Timeout limits.Limits
+	QuotaSpec       quota.Spec
+	Settings        *settings.Instance
+	StaticEndpoints []node.Endpoint // its servers, where it has no discovery
+	Fingerprint     string          // equal texts: the module's instance can stay
+	Limits          limits.Limits
 }
 
 const mostFile = 16 << 20
@@ -321,7 +321,7 @@
 func (c *Config) fill() {
 	tomlfile.Default(&c.Name, "node")
 	tomlfile.Default(&c.Log.Level, "info")
-	tomlfile.Default(&c.Log.Form, "json")
+	tomlfile.Default(&c.Log.Format, "json")
 	tomlfile.Default(&c.Machine.Cores, 1)
 	tomlfile.Default(&c.Machine.MemoryMB, 192)
 	tomlfile.Default(&c.Machine.Sockets, 1024)
@@ -330,47 +330,47 @@
 			*to = &v
 		}
 	}
-	tomlfile.Default(&c.Record.Queue, 10_000)
-	tomlfile.Default(&c.Record.Timeout, Duration(2*time.Second))
-	tomlfile.Default(&c.Record.Poll, Duration(time.Second))
-	if c.Record.MostAge == nil {
+	tomlfile.Default(&c.Record.MaxPending, 10_000)
+	tomlfile.Default(&c.Record.CallTimeout, Duration(2*time.Second))
+	tomlfile.Default(&c.Record.PollInterval, Duration(time.Second))
+	if c.Record.MaxStaleness == nil {
 		d := Duration(10 * time.Minute)
-		c.Record.MostAge = &d
+		c.Record.MaxStaleness = &d
 	}
-	def(&c.Sharing.Reserve, 0.5)
-	def(&c.Sharing.Busy, 0.9)
-	if c.Sharing.Return == nil {
+	def(&c.Sharing.ReservedFraction, 0.5)
+	def(&c.Sharing.CPUThreshold, 0.9)
+	if c.Sharing.RevokeAfter == nil {
 		d := Duration(time.Second)
-		c.Sharing.Return = &d
+		c.Sharing.RevokeAfter = &d
 	}
-	for i := range c.Service {
-		s := &c.Service[i]
+	for i := range c.Services {
+		s := &c.Services[i]
 		tomlfile.Default(&s.Weight, 1)
-		tomlfile.Default(&s.Speaks, "http")
+		tomlfile.Default(&s.Protocol, "http")
 		tomlfile.Default(&s.Nodes, 1)
-		tomlfile.Default(&s.MaxPicks, 3)
+		tomlfile.Default(&s.MaxAttempts, 3)
 		tomlfile.Default(&s.MaxRetryAfter, Duration(2*time.Second))
-		tomlfile.Default(&s.MustAskIn, Duration(10*time.Second))
-		tomlfile.Default(&s.Idle, Duration(30*time.Second))
-		tomlfile.Default(&s.Connect, Duration(time.Second))
+		tomlfile.Default(&s.MaxPollInterval, Duration(10*time.Second))
+		tomlfile.Default(&s.IdleTimeout, Duration(30*time.Second))
+		tomlfile.Default(&s.ConnectTimeout, Duration(time.Second))
 		if len(s.Zones) == 0 {
 			s.Zones = []string{"a"}
 		}
 		tomlfile.Default(&s.Zone, s.Zones[0])
-		for k := range s.Method {
-			m := &s.Method[k]
-			tomlfile.Default(&m.Repeat, "non-idempotent") // what is not said to be repeatable is not repeated
-			tomlfile.Default(&m.Scope, "all")
-			tomlfile.Default(&m.Target, m.Deadline)
-			def(&m.Utility, 1)
+		for k := range s.Methods {
+			m := &s.Methods[k]
+			tomlfile.Default(&m.Idempotency, "non-idempotent") // what is not said to be repeatable is not repeated
+			tomlfile.Default(&m.DedupScope, "all")
+			tomlfile.Default(&m.LatencyObjective, m.Deadline)
+			def(&m.PriorityWeight, 1)
 		}
-		for k := range s.Tenant {
-			tomlfile.Default(&s.Tenant[k].Weight, 1)
-			tomlfile.Default(&s.Tenant[k].Quota, 1e9)
+		for k := range s.Tenants {
+			tomlfile.Default(&s.Tenants[k].Weight, 1)
+			tomlfile.Default(&s.Tenants[k].Quota, 1e9)
 		}
 	}
-	for i := range c.Route {
-		tomlfile.Default(&c.Route[i].Name, fmt.Sprint(i+1))
+	for i := range c.Routes {
+		tomlfile.Default(&c.Routes[i].Name, fmt.Sprint(i+1))
 	}
 }
 
@@ -390,15 +390,15 @@
 		bad(err != nil, "listen: %q is no address with a port", a)
 		bad(slices.Contains(c.Listen[:i], a), "listen: %s stands twice", a)
 	}
-	for i, g := range c.Gateway {
+	for i, g := range c.Gateways {
 		at := fmt.Sprintf("gateway[%d]", i+1)
 		path, unix := strings.CutPrefix(g.Listen, "unix:")
 		_, _, err := net.SplitHostPort(g.Listen)
 		bad(unix && !strings.HasPrefix(path, "/") || !unix && err != nil, "%s.listen: %q is neither an address with a port nor unix: with a whole path", at, g.Listen)
-		bad(slices.Contains(c.Listen, g.Listen) || slices.ContainsFunc(c.Gateway[:i], func(o Gateway) bool { return o.Listen == g.Listen }), "%s.listen: %s stands twice", at, g.Listen)
-		bad(g.Left < 0, "%s.left: it is negative", at)
-		bad(strings.ContainsFunc(g.Tenant, unicode.IsControl), "%s.tenant: %q", at, g.Tenant)
-		for _, name := range []string{g.Params.Trace, g.Params.Class, g.Params.Tenant, g.Params.Key, g.Params.Left} {
+		bad(slices.Contains(c.Listen, g.Listen) || slices.ContainsFunc(c.Gateways[:i], func(o Gateway) bool { return o.Listen == g.Listen }), "%s.listen: %s stands twice", at, g.Listen)
+		bad(g.DefaultTimeLeft < 0, "%s.left: it is negative", at)
+		bad(strings.ContainsFunc(g.DefaultTenant, unicode.IsControl), "%s.tenant: %q", at, g.DefaultTenant)
+		for _, name := range []string{g.Params.TraceID, g.Params.Class, g.Params.Tenant, g.Params.IdempotencyKey, g.Params.TimeLeft} {
 			bad(name != "" && (strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r > '~' }) || len(name) > 128), "%s.params: %q is no name of a param", at, name)
 		}
 	}
@@ -407,30 +407,30 @@
 		bad(err != nil, "admin.listen: %q is no address with a port", c.Admin.Listen)
 		bad(slices.Contains(c.Listen, c.Admin.Listen), "admin.listen: %s is an address for callers, too", c.Admin.Listen)
 	}
-	bad(c.Admin.Listen == "" && c.Admin.Kept != "", "admin.kept: there is no admin.listen")
+	bad(c.Admin.Listen == "" && c.Admin.StateFile != "", "admin.kept: there is no admin.listen")
 	bad(!slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "log.level: %q is none of debug, info, warn, error", c.Log.Level)
-	bad(!slices.Contains([]string{"json", "console"}, c.Log.Form), "log.form: %q is neither json nor console", c.Log.Form)
+	bad(!slices.Contains([]string{"json", "console"}, c.Log.Format), "log.form: %q is neither json nor console", c.Log.Format)
 	if err := c.Record.check(c.Keys.On()); err != nil {
 		all = append(all, err)
 	}
-	bad(len(c.Service) == 0, "service: there is none")
+	bad(len(c.Services) == 0, "service: there is none")
 	// Each service costs a core, a watch and its servers' records: a file with more than these is a mistake.
 	before := len(all)
-	bad(len(c.Service) > mostServices, "service: %d are more than %d", len(c.Service), mostServices)
-	bad(len(c.Route) > mostRoutes, "route: %d are more than %d", len(c.Route), mostRoutes)
-	for i := range c.Service {
-		s := &c.Service[i]
+	bad(len(c.Services) > mostServices, "service: %d are more than %d", len(c.Services), mostServices)
+	bad(len(c.Routes) > mostRoutes, "route: %d are more than %d", len(c.Routes), mostRoutes)
+	for i := range c.Services {
+		s := &c.Services[i]
 		bad(len(s.Servers) > mostServers, "service[%d].servers: %d are more than %d", i+1, len(s.Servers), mostServers)
-		bad(len(s.Method) > mostMethods, "service[%d].method: %d are more than %d", i+1, len(s.Method), mostMethods)
-		bad(len(s.Tenant) > mostTenants, "service[%d].tenant: %d are more than %d", i+1, len(s.Tenant), mostTenants)
+		bad(len(s.Methods) > mostMethods, "service[%d].method: %d are more than %d", i+1, len(s.Methods), mostMethods)
+		bad(len(s.Tenants) > mostTenants, "service[%d].tenant: %d are more than %d", i+1, len(s.Tenants), mostTenants)
 	}
 	if len(all) > before {
 		return errors.Join(all...) // what is compiled below takes time by the square of some of these
 	}
 	names := map[string]int{}
 	var specs []quota.Spec
-	for i := range c.Service {
-		s := &c.Service[i]
+	for i := range c.Services {
+		s := &c.Services[i]
 		at := fmt.Sprintf("service[%d]", i+1)
 		_, twice := names[s.Name]
 		bad(s.Name == "" || strings.ContainsAny(s.Name, " \t/\""), "%s.name: %q", at, s.Name)
@@ -439,14 +439,14 @@
 		p, errs := s.compile(at)
 		all = append(all, errs...)
 		c.Pools = append(c.Pools, p)
-		specs = append(specs, p.Spec)
+		specs = append(specs, p.QuotaSpec)
 	}
-	c.Shares = quota.Config{Reserve: *c.Sharing.Reserve, Return: time.Duration(*c.Sharing.Return).Seconds(), Busy: *c.Sharing.Busy}
-	for _, err := range unjoin(quota.Check(c.Shares, specs)) {
+	c.Quota = quota.Config{ReservedFraction: *c.Sharing.ReservedFraction, RevokeAfter: time.Duration(*c.Sharing.RevokeAfter).Seconds(), CPUThreshold: *c.Sharing.CPUThreshold}
+	for _, err := range unjoin(quota.Validate(c.Quota, specs)) {
 		bad(err != nil, "sharing: %w", err)
 	}
 	var rules []routes.Rule
-	for i, r := range c.Route {
+	for i, r := range c.Routes {
 		at := fmt.Sprintf("route[%d]", i+1)
 		rule := routes.Rule{Name: r.Name, Host: r.Host, Path: r.Path, Class: r.Class, Header: r.Header, Value: r.Value, Any: r.Any, By: r.By}
 		bad(r.To != "" && len(r.Split) > 0, "%s: to and split exclude each other", at)
@@ -464,18 +464,18 @@
 		}
 		rules = append(rules, rule)
 	}
-	bad(len(c.Route) == 0 && len(c.Service) > 1, "route: several services and no route to them")
-	if len(c.Route) == 0 && len(c.Service) == 1 {
+	bad(len(c.Routes) == 0 && len(c.Services) > 1, "route: several services and no route to them")
+	if len(c.Routes) == 0 && len(c.Services) == 1 {
 		rules = []routes.Rule{{Name: "all", To: []routes.Weight{{Service: 0, Weight: 1}}}}
 	}
-	if len(c.Service) > 0 {
-		table, err := routes.Compile(rules, len(c.Service))
+	if len(c.Services) > 0 {
+		table, err := routes.Compile(rules, len(c.Services))
 		for _, err := range unjoin(err) {
 			if err == nil {
 				continue
 			}
 			at := "route"
-			for i, r := range c.Route {
+			for i, r := range c.Routes {
 				if strings.HasPrefix(err.Error(), "route "+r.Name+":") {
 					at = fmt.Sprintf("route[%d]", i+1)
 					break
@@ -495,20 +495,20 @@
 	if c.Admin.Listen != "" {
 		m.Sockets -= admin.DefaultLimits().Descriptors()
 	}
-	m.Sockets -= 2 * max(0, len(c.Listen)+len(c.Gateway)-1) // each further listener, and what it has just taken
+	m.Sockets -= 2 * max(0, len(c.Listen)+len(c.Gateways)-1) // each further listener, and what it has just taken
 	l, err := limits.Fill(m, longest(c.Pools))
 	if err != nil {
 		return fmt.Errorf("machine: %w", err)
 	}
-	if l, err = l.Hold(c.Callers.Connections, c.Callers.Requests, time.Duration(c.Callers.Idle)); err != nil {
+	if l, err = l.Hold(c.Clients.Connections, c.Clients.Requests, time.Duration(c.Clients.IdleTimeout)); err != nil {
 		return err
 	}
 	c.Limits = l
-	c.Shares.Total = quota.Amount{quota.Held: int64(l.Callers), quota.Bytes: l.Memory / 4,
-		quota.Conns: int64(l.Descriptors - l.Connections)}
+	c.Quota.Total = quota.Amount{quota.InFlight: int64(l.Callers), quota.BodyBytes: l.Memory / 4,
+		quota.Connections: int64(l.Descriptors - l.Connections)}
 	for i := range c.Pools {
-		c.Pools[i].Timeout = c.Limits.For(c.Pools[i].Node)
-		c.Pools[i].Node.MaxFirstPollDelay = c.Limits.ListEvery.Seconds()
+		c.Pools[i].Limits = c.Limits.For(c.Pools[i].Settings)
+		c.Pools[i].Settings.MaxFirstPollDelay = c.Limits.ListEvery.Seconds()
 	}
 	return nil
 }
@@ -517,7 +517,7 @@
 func longest(pools []Pool) *settings.Instance {
 	n := &settings.Instance{}
 	for _, p := range pools {
-		n.Methods = append(n.Methods, p.Node.Methods...)
+		n.Methods = append(n.Methods, p.Settings.Methods...)
 	}
 	return n
 }
@@ -529,7 +529,7 @@
 			all = append(all, fmt.Errorf(at+format, args...))
 		}
 	}
-	p = Pool{Service: *s, Spec: quota.Spec{Name: s.Name, Guarantee: s.Guarantee, Weight: s.Weight}}
+	p = Pool{Service: *s, QuotaSpec: quota.Spec{Name: s.Name, Guarantee: s.Guarantee, Weight: s.Weight}}
 	bad((s.Discovery == "") == (len(s.Servers) == 0), ".discovery: either discovery or servers is wanted")
 	if s.Discovery != "" {
 		_, _, err := net.SplitHostPort(s.Discovery)
@@ -541,40 +541,40 @@
 		n, perr := strconv.Atoi(port)
 		bad(err != nil || net.ParseIP(host) == nil || perr != nil || n < 1 || n > 65535, ".servers: %q is no IP with a port", a)
 		bad(slices.Contains(s.Servers[:i], a), ".servers: %s stands twice", a)
-		p.Static = append(p.Static, node.Endpoint{ID: a, Addr: a, State: decide.Ready, Weight: 1})
+		p.StaticEndpoints = append(p.StaticEndpoints, node.Endpoint{ID: a, Addr: a, State: decide.Ready, Weight: 1})
 	}
-	bad(s.Speaks != "http" && s.Speaks != "fastcgi", ".speaks: %q is neither http nor fastcgi", s.Speaks)
-	bad(s.Speaks == "http" && len(s.Params) > 0, ".params: they are for servers that speak fastcgi")
+	bad(s.Protocol != "http" && s.Protocol != "fastcgi", ".speaks: %q is neither http nor fastcgi", s.Protocol)
+	bad(s.Protocol == "http" && len(s.Params) > 0, ".params: they are for servers that speak fastcgi")
 	for _, name := range slices.Sorted(maps.Keys(s.Params)) {
 		bad(!fcgi.FreeParam(name) || strings.ContainsFunc(s.Params[name], unicode.IsControl), ".params: %q = %q can't be sent, or each request says it by itself", name, s.Params[name])
 	}
 	bad(len(s.Params) > 64, ".params: %d are more than 64", len(s.Params))
-	bad(len(s.Method) == 0, ".method: there is none")
+	bad(len(s.Methods) == 0, ".method: there is none")
 	var classes, tenants []map[string]any
-	for i, m := range s.Method {
+	for i, m := range s.Methods {
 		at := fmt.Sprintf(".method[%d]", i+1)
 		bad(m.Name == "" || strings.ContainsAny(m.Name, "/?# \t%"), "%s.name: %q", at, m.Name)
-		bad(slices.ContainsFunc(s.Method[:i], func(o Method) bool { return o.Name == m.Name }), "%s.name: %q stands twice", at, m.Name)
+		bad(slices.ContainsFunc(s.Methods[:i], func(o Method) bool { return o.Name == m.Name }), "%s.name: %q stands twice", at, m.Name)
 		bad(m.Deadline <= 0, "%s.deadline: it is missing", at)
-		bad(m.Target > m.Deadline, "%s.target: %v is beyond the deadline", at, time.Duration(m.Target))
-		bad(repeats[m.Repeat] == "", "%s.repeat: %q is none of idempotent, deduplicated, non-idempotent", at, m.Repeat)
-		bad(m.Repeat == "deduplicated" && m.Window <= 0, "%s.window: it is missing", at)
-		bad(!slices.Contains([]string{"all", "zone", "cell"}, m.Scope), "%s.scope: %q is none of all, zone, cell", at, m.Scope)
-		bad(*m.Utility < 0 || m.LateUtility < 0, "%s.utility: it is negative", at)
-		classes = append(classes, map[string]any{"Name": m.Name, "AimMs": m.Target.Millis(), "DeadlineMs": m.Deadline.Millis(), "Credit": *m.Utility,
-			"LateWorth": m.LateUtility, "WindowMs": m.Window.Millis(), "Repeat": repeats[m.Repeat], "DedupScope": m.Scope})
-	}
-	for i, t := range s.Tenant {
+		bad(m.LatencyObjective > m.Deadline, "%s.target: %v is beyond the deadline", at, time.Duration(m.LatencyObjective))
+		bad(repeats[m.Idempotency] == "", "%s.repeat: %q is none of idempotent, deduplicated, non-idempotent", at, m.Idempotency)
+		bad(m.Idempotency == "deduplicated" && m.DedupWindow <= 0, "%s.window: it is missing", at)
+		bad(!slices.Contains([]string{"all", "zone", "cell"}, m.DedupScope), "%s.scope: %q is none of all, zone, cell", at, m.DedupScope)
+		bad(*m.PriorityWeight < 0 || m.LateWeight < 0, "%s.utility: it is negative", at)
+		classes = append(classes, map[string]any{"Name": m.Name, "AimMs": m.LatencyObjective.Millis(), "DeadlineMs": m.Deadline.Millis(), "Credit": *m.PriorityWeight,
+			"LateWorth": m.LateWeight, "WindowMs": m.DedupWindow.Millis(), "Repeat": repeats[m.Idempotency], "DedupScope": m.DedupScope})
+	}
+	for i, t := range s.Tenants {
 		at := fmt.Sprintf(".tenant[%d]", i+1)
 		bad(t.Name == "", "%s.name: it is missing", at)
-		bad(slices.ContainsFunc(s.Tenant[:i], func(o Tenant) bool { return o.Name == t.Name }), "%s.name: %q stands twice", at, t.Name)
+		bad(slices.ContainsFunc(s.Tenants[:i], func(o Tenant) bool { return o.Name == t.Name }), "%s.name: %q stands twice", at, t.Name)
 		bad(t.Quota < 0, "%s.quota: it is negative", at)
 		tenants = append(tenants, map[string]any{"Name": t.Name, "QuotaPerS": t.Quota})
-		p.Spec.Tenants = append(p.Spec.Tenants, t.Weight)
+		p.QuotaSpec.Tenants = append(p.QuotaSpec.Tenants, t.Weight)
 	}
-	bad(s.ColdFrom < 0 || s.ColdFrom > 1, ".cold_from: %v is not in 0 to 1", s.ColdFrom)
-	bad(s.Nodes < 0 || s.MaxPicks < 0 || s.Stage < 0, ": a negative number")
-	bad(s.MaxRetryAfter < 0 || s.MustAskIn < 0 || s.Connect < 0 || s.Idle < 0 || s.ColdFor < 0 || s.FallFor < 0 || s.FallMultiple < 0,
+	bad(s.SlowStartFraction < 0 || s.SlowStartFraction > 1, ".cold_from: %v is not in 0 to 1", s.SlowStartFraction)
+	bad(s.Nodes < 0 || s.MaxAttempts < 0 || s.Stage < 0, ": a negative number")
+	bad(s.MaxRetryAfter < 0 || s.MaxPollInterval < 0 || s.ConnectTimeout < 0 || s.IdleTimeout < 0 || s.SlowStartDuration < 0 || s.OverloadWindow < 0 || s.OverloadMultiple < 0,
 		": a negative time or multiple")
 	if len(all) > 0 {
 		return p, all
@@ -585,17 +585,17 @@
 	}
 	text, err := json.Marshal(map[string]any{"Classes": classes, "Tenants": tenants, "Zones": s.Zones, "MyZone": slices.Index(s.Zones, s.Zone),
 		"Stage": s.Stage, "Instances": s.Nodes, "RegistryMode": mode,
-		"Limits": map[string]any{"MaxAttempts": s.MaxPicks, "MayCancel": !s.NoCancel, "RetryAfter": !s.NoRetryAfter,
-			"SecondCopies": s.SecondCopies, "MaxRetryAfterMs": s.MaxRetryAfter.Millis(), "ConnectTimeoutMs": s.Connect.Millis(), "ConnIdleMs": s.Idle.Millis()},
-		"Rules": map[string]any{"ColdFrom": s.ColdFrom, "ColdMs": s.ColdFor.Millis(), "FallMultiple": s.FallMultiple, "FallMs": s.FallFor.Millis(),
-			"MustAskInMs": s.MustAskIn.Millis()}})
+		"Limits": map[string]any{"MaxAttempts": s.MaxAttempts, "MayCancel": !s.NoCancel, "RetryAfter": !s.NoRetryAfter,
+			"SecondCopies": s.Hedging, "MaxRetryAfterMs": s.MaxRetryAfter.Millis(), "ConnectTimeoutMs": s.ConnectTimeout.Millis(), "ConnIdleMs": s.IdleTimeout.Millis()},
+		"Rules": map[string]any{"ColdFrom": s.SlowStartFraction, "ColdMs": s.SlowStartDuration.Millis(), "FallMultiple": s.OverloadMultiple, "FallMs": s.OverloadWindow.Millis(),
+			"MustAskInMs": s.MaxPollInterval.Millis()}})
 	if err != nil {
 		return p, []error{fmt.Errorf("%s: %w", at, err)}
 	}
-	if p.Node, err = settings.Parse(text); err != nil {
+	if p.Settings, err = settings.Parse(text); err != nil {
 		return p, []error{fmt.Errorf("%s: %w", at, err)}
 	}
-	p.Same = fmt.Sprintf("%s %s %q", text, s.Speaks, s.Params) // maps are printed in the order of their keys
+	p.Fingerprint = fmt.Sprintf("%s %s %q", text, s.Protocol, s.Params) // maps are printed in the order of their keys
 	return p, nil
 }
 
@@ -606,17 +606,17 @@
 	return int64(h.Sum64())
 }
 
-// KeepProcess puts what a running process can't change back to what it runs with, and names it.
-func (c *Config) KeepProcess(running *Config) (waits []string) {
+// KeepProcessSettings puts what a running process can't change back to what it runs with, and names it.
+func (c *Config) KeepProcessSettings(running *Config) (waits []string) {
 	for name, same := range map[string]bool{"name": c.Name == running.Name, "listen": slices.Equal(c.Listen, running.Listen),
-		"log": c.Log == running.Log, "machine": c.Machine == running.Machine, "callers": c.Callers == running.Callers, "admin": c.Admin == running.Admin, "gateway": slices.Equal(c.Gateway, running.Gateway), "record": c.Record.same(&running.Record), "keys": c.Keys == running.Keys, "deadlines longer than any before": c.Limits.IDLife <= running.Limits.IDLife} {
+		"log": c.Log == running.Log, "machine": c.Machine == running.Machine, "callers": c.Clients == running.Clients, "admin": c.Admin == running.Admin, "gateway": slices.Equal(c.Gateways, running.Gateways), "record": c.Record.same(&running.Record), "keys": c.Keys == running.Keys, "deadlines longer than any before": c.Limits.IDLife <= running.Limits.IDLife} {
 		if !same {
 			waits = append(waits, name)
 		}
 	}
 	slices.Sort(waits)
-	c.Gateway = running.Gateway
-	c.Name, c.Listen, c.Log, c.Machine, c.Callers, c.Admin, c.Record, c.Keys, c.Limits = running.Name, running.Listen, running.Log, running.Machine, running.Callers, running.Admin, running.Record, running.Keys, running.Limits
-	c.Shares.Total = running.Shares.Total
+	c.Gateways = running.Gateways
+	c.Name, c.Listen, c.Log, c.Machine, c.Clients, c.Admin, c.Record, c.Keys, c.Limits = running.Name, running.Listen, running.Log, running.Machine, running.Clients, running.Admin, running.Record, running.Keys, running.Limits
+	c.Quota.Total = running.Quota.Total
 	return waits
 }
--- a/internal/config/nodeconfig/nodeconfig_test.go
+++ b/internal/config/nodeconfig/nodeconfig_test.go
@@ -22,20 +22,20 @@
 	c, err := Parse(example(t), 0)
 	require.NoError(t, err)
 	require.Len(t, c.Pools, 2)
-	assert.Equal(t, []string{"book-table", "find-table"}, c.Pools[0].Node.MethodNames)
-	assert.True(t, c.Pools[0].Node.MustSubscribe, "its servers come from discovery")
-	assert.False(t, c.Pools[1].Node.MustSubscribe)
-	assert.InDelta(t, c.Limits.ListEvery.Seconds(), c.Pools[0].Node.MaxFirstPollDelay, 1e-9, "a new process asks as soon as any")
-	assert.Len(t, c.Pools[1].Static, 2)
-	assert.InDelta(t, 2.5, c.Pools[0].Node.Methods[0].LatencyObjective, 1e-9)
-	assert.EqualValues(t, c.Limits.Callers, c.Shares.Total[quota.Held])
+	assert.Equal(t, []string{"book-table", "find-table"}, c.Pools[0].Settings.MethodNames)
+	assert.True(t, c.Pools[0].Settings.MustSubscribe, "its servers come from discovery")
+	assert.False(t, c.Pools[1].Settings.MustSubscribe)
+	assert.InDelta(t, c.Limits.ListEvery.Seconds(), c.Pools[0].Settings.MaxFirstPollDelay, 1e-9, "a new process asks as soon as any")
+	assert.Len(t, c.Pools[1].StaticEndpoints, 2)
+	assert.InDelta(t, 2.5, c.Pools[0].Settings.Methods[0].LatencyObjective, 1e-9)
+	assert.EqualValues(t, c.Limits.Callers, c.Quota.Total[quota.InFlight])
 	assert.NotEqual(t, c.SeedOf("booking"), c.SeedOf("tables"), "no two services choose alike")
 
 	// What a running process can't change stays, and is named.
 	fresh, err := Parse(example(t), 0)
 	require.NoError(t, err)
 	fresh.Listen, fresh.Machine.Sockets, fresh.Limits.IDLife = []string{"127.0.0.1:1"}, 64, 2*c.Limits.IDLife
-	assert.Equal(t, []string{"deadlines longer than any before", "listen", "machine"}, fresh.KeepProcess(c))
+	assert.Equal(t, []string{"deadlines longer than any before", "listen", "machine"}, fresh.KeepProcessSettings(c))
 	assert.Equal(t, c.Listen, fresh.Listen)
 	assert.Equal(t, c.Limits, fresh.Limits)
 }
@@ -86,7 +86,7 @@
 			t.Fatalf("%+v", c)
 		}
 		for _, p := range c.Pools {
-			if p.Node == nil || len(p.Node.Methods) == 0 {
+			if p.Settings == nil || len(p.Settings.Methods) == 0 {
 				t.Fatalf("%+v", p)
 			}
 		}
--- a/internal/controlplane/desiredstate/desiredstate.go
+++ b/internal/controlplane/desiredstate/desiredstate.go
@@ -125,5 +125,5 @@
 	if err := c.Validate(); err != nil {
 		return key, nil, err
 	}
-	return key, value, nodeconfig.Fact(record.Entry{Key: key, Value: value})
+	return key, value, nodeconfig.ValidateEntry(record.Entry{Key: key, Value: value})
 }
--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -170,8 +170,8 @@
 			f.end()
 			return c.refuse(q, &httpwire.Answer{Status: 503, RetryAfter: wait}, telemetry.ShareSpent)
 		}
-		defer lease.Give()
-		recalled = lease.Recalled()
+		defer lease.Release()
+		recalled = lease.Revoked()
 	}
 
 	q.Sender = c
--- a/internal/dataplane/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -21,9 +21,9 @@
 
 // Lease is what a request holds of its service's part.
 type Lease interface {
-	// Recalled is closed when the request has to end at once.
-	Recalled() <-chan struct{}
-	Give()
+	// Revoked is closed when the request has to end at once.
+	Revoked() <-chan struct{}
+	Release()
 }
 
 // Service is one pool as the door sees it: what its callers may ask for, and the core and the picks that serve them. It
--- a/internal/dataplane/services/gate.go
+++ b/internal/dataplane/services/gate.go
@@ -32,8 +32,8 @@
 func (x *share) Take(tenant, body int) (frontend.Lease, time.Duration, bool) {
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	l, why := x.s.Take(tenant, quota.Amount{quota.Held: 1, quota.Bytes: int64(body)})
-	if why != quota.Taken {
+	l, why := x.s.Acquire(tenant, quota.Amount{quota.InFlight: 1, quota.BodyBytes: int64(body)})
+	if why != quota.Admitted {
 		// Spread, so that those who follow it do not all come back in one moment.
 		wait := time.Duration(float64(x.g.back) * (0.5 + 1.5*x.g.rand.Float64()))
 		return nil, min(wait, x.most), false
@@ -46,15 +46,15 @@
 	l *quota.Lease
 }
 
-func (l *lease) Recalled() <-chan struct{} { return l.l.Recalled() }
+func (l *lease) Revoked() <-chan struct{} { return l.l.Revoked() }
 
-func (l *lease) Give() {
+func (l *lease) Release() {
 	l.g.mu.Lock()
 	defer l.g.mu.Unlock()
-	l.l.Give()
+	l.l.Release()
 }
 
-var oneConn = quota.Amount{quota.Conns: 1}
+var oneConn = quota.Amount{quota.Connections: 1}
 
 // budget is what a service's connections to servers are counted against: its part, and the process's descriptors.
 type budget struct {
--- a/internal/dataplane/services/services.go
+++ b/internal/dataplane/services/services.go
@@ -73,7 +73,7 @@
 // New starts a set with nothing in it.
 func New(c *nodeconfig.Config, clock node.Clock, budget *limits.Budget, log *zap.Logger, t *poller.Poller) *Set {
 	s := &Set{clock: clock, budget: budget, log: log, poller: t, pools: map[string]*pool{},
-		gate: &gate{tree: quota.New(c.Shares), back: c.Limits.ComeBack, rand: rand.New(rand.NewSource(c.SeedOf("")))}}
+		gate: &gate{tree: quota.New(c.Quota), back: c.Limits.ComeBack, rand: rand.New(rand.NewSource(c.SeedOf("")))}}
 	s.life, s.end = context.WithCancel(context.Background())
 	budget.Evict(func() bool { return s.evict(nil) })
 	s.owned.Go(s.run)
@@ -89,8 +89,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate.mu.Lock()
-	s.gate.tree.Config = c.Shares
-	s.gate.tree.Resize(c.Shares.Total)
+	s.gate.tree.Config = c.Quota
+	s.gate.tree.Resize(c.Quota.Total)
 	s.gate.mu.Unlock()
 	now := map[string]*pool{}
 	var stay, fresh, left []string
@@ -99,7 +99,7 @@
 	for _, p := range c.Pools {
 		if old := s.pools[p.Name]; old != nil && old.share != nil {
 			s.gate.mu.Lock()
-			old.share.s.Change(min(old.share.s.Guarantee, p.Guarantee), p.Weight)
+			old.share.s.Update(min(old.share.s.Guarantee, p.Guarantee), p.Weight)
 			s.gate.mu.Unlock()
 		}
 	}
@@ -138,23 +138,23 @@
 
 // stays tells whether the running instance can serve the new text: its module's settings are fixed at its start.
 func (p *pool) stays(x *nodeconfig.Pool) bool {
-	return p.Same == x.Same && (p.Discovery == "") == (x.Discovery == "")
+	return p.Fingerprint == x.Fingerprint && (p.Discovery == "") == (x.Discovery == "")
 }
 
 // change takes over what can change in place.
 func (p *pool) change(x nodeconfig.Pool, g *gate) {
 	if p.share != nil {
 		g.mu.Lock()
-		p.share.s.Change(x.Guarantee, x.Weight)
+		p.share.s.Update(x.Guarantee, x.Weight)
 		g.mu.Unlock()
 	}
 	if p.watcher != nil {
 		p.watcher.SetAddress(x.Discovery)
 	} else if !slices.Equal(p.Servers, x.Servers) {
 		if p.sink != nil {
-			p.sink.UpdateEndpoints(x.Static, true)
+			p.sink.UpdateEndpoints(x.StaticEndpoints, true)
 		} else {
-			p.core.UpdateEndpoints(x.Static, true)
+			p.core.UpdateEndpoints(x.StaticEndpoints, true)
 		}
 	}
 	p.Pool = x
@@ -167,7 +167,7 @@
 	var count upstream.Budget = plain{s.budget}
 	if !c.Sharing.Off {
 		s.gate.mu.Lock()
-		p.share = &share{g: s.gate, s: s.gate.tree.Add(x.Spec)}
+		p.share = &share{g: s.gate, s: s.gate.tree.Add(x.QuotaSpec)}
 		s.gate.mu.Unlock()
 		if !x.NoRetryAfter {
 			p.share.most = time.Duration(x.MaxRetryAfter)
@@ -178,7 +178,7 @@
 	p.end = end
 	ask := func() {}
 	if x.Discovery != "" {
-		p.watcher = endpoints.New(x.Discovery, x.Node.ZoneNames, x.Timeout, s.budget, log)
+		p.watcher = endpoints.New(x.Discovery, x.Settings.ZoneNames, x.Limits, s.budget, log)
 		if s.Keys != nil {
 			p.watcher.SetTLS(s.Keys.Client)
 		}
@@ -187,7 +187,7 @@
 		}
 		ask = p.watcher.RequestWatch
 	}
-	p.core = node.New(x.Node, c.SeedOf(x.Name), s.clock, time.Now(), ask)
+	p.core = node.New(x.Settings, c.SeedOf(x.Name), s.clock, time.Now(), ask)
 	p.core.SetRecorder(s.Telemetry)
 	if before != nil {
 		p.core.AdoptListClock(before.core.ListClock())
@@ -211,18 +211,18 @@
 		p.watcher.RequestWatch() // nothing is known: the module's own first asking is spread for fleets that start together
 		p.owned.Go(func() { p.watcher.Run(life) })
 	} else {
-		to.UpdateEndpoints(x.Static, true)
+		to.UpdateEndpoints(x.StaticEndpoints, true)
 	}
-	p.conns = upstream.NewPool(p.core, x.Timeout, count, s.poller)
+	p.conns = upstream.NewPool(p.core, x.Limits, count, s.poller)
 	p.conns.Observe(s.Telemetry)
-	if x.Speaks == "fastcgi" {
+	if x.Protocol == "fastcgi" {
 		p.conns.FastCGI(x.Params)
 	}
 	var part frontend.Share
 	if p.share != nil {
 		part = p.share
 	}
-	p.service = frontend.NewService(x.Name, x.Node, p.core, p.conns, part)
+	p.service = frontend.NewService(x.Name, x.Settings, p.core, p.conns, part)
 	return p
 }
 
@@ -316,7 +316,7 @@
 	over := map[*pool]int64{}
 	for _, p := range all {
 		if p.share != nil {
-			over[p] = p.share.s.Over(quota.Conns)
+			over[p] = p.share.s.Borrowed(quota.Connections)
 		}
 	}
 	s.gate.mu.Unlock()
@@ -352,10 +352,10 @@
 }
 
 // Uses tells what each service holds, for the log.
-func (s *Set) Uses() []quota.Use {
+func (s *Set) Uses() []quota.Usage {
 	s.gate.mu.Lock()
 	defer s.gate.mu.Unlock()
-	return s.gate.tree.Uses()
+	return s.gate.tree.Usage()
 }
 
 // Close ends all pools, whatever is out, and waits for what they own.
--- a/internal/lab/chaos/golden_test.go
+++ b/internal/lab/chaos/golden_test.go
@@ -64,7 +64,7 @@
 	n := r.nodes[0]
 	config, err := nodeconfig.Parse([]byte(n.Text), 0)
 	require.NoError(t, err)
-	discovery := config.Service[0].Discovery
+	discovery := config.Services[0].Discovery
 	names := strings.NewReplacer(n.Addr, "NODE", n.status, "STATUS", discovery, "DISCOVERY", r.dir, "DIR")
 	labtest.RequireGolden(t, "node.toml", []byte(names.Replace(n.Text)))
 }
--- a/internal/lab/fleet/hollow.go
+++ b/internal/lab/fleet/hollow.go
@@ -181,7 +181,7 @@
 	}
 	if h.Patient {
 		for i := range x.file.Pools {
-			l := &x.file.Pools[i].Timeout
+			l := &x.file.Pools[i].Limits
 			l.ListConnect, l.ListFirst, l.ListTold, l.ListSilence = time.Hour, time.Hour, time.Hour, time.Hour
 		}
 	}
@@ -208,8 +208,8 @@
 			return err
 		}
 		r := x.file.Record
-		x.keep, err = recordcache.Open(x.life, recordcache.Config{Name: name, Store: u.Redacted(), MaxStaleness: time.Duration(*r.MostAge), MaxPending: r.Queue, CallTimeout: time.Duration(r.Timeout),
-			PollInterval: time.Duration(r.Poll), Open: func() (store.Store, error) {
+		x.keep, err = recordcache.Open(x.life, recordcache.Config{Name: name, Store: u.Redacted(), MaxStaleness: time.Duration(*r.MaxStaleness), MaxPending: r.MaxPending, CallTimeout: time.Duration(r.CallTimeout),
+			PollInterval: time.Duration(r.PollInterval), Open: func() (store.Store, error) {
 				if h.Open != nil {
 					return h.Open(number)
 				}
@@ -259,11 +259,11 @@
 	if len(facts) == 0 {
 		return x.file
 	}
-	fresh, err := x.file.With(facts)
+	fresh, err := x.file.WithRecord(facts)
 	if err != nil {
 		return now
 	}
-	fresh.KeepProcess(now)
+	fresh.KeepProcessSettings(now)
 	return fresh
 }
 
@@ -402,10 +402,10 @@
 			news = append(news, Event{now, x.number, name + "=" + value, Set})
 		}
 	}
-	for i := range c.Service {
-		s := &c.Service[i]
+	for i := range c.Services {
+		s := &c.Services[i]
 		note("weight "+s.Name, fmt.Sprint(s.Weight))
-		for _, t := range s.Tenant {
+		for _, t := range s.Tenants {
 			note("quota "+s.Name+"/"+t.Name, fmt.Sprint(t.Quota))
 		}
 	}
--- a/internal/resources/quota/quota.go
+++ b/internal/resources/quota/quota.go
@@ -11,28 +11,28 @@
 	"slices"
 )
 
-// Kind is something that is shared.
-type Kind int
+// Resource is something that is shared.
+type Resource int
 
 const (
-	Held  Kind = iota // requests between arrival and answer
-	Bytes             // of their bodies
-	Conns             // connections to servers
-	Kinds
+	InFlight    Resource = iota // requests between arrival and answer
+	BodyBytes                   // of their bodies
+	Connections                 // connections to servers
+	NumResources
 )
 
-func (k Kind) String() string { return [...]string{"requests", "body bytes", "connections"}[k] }
+func (k Resource) String() string { return [...]string{"requests", "body bytes", "connections"}[k] }
 
 // Amount is so much of each kind.
-type Amount [Kinds]int64
+type Amount [NumResources]int64
 
 // Config is what the tree is told of the whole.
 type Config struct {
-	Total   Amount
-	Reserve float64 // part of each guarantee that is never lent
-	Return  float64 // seconds after which what was lent is called back, once its owner is short
+	Total            Amount
+	ReservedFraction float64 // part of each guarantee that is never lent
+	RevokeAfter      float64 // seconds after which what was lent is called back, once its owner is short
 	// CPU: above this part of the process's cores, services beyond their fair part of it are turned away.
-	Busy float64
+	CPUThreshold float64
 }
 
 // Spec is what one service is promised.
@@ -82,7 +82,7 @@
 	count   float64 // requests since the last tick, taken or not
 	spent   float64 // CPU seconds a second, smoothed
 	lively  bool    // counted in the tree's weights
-	refused [Leaving + 1]int64
+	refused [ServiceRemoved + 1]int64
 }
 
 type tenant struct {
@@ -101,36 +101,36 @@
 	ended        bool
 }
 
-// Recalled is closed when the lease is called back: its request has to end now.
-func (l *Lease) Recalled() <-chan struct{} { return l.recall }
+// Revoked is closed when the lease is called back: its request has to end now.
+func (l *Lease) Revoked() <-chan struct{} { return l.recall }
 
-// Why something was turned away.
-type Why int
+// Decision something was turned away.
+type Decision int
 
 const (
-	Taken     Why = iota
-	Full          // the whole is in use, and this service has its part
-	OverPart      // others that borrow have less than this one
-	OverShare     // other tenants of the service have less than this one
-	NoCPU         // the cores are busy, and this service takes more than its part
-	Leaving       // the service is gone
+	Admitted         Decision = iota
+	Exhausted                 // the whole is in use, and this service has its part
+	OverServiceQuota          // others that borrow have less than this one
+	OverTenantQuota           // other tenants of the service have less than this one
+	CPUSaturated              // the cores are busy, and this service takes more than its part
+	ServiceRemoved            // the service is gone
 )
 
-func (w Why) String() string {
+func (w Decision) String() string {
 	return [...]string{"taken", "full", "beyond its part", "beyond its tenant's part", "beyond its part of the cores", "leaving"}[w]
 }
 
-// Check names every mistake.
-func Check(c Config, specs []Spec) error {
+// Validate names every mistake.
+func Validate(c Config, specs []Spec) error {
 	var all []error
 	bad := func(cond bool, format string, args ...any) {
 		if cond {
 			all = append(all, fmt.Errorf(format, args...))
 		}
 	}
-	bad(!(c.Reserve >= 0 && c.Reserve <= 1), "reserve %v is not in 0 to 1", c.Reserve)
-	bad(!(c.Return >= 0 && c.Return <= 60), "return %v s is not in 0 to 60", c.Return)
-	bad(!(c.Busy > 0 && c.Busy <= 1), "busy %v is not above 0 and at most 1", c.Busy)
+	bad(!(c.ReservedFraction >= 0 && c.ReservedFraction <= 1), "reserve %v is not in 0 to 1", c.ReservedFraction)
+	bad(!(c.RevokeAfter >= 0 && c.RevokeAfter <= 60), "return %v s is not in 0 to 60", c.RevokeAfter)
+	bad(!(c.CPUThreshold > 0 && c.CPUThreshold <= 1), "busy %v is not above 0 and at most 1", c.CPUThreshold)
 	sum := 0.0
 	for _, s := range specs {
 		bad(!(s.Guarantee >= 0 && s.Guarantee <= 1), "service %s: guarantee %v is not in 0 to 1", s.Name, s.Guarantee)
@@ -170,13 +170,13 @@
 		s.Guarantee = part
 		for k := range s.own {
 			s.own[k] = int64(math.Floor(part * float64(t.Total[k])))
-			s.reserve[k] = int64(math.Ceil(t.Reserve * float64(s.own[k])))
+			s.reserve[k] = int64(math.Ceil(t.ReservedFraction * float64(s.own[k])))
 		}
 	})
 }
 
-// Change sets a service's guarantee and weight anew.
-func (s *Service) Change(guarantee, weight float64) {
+// Update sets a service's guarantee and weight anew.
+func (s *Service) Update(guarantee, weight float64) {
 	s.keep(func() {
 		if s.borrows {
 			s.tree.borrowed += weight - s.Weight
@@ -242,12 +242,12 @@
 	return kept, lent
 }
 
-// Take asks for a request's part. A refusal tells why, and costs the asker nothing more: it is to be answered at once.
-func (s *Service) Take(tenantIndex int, want Amount) (*Lease, Why) {
+// Acquire asks for a request's part. A refusal tells why, and costs the asker nothing more: it is to be answered at once.
+func (s *Service) Acquire(tenantIndex int, want Amount) (*Lease, Decision) {
 	s.arrived()
-	if why := s.room(tenantIndex, want); why != Taken {
+	if why := s.room(tenantIndex, want); why != Admitted {
 		s.refused[why]++
-		if s.asked = s.asked || why == Full || why == OverPart; s.asked && !s.wants {
+		if s.asked = s.asked || why == Exhausted || why == OverServiceQuota; s.asked && !s.wants {
 			// Counted among those who borrow from now on: who has borrowed all would else take again, one by one, what it
 			// gives back, and this one never came to anything.
 			s.keep(func() { s.wants = true })
@@ -263,12 +263,12 @@
 		s.oldest = l
 	}
 	s.newest = l
-	return l, Taken
+	return l, Admitted
 }
 
 // Grow asks for what outlives a request, such as a connection to a server; Shrink gives it back.
 func (s *Service) Grow(a Amount) bool {
-	if s.gone || s.limits(a) != Taken {
+	if s.gone || s.limits(a) != Admitted {
 		return false
 	}
 	s.use(a)
@@ -283,11 +283,11 @@
 	s.use(a)
 }
 
-// Over is how much a service uses beyond its guarantee.
-func (s *Service) Over(k Kind) int64 { return max(0, s.used[k]-s.own[k]) }
+// Borrowed is how much a service uses beyond its guarantee.
+func (s *Service) Borrowed(k Resource) int64 { return max(0, s.used[k]-s.own[k]) }
 
-// Give ends a lease.
-func (l *Lease) Give() {
+// Release ends a lease.
+func (l *Lease) Release() {
 	if l.ended {
 		return
 	}
@@ -328,7 +328,7 @@
 	s.use(a)
 	q := &s.tenants[l.tenant]
 	was := q.held
-	q.held += a[Held]
+	q.held += a[InFlight]
 	switch {
 	case was == 0 && q.held > 0:
 		s.active += q.weight
@@ -338,22 +338,22 @@
 }
 
 // room decides.
-func (s *Service) room(tenantIndex int, want Amount) Why {
+func (s *Service) room(tenantIndex int, want Amount) Decision {
 	if s.gone {
-		return Leaving
+		return ServiceRemoved
 	}
-	if why := s.limits(want); why != Taken {
+	if why := s.limits(want); why != Admitted {
 		return why
 	}
 	t := s.tree
 	// The service's last quarter goes only to tenants that have less than their part of it.
 	q := s.tenants[tenantIndex]
-	part := float64(s.own[Held])
-	keptNow := max(min(s.used[Held], s.own[Held]), s.reserve[Held])
-	if lend := float64(t.Total[Held] - t.kept[Held] + keptNow - s.own[Held]); lend > 0 {
+	part := float64(s.own[InFlight])
+	keptNow := max(min(s.used[InFlight], s.own[InFlight]), s.reserve[InFlight])
+	if lend := float64(t.Total[InFlight] - t.kept[InFlight] + keptNow - s.own[InFlight]); lend > 0 {
 		part += lend * s.Weight / s.weightWith()
 	}
-	if part = max(1, part); float64(s.used[Held]+want[Held]) > part*3/4 {
+	if part = max(1, part); float64(s.used[InFlight]+want[InFlight]) > part*3/4 {
 		active := s.active
 		if q.held == 0 {
 			active += q.weight
@@ -361,23 +361,23 @@
 		if len(s.tenants) > 1 && active <= q.weight {
 			active += s.least // alone it leaves the room that a newcomer would need
 		}
-		if float64(q.held+want[Held]) > max(1, part*q.weight/active) {
-			return OverShare
+		if float64(q.held+want[InFlight]) > max(1, part*q.weight/active) {
+			return OverTenantQuota
 		}
 	}
-	if t.level > t.Busy && s.lively && t.weights > 0 {
+	if t.level > t.CPUThreshold && s.lively && t.weights > 0 {
 		fair := max(s.Guarantee, (1-t.promised)*s.Weight/t.weights) * t.level
 		if s.spent > fair && s.spent > 0 {
-			return NoCPU
+			return CPUSaturated
 		}
 	}
-	return Taken
+	return Admitted
 }
 
 // limits decides on the kinds alone. Up to its reserve a service is never refused; up to its guarantee only while
 // others still hold what is its own, and that is then called back; beyond, what it asks for has to be left by all the
 // others' own use and reserves, and to be no more than its part among those who borrow.
-func (s *Service) limits(want Amount) Why {
+func (s *Service) limits(want Amount) Decision {
 	t := s.tree
 	use := s.used
 	for k := range want {
@@ -394,16 +394,16 @@
 		case use[k] <= s.reserve[k] && t.used[k]+want[k] <= t.Total[k]:
 		case use[k] <= s.own[k] && !fits:
 			t.short[k] += want[k]
-			return Full
+			return Exhausted
 		case !fits:
-			return Full
+			return Exhausted
 		case lentThen[k] > 0:
 			if part := float64(t.Total[k]-t.kept[k]) * s.Weight / s.weightWith(); float64(lentThen[k]) > max(1, part) {
-				return OverPart
+				return OverServiceQuota
 			}
 		}
 	}
-	return Taken
+	return Admitted
 }
 
 // weightWith is the weight of all who borrow, this one included.
@@ -459,13 +459,13 @@
 		t.since = now
 		return nil
 	}
-	if now-t.since < t.Return {
+	if now-t.since < t.RevokeAfter {
 		return nil
 	}
 	t.short, t.since = Amount{}, 0
 	for k := range want {
 		for want[k] > 0 {
-			l := t.dearest(Kind(k))
+			l := t.dearest(Resource(k))
 			if l == nil {
 				break
 			}
@@ -479,7 +479,7 @@
 }
 
 // dearest is the newest lease of the service that holds most beyond its guarantee for its weight.
-func (t *Tree) dearest(k Kind) *Lease {
+func (t *Tree) dearest(k Resource) *Lease {
 	var best *Lease
 	most := 0.0
 	for _, s := range t.services {
@@ -498,26 +498,26 @@
 	return best
 }
 
-// Use is what a service holds, for a status page and for tests.
-type Use struct {
+// Usage is what a service holds, for a status page and for tests.
+type Usage struct {
 	Name             string
 	Used, Guaranteed Amount
-	Refused          map[string]int64
+	Rejected         map[string]int64
 	CPU              float64
 }
 
-// Uses lists all services in the order of names.
-func (t *Tree) Uses() []Use {
-	var out []Use
+// Usage lists all services in the order of names.
+func (t *Tree) Usage() []Usage {
+	var out []Usage
 	for _, s := range t.services {
-		u := Use{Name: s.Name, Used: s.used, Guaranteed: s.own, CPU: s.spent, Refused: map[string]int64{}}
-		for w := Full; w <= Leaving; w++ {
+		u := Usage{Name: s.Name, Used: s.used, Guaranteed: s.own, CPU: s.spent, Rejected: map[string]int64{}}
+		for w := Exhausted; w <= ServiceRemoved; w++ {
 			if n := s.refused[w]; n > 0 {
-				u.Refused[w.String()] = n
+				u.Rejected[w.String()] = n
 			}
 		}
 		out = append(out, u)
 	}
-	slices.SortFunc(out, func(a, b Use) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b Usage) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
--- a/internal/resources/quota/quota_test.go
+++ b/internal/resources/quota/quota_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-var one = Amount{Held: 1}
+var one = Amount{InFlight: 1}
 
 func tree(total int64, parts ...float64) (*Tree, []*Service) {
-	t := New(Config{Total: Amount{Held: total, Bytes: 1 << 40, Conns: 1 << 40}, Reserve: 0.5, Return: 1, Busy: 0.9})
+	t := New(Config{Total: Amount{InFlight: total, BodyBytes: 1 << 40, Connections: 1 << 40}, ReservedFraction: 0.5, RevokeAfter: 1, CPUThreshold: 0.9})
 	var list []*Service
 	for i, g := range parts {
 		list = append(list, t.Add(Spec{Name: fmt.Sprint("s", i), Guarantee: g, Weight: 1}))
@@ -22,7 +22,7 @@
 
 func take(s *Service, n int) (got []*Lease) {
 	for range n {
-		if l, why := s.Take(0, one); why == Taken {
+		if l, why := s.Acquire(0, one); why == Admitted {
 			got = append(got, l)
 		}
 	}
@@ -33,7 +33,7 @@
 // rest on are those of the services; a lease called back was beyond its owner's guarantee.
 func TestPromisesHoldInAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tr := New(Config{Total: Amount{Held: 40, Bytes: 1000, Conns: 60}, Reserve: rapid.Float64Range(0, 1).Draw(t, "reserve"), Return: 1, Busy: 0.9})
+		tr := New(Config{Total: Amount{InFlight: 40, BodyBytes: 1000, Connections: 60}, ReservedFraction: rapid.Float64Range(0, 1).Draw(t, "reserve"), RevokeAfter: 1, CPUThreshold: 0.9})
 		var services []*Service
 		left := 1.0
 		add := func() {
@@ -55,19 +55,19 @@
 			case 1:
 				now += rapid.Float64Range(0.01, 2).Draw(t, "pause")
 				for _, l := range tr.Tick(now, 0, 1) {
-					require.Greater(t, len(l.Recalled()), -1)
-					l.Give()
+					require.Greater(t, len(l.Revoked()), -1)
+					l.Release()
 				}
 			case 2, 3, 4:
 				if len(out) > 0 {
 					i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-					out[i].Give()
-					out[i].Give() // twice is once
+					out[i].Release()
+					out[i].Release() // twice is once
 					out = append(out[:i], out[i+1:]...)
 				}
 			case 5:
-				if s := services[0]; s.Grow(Amount{Conns: 2}) {
-					s.Shrink(Amount{Conns: 1})
+				if s := services[0]; s.Grow(Amount{Connections: 2}) {
+					s.Shrink(Amount{Connections: 1})
 					grown++
 				}
 			default:
@@ -78,11 +78,11 @@
 					below = below && s.used[k]+want[k] <= s.reserve[k]
 				}
 				q := rapid.IntRange(0, 1).Draw(t, "tenant")
-				l, why := s.Take(q, want)
-				if why == Taken {
+				l, why := s.Acquire(q, want)
+				if why == Admitted {
 					out = append(out, l)
 				}
-				require.False(t, below && why != Taken && why != OverShare, "refused below its reserve: %v", why)
+				require.False(t, below && why != Admitted && why != OverTenantQuota, "refused below its reserve: %v", why)
 			}
 			var used, kept, lent Amount
 			borrowed := 0.0
@@ -108,9 +108,9 @@
 			}
 		}
 		for _, l := range out {
-			l.Give()
+			l.Release()
 		}
-		require.Equal(t, Amount{Conns: grown}, tr.used)
+		require.Equal(t, Amount{Connections: grown}, tr.used)
 	})
 }
 
@@ -126,23 +126,23 @@
 	assert.Len(t, back, 25, "then what is beyond its guarantee is called back, and no more")
 	for _, l := range back {
 		select {
-		case <-l.Recalled():
+		case <-l.Revoked():
 		default:
 			t.Fatal("its request has not been told")
 		}
 		assert.Contains(t, flood[50:], l, "the newest")
-		l.Give()
+		l.Release()
 	}
 	assert.Len(t, take(s[1], 500), 25)
 	assert.Empty(t, take(s[0], 500), "it has its part, and the rest is in use")
 	for _, l := range calm {
-		l.Give()
+		l.Release()
 	}
 	assert.Len(t, take(s[0], 500), 12, "of the 25 that are left, half: the other was short a moment ago")
 }
 
 func TestBorrowersShareByWeightAndNobodyStarves(t *testing.T) {
-	tr := New(Config{Total: Amount{Held: 1000, Bytes: 1, Conns: 1}, Reserve: 0.5, Return: 1, Busy: 0.9})
+	tr := New(Config{Total: Amount{InFlight: 1000, BodyBytes: 1, Connections: 1}, ReservedFraction: 0.5, RevokeAfter: 1, CPUThreshold: 0.9})
 	greedy := tr.Add(Spec{Name: "greedy", Weight: 1})
 	heavy := tr.Add(Spec{Name: "heavy", Weight: 3})
 	tr.Add(Spec{Name: "idle", Guarantee: 0.2, Weight: 1})
@@ -152,42 +152,42 @@
 	// As its requests end, others come in their place; the flood goes on asking first.
 	mine := 0
 	for round := range 3000 {
-		held[0].Give()
+		held[0].Release()
 		held = append(held[1:], take(greedy, 2)...)
 		for _, l := range take(heavy, 1) {
 			held = append(held, l)
 			mine++
 		}
 		if round > 2000 {
-			assert.InDelta(t, 675, heavy.used[Held], 25)
-			assert.InDelta(t, 225, greedy.used[Held], 25)
+			assert.InDelta(t, 675, heavy.used[InFlight], 25)
+			assert.InDelta(t, 225, greedy.used[InFlight], 25)
 		}
 	}
 	assert.Greater(t, mine, 600)
 }
 
 func TestTenantsOfOneServiceShareItsLastQuarter(t *testing.T) {
-	tr := New(Config{Total: Amount{Held: 100, Bytes: 1, Conns: 1}, Reserve: 0.5, Return: 1, Busy: 0.9})
+	tr := New(Config{Total: Amount{InFlight: 100, BodyBytes: 1, Connections: 1}, ReservedFraction: 0.5, RevokeAfter: 1, CPUThreshold: 0.9})
 	s := tr.Add(Spec{Name: "s", Guarantee: 1, Weight: 1, Tenants: []float64{1, 1}})
 	for range 300 {
-		s.Take(0, one)
+		s.Acquire(0, one)
 	}
-	assert.EqualValues(t, 75, s.used[Held], "alone it may have all but the last quarter")
+	assert.EqualValues(t, 75, s.used[InFlight], "alone it may have all but the last quarter")
 	var held []*Lease
 	for range 300 {
-		if l, why := s.Take(1, one); why == Taken {
+		if l, why := s.Acquire(1, one); why == Admitted {
 			held = append(held, l)
 		}
 	}
 	assert.Len(t, held, 25, "which is there for the one who has less than its part")
-	held[0].Give()
-	_, why := s.Take(0, one)
+	held[0].Release()
+	_, why := s.Acquire(0, one)
 	assert.Equal(t, "beyond its tenant's part", why.String())
 }
 
 // A thousand services, one of which floods the cores: it alone is turned away, until they are free again.
 func TestBusyCoresTurnAwayTheOneThatTakesMost(t *testing.T) {
-	tr := New(Config{Total: Amount{Held: 1 << 30, Bytes: 1 << 30, Conns: 1}, Reserve: 0.5, Return: 1, Busy: 0.8})
+	tr := New(Config{Total: Amount{InFlight: 1 << 30, BodyBytes: 1 << 30, Connections: 1}, ReservedFraction: 0.5, RevokeAfter: 1, CPUThreshold: 0.8})
 	var all []*Service
 	for i := range 1000 {
 		all = append(all, tr.Add(Spec{Name: fmt.Sprint(i), Guarantee: 0.0005, Weight: 1}))
@@ -196,14 +196,14 @@
 	second := func(cpu float64) (flood, calm int) {
 		for range 10 {
 			for i := range 2000 {
-				if l, why := all[7].Take(0, one); why == Taken {
+				if l, why := all[7].Acquire(0, one); why == Admitted {
 					flood++
-					l.Give()
+					l.Release()
 				}
 				if i < 20 {
-					if l, why := all[i%10+20].Take(0, one); why == Taken {
+					if l, why := all[i%10+20].Acquire(0, one); why == Admitted {
 						calm++
-						l.Give()
+						l.Release()
 					}
 				}
 			}
@@ -225,29 +225,29 @@
 func TestAChangedOrRemovedServiceKeepsTheSums(t *testing.T) {
 	tr, s := tree(100, 0.4, 0.4)
 	held := take(s[0], 60)
-	s[0].Change(0.1, 5)
-	s[1].Change(0.9, 1)
+	s[0].Update(0.1, 5)
+	s[1].Update(0.9, 1)
 	assert.NotEmpty(t, take(s[1], 1))
-	tr.Resize(Amount{Held: 200, Bytes: 1, Conns: 1})
-	assert.EqualValues(t, 180, s[1].own[Held])
+	tr.Resize(Amount{InFlight: 200, BodyBytes: 1, Connections: 1})
+	assert.EqualValues(t, 180, s[1].own[InFlight])
 	tr.Remove(s[0])
 	tr.Remove(s[0])
-	_, why := s[0].Take(0, one)
-	assert.Equal(t, Leaving, why)
+	_, why := s[0].Acquire(0, one)
+	assert.Equal(t, ServiceRemoved, why)
 	for _, l := range held {
-		l.Give()
+		l.Release()
 	}
-	assert.EqualValues(t, 1, tr.used[Held])
-	assert.Len(t, tr.Uses(), 1)
+	assert.EqualValues(t, 1, tr.used[InFlight])
+	assert.Len(t, tr.Usage(), 1)
 	assert.InDelta(t, 0, tr.borrowed, 1e-9)
 }
 
 func TestBadPromisesAreAllNamed(t *testing.T) {
-	err := Check(Config{Reserve: 2, Return: -1, Busy: 0}, []Spec{{Name: "a", Guarantee: 0.7, Weight: 1}, {Name: "b", Guarantee: 0.7, Weight: 0, Tenants: []float64{-1}}})
+	err := Validate(Config{ReservedFraction: 2, RevokeAfter: -1, CPUThreshold: 0}, []Spec{{Name: "a", Guarantee: 0.7, Weight: 1}, {Name: "b", Guarantee: 0.7, Weight: 0, Tenants: []float64{-1}}})
 	for _, says := range []string{"reserve", "return", "busy", "service b: weight", "service b: tenant 1", "add up to 1.400"} {
 		assert.ErrorContains(t, err, says)
 	}
-	assert.NoError(t, Check(Config{Reserve: 0.5, Return: 1, Busy: 0.9}, []Spec{{Name: "a", Guarantee: 1, Weight: 1}}))
+	assert.NoError(t, Validate(Config{ReservedFraction: 0.5, RevokeAfter: 1, CPUThreshold: 0.9}, []Spec{{Name: "a", Guarantee: 1, Weight: 1}}))
 }
 
 func BenchmarkTake(b *testing.B) {
@@ -261,8 +261,8 @@
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
-				if l, why := all[i%n].Take(i%3, one); why == Taken {
-					l.Give()
+				if l, why := all[i%n].Acquire(i%3, one); why == Admitted {
+					l.Release()
 				}
 				i++
 			}
