--- a/cmd/robincart-controller/main.go
+++ b/cmd/robincart-controller/main.go
@@ -174,7 +174,7 @@
 	tomlfile.Default(&f.API.Namespace, "default")
 	tomlfile.Default(&f.Leader.Lease, "robincart-controller")
 	tomlfile.Default(&f.Leader.Hold, tomlfile.Duration(6*time.Second))
-	c = controller.Config{Namespace: f.API.Namespace, Identity: f.Identity, LeaseName: f.Leader.Lease, LeaseDuration: f.Leader.Hold.Of(), StatusAddress: f.Status,
+	c = controller.Config{Namespace: f.API.Namespace, Identity: f.Identity, LeaseName: f.Leader.Lease, LeaseDuration: f.Leader.Hold.Std(), StatusAddress: f.Status,
 		Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig()}
 	var all []error
 	bad := func(is bool, format string, args ...any) {
@@ -186,7 +186,7 @@
 	for to, from := range map[*float64]*tomlfile.Duration{&m.FlapDelay: f.Membership.Flap, &m.MaxFlapDelay: f.Membership.FlapMost, &m.ShrinkHold: f.Membership.ShrinkFor,
 		&m.ForgetAfter: f.Membership.Forget, &m.SlowStartDuration: f.Membership.ColdFor} {
 		if from != nil {
-			*to = from.Of().Seconds()
+			*to = from.Std().Seconds()
 		}
 	}
 	for to, from := range map[*float64]*float64{&m.MaxShrinkFraction: f.Membership.ShrinkAt, &m.MaxSlowStartFraction: f.Membership.ColdMost} {
@@ -195,8 +195,8 @@
 		}
 	}
 	m.DrainCordoned = f.Membership.Cordons
-	if c.Keys = f.Keys; c.Keys.Check() != nil {
-		bad(true, "keys: %w", c.Keys.Check())
+	if c.Keys = f.Keys; c.Keys.Validate() != nil {
+		bad(true, "keys: %w", c.Keys.Validate())
 	}
 	if f.Record.Store != "" {
 		if c.Store, err = sqlstore.OpenExisting(f.Record.Store); err != nil {
@@ -211,7 +211,7 @@
 		bad(err != nil, "record.listen: %q is no address with a port", c.RecordAddress)
 		bad(f.Record.Store == "", "record.listen: there is no record.store to tell of")
 		// Who may call writes drains: nobody may who shows no key.
-		bad(err == nil && !c.Keys.On() && (ip == nil || !ip.IsLoopback()), "record.listen: without [keys] it has to be a loopback address, and %s is none", host)
+		bad(err == nil && !c.Keys.Enabled() && (ip == nil || !ip.IsLoopback()), "record.listen: without [keys] it has to be a loopback address, and %s is none", host)
 	}
 	bad(f.Record.Callers < 0, "record.callers: it must not be negative")
 	if err := m.Validate(); err != nil {
--- a/cmd/robincart/config.go
+++ b/cmd/robincart/config.go
@@ -89,11 +89,11 @@
 	if c.Admin != "" {
 		m.Sockets -= admin.DefaultLimits().Descriptors()
 	}
-	c.limits, err = limits.Fill(m, c.node)
+	c.limits, err = limits.New(m, c.node)
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.node.MaxFirstPollDelay = c.limits.ListEvery.Seconds()
+	c.node.MaxFirstPollDelay = c.limits.MaxCallInterval.Seconds()
 	return c, nil
 }
 
--- a/cmd/robincart/fastcgi_test.go
+++ b/cmd/robincart/fastcgi_test.go
@@ -62,10 +62,10 @@
 		return partly(c, a, len(a)-3)
 	},
 	"END without STDOUT": func(c net.Conn, q *standin.Asked) bool {
-		return partly(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.Complete), 0)
+		return partly(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete), 0)
 	},
 	"STDOUT after END": func(c net.Conn, q *standin.Asked) bool {
-		return partly(c, append(fcgi.AppendEnd(nil, q.ID, 0, fcgi.Complete), q.Answered("Status: 200", "another's")...), 0)
+		return partly(c, append(fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete), q.Answered("Status: 200", "another's")...), 0)
 	},
 	"another's id": func(c net.Conn, q *standin.Asked) bool {
 		other := *q
@@ -73,10 +73,10 @@
 		return partly(c, other.Answered("Status: 200", "another's"), 0)
 	},
 	"a number": func(c net.Conn, q *standin.Asked) bool {
-		return partly(c, append(fcgi.AppendStream(nil, fcgi.Stdout, q.ID, []byte("Status: 200\n\nx")), fcgi.AppendEnd(nil, q.ID, 9, fcgi.Complete)...), 0)
+		return partly(c, append(fcgi.AppendStream(nil, fcgi.TypeStdout, q.ID, []byte("Status: 200\n\nx")), fcgi.AppendEnd(nil, q.ID, 9, fcgi.StatusComplete)...), 0)
 	},
 	"words only": func(c net.Conn, q *standin.Asked) bool {
-		return partly(c, fcgi.AppendStream(nil, fcgi.Stderr, q.ID, make([]byte, 100_000)), 0) && false
+		return partly(c, fcgi.AppendStream(nil, fcgi.TypeStderr, q.ID, make([]byte, 100_000)), 0) && false
 	},
 }
 
@@ -118,7 +118,7 @@
 		mu.Unlock()
 		switch {
 		case what == "refused":
-			return partly(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.Overloaded), 0)
+			return partly(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusOverloaded), 0)
 		case what != "":
 			return deaths[what](c, q)
 		}
--- a/cmd/robincart/files.go
+++ b/cmd/robincart/files.go
@@ -60,7 +60,7 @@
 type UnreadableError struct{ Cause error }
 
 func (e *UnreadableError) Error() string {
-	advice := socket.KindOf(e.Cause).Advice()
+	advice := socket.Classify(e.Cause).Advice()
 	if advice == "" {
 		advice = "look at the disk and the folder of this file"
 	}
@@ -71,7 +71,7 @@
 
 // passes tells that an error of reading a file may be over in a moment. A file that is not there, or not this process's to read, is a mistake.
 func passes(err error) bool {
-	return socket.KindOf(err).Passing() || errors.Is(err, syscall.EIO) || errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.ESTALE)
+	return socket.Classify(err).Transient() || errors.Is(err, syscall.EIO) || errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.ESTALE)
 }
 
 // reading reads a configuration, by the spare descriptor where there is no other. An UnreadableError says that it is to be read again. Only the
--- a/cmd/robincart/gateway_test.go
+++ b/cmd/robincart/gateway_test.go
@@ -44,13 +44,13 @@
 	for name, value := range params {
 		list = fcgi.AppendPair(list, name, value)
 	}
-	out = fcgi.AppendStreamEnd(fcgi.AppendStream(out, fcgi.Params, id, list), fcgi.Params, id)
+	out = fcgi.AppendStreamEnd(fcgi.AppendStream(out, fcgi.TypeParams, id, list), fcgi.TypeParams, id)
 	for len(body) > 0 {
 		n := min(len(body), size)
-		out = fcgi.AppendStream(out, fcgi.Stdin, id, []byte(body[:n]))
+		out = fcgi.AppendStream(out, fcgi.TypeStdin, id, []byte(body[:n]))
 		body = body[n:]
 	}
-	return fcgi.AppendStreamEnd(out, fcgi.Stdin, id)
+	return fcgi.AppendStreamEnd(out, fcgi.TypeStdin, id)
 }
 
 func usual(method, verb string, more ...string) map[string]string {
@@ -65,7 +65,7 @@
 }
 
 // hears reads one request's end: its answer, and how it ended. The kind is 0 where the connection has ended first.
-func (g *gateway) hears(id uint16) (text string, kind fcgi.Type, status fcgi.Status) {
+func (g *gateway) hears(id uint16) (text string, kind fcgi.RecordType, status fcgi.Status) {
 	var out bytes.Buffer
 	for {
 		p, err := g.r.Next()
@@ -75,9 +75,9 @@
 		switch {
 		case p.ID == 0:
 			return string(p.Content), p.Type, 0
-		case p.Type == fcgi.End && p.ID == id:
-			return out.String(), fcgi.End, fcgi.Status(p.Content[4])
-		case p.Type == fcgi.End:
+		case p.Type == fcgi.TypeEnd && p.ID == id:
+			return out.String(), fcgi.TypeEnd, fcgi.Status(p.Content[4])
+		case p.Type == fcgi.TypeEnd:
 			g.t.Errorf("an END of %d", p.ID)
 		default:
 			assert.Equal(g.t, id, p.ID)
@@ -91,7 +91,7 @@
 	_, err := g.Write(records)
 	require.NoError(g.t, err)
 	text, kind, _ := g.hears(id)
-	if kind != fcgi.End {
+	if kind != fcgi.TypeEnd {
 		return 0, text
 	}
 	h, rest, whole, err := fcgi.ReadCGI([]byte(text), 4096)
@@ -138,7 +138,7 @@
 	_, err := g.Write(fcgi.AppendGetValues(nil))
 	require.NoError(t, err)
 	values, kind, _ := g.hears(0)
-	assert.Equal(t, fcgi.Values, kind)
+	assert.Equal(t, fcgi.TypeValues, kind)
 	assert.Contains(t, values, "FCGI_MPXS_CONNS0")
 	status, _ = g.ask(9, asking(9, false, usual("nothing", "GET"), "", 1))
 	assert.Equal(t, 404, status)
@@ -162,8 +162,8 @@
 	_, err = u.Write(asking(2, true, usual("charge", "POST", "REQUEST_ID", "r10"), "", 1))
 	require.NoError(t, err)
 	text, kind, end := u.hears(2)
-	assert.Equal(t, fcgi.End, kind)
-	assert.Equal(t, fcgi.Overloaded, end)
+	assert.Equal(t, fcgi.TypeEnd, kind)
+	assert.Equal(t, fcgi.StatusOverloaded, end)
 	assert.Empty(t, text)
 	// A node that ends lets nobody wait.
 	p.stop(20 * time.Second)
@@ -197,20 +197,20 @@
 		assert.Equal(t, 400, status, name)
 	}
 	twice := fcgi.AppendPair(fcgi.AppendPair(nil, "HTTP_HOST", "a"), "HTTP_HOST", "b")
-	records := fcgi.AppendStreamEnd(fcgi.AppendStream(fcgi.AppendBegin(nil, 1, true), fcgi.Params, 1, twice), fcgi.Params, 1)
+	records := fcgi.AppendStreamEnd(fcgi.AppendStream(fcgi.AppendBegin(nil, 1, true), fcgi.TypeParams, 1, twice), fcgi.TypeParams, 1)
 	status, _ := reach(t, "tcp", addr).ask(1, records)
 	assert.Equal(t, 400, status, "two hosts")
 	// What is no FastCGI, or half of it, ends its connection; a second request on one is told so, and the first is served.
 	halves := map[string]*gateway{}
 	for name, text := range map[string]string{"HTTP": "GET /find HTTP/1.1\r\n\r\n", "half a head": "\x01\x01\x00", "half a BEGIN": string(fcgi.AppendBegin(nil, 1, true)[:12]),
-		"no params' end": string(fcgi.AppendStream(fcgi.AppendBegin(nil, 1, true), fcgi.Params, 1, []byte("\x01\x01ab")))} {
+		"no params' end": string(fcgi.AppendStream(fcgi.AppendBegin(nil, 1, true), fcgi.TypeParams, 1, []byte("\x01\x01ab")))} {
 		g := reach(t, "tcp", addr)
 		io.WriteString(g, text)
 		halves[name] = g
 	}
 	for name, g := range halves {
 		_, kind, _ := g.hears(1)
-		for kind == fcgi.End { // a 408 or 400 for what had an id
+		for kind == fcgi.TypeEnd { // a 408 or 400 for what had an id
 			_, kind, _ = g.hears(1)
 		}
 		assert.Zero(t, kind, name)
@@ -219,7 +219,7 @@
 	g := reach(t, "tcp", addr)
 	g.Write(asking(1, true, usual("find", "GET"), "", 1))
 	_, kind, _ := g.hears(1)
-	assert.Equal(t, fcgi.End, kind)
+	assert.Equal(t, fcgi.TypeEnd, kind)
 }
 
 // A gateway gives up half of what it asks. Its servers' work ends, and the connection serves on.
@@ -237,7 +237,7 @@
 	// One that is given up while its params are still coming is ended, too, and its id is free.
 	g.Write(fcgi.AppendAbort(fcgi.AppendBegin(nil, 1, true), 1))
 	_, kind, _ := g.hears(1)
-	assert.Equal(t, fcgi.End, kind)
+	assert.Equal(t, fcgi.TypeEnd, kind)
 	for i := range 20 {
 		id := uint16(i%3 + 1)
 		if i%2 == 0 {
@@ -247,7 +247,7 @@
 			if i == 4 { // the same after a request that was whole
 				g.Write(fcgi.AppendAbort(fcgi.AppendBegin(nil, 1, true), 1))
 				_, kind, _ := g.hears(1)
-				assert.Equal(t, fcgi.End, kind)
+				assert.Equal(t, fcgi.TypeEnd, kind)
 			}
 			continue
 		}
@@ -257,12 +257,12 @@
 		if i == 3 { // another on the same connection, meanwhile
 			g.Write(asking(9, true, usual("find", "GET"), "", 1))
 			_, kind, end := g.hears(9)
-			assert.Equal(t, fcgi.End, kind)
-			assert.Equal(t, fcgi.CantMpx, end)
+			assert.Equal(t, fcgi.TypeEnd, kind)
+			assert.Equal(t, fcgi.StatusCantMultiplex, end)
 		}
 		g.Write(fcgi.AppendAbort(nil, id))
 		text, kind, _ := g.hears(id)
-		assert.Equal(t, fcgi.End, kind)
+		assert.Equal(t, fcgi.TypeEnd, kind)
 		assert.Empty(t, text)
 		select {
 		case <-ended:
@@ -302,6 +302,6 @@
 	time.Sleep(100 * time.Millisecond)
 	require.NoError(t, p.Signal(syscall.SIGTERM))
 	text, kind, _ := g.hears(5)
-	assert.Equal(t, fcgi.End, kind)
+	assert.Equal(t, fcgi.TypeEnd, kind)
 	assert.Regexp(t, "^Status: (408|50[34])", text)
 }
--- a/cmd/robincart/main.go
+++ b/cmd/robincart/main.go
@@ -27,8 +27,8 @@
 )
 
 func main() {
-	if err := socket.AwaitWatching(); err != nil {
-		fmt.Fprintf(os.Stderr, "robincart: files and connections can't be watched: %v; %s\n", err, socket.KindOf(err).Advice())
+	if err := socket.AwaitEpoll(); err != nil {
+		fmt.Fprintf(os.Stderr, "robincart: files and connections can't be watched: %v; %s\n", err, socket.Classify(err).Advice())
 		os.Exit(1)
 	}
 	// A log that nobody reads any more must not end the node; on sockets a broken pipe is only an error anyway.
@@ -63,7 +63,7 @@
 // process sets the runtime to what the limits say.
 func process(l limits.Limits) {
 	runtime.GOMAXPROCS(l.Cores)
-	debug.SetMemoryLimit(l.Memory)
+	debug.SetMemoryLimit(l.MemoryLimit)
 	debug.SetGCPercent(100) // little lives long here; a higher one would let memory grow for minutes to its first collection
 }
 
@@ -107,14 +107,14 @@
 			stops = true
 		}
 	}
-	most, cancel := context.WithTimeout(context.Background(), s.limits.StopMost) // from the signal on, whatever the end waits for
+	most, cancel := context.WithTimeout(context.Background(), s.limits.ShutdownAbortAfter) // from the signal on, whatever the end waits for
 	defer cancel()
 	s.log.Info("stopping", zap.Int("open", s.open()))
 	if s.given == nil || !s.given() { // else nobody comes any more, and those who are here go over
-		s.front.Stop()
-		time.Sleep(s.limits.StopTaking)
+		s.front.BeginShutdown()
+		time.Sleep(s.limits.ShutdownAcceptTime)
 	}
-	s.front.Shut()
+	s.front.CloseListeners()
 	if err := s.front.Drain(most); err != nil {
 		s.log.Warn("stopped before all was answered", zap.Error(err))
 	}
@@ -137,7 +137,7 @@
 		return err
 	}
 	var watch *poller.Poller
-	err = socket.Lasting(func() (err error) {
+	err = socket.RetryTransient(func() (err error) {
 		watch, err = poller.New()
 		return err
 	})
@@ -146,19 +146,19 @@
 	}
 	defer watch.Close()
 	clk := clock{time.Now()}
-	budget := limits.NewBudget(l.Descriptors, l.Refused, limits.NewBytes(l.Bytes))
-	budget.Callers(l.Connections)
+	budget := limits.NewBudget(l.Descriptors, l.OverloadConnections, limits.NewMemoryBudget(l.BodyMemory))
+	budget.SetMaxClients(l.MaxClientConnections)
 	watcher := endpoints.New(c.Discovery, c.node.ZoneNames, l, budget, log)
 	recorder := telemetry.NewRecorder(log, newTrace(os.Getenv, c.Name))
 	core := node.New(c.node, c.seed(), clk, time.Now(), watcher.RequestWatch)
 	core.SetRecorder(recorder)
 	watcher.StartWith(core, c.list)
 	pool := upstream.NewPool(core, l, budget, watch)
-	pool.Observe(recorder)
+	pool.SetRecorder(recorder)
 	front := frontend.New(l, budget, clk.Now, log, watch)
-	front.Observe(recorder)
+	front.SetRecorder(recorder)
 	service := frontend.NewService("", c.node, core, pool, nil)
-	front.Swap(&frontend.Table{Only: service})
+	front.SetTable(&frontend.Table{Only: service})
 
 	life, end := context.WithCancel(context.Background())
 	var owned sync.WaitGroup
@@ -178,7 +178,7 @@
 	}
 	log.Info("serving", zap.String("listen", c.Listen), zap.Int("tier", c.node.Stage),
 		zap.Int("servers", len(c.list.Members)), zap.Int("descriptors", l.Descriptors),
-		zap.Int64("memory", l.Memory))
+		zap.Int64("memory", l.MemoryLimit))
 	s := &served{front: front, listeners: []net.Listener{in.listener()}, given: next.given,
 		limits: l, log: log, telemetry: recorder, open: core.InFlight,
 		serving: func() {
@@ -195,12 +195,12 @@
 	tune := &tuning{core: core, now: time.Now, last: c.node}
 	s.reload = func() (err error) {
 		c, err = c.reload(os.Getenv, watcher, func(now *config) {
-			is := tune.to(now.node, now.limits.ClassLeaves)
+			is := tune.to(now.node, now.limits.RemovedMethodGrace)
 			none := func(int) bool { return false }
-			service = frontend.NewService("", now.node.WithSlotsOf(is, none, none), core, pool, nil).Follows(service, clk.Now(), clk.Now()+now.limits.ClassLeaves)
-			front.Swap(&frontend.Table{Only: service})
-			front.Known(now.limits.IDLife)
-			pool.Tune(now.limits)
+			service = frontend.NewService("", now.node.WithSlotsOf(is, none, none), core, pool, nil).KeepFormer(service, clk.Now(), clk.Now()+now.limits.RemovedMethodGrace)
+			front.SetTable(&frontend.Table{Only: service})
+			front.SetRequestIDTTL(now.limits.RequestIDTTL)
+			pool.SetTimeouts(now.limits)
 			s.limits = now.limits
 		}, log)
 		return err
--- a/cmd/robincart/operate.go
+++ b/cmd/robincart/operate.go
@@ -18,7 +18,7 @@
 
 // operations are what the operators' address acts on.
 type operations struct {
-	front  interface{ Lame(on bool) }
+	front  interface{ SetLameDuck(on bool) }
 	cores  func() []*node.Core // of all services
 	file   *operatorFile       // where what operators said is kept, for a process that follows this one; nil: nowhere
 	log    *zap.Logger
@@ -117,7 +117,7 @@
 		o.state.Lock()
 		o.said.Lame = on
 		o.state.Unlock()
-		o.front.Lame(on)
+		o.front.SetLameDuck(on)
 	default:
 		return fmt.Errorf("%q is no call", w.Path)
 	}
@@ -199,7 +199,7 @@
 	for _, c := range o.cores() {
 		c.Inherit(s.bans(), listed)
 	}
-	o.front.Lame(s.Lame)
+	o.front.SetLameDuck(s.Lame)
 }
 
 // restore puts in force what stands in the operators' file. Where that can't be read for long the node serves without it, and takes it over
@@ -278,7 +278,7 @@
 	for _, c := range o.cores() {
 		c.Inherit(state.bans(), nil)
 	}
-	o.front.Lame(state.Lame)
+	o.front.SetLameDuck(state.Lame)
 	o.file.put(state)
 	o.file.adopt()
 	o.mu.Unlock()
--- a/cmd/robincart/operate_test.go
+++ b/cmd/robincart/operate_test.go
@@ -135,7 +135,7 @@
 	c, err := readConfig(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
 	require.NoError(t, err)
 	assert.Greater(t, c.node.MaxFirstPollDelay, 0.0)
-	assert.InDelta(t, c.limits.ListEvery.Seconds(), c.node.MaxFirstPollDelay, 1e-9)
+	assert.InDelta(t, c.limits.MaxCallInterval.Seconds(), c.node.MaxFirstPollDelay, 1e-9)
 }
 
 // A file cut off anywhere changes nothing, and no key that stands in it may be missing.
--- a/cmd/robincart/services.go
+++ b/cmd/robincart/services.go
@@ -106,10 +106,10 @@
 		return err
 	}
 	clk := clock{time.Now()}
-	budget := limits.NewBudget(l.Descriptors, l.Refused, limits.NewBytes(l.Bytes))
-	budget.Callers(l.Connections)
+	budget := limits.NewBudget(l.Descriptors, l.OverloadConnections, limits.NewMemoryBudget(l.BodyMemory))
+	budget.SetMaxClients(l.MaxClientConnections)
 	var watch *poller.Poller
-	err = socket.Lasting(func() (err error) {
+	err = socket.RetryTransient(func() (err error) {
 		watch, err = poller.New()
 		return err
 	})
@@ -119,7 +119,7 @@
 	defer watch.Close()
 	recorder := telemetry.NewRecorder(log, newTrace(os.Getenv, c.Name))
 	front := frontend.New(l, budget, clk.Now, log, watch)
-	front.Observe(recorder)
+	front.SetRecorder(recorder)
 	set := services.New(c, clk, budget, log, watch)
 	set.Telemetry = recorder
 	ops := newOperations(front, set.Cores, log)
@@ -127,13 +127,13 @@
 		ops.file = newOperatorFile(c.Admin.StateFile, log)
 		ops.restore()
 	}
-	set.Begun = ops.begun
-	if c.Keys.On() {
+	set.OnServiceStart = ops.begun
+	if c.Keys.Enabled() {
 		if set.Keys, err = keys.Open(c.Keys, log); err != nil {
 			set.Close()
 			return err
 		}
-		set.Own(set.Keys.Run)
+		set.Go(set.Keys.Run)
 	}
 	written := c // the file alone
 	var facts <-chan struct{}
@@ -144,18 +144,18 @@
 			return err
 		}
 		defer end()
-		set.Keeper, facts = kept, kept.Changes()
+		set.RecordCache, facts = kept, kept.Changes()
 		c = over(c, kept, c, log)
 	}
-	front.Swap(set.Apply(c))
+	front.SetTable(set.Apply(c))
 	closeAdmin, err := operated(c.Admin.Listen, ops, log)
 	if err != nil {
 		set.Close()
 		return err
 	}
 	log.Info("serving", zap.Strings("listen", c.Listen), zap.Int("services", len(c.Pools)), zap.Int("descriptors", l.Descriptors),
-		zap.Int64("memory", l.Memory))
-	s := &served{front: front, listeners: listeners, limits: l, log: log, telemetry: recorder, open: set.Open,
+		zap.Int64("memory", l.MemoryLimit))
+	s := &served{front: front, listeners: listeners, limits: l, log: log, telemetry: recorder, open: set.InFlight,
 		serving: func() {
 			for _, d := range gateways {
 				front.ServeGateways(d.ln, d.way)
@@ -180,14 +180,14 @@
 				log.Warn("some of the new configuration waits for a restart", zap.Strings("keys", waits))
 			}
 			written = fresh
-			c = over(written, set.Keeper, c, log)
-			front.Swap(set.Apply(c))
+			c = over(written, set.RecordCache, c, log)
+			front.SetTable(set.Apply(c))
 			return nil
 		},
 		news: facts, took: func() {
-			if fresh := over(written, set.Keeper, c, log); fresh != c {
+			if fresh := over(written, set.RecordCache, c, log); fresh != c {
 				c = fresh
-				front.Swap(set.Apply(c))
+				front.SetTable(set.Apply(c))
 			}
 		}}
 	s.until(sig)
@@ -220,7 +220,7 @@
 			return nil, errors.Join(fmt.Errorf("listen: %w", err), closeGateways(all))
 		}
 		all = append(all, gatewayListener{ln, &frontend.Gateway{Trace: g.Params.TraceID, Class: g.Params.Class, Tenant: g.Params.Tenant, Key: g.Params.IdempotencyKey, Left: g.Params.TimeLeft,
-			OfTenant: g.DefaultTenant, OfLeft: time.Duration(g.DefaultTimeLeft), Overloaded: g.Overloaded, Total: c.Limits.Callers}})
+			DefaultTenant: g.DefaultTenant, DefaultTimeLeft: time.Duration(g.DefaultTimeLeft), Overloaded: g.Overloaded, AdvertisedRequests: c.Limits.MaxRequests}})
 	}
 	return all, nil
 }
@@ -239,7 +239,7 @@
 		return err
 	}
 	w := c.OutOrStdout()
-	fmt.Fprintf(w, "%s listens on %s; %d connections of callers, %d requests at once, %d connections to servers, %d MB for bodies\n", f.Name, strings.Join(f.Listen, ", "), f.Limits.Connections,
+	fmt.Fprintf(w, "%s listens on %s; %d connections of callers, %d requests at once, %d connections to servers, %d MB for bodies\n", f.Name, strings.Join(f.Listen, ", "), f.Limits.MaxClientConnections,
 		f.Quota.Total[quota.InFlight], f.Quota.Total[quota.Connections], f.Quota.Total[quota.BodyBytes]>>20)
 	for _, g := range f.Gateways {
 		fmt.Fprintf(w, "gateways that speak FastCGI at %s\n", g.Listen)
@@ -319,7 +319,7 @@
 				}
 				return nil
 			}
-			q := &httpwire.Request{Target: target, Host: host, Method: class, Tenant: tenant, Trace: trace, Key: mark, Header: map[string][]string{}}
+			q := &httpwire.Request{Target: target, Host: host, Method: class, Tenant: tenant, TraceID: trace, IdempotencyKey: mark, Header: map[string][]string{}}
 			if q.Path, _, _ = strings.Cut(target, "?"); q.Path == "" {
 				q.Path = "/"
 			}
@@ -330,7 +330,7 @@
 				}
 				q.Header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 			}
-			look, err := services.Look(q)
+			look, err := services.RouteRequest(q)
 			if err != nil {
 				fmt.Fprintf(w, "400: %v\n", err)
 				return nil
@@ -353,8 +353,8 @@
 	c.Flags().StringVar(&host, "host", "", "its Host")
 	c.Flags().StringVar(&class, "class", "", "its class ("+httpwire.HeaderMethod+")")
 	c.Flags().StringVar(&tenant, "tenant", "", "its tenant ("+httpwire.HeaderTenant+")")
-	c.Flags().StringVar(&trace, "trace", "", "its id ("+httpwire.HeaderTrace+")")
-	c.Flags().StringVar(&mark, "mark", "", "its mark ("+httpwire.HeaderKey+")")
+	c.Flags().StringVar(&trace, "trace", "", "its id ("+httpwire.HeaderTraceID+")")
+	c.Flags().StringVar(&mark, "mark", "", "its mark ("+httpwire.HeaderIdempotencyKey+")")
 	c.Flags().StringArrayVar(&headers, "header", nil, "a header, \"Name: value\"; may stand several times")
 	return c
 }
--- a/cmd/robincart/succeed.go
+++ b/cmd/robincart/succeed.go
@@ -44,7 +44,7 @@
 	}
 	syscall.CloseOnExec(n)
 	d := &door{file: os.NewFile(uintptr(n), "listener")}
-	if err := socket.Lasting(d.open); err != nil {
+	if err := socket.RetryTransient(d.open); err != nil {
 		return nil, fmt.Errorf("EDGE_ACCEPT_FD is %s: %w", descriptor, err)
 	}
 	return d, nil
@@ -178,7 +178,7 @@
 // takeOver goes on with what the process before this one has told.
 func (s *succession) takeOver(told known) {
 	s.lent = s.budget.Lend(told.Held + ownFiles)
-	s.front.Seeded(told.Seed)
+	s.front.SetRequestIDSeed(told.Seed)
 	s.part(2) // both together count against it
 	s.core.AdoptListClock(told.ListTime)
 	if len(told.Servers) > 0 {
@@ -212,8 +212,8 @@
 
 // part is how many processes of this node share its memory now.
 func (s *succession) part(of int64) {
-	debug.SetMemoryLimit(s.limits.Memory / of)
-	s.budget.Bytes().Resize(s.limits.Bytes / of)
+	debug.SetMemoryLimit(s.limits.MemoryLimit / of)
+	s.budget.Memory().Resize(s.limits.BodyMemory / of)
 }
 
 // takes tells the process before this one that callers are taken here.
@@ -246,8 +246,8 @@
 			continue
 		}
 		s.ops.mu.Lock() // what is said from now on goes to it as a word
-		err = l.SendState(known{Form: form, Said: s.ops.sayings(), Unread: s.ops.unread(), Servers: s.core.Endpoints(), Listed: s.core.KnownServers(), Held: s.limits.Descriptors - s.budget.Left(),
-			Seed: s.front.Seed(), ListTime: s.core.ListClock()})
+		err = l.SendState(known{Form: form, Said: s.ops.sayings(), Unread: s.ops.unread(), Servers: s.core.Endpoints(), Listed: s.core.KnownServers(), Held: s.limits.Descriptors - s.budget.Available(),
+			Seed: s.front.RequestIDSeed(), ListTime: s.core.ListClock()})
 		s.ops.links[l] = struct{}{}
 		s.ops.mu.Unlock()
 		if err != nil {
@@ -296,11 +296,11 @@
 	h.log.Info("callers are handed to a successor")
 	h.door.listener().Close()
 	// No request begins here from now on but on connections that are in use, which have one by then.
-	if err := link.SendRequestIDs(h.front.IDs()); err != nil {
+	if err := link.SendRequestIDs(h.front.ExportRequestIDs()); err != nil {
 		h.log.Warn("the successor could not be told which requests are open", zap.Error(err))
 	}
-	h.front.PassOn(link.SendConnection)
-	for h.pool.Evict() { // its descriptors count against the successor's
+	h.front.TransferTo(link.SendConnection)
+	for h.pool.EvictIdle() { // its descriptors count against the successor's
 	}
 	(*succession)(h).part(2)
 }
@@ -323,7 +323,7 @@
 	}
 	h.log.Error("the successor has gone; callers are taken here again", zap.Error(err))
 	(*succession)(h).part(1)
-	h.front.PassOn(nil)
+	h.front.TransferTo(nil)
 	if err := h.door.open(); err != nil {
 		h.log.Error("the listener could not be opened again", zap.Error(err))
 		return
@@ -344,12 +344,12 @@
 
 func (f *forebear) SuccessorReady() {}
 
-func (f *forebear) RequestIDs(all []byte) { f.front.TakeIDs(all) }
+func (f *forebear) RequestIDs(all []byte) { f.front.ImportRequestIDs(all) }
 
 func (f *forebear) Connection(c net.Conn, asked bool) {
 	if f.lent > 0 { // it holds one less
 		f.lent--
-		f.budget.Give()
+		f.budget.Release()
 	}
 	f.front.Adopt(c, asked)
 }
@@ -359,7 +359,7 @@
 func (f *forebear) Disconnected(error) {
 	f.ops.link(f.before, false)
 	for ; f.lent > 0; f.lent-- {
-		f.budget.Give()
+		f.budget.Release()
 	}
 	(*succession)(f).part(1)
 	f.log.Info("the process before has ended")
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -70,7 +70,7 @@
 // DefaultLimits leave a caller who waits one second a place, whatever others do.
 func DefaultLimits() Limits {
 	return Limits{MaxConnections: 8, CallTimeout: 5 * time.Second, WriteTimeout: time.Second, Linger: 200 * time.Millisecond,
-		Wire: httpwire.Sizes{Buffer: 1 << 10, Read: 512, Head: 8 << 10, Body: 8 << 10, Chunk: 64}}
+		Wire: httpwire.Sizes{BufferSize: 1 << 10, ReadSize: 512, MaxHead: 8 << 10, MaxBody: 8 << 10, MaxChunkLine: 64}}
 }
 
 // Descriptors is how many the address needs at most: the listener, the connections, and one that is taken before another
@@ -153,10 +153,10 @@
 		}
 	}()
 	c.SetReadDeadline(time.Now().Add(s.limits.CallTimeout))
-	q, err := httpwire.NewReader(socket.Patient{Conn: c}, s.limits.Wire).ReadRequest()
-	a := &httpwire.Answer{}
+	q, err := httpwire.NewReader(socket.ShortageConn{Conn: c}, s.limits.Wire).ReadRequest()
+	a := &httpwire.ClientResponse{}
 	if err != nil {
-		refusal, ok := httpwire.Refusal(err)
+		refusal, ok := httpwire.ErrorResponse(err)
 		if !ok {
 			return // it left, or its time is over
 		}
@@ -164,7 +164,7 @@
 	} else {
 		a.Status, a.Allow, a.Body = s.call(q)
 	}
-	a.Close, a.Type = true, "application/json"
+	a.Close, a.ContentType = true, "application/json"
 	c.SetWriteDeadline(time.Now().Add(s.limits.WriteTimeout))
 	body := a.Body
 	if q != nil && q.Verb == "HEAD" {
@@ -174,7 +174,7 @@
 	if half, ok := c.(*net.TCPConn); ok && err != nil && half.CloseWrite() == nil {
 		// Closed with bytes unread, the connection would be reset and the answer lost with it.
 		c.SetReadDeadline(time.Now().Add(s.limits.Linger))
-		io.CopyN(io.Discard, c, int64(s.limits.Wire.Head+s.limits.Wire.Body))
+		io.CopyN(io.Discard, c, int64(s.limits.Wire.MaxHead+s.limits.Wire.MaxBody))
 	}
 }
 
--- a/internal/config/nodeconfig/golden_test.go
+++ b/internal/config/nodeconfig/golden_test.go
@@ -174,7 +174,7 @@
 			testutil.EqualGolden(t, test.golden, generatedSettings(t, pool))
 			read, err := settings.Parse(testutil.Golden(t, test.golden))
 			require.NoError(t, err)
-			read.MaxFirstPollDelay = config.Limits.ListEvery.Seconds()
+			read.MaxFirstPollDelay = config.Limits.MaxCallInterval.Seconds()
 			assert.Equal(t, read, pool.Settings)
 		})
 	}
@@ -190,8 +190,8 @@
 		{ID: "127.0.0.1:9000", Addr: "127.0.0.1:9000", State: decide.Ready, Weight: 1},
 		{ID: "[::1]:9001", Addr: "[::1]:9001", State: decide.Ready, Weight: 1},
 	}, config.Pools[1].StaticEndpoints)
-	assert.Equal(t, []int{1500, 700}, []int{config.Limits.Connections, config.Limits.Callers})
-	assert.Equal(t, 45*time.Second, config.Limits.CallerIdle)
+	assert.Equal(t, []int{1500, 700}, []int{config.Limits.MaxClientConnections, config.Limits.MaxRequests})
+	assert.Equal(t, 45*time.Second, config.Limits.ClientIdleTimeout)
 }
 
 // recordedService is the service of testdata/record-service.json.
--- a/internal/config/nodeconfig/nodeconfig.go
+++ b/internal/config/nodeconfig/nodeconfig.go
@@ -410,7 +410,7 @@
 	bad(c.Admin.Listen == "" && c.Admin.StateFile != "", "admin.kept: there is no admin.listen")
 	bad(!slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "log.level: %q is none of debug, info, warn, error", c.Log.Level)
 	bad(!slices.Contains([]string{"json", "console"}, c.Log.Format), "log.form: %q is neither json nor console", c.Log.Format)
-	if err := c.Record.check(c.Keys.On()); err != nil {
+	if err := c.Record.check(c.Keys.Enabled()); err != nil {
 		all = append(all, err)
 	}
 	bad(len(c.Services) == 0, "service: there is none")
@@ -485,7 +485,7 @@
 		}
 		c.Table = table
 	}
-	if err := c.Keys.Check(); err != nil {
+	if err := c.Keys.Validate(); err != nil {
 		bad(true, "keys: %w", err)
 	}
 	if len(all) > 0 {
@@ -496,19 +496,19 @@
 		m.Sockets -= admin.DefaultLimits().Descriptors()
 	}
 	m.Sockets -= 2 * max(0, len(c.Listen)+len(c.Gateways)-1) // each further listener, and what it has just taken
-	l, err := limits.Fill(m, longest(c.Pools))
+	l, err := limits.New(m, longest(c.Pools))
 	if err != nil {
 		return fmt.Errorf("machine: %w", err)
 	}
-	if l, err = l.Hold(c.Clients.Connections, c.Clients.Requests, time.Duration(c.Clients.IdleTimeout)); err != nil {
+	if l, err = l.WithClients(c.Clients.Connections, c.Clients.Requests, time.Duration(c.Clients.IdleTimeout)); err != nil {
 		return err
 	}
 	c.Limits = l
-	c.Quota.Total = quota.Amount{quota.InFlight: int64(l.Callers), quota.BodyBytes: l.Memory / 4,
-		quota.Connections: int64(l.Descriptors - l.Connections)}
+	c.Quota.Total = quota.Amount{quota.InFlight: int64(l.MaxRequests), quota.BodyBytes: l.MemoryLimit / 4,
+		quota.Connections: int64(l.Descriptors - l.MaxClientConnections)}
 	for i := range c.Pools {
-		c.Pools[i].Limits = c.Limits.For(c.Pools[i].Settings)
-		c.Pools[i].Settings.MaxFirstPollDelay = c.Limits.ListEvery.Seconds()
+		c.Pools[i].Limits = c.Limits.ForService(c.Pools[i].Settings)
+		c.Pools[i].Settings.MaxFirstPollDelay = c.Limits.MaxCallInterval.Seconds()
 	}
 	return nil
 }
@@ -546,7 +546,7 @@
 	bad(s.Protocol != "http" && s.Protocol != "fastcgi", ".speaks: %q is neither http nor fastcgi", s.Protocol)
 	bad(s.Protocol == "http" && len(s.Params) > 0, ".params: they are for servers that speak fastcgi")
 	for _, name := range slices.Sorted(maps.Keys(s.Params)) {
-		bad(!fcgi.FreeParam(name) || strings.ContainsFunc(s.Params[name], unicode.IsControl), ".params: %q = %q can't be sent, or each request says it by itself", name, s.Params[name])
+		bad(!fcgi.AllowedParam(name) || strings.ContainsFunc(s.Params[name], unicode.IsControl), ".params: %q = %q can't be sent, or each request says it by itself", name, s.Params[name])
 	}
 	bad(len(s.Params) > 64, ".params: %d are more than 64", len(s.Params))
 	bad(len(s.Methods) == 0, ".method: there is none")
@@ -561,8 +561,8 @@
 		bad(m.Idempotency == "deduplicated" && m.DedupWindow <= 0, "%s.window: it is missing", at)
 		bad(!slices.Contains([]string{"all", "zone", "cell"}, m.DedupScope), "%s.scope: %q is none of all, zone, cell", at, m.DedupScope)
 		bad(*m.PriorityWeight < 0 || m.LateWeight < 0, "%s.utility: it is negative", at)
-		classes = append(classes, map[string]any{"Name": m.Name, "AimMs": m.LatencyObjective.Millis(), "DeadlineMs": m.Deadline.Millis(), "Credit": *m.PriorityWeight,
-			"LateWorth": m.LateWeight, "WindowMs": m.DedupWindow.Millis(), "Repeat": repeats[m.Idempotency], "DedupScope": m.DedupScope})
+		classes = append(classes, map[string]any{"Name": m.Name, "AimMs": m.LatencyObjective.Milliseconds(), "DeadlineMs": m.Deadline.Milliseconds(), "Credit": *m.PriorityWeight,
+			"LateWorth": m.LateWeight, "WindowMs": m.DedupWindow.Milliseconds(), "Repeat": repeats[m.Idempotency], "DedupScope": m.DedupScope})
 	}
 	for i, t := range s.Tenants {
 		at := fmt.Sprintf(".tenant[%d]", i+1)
@@ -586,9 +586,9 @@
 	text, err := json.Marshal(map[string]any{"Classes": classes, "Tenants": tenants, "Zones": s.Zones, "MyZone": slices.Index(s.Zones, s.Zone),
 		"Stage": s.Stage, "Instances": s.Nodes, "RegistryMode": mode,
 		"Limits": map[string]any{"MaxAttempts": s.MaxAttempts, "MayCancel": !s.NoCancel, "RetryAfter": !s.NoRetryAfter,
-			"SecondCopies": s.Hedging, "MaxRetryAfterMs": s.MaxRetryAfter.Millis(), "ConnectTimeoutMs": s.ConnectTimeout.Millis(), "ConnIdleMs": s.IdleTimeout.Millis()},
-		"Rules": map[string]any{"ColdFrom": s.SlowStartFraction, "ColdMs": s.SlowStartDuration.Millis(), "FallMultiple": s.OverloadMultiple, "FallMs": s.OverloadWindow.Millis(),
-			"MustAskInMs": s.MaxPollInterval.Millis()}})
+			"SecondCopies": s.Hedging, "MaxRetryAfterMs": s.MaxRetryAfter.Milliseconds(), "ConnectTimeoutMs": s.ConnectTimeout.Milliseconds(), "ConnIdleMs": s.IdleTimeout.Milliseconds()},
+		"Rules": map[string]any{"ColdFrom": s.SlowStartFraction, "ColdMs": s.SlowStartDuration.Milliseconds(), "FallMultiple": s.OverloadMultiple, "FallMs": s.OverloadWindow.Milliseconds(),
+			"MustAskInMs": s.MaxPollInterval.Milliseconds()}})
 	if err != nil {
 		return p, []error{fmt.Errorf("%s: %w", at, err)}
 	}
@@ -609,7 +609,7 @@
 // KeepProcessSettings puts what a running process can't change back to what it runs with, and names it.
 func (c *Config) KeepProcessSettings(running *Config) (waits []string) {
 	for name, same := range map[string]bool{"name": c.Name == running.Name, "listen": slices.Equal(c.Listen, running.Listen),
-		"log": c.Log == running.Log, "machine": c.Machine == running.Machine, "callers": c.Clients == running.Clients, "admin": c.Admin == running.Admin, "gateway": slices.Equal(c.Gateways, running.Gateways), "record": c.Record.same(&running.Record), "keys": c.Keys == running.Keys, "deadlines longer than any before": c.Limits.IDLife <= running.Limits.IDLife} {
+		"log": c.Log == running.Log, "machine": c.Machine == running.Machine, "callers": c.Clients == running.Clients, "admin": c.Admin == running.Admin, "gateway": slices.Equal(c.Gateways, running.Gateways), "record": c.Record.same(&running.Record), "keys": c.Keys == running.Keys, "deadlines longer than any before": c.Limits.RequestIDTTL <= running.Limits.RequestIDTTL} {
 		if !same {
 			waits = append(waits, name)
 		}
--- a/internal/config/nodeconfig/nodeconfig_test.go
+++ b/internal/config/nodeconfig/nodeconfig_test.go
@@ -25,16 +25,16 @@
 	assert.Equal(t, []string{"book-table", "find-table"}, c.Pools[0].Settings.MethodNames)
 	assert.True(t, c.Pools[0].Settings.MustSubscribe, "its servers come from discovery")
 	assert.False(t, c.Pools[1].Settings.MustSubscribe)
-	assert.InDelta(t, c.Limits.ListEvery.Seconds(), c.Pools[0].Settings.MaxFirstPollDelay, 1e-9, "a new process asks as soon as any")
+	assert.InDelta(t, c.Limits.MaxCallInterval.Seconds(), c.Pools[0].Settings.MaxFirstPollDelay, 1e-9, "a new process asks as soon as any")
 	assert.Len(t, c.Pools[1].StaticEndpoints, 2)
 	assert.InDelta(t, 2.5, c.Pools[0].Settings.Methods[0].LatencyObjective, 1e-9)
-	assert.EqualValues(t, c.Limits.Callers, c.Quota.Total[quota.InFlight])
+	assert.EqualValues(t, c.Limits.MaxRequests, c.Quota.Total[quota.InFlight])
 	assert.NotEqual(t, c.SeedOf("booking"), c.SeedOf("tables"), "no two services choose alike")
 
 	// What a running process can't change stays, and is named.
 	fresh, err := Parse(example(t), 0)
 	require.NoError(t, err)
-	fresh.Listen, fresh.Machine.Sockets, fresh.Limits.IDLife = []string{"127.0.0.1:1"}, 64, 2*c.Limits.IDLife
+	fresh.Listen, fresh.Machine.Sockets, fresh.Limits.RequestIDTTL = []string{"127.0.0.1:1"}, 64, 2*c.Limits.RequestIDTTL
 	assert.Equal(t, []string{"deadlines longer than any before", "listen", "machine"}, fresh.KeepProcessSettings(c))
 	assert.Equal(t, c.Listen, fresh.Listen)
 	assert.Equal(t, c.Limits, fresh.Limits)
@@ -82,7 +82,7 @@
 			}
 			return
 		}
-		if c.Table == nil || len(c.Pools) == 0 || len(c.Listen) == 0 || c.Limits.Callers < 1 {
+		if c.Table == nil || len(c.Pools) == 0 || len(c.Listen) == 0 || c.Limits.MaxRequests < 1 {
 			t.Fatalf("%+v", c)
 		}
 		for _, p := range c.Pools {
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -174,7 +174,7 @@
 		return fmt.Errorf("the API at %s: %w", k.c.API.Host, err)
 	}
 	var ring *keys.Ring
-	if k.c.Keys.On() {
+	if k.c.Keys.Enabled() {
 		if ring, err = keys.Open(k.c.Keys, k.log); err != nil {
 			return err
 		}
--- a/internal/controlplane/endpoints/call.go
+++ b/internal/controlplane/endpoints/call.go
@@ -38,10 +38,10 @@
 
 // follow is the life of one call, and of its watch.
 func (w *Watcher) follow(ctx context.Context, own *call) error {
-	within, cancel := context.WithTimeout(ctx, w.limits.ListConnect)
+	within, cancel := context.WithTimeout(ctx, w.limits.DiscoveryConnectTimeout)
 	c, err := w.dial(within, "tcp", own.at)
 	cancel()
-	if socket.KindOf(err).Passing() {
+	if socket.Classify(err).Transient() {
 		return &ShortageError{Cause: err}
 	}
 	if err != nil {
@@ -52,14 +52,14 @@
 
 	if w.secure != nil {
 		t := tls.Client(c, w.secure(own.at))
-		c.SetDeadline(time.Now().Add(w.limits.ListConnect))
+		c.SetDeadline(time.Now().Add(w.limits.DiscoveryConnectTimeout))
 		if err := t.HandshakeContext(ctx); err != nil {
 			return fmt.Errorf("discovery's keys: %w", err)
 		}
 		c = t
 	}
 	// One that stands in discovery's queue would lose its turn if it were given up with the first look at it.
-	c.SetDeadline(own.began.Add(w.limits.ListTold))
+	c.SetDeadline(own.began.Add(w.limits.MaxUpdateDelay))
 	status, stream, err := w.call(c, own)
 	if err != nil {
 		return err
@@ -68,10 +68,10 @@
 		return &RejectedError{Status: status}
 	}
 	// A discovery that was cut off says nothing; one that lives sends an empty line every other second.
-	messages := feed{from: stream, most: w.limits.ListBytes, chunk: make([]byte, w.limits.Wire.Buffer),
+	messages := feed{from: stream, most: w.limits.MaxListLine, chunk: make([]byte, w.limits.Wire.BufferSize),
 		alive: func() {
 			w.wins(own)
-			c.SetReadDeadline(time.Now().Add(w.limits.ListSilence))
+			c.SetReadDeadline(time.Now().Add(w.limits.WatchSilenceTimeout))
 		}}
 	for {
 		text, err := messages.next()
@@ -103,7 +103,7 @@
 
 // call asks for a watch and reads the head of the answer.
 func (w *Watcher) call(c net.Conn, own *call) (status int, stream *httpwire.Stream, err error) {
-	if _, err = fmt.Fprintf(c, "GET %s?%s=1&%s=%d HTTP/1.1\r\nHost: %s\r\n\r\n", httpwire.PathList,
+	if _, err = fmt.Fprintf(c, "GET %s?%s=1&%s=%d HTTP/1.1\r\nHost: %s\r\n\r\n", httpwire.PathEndpoints,
 		httpwire.QueryWatch, httpwire.QuerySince, own.since, own.at); err != nil {
 		return 0, nil, fmt.Errorf("asking discovery: %w", err)
 	}
--- a/internal/controlplane/endpoints/descriptors.go
+++ b/internal/controlplane/endpoints/descriptors.go
@@ -6,7 +6,7 @@
 	w.mu.Lock()
 	more := w.held <= w.used
 	w.mu.Unlock()
-	if more && !w.budget.Take() {
+	if more && !w.budget.Acquire() {
 		return false
 	}
 	w.mu.Lock()
@@ -28,6 +28,6 @@
 	}
 	w.mu.Unlock()
 	if spare {
-		w.budget.Give()
+		w.budget.Release()
 	}
 }
--- a/internal/controlplane/endpoints/endpoints_test.go
+++ b/internal/controlplane/endpoints/endpoints_test.go
@@ -64,8 +64,8 @@
 }
 
 func times() limits.Limits {
-	return limits.Limits{Wire: httpwire.Sizes{Buffer: 64, Read: 64, Head: 4096, Body: 4096, Chunk: 64}, ListBytes: 1 << 16,
-		ListConnect: time.Second, ListFirst: 500 * time.Millisecond, ListTold: 5 * time.Second, ListEvery: time.Hour, ListSilence: 200 * time.Millisecond}
+	return limits.Limits{Wire: httpwire.Sizes{BufferSize: 64, ReadSize: 64, MaxHead: 4096, MaxBody: 4096, MaxChunkLine: 64}, MaxListLine: 1 << 16,
+		DiscoveryConnectTimeout: time.Second, FirstUpdateTimeout: 500 * time.Millisecond, MaxUpdateDelay: 5 * time.Second, MaxCallInterval: time.Hour, WatchSilenceTimeout: 200 * time.Millisecond}
 }
 
 // watch starts a Watcher at a discovery that writes one text to each call, in turn, and then does as the last
@@ -283,14 +283,14 @@
 // Each list begins the pauses anew only if its watch lasted: a discovery that ends each watch right behind its list is overrun.
 func TestAWatchThatEndsRightBehindItsListDoesNotBeginThePausesAnew(t *testing.T) {
 	l := times()
-	l.ListSilence = time.Hour
+	l.WatchSilenceTimeout = time.Hour
 	core, _, _ := watchIn(t, l, nothing, sayAndClose(head, line(42, true)))
 	core.next(t)
 	assert.Equal(t, news{failed: true}, core.next(t))
 	core, _, _ = watch(t, nothing, func(c net.Conn) {
 		io.WriteString(c, head+line(42, true))
 		for range 4 {
-			time.Sleep(times().ListSilence / 2)
+			time.Sleep(times().WatchSilenceTimeout / 2)
 			io.WriteString(c, chunk("\n"))
 		}
 		c.Close()
@@ -328,7 +328,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ln.Close()
-	w := New(ln.Addr().String(), nil, limits.Limits{ListConnect: time.Second, ListFirst: time.Second, ListTold: time.Second}, limits.NewBudget(1, 0, nil), zap.NewNop())
+	w := New(ln.Addr().String(), nil, limits.Limits{DiscoveryConnectTimeout: time.Second, FirstUpdateTimeout: time.Second, MaxUpdateDelay: time.Second}, limits.NewBudget(1, 0, nil), zap.NewNop())
 	core := make(fakeCore, 2)
 	w.core = core
 	ctx, end := context.WithCancel(context.Background())
@@ -340,7 +340,7 @@
 
 func TestANodeShortOfDescriptorsDoesNotPutTheListOff(t *testing.T) {
 	budget := limits.NewBudget(1, 0, nil)
-	require.True(t, budget.Take())
+	require.True(t, budget.Acquire())
 	w := New(freeAddress(t), nil, limits.Limits{}, budget, zap.NewNop())
 	core := make(fakeCore, 2)
 	w.core = core
@@ -399,11 +399,11 @@
 	go func() { w.Run(ctx); close(done) }()
 	w.RequestWatch()
 	assert.Equal(t, news{failed: true}, core.next(t))
-	for budget.Take() {
+	for budget.Acquire() {
 	}
 	w.RequestWatch()
 	assert.Equal(t, news{failed: true}, core.next(t), "it has a descriptor, and discovery is called")
 	end()
 	<-done
-	assert.Equal(t, 1, budget.Left(), "it comes back at the end")
+	assert.Equal(t, 1, budget.Available(), "it comes back at the end")
 }
--- a/internal/controlplane/endpoints/errors.go
+++ b/internal/controlplane/endpoints/errors.go
@@ -68,7 +68,7 @@
 type ShortageError struct{ Cause error }
 
 func (e *ShortageError) Error() string {
-	return fmt.Sprintf("reaching discovery: %v; %s", e.Cause, socket.KindOf(e.Cause).Advice())
+	return fmt.Sprintf("reaching discovery: %v; %s", e.Cause, socket.Classify(e.Cause).Advice())
 }
 
 func (e *ShortageError) Unwrap() error { return e.Cause }
--- a/internal/controlplane/endpoints/moves_test.go
+++ b/internal/controlplane/endpoints/moves_test.go
@@ -77,7 +77,7 @@
 	require.NoError(t, err)
 	clk, asks := &handClock{}, atomic.Int64{}
 	core := toldCore{node.New(n, 1, clk, time.Now(), func() { asks.Add(1) }), make(chan bool, 9)}
-	w := New(freeAddress(t), nil, limits.Limits{ListConnect: time.Second, ListFirst: time.Second, ListTold: time.Second, ListEvery: time.Hour, ListSilence: time.Hour}, limits.NewBudget(1, 0, nil), zap.NewNop())
+	w := New(freeAddress(t), nil, limits.Limits{DiscoveryConnectTimeout: time.Second, FirstUpdateTimeout: time.Second, MaxUpdateDelay: time.Second, MaxCallInterval: time.Hour, WatchSilenceTimeout: time.Hour}, limits.NewBudget(1, 0, nil), zap.NewNop())
 	w.SetReceiver(core)
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan bool)
--- a/internal/controlplane/endpoints/pause.go
+++ b/internal/controlplane/endpoints/pause.go
@@ -17,10 +17,10 @@
 // older than those of the others gets ahead of them. A discovery that still refuses when all changes from before are overdue is down,
 // or can't answer the fleet in time: it is spared again, until there is another one.
 func longestPause(l limits.Limits, age, refused time.Duration) time.Duration {
-	if refused >= l.ListTold+queueTime {
-		return l.ListEvery
+	if refused >= l.MaxUpdateDelay+queueTime {
+		return l.MaxCallInterval
 	}
 	// A watch that stands is quiet for as long as ListSilence: until then a list is not old.
-	aged := min(1, max(0, float64(age-l.ListSilence))/float64(l.ListTold))
-	return l.ListEvery - time.Duration(aged*float64(l.ListEvery)*2/3)
+	aged := min(1, max(0, float64(age-l.WatchSilenceTimeout))/float64(l.MaxUpdateDelay))
+	return l.MaxCallInterval - time.Duration(aged*float64(l.MaxCallInterval)*2/3)
 }
--- a/internal/controlplane/endpoints/told_test.go
+++ b/internal/controlplane/endpoints/told_test.go
@@ -325,9 +325,9 @@
 	s, err := settings.Parse(fmt.Appendf(nil, `{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],"Instances":%d,`+
 		`"RegistryMode":"subscribe","Rules":{"MustAskInMs":60000}}`, instances))
 	require.NoError(t, err)
-	l, err := limits.Fill(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, s)
+	l, err := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, s)
 	require.NoError(t, err)
-	s.MaxFirstPollDelay = l.ListEvery.Seconds()
+	s.MaxFirstPollDelay = l.MaxCallInterval.Seconds()
 	m := &follower{budget: budget}
 	m.w = New("127.0.0.1:1", nil, l, m.budget, zap.NewNop())
 	m.w.dial = dial
@@ -557,7 +557,7 @@
 }
 
 func TestPausesAfterRefusalsFallWhileTheListGrowsOld(t *testing.T) {
-	l := limits.Limits{ListEvery: 3 * time.Second, ListTold: 6 * time.Second, ListSilence: 2 * time.Second}
+	l := limits.Limits{MaxCallInterval: 3 * time.Second, MaxUpdateDelay: 6 * time.Second, WatchSilenceTimeout: 2 * time.Second}
 	for _, x := range []struct{ age, refused, longest time.Duration }{
 		{0, 0, 3 * time.Second},
 		{2 * time.Second, 0, 3 * time.Second},
@@ -606,15 +606,15 @@
 			}
 		},
 		"no descriptor to spare": func(d *turns, f *follower, _ *rand.Rand, lasts time.Duration) {
-			assert.True(t, f.budget.Take())
+			assert.True(t, f.budget.Acquire())
 			d.fall(false)
 			synctest.Wait()
-			assert.False(t, f.budget.Take(), "the watcher keeps its own")
+			assert.False(t, f.budget.Acquire(), "the watcher keeps its own")
 			time.Sleep(lasts)
-			f.budget.Give()
+			f.budget.Release()
 		},
 		"one descriptor": func(d *turns, f *follower, _ *rand.Rand, lasts time.Duration) {
-			assert.True(t, f.budget.Take())
+			assert.True(t, f.budget.Acquire())
 			d.become(mute)
 			time.Sleep(lasts)
 		},
@@ -633,12 +633,12 @@
 				var f *follower
 				if name == "a new process without a descriptor" {
 					budget := limits.NewBudget(2, 0, nil)
-					assert.True(t, budget.Take())
-					assert.True(t, budget.Take())
+					assert.True(t, budget.Acquire())
+					assert.True(t, budget.Acquire())
 					f = startedWith(t, ctx, &all, d.dial, int64(n), 300, budget)
 					time.Sleep(lasts)
-					budget.Give()
-					budget.Give()
+					budget.Release()
+					budget.Release()
 				} else if before == nil {
 					x := trouble(n % int(brief+1))
 					d.become(x)
@@ -724,10 +724,10 @@
 		d.calls = 0
 		d.mu.Unlock()
 		time.Sleep(time.Minute)
-		assert.True(t, f.heard(time.Now().Add(-f.w.limits.ListEvery)), "each list is taken")
+		assert.True(t, f.heard(time.Now().Add(-f.w.limits.MaxCallInterval)), "each list is taken")
 		d.mu.Lock()
-		assert.LessOrEqual(t, d.calls, int(time.Minute/(f.w.limits.ListAgain/2)))
-		assert.GreaterOrEqual(t, d.calls, int(time.Minute/f.w.limits.ListEvery))
+		assert.LessOrEqual(t, d.calls, int(time.Minute/(f.w.limits.MaxReconnectDelay/2)))
+		assert.GreaterOrEqual(t, d.calls, int(time.Minute/f.w.limits.MaxCallInterval))
 		t.Logf("%d calls in a minute", d.calls)
 		d.mu.Unlock()
 		end()
--- a/internal/controlplane/endpoints/watch.go
+++ b/internal/controlplane/endpoints/watch.go
@@ -121,7 +121,7 @@
 	}
 	defer func() {
 		for range w.held {
-			w.budget.Give()
+			w.budget.Release()
 		}
 	}()
 	for {
@@ -169,7 +169,7 @@
 	err, lasted := errUnanswered, false
 	select {
 	case <-c.done:
-		err, lasted = c.err, c.delivered && time.Since(c.began) >= w.limits.ListSilence
+		err, lasted = c.err, c.delivered && time.Since(c.began) >= w.limits.WatchSilenceTimeout
 	default:
 	}
 	w.mu.Lock()
@@ -180,9 +180,9 @@
 	var shortage *ShortageError
 	anew := errors.As(err, &shortage) || lasted || w.movedLately || errors.Is(err, os.ErrDeadlineExceeded) || err == errUnanswered || err == errNoDescriptor
 	first, revision := !w.failing, w.revision
-	failure := node.WatchFailure{ResetBackoff: anew, MaxPause: w.limits.ListEvery - time.Since(c.lastHeard)}
+	failure := node.WatchFailure{ResetBackoff: anew, MaxPause: w.limits.MaxCallInterval - time.Since(c.lastHeard)}
 	if c.delivered { // a watch that ends may do so instead of telling
-		failure.MaxPause = min(failure.MaxPause, w.limits.ListAgain)
+		failure.MaxPause = min(failure.MaxPause, w.limits.MaxReconnectDelay)
 	}
 	w.refused(err, &failure)
 	w.failing, w.movedLately = true, false
@@ -254,7 +254,7 @@
 		w.ring()
 		return
 	}
-	quiet := time.AfterFunc(w.limits.ListFirst, func() {
+	quiet := time.AfterFunc(w.limits.FirstUpdateTimeout, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		c.unanswered = c != w.watch
--- a/internal/controlplane/recordcache/recordcache.go
+++ b/internal/controlplane/recordcache/recordcache.go
@@ -647,15 +647,15 @@
 
 func (k *Cache) show(c net.Conn) {
 	c.SetDeadline(time.Now().Add(2 * time.Second))
-	q, err := httpwire.NewReader(c, httpwire.Sizes{Buffer: 1024, Read: 256, Head: 4096, Body: 0, Chunk: 64}).ReadRequest()
-	a := httpwire.Answer{Status: 404, Close: true}
+	q, err := httpwire.NewReader(c, httpwire.Sizes{BufferSize: 1024, ReadSize: 256, MaxHead: 4096, MaxBody: 0, MaxChunkLine: 64}).ReadRequest()
+	a := httpwire.ClientResponse{Status: 404, Close: true}
 	switch {
 	case err != nil:
 		a.Status = 400
 	case q.Path == "/record" && q.Verb == "GET":
 		body, err := json.MarshalIndent(k.Status(), "", "  ")
 		if a.Status = 500; err == nil {
-			a = httpwire.Answer{Status: 200, Type: "application/json", Body: append(body, '\n'), Close: true}
+			a = httpwire.ClientResponse{Status: 200, ContentType: "application/json", Body: append(body, '\n'), Close: true}
 		}
 	}
 	c.Write(append(a.AppendHead(nil), a.Body...))
--- a/internal/core/node/guard.go
+++ b/internal/core/node/guard.go
@@ -26,14 +26,14 @@
 }
 
 // endings names attempts' results.
-var endings = map[decide.Result]telemetry.Reason{decide.OK: telemetry.Succeeded, decide.Failed: telemetry.Failed, decide.Rejected: telemetry.TurnedAway,
-	decide.TimedOut: telemetry.TimedOut, decide.ConnectFailed: telemetry.Unreached, decide.Reset: telemetry.Reset, decide.Canceled: telemetry.Canceled,
-	decide.NotSent: telemetry.Unsent}
+var endings = map[decide.Result]telemetry.Reason{decide.OK: telemetry.Succeeded, decide.Failed: telemetry.Failed, decide.Rejected: telemetry.Rejected,
+	decide.TimedOut: telemetry.TimedOut, decide.ConnectFailed: telemetry.NotConnected, decide.Reset: telemetry.Reset, decide.Canceled: telemetry.Canceled,
+	decide.NotSent: telemetry.NotSent}
 
 // causes names what a further attempt follows, by how the one before ended.
-var causes = map[telemetry.Reason]telemetry.Reason{telemetry.Failed: telemetry.EarlierFailed, telemetry.TurnedAway: telemetry.EarlierTurnedAway,
-	telemetry.TimedOut: telemetry.EarlierTimedOut, telemetry.Unreached: telemetry.EarlierUnreached, telemetry.Reset: telemetry.EarlierReset,
-	telemetry.Canceled: telemetry.EarlierCanceled, telemetry.Unsent: telemetry.EarlierUnsent}
+var causes = map[telemetry.Reason]telemetry.Reason{telemetry.Failed: telemetry.EarlierFailed, telemetry.Rejected: telemetry.EarlierRejected,
+	telemetry.TimedOut: telemetry.EarlierTimedOut, telemetry.NotConnected: telemetry.EarlierNotConnected, telemetry.Reset: telemetry.EarlierReset,
+	telemetry.Canceled: telemetry.EarlierCanceled, telemetry.NotSent: telemetry.EarlierNotSent}
 
 // attemptCause is why another attempt of an RPC is ordered.
 func (r *RPC) attemptCause() telemetry.Reason {
@@ -179,7 +179,7 @@
 		c.telemetry.Violation(telemetry.Violation{Rule: telemetry.AnsweredLate, Request: r.request, Detail: late.String()})
 	}
 	r.answered = true
-	c.telemetry.Record(telemetry.Event{Kind: telemetry.RequestAnswered, Reason: why, Request: r.request, Took: r.Deadline - now})
+	c.telemetry.Record(telemetry.Event{Kind: telemetry.RequestAnswered, Reason: why, Request: r.request, Duration: r.Deadline - now})
 }
 
 func (c *Core) violation(rule telemetry.Rule, p *Attempt, format string, args ...any) {
@@ -202,5 +202,5 @@
 	case state == decide.Gone:
 		why = telemetry.BecameGone
 	}
-	c.telemetry.Record(telemetry.Event{Kind: telemetry.ServerState, Reason: why, Server: e.ID})
+	c.telemetry.Record(telemetry.Event{Kind: telemetry.ServerStateChanged, Reason: why, Server: e.ID})
 }
--- a/internal/core/node/guard_test.go
+++ b/internal/core/node/guard_test.go
@@ -133,5 +133,5 @@
 	none.arrive(find)
 	assert.EqualValues(t, 1, counts.Count(telemetry.RequestAnswered, telemetry.NotAdmitted))
 	s.list("a")
-	assert.EqualValues(t, 1, counts.Count(telemetry.ServerState, telemetry.BecameGone))
+	assert.EqualValues(t, 1, counts.Count(telemetry.ServerStateChanged, telemetry.BecameGone))
 }
--- a/internal/core/node/host.go
+++ b/internal/core/node/host.go
@@ -34,13 +34,13 @@
 	}
 	k.FreshConnection, k.Server.worn = k.Server.worn, false
 	p.HostData = k
-	k.end.What = k
+	k.end.Payload = k
 	if r.obj.BodyPending { // its time has not begun; who reads the body bounds how long that takes
 		k.Deadline = math.MaxInt64
 	} else {
 		c.timers.Add(&k.end, k.Deadline)
 	}
-	c.telemetry.Record(telemetry.Event{Kind: telemetry.AttemptOrdered, Reason: r.attemptCause(), Request: r.request, Server: k.Server.id, Took: k.Deadline - now})
+	c.telemetry.Record(telemetry.Event{Kind: telemetry.AttemptOrdered, Reason: r.attemptCause(), Request: r.request, Server: k.Server.id, Duration: k.Deadline - now})
 	c.checkRepeat(k, now)
 	c.picks = append(c.picks, k)
 	r.attempts = append(r.attempts, k)
@@ -95,7 +95,7 @@
 	if t == nil || t.Set() {
 		t = &timingwheel.Timer{}
 	}
-	t.What = what
+	t.Payload = what
 	c.timers.Add(t, c.clock.Now()+duration(delay))
 }
 
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -335,7 +335,7 @@
 	c.open++
 	c.methods[a.Method].held++
 	c.tenants[a.Tenant].held++
-	c.telemetry.Record(telemetry.Event{Kind: telemetry.RequestTaken, Request: a.RequestID, Took: a.Deadline - c.clock.Now()})
+	c.telemetry.Record(telemetry.Event{Kind: telemetry.RequestTaken, Request: a.RequestID, Duration: a.Deadline - c.clock.Now()})
 	c.cause = telemetry.NotAdmitted
 	c.balancer.Arrived(&r.obj)
 	c.leaves(r)
@@ -438,7 +438,7 @@
 	}
 	p.neverRan, p.result = res.NeverRan(), endings[res]
 	c.checkEnd(p, res)
-	c.telemetry.Record(telemetry.Event{Kind: telemetry.AttemptEnded, Reason: p.result, Request: r.request, Server: p.Server.id, Took: c.clock.Now() - p.sent})
+	c.telemetry.Record(telemetry.Event{Kind: telemetry.AttemptEnded, Reason: p.result, Request: r.request, Server: p.Server.id, Duration: c.clock.Now() - p.sent})
 	if res == decide.OK && !r.ended {
 		r.Orders <- Order{Kind: OrderServed, Response: answer}
 		c.answers(r, telemetry.ServedByServer)
@@ -495,12 +495,12 @@
 	}
 	c.armed = 0
 	c.timers.Advance(c.clock.Now(), atOnce, func(t *timingwheel.Timer) {
-		switch w := t.What.(type) {
+		switch w := t.Payload.(type) {
 		case *Attempt: // its time is over
 			w.expired = true
 			c.giveUp(w)
 		default:
-			c.cause = telemetry.TimeUp
+			c.cause = telemetry.DeadlineExceeded
 			c.balancer.TimerFired(w)
 			if r, ok := w.(*decide.RPC); ok {
 				c.leaves(r.HostData.(*RPC))
--- a/internal/core/routes/routes.go
+++ b/internal/core/routes/routes.go
@@ -34,9 +34,9 @@
 
 // Request is what a look-up reads. Host and Path are canonical.
 type Request struct {
-	Host, Path, Class           string
-	Trace, Tenant, Mark, Client string
-	Header                      map[string][]string // names as net/textproto spells them
+	Host, Path, Class                       string
+	TraceID, Tenant, IdempotencyKey, Client string
+	Header                                  map[string][]string // names as net/textproto spells them
 }
 
 // Table is a set of rules, compiled.
@@ -399,11 +399,11 @@
 	key := ""
 	switch c.By {
 	case "trace":
-		key = q.Trace
+		key = q.TraceID
 	case "tenant":
 		key = q.Tenant
 	case "mark":
-		key = q.Mark
+		key = q.IdempotencyKey
 	case "client":
 		key = q.Client
 	default:
--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -25,7 +25,7 @@
 	net.Conn
 	server  *Server
 	raw     syscall.RawConn
-	place   poller.Place
+	place   poller.Registration
 	born    time.Duration
 	reader  *httpwire.Reader         // while it is served
 	gateway *gateway                 // nil: its caller speaks HTTP
@@ -81,14 +81,14 @@
 	f := c.server
 	r := readers.Get().(*httpwire.Reader)
 	r.Init(c, &f.limits.Wire)
-	r.Headers, r.Pace, r.Expected, r.Room = f.table.Load().Find != nil, c, c.goAhead, f.bodies
+	r.KeepHeaders, r.OnProgress, r.OnExpectContinue, r.Memory = f.table.Load().Find != nil, c, c.goAhead, f.bodies
 	c.reader = r
 	for next := goOn; next == goOn; {
-		c.try = !r.Beyond()
+		c.try = !r.HasBuffered()
 		switch {
 		case !c.request():
 			next = over
-		case !r.Beyond():
+		case !r.HasBuffered():
 			next = f.again(c)
 		}
 		if next == over && !(c.linger && f.lingers(c)) {
@@ -96,7 +96,7 @@
 		}
 	}
 	// The connection may be another goroutine's by now.
-	r.Drop()
+	r.Reset()
 	readers.Put(r)
 }
 
@@ -115,19 +115,19 @@
 	}
 	c.owed.Store(true)
 	waited, read := c.waited(reads), f.now()
-	if q.Held > 0 {
-		defer f.bodies.Give(q.Held)
+	if q.ReservedBytes > 0 {
+		defer f.bodies.Release(q.ReservedBytes)
 	}
 	// The caller's time runs from its last byte on: it may take seconds to send, and what it has sent may have waited here.
 	came := read
-	if c.first = false; q.Rest == nil {
+	if c.first = false; q.BodyStream == nil {
 		came -= waited
 		c.whole()
 	} else {
 		defer c.rest(q)
 	}
 	if q.Path == httpwire.PathReady {
-		return c.refuse(q, f.ready(q), telemetry.Readiness)
+		return c.refuse(q, f.ready(q), telemetry.ReadinessProbe)
 	}
 	service, bad := f.find(q)
 	if bad != nil {
@@ -143,43 +143,43 @@
 		return false // it left while it waited for its place or behind another request: nothing is sent for nobody
 	}
 	f.asks(c)
-	id, fresh := f.ids.begin(q.Trace)
+	id, fresh := f.ids.begin(q.TraceID)
 	if !fresh {
-		return c.refuse(q, &httpwire.Answer{Status: 409, Close: true}, telemetry.KnownID)
+		return c.refuse(q, &httpwire.ClientResponse{Status: 409, Close: true}, telemetry.DuplicateID)
 	}
 	defer func() { f.ids.end(id, f.now()) }()
 	if why := f.turnsAway(c); why != telemetry.NoReason {
-		return c.refuse(q, &httpwire.Answer{Status: 503, RetryAfter: f.limits.ComeBack, Close: true}, why)
+		return c.refuse(q, &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter, Close: true}, why)
 	}
-	large := q.Rest != nil || class.large.Load()
+	large := q.BodyStream != nil || class.large.Load()
 	defer func() {
 		if large {
 			f.large.Add(-1)
 		}
 	}()
 	if large {
-		if f.large.Add(1) > int64(f.limits.Large) {
+		if f.large.Add(1) > int64(f.limits.MaxStreamedRequests) {
 			f.end()
-			return c.refuse(q, &httpwire.Answer{Status: 503, RetryAfter: f.limits.ComeBack}, telemetry.Full)
+			return c.refuse(q, &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter}, telemetry.AtCapacity)
 		}
 	}
 	var recalled <-chan struct{} // never, without a share
 	if service.share != nil {
-		lease, wait, ok := service.share.Take(tenant, len(q.Body))
+		lease, wait, ok := service.share.Acquire(tenant, len(q.Body))
 		if f.turns(c, !ok); !ok {
 			f.end()
-			return c.refuse(q, &httpwire.Answer{Status: 503, RetryAfter: wait}, telemetry.ShareSpent)
+			return c.refuse(q, &httpwire.ClientResponse{Status: 503, RetryAfter: wait}, telemetry.QuotaExhausted)
 		}
 		defer lease.Release()
 		recalled = lease.Revoked()
 	}
 
-	q.Sender = c
+	q.Client = c
 	c.shows(q)
-	rpc := service.core.Arrived(node.Arrival{RequestID: q.Trace, Method: class.slot, Tenant: tenant, Deadline: came + q.Left, Retry: q.SecondTry,
-		BodyPending: q.Rest != nil, WorkHint: q.Work})
+	rpc := service.core.Arrived(node.Arrival{RequestID: q.TraceID, Method: class.slot, Tenant: tenant, Deadline: came + q.TimeLeft, Retry: q.Retry,
+		BodyPending: q.BodyStream != nil, WorkHint: q.WorkHint})
 	c.watch(rpc)
-	var a *httpwire.Answer
+	var a *httpwire.ClientResponse
 	held := 0 // by the answer
 	givenUp, sent := false, false
 	for a == nil {
@@ -201,11 +201,11 @@
 		case o = <-rpc.Orders:
 		default:
 			if givenUp {
-				a = &httpwire.Answer{Status: 504}
+				a = &httpwire.ClientResponse{Status: 504}
 				if !sent || class.repeat == decide.Idempotent && len(class.former) == 0 {
-					a = &httpwire.Answer{Status: 503, RetryAfter: f.limits.ComeBack} // trying again is harmless
+					a = &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter} // trying again is harmless
 				}
-				f.telemetry.Record(telemetry.Event{Kind: telemetry.RequestAnswered, Reason: telemetry.Draining, Request: q.Trace, Status: a.Status})
+				f.telemetry.Record(telemetry.Event{Kind: telemetry.RequestAnswered, Reason: telemetry.Draining, Request: q.TraceID, Status: a.Status})
 				continue
 			}
 			select {
@@ -222,29 +222,29 @@
 				service.core.AttemptDone(o.Attempt, decide.NotSent, nil)
 				continue
 			}
-			if !sent && q.Rest == nil {
+			if !sent && q.BodyStream == nil {
 				c.checkDeadline(q, rpc, read-waited)
 			}
 			sent = true
 			service.picks.Start(o.Attempt, q)
 		case node.OrderServed:
-			a = &httpwire.Answer{Status: 200, Type: o.Response.ContentType, Body: o.Response.Body, Old: q.Old}
+			a = &httpwire.ClientResponse{Status: 200, ContentType: o.Response.ContentType, Body: o.Response.Body, HTTP10: q.HTTP10}
 			if o.Response.BodyStream != nil {
-				a.Rest = o.Response.BodyStream
+				a.BodyStream = o.Response.BodyStream
 			}
-			if class.large.Load() != (a.Rest != nil) {
-				class.large.Store(a.Rest != nil)
+			if class.large.Load() != (a.BodyStream != nil) {
+				class.large.Store(a.BodyStream != nil)
 			}
-			if a.Rest != nil && !large { // who would have thought: it is passed on all the same
+			if a.BodyStream != nil && !large { // who would have thought: it is passed on all the same
 				large = true
 				f.large.Add(1)
 			}
 			held = o.Response.ReservedBytes
 		case node.OrderPushBack:
 			f.turns(c, service.share != nil)
-			a = &httpwire.Answer{Status: 503, RetryAfter: o.RetryAfter}
+			a = &httpwire.ClientResponse{Status: 503, RetryAfter: o.RetryAfter}
 		case node.OrderAbort:
-			a = &httpwire.Answer{Status: 504}
+			a = &httpwire.ClientResponse{Status: 504}
 		case node.OrderClientGone:
 			if c.stays(q, rpc) {
 				continue
@@ -259,9 +259,9 @@
 	c.rpc.Store(nil)
 	c.shows(nil)
 	if held > 0 {
-		defer f.answers.Give(held)
+		defer f.answers.Release(held)
 	}
-	if a.Rest != nil { // its server's connection is in use until it has passed
+	if a.BodyStream != nil { // its server's connection is in use until it has passed
 		defer f.end()
 		return c.answer(q, a)
 	}
@@ -271,7 +271,7 @@
 }
 
 // giveUp ends an RPC whose caller has left, and the picks that were ordered meanwhile: nobody sends them any more.
-func (v *Service) giveUp(rpc *node.RPC, answers limits.Room) {
+func (v *Service) giveUp(rpc *node.RPC, answers limits.MemoryPool) {
 	v.core.ClientGone(rpc)
 	for {
 		select {
@@ -280,7 +280,7 @@
 				v.core.AttemptDone(o.Attempt, decide.NotSent, nil)
 			}
 			if o.Kind == node.OrderServed {
-				answers.Give(o.Response.ReservedBytes)
+				answers.Release(o.Response.ReservedBytes)
 				if o.Response.BodyStream != nil {
 					o.Response.BodyStream.Close(false)
 				}
@@ -316,9 +316,9 @@
 	}
 }
 
-// Waits tells whether a request's caller still waits for its answer. The poller tells of its end, too, but a poller that has much to tell
+// StillWaiting tells whether a request's caller still waits for its answer. The poller tells of its end, too, but a poller that has much to tell
 // may come to it late, and so may the request's own goroutine. While the kernel's last word is fresh it counts, and costs nothing.
-func (c *conn) Waits(q *httpwire.Request) bool {
+func (c *conn) StillWaiting(q *httpwire.Request) bool {
 	if c.gateway != nil {
 		c.look.Lock()
 		defer c.look.Unlock()
@@ -327,8 +327,8 @@
 		}
 	}
 	now := c.server.clock()
-	fresh := now-time.Duration(c.heard.Load()) < c.server.limits.CallerLook
-	if !fresh && socket.Ended(c.raw) {
+	fresh := now-time.Duration(c.heard.Load()) < c.server.limits.ClientCheckInterval
+	if !fresh && socket.PeerClosed(c.raw) {
 		c.ended.Store(true)
 	}
 	if c.ended.Load() || c.gateway != nil && !c.gateway.waits(fresh) {
@@ -346,12 +346,12 @@
 func (c *conn) abandoned(q *httpwire.Request) bool {
 	c.why = telemetry.PeerClosed
 	c.owed.Store(false)
-	if c.gateway == nil || !c.gateway.gone.Load() || q.Rest != nil && !q.Rest.Ended() {
+	if c.gateway == nil || !c.gateway.gone.Load() || q.BodyStream != nil && !q.BodyStream.Complete() {
 		return false
 	}
 	keep := c.gateway.keep && !c.last && !c.server.closing()
-	c.SetWriteDeadline(time.Now().Add(c.server.limits.CallerWrite))
-	return socket.Write(c.Conn, c.gateway.end(nil, 1, fcgi.Complete)) == nil && keep
+	c.SetWriteDeadline(time.Now().Add(c.server.limits.ClientWriteTimeout))
+	return socket.Write(c.Conn, c.gateway.end(nil, 1, fcgi.StatusComplete)) == nil && keep
 }
 
 // watch lets the poller tell an RPC that its caller has left. It may have left already.
--- a/internal/dataplane/frontend/conn_read.go
+++ b/internal/dataplane/frontend/conn_read.go
@@ -33,10 +33,10 @@
 		}
 	}()
 	n, err = c.readOnce(to)
-	if err == nil || err == errNothing || socket.KindOf(err) != socket.Memory {
+	if err == nil || err == errNothing || socket.Classify(err) != socket.Memory {
 		return n, err
 	}
-	err = socket.ThroughShortage(func() error {
+	err = socket.RetryShortage(func() error {
 		n, err = c.readOnce(to)
 		return err
 	})
@@ -54,7 +54,7 @@
 	switch {
 	case outer != nil:
 		return 0, outer
-	case socket.KindOf(err) == socket.Memory:
+	case socket.Classify(err) == socket.Memory:
 		return 0, err // nothing is known of what has come
 	}
 	switch c.try = false; {
@@ -81,13 +81,13 @@
 func (c *conn) Progress(bool) {
 	f := c.server
 	now := f.clock()
-	if c.timed && c.reader.Got() < c.counts+slowStep && now < c.paced+paceStep {
+	if c.timed && c.reader.BytesRead() < c.counts+slowStep && now < c.paced+paceStep {
 		return
 	}
 	first := !c.timed
-	c.timed, c.paced, c.counts = true, now, c.reader.Got()
-	whole := c.begun + f.limits.CallerRead + f.limits.Slowest(c.counts)
-	c.SetReadDeadline(f.started.Add(min(whole, now+f.limits.CallerRead)))
+	c.timed, c.paced, c.counts = true, now, c.reader.BytesRead()
+	whole := c.begun + f.limits.ClientReadTimeout + f.limits.TransferTime(c.counts)
+	c.SetReadDeadline(f.started.Add(min(whole, now+f.limits.ClientReadTimeout)))
 	if c.cut.Load() { // given up just now
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
@@ -98,16 +98,16 @@
 
 // goAhead tells a caller that waits for it to send its body.
 func (c *conn) goAhead() {
-	c.SetWriteDeadline(time.Now().Add(c.server.limits.CallerWrite))
+	c.SetWriteDeadline(time.Now().Add(c.server.limits.ClientWriteTimeout))
 	socket.Write(c.Conn, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 }
 
 // rest ends a request whose body came while it was passed on: nobody reads from the connection any more.
 func (c *conn) rest(q *httpwire.Request) {
-	q.Rest.Stop(c.giveIn)
+	q.BodyStream.Stop(c.giveIn)
 	c.cut.Store(false)
 	c.whole()
-	if c.timed = false; !q.Rest.Ended() {
+	if c.timed = false; !q.BodyStream.Complete() {
 		c.linger = true
 		c.SetReadDeadline(time.Time{})
 	}
@@ -133,22 +133,22 @@
 // it rests on.
 func (c *conn) unread(err error) bool {
 	if err == errNothing {
-		c.reader.Release()
+		c.reader.ReleaseBuffer()
 		return true
 	}
-	a, ok := httpwire.Refusal(err)
+	a, ok := httpwire.ErrorResponse(err)
 	c.why = telemetry.PeerClosed
 	if ok {
 		c.why = telemetry.Malformed
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		a, ok, c.why = httpwire.Answer{Status: 408, Close: true}, true, telemetry.RequestTimeout
+		a, ok, c.why = httpwire.ClientResponse{Status: 408, Close: true}, true, telemetry.RequestTimeout
 		if c.server.isFull(c) {
-			a.Status, a.RetryAfter, c.why = 503, c.server.limits.ComeBack, telemetry.GaveWay
+			a.Status, a.RetryAfter, c.why = 503, c.server.limits.OverloadRetryAfter, telemetry.Evicted
 		}
 	}
 	if ok {
-		c.server.telemetry.Record(telemetry.Event{Kind: telemetry.RequestRefused, Reason: c.why, Status: a.Status})
+		c.server.telemetry.Record(telemetry.Event{Kind: telemetry.RequestRejected, Reason: c.why, Status: a.Status})
 		c.write(&a, false)
 		c.linger = a.Status != 408 // else there is nothing to take in
 	}
--- a/internal/dataplane/frontend/conn_write.go
+++ b/internal/dataplane/frontend/conn_write.go
@@ -16,22 +16,22 @@
 // What follows is how a caller's answer is written, whole or as it comes.
 
 // answer writes a request's one answer.
-func (c *conn) answer(q *httpwire.Request, a *httpwire.Answer) bool {
-	a.Close = a.Close || q.Close || c.last || c.server.closing() || q.Rest != nil && !q.Rest.Ended() || c.gateway != nil && !c.gateway.keep
-	if a.Close && (q.Rest == nil || q.Rest.Ended()) && (c.reader.Beyond() || socket.Peek(c.raw) == socket.Bytes) {
+func (c *conn) answer(q *httpwire.Request, a *httpwire.ClientResponse) bool {
+	a.Close = a.Close || q.Close || c.last || c.server.closing() || q.BodyStream != nil && !q.BodyStream.Complete() || c.gateway != nil && !c.gateway.keep
+	if a.Close && (q.BodyStream == nil || q.BodyStream.Complete()) && (c.reader.HasBuffered() || socket.StateOfRaw(c.raw) == socket.StateReadable) {
 		c.linger = true // closed with bytes unread the connection would be reset, and the answer lost with it; rest sees to a body's
 	}
-	if c.gateway != nil && q.Rest != nil { // an exchange may still read the body, and the records are its own until then
-		q.Rest.Stop(c.giveIn)
+	if c.gateway != nil && q.BodyStream != nil { // an exchange may still read the body, and the records are its own until then
+		q.BodyStream.Stop(c.giveIn)
 	}
 	written := false
-	if a.Rest != nil {
+	if a.BodyStream != nil {
 		written = c.stream(a)
 	} else {
 		written = c.write(a, q.Verb == "HEAD")
 	}
 	c.owed.Store(false)
-	c.why = telemetry.AnswerLast
+	c.why = telemetry.LastResponse
 	if !written {
 		c.why = telemetry.WriteFailed
 	}
@@ -40,16 +40,16 @@
 
 // stream passes an answer on while it comes, at its reader's pace. One that breaks off looks broken: the connection ends
 // short of the length, without the last chunk or, where neither can be told, by a reset.
-func (c *conn) stream(a *httpwire.Answer) bool {
-	piece, frame := httpwire.Piece(), make([]byte, 0, 16)
-	defer httpwire.Done(piece)
+func (c *conn) stream(a *httpwire.ClientResponse) bool {
+	piece, frame := httpwire.BorrowBuffer(), make([]byte, 0, 16)
+	defer httpwire.ReturnBuffer(piece)
 	chunked := a.Chunked()
 	// A reader may stand still for a while, and slower than the least rate in the long run nobody may be: its place would be
 	// held for hours. What its server takes is not its own.
 	l, taken, waited := &c.server.limits, 0, time.Duration(0)
 	write := func(parts net.Buffers) bool {
 		began := time.Now()
-		c.SetWriteDeadline(began.Add(min(l.CallerTakes, l.CallerTakes+l.Slowest(taken)-waited)))
+		c.SetWriteDeadline(began.Add(min(l.ClientStallTimeout, l.ClientStallTimeout+l.TransferTime(taken)-waited)))
 		size := 0
 		for _, p := range parts {
 			size += len(p)
@@ -61,7 +61,7 @@
 		waited += time.Since(began)
 		return err == nil
 	}
-	body := func(p []byte) bool { return write(httpwire.Frame(p, chunked, frame)) }
+	body := func(p []byte) bool { return write(httpwire.FrameChunk(p, chunked, frame)) }
 	head := a.AppendHead
 	if c.gateway != nil {
 		chunked = false
@@ -69,7 +69,7 @@
 	}
 	ok := write(net.Buffers{head(nil)}) && (len(a.Body) == 0 || body(a.Body))
 	for ok {
-		n, err := a.Rest.Read(*piece)
+		n, err := a.BodyStream.Read(*piece)
 		if n > 0 {
 			ok = body((*piece)[:n])
 		}
@@ -82,10 +82,10 @@
 		ok = write(net.Buffers{httpwire.LastChunk})
 	}
 	if ok && c.gateway != nil { // else it looks broken: its request has no end
-		ok = write(net.Buffers{c.gateway.end(nil, 0, fcgi.Complete)})
+		ok = write(net.Buffers{c.gateway.end(nil, 0, fcgi.StatusComplete)})
 	}
-	a.Rest.Close(ok)
-	if t, is := c.Conn.(*net.TCPConn); is && !ok && a.Old && a.Rest.Remaining() < 0 {
+	a.BodyStream.Close(ok)
+	if t, is := c.Conn.(*net.TCPConn); is && !ok && a.HTTP10 && a.BodyStream.Remaining() < 0 {
 		t.SetLinger(0)
 	}
 	return ok
@@ -98,7 +98,7 @@
 var heads = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
 // write writes an answer. Nearly always the kernel takes all of it, and no deadline is set.
-func (c *conn) write(a *httpwire.Answer, headOnly bool) bool {
+func (c *conn) write(a *httpwire.ClientResponse, headOnly bool) bool {
 	head := heads.Get().(*[]byte)
 	defer heads.Put(head)
 	var msg, body []byte
@@ -126,7 +126,7 @@
 			return true
 		}
 	}
-	c.SetWriteDeadline(time.Now().Add(c.server.limits.CallerWrite))
+	c.SetWriteDeadline(time.Now().Add(c.server.limits.ClientWriteTimeout))
 	rest := net.Buffers{msg[n:]}
 	if len(body) > 0 {
 		rest = append(rest, body)
--- a/internal/dataplane/frontend/endings_test.go
+++ b/internal/dataplane/frontend/endings_test.go
@@ -89,7 +89,7 @@
 func TestACallerThatLeftWhileItWaitedForAPlaceIsSentNowhere(t *testing.T) {
 	for way, leave := range leaving {
 		l := bounds()
-		l.Callers, l.Refused, l.ComeBack = 1, 0, 20*time.Second
+		l.MaxRequests, l.OverloadConnections, l.OverloadRetryAfter = 1, 0, 20*time.Second
 		f, core, addr := beginWith(t, l)
 		first := dial(t, addr)
 		first.ask()
@@ -99,7 +99,7 @@
 		waits := func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return f.gate.Waiting() == 1
+			return f.gate.WaitingCount() == 1
 		}
 		require.Eventually(t, waits, 20*time.Second, time.Millisecond, way)
 		leave(gone)
@@ -124,7 +124,7 @@
 // halt begins the end by force while an RPC arrives, with its answer's time still to come.
 func halt(t *testing.T, orders ...node.Order) (*Server, *fakeCore, string) {
 	l := bounds()
-	l.StopWrite = 20 * time.Second
+	l.ShutdownWriteTime = 20 * time.Second
 	f, core, addr := beginWith(t, l, orders...)
 	now, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -167,7 +167,7 @@
 
 func TestALastAnswerIsNotLostToWhatItsCallerSentBehindTheRequest(t *testing.T) {
 	f, core, addr := begin(t)
-	f.Stop()
+	f.BeginShutdown()
 	c := dial(t, addr)
 	io.WriteString(c, request("first")+request("second"+strings.Repeat("x", 2000)))
 	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}}
@@ -225,7 +225,7 @@
 // listener is to close.
 func TestCallersInTheListenersQueueAreServedAtTheEnd(t *testing.T) {
 	l := bounds()
-	l.Connections, l.CallerRest = 1, 20*time.Second
+	l.MaxClientConnections, l.EvictableAfter = 1, 20*time.Second
 	f, core, addr := beginWith(t, l)
 	var callers []*caller
 	for i := range 5 {
@@ -236,8 +236,8 @@
 			require.Eventually(t, func() bool { return len(core.came) == 1 }, 20*time.Second, time.Millisecond)
 		}
 	}
-	f.Stop()
-	f.Shut()
+	f.BeginShutdown()
+	f.CloseListeners()
 	ended := make(chan error, 1)
 	go func() { ended <- f.Drain(t.Context()) }()
 	for _, c := range callers {
@@ -256,7 +256,7 @@
 // On a core that others share the last answers may take longer than they are given: a connection that owes one is not closed over it.
 func TestAnAnswerThatIsLateAtTheEndByForceIsStillWritten(t *testing.T) {
 	l := bounds()
-	l.StopWrite = time.Millisecond
+	l.ShutdownWriteTime = time.Millisecond
 	f, core, addr := beginWith(t, l)
 	core.atVanished = func(*node.RPC) { time.Sleep(100 * time.Millisecond) } // the answer follows it
 	rests, c := dial(t, addr), dial(t, addr)
--- a/internal/dataplane/frontend/frontend_test.go
+++ b/internal/dataplane/frontend/frontend_test.go
@@ -76,14 +76,14 @@
 func (c *fakeCore) Start(_ *node.Attempt, q *httpwire.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.started = append(c.started, q.Trace)
+	c.started = append(c.started, q.TraceID)
 }
 
 func bounds() limits.Limits {
-	return limits.Limits{Callers: 2, Refused: 1, Connections: 3, Wire: httpwire.Sizes{Buffer: 256, Read: 64, Head: 4096, Body: 4096, Chunk: 64},
-		CallerIdle: 5 * time.Second, CallerRest: 20 * time.Millisecond, LastLook: 5 * time.Millisecond,
-		CallerRead: 20 * time.Second, ComeBack: 500 * time.Millisecond, CallerWrite: time.Second,
-		CallerLinger: 500 * time.Millisecond, LingerBytes: 1 << 23, CallerLong: time.Second, MostLeft: time.Hour, IDLife: time.Minute, IDs: 99, StopWrite: 50 * time.Millisecond}
+	return limits.Limits{MaxRequests: 2, OverloadConnections: 1, MaxClientConnections: 3, Wire: httpwire.Sizes{BufferSize: 256, ReadSize: 64, MaxHead: 4096, MaxBody: 4096, MaxChunkLine: 64},
+		ClientIdleTimeout: 5 * time.Second, EvictableAfter: 20 * time.Millisecond, FinalReadWindow: 5 * time.Millisecond,
+		ClientReadTimeout: 20 * time.Second, OverloadRetryAfter: 500 * time.Millisecond, ClientWriteTimeout: time.Second,
+		LingerTimeout: 500 * time.Millisecond, MaxLingerBytes: 1 << 23, LongIdle: time.Second, MaxTimeLeft: time.Hour, RequestIDTTL: time.Minute, MaxRequestIDs: 99, ShutdownWriteTime: 50 * time.Millisecond}
 }
 
 // begin serves on a socket until the test ends; then nothing may be left.
@@ -98,7 +98,7 @@
 	watch, err := poller.New()
 	require.NoError(t, err)
 	f := New(l, limits.NewBudget(9, 0, nil), func() time.Duration { return time.Minute }, zap.NewNop(), watch)
-	f.Swap(&Table{Only: NewService("only", s, core, core, nil)})
+	f.SetTable(&Table{Only: NewService("only", s, core, core, nil)})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	f.Serve(ln)
@@ -113,7 +113,7 @@
 		}
 		watch.Close()
 		goleak.VerifyNone(t, leaks)
-		assert.Equal(t, 9, f.budget.Left(), "each connection's descriptor has come back")
+		assert.Equal(t, 9, f.budget.Available(), "each connection's descriptor has come back")
 		assert.Zero(t, f.making.Load())
 		assert.Zero(t, f.large.Load())
 	})
@@ -211,8 +211,8 @@
 // Small requests have to get through among large answers, and nobody holds a place by reading next to nothing.
 func TestLargeAnswersLeavePlacesAndTheirReadersMustRead(t *testing.T) {
 	l := bounds()
-	l.Callers, l.Large, l.Connections = 3, 1, 6
-	l.CallerTakes, l.Rate = 300*time.Millisecond, 1<<20
+	l.MaxRequests, l.MaxStreamedRequests, l.MaxClientConnections = 3, 1, 6
+	l.ClientStallTimeout, l.MinTransferRate = 300*time.Millisecond, 1<<20
 	f, core, addr := beginWith(t, l)
 	rest := following{strings.NewReader(strings.Repeat("x", 1<<24)), make(chan bool, 1)}
 	large := dial(t, addr)
@@ -250,13 +250,13 @@
 func TestANodeThatEmptiesOrEndsServesWhoHasOnlyJustCome(t *testing.T) {
 	for name, ends := range map[string]func(f *Server){
 		"emptied": func(f *Server) {
-			f.Lame(true)
+			f.SetLameDuck(true)
 			f.empty(f.lamed)()
 		},
 		"ended": func(f *Server) { go f.Drain(t.Context()) },
 	} {
 		l := bounds()
-		l.CallerRest, l.StopTaking = 20*time.Second, time.Hour
+		l.EvictableAfter, l.ShutdownAcceptTime = 20*time.Second, time.Hour
 		f, core, addr := beginWith(t, l)
 		c := dial(t, addr)
 		count := func() (n int, drained bool) {
@@ -283,10 +283,10 @@
 		n.Methods = []decide.Method{{Idempotency: r}}
 		return NewService("", n, nil, nil, nil)
 	}
-	forms := map[decide.Idempotency]httpwire.Request{decide.Idempotent: {Verb: "GET"}, decide.Deduplicated: {Verb: "POST", Key: "k"}, decide.NonIdempotent: {Verb: "POST"}}
+	forms := map[decide.Idempotency]httpwire.Request{decide.Idempotent: {Verb: "GET"}, decide.Deduplicated: {Verb: "POST", IdempotencyKey: "k"}, decide.NonIdempotent: {Verb: "POST"}}
 	status := func(v *Service, r decide.Idempotency, now time.Duration) int {
 		q := forms[r]
-		q.Path, q.Method, q.Trace, q.HasLeft = "/a", "a", "id", true
+		q.Path, q.Method, q.TraceID, q.HasTimeLeft = "/a", "a", "id", true
 		if _, _, bad := v.check(&q, &limits.Limits{}, now); bad != nil {
 			return bad.Status
 		}
@@ -295,18 +295,18 @@
 	const now, until = time.Second, 4 * time.Second
 	for was := range forms {
 		for is := range forms {
-			v := service(is).Follows(service(was), now, until)
+			v := service(is).KeepFormer(service(was), now, until)
 			assert.Equal(t, 200, status(v, was, until-1), "%v to %v", was, is)
 			assert.Equal(t, status(service(is), was, now), status(v, was, until), "%v to %v: over", was, is)
 			assert.Equal(t, 200, status(v, is, until))
-			again := service(is).Follows(v, now, until+1)
+			again := service(is).KeepFormer(v, now, until+1)
 			assert.Equal(t, status(service(is), was, now), status(again, was, until), "what is over is not handed on")
 			// Settings change once more before callers have heard of the first change.
 			for next := range forms {
-				again := service(next).Follows(service(is).Follows(service(was), now, until), now+1, until+1)
+				again := service(next).KeepFormer(service(is).KeepFormer(service(was), now, until), now+1, until+1)
 				assert.Equal(t, 200, status(again, was, until-1), "%v to %v to %v", was, is, next)
 				assert.Equal(t, 200, status(again, is, until), "%v to %v to %v", was, is, next)
-				gone := service(next).Follows((&Service{methods: map[string]class{}, tenants: map[string]tenant{}}).Follows(service(was), now, until), now+1, until+1)
+				gone := service(next).KeepFormer((&Service{methods: map[string]class{}, tenants: map[string]tenant{}}).KeepFormer(service(was), now, until), now+1, until+1)
 				assert.Equal(t, 200, status(gone, was, until-1), "%v gone, then %v", was, next)
 			}
 		}
@@ -319,9 +319,9 @@
 		n.Methods = []decide.Method{{}}
 		return NewService("", n, nil, nil, nil)
 	}
-	q := &httpwire.Request{Verb: "GET", Path: "/a", Method: "a", Trace: "id", HasLeft: true, Tenant: "old"}
-	v := service("new", "other").Follows(service("other", "old"), 1, 9)
-	v = service("new").Follows(v, 2, 10)
+	q := &httpwire.Request{Verb: "GET", Path: "/a", Method: "a", TraceID: "id", HasTimeLeft: true, Tenant: "old"}
+	v := service("new", "other").KeepFormer(service("other", "old"), 1, 9)
+	v = service("new").KeepFormer(v, 2, 10)
 	_, slot, bad := v.check(q, &limits.Limits{}, 9)
 	require.Nil(t, bad)
 	assert.Equal(t, 1, slot, "as it was known before")
@@ -461,7 +461,7 @@
 // Whatever holds the other descriptors of the process, callers that rest give way to one that asks, and one in use does not.
 func TestIdleConnectionsGiveWayWhereTheProcessHasNoDescriptorLeft(t *testing.T) {
 	l := bounds()
-	l.CallerIdle = time.Hour // it gives way for no other reason
+	l.ClientIdleTimeout = time.Hour // it gives way for no other reason
 	f, core, _ := beginWith(t, l)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -494,11 +494,11 @@
 	c := dial(t, ln.Addr().String())
 	raw, err := ln.Accept()
 	require.NoError(t, err)
-	require.True(t, f.budget.TakeLast())
+	require.True(t, f.budget.AcquireForClient())
 	chosen := f.newConn(raw)
 	require.NotNil(t, chosen)
 	c.ask()
-	require.Eventually(t, func() bool { return socket.Look(raw) == socket.Bytes }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return socket.StateOf(raw) == socket.StateReadable }, 20*time.Second, time.Millisecond)
 	f.done.Add(1)
 	f.mu.Lock()
 	f.conns[chosen] = struct{}{}
@@ -534,15 +534,15 @@
 	l := bounds()
 	// They ask all at once, and none may be pushed back with a close for it, however the machine stalls: not for its wait, and
 	// not in a place that is only there to push back.
-	l.ComeBack, l.Refused = time.Minute, 0
-	l.Callers, l.Connections, l.CallerIdle, l.Wire = 64, 4000, time.Minute, httpwire.Sizes{Buffer: 2048, Read: 512, Head: 16384, Body: 65536, Chunk: 256}
+	l.OverloadRetryAfter, l.OverloadConnections = time.Minute, 0
+	l.MaxRequests, l.MaxClientConnections, l.ClientIdleTimeout, l.Wire = 64, 4000, time.Minute, httpwire.Sizes{BufferSize: 2048, ReadSize: 512, MaxHead: 16384, MaxBody: 65536, MaxChunkLine: 256}
 	leaks := goleak.IgnoreCurrent()
 	core := &fakeCore{orders: []node.Order{{Kind: node.OrderAbort}}, came: make(chan *node.RPC, 4000), vanished: make(chan *node.RPC, 99)}
 	s := &settings.Instance{MethodNames: []string{"find"}, Settings: decide.Settings{Methods: make([]decide.Method, 1)}}
 	watch, err := poller.New()
 	require.NoError(t, err)
 	f := New(l, limits.NewBudget(5000, 0, nil), func() time.Duration { return time.Minute }, zap.NewNop(), watch)
-	f.Swap(&Table{Only: NewService("only", s, core, core, nil)})
+	f.SetTable(&Table{Only: NewService("only", s, core, core, nil)})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	f.Serve(ln)
@@ -610,7 +610,7 @@
 // Callers that drip hold few of the places: others whose requests come in pieces take theirs, and whole requests never wait.
 func TestCallersThatDripGiveWay(t *testing.T) {
 	l := bounds()
-	l.Callers, l.Refused, l.Connections = 4, 4, 8 // two slow ones
+	l.MaxRequests, l.OverloadConnections, l.MaxClientConnections = 4, 4, 8 // two slow ones
 	f, core, addr := beginWith(t, l, node.Order{Kind: node.OrderAbort})
 	var drips []*caller
 	for i := range 2 {
@@ -621,7 +621,7 @@
 		require.Eventually(t, func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return f.gate.Slows() == i+1
+			return f.gate.SlowCount() == i+1
 		}, 20*time.Second, time.Millisecond)
 	}
 	time.Sleep(40 * time.Millisecond) // past CallerRest
@@ -642,7 +642,7 @@
 
 func TestHalfARequestIsTimedOutAndABrokenOneIsNot(t *testing.T) {
 	l := bounds()
-	l.CallerRead = 100 * time.Millisecond
+	l.ClientReadTimeout = 100 * time.Millisecond
 	_, core, addr := beginWith(t, l)
 	c := dial(t, addr)
 	io.WriteString(c, "GET /fi")
@@ -673,7 +673,7 @@
 	// Only now: one more at the door ends those that have brought no RPC by then.
 	waits := dial(t, addr)
 	waits.ask()
-	f.Stop()
+	f.BeginShutdown()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	assert.Error(t, f.Drain(ctx))
@@ -696,7 +696,7 @@
 		f, core, addr := begin(t, x.orders...)
 		n := &settings.Instance{MethodNames: []string{"find"}}
 		n.Methods = []decide.Method{{Idempotency: x.repeat}}
-		f.Swap(&Table{Only: NewService("only", n, core, core, nil)})
+		f.SetTable(&Table{Only: NewService("only", n, core, core, nil)})
 		c := dial(t, addr)
 		io.WriteString(c, verb(x.repeat)+" /find HTTP/1.1\r\nX-Qos: find\r\nX-Trace-Id: t\r\nX-Expires-In-Ms: 1000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
 		r := testutil.Receive(t, core.came)
@@ -706,7 +706,7 @@
 			return len(core.started) == len(x.orders)
 		}
 		require.Eventually(t, begun, 20*time.Second, time.Millisecond)
-		f.Stop()
+		f.BeginShutdown()
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		assert.Error(t, f.Drain(ctx))
 		cancel()
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -20,10 +20,10 @@
 // given here.
 type Gateway struct {
 	Trace, Class, Tenant, Key, Left string // params; empty: as CGI makes them of the protocol's headers
-	OfTenant                        string // who sends none is this one
-	OfLeft                          time.Duration
+	DefaultTenant                   string // who sends none is this one
+	DefaultTimeLeft                 time.Duration
 	Overloaded                      bool // a pushback is END_REQUEST with OVERLOADED, for gateways that ask another node then
-	Total                           int  // requests that are told to who asks
+	AdvertisedRequests              int  // requests that are told to who asks
 }
 
 // gateway is what a connection has beside it where a gateway speaks FastCGI on it. What comes is read through it as HTTP/1.1 would have
@@ -54,7 +54,7 @@
 
 func newGateway(c *conn, way *Gateway) *gateway {
 	d := &gateway{c: c, way: way, told: -1}
-	d.app.Limits = fcgi.Limits{Requests: 1, Total: way.Total, Params: c.server.limits.Wire.Head}
+	d.app.Limits = fcgi.Limits{MaxRequests: 1, AdvertisedRequests: way.AdvertisedRequests, MaxParams: c.server.limits.Wire.MaxHead}
 	return d
 }
 
@@ -64,7 +64,7 @@
 // Read waits for a byte only where a request has begun, and not for ever: who sends half a record would else hold a place for good.
 func (s *source) Read(to []byte) (int, error) {
 	d := (*gateway)(s)
-	begun := d.app.Open() > 0 || d.records.Amid()
+	begun := d.app.Open() > 0 || d.records.InRecord()
 	switch {
 	case d.looking:
 		d.c.try = true
@@ -94,8 +94,8 @@
 	if d.buf == nil {
 		return true
 	}
-	padded := d.records.Beyond()
-	if d.records.Amid() {
+	padded := d.records.HasBuffered()
+	if d.records.InRecord() {
 		return false
 	}
 	if !padded { // else the reader has to know what is still to come of it
@@ -145,40 +145,40 @@
 
 func (d *gateway) take(e fcgi.Event) error {
 	switch e.Kind {
-	case fcgi.Reply:
-		d.c.SetWriteDeadline(time.Now().Add(d.c.server.limits.CallerWrite))
+	case fcgi.EventReply:
+		d.c.SetWriteDeadline(time.Now().Add(d.c.server.limits.ClientWriteTimeout))
 		_, err := d.c.Conn.Write(e.Data)
 		return err
-	case fcgi.Headed:
+	case fcgi.EventParams:
 		d.id, d.keep, d.here, d.took = e.ID, e.Keep, false, 0
 		d.gone.Store(false)
 		return d.head(e.Params)
-	case fcgi.Body:
+	case fcgi.EventBody:
 		if d.took += int64(len(e.Data)); d.told >= 0 && d.took > d.told {
 			return fmt.Errorf("%w: a longer body than CONTENT_LENGTH tells", httpwire.ErrMalformed)
 		}
 		d.pend = append(strconv.AppendInt(d.pend, int64(len(e.Data)), 16), "\r\n"...)
 		d.pend = append(append(d.pend, e.Data...), "\r\n"...)
-	case fcgi.Whole:
+	case fcgi.EventBodyEnd:
 		if d.told >= 0 && d.took < d.told {
 			return fmt.Errorf("%w: a shorter body than CONTENT_LENGTH tells", httpwire.ErrMalformed)
 		}
 		d.pend = append(d.pend, "0\r\n\r\n"...)
 		d.here = true
-	case fcgi.Aborted:
+	case fcgi.EventAborted:
 		if d.id == 0 { // its params were still coming: nobody has heard of it
 			d.id = e.ID
-			d.c.SetWriteDeadline(time.Now().Add(d.c.server.limits.CallerWrite))
-			_, err := d.c.Conn.Write(d.end(nil, 1, fcgi.Complete))
+			d.c.SetWriteDeadline(time.Now().Add(d.c.server.limits.ClientWriteTimeout))
+			_, err := d.c.Conn.Write(d.end(nil, 1, fcgi.StatusComplete))
 			return err
 		}
 		if d.gone.Store(true); !d.here { // who reads it has nothing to wait for
 			d.c.tell()
 			return errClosed
 		}
-	case fcgi.Bad:
+	case fcgi.EventRejected:
 		d.id, d.keep = e.ID, false
-		return fmt.Errorf("%w: %s", httpwire.ErrMalformed, e.Why)
+		return fmt.Errorf("%w: %s", httpwire.ErrMalformed, e.Reason)
 	}
 	return nil
 }
@@ -209,8 +209,8 @@
 // field is a header that the protocol knows, and the param that CGI makes of it.
 type field struct{ header, param string }
 
-var fields = [...]field{{httpwire.HeaderTrace, "HTTP_X_TRACE_ID"}, {httpwire.HeaderMethod, "HTTP_X_QOS"}, {httpwire.HeaderTenant, "HTTP_X_CUSTOMER"},
-	{httpwire.HeaderKey, "HTTP_IDEMPOTENCY_KEY"}, {httpwire.HeaderLeft, "HTTP_X_EXPIRES_IN_MS"}, {"Host", "HTTP_HOST"}, {"Content-Type", "CONTENT_TYPE"}}
+var fields = [...]field{{httpwire.HeaderTraceID, "HTTP_X_TRACE_ID"}, {httpwire.HeaderMethod, "HTTP_X_QOS"}, {httpwire.HeaderTenant, "HTTP_X_CUSTOMER"},
+	{httpwire.HeaderIdempotencyKey, "HTTP_IDEMPOTENCY_KEY"}, {httpwire.HeaderTimeLeft, "HTTP_X_EXPIRES_IN_MS"}, {"Host", "HTTP_HOST"}, {"Content-Type", "CONTENT_TYPE"}}
 
 // own is the param that a gateway uses in a field's place; empty: none.
 func (w *Gateway) own(i int) string {
@@ -337,15 +337,15 @@
 // instead is what stands for a field that a gateway does not send.
 func (d *gateway) instead(header string, class []byte) []byte {
 	switch header {
-	case httpwire.HeaderTrace: // a gateway that has none can't ask for the same again, either
+	case httpwire.HeaderTraceID: // a gateway that has none can't ask for the same again, either
 		return fmt.Appendf(nil, "%016x%016x", rand.Uint64(), rand.Uint64())
 	case httpwire.HeaderMethod:
 		return class
 	case httpwire.HeaderTenant:
-		return []byte(d.way.OfTenant)
-	case httpwire.HeaderLeft:
-		if d.way.OfLeft > 0 {
-			return strconv.AppendInt(nil, d.way.OfLeft.Milliseconds(), 10)
+		return []byte(d.way.DefaultTenant)
+	case httpwire.HeaderTimeLeft:
+		if d.way.DefaultTimeLeft > 0 {
+			return strconv.AppendInt(nil, d.way.DefaultTimeLeft.Milliseconds(), 10)
 		}
 	}
 	return nil
@@ -389,7 +389,7 @@
 
 // stays tells, when something has come while a request is out, whether its gateway still waits for it.
 func (d *gateway) stays(q *httpwire.Request) bool {
-	if q.Rest != nil && !q.Rest.Ended() { // who passes its body on reads, and sees it first
+	if q.BodyStream != nil && !q.BodyStream.Complete() { // who passes its body on reads, and sees it first
 		return !d.gone.Load() && !d.c.ended.Load()
 	}
 	return d.look()
@@ -401,45 +401,45 @@
 	switch {
 	case d.gone.Load():
 		return false
-	case d.records.Buffered() || !fresh && socket.Peek(d.c.raw) == socket.Bytes:
+	case d.records.Buffered() || !fresh && socket.StateOfRaw(d.c.raw) == socket.StateReadable:
 		return d.look()
 	}
 	return true
 }
 
 // answer writes a whole answer to the request that is out, and its end.
-func (d *gateway) answer(to []byte, a *httpwire.Answer, headOnly bool) []byte {
+func (d *gateway) answer(to []byte, a *httpwire.ClientResponse, headOnly bool) []byte {
 	if d.id == 0 {
 		return to // nobody has asked anything yet
 	}
-	status := fcgi.Complete
+	status := fcgi.StatusComplete
 	if a.Status == 503 && d.way.Overloaded {
-		status = fcgi.Overloaded
+		status = fcgi.StatusOverloaded
 	} else {
 		to = d.begin(to, a)
 		if !headOnly {
-			to = fcgi.AppendStream(to, fcgi.Stdout, d.id, a.Body)
+			to = fcgi.AppendStream(to, fcgi.TypeStdout, d.id, a.Body)
 		}
 	}
 	return d.end(to, 0, status)
 }
 
 // begin writes an answer's head.
-func (d *gateway) begin(to []byte, a *httpwire.Answer) []byte {
+func (d *gateway) begin(to []byte, a *httpwire.ClientResponse) []byte {
 	var head [256]byte
 	again := ""
 	if a.RetryAfter > 0 {
 		again = strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)
 	}
-	return fcgi.AppendStream(to, fcgi.Stdout, d.id, fcgi.AppendCGI(head[:0], a.Status, httpwire.Reason(a.Status), a.Type, again))
+	return fcgi.AppendStream(to, fcgi.TypeStdout, d.id, fcgi.AppendCGI(head[:0], a.Status, httpwire.StatusText(a.Status), a.ContentType, again))
 }
 
-func (d *gateway) frame(p []byte) net.Buffers { return fcgi.Records(fcgi.Stdout, d.id, p) }
+func (d *gateway) frame(p []byte) net.Buffers { return fcgi.Records(fcgi.TypeStdout, d.id, p) }
 
 // end ends the request; its id may be used again.
 func (d *gateway) end(to []byte, app uint32, s fcgi.Status) []byte {
-	if s == fcgi.Complete {
-		to = fcgi.AppendStreamEnd(to, fcgi.Stdout, d.id)
+	if s == fcgi.StatusComplete {
+		to = fcgi.AppendStreamEnd(to, fcgi.TypeStdout, d.id)
 	}
 	to = fcgi.AppendEnd(to, d.id, app, s)
 	d.app.Done(d.id)
--- a/internal/dataplane/frontend/gateway_test.go
+++ b/internal/dataplane/frontend/gateway_test.go
@@ -31,8 +31,8 @@
 	for i := 0; i+1 < len(params); i += 2 {
 		list = fcgi.AppendPair(list, params[i], params[i+1])
 	}
-	out := fcgi.AppendStreamEnd(fcgi.AppendStream(fcgi.AppendBegin(nil, id, true), fcgi.Params, id, list), fcgi.Params, id)
-	return fcgi.AppendStreamEnd(out, fcgi.Stdin, id)
+	out := fcgi.AppendStreamEnd(fcgi.AppendStream(fcgi.AppendBegin(nil, id, true), fcgi.TypeParams, id, list), fcgi.TypeParams, id)
+	return fcgi.AppendStreamEnd(out, fcgi.TypeStdin, id)
 }
 
 // Whatever a gateway sends, an HTTP message that is read of it is one request of it, from its first byte to its last: nothing in params
@@ -50,21 +50,21 @@
 		c.gateway.awake()
 		c.gateway.records.Init(iotest.HalfReader(bytes.NewReader(text)), *c.gateway.buf)
 		r := httpwire.NewReader(c, l.Wire)
-		r.Headers = true
+		r.KeepHeaders = true
 		for ; ; n++ {
 			q, err := r.ReadRequest()
 			if err != nil {
 				return n
 			}
-			for q.Rest != nil && !q.Rest.Ended() {
-				if _, err := q.Rest.Read(make([]byte, 99)); err != nil && err != io.EOF {
+			for q.BodyStream != nil && !q.BodyStream.Complete() {
+				if _, err := q.BodyStream.Read(make([]byte, 99)); err != nil && err != io.EOF {
 					return n
 				}
 			}
-			if r.Beyond() || !c.gateway.here || c.gateway.at != len(c.gateway.pend) {
+			if r.HasBuffered() || !c.gateway.here || c.gateway.at != len(c.gateway.pend) {
 				t.Fatalf("%q is not the whole request", q.Target)
 			}
-			c.gateway.end(nil, 0, fcgi.Complete)
+			c.gateway.end(nil, 0, fcgi.StatusComplete)
 		}
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -85,10 +85,10 @@
 	require.NoError(b, err)
 	defer watch.Close()
 	l := bounds()
-	l.CallerIdle, l.IDs, l.Wire.Buffer, l.Wire.Read = time.Minute, 10_000, 4096, 512
+	l.ClientIdleTimeout, l.MaxRequestIDs, l.Wire.BufferSize, l.Wire.ReadSize = time.Minute, 10_000, 4096, 512
 	core := &answering{}
 	f := New(l, limits.NewBudget(99, 0, nil), func() time.Duration { return time.Minute }, zap.NewNop(), watch)
-	f.Swap(&Table{Only: NewService("only", &settings.Instance{MethodNames: []string{"find"}, Settings: decide.Settings{Methods: make([]decide.Method, 1)}}, core, core, nil)})
+	f.SetTable(&Table{Only: NewService("only", &settings.Instance{MethodNames: []string{"find"}, Settings: decide.Settings{Methods: make([]decide.Method, 1)}}, core, core, nil)})
 	for name, way := range map[string]*Gateway{"http": nil, "fastcgi": {}} {
 		b.Run(name, func(b *testing.B) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -143,7 +143,7 @@
 				require.NoError(b, err)
 				defer watch.Close()
 				l := bounds()
-				l.CallerLook = look
+				l.ClientCheckInterval = look
 				f := New(l, limits.NewBudget(99, 0, nil), func() time.Duration { return time.Minute }, zap.NewNop(), watch)
 				ln, err := net.Listen("tcp", "127.0.0.1:0")
 				require.NoError(b, err)
@@ -155,14 +155,14 @@
 				require.NoError(b, err)
 				defer in.Close()
 				c := f.newConn(in)
-				q := &httpwire.Request{Sender: c}
+				q := &httpwire.Request{Client: c}
 				if way != nil {
 					c.gateway = newGateway(c, way)
 					c.shows(q)
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					if !q.Sender.Waits(q) {
+					if !q.Client.StillWaiting(q) {
 						b.Fatal("it has not left")
 					}
 				}
--- a/internal/dataplane/frontend/gone_test.go
+++ b/internal/dataplane/frontend/gone_test.go
@@ -94,7 +94,7 @@
 
 func relayed(t *testing.T, l limits.Limits, way *Gateway) *relay {
 	leaks := goleak.IgnoreCurrent()
-	l.Wire.Stream, l.Large, l.Connect = 1<<20, 1, 5*time.Second
+	l.Wire.MaxStream, l.MaxStreamedRequests, l.ConnectTimeout = 1<<20, 1, 5*time.Second
 	r := &relay{fakeCore: &fakeCore{came: make(chan *node.RPC, 99), vanished: make(chan *node.RPC, 99)},
 		starts: make(chan func(), 99), results: make(chan decide.Result, 99), heard: make(chan string, 99), answers: make(chan string, 99)}
 	back, err := net.Listen("tcp", "127.0.0.1:0")
@@ -107,7 +107,7 @@
 	r.Pool = upstream.NewPool(r, l, budget, nil)
 	r.f = New(l, budget, func() time.Duration { return time.Minute }, zap.NewNop(), watch)
 	s := &settings.Instance{MethodNames: []string{"find", "put"}, Settings: decide.Settings{Methods: []decide.Method{{}, {Idempotency: decide.NonIdempotent}}}}
-	r.f.Swap(&Table{Only: NewService("only", s, r, r, nil)})
+	r.f.SetTable(&Table{Only: NewService("only", s, r, r, nil)})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	r.f.ServeGateways(ln, way)
@@ -159,7 +159,7 @@
 	release chan struct{}
 }
 
-func (s *stall) Stirred(poller.Event) {
+func (s *stall) OnEvent(poller.Event) {
 	close(s.entered)
 	<-s.release
 }
@@ -217,7 +217,7 @@
 		return gatewayAsks(1, append([]string{"REQUEST_METHOD", verb, "REQUEST_URI", "/" + class, "HTTP_X_QOS", class, "HTTP_X_TRACE_ID", "t1", "HTTP_X_EXPIRES_IN_MS", "1000"}, more...)...)
 	}
 	whole := asks("POST", "put", "CONTENT_LENGTH", "9000")
-	head := whole[:len(whole)-len(fcgi.AppendStreamEnd(nil, fcgi.Stdin, 1))]
+	head := whole[:len(whole)-len(fcgi.AppendStreamEnd(nil, fcgi.TypeStdin, 1))]
 	gateways := maps.Clone(leaving)
 	gateways["asked more"] = func(c *caller) { c.Write(gatewayAsks(2, "REQUEST_METHOD", "GET")); c.Close() }
 	gateways["aborted"] = func(c *caller) { c.Write(fcgi.AppendAbort(nil, 1)) }
@@ -227,7 +227,7 @@
 	return map[string]frontEnd{
 		"HTTP": {nil, request("t1"), "POST /put HTTP/1.1\r\nX-Qos: put\r\nX-Trace-Id: t1\r\nX-Expires-In-Ms: 1000\r\nContent-Length: 9000\r\n\r\n" +
 			strings.Repeat("b", 5000), leaving},
-		"FastCGI": {&Gateway{}, string(asks("GET", "find")), string(fcgi.AppendStream(head, fcgi.Stdin, 1, bytes.Repeat([]byte("b"), 5000))), gateways},
+		"FastCGI": {&Gateway{}, string(asks("GET", "find")), string(fcgi.AppendStream(head, fcgi.TypeStdin, 1, bytes.Repeat([]byte("b"), 5000))), gateways},
 	}
 }
 
@@ -312,7 +312,7 @@
 						b := make([]byte, 99)
 						n, err := c.Read(b)
 						assert.NoError(t, err)
-						assert.Contains(t, string(b[:n]), string(fcgi.AppendEnd(nil, 1, 1, fcgi.Complete)), "a gateway's connection goes on")
+						assert.Contains(t, string(b[:n]), string(fcgi.AppendEnd(nil, 1, 1, fcgi.StatusComplete)), "a gateway's connection goes on")
 						c.Close()
 					} else {
 						assert.Eventually(t, func() bool { return connections(r.f) == 0 }, 20*time.Second, time.Millisecond)
@@ -378,7 +378,7 @@
 func TestAnAbortThatComesWithItsRequestIsSeen(t *testing.T) {
 	front := fronts()["FastCGI"]
 	l := bounds()
-	l.CallerLook = time.Hour // no look at the kernel
+	l.ClientCheckInterval = time.Hour // no look at the kernel
 	r := relayed(t, l, front.way)
 	c := dial(t, r.addr)
 	io.WriteString(c, front.find+string(fcgi.AppendAbort(nil, 1)))
@@ -395,7 +395,7 @@
 	b := make([]byte, 99)
 	n, err := c.Read(b)
 	assert.NoError(t, err)
-	assert.Contains(t, string(b[:n]), string(fcgi.AppendEnd(nil, 1, 1, fcgi.Complete)))
+	assert.Contains(t, string(b[:n]), string(fcgi.AppendEnd(nil, 1, 1, fcgi.StatusComplete)))
 	assert.Empty(t, r.heard)
 }
 
@@ -403,7 +403,7 @@
 // is as old as the kernel's word, not as new as its own.
 func TestAPollerThatIsHeldUpWithAnEventInItsHandsMakesTheNodeLook(t *testing.T) {
 	l := bounds()
-	l.CallerLook = 50 * time.Millisecond
+	l.ClientCheckInterval = 50 * time.Millisecond
 	r := relayed(t, l, nil)
 	c := dial(t, r.addr)
 	require.Eventually(t, func() bool { return connections(r.f) == 1 }, 20*time.Second, time.Millisecond)
@@ -420,7 +420,7 @@
 	testutil.Receive(t, before.entered)
 	c.Close()
 	require.Eventually(t, func() bool { return hasEnded(raw) }, 20*time.Second, time.Millisecond)
-	time.Sleep(2 * l.CallerLook)
+	time.Sleep(2 * l.ClientCheckInterval)
 	before.goOn()
 	testutil.Receive(t, behind.entered)
 	rpc := testutil.Receive(t, r.came)
--- a/internal/dataplane/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -37,11 +37,11 @@
 	return r.head.newer
 }
 
-// Stirred is the poller's word of what happened on a connection.
-func (c *conn) Stirred(e poller.Event) {
+// OnEvent is the poller's word of what happened on a connection.
+func (c *conn) OnEvent(e poller.Event) {
 	f := c.server
-	c.heard.Store(int64(f.poller.As().Sub(f.started)))
-	if e&poller.Ended != 0 {
+	c.heard.Store(int64(f.poller.EventTime().Sub(f.started)))
+	if e&poller.HungUp != 0 {
 		c.ended.Store(true)
 		c.tell()
 	}
@@ -61,7 +61,7 @@
 		c.tell()
 	}
 	if lingers && !f.discard(c) {
-		f.close(c, telemetry.AnswerLast)
+		f.close(c, telemetry.LastResponse)
 	}
 }
 
@@ -82,9 +82,9 @@
 		return false
 	}
 	f.mu.Lock()
-	f.gate.Done(&c.Member)
-	c.lingering, c.taking, c.reader = true, f.limits.LingerBytes, nil
-	f.rest(c, f.limits.CallerLinger)
+	f.gate.Leave(&c.Member)
+	c.lingering, c.taking, c.reader = true, f.limits.MaxLingerBytes, nil
+	f.rest(c, f.limits.LingerTimeout)
 	f.admit()
 	f.mu.Unlock()
 	// Also what has come by now, of which no event may tell again.
@@ -105,7 +105,7 @@
 			return true
 		})
 		switch {
-		case outer == nil && (err == syscall.EAGAIN || socket.KindOf(err) == socket.Memory): // what is left is taken in with the next event, or not
+		case outer == nil && (err == syscall.EAGAIN || socket.Classify(err) == socket.Memory): // what is left is taken in with the next event, or not
 			return true
 		case outer != nil || err != nil || n == 0:
 			return false
@@ -124,15 +124,15 @@
 func (f *Server) rouse(c *conn) {
 	now := f.clock()
 	c.resting, c.stirred, c.tired = false, false, false
-	if !c.first || now-c.born >= f.limits.LastLook { // else it may have lain in the socket while a place was looked for
+	if !c.first || now-c.born >= f.limits.FinalReadWindow { // else it may have lain in the socket while a place was looked for
 		c.arrived = now
 	}
 	f.ends.Remove(&c.ring)
-	regular := c.asked && now-c.since < f.limits.CallerLong
+	regular := c.asked && now-c.since < f.limits.LongIdle
 	if c.list != nil && c.list != &f.fresh {
 		c.list.drop(c)
 	}
-	switch f.gate.Come(&c.Member, regular, now) {
+	switch f.gate.Arrive(&c.Member, regular, now) {
 	case admission.Serve:
 		f.workers.Do(c)
 	case admission.Wait:
@@ -155,14 +155,14 @@
 
 // admit lets those in whose turn it is.
 func (f *Server) admit() {
-	for f.gate.Waiting() > 0 {
+	for f.gate.WaitingCount() > 0 {
 		m, verdict := f.gate.Next(f.clock())
 		if m == nil {
 			f.ask()
 			return
 		}
 		c := m.Owner.(*conn)
-		c.tired = verdict == admission.Refuse
+		c.tired = verdict == admission.Reject
 		f.workers.Do(c)
 	}
 }
@@ -192,7 +192,7 @@
 
 // again finds what comes next for a connection that has just been answered.
 func (f *Server) again(c *conn) step {
-	more := c.reader.Brim()
+	more := c.reader.FilledBuffer()
 	if c.gateway != nil {
 		if !c.gateway.rest() {
 			return goOn
@@ -214,7 +214,7 @@
 			continue
 		}
 		if !c.stirred && !more && !ends {
-			c.reader.Release()
+			c.reader.ReleaseBuffer()
 			c.reader = nil
 			f.stand(c)
 			f.mu.Unlock()
@@ -225,16 +225,16 @@
 		}
 		c.stirred, more = false, false
 		f.mu.Unlock()
-		switch socket.Peek(c.raw) {
-		case socket.Bytes:
+		switch socket.StateOfRaw(c.raw) {
+		case socket.StateReadable:
 			c.last = c.last || ends
 			return goOn
-		case socket.Closed:
+		case socket.StateClosed:
 			c.why = telemetry.PeerClosed
 			return over
 		}
 		if ends {
-			c.why = telemetry.GaveWay
+			c.why = telemetry.Evicted
 			if drains {
 				c.why = telemetry.Draining
 			}
@@ -245,10 +245,10 @@
 
 // stand lets a served connection rest. The mutex is held.
 func (f *Server) stand(c *conn) {
-	f.gate.Done(&c.Member)
-	most := f.limits.CallerIdle
+	f.gate.Leave(&c.Member)
+	most := f.limits.ClientIdleTimeout
 	if c.first { // it has said nothing yet
-		most = max(0, c.born+f.limits.CallerRead-f.clock())
+		most = max(0, c.born+f.limits.ClientReadTimeout-f.clock())
 	}
 	f.rest(c, most)
 	f.admit()
@@ -271,20 +271,20 @@
 	if c.list != nil {
 		c.list.drop(c)
 	}
-	f.gate.Done(&c.Member)
+	f.gate.Leave(&c.Member)
 	delete(f.conns, c)
 	place := c.place
 	f.admit()
 	f.tidy()
 	f.mu.Unlock()
 	if lives {
-		f.poller.Leave(c.raw, &place)
+		f.poller.Detach(c.raw, &place)
 	} else {
 		f.poller.Remove(&place)
 	}
 	f.records(c, why)
 	c.Conn.Close()
-	f.budget.GiveLast()
+	f.budget.ReleaseForClient()
 	f.done.Done()
 }
 
@@ -308,7 +308,7 @@
 		return
 	}
 	f.armed = 0
-	if f.ends.Advance(f.clock(), atOnce, func(t *timingwheel.Timer) { out = append(out, t.What.(*conn)) }) {
+	if f.ends.Advance(f.clock(), atOnce, func(t *timingwheel.Timer) { out = append(out, t.Payload.(*conn)) }) {
 		f.paced = true
 		time.AfterFunc(grain, func() {
 			f.mu.Lock()
@@ -342,7 +342,7 @@
 func (f *Server) slows(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if out := f.gate.Slow(&c.Member, f.clock()); out != nil {
+	if out := f.gate.MarkSlow(&c.Member, f.clock()); out != nil {
 		o := out.Owner.(*conn)
 		o.full = true
 		o.cut.Store(true)
@@ -353,7 +353,7 @@
 func (f *Server) isWhole(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gate.Whole(&c.Member)
+	f.gate.MarkComplete(&c.Member)
 	c.full = false
 }
 
--- a/internal/dataplane/frontend/observe.go
+++ b/internal/dataplane/frontend/observe.go
@@ -11,12 +11,12 @@
 // deadlineSlack is by how much the time that an attempt is told may be more than what its caller has left.
 const deadlineSlack = 150 * time.Millisecond
 
-// Observe has events and violations recorded. It is called before anything is served.
-func (f *Server) Observe(r *telemetry.Recorder) { f.telemetry = r }
+// SetRecorder has events and violations recorded. It is called before anything is served.
+func (f *Server) SetRecorder(r *telemetry.Recorder) { f.telemetry = r }
 
 // refuse answers a request that the node turns away by itself.
-func (c *conn) refuse(q *httpwire.Request, a *httpwire.Answer, why telemetry.Reason) bool {
-	c.server.telemetry.Record(telemetry.Event{Kind: telemetry.RequestRefused, Reason: why, Request: q.Trace, Status: a.Status})
+func (c *conn) refuse(q *httpwire.Request, a *httpwire.ClientResponse, why telemetry.Reason) bool {
+	c.server.telemetry.Record(telemetry.Event{Kind: telemetry.RequestRejected, Reason: why, Request: q.TraceID, Status: a.Status})
 	return c.answer(q, a)
 }
 
@@ -24,11 +24,11 @@
 func (f *Server) turnsAway(c *conn) telemetry.Reason {
 	switch {
 	case c.tired:
-		return telemetry.WaitedTooLong
+		return telemetry.QueueTimeout
 	case f.halted():
 		return telemetry.Draining
 	case !f.begin():
-		return telemetry.Full
+		return telemetry.AtCapacity
 	}
 	return telemetry.NoReason
 }
@@ -50,14 +50,14 @@
 // checkDeadline looks whether a request's first attempt will be told more time than its caller has left, who sent it at a time of the core's
 // clock.
 func (c *conn) checkDeadline(q *httpwire.Request, rpc *node.RPC, sent time.Duration) {
-	if over := rpc.Deadline - (sent + q.Left); over > deadlineSlack {
-		c.server.telemetry.Violation(telemetry.Violation{Rule: telemetry.DeadlineExtended, Request: q.Trace, Detail: over.String() + " more than its caller has"})
+	if over := rpc.Deadline - (sent + q.TimeLeft); over > deadlineSlack {
+		c.server.telemetry.Violation(telemetry.Violation{Rule: telemetry.DeadlineExtended, Request: q.TraceID, Detail: over.String() + " more than its caller has"})
 	}
 }
 
 // records notes that a connection ends, and looks whether a request on it has had its answer.
 func (f *Server) records(c *conn, why telemetry.Reason) {
-	f.telemetry.Record(telemetry.Event{Kind: telemetry.CallerClosed, Reason: why})
+	f.telemetry.Record(telemetry.Event{Kind: telemetry.ClientConnectionClosed, Reason: why})
 	if c.owed.Load() && !c.ended.Load() && why != telemetry.PeerClosed && why != telemetry.WriteFailed {
 		f.telemetry.Violation(telemetry.Violation{Rule: telemetry.ClosedUnanswered, Detail: why.String()})
 	}
--- a/internal/dataplane/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -34,8 +34,8 @@
 	AttemptDone(*node.Attempt, decide.Result, *node.Response) (served bool)
 }
 
-// Picks carries out picks, without keeping anyone waiting, and reports their results to the core.
-type Picks interface {
+// AttemptStarter carries out picks, without keeping anyone waiting, and reports their results to the core.
+type AttemptStarter interface {
 	Start(*node.Attempt, *httpwire.Request)
 }
 
@@ -44,8 +44,8 @@
 type Server struct {
 	limits  limits.Limits
 	budget  *limits.Budget
-	bodies  limits.Room
-	answers limits.Room
+	bodies  limits.MemoryPool
+	answers limits.MemoryPool
 	now     func() time.Duration // the cores' clock
 	started time.Time
 	log     *zap.Logger
@@ -63,7 +63,7 @@
 	halt     chan struct{} // closed when what is still out has to be aborted
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
-	gate     *admission.Gate
+	gate     *admission.Controller
 	ends     *timingwheel.Wheel // of resting connections
 	armed    time.Duration      // when the wheel is looked at; 0: not at all
 	paced    bool               // not before a while, since many ended at once
@@ -76,7 +76,7 @@
 	drained  bool               // idle connections are closed from now on
 	emptied  bool               // the same, until the node is back at work
 	lamed    int                // counts the times it was emptied
-	pass     Pass               // set: connections go to another process between requests
+	pass     TransferFunc       // set: connections go to another process between requests
 	done     sync.WaitGroup
 	doors    map[net.Listener]struct{}
 	shut     atomic.Bool // the doors close once all that the kernel has taken is in
@@ -94,10 +94,10 @@
 // New makes a Server that has nothing to serve yet; Swap gives it that and Serve starts it. The poller tells of what comes
 // on connections that rest.
 func New(l limits.Limits, budget *limits.Budget, now func() time.Duration, log *zap.Logger, t *poller.Poller) *Server {
-	f := &Server{limits: l, budget: budget, bodies: budget.Bytes().Bodies(), answers: budget.Bytes().Answers(), now: now, started: time.Now(), log: log, conns: map[*conn]struct{}{}, doors: map[net.Listener]struct{}{},
-		halt: make(chan struct{}), ids: newIDs(l.IDLife, l.IDs), poller: t, ends: timingwheel.New(grain, 0, 4096),
-		gate: admission.New(admission.Config{Serve: l.Callers + l.Refused, Refuse: max(1, l.Refused), Slow: max(1, l.Callers/2), Rest: l.CallerRest,
-			Pace: 16 * max(1, l.Cores), Step: time.Millisecond, Patience: l.ComeBack})}
+	f := &Server{limits: l, budget: budget, bodies: budget.Memory().ForRequests(), answers: budget.Memory().ForResponses(), now: now, started: time.Now(), log: log, conns: map[*conn]struct{}{}, doors: map[net.Listener]struct{}{},
+		halt: make(chan struct{}), ids: newIDs(l.RequestIDTTL, l.MaxRequestIDs), poller: t, ends: timingwheel.New(grain, 0, 4096),
+		gate: admission.New(admission.Config{MaxServing: l.MaxRequests + l.OverloadConnections, MaxRejecting: max(1, l.OverloadConnections), MaxSlow: max(1, l.MaxRequests/2), MinSlowTime: l.EvictableAfter,
+			AdmitsPerStep: 16 * max(1, l.Cores), Step: time.Millisecond, MaxWait: l.OverloadRetryAfter})}
 	f.fresh.init()
 	f.rested.init()
 	f.flood.init()
@@ -107,23 +107,23 @@
 // clock is the server's own time.
 func (f *Server) clock() time.Duration { return time.Since(f.started) }
 
-// Swap serves another table from now on. Requests that were found a service before end where they began.
-func (f *Server) Swap(t *Table) { f.table.Store(t) }
+// SetTable serves another table from now on. Requests that were found a service before end where they began.
+func (f *Server) SetTable(t *Table) { f.table.Store(t) }
 
-// Known has the ids of ended requests known for another time.
-func (f *Server) Known(life time.Duration) { f.ids.keep(life) }
+// SetRequestIDTTL has the ids of ended requests known for another time.
+func (f *Server) SetRequestIDTTL(life time.Duration) { f.ids.keep(life) }
 
-// Seed is what ids are known under.
-func (f *Server) Seed() uint64 { return f.ids.seed }
+// RequestIDSeed is what ids are known under.
+func (f *Server) RequestIDSeed() uint64 { return f.ids.seed }
 
-// Seeded goes on with another process's, before anything is served.
-func (f *Server) Seeded(seed uint64) { f.ids.seeded(seed) }
+// SetRequestIDSeed goes on with another process's, before anything is served.
+func (f *Server) SetRequestIDSeed(seed uint64) { f.ids.seeded(seed) }
 
-// IDs are those that are open here or ended lately, for another process that serves from now on.
-func (f *Server) IDs() []byte { return f.ids.hand() }
+// ExportRequestIDs are those that are open here or ended lately, for another process that serves from now on.
+func (f *Server) ExportRequestIDs() []byte { return f.ids.hand() }
 
-// TakeIDs knows another's: who sends one of them again copies a request.
-func (f *Server) TakeIDs(all []byte) { f.ids.take(all, f.now()) }
+// ImportRequestIDs knows another's: who sends one of them again copies a request.
+func (f *Server) ImportRequestIDs(all []byte) { f.ids.take(all, f.now()) }
 
 // Serve begins to take connections, until the listener is closed. Several listeners may be served at once; Drain
 // waits for them all.
@@ -166,7 +166,7 @@
 					if socket.Exhausted(err) {
 						f.closeIdle()
 					}
-					time.Sleep(f.limits.TakeAgain)
+					time.Sleep(f.limits.AcceptRetryDelay)
 				default:
 					ln.Close()
 					return
@@ -176,14 +176,14 @@
 			// The budget should not let it come to that. Whatever holds the others, idle callers give way as they do within it.
 			if !short {
 				short = true
-				f.log.Warn("the process has no descriptor left", zap.Error(err), zap.String("advice", socket.KindOf(err).Advice()))
+				f.log.Warn("the process has no descriptor left", zap.Error(err), zap.String("advice", socket.Classify(err).Advice()))
 			}
 			f.closeIdle()
-			time.Sleep(f.limits.TakeAgain)
+			time.Sleep(f.limits.AcceptRetryDelay)
 		case err != nil:
 			// A caller that left in the queue, or a shortage that passes: the listener itself is sound.
-			f.log.Warn("taking a connection failed", zap.Error(err), zap.String("advice", socket.KindOf(err).Advice()))
-			time.Sleep(f.limits.TakeAgain)
+			f.log.Warn("taking a connection failed", zap.Error(err), zap.String("advice", socket.Classify(err).Advice()))
+			time.Sleep(f.limits.AcceptRetryDelay)
 		default:
 			short = false
 			f.take(raw, way)
@@ -200,8 +200,8 @@
 	}
 }
 
-// Shut closes the listeners, each once what is in its queue has been taken. Drain waits for that.
-func (f *Server) Shut() {
+// CloseListeners closes the listeners, each once what is in its queue has been taken. Drain waits for that.
+func (f *Server) CloseListeners() {
 	f.shut.Store(true)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -229,9 +229,9 @@
 
 func (f *Server) adopt(raw net.Conn, asked bool, way *Gateway) {
 	accepted := f.clock()
-	for !f.room() || !f.budget.TakeLast() {
+	for !f.room() || !f.budget.AcquireForClient() {
 		f.closeIdle()
-		time.Sleep(f.limits.LastLook)
+		time.Sleep(f.limits.FinalReadWindow)
 	}
 	if c := f.newConn(raw); c != nil {
 		c.first, c.asked, c.arrived = !asked, asked, accepted
@@ -245,7 +245,7 @@
 // newConn makes the record of a connection that has its place, or closes it.
 func (f *Server) newConn(raw net.Conn) *conn {
 	c := &conn{Conn: raw, server: f, born: f.clock(), first: true}
-	c.Member.Owner, c.ring.What = c, c
+	c.Member.Owner, c.ring.Payload = c, c
 	err := fmt.Errorf("%T is no socket", raw)
 	if sc, ok := raw.(syscall.Conn); ok {
 		c.raw, err = sc.SyscallConn()
@@ -253,7 +253,7 @@
 	if err != nil {
 		f.log.Warn("watching a connection failed", zap.Error(err))
 		raw.Close()
-		f.budget.GiveLast()
+		f.budget.ReleaseForClient()
 		return nil
 	}
 	return c
@@ -264,23 +264,23 @@
 	f.done.Add(1)
 	f.mu.Lock()
 	f.conns[c] = struct{}{}
-	most := f.limits.CallerIdle
+	most := f.limits.ClientIdleTimeout
 	if !c.asked {
 		f.fresh.push(c)
-		most = f.limits.CallerRead // against those that connect and say nothing
+		most = f.limits.ClientReadTimeout // against those that connect and say nothing
 	}
 	if f.emptied {
-		most = f.limits.StopTaking
+		most = f.limits.ShutdownAcceptTime
 	}
 	if f.drained {
-		most = f.limits.CallerRest
+		most = f.limits.EvictableAfter
 	}
 	f.rest(c, most)
 	f.mu.Unlock()
 	// What is told before the place is known finds the connection resting, and served it is removed only at its end.
 	place, err := f.poller.Add(c.raw, c, true)
-	for tries := 0; socket.KindOf(err).Passing() && tries < watchTries && !f.halted(); tries++ {
-		time.Sleep(f.limits.TakeAgain)
+	for tries := 0; socket.Classify(err).Transient() && tries < watchTries && !f.halted(); tries++ {
+		time.Sleep(f.limits.AcceptRetryDelay)
 		place, err = f.poller.Add(c.raw, c, true)
 	}
 	f.mu.Lock()
@@ -291,7 +291,7 @@
 	case gone:
 		f.poller.Remove(&place)
 	case err != nil:
-		f.log.Warn("watching a connection failed", zap.Error(err), zap.String("advice", socket.KindOf(err).Advice()))
+		f.log.Warn("watching a connection failed", zap.Error(err), zap.String("advice", socket.Classify(err).Advice()))
 		f.endRest([]*conn{c}, telemetry.NotWatched) // but what has come by now is answered
 	}
 }
@@ -302,7 +302,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.conns)
-	most := f.limits.Connections
+	most := f.limits.MaxClientConnections
 	// The log tells of a crowd once, not of each connection that comes and goes at the limit.
 	if crowd := n >= most || f.full && n > most/2; crowd != f.full {
 		f.full = crowd
@@ -314,7 +314,7 @@
 // begin counts a request in, unless as many are in the making as the node has descriptors for; end counts it
 // out.
 func (f *Server) begin() bool {
-	if f.making.Add(1) <= int64(f.limits.Callers) {
+	if f.making.Add(1) <= int64(f.limits.MaxRequests) {
 		return true
 	}
 	f.making.Add(-1)
@@ -341,11 +341,11 @@
 		c.cut.Store(true)
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
-	for c := f.fresh.first(); c != nil && now-c.born >= f.limits.CallerRest; c = f.fresh.first() {
+	for c := f.fresh.first(); c != nil && now-c.born >= f.limits.EvictableAfter; c = f.fresh.first() {
 		end(c)
 	}
 	part := len(f.conns)/16 + 1
-	for c := f.rested.first(); c != nil && part > 0 && now-c.since >= f.limits.CallerLong; c = f.rested.first() {
+	for c := f.rested.first(); c != nil && part > 0 && now-c.since >= f.limits.LongIdle; c = f.rested.first() {
 		end(c)
 		part--
 	}
@@ -353,18 +353,18 @@
 	for c := f.flood.first(); c != nil; c = f.flood.first() {
 		end(c)
 	}
-	if c := f.rested.first(); c != nil && !flooding && now-c.since >= f.limits.CallerRest {
+	if c := f.rested.first(); c != nil && !flooding && now-c.since >= f.limits.EvictableAfter {
 		end(c)
 	}
 	f.mu.Unlock()
-	f.endRest(out, telemetry.GaveWay)
+	f.endRest(out, telemetry.Evicted)
 }
 
 // endRest ends connections that rest, unless something has come on them.
 func (f *Server) endRest(all []*conn, why telemetry.Reason) {
 	for _, c := range all {
 		f.mu.Lock()
-		if c.resting && !c.lingering && socket.Peek(c.raw) == socket.Bytes { // a request that crossed
+		if c.resting && !c.lingering && socket.StateOfRaw(c.raw) == socket.StateReadable { // a request that crossed
 			c.last = true
 			f.rouse(c)
 		}
@@ -376,12 +376,12 @@
 	}
 }
 
-// Pass sends a caller's connection to another process; asked tells whether it has brought an RPC.
-type Pass func(raw net.Conn, asked bool) error
+// TransferFunc sends a caller's connection to another process; asked tells whether it has brought an RPC.
+type TransferFunc func(raw net.Conn, asked bool) error
 
-// PassOn has connections go to another process from now on, those that rest at once and those in use after their answer;
+// TransferTo has connections go to another process from now on, those that rest at once and those in use after their answer;
 // with nil they stay again. A caller notices nothing: what it sends next lies in the socket, which both processes hold.
-func (f *Server) PassOn(pass Pass) {
+func (f *Server) TransferTo(pass TransferFunc) {
 	f.mu.Lock()
 	f.pass = pass
 	var idle []*conn
@@ -407,7 +407,7 @@
 }
 
 // passes sends a connection that no goroutine reads any more over, and forgets it.
-func (f *Server) passes(c *conn, pass Pass) bool {
+func (f *Server) passes(c *conn, pass TransferFunc) bool {
 	if err := pass(c.Conn, c.asked); err != nil {
 		return false
 	}
@@ -415,13 +415,13 @@
 	return true
 }
 
-// Stop begins the end: answers now close their connections. New ones go on being taken, since the front that
+// BeginShutdown begins the end: answers now close their connections. New ones go on being taken, since the front that
 // deals them out learns of the stop only later.
-func (f *Server) Stop() { f.stopping.Store(true) }
+func (f *Server) BeginShutdown() { f.stopping.Store(true) }
 
-// Lame empties the node, or lets it work again. While it is emptied it says that it is not ready, serves what comes all
+// SetLameDuck empties the node, or lets it work again. While it is emptied it says that it is not ready, serves what comes all
 // the same, and ends each connection with its answer; those that rest end once the front has had time to stop sending.
-func (f *Server) Lame(on bool) {
+func (f *Server) SetLameDuck(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.lame.Load() == on {
@@ -433,7 +433,7 @@
 	if !on {
 		return
 	}
-	time.AfterFunc(f.limits.StopTaking, f.empty(f.lamed))
+	time.AfterFunc(f.limits.ShutdownAcceptTime, f.empty(f.lamed))
 }
 
 // empty ends what rests, if the node has not been called back since.
@@ -479,7 +479,7 @@
 func (f *Server) leaving() []*conn {
 	var now []*conn
 	for _, c := range f.resting() {
-		if until := c.born + f.limits.CallerRest; !c.asked && until > f.clock() {
+		if until := c.born + f.limits.EvictableAfter; !c.asked && until > f.clock() {
 			f.ends.Add(&c.ring, until)
 		} else {
 			now = append(now, c)
@@ -496,7 +496,7 @@
 	pass := f.pass
 	f.mu.Unlock()
 	if pass != nil {
-		f.PassOn(pass)
+		f.TransferTo(pass)
 	}
 	f.mu.Lock()
 	f.drained = true
@@ -520,7 +520,7 @@
 	close(f.halt)
 	select {
 	case <-empty:
-	case <-time.After(f.limits.StopWrite):
+	case <-time.After(f.limits.ShutdownWriteTime):
 		f.force(empty)
 	}
 	return fmt.Errorf("%d connections were still in use", n)
@@ -532,7 +532,7 @@
 	f.closeAll(func(c *conn) bool { return !c.owed.Load() })
 	select {
 	case <-empty:
-	case <-time.After(f.limits.CallerWrite):
+	case <-time.After(f.limits.ClientWriteTimeout):
 		f.closeAll(func(*conn) bool { return true })
 	}
 }
@@ -543,7 +543,7 @@
 	defer f.mu.Unlock()
 	for c := range f.conns {
 		if which(c) {
-			f.records(c, telemetry.Forced)
+			f.records(c, telemetry.ForcedShutdown)
 			c.Close()
 		}
 	}
--- a/internal/dataplane/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -13,10 +13,10 @@
 	"robincart/internal/resources/limits"
 )
 
-// Share is a service's part of what services share. A nil one has no bounds.
-type Share interface {
-	// Take asks for a request's part; it is refused with the time after which to come again.
-	Take(tenant, body int) (lease Lease, wait time.Duration, ok bool)
+// Quota is a service's part of what services share. A nil one has no bounds.
+type Quota interface {
+	// Acquire asks for a request's part; it is refused with the time after which to come again.
+	Acquire(tenant, body int) (lease Lease, wait time.Duration, ok bool)
 }
 
 // Lease is what a request holds of its service's part.
@@ -32,8 +32,8 @@
 	Name string
 
 	core    Core
-	picks   Picks
-	share   Share
+	picks   AttemptStarter
+	share   Quota
 	methods map[string]class
 	tenants map[string]tenant
 
@@ -44,7 +44,7 @@
 }
 
 // NewService makes one; the share may be nil.
-func NewService(name string, s *settings.Instance, core Core, picks Picks, share Share) *Service {
+func NewService(name string, s *settings.Instance, core Core, picks AttemptStarter, share Quota) *Service {
 	v := &Service{Name: name, core: core, picks: picks, share: share, methods: map[string]class{}, tenants: map[string]tenant{},
 		empty: make(chan struct{})}
 	for i, m := range s.MethodNames {
@@ -84,7 +84,7 @@
 	switch {
 	case q.Verb != verb(r):
 		return 405
-	case r == decide.Deduplicated && q.Key == "", r == decide.Idempotent && len(q.Body) > 0:
+	case r == decide.Deduplicated && q.IdempotencyKey == "", r == decide.Idempotent && len(q.Body) > 0:
 		return 400
 	}
 	return 0
@@ -97,10 +97,10 @@
 	return "POST"
 }
 
-// Follows has the classes and tenants that another service took before taken until a time, and classes whose effect has changed
+// KeepFormer has the classes and tenants that another service took before taken until a time, and classes whose effect has changed
 // in either form: callers hear of new settings later than the node does. What that one still took from settings before its own
 // stays as long as it was to: settings may change again before callers have heard of the last.
-func (v *Service) Follows(before *Service, now, until time.Duration) *Service {
+func (v *Service) KeepFormer(before *Service, now, until time.Duration) *Service {
 	for name, k := range before.methods {
 		if k.until > 0 && now > k.until {
 			continue // one that is over would else be handed on from settings to settings
@@ -172,16 +172,16 @@
 type Table struct {
 	Only *Service // all requests are its, whatever host and path they name
 	// Find, where there are several, tells which service a request goes to, or the answer to one that goes to none.
-	Find func(*httpwire.Request) (*Service, *httpwire.Answer)
+	Find func(*httpwire.Request) (*Service, *httpwire.ClientResponse)
 }
 
 // find counts a request into its service.
-func (f *Server) find(q *httpwire.Request) (*Service, *httpwire.Answer) {
+func (f *Server) find(q *httpwire.Request) (*Service, *httpwire.ClientResponse) {
 	for {
 		t := f.table.Load()
 		v := t.Only
 		if t.Find != nil {
-			var none *httpwire.Answer
+			var none *httpwire.ClientResponse
 			if v, none = t.Find(q); none != nil {
 				return nil, none
 			}
@@ -193,23 +193,23 @@
 }
 
 // ready answers who asks whether the node is ready.
-func (f *Server) ready(q *httpwire.Request) *httpwire.Answer {
+func (f *Server) ready(q *httpwire.Request) *httpwire.ClientResponse {
 	switch {
 	case q.Verb != "GET" && q.Verb != "HEAD":
-		return &httpwire.Answer{Status: 405, Allow: "GET"}
+		return &httpwire.ClientResponse{Status: 405, Allow: "GET"}
 	case f.closing():
-		return &httpwire.Answer{Status: 503}
+		return &httpwire.ClientResponse{Status: 503}
 	}
-	return &httpwire.Answer{Status: 200}
+	return &httpwire.ClientResponse{Status: 200}
 }
 
 // check finds what a request asks for, or the answer to one that can't be taken. None of those answers is 429
 // or 503: they would promise that asking the same again helps.
-func (v *Service) check(q *httpwire.Request, l *limits.Limits, now time.Duration) (k class, tenant int, bad *httpwire.Answer) {
+func (v *Service) check(q *httpwire.Request, l *limits.Limits, now time.Duration) (k class, tenant int, bad *httpwire.ClientResponse) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(q.Path, "/"), "/")
 	k, known := v.methods[first]
 	if !known || k.until > 0 && now > k.until {
-		return k, 0, &httpwire.Answer{Status: 404}
+		return k, 0, &httpwire.ClientResponse{Status: 404}
 	}
 	t, paying := v.tenants[q.Tenant]
 	paying = paying && (t.until == 0 || now <= t.until)
@@ -219,9 +219,9 @@
 	}
 	switch {
 	case wrong == 405:
-		return k, 0, &httpwire.Answer{Status: 405, Allow: verb(k.repeat)}
-	case wrong != 0, q.Method != first, q.Trace == "", !q.HasLeft, q.Left > l.MostLeft, len(v.tenants) > 0 && !paying:
-		return k, 0, &httpwire.Answer{Status: 400}
+		return k, 0, &httpwire.ClientResponse{Status: 405, Allow: verb(k.repeat)}
+	case wrong != 0, q.Method != first, q.TraceID == "", !q.HasTimeLeft, q.TimeLeft > l.MaxTimeLeft, len(v.tenants) > 0 && !paying:
+		return k, 0, &httpwire.ClientResponse{Status: 400}
 	}
 	return k, t.slot, nil
 }
--- a/internal/dataplane/services/gate.go
+++ b/internal/dataplane/services/gate.go
@@ -28,8 +28,8 @@
 	most time.Duration // that callers may be told to wait; 0: they are told nothing
 }
 
-// Take asks for a request's part.
-func (x *share) Take(tenant, body int) (frontend.Lease, time.Duration, bool) {
+// Acquire asks for a request's part.
+func (x *share) Acquire(tenant, body int) (frontend.Lease, time.Duration, bool) {
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
 	l, why := x.s.Acquire(tenant, quota.Amount{quota.InFlight: 1, quota.BodyBytes: int64(body)})
@@ -64,11 +64,11 @@
 	other func(*share) bool
 }
 
-func (b *budget) Take() bool {
+func (b *budget) Acquire() bool {
 	if !b.grow() && !(b.evict() && b.grow()) && !(b.other(b.x) && b.grow()) {
 		return false
 	}
-	if b.all.Take() {
+	if b.all.Acquire() {
 		return true
 	}
 	b.x.g.mu.Lock()
@@ -83,21 +83,21 @@
 	return b.x.s.Grow(oneConn)
 }
 
-func (b *budget) Give() {
+func (b *budget) Release() {
 	b.x.g.mu.Lock()
 	b.x.s.Shrink(oneConn)
 	b.x.g.mu.Unlock()
-	b.all.Give()
+	b.all.Release()
 }
 
-func (b *budget) Bytes() *limits.Bytes { return b.all.Bytes() }
+func (b *budget) Memory() *limits.MemoryBudget { return b.all.Memory() }
 
-func (b *budget) Evict(f func() bool) { b.evict = f }
+func (b *budget) SetEvictor(f func() bool) { b.evict = f }
 
 // plain counts against the process's descriptors alone. It leaves to the set whose idle connections give way.
 type plain struct{ *limits.Budget }
 
-func (plain) Evict(func() bool) {}
+func (plain) SetEvictor(func() bool) {}
 
 // tick tells the tree of the time and of the CPU taken, and calls back what is due.
 func (g *gate) tick(now, cpu, cores float64) int {
--- a/internal/dataplane/services/services.go
+++ b/internal/dataplane/services/services.go
@@ -27,20 +27,20 @@
 	"robincart/internal/system/telemetry"
 )
 
-// Set is the services in force.
-type Set struct {
-	// Keeper, if set before the first Apply, keeps the record of the services' servers.
-	Keeper *recordcache.Cache
-	// Begun, if set before the first Apply, is told of each service's core before it hears of its servers.
-	Begun func(*node.Core)
+// Manager is the services in force.
+type Manager struct {
+	// RecordCache, if set before the first Apply, keeps the record of the services' servers.
+	RecordCache *recordcache.Cache
+	// OnServiceStart, if set before the first Apply, is told of each service's core before it hears of its servers.
+	OnServiceStart func(*node.Core)
 	// Keys, if set before the first Apply, are shown to discovery, and ask for its own.
 	Keys *keys.Ring
 	// Dial, if set before the first Apply, reaches discovery in the place of the machine's own network.
 	Dial endpoints.DialFunc
 	// Telemetry, if set before the first Apply, has what the services do recorded.
 	Telemetry *telemetry.Recorder
-	// Heard, if set before the first Apply, stands between the news of a service's servers and its core.
-	Heard func(service string, core endpoints.Receiver) endpoints.Receiver
+	// WrapReceiver, if set before the first Apply, stands between the news of a service's servers and its core.
+	WrapReceiver func(service string, core endpoints.Receiver) endpoints.Receiver
 
 	poller *poller.Poller
 	clock  node.Clock
@@ -71,21 +71,21 @@
 }
 
 // New starts a set with nothing in it.
-func New(c *nodeconfig.Config, clock node.Clock, budget *limits.Budget, log *zap.Logger, t *poller.Poller) *Set {
-	s := &Set{clock: clock, budget: budget, log: log, poller: t, pools: map[string]*pool{},
-		gate: &gate{tree: quota.New(c.Quota), back: c.Limits.ComeBack, rand: rand.New(rand.NewSource(c.SeedOf("")))}}
+func New(c *nodeconfig.Config, clock node.Clock, budget *limits.Budget, log *zap.Logger, t *poller.Poller) *Manager {
+	s := &Manager{clock: clock, budget: budget, log: log, poller: t, pools: map[string]*pool{},
+		gate: &gate{tree: quota.New(c.Quota), back: c.Limits.OverloadRetryAfter, rand: rand.New(rand.NewSource(c.SeedOf("")))}}
 	s.life, s.end = context.WithCancel(context.Background())
-	budget.Evict(func() bool { return s.evict(nil) })
+	budget.SetEvictor(func() bool { return s.evict(nil) })
 	s.owned.Go(s.run)
 	return s
 }
 
-// Own runs something for as long as the set lives.
-func (s *Set) Own(f func(context.Context)) { s.owned.Go(func() { f(s.life) }) }
+// Go runs something for as long as the set lives.
+func (s *Manager) Go(f func(context.Context)) { s.owned.Go(func() { f(s.life) }) }
 
 // Apply puts a configuration in force, as one step, and returns the table to serve. Pools that stay keep what their
 // modules have learned; what changes in place does; the others leave once their last request has ended.
-func (s *Set) Apply(c *nodeconfig.Config) *frontend.Table {
+func (s *Manager) Apply(c *nodeconfig.Config) *frontend.Table {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate.mu.Lock()
@@ -161,7 +161,7 @@
 }
 
 // start makes a pool and what belongs to it. One that takes another's place knows its servers from the first moment.
-func (s *Set) start(c *nodeconfig.Config, x nodeconfig.Pool, before *pool) *pool {
+func (s *Manager) start(c *nodeconfig.Config, x nodeconfig.Pool, before *pool) *pool {
 	p := &pool{Pool: x}
 	log := s.log.With(zap.String("service", x.Name))
 	var count upstream.Budget = plain{s.budget}
@@ -192,15 +192,15 @@
 	if before != nil {
 		p.core.AdoptListClock(before.core.ListClock())
 	}
-	if s.Begun != nil {
-		s.Begun(p.core)
+	if s.OnServiceStart != nil {
+		s.OnServiceStart(p.core)
 	}
 	var to endpoints.Receiver = p.core
-	if s.Heard != nil {
-		to = s.Heard(x.Name, to)
+	if s.WrapReceiver != nil {
+		to = s.WrapReceiver(x.Name, to)
 	}
-	if s.Keeper != nil {
-		p.sink = s.Keeper.Subscribe(x.Name, to)
+	if s.RecordCache != nil {
+		p.sink = s.RecordCache.Subscribe(x.Name, to)
 		to = p.sink
 	}
 	if p.watcher != nil {
@@ -214,11 +214,11 @@
 		to.UpdateEndpoints(x.StaticEndpoints, true)
 	}
 	p.conns = upstream.NewPool(p.core, x.Limits, count, s.poller)
-	p.conns.Observe(s.Telemetry)
+	p.conns.SetRecorder(s.Telemetry)
 	if x.Protocol == "fastcgi" {
-		p.conns.FastCGI(x.Params)
+		p.conns.UseFastCGI(x.Params)
 	}
-	var part frontend.Share
+	var part frontend.Quota
 	if p.share != nil {
 		part = p.share
 	}
@@ -227,10 +227,10 @@
 }
 
 // retire takes a pool out: nothing new comes in, what is in ends where it began, then all that it had is freed.
-func (s *Set) retire(p *pool) {
+func (s *Manager) retire(p *pool) {
 	s.leave = append(s.leave, p)
 	if p.sink != nil {
-		s.Keeper.Unsubscribe(p.sink)
+		s.RecordCache.Unsubscribe(p.sink)
 	}
 	empty := p.service.Close()
 	if p.share != nil {
@@ -258,7 +258,7 @@
 }
 
 // run does what is done a few times a second for all pools together: idle connections, the cores, what is called back.
-func (s *Set) run() {
+func (s *Manager) run() {
 	const every = 100 * time.Millisecond
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -285,12 +285,12 @@
 		}
 		cpu = now
 		for _, p := range all {
-			p.conns.Sweep(time.Now())
+			p.conns.CloseExpired(time.Now())
 		}
 	}
 }
 
-func (s *Set) all() []*pool {
+func (s *Manager) all() []*pool {
 	out := slices.Clone(s.leave)
 	for _, p := range s.pools {
 		out = append(out, p)
@@ -308,7 +308,7 @@
 }
 
 // evict closes an idle connection of another service than that one; of those beyond their guarantees first.
-func (s *Set) evict(but *share) bool {
+func (s *Manager) evict(but *share) bool {
 	s.mu.Lock()
 	all := s.all()
 	s.mu.Unlock()
@@ -322,7 +322,7 @@
 	s.gate.mu.Unlock()
 	slices.SortFunc(all, func(a, b *pool) int { return int(over[b] - over[a]) })
 	for _, p := range all {
-		if (but == nil || p.share != but) && p.conns.Evict() {
+		if (but == nil || p.share != but) && p.conns.EvictIdle() {
 			return true
 		}
 	}
@@ -330,7 +330,7 @@
 }
 
 // Cores are those of the services in force.
-func (s *Set) Cores() []*node.Core {
+func (s *Manager) Cores() []*node.Core {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*node.Core
@@ -340,8 +340,8 @@
 	return out
 }
 
-// Open counts the requests in all pools.
-func (s *Set) Open() int {
+// InFlight counts the requests in all pools.
+func (s *Manager) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -351,15 +351,15 @@
 	return n
 }
 
-// Uses tells what each service holds, for the log.
-func (s *Set) Uses() []quota.Usage {
+// Usage tells what each service holds, for the log.
+func (s *Manager) Usage() []quota.Usage {
 	s.gate.mu.Lock()
 	defer s.gate.mu.Unlock()
 	return s.gate.tree.Usage()
 }
 
 // Close ends all pools, whatever is out, and waits for what they own.
-func (s *Set) Close() {
+func (s *Manager) Close() {
 	s.mu.Lock()
 	all := s.all()
 	s.mu.Unlock()
@@ -374,23 +374,23 @@
 }
 
 // finder makes the table's look-up. What it refuses is at fault itself, so no answer promises that asking again helps.
-func finder(t *routes.Table, services []*frontend.Service) func(*httpwire.Request) (*frontend.Service, *httpwire.Answer) {
-	return func(q *httpwire.Request) (*frontend.Service, *httpwire.Answer) {
-		look, err := Look(q)
+func finder(t *routes.Table, services []*frontend.Service) func(*httpwire.Request) (*frontend.Service, *httpwire.ClientResponse) {
+	return func(q *httpwire.Request) (*frontend.Service, *httpwire.ClientResponse) {
+		look, err := RouteRequest(q)
 		if err != nil {
-			return nil, &httpwire.Answer{Status: 400}
+			return nil, &httpwire.ClientResponse{Status: 400}
 		}
 		_, service, ok := t.Find(&look)
 		if !ok {
-			return nil, &httpwire.Answer{Status: 404}
+			return nil, &httpwire.ClientResponse{Status: 404}
 		}
 		return services[service], nil
 	}
 }
 
-// Look is what the routes see of a request. It fails where a host or a path can be read in two ways: a server could
+// RouteRequest is what the routes see of a request. It fails where a host or a path can be read in two ways: a server could
 // then read another route's.
-func Look(q *httpwire.Request) (routes.Request, error) {
+func RouteRequest(q *httpwire.Request) (routes.Request, error) {
 	host := q.Host
 	switch given := q.Header["Host"]; {
 	case len(given) > 1:
@@ -400,7 +400,7 @@
 	case q.Authority != "":
 		host = q.Authority
 	}
-	look := routes.Request{Class: q.Method, Trace: q.Trace, Tenant: q.Tenant, Mark: q.Key, Client: q.Header.Get("X-Forwarded-For"), Header: q.Header}
+	look := routes.Request{Class: q.Method, TraceID: q.TraceID, Tenant: q.Tenant, IdempotencyKey: q.IdempotencyKey, Client: q.Header.Get("X-Forwarded-For"), Header: q.Header}
 	var err error
 	if look.Host, err = routes.Host(host); err != nil {
 		return look, err
--- a/internal/dataplane/upstream/exchange.go
+++ b/internal/dataplane/upstream/exchange.go
@@ -67,13 +67,13 @@
 	res, answer := x.run()
 	served := x.pool.core.AttemptDone(x.pick, res, answer)
 	if answer != nil && !served {
-		x.pool.bytes.Give(answer.ReservedBytes)
+		x.pool.bytes.Release(answer.ReservedBytes)
 	}
 	if answer == nil || answer.BodyStream == nil {
 		return
 	}
 	rest := answer.BodyStream.(*rest)
-	if served && <-rest.read && rest.Ended() && rest.again && !x.conn.beyond() {
+	if served && <-rest.read && rest.Complete() && rest.again && !x.conn.beyond() {
 		x.conn.streams = false
 		x.conn.onTime()
 		x.pool.keep(x.pick.Server, x.conn)
@@ -84,7 +84,7 @@
 
 // rest is the part of a large answer that comes while it is passed on.
 type rest struct {
-	*httpwire.Rest
+	*httpwire.BodyStream
 	again bool      // its connection can be used again after it
 	read  chan bool // whole or not, once
 }
@@ -99,31 +99,31 @@
 	if !ready {
 		return decide.NotSent, nil
 	}
-	if body := x.q.Rest; body != nil {
+	if body := x.q.BodyStream; body != nil {
 		if !body.Claim() { // it has gone to another server, or its caller is not read any more
 			return decide.NotSent, nil
 		}
 		defer body.Release()
 	}
 	if x.pick.FreshConnection {
-		p.closeIdle(server, telemetry.Stale)
+		p.closeIdle(server, telemetry.StaleConnection)
 	}
 	c := p.reuse(server, addr)
 	if c == nil {
-		if !p.budget.Take() {
+		if !p.budget.Acquire() {
 			return decide.NotSent, nil // no descriptor: the server is not to blame
 		}
 		raw, err := x.dial(addr)
 		if err != nil {
-			p.budget.Give()
-			if socket.KindOf(err).Passing() {
+			p.budget.Release()
+			if socket.Classify(err).Transient() {
 				return decide.NotSent, nil // as with a budget that is spent
 			}
 			return decide.ConnectFailed, nil
 		}
 		c = p.newConn(raw, addr)
 		if at, _ := p.core.Address(server); at != addr {
-			p.close(c, telemetry.Stale) // it came back elsewhere under its name while the connect lasted: who is here now is another
+			p.close(c, telemetry.StaleConnection) // it came back elsewhere under its name while the connect lasted: who is here now is another
 			return decide.NotSent, nil
 		}
 	}
@@ -144,7 +144,7 @@
 		c.streams, c.first = true, time.Now()
 	case answer != nil && answer.BodyStream != nil:
 		p.close(c, telemetry.NotReusable)
-		p.bytes.Give(answer.ReservedBytes)
+		p.bytes.Release(answer.ReservedBytes)
 		return decide.Reset, nil // given up as it began
 	case !running || !whole:
 		p.close(c, telemetry.NotReusable)
@@ -156,7 +156,7 @@
 
 // awaited tells whether the caller still waits, which the core may not have heard yet: whoever tells it may be late, as a timer
 // that orders another pick is not.
-func (x *exchange) awaited() bool { return x.q.Sender == nil || x.q.Sender.Waits(x.q) }
+func (x *exchange) awaited() bool { return x.q.Client == nil || x.q.Client.StillWaiting(x.q) }
 
 // dialAgain is shorter than the time for which accepting pauses once it has made callers give way.
 const dialAgain = 2 * time.Millisecond
@@ -174,16 +174,16 @@
 	for {
 		c, err := x.pool.dialer.DialContext(ctx, "tcp", addr)
 		if err != nil && short != nil && (ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded)) {
-			if socket.KindOf(short) == socket.NoRoute {
+			if socket.Classify(short) == socket.NoRoute {
 				return nil, err // it has lasted: no moment's trouble of this side
 			}
 			return nil, short // its time went by for want of what this side lacks
 		}
-		if !socket.KindOf(err).Passing() {
+		if !socket.Classify(err).Transient() {
 			return c, err
 		}
 		short = err
-		if socket.Exhausted(err) && x.pool.Evict() {
+		if socket.Exhausted(err) && x.pool.EvictIdle() {
 			continue
 		}
 		select {
@@ -201,8 +201,8 @@
 func (x *exchange) talk(c *conn) (res decide.Result, answer *node.Response, whole bool) {
 	// One write: it is known whether its last byte went out.
 	head := heads.Get().(*[]byte)
-	left := x.q.Left
-	if x.q.Rest == nil {
+	left := x.q.TimeLeft
+	if x.q.BodyStream == nil {
 		left = x.pool.core.TimeLeft(x.pick)
 	}
 	var msg []byte
@@ -212,7 +212,7 @@
 		msg = c.app.begin((*head)[:0], x.q, c.addr, left)
 	}
 	var err error
-	if x.q.Rest != nil {
+	if x.q.BodyStream != nil {
 		*head = msg
 		defer heads.Put(head)
 		if res, ok := x.upload(c, msg); !ok {
@@ -221,7 +221,7 @@
 		return x.answer(c)
 	}
 	if c.app != nil && cap(msg)-len(msg) >= len(x.q.Body)+32 {
-		msg = c.app.end(fcgi.AppendStream(msg, fcgi.Stdin, c.app.id, x.q.Body))
+		msg = c.app.end(fcgi.AppendStream(msg, fcgi.TypeStdin, c.app.id, x.q.Body))
 		err = socket.Write(c.Conn, msg)
 	} else if c.app != nil {
 		parts := append(append(net.Buffers{msg}, c.app.frame(x.q.Body)...), c.app.end(nil))
@@ -246,22 +246,22 @@
 	r, err := c.reader.ReadResponse()
 	c.by = nil
 	switch {
-	case err != nil && !x.isBroken() && (httpwire.Spoilt(err) || errors.Is(err, os.ErrDeadlineExceeded)):
+	case err != nil && !x.isBroken() && (httpwire.IsMalformed(err) || errors.Is(err, os.ErrDeadlineExceeded)):
 		return decide.Failed, nil, false // by a process that lives, so no Reset
 	case err != nil:
 		return decide.Reset, nil, false // the core tells one that it broke itself
 	}
 	c.onTime()
-	x.pick.LoadReport = r.Load
-	whole = !r.Close && r.Rest == nil && !c.beyond()
+	x.pick.LoadReport = r.LoadReport
+	whole = !r.Close && r.BodyStream == nil && !c.beyond()
 	if r.Status == 200 {
-		answer = &node.Response{ContentType: r.Type, Body: r.Body, ReservedBytes: r.Held}
-		if r.Rest != nil {
-			answer.BodyStream = &rest{Rest: r.Rest, again: !r.Close, read: make(chan bool, 1)}
+		answer = &node.Response{ContentType: r.ContentType, Body: r.Body, ReservedBytes: r.ReservedBytes}
+		if r.BodyStream != nil {
+			answer.BodyStream = &rest{BodyStream: r.BodyStream, again: !r.Close, read: make(chan bool, 1)}
 		}
 		return decide.OK, answer, whole
 	}
-	x.pool.bytes.Give(r.Held)
+	x.pool.bytes.Release(r.ReservedBytes)
 	switch {
 	case (r.Status == 503 || r.Status == 504) && r.NeverRan:
 		return decide.Rejected, nil, whole
@@ -272,13 +272,13 @@
 // upload writes a request whose body is still coming, in pieces as they come. Until its last byte is written the server
 // has begun nothing, whatever breaks; res is then how it ended.
 func (x *exchange) upload(c *conn, head []byte) (res decide.Result, ok bool) {
-	body := x.q.Rest
+	body := x.q.BodyStream
 	defer body.Release()
 	chunked := body.Remaining() < 0
-	piece, frame := httpwire.Piece(), make([]byte, 0, 16)
-	defer httpwire.Done(piece)
+	piece, frame := httpwire.BorrowBuffer(), make([]byte, 0, 16)
+	defer httpwire.ReturnBuffer(piece)
 	last := httpwire.LastChunk
-	write := func(p []byte) bool { return x.write(c, httpwire.Frame(p, chunked, frame)) }
+	write := func(p []byte) bool { return x.write(c, httpwire.FrameChunk(p, chunked, frame)) }
 	if c.app != nil {
 		chunked, last = true, c.app.end(nil)
 		write = func(p []byte) bool { return x.write(c, c.app.frame(p)) }
@@ -286,7 +286,7 @@
 	if !x.write(c, net.Buffers{head}) || len(x.q.Body) > 0 && !write(x.q.Body) {
 		return decide.ConnectFailed, false
 	}
-	for !body.Ended() {
+	for !body.Complete() {
 		n, err := body.Read(*piece)
 		if err != nil && !errors.Is(err, io.EOF) {
 			return decide.NotSent, false // its caller's fault, not the server's
@@ -299,7 +299,7 @@
 		return decide.ConnectFailed, false
 	}
 	c.SetWriteDeadline(time.Time{})
-	x.pool.core.BodyReceived(x.pick, x.q.Left)
+	x.pool.core.BodyReceived(x.pick, x.q.TimeLeft)
 	if x.isBroken() {
 		c.SetDeadline(time.Unix(1, 0))
 	}
@@ -308,7 +308,7 @@
 
 // write writes to a server that may take its time, but not for ever.
 func (x *exchange) write(c *conn, parts net.Buffers) bool {
-	c.SetWriteDeadline(time.Now().Add(x.pool.limits.ServerTakes))
+	c.SetWriteDeadline(time.Now().Add(x.pool.limits.RequestStallTimeout))
 	if x.isBroken() { // given up just now: that must not be put off
 		return false
 	}
@@ -327,8 +327,8 @@
 	switch {
 	case c.streams: // as long as it comes; who waits for it sees how far it has come
 		// In the long run it comes no slower than its caller may take it, beside which it has its own silences.
-		most := c.first.Add(l.CallerTakes + l.AnswerSilence + 2*l.Slowest(c.reader.Got()))
-		if soon := time.Now().Add(l.AnswerSilence); soon.Before(most) {
+		most := c.first.Add(l.ClientStallTimeout + l.ResponseStallTimeout + 2*l.TransferTime(c.reader.BytesRead()))
+		if soon := time.Now().Add(l.ResponseStallTimeout); soon.Before(most) {
 			most = soon
 		}
 		c.SetReadDeadline(most)
@@ -336,11 +336,11 @@
 		return
 	case !c.timed:
 		c.first = time.Now()
-	case c.reader.Got() < c.counted+slowStep:
+	case c.reader.BytesRead() < c.counted+slowStep:
 		return
 	}
-	c.timed, c.counted = true, c.reader.Got()
-	c.SetReadDeadline(c.first.Add(l.AnswerRest + l.Slowest(c.counted)))
+	c.timed, c.counted = true, c.reader.BytesRead()
+	c.SetReadDeadline(c.first.Add(l.ResponseReadTimeout + l.TransferTime(c.counted)))
 	if c.by != nil && c.by.isBroken() {
 		c.SetDeadline(time.Unix(1, 0)) // given up just now: that must not be put off
 	}
--- a/internal/dataplane/upstream/fastcgi.go
+++ b/internal/dataplane/upstream/fastcgi.go
@@ -14,9 +14,9 @@
 	"robincart/internal/protocol/httpwire"
 )
 
-// FastCGI has the pool's servers spoken to in it, before the first pick. The params go with each request, beside those that a request
+// UseFastCGI has the pool's servers spoken to in it, before the first pick. The params go with each request, beside those that a request
 // itself makes.
-func (p *Pool) FastCGI(params map[string]string) {
+func (p *Pool) UseFastCGI(params map[string]string) {
 	p.fastcgi = &params
 }
 
@@ -75,16 +75,16 @@
 	put("REQUEST_URI", q.Target)
 	put("SCRIPT_NAME", path)
 	list = fcgi.AppendPair(list, "QUERY_STRING", query) // CGI wants it, if only empty
-	put("CONTENT_TYPE", q.Type)
+	put("CONTENT_TYPE", q.ContentType)
 	switch {
-	case q.Rest == nil && (q.Verb != "GET" || len(q.Body) > 0):
+	case q.BodyStream == nil && (q.Verb != "GET" || len(q.Body) > 0):
 		put("CONTENT_LENGTH", strconv.Itoa(len(q.Body)))
-	case q.Rest != nil && q.Rest.Remaining() >= 0:
-		put("CONTENT_LENGTH", strconv.FormatInt(int64(len(q.Body))+q.Rest.Remaining(), 10))
+	case q.BodyStream != nil && q.BodyStream.Remaining() >= 0:
+		put("CONTENT_LENGTH", strconv.FormatInt(int64(len(q.Body))+q.BodyStream.Remaining(), 10))
 	}
 	put("HTTP_HOST", host)
-	put(paramTrace, q.Trace)
-	put(paramKey, q.Key)
+	put(paramTrace, q.TraceID)
+	put(paramKey, q.IdempotencyKey)
 	put(paramMethod, q.Method)
 	put(paramTenant, q.Tenant)
 	put(paramLeft, strconv.FormatInt(max(1, left.Milliseconds()), 10))
@@ -92,8 +92,8 @@
 		put(name, value)
 	}
 	to = fcgi.AppendBegin(to, a.id, true)
-	to = fcgi.AppendStream(to, fcgi.Params, a.id, list)
-	return fcgi.AppendStreamEnd(to, fcgi.Params, a.id)
+	to = fcgi.AppendStream(to, fcgi.TypeParams, a.id, list)
+	return fcgi.AppendStreamEnd(to, fcgi.TypeParams, a.id)
 }
 
 // param is what CGI makes of a header's name.
@@ -102,17 +102,17 @@
 }
 
 var (
-	paramTrace  = param(httpwire.HeaderTrace)
-	paramKey    = param(httpwire.HeaderKey)
+	paramTrace  = param(httpwire.HeaderTraceID)
+	paramKey    = param(httpwire.HeaderIdempotencyKey)
 	paramMethod = param(httpwire.HeaderMethod)
 	paramTenant = param(httpwire.HeaderTenant)
-	paramLeft   = param(httpwire.HeaderLeft)
+	paramLeft   = param(httpwire.HeaderTimeLeft)
 )
 
 // frame makes records of a part of the body.
-func (a *application) frame(p []byte) net.Buffers { return fcgi.Records(fcgi.Stdin, a.id, p) }
+func (a *application) frame(p []byte) net.Buffers { return fcgi.Records(fcgi.TypeStdin, a.id, p) }
 
-func (a *application) end(to []byte) []byte { return fcgi.AppendStreamEnd(to, fcgi.Stdin, a.id) }
+func (a *application) end(to []byte) []byte { return fcgi.AppendStreamEnd(to, fcgi.TypeStdin, a.id) }
 
 // Read gives the answer as HTTP/1.1: as much as has come, so that a whole one needs no second look.
 func (a *application) Read(to []byte) (int, error) {
@@ -152,11 +152,11 @@
 		return err
 	}
 	switch e.Kind {
-	case fcgi.Said: // for the server's own people: nobody here reads it
+	case fcgi.EventStderr: // for the server's own people: nobody here reads it
 		if a.said += len(e.Data); a.said > stderrMax {
 			return spoilt("more than %d bytes beside an answer", stderrMax)
 		}
-	case fcgi.Out:
+	case fcgi.EventStdout:
 		if !a.begun { // from here on it is due soon
 			a.begun = true
 			a.pend = append(a.pend, "HTTP/1.1 "...)
@@ -171,7 +171,7 @@
 			return a.body(body)
 		}
 		return a.body(e.Data)
-	case fcgi.Over:
+	case fcgi.EventEnd:
 		a.id = 0
 		return a.over(e)
 	}
@@ -209,12 +209,12 @@
 
 // over is the application's last word. Only with it an answer is whole: a script that dies writes what it has, and ends with a number.
 func (a *application) over(e fcgi.Event) error {
-	refused := e.Status == fcgi.Overloaded || e.Status == fcgi.CantMpx
+	refused := e.Status == fcgi.StatusOverloaded || e.Status == fcgi.StatusCantMultiplex
 	switch {
 	case refused && !a.begun: // by the protocol's own word nothing has run
 		a.pend = append(a.pend, "HTTP/1.1 503 \r\n"+httpwire.HeaderNeverRan+": 1\r\nContent-Length: 0\r\n\r\n"...)
-	case !a.headed || e.Status != fcgi.Complete || e.App != 0:
-		return spoilt("a request ended with status %d and number %d", e.Status, e.App)
+	case !a.headed || e.Status != fcgi.StatusComplete || e.AppStatus != 0:
+		return spoilt("a request ended with status %d and number %d", e.Status, e.AppStatus)
 	case a.length >= 0 && a.took < a.length:
 		return spoilt("a shorter body than its head told")
 	case !a.bare:
@@ -225,7 +225,7 @@
 
 // Beyond tells whether something has come, or is to come, that belongs to no answer.
 func (a *application) Beyond() bool {
-	return a.id != 0 || a.at < len(a.pend) || a.buf != nil && a.records.Beyond()
+	return a.id != 0 || a.at < len(a.pend) || a.buf != nil && a.records.HasBuffered()
 }
 
 // rest gives the buffers up between two requests.
--- a/internal/dataplane/upstream/fastcgi_test.go
+++ b/internal/dataplane/upstream/fastcgi_test.go
@@ -20,18 +20,18 @@
 	require.NoError(t, app.Start("127.0.0.1:0"))
 	t.Cleanup(app.Stop)
 	s := begin(app.Addr(), 5)
-	s.FastCGI(map[string]string{"SCRIPT_FILENAME": "/srv/find.php"})
+	s.UseFastCGI(map[string]string{"SCRIPT_FILENAME": "/srv/find.php"})
 	return s, app
 }
 
-func record(k fcgi.Type, id uint16, content string) string {
+func record(k fcgi.RecordType, id uint16, content string) string {
 	h := fcgi.Head(k, id, len(content))
 	return string(h[:]) + content
 }
 
 // Each way that an application can end a request has one outcome, which never promises more than is known.
 func TestOutcomesOfFastCGIAreThoseOfTheTable(t *testing.T) {
-	out := func(text string) string { return record(fcgi.Stdout, 1, text) }
+	out := func(text string) string { return record(fcgi.TypeStdout, 1, text) }
 	end := func(app uint32, s fcgi.Status) string { return string(fcgi.AppendEnd(nil, 1, app, s)) }
 	ok := out("Content-Type: text/x\n\nhi")
 	for name, c := range map[string]struct {
@@ -39,28 +39,28 @@
 		close bool // then
 		want  decide.Result
 	}{
-		"an answer":                    {ok + out("") + end(0, fcgi.Complete), false, decide.OK},
-		"without the stream's end":     {ok + end(0, fcgi.Complete), false, decide.OK},
-		"in two records":               {out("Content-Type: tex") + out("t/x\r\nContent-Length: 2\r\n\r\nh") + out("i") + end(0, fcgi.Complete), false, decide.OK},
-		"with words beside it":         {record(fcgi.Stderr, 1, "warning") + ok + record(fcgi.Stderr, 1, "") + end(0, fcgi.Complete), false, decide.OK},
-		"with a word of no request":    {record(fcgi.Values, 0, "") + ok + record(fcgi.Unknown, 0, "\x09\x00\x00\x00\x00\x00\x00\x00") + end(0, fcgi.Complete), false, decide.OK},
-		"overloaded":                   {end(0, fcgi.Overloaded), false, decide.Rejected},
-		"one at a time":                {end(0, fcgi.CantMpx), false, decide.Rejected},
-		"marked as never run":          {out("Status: 503\nX-Never-Ran: 1\n\n") + end(0, fcgi.Complete), false, decide.Rejected},
-		"overloaded after it began":    {ok + end(0, fcgi.Overloaded), false, decide.Failed},
-		"unknown role":                 {end(0, fcgi.UnknownRole), false, decide.Failed},
-		"503 without the mark":         {out("Status: 503\n\n") + end(0, fcgi.Complete), false, decide.Failed},
-		"a number":                     {ok + end(1, fcgi.Complete), false, decide.Failed},
-		"an END alone":                 {end(0, fcgi.Complete), false, decide.Failed},
-		"words alone":                  {record(fcgi.Stderr, 1, "fatal") + end(0, fcgi.Complete), false, decide.Failed},
-		"half a head":                  {out("Content-Type: text/x\n") + end(0, fcgi.Complete), false, decide.Failed},
-		"no CGI":                       {out("HTTP/1.1 200 OK\n\n") + end(0, fcgi.Complete), false, decide.Failed},
-		"two states":                   {out("Status: 200\nStatus: 500\n\n") + end(0, fcgi.Complete), false, decide.Failed},
-		"less than told":               {out("Content-Length: 3\n\nhi") + end(0, fcgi.Complete), false, decide.Failed},
-		"more than told":               {out("Content-Length: 1\n\nhi") + end(0, fcgi.Complete), false, decide.Failed},
-		"a redirect":                   {out("Location: /x\n\n") + end(0, fcgi.Complete), false, decide.Failed},
-		"no content":                   {out("Status: 204\n\n") + end(0, fcgi.Complete), false, decide.Failed},
-		"another's id":                 {record(fcgi.Stdout, 2, "Content-Type: a\n\nhi"), false, decide.Failed},
+		"an answer":                    {ok + out("") + end(0, fcgi.StatusComplete), false, decide.OK},
+		"without the stream's end":     {ok + end(0, fcgi.StatusComplete), false, decide.OK},
+		"in two records":               {out("Content-Type: tex") + out("t/x\r\nContent-Length: 2\r\n\r\nh") + out("i") + end(0, fcgi.StatusComplete), false, decide.OK},
+		"with words beside it":         {record(fcgi.TypeStderr, 1, "warning") + ok + record(fcgi.TypeStderr, 1, "") + end(0, fcgi.StatusComplete), false, decide.OK},
+		"with a word of no request":    {record(fcgi.TypeValues, 0, "") + ok + record(fcgi.TypeUnknown, 0, "\x09\x00\x00\x00\x00\x00\x00\x00") + end(0, fcgi.StatusComplete), false, decide.OK},
+		"overloaded":                   {end(0, fcgi.StatusOverloaded), false, decide.Rejected},
+		"one at a time":                {end(0, fcgi.StatusCantMultiplex), false, decide.Rejected},
+		"marked as never run":          {out("Status: 503\nX-Never-Ran: 1\n\n") + end(0, fcgi.StatusComplete), false, decide.Rejected},
+		"overloaded after it began":    {ok + end(0, fcgi.StatusOverloaded), false, decide.Failed},
+		"unknown role":                 {end(0, fcgi.StatusUnknownRole), false, decide.Failed},
+		"503 without the mark":         {out("Status: 503\n\n") + end(0, fcgi.StatusComplete), false, decide.Failed},
+		"a number":                     {ok + end(1, fcgi.StatusComplete), false, decide.Failed},
+		"an END alone":                 {end(0, fcgi.StatusComplete), false, decide.Failed},
+		"words alone":                  {record(fcgi.TypeStderr, 1, "fatal") + end(0, fcgi.StatusComplete), false, decide.Failed},
+		"half a head":                  {out("Content-Type: text/x\n") + end(0, fcgi.StatusComplete), false, decide.Failed},
+		"no CGI":                       {out("HTTP/1.1 200 OK\n\n") + end(0, fcgi.StatusComplete), false, decide.Failed},
+		"two states":                   {out("Status: 200\nStatus: 500\n\n") + end(0, fcgi.StatusComplete), false, decide.Failed},
+		"less than told":               {out("Content-Length: 3\n\nhi") + end(0, fcgi.StatusComplete), false, decide.Failed},
+		"more than told":               {out("Content-Length: 1\n\nhi") + end(0, fcgi.StatusComplete), false, decide.Failed},
+		"a redirect":                   {out("Location: /x\n\n") + end(0, fcgi.StatusComplete), false, decide.Failed},
+		"no content":                   {out("Status: 204\n\n") + end(0, fcgi.StatusComplete), false, decide.Failed},
+		"another's id":                 {record(fcgi.TypeStdout, 2, "Content-Type: a\n\nhi"), false, decide.Failed},
 		"HTTP":                         {okText, false, decide.Failed},
 		"begun and not gone on":        {out("Content-Type: text/x\n\nhi"), false, decide.Failed},
 		"a head begun and not gone on": {out("Content-"), false, decide.Failed},
@@ -69,7 +69,7 @@
 		"death in the CGI head":        {out("Content-Ty"), true, decide.Reset},
 		"death in the body":            {ok[:len(ok)-1], true, decide.Reset},
 		"death before the END":         {ok, true, decide.Reset},
-		"death in the END":             {ok + end(0, fcgi.Complete)[:12], true, decide.Reset},
+		"death in the END":             {ok + end(0, fcgi.StatusComplete)[:12], true, decide.Reset},
 	} {
 		t.Run(strings.ReplaceAll(name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
@@ -98,14 +98,14 @@
 		}
 		// In records of one byte.
 		for _, b := range []byte("Content-Type: text/x\r\n\r\nhi") {
-			c.Write([]byte(record(fcgi.Stdout, q.ID, string(b))))
+			c.Write([]byte(record(fcgi.TypeStdout, q.ID, string(b))))
 		}
-		c.Write(fcgi.AppendEnd(nil, q.ID, 0, fcgi.Complete))
+		c.Write(fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete))
 		return true
 	})
-	s.q.Verb, s.q.Type, s.q.Key, s.q.Tenant, s.q.Body = "POST", "a/b", "k", "acme", []byte(strings.Repeat("x", 1<<16))
+	s.q.Verb, s.q.ContentType, s.q.IdempotencyKey, s.q.Tenant, s.q.Body = "POST", "a/b", "k", "acme", []byte(strings.Repeat("x", 1<<16))
 	for _, id := range []string{"t1", "t2"} {
-		s.q.Trace = id
+		s.q.TraceID = id
 		require.Equal(t, decide.OK, s.pick())
 	}
 	assert.Equal(t, 1, app.Conns())
@@ -117,10 +117,10 @@
 	assert.Equal(t, map[string]string{"GATEWAY_INTERFACE": "CGI/1.1", "SERVER_PROTOCOL": "HTTP/1.1", "REQUEST_METHOD": "POST", "REQUEST_URI": "/find?k=1", "SCRIPT_NAME": "/find",
 		"QUERY_STRING": "k=1", "CONTENT_TYPE": "a/b", "CONTENT_LENGTH": "65536", "HTTP_HOST": "h", "HTTP_X_TRACE_ID": "t2", "HTTP_IDEMPOTENCY_KEY": "k", "HTTP_X_QOS": "find",
 		"HTTP_X_CUSTOMER": "acme", "SCRIPT_FILENAME": "/srv/find.php"}, q.Params)
-	s.q.Trace, s.core.left = "t3", 50*time.Millisecond
+	s.q.TraceID, s.core.left = "t3", 50*time.Millisecond
 	assert.Equal(t, decide.Reset, s.pick())
 	assert.Eventually(t, func() bool { return app.Aborted() == 1 }, 20*time.Second, time.Millisecond)
-	assert.Equal(t, 5, s.budget.Left(), "and its connection is closed")
+	assert.Equal(t, 5, s.budget.Available(), "and its connection is closed")
 }
 
 // One pick after another over one connection, HTTP and FastCGI, with servers that answer at once.
@@ -163,7 +163,7 @@
 				c.Write((&standin.Asked{ID: uint16(buf[2])<<8 | uint16(buf[3])}).Answered("Content-Type: text/x", "hi"))
 			}
 		}), 5)
-		s.FastCGI(nil)
+		s.UseFastCGI(nil)
 		run(b, s)
 	})
 }
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -33,11 +33,11 @@
 
 // Budget counts descriptors; limits.Budget is one.
 type Budget interface {
-	Take() bool
-	Give()
-	// Evict names what gives one back when none is left.
-	Evict(func() bool)
-	Bytes() *limits.Bytes
+	Acquire() bool
+	Release()
+	// SetEvictor names what gives one back when none is left.
+	SetEvictor(func() bool)
+	Memory() *limits.MemoryBudget
 }
 
 // slowStep is how many bytes of an answer put its deadline off.
@@ -53,8 +53,8 @@
 	// Of the limits, what settings change while the pool works.
 	connect, idleMost atomic.Int64
 	budget            Budget
-	bytes             limits.Room    // for answers
-	poller            *poller.Poller // tells of servers that close; nil: they are found closed when they are to be used
+	bytes             limits.MemoryPool // for answers
+	poller            *poller.Poller    // tells of servers that close; nil: they are found closed when they are to be used
 	dialer            net.Dialer
 	workers           workerpool.Pool     // of exchanges
 	fastcgi           *map[string]string  // params, where the servers speak FastCGI
@@ -74,7 +74,7 @@
 	reader httpwire.Reader
 	app    *application // nil: its server speaks HTTP
 	addr   string
-	place  poller.Place
+	place  poller.Registration
 	by     *exchange // in talk
 	timed  bool      // a read deadline is set
 	// Of an answer: when its first byte came, the bytes that its deadline goes by, and whether it is being passed on.
@@ -91,21 +91,21 @@
 
 // NewPool starts with no connection. The poller may be nil.
 func NewPool(core Core, l limits.Limits, budget Budget, t *poller.Poller) *Pool {
-	p := &Pool{core: core, limits: l, budget: budget, bytes: budget.Bytes().Answers(), poller: t, idle: map[*node.Server]*conn{}, dialer: net.Dialer{KeepAlive: -1, Control: socket.NoDelay}}
+	p := &Pool{core: core, limits: l, budget: budget, bytes: budget.Memory().ForResponses(), poller: t, idle: map[*node.Server]*conn{}, dialer: net.Dialer{KeepAlive: -1, Control: socket.NoDelay}}
 	p.oldest.older, p.oldest.newer = &p.oldest, &p.oldest
-	p.Tune(l)
-	budget.Evict(p.Evict)
+	p.SetTimeouts(l)
+	budget.SetEvictor(p.EvictIdle)
 	core.OnServersUnavailable(p.left)
 	return p
 }
 
-// Observe has events recorded. It is called before anything is sent.
-func (p *Pool) Observe(r *telemetry.Recorder) { p.telemetry = r }
+// SetRecorder has events recorded. It is called before anything is sent.
+func (p *Pool) SetRecorder(r *telemetry.Recorder) { p.telemetry = r }
 
-// Tune takes a service's own times towards its servers over.
-func (p *Pool) Tune(l limits.Limits) {
-	p.connect.Store(int64(l.Connect))
-	p.idleMost.Store(int64(l.ServerIdle))
+// SetTimeouts takes a service's own times towards its servers over.
+func (p *Pool) SetTimeouts(l limits.Limits) {
+	p.connect.Store(int64(l.ConnectTimeout))
+	p.idleMost.Store(int64(l.ServerIdleTimeout))
 }
 
 func (p *Pool) newConn(raw net.Conn, addr string) *conn {
@@ -114,9 +114,9 @@
 		c.app = &application{raw: raw, params: p.fastcgi}
 		c.reader.Init(c.app, &p.limits.Wire)
 	} else {
-		c.reader.Init(socket.Patient{Conn: raw}, &p.limits.Wire)
+		c.reader.Init(socket.ShortageConn{Conn: raw}, &p.limits.Wire)
 	}
-	c.reader.Pace, c.reader.Room = c, p.bytes
+	c.reader.OnProgress, c.reader.Memory = c, p.bytes
 	if sc, ok := raw.(syscall.Conn); ok {
 		c.raw, _ = sc.SyscallConn()
 	}
@@ -128,7 +128,7 @@
 
 // Run closes idle connections in time, until the context ends; then it closes the pool.
 func (p *Pool) Run(ctx context.Context) {
-	tick := time.NewTicker(p.limits.Sweep)
+	tick := time.NewTicker(p.limits.SweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -136,14 +136,14 @@
 			p.Close()
 			return
 		case now := <-tick.C:
-			p.Sweep(now)
+			p.CloseExpired(now)
 		}
 	}
 }
 
-// Sweep closes the connections that have been idle for too long, and ends goroutines that were not needed of late. Who has
+// CloseExpired closes the connections that have been idle for too long, and ends goroutines that were not needed of late. Who has
 // many pools calls it instead of Run.
-func (p *Pool) Sweep(now time.Time) {
+func (p *Pool) CloseExpired(now time.Time) {
 	p.workers.Trim()
 	for range sweepMost {
 		p.mu.Lock()
@@ -171,7 +171,7 @@
 // left closes what is idle towards servers that take nothing more, or not there.
 func (p *Pool) left(servers []*node.Server) {
 	for _, s := range servers {
-		p.closeIdle(s, telemetry.ServerLeft)
+		p.closeIdle(s, telemetry.ServerUnavailable)
 	}
 }
 
@@ -190,8 +190,8 @@
 	}
 }
 
-// Stirred tells that a server has closed a connection.
-func (c *conn) Stirred(poller.Event) {
+// OnEvent tells that a server has closed a connection.
+func (c *conn) OnEvent(poller.Event) {
 	p := c.pool
 	p.mu.Lock()
 	idle := c.server != nil
@@ -205,7 +205,7 @@
 }
 
 func (p *Pool) close(c *conn, why telemetry.Reason) {
-	p.telemetry.Record(telemetry.Event{Kind: telemetry.ServerClosed, Reason: why, Server: c.addr})
+	p.telemetry.Record(telemetry.Event{Kind: telemetry.ServerConnectionClosed, Reason: why, Server: c.addr})
 	if p.poller != nil {
 		p.poller.Remove(&c.place)
 	}
@@ -213,7 +213,7 @@
 		c.app.abort()
 	}
 	c.Close()
-	p.budget.Give()
+	p.budget.Release()
 }
 
 // take takes an idle connection out of the lists.
@@ -232,8 +232,8 @@
 	c.server, c.next, c.prev, c.older, c.newer = nil, nil, nil, nil, nil
 }
 
-// Evict closes the connection that has been idle longest.
-func (p *Pool) Evict() bool { return p.evict(telemetry.GaveWay) }
+// EvictIdle closes the connection that has been idle longest.
+func (p *Pool) EvictIdle() bool { return p.evict(telemetry.Evicted) }
 
 func (p *Pool) evict(why telemetry.Reason) bool {
 	p.mu.Lock()
@@ -255,7 +255,7 @@
 	for {
 		p.mu.Lock()
 		c := p.idle[s]
-		for c != nil && c.app == nil && time.Since(c.since) < p.limits.AnswerBehind {
+		for c != nil && c.app == nil && time.Since(c.since) < p.limits.ResponseSettleTime {
 			c = c.next
 		}
 		if c == nil {
@@ -267,12 +267,12 @@
 		if c.addr == addr && time.Since(c.since) < time.Duration(p.idleMost.Load()) && !c.stale() {
 			return c
 		}
-		p.close(c, telemetry.Stale)
+		p.close(c, telemetry.StaleConnection)
 	}
 }
 
 func (p *Pool) keep(s *node.Server, c *conn) {
-	c.reader.Release()
+	c.reader.ReleaseBuffer()
 	if c.app != nil {
 		c.app.rest()
 	}
@@ -289,15 +289,15 @@
 	}
 	p.mu.Unlock()
 	if !ok {
-		p.close(c, telemetry.ServerLeft)
+		p.close(c, telemetry.ServerUnavailable)
 	}
 }
 
 // beyond tells whether something has come that no answer has taken.
-func (c *conn) beyond() bool { return c.reader.Beyond() || c.app != nil && c.app.Beyond() }
+func (c *conn) beyond() bool { return c.reader.HasBuffered() || c.app != nil && c.app.Beyond() }
 
 // stale looks, without waiting, whether the server has closed an idle connection or written to it unasked. A
 // request written to a closed one would end as a reset, which may have run.
 func (c *conn) stale() bool {
-	return c.beyond() || c.raw != nil && socket.Peek(c.raw) != socket.Quiet
+	return c.beyond() || c.raw != nil && socket.StateOfRaw(c.raw) != socket.StateQuiet
 }
--- a/internal/dataplane/upstream/upstream_test.go
+++ b/internal/dataplane/upstream/upstream_test.go
@@ -124,8 +124,8 @@
 }
 
 func bounds() limits.Limits {
-	return limits.Limits{Wire: httpwire.Sizes{Buffer: 512, Read: 64, Head: 4096, Body: 1 << 16, Chunk: 64},
-		AnswerRest: 50 * time.Millisecond, Connect: 200 * time.Millisecond, ServerIdle: 300 * time.Millisecond, Sweep: 20 * time.Millisecond}
+	return limits.Limits{Wire: httpwire.Sizes{BufferSize: 512, ReadSize: 64, MaxHead: 4096, MaxBody: 1 << 16, MaxChunkLine: 64},
+		ResponseReadTimeout: 50 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond, ServerIdleTimeout: 300 * time.Millisecond, SweepInterval: 20 * time.Millisecond}
 }
 
 type story struct {
@@ -148,7 +148,7 @@
 	core := &fakeCore{addr: addr, left: 2 * time.Second}
 	b := limits.NewBudget(descriptors, 0, nil)
 	return &story{Pool: NewPool(core, bounds(), b, watched()), core: core, budget: b, server: &node.Server{},
-		q: &httpwire.Request{Verb: "GET", Target: "/find?k=1", Host: "h", Trace: "t1", Method: "find"}}
+		q: &httpwire.Request{Verb: "GET", Target: "/find?k=1", Host: "h", TraceID: "t1", Method: "find"}}
 }
 
 func (s *story) pick() decide.Result {
@@ -201,12 +201,12 @@
 		c.Close()
 	})
 	s := begin(server.Addr().String(), 5)
-	s.limits.AnswerBehind = time.Hour
+	s.limits.ResponseSettleTime = time.Hour
 	for i := range 3 {
 		assert.Equal(t, decide.OK, s.pick())
 		assert.Equal(t, fmt.Sprint(i), string(s.core.answer.Body))
 	}
-	s.limits.AnswerBehind = 0 // it has rested
+	s.limits.ResponseSettleTime = 0 // it has rested
 	conns, _ := server.count()
 	s.pick()
 	again, _ := server.count()
@@ -224,7 +224,7 @@
 	assert.Equal(t, decide.NotSent, s.pick())
 	_, sent := was.count()
 	assert.Zero(t, sent)
-	assert.Equal(t, 5, s.budget.Left())
+	assert.Equal(t, 5, s.budget.Available())
 	assert.Equal(t, decide.OK, s.pick())
 	_, sent = is.count()
 	assert.Equal(t, 1, sent)
@@ -304,7 +304,7 @@
 		s := begin("127.0.0.1:1", 5)
 		s.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("socket", e) }
 		assert.Equal(t, decide.NotSent, s.pick(), e)
-		assert.Equal(t, 5, s.budget.Left())
+		assert.Equal(t, 5, s.budget.Available())
 
 		s = begin(serve(t, answers(okText)).Addr().String(), 5)
 		fails := 3
@@ -329,7 +329,7 @@
 	assert.True(t, testutil.Receive(t, closed))
 	conns, _ := server.count()
 	assert.Equal(t, 1, conns)
-	assert.True(t, s.budget.Take(), "its descriptor is free")
+	assert.True(t, s.budget.Acquire(), "its descriptor is free")
 }
 
 // A pick's end can come when its connection serves another already.
@@ -446,7 +446,7 @@
 		closed <- !s.read(c)
 	})
 	s := begin(server.Addr().String(), 5)
-	s.limits.ServerIdle = time.Hour
+	s.limits.ServerIdleTimeout = time.Hour
 	assert.Equal(t, decide.OK, s.pick())
 	s.Exchange(&node.Attempt{Server: s.server, FreshConnection: true}, s.q) // the module does not trust the idle one
 	assert.True(t, testutil.Receive(t, closed))
@@ -471,7 +471,7 @@
 	})
 	s := begin(server.Addr().String(), 1)
 	assert.Equal(t, decide.OK, s.pick())
-	require.Eventually(t, func() bool { return s.budget.Take() }, 20*time.Second, time.Millisecond, "its descriptor is free without a look")
+	require.Eventually(t, func() bool { return s.budget.Acquire() }, 20*time.Second, time.Millisecond, "its descriptor is free without a look")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	assert.Empty(t, s.idle)
@@ -486,8 +486,8 @@
 	assert.Len(t, s.idle, 1)
 
 	// With none idle the pick has not been sent, and no server is to blame.
-	assert.True(t, s.Evict())
-	require.True(t, s.budget.Take())
+	assert.True(t, s.EvictIdle())
+	require.True(t, s.budget.Acquire())
 	assert.Equal(t, decide.NotSent, s.pick())
 }
 
@@ -533,7 +533,7 @@
 		done := make(chan decide.Result, 1)
 		go func() { done <- s.pick() }()
 		assert.Equal(t, decide.Failed, testutil.Receive(t, done), name)
-		assert.Equal(t, 1, s.budget.Left(), name)
+		assert.Equal(t, 1, s.budget.Available(), name)
 	}
 }
 
@@ -555,8 +555,8 @@
 					end(c)
 				})
 				s := begin(server.Addr().String(), 5)
-				s.limits.Wire.Stream, s.limits.Wire.Begin = 1<<20, 4<<10
-				s.limits.AnswerRest, s.limits.AnswerSilence, s.limits.CallerTakes = 20*time.Second, 20*time.Second, 20*time.Second
+				s.limits.Wire.MaxStream, s.limits.Wire.StreamPrefix = 1<<20, 4<<10
+				s.limits.ResponseReadTimeout, s.limits.ResponseStallTimeout, s.limits.ClientStallTimeout = 20*time.Second, 20*time.Second, 20*time.Second
 				s.core.left = 20 * time.Second
 				over := make(chan decide.Result, 1)
 				go func() { over <- s.pick() }()
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -259,7 +259,7 @@
 		}
 		f := os.NewFile(uintptr(*fd), "caller")
 		*fd = -1
-		c, err := socket.Conn(f)
+		c, err := socket.FromFile(f)
 		if err != nil {
 			return nil // it ended on the way
 		}
--- a/internal/lab/chaos/pairs.go
+++ b/internal/lab/chaos/pairs.go
@@ -192,7 +192,7 @@
 		s := &standin.Application{Serve: func(c net.Conn, q *standin.Asked) bool {
 			answer := q.Answered("Content-Type: text/plain", body)
 			cut := r.done(p, q.Params["HTTP_X_QOS"], q.Params["HTTP_X_TRACE_ID"], q.Params["HTTP_IDEMPOTENCY_KEY"], len(answer))
-			return write(c, cut, answer, fcgi.AppendEnd(nil, q.ID, 0, fcgi.Overloaded))
+			return write(c, cut, answer, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusOverloaded))
 		}}
 		if err := s.Start("127.0.0.1:0"); err != nil {
 			return "", nil, err
@@ -309,8 +309,8 @@
 		{"HTTP_IDEMPOTENCY_KEY", mark}} {
 		list = fcgi.AppendPair(list, p[0], p[1])
 	}
-	ask := fcgi.AppendStreamEnd(fcgi.AppendStream(fcgi.AppendBegin(nil, c.id, true), fcgi.Params, c.id, list), fcgi.Params, c.id)
-	if _, err := c.c.Write(fcgi.AppendStreamEnd(fcgi.AppendStream(ask, fcgi.Stdin, c.id, []byte(body)), fcgi.Stdin, c.id)); err != nil {
+	ask := fcgi.AppendStreamEnd(fcgi.AppendStream(fcgi.AppendBegin(nil, c.id, true), fcgi.TypeParams, c.id, list), fcgi.TypeParams, c.id)
+	if _, err := c.c.Write(fcgi.AppendStreamEnd(fcgi.AppendStream(ask, fcgi.TypeStdin, c.id, []byte(body)), fcgi.TypeStdin, c.id)); err != nil {
 		return 0, err
 	}
 	var out bytes.Buffer
@@ -323,13 +323,13 @@
 			return 0, err
 		case p.ID != c.id:
 			return 0, fmt.Errorf("a record of request %d", p.ID)
-		case p.Type == fcgi.Stdout:
+		case p.Type == fcgi.TypeStdout:
 			out.Write(p.Content)
 			continue
-		case p.Type != fcgi.End:
+		case p.Type != fcgi.TypeEnd:
 			return 0, fmt.Errorf("a record of type %d", p.Type)
 		}
-		if c.records.Beyond() {
+		if c.records.HasBuffered() {
 			return 0, errors.New("more than one answer")
 		}
 		h, _, whole, err := fcgi.ReadCGI(out.Bytes(), 4096)
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -22,7 +22,7 @@
 	ip := net.ParseIP(e.Fleet.Host)
 	bad(e.Name == "", "name is missing")
 	bad(strings.ContainsAny(e.Name, "/\\ "), "name: %q has a slash or a blank", e.Name)
-	bad(e.Duration <= 0 || e.Duration.Of() > MostDuration, "duration: %v is not above 0 and at most %v", e.Duration.Of(), MostDuration)
+	bad(e.Duration <= 0 || e.Duration.Std() > MostDuration, "duration: %v is not above 0 and at most %v", e.Duration.Std(), MostDuration)
 	bad(ip == nil || !ip.IsLoopback(), "fleet.host: %q is no loopback address, and the lab reaches no other", e.Fleet.Host)
 	if e.Fleet.Listen != "" {
 		host, _, err := net.SplitHostPort(e.Fleet.Listen)
@@ -73,8 +73,8 @@
 		names[m.Name] = true
 		bad(!known, "%s.repeat: %q is none of idempotent, deduplicated, non-idempotent", at, m.Repeat)
 		bad(m.Share < 0 || m.Utility < 0 || m.LateUtility < 0, "%s: a negative share or utility", at)
-		bad(m.Deadline <= 0 || m.Deadline.Of() > time.Minute, "%s.deadline: %v is not above 0 and at most a minute", at, m.Deadline.Of())
-		bad(m.Target <= 0 || m.Target > m.Deadline, "%s.target: %v is not above 0 and within the deadline", at, m.Target.Of())
+		bad(m.Deadline <= 0 || m.Deadline.Std() > time.Minute, "%s.deadline: %v is not above 0 and at most a minute", at, m.Deadline.Std())
+		bad(m.Target <= 0 || m.Target > m.Deadline, "%s.target: %v is not above 0 and within the deadline", at, m.Target.Std())
 		bad(m.Repeat == "deduplicated" && m.Window <= 0, "%s.window is missing", at)
 		bad(outside(m.WorkMS, 0, 1e5) || outside(m.WaitMS, 0, 1e5) || outside(m.CV, 0, 10), "%s: work_ms, wait_ms or cv out of range", at)
 		bad(!slices.Contains([]string{"fixed", "exponential", "lognormal"}, m.Spread), "%s.spread: %q is none of fixed, exponential, lognormal", at, m.Spread)
@@ -98,7 +98,7 @@
 			bad(l.Shape != "", "%s: shape and trace exclude each other", at)
 			continue
 		}
-		_, err := l.shape().Curve(max(e.Duration.Of(), time.Second))
+		_, err := l.shape().Curve(max(e.Duration.Std(), time.Second))
 		bad(err != nil, "%s: %v", at, err)
 	}
 	c := e.Callers
@@ -112,7 +112,7 @@
 		bad(f.At < 0 || f.For < 0 || f.At > e.Duration, "%s: at and for lie inside the run", at)
 		bad(outside(f.Share, 0, 1) || outside(f.Factor, 0.01, 1000), "%s: share in 0 to 1, factor in 0.01 to 1000", at)
 		if f.Shimmed() {
-			bad(f.Kind == "clock" && (f.By == 0 || f.By.Of()%time.Second != 0), "%s.by: by how many whole seconds is the clock stepped?", at)
+			bad(f.Kind == "clock" && (f.By == 0 || f.By.Std()%time.Second != 0), "%s.by: by how many whole seconds is the clock stepped?", at)
 			bad(len(f.Errors) == 0 && f.Kind == "errno", "%s.errors: which?", at)
 			bad(f.Folder != "" && f.Folder != StateFolder && f.Folder != ConfigurationFolder, "%s.folder: %q is neither %q nor %q", at, f.Folder, StateFolder, ConfigurationFolder)
 			if f.Kind != "clock" {
@@ -125,7 +125,7 @@
 		bad(f.Kind == "trickle" && f.By <= 0, "%s.by: how long between two pieces?", at)
 		bad(f.Answers && f.Kind != "drain", "%s.answers: only a drain has it", at)
 		bad(f.Kind == "pause" && slices.ContainsFunc(e.Fault, Fault.Shimmed), "%s: a process under a shim can't be paused: leave errno, short, stall and clock out", at)
-		bad(f.Kind == "pause" && (f.By <= 0 || f.By.Of() > time.Second), "%s.by: for how long is the process held up each time? Up to a second", at)
+		bad(f.Kind == "pause" && (f.By <= 0 || f.By.Std() > time.Second), "%s.by: for how long is the process held up each time? Up to a second", at)
 		bad(f.Kind == "late" && f.By <= 0, "%s.by: how late?", at)
 		bad(f.Kind == "busy" && f.By <= 0, "%s.by: how long for a call?", at)
 		if known {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -205,7 +205,7 @@
 		i.Folder = folder
 	}
 	if f.Kind == "stall" {
-		i.Delay = f.By.Of()
+		i.Delay = f.By.Std()
 	}
 	return i
 }
@@ -310,7 +310,7 @@
 	tomlfile.Default(&e.Callers.Waiting, 200_000)
 	tomlfile.Default(&e.Callers.Warm, 8)
 	tomlfile.Default(&e.Callers.Backoff, Duration(200*time.Millisecond))
-	tomlfile.Default(&e.Short.Duration, Duration(min(e.Duration.Of(), 8*time.Second)))
+	tomlfile.Default(&e.Short.Duration, Duration(min(e.Duration.Std(), 8*time.Second)))
 	tomlfile.Default(&e.Short.Rate, 1)
 	if len(e.Short.Arms) == 0 {
 		e.Short.Arms = e.Arms[:1]
@@ -345,7 +345,7 @@
 }
 
 func (l Load) shape() plan.Shape {
-	s := plan.Shape{Kind: l.Shape, Rate: l.Rate, To: l.To, At: l.At.Of(), For: l.For.Of()}
+	s := plan.Shape{Kind: l.Shape, Rate: l.Rate, To: l.To, At: l.At.Std(), For: l.For.Std()}
 	if s.Kind == "" {
 		s.Kind = "constant"
 	}
@@ -427,10 +427,10 @@
 // Rules are what the run is judged by.
 func (e *Experiment) Rules() judge.Rules {
 	r := judge.Rules{Tenants: e.TenantNames(), Grace: 400 * time.Millisecond, Slack: 50 * time.Millisecond,
-		Wire: 250 * time.Millisecond, Length: e.Duration.Of()}
+		Wire: 250 * time.Millisecond, Length: e.Duration.Std()}
 	for _, m := range e.Method {
-		r.Methods = append(r.Methods, judge.Method{Name: m.Name, Repeat: m.RepeatOf(), Target: m.Target.Of(), Deadline: m.Deadline.Of(),
-			Window: m.Window.Of(), Utility: m.Utility, LateUtility: m.LateUtility})
+		r.Methods = append(r.Methods, judge.Method{Name: m.Name, Repeat: m.RepeatOf(), Target: m.Target.Std(), Deadline: m.Deadline.Std(),
+			Window: m.Window.Std(), Utility: m.Utility, LateUtility: m.LateUtility})
 	}
 	return r
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -125,7 +125,7 @@
 		assert.NotEmpty(t, e.Expect, f)
 		assert.NotEmpty(t, e.About, f)
 		e.Shorten()
-		assert.LessOrEqual(t, e.Duration.Of()*time.Duration(len(e.Arms)), 30*time.Second, f)
+		assert.LessOrEqual(t, e.Duration.Std()*time.Duration(len(e.Arms)), 30*time.Second, f)
 		_, err = e.Plan()
 		assert.NoError(t, err, f)
 	}
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -45,7 +45,7 @@
 		plan.Pace(rows, l.Pace)
 		traced = append(traced, rows...)
 	}
-	all, err := plan.Make(e.Seed, e.Duration.Of(), loads, mix)
+	all, err := plan.Make(e.Seed, e.Duration.Std(), loads, mix)
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 		return nil, fmt.Errorf("%d requests are planned, %d is the most", len(all), plan.MostArrivals)
 	}
 	slices.SortStableFunc(all, func(a, b plan.Arrival) int { return int(a.At - b.At) })
-	for len(all) > 0 && all[len(all)-1].At > e.Duration.Of() {
+	for len(all) > 0 && all[len(all)-1].At > e.Duration.Std() {
 		all = all[:len(all)-1]
 	}
 	if len(all) == 0 {
--- a/internal/lab/fleet/hollow.go
+++ b/internal/lab/fleet/hollow.go
@@ -101,7 +101,7 @@
 	place   Place
 	file    *nodeconfig.Config
 	keep    *recordcache.Cache
-	set     *services.Set
+	set     *services.Manager
 	poller  *poller.Poller
 	life    context.Context
 	end     context.CancelFunc
@@ -182,7 +182,7 @@
 	if h.Patient {
 		for i := range x.file.Pools {
 			l := &x.file.Pools[i].Limits
-			l.ListConnect, l.ListFirst, l.ListTold, l.ListSilence = time.Hour, time.Hour, time.Hour, time.Hour
+			l.DiscoveryConnectTimeout, l.FirstUpdateTimeout, l.MaxUpdateDelay, l.WatchSilenceTimeout = time.Hour, time.Hour, time.Hour, time.Hour
 		}
 	}
 	if x.poller, err = poller.New(); err != nil {
@@ -198,9 +198,9 @@
 		}
 	}
 	l := x.file.Limits
-	budget := limits.NewBudget(l.Descriptors, l.Refused, limits.NewBytes(l.Bytes))
+	budget := limits.NewBudget(l.Descriptors, l.OverloadConnections, limits.NewMemoryBudget(l.BodyMemory))
 	x.set = services.New(x.file, clock{time.Now()}, budget, log, x.poller)
-	x.set.Dial, x.set.Heard = x.dial, x.heard
+	x.set.Dial, x.set.WrapReceiver = x.dial, x.heard
 	c := x.file
 	if s.Address != "" || h.Open != nil {
 		u, err := url.Parse(s.Address)
@@ -223,7 +223,7 @@
 		if err != nil {
 			return err
 		}
-		x.set.Keeper = x.keep
+		x.set.RecordCache = x.keep
 		c = x.over(c)
 	}
 	x.set.Apply(c)
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -129,10 +129,10 @@
 	bad(f.Through && !*f.Record, "through: there is no store of record here")
 	bad(f.Real < 0 || f.Real > 20, "real: %d is not in 0 to 20", f.Real)
 	for name, d := range map[string]Duration{"latency.region": f.Latency.Region, "latency.zone": f.Latency.Zone, "latency.rack": f.Latency.Rack} {
-		bad(d < 0 || d.Of() > time.Second, "%s: %v is not in 0s to 1s", name, d.Of())
+		bad(d < 0 || d.Std() > time.Second, "%s: %v is not in 0s to 1s", name, d.Std())
 	}
 	for name, d := range map[string]Duration{"quiet": f.Quiet, "settle": f.Settle} {
-		bad(d < 0 || d.Of() > mostTime, "%s: %v is not in 0s to %v", name, d.Of(), mostTime)
+		bad(d < 0 || d.Std() > mostTime, "%s: %v is not in 0s to %v", name, d.Std(), mostTime)
 	}
 	bad(len(f.Step) == 0 || len(f.Step) > mostSteps, "step: %d are not in 1 to %d", len(f.Step), mostSteps)
 	names := map[string]bool{}
@@ -147,7 +147,7 @@
 		}
 		bad(s.Count < 0 || s.Count > mostCount, "%s.count: %d is not in 0 to %d", at, s.Count, mostCount)
 		for name, d := range map[string]Duration{"for": s.For, "over": s.Over, "ready": s.Ready, "notice": s.Notice, "settle": s.Settle} {
-			bad(d < 0 || d.Of() > mostTime, "%s.%s: %v is not in 0s to %v", at, name, d.Of(), mostTime)
+			bad(d < 0 || d.Std() > mostTime, "%s.%s: %v is not in 0s to %v", at, name, d.Std(), mostTime)
 		}
 		for name, text := range map[string]string{"place": s.Place, "to": s.To} {
 			scope, err := ParseScope(text)
--- a/internal/lab/fleet/run.go
+++ b/internal/lab/fleet/run.go
@@ -149,7 +149,7 @@
 	}
 	outcomes := []Outcome{{Name: "start", Took: time.Since(begun)}}
 	rush := time.Since(r.rush)
-	quiet, err := r.quiet(ctx, r.f.Quiet.Of())
+	quiet, err := r.quiet(ctx, r.f.Quiet.Std())
 	if err != nil {
 		return nil, err
 	}
@@ -178,7 +178,7 @@
 }
 
 func (f *File) latency() Latency {
-	return Latency{f.Latency.Region.Of(), f.Latency.Zone.Of(), f.Latency.Rack.Of()}
+	return Latency{f.Latency.Region.Std(), f.Latency.Zone.Std(), f.Latency.Rack.Std()}
 }
 
 // begin starts everything.
@@ -283,7 +283,7 @@
 		if err := r.knownBy(ctx, 1, r.nodes, 30*time.Second); err != nil {
 			return err
 		}
-		if _, err := r.quiet(ctx, f.Quiet.Of()); err != nil {
+		if _, err := r.quiet(ctx, f.Quiet.Std()); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -13,7 +13,7 @@
 	r.o.Notes("%d nodes: %s", r.nodes, s.Name)
 	switch s.Do {
 	case "rest", "wait":
-		r.wait(ctx, s.For.Of())
+		r.wait(ctx, s.For.Std())
 	case "settings":
 		r.paced(ctx, s, func(i int) { r.setting() })
 	case "replace":
@@ -32,11 +32,11 @@
 		from, _ := ParseScope(s.Place)
 		to, _ := ParseScope(s.To)
 		err = r.setCut(s.Name, &Cut{From: from, To: to, OneWay: s.OneWay})
-		r.wait(ctx, s.For.Of())
+		r.wait(ctx, s.For.Std())
 	case "join":
 		clear(r.cuts)
 		err = r.setCut("", nil)
-		r.wait(ctx, s.For.Of())
+		r.wait(ctx, s.For.Std())
 	case "kill":
 		for i, c := range r.controllers {
 			if s.What == "controllers" || s.What == c.name {
@@ -46,7 +46,7 @@
 		if s.What == "store" {
 			r.store.kill()
 		}
-		r.wait(ctx, s.For.Of())
+		r.wait(ctx, s.For.Std())
 	case "begin":
 		for i, c := range r.controllers {
 			if (s.What == "controllers" || s.What == c.name) && !c.runs() {
@@ -62,20 +62,20 @@
 		if s.What == "store" && !r.store.runs() {
 			err = r.startStore()
 		}
-		r.wait(ctx, s.For.Of())
+		r.wait(ctx, s.For.Std())
 	case "stall":
 		if err = r.store.call("Store.Stall", true, &None{}); err == nil {
-			r.wait(ctx, s.For.Of())
+			r.wait(ctx, s.For.Std())
 			err = r.store.call("Store.Stall", false, &None{})
 		}
 	case "stop":
 		r.store.kill()
-		r.wait(ctx, s.For.Of())
+		r.wait(ctx, s.For.Std())
 		err = r.startStore()
 	}
-	settle := r.f.Settle.Of()
+	settle := r.f.Settle.Std()
 	if s.Settle > 0 {
-		settle = s.Settle.Of()
+		settle = s.Settle.Std()
 	}
 	if s.Do != "rest" {
 		r.settle(ctx, settle)
@@ -106,7 +106,7 @@
 func (r *run) paced(ctx context.Context, s *Step, f func(i int)) {
 	begun := time.Now()
 	for i := range s.Count {
-		pause(ctx, time.Until(begun.Add(s.Over.Of()*time.Duration(i)/time.Duration(s.Count))))
+		pause(ctx, time.Until(begun.Add(s.Over.Std()*time.Duration(i)/time.Duration(s.Count))))
 		if ctx.Err() != nil {
 			return
 		}
@@ -132,7 +132,7 @@
 // replace drains servers and puts new ones in their places.
 func (r *run) replace(ctx context.Context, s *Step) {
 	old := r.cluster.Pods(-1)
-	ready := s.Ready.Of()
+	ready := s.Ready.Std()
 	if ready == 0 {
 		ready = 300 * time.Millisecond
 	}
@@ -214,7 +214,7 @@
 		}
 	}
 	err := r.killNodes(machines)
-	notice := s.Notice.Of()
+	notice := s.Notice.Std()
 	if notice == 0 {
 		notice = time.Second
 	}
--- a/internal/lab/run/evenness.go
+++ b/internal/lab/run/evenness.go
@@ -55,7 +55,7 @@
 		}
 		arrivals = append(arrivals, spread.Arrival{Server: p.Server, Node: node, At: p.First})
 	})
-	target := e.Method[0].Target.Of()
+	target := e.Method[0].Target.Std()
 	long := spread.Measure(arrivals, servers, settling, played, longWindow)
 	short := spread.Measure(arrivals, servers, settling, played, shortWindow)
 	metrics["spread_dispersion"], metrics["spread_dispersion_100ms"] = long.Dispersion, short.Dispersion
--- a/internal/lab/run/faults.go
+++ b/internal/lab/run/faults.go
@@ -174,9 +174,9 @@
 	case "reset-watches":
 		d.EndWatches()
 	case "busy":
-		d.Queue(x.By.Of(), f.e.Fleet.Discovery.CallMost.Of())
+		d.Queue(x.By.Std(), f.e.Fleet.Discovery.CallMost.Std())
 		sleep(ctx, time.Duration(x.For))
-		d.Queue(f.e.Fleet.Discovery.CallWork.Of(), f.e.Fleet.Discovery.CallMost.Of())
+		d.Queue(f.e.Fleet.Discovery.CallWork.Std(), f.e.Fleet.Discovery.CallMost.Std())
 	case "late":
 		d.Late(time.Duration(x.By))
 		sleep(ctx, time.Duration(x.For))
--- a/internal/lab/run/fleet.go
+++ b/internal/lab/run/fleet.go
@@ -79,7 +79,7 @@
 	draw := plan.Source(e.Seed, "fleet")
 	for range e.Fleet.Tier {
 		d := standin.NewDiscovery(log, begin)
-		d.Watch, d.Wait, d.Bound = experiment.Watches[e.Fleet.Discovery.Watch], e.Fleet.Discovery.Wait.Of(), e.Fleet.Discovery.Bound.Of()
+		d.Watch, d.Wait, d.Bound = experiment.Watches[e.Fleet.Discovery.Watch], e.Fleet.Discovery.Wait.Std(), e.Fleet.Discovery.Bound.Std()
 		f.disc = append(f.disc, d)
 		marks := map[string]*standin.Marks{}
 		for _, m := range e.Method {
--- a/internal/lab/run/processes.go
+++ b/internal/lab/run/processes.go
@@ -25,7 +25,7 @@
 // reconfigure gives a node several configurations in a row: each moves discovery, and each other one changes the settings.
 func (f *Fleet) reconfigure(ctx context.Context, x experiment.Fault, number int) {
 	n, id := f.nodes[number], f.dests[number].ID
-	every := x.By.Of()
+	every := x.By.Std()
 	if every <= 0 {
 		every = reconfigureEvery
 	}
@@ -83,9 +83,9 @@
 		if !signal(syscall.SIGSTOP) {
 			return
 		}
-		time.Sleep(x.By.Of())
+		time.Sleep(x.By.Std())
 		signal(syscall.SIGCONT)
-		sleep(ctx, (pausedPart-1)*x.By.Of())
+		sleep(ctx, (pausedPart-1)*x.By.Std())
 	}
 	signal(syscall.SIGCONT)
 }
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -170,7 +170,7 @@
 	// The watches are to stand before the load begins: that a fresh node may act on an old list is another experiment.
 	f.settle(ctx)
 	for _, d := range f.disc {
-		d.Queue(e.Fleet.Discovery.CallWork.Of(), e.Fleet.Discovery.CallMost.Of())
+		d.Queue(e.Fleet.Discovery.CallWork.Std(), e.Fleet.Discovery.CallMost.Std())
 	}
 	servers := f.firstTier()
 	ahead := time.Since(begin) + 300*time.Millisecond
--- a/internal/lab/run/trouble.go
+++ b/internal/lab/run/trouble.go
@@ -43,7 +43,7 @@
 		case x.Kind != "clock":
 			s.plan.Calls = append(s.plan.Calls, x.Call)
 		case x.At == 0: // from the process's first moment on
-			s.plan.ClockStep = x.By.Of()
+			s.plan.ClockStep = x.By.Std()
 		}
 	}
 	f.shims = append(f.shims, nil)
@@ -95,7 +95,7 @@
 		}
 	}
 	if x.Kind == "clock" {
-		begin = func(p *shim.Plan) { p.ClockStep = x.By.Of() }
+		begin = func(p *shim.Plan) { p.ClockStep = x.By.Std() }
 		end = func(p *shim.Plan) { p.ClockStep = 0 }
 	}
 	if err := s.change(n, begin); err != nil {
@@ -164,7 +164,7 @@
 		case "mute":
 			p.proxy.Mute(true)
 		case "trickle":
-			p.proxy.Trickle(x.By.Of())
+			p.proxy.Trickle(x.By.Std())
 		}
 	}
 	sleep(ctx, time.Duration(x.For))
--- a/internal/lab/standin/fastcgi.go
+++ b/internal/lab/standin/fastcgi.go
@@ -76,7 +76,7 @@
 }
 
 func (s *Application) life(c net.Conn) {
-	r, a := &fcgi.Reader{}, &fcgi.Application{Limits: fcgi.Limits{Requests: 16, Params: 64 << 10}}
+	r, a := &fcgi.Reader{}, &fcgi.Application{Limits: fcgi.Limits{MaxRequests: 16, MaxParams: 64 << 10}}
 	r.Init(c, make([]byte, 4096))
 	open := map[uint16]*Asked{}
 	for {
@@ -89,7 +89,7 @@
 			return
 		}
 		switch e.Kind {
-		case fcgi.Headed:
+		case fcgi.EventParams:
 			q := &Asked{ID: e.ID, Keep: e.Keep, Params: map[string]string{}}
 			for list := e.Params; len(list) > 0; {
 				var name, value []byte
@@ -97,19 +97,19 @@
 				q.Params[string(name)] = string(value)
 			}
 			open[e.ID] = q
-		case fcgi.Body:
+		case fcgi.EventBody:
 			open[e.ID].Body = append(open[e.ID].Body, e.Data...)
-		case fcgi.Reply:
+		case fcgi.EventReply:
 			c.Write(e.Data)
-		case fcgi.Aborted:
+		case fcgi.EventAborted:
 			s.mu.Lock()
 			s.aborted++
 			s.mu.Unlock()
-			c.Write(fcgi.AppendEnd(nil, e.ID, 1, fcgi.Complete))
+			c.Write(fcgi.AppendEnd(nil, e.ID, 1, fcgi.StatusComplete))
 			a.Done(e.ID)
-		case fcgi.Bad:
+		case fcgi.EventRejected:
 			return
-		case fcgi.Whole:
+		case fcgi.EventBodyEnd:
 			q := open[e.ID]
 			delete(open, e.ID)
 			if !s.Serve(c, q) {
@@ -124,6 +124,6 @@
 
 // Answered is a whole answer of an application.
 func (q *Asked) Answered(head, body string) []byte {
-	out := fcgi.AppendStream(nil, fcgi.Stdout, q.ID, []byte(head+"\r\n\r\n"+body))
-	return fcgi.AppendEnd(fcgi.AppendStreamEnd(out, fcgi.Stdout, q.ID), q.ID, 0, fcgi.Complete)
+	out := fcgi.AppendStream(nil, fcgi.TypeStdout, q.ID, []byte(head+"\r\n\r\n"+body))
+	return fcgi.AppendEnd(fcgi.AppendStreamEnd(out, fcgi.TypeStdout, q.ID), q.ID, 0, fcgi.StatusComplete)
 }
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -465,7 +465,7 @@
 		s.mu.Unlock()
 	}
 	s.gate()
-	if s.Cancels && socket.Look(c) == socket.Closed {
+	if s.Cancels && socket.StateOf(c) == socket.StateClosed {
 		<-s.cores
 		return false
 	}
@@ -478,7 +478,7 @@
 		time.Sleep(part)
 		rest -= part
 		s.gate()
-		gone = s.Cancels && rest > 0 && socket.Look(c) == socket.Closed
+		gone = s.Cancels && rest > 0 && socket.StateOf(c) == socket.StateClosed
 	}
 	<-s.cores
 	if wait > 0 && !gone {
