--- a/cmd/robincart/bulk_test.go
+++ b/cmd/robincart/bulk_test.go
@@ -47,10 +47,10 @@
 	return s
 }
 
-func (s *bulkServer) bodies() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.got)
+func (b *bulkServer) bodies() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return len(b.got)
 }
 
 // contents is a body of some size, the same each time.
@@ -60,7 +60,7 @@
 	return b
 }
 
-func (s *bulkServer) serve(c net.Conn) {
+func (b *bulkServer) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -72,9 +72,9 @@
 		if _, err := io.Copy(sum, q.Body); err != nil {
 			return // broken off: it never ran
 		}
-		s.mu.Lock()
-		s.got[q.Header.Get("X-Trace-Id")] = [32]byte(sum.Sum(nil))
-		s.mu.Unlock()
+		b.mu.Lock()
+		b.got[q.Header.Get("X-Trace-Id")] = [32]byte(sum.Sum(nil))
+		b.mu.Unlock()
 		form, size, _ := strings.Cut(strings.TrimPrefix(q.URL.RawQuery, "a="), ".")
 		n, _ := strconv.Atoi(size)
 		body := contents(n)
--- a/cmd/robincart/operatorstate.go
+++ b/cmd/robincart/operatorstate.go
@@ -78,11 +78,11 @@
 
 // load reads what was said before, trying for a while. An error says that the file can't be read for now: nothing is written until it is
 // adopted.
-func (f *operatorFile) load() (before said, err error) {
+func (o *operatorFile) load() (before said, err error) {
 	for end := time.Now().Add(loadWithin); ; time.Sleep(loadPause) {
-		before, err = f.peek()
+		before, err = o.peek()
 		if err == nil {
-			f.adopt()
+			o.adopt()
 			return before, nil
 		}
 		if time.Now().After(end) {
@@ -92,50 +92,50 @@
 }
 
 // peek reads the file once. One that is torn is logged, and read as empty.
-func (f *operatorFile) peek() (before said, err error) {
-	err = handover.Load(f.path, &before)
+func (o *operatorFile) peek() (before said, err error) {
+	err = handover.Load(o.path, &before)
 	var torn *handover.CorruptError
 	if errors.As(err, &torn) {
-		f.log.Error("what operators told the process before can't be read; bans have to be told again", zap.Error(err))
+		o.log.Error("what operators told the process before can't be read; bans have to be told again", zap.Error(err))
 		return said{}, nil
 	}
 	return before, err
 }
 
 // adopt lets the file be written over: what stood in it is known, or another process has told it.
-func (f *operatorFile) adopt() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.loaded = true
-	f.write()
+func (o *operatorFile) adopt() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.loaded = true
+	o.write()
 }
 
 // put has a state written, without waiting for that, and returns its number.
-func (f *operatorFile) put(state said) (number uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.latest = state
-	f.wanted++
-	f.write()
-	return f.wanted
+func (o *operatorFile) put(state said) (number uint64) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.latest = state
+	o.wanted++
+	o.write()
+	return o.wanted
 }
 
 // await waits until a state has been written, or tells how that has failed so far.
-func (f *operatorFile) await(ctx context.Context, number uint64) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for f.kept < number {
-		changed := f.changed
-		f.mu.Unlock()
+func (o *operatorFile) await(ctx context.Context, number uint64) error {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for o.kept < number {
+		changed := o.changed
+		o.mu.Unlock()
 		var over bool
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			over = true
 		}
-		f.mu.Lock()
-		if over && f.kept < number {
-			return fmt.Errorf("%s: %w", f.path, f.reason())
+		o.mu.Lock()
+		if over && o.kept < number {
+			return fmt.Errorf("%s: %w", o.path, o.reason())
 		}
 	}
 	return nil
@@ -147,40 +147,40 @@
 )
 
 // reason is why the latest state is not kept yet. The lock is held.
-func (f *operatorFile) reason() error {
+func (o *operatorFile) reason() error {
 	switch {
-	case !f.loaded:
+	case !o.loaded:
 		return errNotReadYet
-	case f.failure == nil:
+	case o.failure == nil:
 		return errTakesLong
 	default:
-		return f.failure
+		return o.failure
 	}
 }
 
 // write begins to write, unless that is being done or must not be yet. The lock is held.
-func (f *operatorFile) write() {
-	if f.writing || !f.loaded || f.kept == f.wanted {
+func (o *operatorFile) write() {
+	if o.writing || !o.loaded || o.kept == o.wanted {
 		return
 	}
-	f.writing = true
-	go f.run()
+	o.writing = true
+	go o.run()
 }
 
 // run writes the latest state until that is kept.
-func (f *operatorFile) run() {
+func (o *operatorFile) run() {
 	pause := keepPause
 	for {
-		f.mu.Lock()
-		if f.kept == f.wanted {
-			f.writing = false
-			f.mu.Unlock()
+		o.mu.Lock()
+		if o.kept == o.wanted {
+			o.writing = false
+			o.mu.Unlock()
 			return
 		}
-		state, number := f.latest, f.wanted
-		f.mu.Unlock()
-		err := handover.Save(f.path, state)
-		if f.tried(number, err); err != nil {
+		state, number := o.latest, o.wanted
+		o.mu.Unlock()
+		err := handover.Save(o.path, state)
+		if o.tried(number, err); err != nil {
 			time.Sleep(pause)
 			pause = min(2*pause, keepPauseMost)
 		}
@@ -188,21 +188,21 @@
 }
 
 // tried notes how a try to write has ended, and logs the first failure and the first success behind one.
-func (f *operatorFile) tried(number uint64, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	before := f.failure
-	if f.failure = err; err != nil {
+func (o *operatorFile) tried(number uint64, err error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	before := o.failure
+	if o.failure = err; err != nil {
 		if before == nil {
-			f.log.Error("what operators said could not be kept; it is in force, and tried again", zap.Error(err),
+			o.log.Error("what operators said could not be kept; it is in force, and tried again", zap.Error(err),
 				zap.String("advice", "make room in the folder of this file, or mend it"))
 		}
 		return
 	}
 	if before != nil {
-		f.log.Info("what operators said is kept again", zap.String("file", f.path))
+		o.log.Info("what operators said is kept again", zap.String("file", o.path))
 	}
-	f.kept = number
-	close(f.changed)
-	f.changed = make(chan struct{})
+	o.kept = number
+	close(o.changed)
+	o.changed = make(chan struct{})
 }
--- a/cmd/robincart/operatorstate_test.go
+++ b/cmd/robincart/operatorstate_test.go
@@ -95,4 +95,4 @@
 // recordedFront is emptied or not.
 type recordedFront struct{ lame bool }
 
-func (f *recordedFront) SetLameDuck(on bool) { f.lame = on }
+func (r *recordedFront) SetLameDuck(on bool) { r.lame = on }
--- a/cmd/robincart/shapes_test.go
+++ b/cmd/robincart/shapes_test.go
@@ -35,18 +35,18 @@
 }
 
 // wrong names the broken rules, and a kind of node that starves beside the other.
-func (m *shapesRun) wrong() (wrong []string) {
+func (s *shapesRun) wrong() (wrong []string) {
 	ok, all := map[string]int{}, map[string]int{}
-	for id, status := range m.status {
-		all[m.kind[id]]++
+	for id, status := range s.status {
+		all[s.kind[id]]++
 		if status == 200 {
-			ok[m.kind[id]]++
+			ok[s.kind[id]]++
 		}
 		if status != 200 && status != 503 && status != 504 {
 			wrong = append(wrong, fmt.Sprintf("%s got %d", id, status))
 		}
-		if m.once[id] && (m.ran[id] > 1 || m.ran[id] > 0 && status == 503) {
-			wrong = append(wrong, fmt.Sprintf("%s ran %d times and was answered with %d", id, m.ran[id], status))
+		if s.once[id] && (s.ran[id] > 1 || s.ran[id] > 0 && status == 503) {
+			wrong = append(wrong, fmt.Sprintf("%s ran %d times and was answered with %d", id, s.ran[id], status))
 		}
 	}
 	for kind, n := range all {
@@ -54,8 +54,8 @@
 			wrong = append(wrong, fmt.Sprintf("the %s nodes starve: %d of %d served", kind, ok[kind], n))
 		}
 	}
-	if m.strays > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d came to a drained server", m.strays))
+	if s.strays > 0 {
+		wrong = append(wrong, fmt.Sprintf("%d came to a drained server", s.strays))
 	}
 	return wrong
 }
--- a/cmd/robincart/succeed_test.go
+++ b/cmd/robincart/succeed_test.go
@@ -86,8 +86,8 @@
 	return p
 }
 
-func (p *started) ready() bool {
-	r, err := http.Get("http://" + p.admin + "/_ready")
+func (s *started) ready() bool {
+	r, err := http.Get("http://" + s.admin + "/_ready")
 	if err != nil {
 		return false
 	}
@@ -95,15 +95,15 @@
 	return r.StatusCode == 200
 }
 
-func (p *started) exits(t *testing.T) {
+func (s *started) exits(t *testing.T) {
 	t.Helper()
 	select {
-	case err := <-p.ended:
-		assert.NoError(t, err, p.log.String())
+	case err := <-s.ended:
+		assert.NoError(t, err, s.log.String())
 	case <-time.After(20 * time.Second):
-		p.Process.Signal(syscall.SIGQUIT) // it says where it stands
-		<-p.ended
-		assert.Fail(t, "the process is still there", p.log.String())
+		s.Process.Signal(syscall.SIGQUIT) // it says where it stands
+		<-s.ended
+		assert.Fail(t, "the process is still there", s.log.String())
 	}
 }
 
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -83,33 +83,33 @@
 	gone    bool      // its process has ended
 }
 
-func (n *fleetNode) Now() float64                   { return n.f.now }
-func (n *fleetNode) CloseIdleConnections(s *Server) {}
-func (n *fleetNode) WatchEndpoints()                {}
-func (n *fleetNode) Abort(r *RPC)                   {}
-func (n *fleetNode) PushBack(r *RPC, _ float64)     {}
-func (n *fleetNode) StartTimer(delay float64, what any) {
-	n.f.after(delay, func() {
-		if !n.gone {
-			n.b.TimerFired(what)
+func (f *fleetNode) Now() float64                   { return f.f.now }
+func (f *fleetNode) CloseIdleConnections(s *Server) {}
+func (f *fleetNode) WatchEndpoints()                {}
+func (f *fleetNode) Abort(r *RPC)                   {}
+func (f *fleetNode) PushBack(r *RPC, _ float64)     {}
+func (f *fleetNode) StartTimer(delay float64, what any) {
+	f.f.after(delay, func() {
+		if !f.gone {
+			f.b.TimerFired(what)
 		}
 	})
 }
-func (n *fleetNode) Cancel(p *Attempt) { n.f.after(0, func() { n.end(p, Canceled) }) }
-func (n *fleetNode) Send(p *Attempt, _ float64) {
+func (f *fleetNode) Cancel(p *Attempt) { f.f.after(0, func() { f.end(p, Canceled) }) }
+func (f *fleetNode) Send(p *Attempt, _ float64) {
 	i := p.Server.HostData.(int)
-	if n.f.cameUp[i] > 0 && n.told[i] == n.f.cameUp[i] {
-		n.f.got[i] = append(n.f.got[i], n.f.now)
+	if f.f.cameUp[i] > 0 && f.told[i] == f.f.cameUp[i] {
+		f.f.got[i] = append(f.f.got[i], f.f.now)
 	}
-	n.f.after(n.f.spec.latency*(0.5+0.5*n.f.rng.ExpFloat64()), func() { n.end(p, OK) })
+	f.f.after(f.f.spec.latency*(0.5+0.5*f.f.rng.ExpFloat64()), func() { f.end(p, OK) })
 }
 
-func (n *fleetNode) end(p *Attempt, res Result) {
-	if p.HostData != nil || n.gone {
+func (f *fleetNode) end(p *Attempt, res Result) {
+	if p.HostData != nil || f.gone {
 		return
 	}
 	p.HostData = true
-	n.b.AttemptDone(p, res, res == OK || !p.RPC.open, n.f.now-p.sent, nil)
+	f.b.AttemptDone(p, res, res == OK || !p.RPC.open, f.f.now-p.sent, nil)
 }
 
 func (f *fleet) start(seed int64) *fleetNode {
@@ -124,13 +124,13 @@
 	return n
 }
 
-func (n *fleetNode) tell(cameUp []float64) {
+func (f *fleetNode) tell(cameUp []float64) {
 	var list []EndpointUpdate
-	copy(n.told, cameUp)
-	for i, s := range n.servers {
+	copy(f.told, cameUp)
+	for i, s := range f.servers {
 		list = append(list, EndpointUpdate{Server: s, Weight: 1, StartedAt: cameUp[i]})
 	}
-	n.b.UpdateEndpoints(list, true)
+	f.b.UpdateEndpoints(list, true)
 }
 
 func newFleet(sp spec) *fleet {
@@ -188,12 +188,12 @@
 func coldPart(age float64) float64 { return min(1, coldFrom+(1-coldFrom)*age/coldFor) }
 
 // budget is what the settings allow from one age to another.
-func (sp spec) budget(from, to float64) float64 {
+func (s spec) budget(from, to float64) float64 {
 	n, steps := 0.0, 30
 	for i := range steps {
 		n += coldPart(from + (to-from)*(float64(i)+0.5)/float64(steps))
 	}
-	return fallMultiple * sp.capacity * n / float64(steps) * (to - from)
+	return fallMultiple * s.capacity * n / float64(steps) * (to - from)
 }
 
 // worst is the window of fallFor within the ramp that lies highest beside its limit.
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -177,26 +177,26 @@
 }
 
 // load keeps arrivals coming every gap seconds; each server answers after what took says, or never if negative.
-func (h *fakeHost) load(seconds, gap float64, took func(*Server) float64) (taken, pushed int) {
-	end := h.now + seconds
-	for h.now < end {
-		for _, p := range h.sent {
-			if d := took(p.Server); p.out && d >= 0 && h.now-p.sent >= d {
-				h.done(p, OK)
+func (f *fakeHost) load(seconds, gap float64, took func(*Server) float64) (taken, pushed int) {
+	end := f.now + seconds
+	for f.now < end {
+		for _, p := range f.sent {
+			if d := took(p.Server); p.out && d >= 0 && f.now-p.sent >= d {
+				f.done(p, OK)
 			}
 		}
-		if _, back := h.pushed[h.arrive(lookup)]; back {
+		if _, back := f.pushed[f.arrive(lookup)]; back {
 			pushed++
 		} else {
 			taken++
 		}
-		h.until(h.now + gap)
-		for _, p := range h.cancels {
+		f.until(f.now + gap)
+		for _, p := range f.cancels {
 			if p.out {
-				h.done(p, Canceled)
+				f.done(p, Canceled)
 			}
 		}
-		h.cancels = nil
+		f.cancels = nil
 	}
 	return taken, pushed
 }
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -20,43 +20,43 @@
 	what any
 }
 
-func (h *fakeHost) Now() float64                     { return h.now }
-func (h *fakeHost) Send(p *Attempt, timeout float64) { h.sent = append(h.sent, p) }
-func (h *fakeHost) Cancel(p *Attempt)                { h.cancels = append(h.cancels, p) }
-func (h *fakeHost) CloseIdleConnections(s *Server)   { h.closed = append(h.closed, s) }
-func (h *fakeHost) PushBack(r *RPC, wait float64)    { h.pushed[r] = wait }
-func (h *fakeHost) Abort(r *RPC)                     { h.aborted[r] = true }
-func (h *fakeHost) WatchEndpoints()                  { h.watches++ }
-func (h *fakeHost) StartTimer(delay float64, what any) {
-	h.timers = append(h.timers, timer{h.now + delay, what})
+func (f *fakeHost) Now() float64                     { return f.now }
+func (f *fakeHost) Send(p *Attempt, timeout float64) { f.sent = append(f.sent, p) }
+func (f *fakeHost) Cancel(p *Attempt)                { f.cancels = append(f.cancels, p) }
+func (f *fakeHost) CloseIdleConnections(s *Server)   { f.closed = append(f.closed, s) }
+func (f *fakeHost) PushBack(r *RPC, wait float64)    { f.pushed[r] = wait }
+func (f *fakeHost) Abort(r *RPC)                     { f.aborted[r] = true }
+func (f *fakeHost) WatchEndpoints()                  { f.watches++ }
+func (f *fakeHost) StartTimer(delay float64, what any) {
+	f.timers = append(f.timers, timer{f.now + delay, what})
 }
 
 // until moves the clock, ringing what comes due.
-func (h *fakeHost) until(t float64) {
+func (f *fakeHost) until(t float64) {
 	for {
-		sort.SliceStable(h.timers, func(i, j int) bool { return h.timers[i].at < h.timers[j].at })
-		if len(h.timers) == 0 || h.timers[0].at > t {
+		sort.SliceStable(f.timers, func(i, j int) bool { return f.timers[i].at < f.timers[j].at })
+		if len(f.timers) == 0 || f.timers[0].at > t {
 			break
 		}
-		next := h.timers[0]
-		h.timers = h.timers[1:]
-		h.now = max(h.now, next.at)
-		h.b.TimerFired(next.what)
+		next := f.timers[0]
+		f.timers = f.timers[1:]
+		f.now = max(f.now, next.at)
+		f.b.TimerFired(next.what)
 	}
-	h.now = t
+	f.now = t
 }
 
-func (h *fakeHost) arrive(method int) *RPC {
-	r := &RPC{Method: method, Deadline: h.now + 6}
-	h.b.Arrived(r)
+func (f *fakeHost) arrive(method int) *RPC {
+	r := &RPC{Method: method, Deadline: f.now + 6}
+	f.b.Arrived(r)
 	return r
 }
 
-func (h *fakeHost) last() *Attempt { return h.sent[len(h.sent)-1] }
+func (f *fakeHost) last() *Attempt { return f.sent[len(f.sent)-1] }
 
 // done ends a pick; an ok or an earlier end closes its RPC, as on the wire.
-func (h *fakeHost) done(p *Attempt, res Result) {
-	h.b.AttemptDone(p, res, res == OK || !p.RPC.open, h.now-p.sent, nil)
+func (f *fakeHost) done(p *Attempt, res Result) {
+	f.b.AttemptDone(p, res, res == OK || !p.RPC.open, f.now-p.sent, nil)
 }
 
 func ready(s *Server, zone int) EndpointUpdate {
@@ -96,22 +96,22 @@
 }
 
 // warmUp answers RPCs one after another in the time that each server takes.
-func (h *fakeHost) warmUp(n int, took func(*Server) float64) map[*Server]int {
+func (f *fakeHost) warmUp(n int, took func(*Server) float64) map[*Server]int {
 	got := map[*Server]int{}
 	for range n {
-		h.arrive(lookup)
-		p := h.last()
+		f.arrive(lookup)
+		p := f.last()
 		got[p.Server]++
-		h.until(h.now + took(p.Server))
+		f.until(f.now + took(p.Server))
 		if p.out {
-			h.done(p, OK)
+			f.done(p, OK)
 		}
-		for _, c := range h.cancels { // a copy of it
+		for _, c := range f.cancels { // a copy of it
 			if c.out {
-				h.done(c, Canceled)
+				f.done(c, Canceled)
 			}
 		}
-		h.cancels = nil
+		f.cancels = nil
 	}
 	return got
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -31,11 +31,11 @@
 }
 
 // within tells whether a server drops repeats of what first may have run.
-func (m *rules) within(s, first *Server) bool {
-	if m.Idempotency == Idempotent || m.DedupScope == ScopeAll {
+func (r *rules) within(s, first *Server) bool {
+	if r.Idempotency == Idempotent || r.DedupScope == ScopeAll {
 		return true
 	}
-	return s.zone == first.zone && (m.DedupScope == ScopeZone || s.cell == first.cell)
+	return s.zone == first.zone && (r.DedupScope == ScopeZone || s.cell == first.cell)
 }
 
 // unrun finds the first pick that may have run, now that p is known not to have.
--- a/internal/controlplane/endpoints/moves_test.go
+++ b/internal/controlplane/endpoints/moves_test.go
@@ -29,32 +29,32 @@
 	f  func()
 }
 
-func (c *handClock) Now() time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.now
+func (h *handClock) Now() time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.now
 }
 
-func (c *handClock) AfterFunc(d time.Duration, f func()) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.timers = append(c.timers, handTimer{c.now + d, f})
+func (h *handClock) AfterFunc(d time.Duration, f func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.timers = append(h.timers, handTimer{h.now + d, f})
 }
 
-func (c *handClock) step() {
-	c.mu.Lock()
-	c.now += time.Millisecond
+func (h *handClock) step() {
+	h.mu.Lock()
+	h.now += time.Millisecond
 	var due []func()
-	rest := c.timers[:0]
-	for _, t := range c.timers {
-		if t.at <= c.now {
+	rest := h.timers[:0]
+	for _, t := range h.timers {
+		if t.at <= h.now {
 			due = append(due, t.f)
 		} else {
 			rest = append(rest, t)
 		}
 	}
-	c.timers = rest
-	c.mu.Unlock()
+	h.timers = rest
+	h.mu.Unlock()
 	for _, f := range due {
 		f()
 	}
@@ -66,9 +66,9 @@
 	told chan bool
 }
 
-func (c toldCore) EndpointWatchFailed(f node.WatchFailure) {
-	c.Core.EndpointWatchFailed(f)
-	c.told <- f.ResetBackoff
+func (t toldCore) EndpointWatchFailed(f node.WatchFailure) {
+	t.Core.EndpointWatchFailed(f)
+	t.told <- f.ResetBackoff
 }
 
 // The watcher tells each move's failure; the module still has one call to make, not one for each.
--- a/internal/controlplane/endpoints/told_test.go
+++ b/internal/controlplane/endpoints/told_test.go
@@ -72,73 +72,73 @@
 }
 
 // become begins a trouble, or ends it.
-func (d *turns) become(x trouble) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.trouble = x
-	for c := range d.conns {
+func (t *turns) become(x trouble) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.trouble = x
+	for c := range t.conns {
 		if x == vanished || x == mute {
-			d.conns[c] = true
+			t.conns[c] = true
 		} else if x != none && x != halves && x != brief {
 			c.Close()
-			delete(d.conns, c)
+			delete(t.conns, c)
 		}
 	}
 	if x != none {
-		d.queue = nil
+		t.queue = nil
 	}
 }
 
 // change has the list change, and tells it on the watches that stand.
-func (d *turns) change() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.version++
-	close(d.news)
-	d.news = make(chan struct{})
+func (t *turns) change() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.version++
+	close(t.news)
+	t.news = make(chan struct{})
 }
 
 // fall makes all open watches silent, or ends them; calls are answered as before.
-func (d *turns) fall(silent bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for c := range d.conns {
-		if d.conns[c] = true; !silent {
+func (t *turns) fall(silent bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.conns {
+		if t.conns[c] = true; !silent {
 			c.Close()
-			delete(d.conns, c)
+			delete(t.conns, c)
 		}
 	}
 }
 
-func (d *turns) end() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.trouble = down
-	for c := range d.conns {
+func (t *turns) end() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.trouble = down
+	for c := range t.conns {
 		c.Close()
 	}
 }
 
-func (d *turns) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.calls++
-	switch d.trouble {
+func (t *turns) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.calls++
+	switch t.trouble {
 	case down:
 		return nil, errors.New("refused")
 	case vanished:
-		d.mu.Unlock()
+		t.mu.Unlock()
 		<-ctx.Done()
-		d.mu.Lock()
+		t.mu.Lock()
 		return nil, ctx.Err()
 	}
 	here, there := net.Pipe()
-	d.conns[there] = d.trouble == mute
-	go d.serve(there)
+	t.conns[there] = t.trouble == mute
+	go t.serve(there)
 	return here, nil
 }
 
-func (d *turns) serve(c net.Conn) {
+func (t *turns) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		if line, err := r.ReadString('\n'); err != nil {
@@ -148,115 +148,115 @@
 		}
 	}
 	w := &waiting{c: c}
-	d.mu.Lock()
-	if d.conns[c] {
-		d.mu.Unlock()
+	t.mu.Lock()
+	if t.conns[c] {
+		t.mu.Unlock()
 		return
 	}
-	switch d.trouble {
+	switch t.trouble {
 	case refusing:
-		d.mu.Unlock()
-		d.refuse(c)
+		t.mu.Unlock()
+		t.refuse(c)
 		return
 	case resets:
-		d.mu.Unlock()
+		t.mu.Unlock()
 		c.Close()
 		return
 	}
-	if now := time.Now(); d.busy > 0 {
-		if d.free.Before(now) {
-			d.free = now
+	if now := time.Now(); t.busy > 0 {
+		if t.free.Before(now) {
+			t.free = now
 		}
-		if d.free.Sub(now) > d.busy {
-			d.free = d.free.Add(d.refusal)
-			d.refused++
-			d.mu.Unlock()
-			d.refuse(c)
+		if t.free.Sub(now) > t.busy {
+			t.free = t.free.Add(t.refusal)
+			t.refused++
+			t.mu.Unlock()
+			t.refuse(c)
 			return
 		}
-		d.free = d.free.Add(d.each)
+		t.free = t.free.Add(t.each)
 	}
-	d.queue = append(d.queue, w)
-	d.longest = max(d.longest, len(d.queue))
-	d.mu.Unlock()
-	time.AfterFunc(d.most, func() {
-		d.mu.Lock()
+	t.queue = append(t.queue, w)
+	t.longest = max(t.longest, len(t.queue))
+	t.mu.Unlock()
+	time.AfterFunc(t.most, func() {
+		t.mu.Lock()
 		late := !w.done && !w.left
 		w.done = true
 		if late {
-			d.failed++
+			t.failed++
 		}
-		d.mu.Unlock()
+		t.mu.Unlock()
 		if late {
-			d.refuse(c)
+			t.refuse(c)
 		}
 	})
 	select {
-	case d.wake <- struct{}{}:
+	case t.wake <- struct{}{}:
 	default:
 	}
 	if _, err := r.ReadByte(); err != nil {
-		d.mu.Lock()
+		t.mu.Lock()
 		w.left = true
-		d.mu.Unlock()
+		t.mu.Unlock()
 	}
 }
 
-func (d *turns) refuse(c net.Conn) {
+func (t *turns) refuse(c net.Conn) {
 	fmt.Fprint(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	c.Close()
 }
 
 // work is the loop of discovery.
-func (d *turns) work(ctx context.Context) {
+func (t *turns) work(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.mu.Lock()
+		t.mu.Lock()
 		var w *waiting
-		for len(d.queue) > 0 && w == nil {
-			w = d.queue[0]
-			if d.queue = d.queue[1:]; w.done || w.left && !d.blind {
+		for len(t.queue) > 0 && w == nil {
+			w = t.queue[0]
+			if t.queue = t.queue[1:]; w.done || w.left && !t.blind {
 				w = nil
 			}
 		}
 		if w != nil {
 			w.done = true
 			if w.left {
-				d.vain++
+				t.vain++
 			}
 		}
-		d.mu.Unlock()
+		t.mu.Unlock()
 		if w == nil {
 			select {
-			case <-d.wake:
+			case <-t.wake:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		d.mu.Lock()
-		rest := d.each
-		if d.busy > 0 {
-			rest = max(rest, time.Until(d.free)-time.Duration(len(d.queue))*d.each)
+		t.mu.Lock()
+		rest := t.each
+		if t.busy > 0 {
+			rest = max(rest, time.Until(t.free)-time.Duration(len(t.queue))*t.each)
 		}
-		d.mu.Unlock()
+		t.mu.Unlock()
 		time.Sleep(rest)
-		go d.watched(w.c)
+		go t.watched(w.c)
 	}
 }
 
-func (d *turns) watched(c net.Conn) {
+func (t *turns) watched(c net.Conn) {
 	say := func(text string) bool {
-		d.mu.Lock()
-		silent, open := d.conns[c]
-		d.mu.Unlock()
+		t.mu.Lock()
+		silent, open := t.conns[c]
+		t.mu.Unlock()
 		if !open || silent {
 			return false
 		}
 		_, err := c.Write([]byte(text))
 		return err == nil
 	}
-	d.mu.Lock()
-	x, version, news := d.trouble, d.version, d.news
-	d.mu.Unlock()
+	t.mu.Lock()
+	x, version, news := t.trouble, t.version, t.news
+	t.mu.Unlock()
 	if x == halves {
 		say(head + chunk(`{"revision":42,`))
 		return
@@ -268,9 +268,9 @@
 	for said := true; said; {
 		select {
 		case <-news:
-			d.mu.Lock()
-			version, news = d.version, d.news
-			d.mu.Unlock()
+			t.mu.Lock()
+			version, news = t.version, t.news
+			t.mu.Unlock()
 			said = say(line(version, false))
 		case <-time.After(2 * time.Second):
 			said = say(chunk("\n"))
@@ -281,10 +281,10 @@
 // bubbleClock is the core's clock on that of the bubble.
 type bubbleClock struct{ began time.Time }
 
-func (c bubbleClock) Now() time.Duration { return time.Since(c.began) }
+func (b bubbleClock) Now() time.Duration { return time.Since(b.began) }
 
 // AfterFunc never rings at once: with -race a timer of a bubble that is due when it is set crashes Go 1.26's runtime.
-func (c bubbleClock) AfterFunc(d time.Duration, f func()) {
+func (b bubbleClock) AfterFunc(d time.Duration, f func()) {
 	time.AfterFunc(max(d, time.Nanosecond), f)
 }
 
--- a/internal/controlplane/fanout/fanout.go
+++ b/internal/controlplane/fanout/fanout.go
@@ -375,11 +375,11 @@
 	left int
 }
 
-func (r *limited) Read(p []byte) (int, error) {
-	if r.left <= 0 {
+func (l *limited) Read(p []byte) (int, error) {
+	if l.left <= 0 {
 		return 0, errors.New("the request is too long")
 	}
-	n, err := r.c.Read(p[:min(len(p), r.left)])
-	r.left -= n
+	n, err := l.c.Read(p[:min(len(p), l.left)])
+	l.left -= n
 	return n, err
 }
--- a/internal/controlplane/recordcache/fleet_test.go
+++ b/internal/controlplane/recordcache/fleet_test.go
@@ -132,14 +132,14 @@
 	done func()
 }
 
-func (c *waits) UpdateEndpoints(entries []node.Endpoint, _ bool) {
+func (w *waits) UpdateEndpoints(entries []node.Endpoint, _ bool) {
 	for _, e := range entries {
-		if e.ID == c.id && e.State == decide.Draining && !c.seen.Swap(true) {
-			c.done()
+		if e.ID == w.id && e.State == decide.Draining && !w.seen.Swap(true) {
+			w.done()
 		}
 	}
 }
-func (c *waits) EndpointWatchFailed(node.WatchFailure) {}
+func (w *waits) EndpointWatchFailed(node.WatchFailure) {}
 
 // BenchmarkFleet is what a fleet's nodes ask of the store of record, each by itself or through three replicas of the controller: at their start, at rest, for a
 // drain that an operator records, for one that discovery tells all nodes, and for an operator's while discovery tells of a zone's end. Bytes a node are
--- a/internal/controlplane/recordcache/recordcache_test.go
+++ b/internal/controlplane/recordcache/recordcache_test.go
@@ -346,15 +346,15 @@
 	sent [][]record.Change
 }
 
-func (s *far) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error) {
-	s.mu.Lock()
-	s.sent = append(s.sent, changes)
-	s.mu.Unlock()
-	if len(changes) > s.fits {
+func (f *far) Write(ctx context.Context, epoch string, changes []record.Change) ([]record.Entry, record.Meta, error) {
+	f.mu.Lock()
+	f.sent = append(f.sent, changes)
+	f.mu.Unlock()
+	if len(changes) > f.fits {
 		<-ctx.Done()
 		return nil, record.Meta{}, ctx.Err()
 	}
-	return s.Store.Write(ctx, epoch, changes)
+	return f.Store.Write(ctx, epoch, changes)
 }
 
 func TestAFarStoreGetsFewerChangesAtOnceAndDrainsFirst(t *testing.T) {
@@ -400,25 +400,25 @@
 	value string
 }
 
-func (s *endless) Meta(context.Context) (record.Meta, error) {
+func (e *endless) Meta(context.Context) (record.Meta, error) {
 	return record.Meta{Epoch: "e", Revision: 1 << 40}, nil
 }
 
-func (s *endless) Since(_ context.Context, after int64, most int) (record.Page, error) {
+func (e *endless) Since(_ context.Context, after int64, most int) (record.Page, error) {
 	p := record.Page{Meta: record.Meta{Epoch: "e", Revision: after + int64(most)}}
 	for i := range most {
 		n := after + int64(i) + 1
-		p.Entries = append(p.Entries, record.Entry{Key: record.Key{Kind: record.KindServer, Name: fmt.Sprint("s/", n)}, Revision: n, Value: json.RawMessage(s.value)})
+		p.Entries = append(p.Entries, record.Entry{Key: record.Key{Kind: record.KindServer, Name: fmt.Sprint("s/", n)}, Revision: n, Value: json.RawMessage(e.value)})
 	}
 	return p, nil
 }
 
-func (s *endless) Wait(ctx context.Context, most time.Duration) error {
+func (e *endless) Wait(ctx context.Context, most time.Duration) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func (s *endless) Close() error { return nil }
+func (e *endless) Close() error { return nil }
 
 func TestARecordWithoutEndIsRefusedAndTheCopyStays(t *testing.T) {
 	for name, value := range map[string]string{"facts": `{}`, "bytes": `"` + strings.Repeat("x", 60_000) + `"`} {
--- a/internal/core/node/guard.go
+++ b/internal/core/node/guard.go
@@ -47,7 +47,7 @@
 }
 
 // mayHaveRun tells whether an attempt may have had its effect: it was begun, and no result proves that it did not.
-func (p *Attempt) mayHaveRun() bool { return p.begun && !p.neverRan }
+func (a *Attempt) mayHaveRun() bool { return a.begun && !a.neverRan }
 
 // firstRun is the first attempt of an RPC, but for one, that may have run; nil if there is none.
 func (r *RPC) firstRun(but *Attempt) *Attempt {
--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -271,13 +271,13 @@
 }
 
 // giveUp ends an RPC whose caller has left, and the picks that were ordered meanwhile: nobody sends them any more.
-func (v *Service) giveUp(rpc *node.RPC, answers limits.MemoryPool) {
-	v.core.ClientGone(rpc)
+func (s *Service) giveUp(rpc *node.RPC, answers limits.MemoryPool) {
+	s.core.ClientGone(rpc)
 	for {
 		select {
 		case o := <-rpc.Orders:
 			if o.Kind == node.OrderSend {
-				v.core.AttemptDone(o.Attempt, decide.NotSent, nil)
+				s.core.AttemptDone(o.Attempt, decide.NotSent, nil)
 			}
 			if o.Kind == node.OrderServed {
 				answers.Release(o.Response.ReservedBytes)
--- a/internal/dataplane/frontend/frontend_test.go
+++ b/internal/dataplane/frontend/frontend_test.go
@@ -45,38 +45,38 @@
 	atVanished func(*node.RPC)
 }
 
-func (c *fakeCore) Arrived(a node.Arrival) *node.RPC {
+func (f *fakeCore) Arrived(a node.Arrival) *node.RPC {
 	r := &node.RPC{Orders: make(chan node.Order, 9), Deadline: a.Deadline}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, o := range c.orders {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, o := range f.orders {
 		r.Orders <- o
 	}
-	c.came <- r
-	if c.atArrived != nil {
-		c.atArrived()
+	f.came <- r
+	if f.atArrived != nil {
+		f.atArrived()
 	}
 	return r
 }
 
-func (c *fakeCore) ClientGone(r *node.RPC) {
-	if c.atVanished != nil {
-		c.atVanished(r)
+func (f *fakeCore) ClientGone(r *node.RPC) {
+	if f.atVanished != nil {
+		f.atVanished(r)
 	}
-	c.vanished <- r
+	f.vanished <- r
 }
 
-func (c *fakeCore) AttemptDone(_ *node.Attempt, res decide.Result, _ *node.Response) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.done = append(c.done, res)
+func (f *fakeCore) AttemptDone(_ *node.Attempt, res decide.Result, _ *node.Response) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.done = append(f.done, res)
 	return true
 }
 
-func (c *fakeCore) Start(_ *node.Attempt, q *httpwire.Request) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.started = append(c.started, q.TraceID)
+func (f *fakeCore) Start(_ *node.Attempt, q *httpwire.Request) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.started = append(f.started, q.TraceID)
 }
 
 func bounds() limits.Limits {
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -80,61 +80,61 @@
 }
 
 // more tells whether the kernel may hold something that no event will tell of.
-func (d *gateway) more() bool { return d.brim || d.gone.Load() }
+func (g *gateway) more() bool { return g.brim || g.gone.Load() }
 
-func (d *gateway) awake() {
-	if d.buf == nil {
-		d.buf = gatewayBuffers.Get().(*[]byte)
-		d.records.Init((*source)(d), *d.buf)
+func (g *gateway) awake() {
+	if g.buf == nil {
+		g.buf = gatewayBuffers.Get().(*[]byte)
+		g.records.Init((*source)(g), *g.buf)
 	}
 }
 
 // rest gives the buffers up between two requests; it is false if a part of the next one is in them.
-func (d *gateway) rest() bool {
-	if d.buf == nil {
+func (g *gateway) rest() bool {
+	if g.buf == nil {
 		return true
 	}
-	padded := d.records.HasBuffered()
-	if d.records.InRecord() {
+	padded := g.records.HasBuffered()
+	if g.records.InRecord() {
 		return false
 	}
 	if !padded { // else the reader has to know what is still to come of it
-		gatewayBuffers.Put(d.buf)
-		d.buf = nil
+		gatewayBuffers.Put(g.buf)
+		g.buf = nil
 	}
-	d.at = 0
-	if d.pend = d.pend[:0]; cap(d.pend) > 4096 {
-		d.pend = nil
+	g.at = 0
+	if g.pend = g.pend[:0]; cap(g.pend) > 4096 {
+		g.pend = nil
 	}
-	if cap(d.pairs) > few {
-		d.pairs = nil
+	if cap(g.pairs) > few {
+		g.pairs = nil
 	}
 	return true
 }
 
 // Read gives the next request as HTTP/1.1, as much as has come.
-func (d *gateway) Read(to []byte) (int, error) {
-	d.awake()
-	if d.at == len(d.pend) {
-		d.pend, d.at = d.pend[:0], 0
-		for len(d.pend) == 0 || !d.here && len(d.pend) < len(to) && d.records.Buffered() {
-			if err := d.next(); err != nil {
+func (g *gateway) Read(to []byte) (int, error) {
+	g.awake()
+	if g.at == len(g.pend) {
+		g.pend, g.at = g.pend[:0], 0
+		for len(g.pend) == 0 || !g.here && len(g.pend) < len(to) && g.records.Buffered() {
+			if err := g.next(); err != nil {
 				return 0, err
 			}
 		}
 	}
-	n := copy(to, d.pend[d.at:])
-	d.at += n
+	n := copy(to, g.pend[g.at:])
+	g.at += n
 	return n, nil
 }
 
 // next takes one piece.
-func (d *gateway) next() error {
-	p, err := d.records.Next()
+func (g *gateway) next() error {
+	p, err := g.records.Next()
 	if err == nil {
 		var e fcgi.Event
-		if e, err = d.app.Take(p); err == nil {
-			err = d.take(e)
+		if e, err = g.app.Take(p); err == nil {
+			err = g.take(e)
 		}
 	}
 	if errors.Is(err, fcgi.ErrFraming) {
@@ -143,41 +143,41 @@
 	return err
 }
 
-func (d *gateway) take(e fcgi.Event) error {
+func (g *gateway) take(e fcgi.Event) error {
 	switch e.Kind {
 	case fcgi.EventReply:
-		d.c.SetWriteDeadline(time.Now().Add(d.c.server.limits.ClientWriteTimeout))
-		_, err := d.c.Conn.Write(e.Data)
+		g.c.SetWriteDeadline(time.Now().Add(g.c.server.limits.ClientWriteTimeout))
+		_, err := g.c.Conn.Write(e.Data)
 		return err
 	case fcgi.EventParams:
-		d.id, d.keep, d.here, d.took = e.ID, e.Keep, false, 0
-		d.gone.Store(false)
-		return d.head(e.Params)
+		g.id, g.keep, g.here, g.took = e.ID, e.Keep, false, 0
+		g.gone.Store(false)
+		return g.head(e.Params)
 	case fcgi.EventBody:
-		if d.took += int64(len(e.Data)); d.told >= 0 && d.took > d.told {
+		if g.took += int64(len(e.Data)); g.told >= 0 && g.took > g.told {
 			return fmt.Errorf("%w: a longer body than CONTENT_LENGTH tells", httpwire.ErrMalformed)
 		}
-		d.pend = append(strconv.AppendInt(d.pend, int64(len(e.Data)), 16), "\r\n"...)
-		d.pend = append(append(d.pend, e.Data...), "\r\n"...)
+		g.pend = append(strconv.AppendInt(g.pend, int64(len(e.Data)), 16), "\r\n"...)
+		g.pend = append(append(g.pend, e.Data...), "\r\n"...)
 	case fcgi.EventBodyEnd:
-		if d.told >= 0 && d.took < d.told {
+		if g.told >= 0 && g.took < g.told {
 			return fmt.Errorf("%w: a shorter body than CONTENT_LENGTH tells", httpwire.ErrMalformed)
 		}
-		d.pend = append(d.pend, "0\r\n\r\n"...)
-		d.here = true
+		g.pend = append(g.pend, "0\r\n\r\n"...)
+		g.here = true
 	case fcgi.EventAborted:
-		if d.id == 0 { // its params were still coming: nobody has heard of it
-			d.id = e.ID
-			d.c.SetWriteDeadline(time.Now().Add(d.c.server.limits.ClientWriteTimeout))
-			_, err := d.c.Conn.Write(d.end(nil, 1, fcgi.StatusComplete))
+		if g.id == 0 { // its params were still coming: nobody has heard of it
+			g.id = e.ID
+			g.c.SetWriteDeadline(time.Now().Add(g.c.server.limits.ClientWriteTimeout))
+			_, err := g.c.Conn.Write(g.end(nil, 1, fcgi.StatusComplete))
 			return err
 		}
-		if d.gone.Store(true); !d.here { // who reads it has nothing to wait for
-			d.c.tell()
+		if g.gone.Store(true); !g.here { // who reads it has nothing to wait for
+			g.c.tell()
 			return errClosed
 		}
 	case fcgi.EventRejected:
-		d.id, d.keep = e.ID, false
+		g.id, g.keep = e.ID, false
 		return fmt.Errorf("%w: %s", httpwire.ErrMalformed, e.Reason)
 	}
 	return nil
@@ -188,14 +188,14 @@
 const lookMost = 128 << 10
 
 // look takes in what has come while a request is out, without waiting, and tells whether its gateway still waits for it.
-func (d *gateway) look() bool {
-	d.looking = true
-	defer func() { d.looking, d.c.try = false, false }()
-	for !d.gone.Load() {
-		if len(d.pend)-d.at > lookMost {
+func (g *gateway) look() bool {
+	g.looking = true
+	defer func() { g.looking, g.c.try = false, false }()
+	for !g.gone.Load() {
+		if len(g.pend)-g.at > lookMost {
 			return true
 		}
-		if err := d.next(); err != nil {
+		if err := g.next(); err != nil {
 			return err == errNothing
 		}
 	}
@@ -213,8 +213,8 @@
 	{httpwire.HeaderIdempotencyKey, "HTTP_IDEMPOTENCY_KEY"}, {httpwire.HeaderTimeLeft, "HTTP_X_EXPIRES_IN_MS"}, {"Host", "HTTP_HOST"}, {"Content-Type", "CONTENT_TYPE"}}
 
 // own is the param that a gateway uses in a field's place; empty: none.
-func (w *Gateway) own(i int) string {
-	return [len(fields)]string{w.Trace, w.Class, w.Tenant, w.Key, w.Left}[i]
+func (g *Gateway) own(i int) string {
+	return [len(fields)]string{g.Trace, g.Class, g.Tenant, g.Key, g.Left}[i]
 }
 
 // pair is a param. It lies in the request's params.
@@ -224,11 +224,11 @@
 const few = 64
 
 // collect takes the params apart. What could end a line, or says two things at once, is refused.
-func (d *gateway) collect(params []byte) error {
+func (g *gateway) collect(params []byte) error {
 	bad := func(what string, name []byte) error {
 		return fmt.Errorf("%w: %s %.60q", httpwire.ErrMalformed, what, name)
 	}
-	d.pairs = d.pairs[:0]
+	g.pairs = g.pairs[:0]
 	var seen map[string][]byte
 	for len(params) > 0 {
 		name, value, rest, err := fcgi.Pair(params)
@@ -244,9 +244,9 @@
 		value = bytes.Trim(value, " \t")
 		was, twice := seen[string(name)]
 		if seen == nil {
-			if was, twice = d.find(string(name)); len(d.pairs) == few {
+			if was, twice = g.find(string(name)); len(g.pairs) == few {
 				seen = make(map[string][]byte, 4*few)
-				for _, p := range d.pairs {
+				for _, p := range g.pairs {
 					seen[string(p.name)] = p.value
 				}
 			}
@@ -255,7 +255,7 @@
 		}
 		switch {
 		case !twice:
-			d.pairs = append(d.pairs, pair{name, value})
+			g.pairs = append(g.pairs, pair{name, value})
 		case !bytes.Equal(was, value):
 			return bad("two values of", name)
 		}
@@ -263,8 +263,8 @@
 	return nil
 }
 
-func (d *gateway) find(name string) ([]byte, bool) {
-	for _, p := range d.pairs {
+func (g *gateway) find(name string) ([]byte, bool) {
+	for _, p := range g.pairs {
 		if string(p.name) == name {
 			return p.value, true
 		}
@@ -272,80 +272,80 @@
 	return nil, false
 }
 
-func (d *gateway) get(name string) []byte {
-	value, _ := d.find(name)
+func (g *gateway) get(name string) []byte {
+	value, _ := g.find(name)
 	return value
 }
 
 // head makes a request's head of its params.
-func (d *gateway) head(params []byte) error {
-	defer func() { clear(d.pairs) }()
-	if err := d.collect(params); err != nil {
+func (g *gateway) head(params []byte) error {
+	defer func() { clear(g.pairs) }()
+	if err := g.collect(params); err != nil {
 		return err
 	}
-	verb, from := d.get("REQUEST_METHOD"), len(d.pend)
-	d.pend = append(append(d.pend, verb...), ' ')
-	at := len(d.pend)
-	if uri := d.get("REQUEST_URI"); len(uri) > 0 {
-		d.pend = append(d.pend, uri...)
+	verb, from := g.get("REQUEST_METHOD"), len(g.pend)
+	g.pend = append(append(g.pend, verb...), ' ')
+	at := len(g.pend)
+	if uri := g.get("REQUEST_URI"); len(uri) > 0 {
+		g.pend = append(g.pend, uri...)
 	} else {
-		d.pend = append(append(d.pend, d.get("SCRIPT_NAME")...), d.get("PATH_INFO")...)
-		if query := d.get("QUERY_STRING"); len(query) > 0 {
-			d.pend = append(append(d.pend, '?'), query...)
+		g.pend = append(append(g.pend, g.get("SCRIPT_NAME")...), g.get("PATH_INFO")...)
+		if query := g.get("QUERY_STRING"); len(query) > 0 {
+			g.pend = append(append(g.pend, '?'), query...)
 		}
 	}
-	target := d.pend[at:]
+	target := g.pend[at:]
 	if len(verb) == 0 || bytes.ContainsAny(verb, " \t") || bytes.ContainsAny(target, " \t") {
-		return fmt.Errorf("%w: no request line: %.60q", httpwire.ErrMalformed, d.pend[from:])
+		return fmt.Errorf("%w: no request line: %.60q", httpwire.ErrMalformed, g.pend[from:])
 	}
 	class, _, _ := bytes.Cut(target, []byte("?"))
 	class, _, _ = bytes.Cut(bytes.TrimPrefix(class, []byte("/")), []byte("/"))
-	class = append(d.spare[:0], class...) // what it lies in grows
-	d.spare = class
-	d.told = -1
-	if text := d.get("CONTENT_LENGTH"); len(text) > 0 {
+	class = append(g.spare[:0], class...) // what it lies in grows
+	g.spare = class
+	g.told = -1
+	if text := g.get("CONTENT_LENGTH"); len(text) > 0 {
 		n, err := strconv.ParseUint(string(text), 10, 62)
 		if err != nil {
 			return fmt.Errorf("%w: CONTENT_LENGTH is %.60q", httpwire.ErrMalformed, text)
 		}
-		d.told = int64(n)
+		g.told = int64(n)
 	}
-	d.pend = append(d.pend, " HTTP/1.1\r\nTransfer-Encoding: chunked\r\n"...)
+	g.pend = append(g.pend, " HTTP/1.1\r\nTransfer-Encoding: chunked\r\n"...)
 	for i, f := range fields {
-		v := d.get(f.param)
-		if own := d.way.own(i); own != "" {
-			if given := d.get(own); len(given) > 0 {
+		v := g.get(f.param)
+		if own := g.way.own(i); own != "" {
+			if given := g.get(own); len(given) > 0 {
 				v = given
 			}
 		}
 		if len(v) == 0 {
-			v = d.instead(f.header, class)
+			v = g.instead(f.header, class)
 		}
 		if len(v) > 0 {
-			d.pend = append(append(append(append(d.pend, f.header...), ": "...), v...), "\r\n"...)
+			g.pend = append(append(append(append(g.pend, f.header...), ": "...), v...), "\r\n"...)
 		}
 	}
-	for _, p := range d.pairs { // for routes: servers are sent none of them
+	for _, p := range g.pairs { // for routes: servers are sent none of them
 		if bytes.HasPrefix(p.name, []byte("HTTP_")) && len(p.value) > 0 && plain(p.name) && !hop[string(p.name)] && !usual(p.name) {
-			d.pend = append(append(append(appendHeader(d.pend, p.name), ": "...), p.value...), "\r\n"...)
+			g.pend = append(append(append(appendHeader(g.pend, p.name), ": "...), p.value...), "\r\n"...)
 		}
 	}
-	d.pend = append(d.pend, "\r\n"...)
+	g.pend = append(g.pend, "\r\n"...)
 	return nil
 }
 
 // instead is what stands for a field that a gateway does not send.
-func (d *gateway) instead(header string, class []byte) []byte {
+func (g *gateway) instead(header string, class []byte) []byte {
 	switch header {
 	case httpwire.HeaderTraceID: // a gateway that has none can't ask for the same again, either
 		return fmt.Appendf(nil, "%016x%016x", rand.Uint64(), rand.Uint64())
 	case httpwire.HeaderMethod:
 		return class
 	case httpwire.HeaderTenant:
-		return []byte(d.way.DefaultTenant)
+		return []byte(g.way.DefaultTenant)
 	case httpwire.HeaderTimeLeft:
-		if d.way.DefaultTimeLeft > 0 {
-			return strconv.AppendInt(nil, d.way.DefaultTimeLeft.Milliseconds(), 10)
+		if g.way.DefaultTimeLeft > 0 {
+			return strconv.AppendInt(nil, g.way.DefaultTimeLeft.Milliseconds(), 10)
 		}
 	}
 	return nil
@@ -388,61 +388,61 @@
 }
 
 // stays tells, when something has come while a request is out, whether its gateway still waits for it.
-func (d *gateway) stays(q *httpwire.Request) bool {
+func (g *gateway) stays(q *httpwire.Request) bool {
 	if q.BodyStream != nil && !q.BodyStream.Complete() { // who passes its body on reads, and sees it first
-		return !d.gone.Load() && !d.c.ended.Load()
+		return !g.gone.Load() && !g.c.ended.Load()
 	}
-	return d.look()
+	return g.look()
 }
 
 // waits is stays for who is about to send the request on, and has claimed its body where that is coming. Fresh tells that what the
 // kernel holds is known; what has been read of it may hold more than the request.
-func (d *gateway) waits(fresh bool) bool {
+func (g *gateway) waits(fresh bool) bool {
 	switch {
-	case d.gone.Load():
+	case g.gone.Load():
 		return false
-	case d.records.Buffered() || !fresh && socket.StateOfRaw(d.c.raw) == socket.StateReadable:
-		return d.look()
+	case g.records.Buffered() || !fresh && socket.StateOfRaw(g.c.raw) == socket.StateReadable:
+		return g.look()
 	}
 	return true
 }
 
 // answer writes a whole answer to the request that is out, and its end.
-func (d *gateway) answer(to []byte, a *httpwire.ClientResponse, headOnly bool) []byte {
-	if d.id == 0 {
+func (g *gateway) answer(to []byte, a *httpwire.ClientResponse, headOnly bool) []byte {
+	if g.id == 0 {
 		return to // nobody has asked anything yet
 	}
 	status := fcgi.StatusComplete
-	if a.Status == 503 && d.way.Overloaded {
+	if a.Status == 503 && g.way.Overloaded {
 		status = fcgi.StatusOverloaded
 	} else {
-		to = d.begin(to, a)
+		to = g.begin(to, a)
 		if !headOnly {
-			to = fcgi.AppendStream(to, fcgi.TypeStdout, d.id, a.Body)
+			to = fcgi.AppendStream(to, fcgi.TypeStdout, g.id, a.Body)
 		}
 	}
-	return d.end(to, 0, status)
+	return g.end(to, 0, status)
 }
 
 // begin writes an answer's head.
-func (d *gateway) begin(to []byte, a *httpwire.ClientResponse) []byte {
+func (g *gateway) begin(to []byte, a *httpwire.ClientResponse) []byte {
 	var head [256]byte
 	again := ""
 	if a.RetryAfter > 0 {
 		again = strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)
 	}
-	return fcgi.AppendStream(to, fcgi.TypeStdout, d.id, fcgi.AppendCGI(head[:0], a.Status, httpwire.StatusText(a.Status), a.ContentType, again))
+	return fcgi.AppendStream(to, fcgi.TypeStdout, g.id, fcgi.AppendCGI(head[:0], a.Status, httpwire.StatusText(a.Status), a.ContentType, again))
 }
 
-func (d *gateway) frame(p []byte) net.Buffers { return fcgi.Records(fcgi.TypeStdout, d.id, p) }
+func (g *gateway) frame(p []byte) net.Buffers { return fcgi.Records(fcgi.TypeStdout, g.id, p) }
 
 // end ends the request; its id may be used again.
-func (d *gateway) end(to []byte, app uint32, s fcgi.Status) []byte {
+func (g *gateway) end(to []byte, app uint32, s fcgi.Status) []byte {
 	if s == fcgi.StatusComplete {
-		to = fcgi.AppendStreamEnd(to, fcgi.TypeStdout, d.id)
+		to = fcgi.AppendStreamEnd(to, fcgi.TypeStdout, g.id)
 	}
-	to = fcgi.AppendEnd(to, d.id, app, s)
-	d.app.Done(d.id)
-	d.id = 0
+	to = fcgi.AppendEnd(to, g.id, app, s)
+	g.app.Done(g.id)
+	g.id = 0
 	return to
 }
--- a/internal/dataplane/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -66,9 +66,9 @@
 }
 
 // unstir tells whether something has come while a connection was served, and forgets that.
-func (f *Server) unstir(c *conn) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *Server) unstir(c *conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	was := c.stirred
 	c.stirred = false
 	return was
@@ -76,26 +76,26 @@
 
 // lingers takes in what a caller is still sending after its last answer: closed with bytes unread, the connection would be
 // reset and the answer lost with it. It holds no place and no goroutine meanwhile.
-func (f *Server) lingers(c *conn) bool {
+func (s *Server) lingers(c *conn) bool {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return false
 	}
-	f.mu.Lock()
-	f.gate.Leave(&c.Member)
-	c.lingering, c.taking, c.reader = true, f.limits.MaxLingerBytes, nil
-	f.rest(c, f.limits.LingerTimeout)
-	f.admit()
-	f.mu.Unlock()
+	s.mu.Lock()
+	s.gate.Leave(&c.Member)
+	c.lingering, c.taking, c.reader = true, s.limits.MaxLingerBytes, nil
+	s.rest(c, s.limits.LingerTimeout)
+	s.admit()
+	s.mu.Unlock()
 	// Also what has come by now, of which no event may tell again.
-	return f.discard(c)
+	return s.discard(c)
 }
 
 var scraps = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
 // discard takes in what has come, and tells whether to wait for more. The bytes are bounded: a body without end, sent at
 // full speed, would take the core from all others.
-func (f *Server) discard(c *conn) bool {
+func (s *Server) discard(c *conn) bool {
 	b := scraps.Get().(*[]byte)
 	defer scraps.Put(b)
 	for {
@@ -110,10 +110,10 @@
 		case outer != nil || err != nil || n == 0:
 			return false
 		}
-		f.mu.Lock()
+		s.mu.Lock()
 		c.taking -= n
 		more := c.taking > 0 && !c.closed
-		f.mu.Unlock()
+		s.mu.Unlock()
 		if !more {
 			return false
 		}
@@ -121,64 +121,64 @@
 }
 
 // rouse asks for a place for a connection on which something has come. What follows is called with the mutex held.
-func (f *Server) rouse(c *conn) {
-	now := f.clock()
+func (s *Server) rouse(c *conn) {
+	now := s.clock()
 	c.resting, c.stirred, c.tired = false, false, false
-	if !c.first || now-c.born >= f.limits.FinalReadWindow { // else it may have lain in the socket while a place was looked for
+	if !c.first || now-c.born >= s.limits.FinalReadWindow { // else it may have lain in the socket while a place was looked for
 		c.arrived = now
 	}
-	f.ends.Remove(&c.ring)
-	regular := c.asked && now-c.since < f.limits.LongIdle
-	if c.list != nil && c.list != &f.fresh {
+	s.ends.Remove(&c.ring)
+	regular := c.asked && now-c.since < s.limits.LongIdle
+	if c.list != nil && c.list != &s.fresh {
 		c.list.drop(c)
 	}
-	switch f.gate.Arrive(&c.Member, regular, now) {
+	switch s.gate.Arrive(&c.Member, regular, now) {
 	case admission.Serve:
-		f.workers.Do(c)
+		s.workers.Do(c)
 	case admission.Wait:
-		f.ask()
+		s.ask()
 	}
 }
 
 // ask has the gate asked in a while: who waits too long has to be told.
-func (f *Server) ask() {
-	if !f.asking {
-		f.asking = true
+func (s *Server) ask() {
+	if !s.asking {
+		s.asking = true
 		time.AfterFunc(askGate, func() {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.asking = false
-			f.admit()
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.asking = false
+			s.admit()
 		})
 	}
 }
 
 // admit lets those in whose turn it is.
-func (f *Server) admit() {
-	for f.gate.WaitingCount() > 0 {
-		m, verdict := f.gate.Next(f.clock())
+func (s *Server) admit() {
+	for s.gate.WaitingCount() > 0 {
+		m, verdict := s.gate.Next(s.clock())
 		if m == nil {
-			f.ask()
+			s.ask()
 			return
 		}
 		c := m.Owner.(*conn)
 		c.tired = verdict == admission.Reject
-		f.workers.Do(c)
+		s.workers.Do(c)
 	}
 }
 
 // rest lets a connection stand, for so long at most.
-func (f *Server) rest(c *conn, most time.Duration) {
-	c.resting, c.since = true, f.clock()
+func (s *Server) rest(c *conn, most time.Duration) {
+	c.resting, c.since = true, s.clock()
 	if c.list == nil {
 		if c.turned {
-			f.flood.push(c)
+			s.flood.push(c)
 		} else {
-			f.rested.push(c)
+			s.rested.push(c)
 		}
 	}
-	f.ends.Add(&c.ring, c.since+most)
-	f.arm()
+	s.ends.Add(&c.ring, c.since+most)
+	s.arm()
 }
 
 // step is what comes next for a connection that has just been answered.
@@ -191,7 +191,7 @@
 )
 
 // again finds what comes next for a connection that has just been answered.
-func (f *Server) again(c *conn) step {
+func (s *Server) again(c *conn) step {
 	more := c.reader.FilledBuffer()
 	if c.gateway != nil {
 		if !c.gateway.rest() {
@@ -200,31 +200,31 @@
 		more = c.gateway.more()
 	}
 	for {
-		f.mu.Lock()
-		drains := f.drained || f.emptied
+		s.mu.Lock()
+		drains := s.drained || s.emptied
 		ends := c.ending || drains
-		if pass := f.pass; pass != nil && !c.ending && !c.last && c.gateway == nil {
-			f.mu.Unlock()
-			if f.passes(c, pass) {
+		if pass := s.pass; pass != nil && !c.ending && !c.last && c.gateway == nil {
+			s.mu.Unlock()
+			if s.passes(c, pass) {
 				return stood
 			}
-			f.mu.Lock()
-			f.pass, more = nil, true // the other process has gone
-			f.mu.Unlock()
+			s.mu.Lock()
+			s.pass, more = nil, true // the other process has gone
+			s.mu.Unlock()
 			continue
 		}
 		if !c.stirred && !more && !ends {
 			c.reader.ReleaseBuffer()
 			c.reader = nil
-			f.stand(c)
-			f.mu.Unlock()
+			s.stand(c)
+			s.mu.Unlock()
 			return stood
 		}
 		if c.arrived = 0; c.stirred {
 			c.arrived = c.stirredAt
 		}
 		c.stirred, more = false, false
-		f.mu.Unlock()
+		s.mu.Unlock()
 		switch socket.StateOfRaw(c.raw) {
 		case socket.StateReadable:
 			c.last = c.last || ends
@@ -244,105 +244,105 @@
 }
 
 // stand lets a served connection rest. The mutex is held.
-func (f *Server) stand(c *conn) {
-	f.gate.Leave(&c.Member)
-	most := f.limits.ClientIdleTimeout
+func (s *Server) stand(c *conn) {
+	s.gate.Leave(&c.Member)
+	most := s.limits.ClientIdleTimeout
 	if c.first { // it has said nothing yet
-		most = max(0, c.born+f.limits.ClientReadTimeout-f.clock())
+		most = max(0, c.born+s.limits.ClientReadTimeout-s.clock())
 	}
-	f.rest(c, most)
-	f.admit()
-	f.tidy()
+	s.rest(c, most)
+	s.admit()
+	s.tidy()
 }
 
 // close ends a connection for good, once.
-func (f *Server) close(c *conn, why telemetry.Reason) { f.drop(c, why) }
+func (s *Server) close(c *conn, why telemetry.Reason) { s.drop(c, why) }
 
 // drop forgets a connection, which ends or, handed over, lives on in another process.
-func (f *Server) drop(c *conn, why telemetry.Reason) {
+func (s *Server) drop(c *conn, why telemetry.Reason) {
 	lives := why == telemetry.HandedOver
-	f.mu.Lock()
+	s.mu.Lock()
 	if c.closed {
-		f.mu.Unlock()
+		s.mu.Unlock()
 		return
 	}
 	c.closed, c.resting = true, false
-	f.ends.Remove(&c.ring)
+	s.ends.Remove(&c.ring)
 	if c.list != nil {
 		c.list.drop(c)
 	}
-	f.gate.Leave(&c.Member)
-	delete(f.conns, c)
+	s.gate.Leave(&c.Member)
+	delete(s.conns, c)
 	place := c.place
-	f.admit()
-	f.tidy()
-	f.mu.Unlock()
+	s.admit()
+	s.tidy()
+	s.mu.Unlock()
 	if lives {
-		f.poller.Detach(c.raw, &place)
+		s.poller.Detach(c.raw, &place)
 	} else {
-		f.poller.Remove(&place)
+		s.poller.Remove(&place)
 	}
-	f.records(c, why)
+	s.records(c, why)
 	c.Conn.Close()
-	f.budget.ReleaseForClient()
-	f.done.Done()
+	s.budget.ReleaseForClient()
+	s.done.Done()
 }
 
 // arm has the wheel looked at when the next resting connection may have to end.
-func (f *Server) arm() {
-	at, any := f.ends.Next()
-	if !any || f.paced || f.armed != 0 && f.armed <= at {
+func (s *Server) arm() {
+	at, any := s.ends.Next()
+	if !any || s.paced || s.armed != 0 && s.armed <= at {
 		return
 	}
-	f.armed = at
-	time.AfterFunc(max(0, at-f.clock()), func() { f.ringAt(at) })
+	s.armed = at
+	time.AfterFunc(max(0, at-s.clock()), func() { s.ringAt(at) })
 }
 
 // ringAt ends the connections that have rested for too long, some at once: a second in which all of them end must not
 // stop those at work.
-func (f *Server) ringAt(at time.Duration) {
+func (s *Server) ringAt(at time.Duration) {
 	var out []*conn
-	f.mu.Lock()
-	if f.armed != at {
-		f.mu.Unlock()
+	s.mu.Lock()
+	if s.armed != at {
+		s.mu.Unlock()
 		return
 	}
-	f.armed = 0
-	if f.ends.Advance(f.clock(), atOnce, func(t *timingwheel.Timer) { out = append(out, t.Payload.(*conn)) }) {
-		f.paced = true
+	s.armed = 0
+	if s.ends.Advance(s.clock(), atOnce, func(t *timingwheel.Timer) { out = append(out, t.Payload.(*conn)) }) {
+		s.paced = true
 		time.AfterFunc(grain, func() {
-			f.mu.Lock()
-			f.paced = false
-			f.arm()
-			f.mu.Unlock()
+			s.mu.Lock()
+			s.paced = false
+			s.arm()
+			s.mu.Unlock()
 		})
 	}
-	f.arm()
-	f.mu.Unlock()
-	f.endRest(out, telemetry.IdleTimeout)
+	s.arm()
+	s.mu.Unlock()
+	s.endRest(out, telemetry.IdleTimeout)
 }
 
 // tidy has the worker pool's idle goroutines ended in a while.
-func (f *Server) tidy() {
-	if f.tidying {
+func (s *Server) tidy() {
+	if s.tidying {
 		return
 	}
-	f.tidying = true
+	s.tidying = true
 	time.AfterFunc(tidyIn, func() {
-		left := f.workers.Trim()
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		if f.tidying = false; left > 0 {
-			f.tidy()
+		left := s.workers.Trim()
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if s.tidying = false; left > 0 {
+			s.tidy()
 		}
 	})
 }
 
 // slows finds a place among the slow for a connection whose request comes in pieces.
-func (f *Server) slows(c *conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if out := f.gate.MarkSlow(&c.Member, f.clock()); out != nil {
+func (s *Server) slows(c *conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if out := s.gate.MarkSlow(&c.Member, s.clock()); out != nil {
 		o := out.Owner.(*conn)
 		o.full = true
 		o.cut.Store(true)
@@ -350,15 +350,15 @@
 	}
 }
 
-func (f *Server) isWhole(c *conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.gate.MarkComplete(&c.Member)
+func (s *Server) isWhole(c *conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.gate.MarkComplete(&c.Member)
 	c.full = false
 }
 
-func (f *Server) isFull(c *conn) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *Server) isFull(c *conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return c.full
 }
--- a/internal/dataplane/frontend/ids.go
+++ b/internal/dataplane/frontend/ids.go
@@ -32,45 +32,45 @@
 
 // begin notes that a request with an id is open, and returns false if it is known already. Its end is due with
 // the number returned.
-func (k *ids) begin(id string) (uint64, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (i *ids) begin(id string) (uint64, bool) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	var d xxhash.Digest
-	d.ResetWithSeed(k.seed)
+	d.ResetWithSeed(i.seed)
 	d.WriteString(id)
 	n := d.Sum64()
-	for _, known := range []map[uint64]struct{}{k.open, k.recent, k.older} {
+	for _, known := range []map[uint64]struct{}{i.open, i.recent, i.older} {
 		if _, ok := known[n]; ok {
 			return 0, false
 		}
 	}
-	k.open[n] = struct{}{}
+	i.open[n] = struct{}{}
 	return n, true
 }
 
 // end notes at a time that a request is over.
-func (k *ids) end(n uint64, now time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.open, n)
-	if now >= k.turned+k.life || len(k.recent) >= k.most {
-		k.older, k.recent, k.turned = k.recent, map[uint64]struct{}{}, now
+func (i *ids) end(n uint64, now time.Duration) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	delete(i.open, n)
+	if now >= i.turned+i.life || len(i.recent) >= i.most {
+		i.older, i.recent, i.turned = i.recent, map[uint64]struct{}{}, now
 	}
-	k.recent[n] = struct{}{}
+	i.recent[n] = struct{}{}
 }
 
-func (k *ids) keep(life time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.life = life
+func (i *ids) keep(life time.Duration) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.life = life
 }
 
 // hand is what a successor has to know: all that are open or ended lately, eight bytes each.
-func (k *ids) hand() []byte {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	out := make([]byte, 0, 8*(len(k.open)+len(k.recent)+len(k.older)))
-	for _, half := range []map[uint64]struct{}{k.older, k.recent, k.open} {
+func (i *ids) hand() []byte {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	out := make([]byte, 0, 8*(len(i.open)+len(i.recent)+len(i.older)))
+	for _, half := range []map[uint64]struct{}{i.older, i.recent, i.open} {
 		for n := range half {
 			out = binary.BigEndian.AppendUint64(out, n)
 		}
@@ -79,14 +79,14 @@
 }
 
 // take knows what another process handed over, as ended now.
-func (k *ids) take(all []byte, now time.Duration) {
+func (i *ids) take(all []byte, now time.Duration) {
 	for ; len(all) >= 8; all = all[8:] {
-		k.end(binary.BigEndian.Uint64(all), now)
+		i.end(binary.BigEndian.Uint64(all), now)
 	}
 }
 
-func (k *ids) seeded(seed uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.seed = seed
+func (i *ids) seeded(seed uint64) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.seed = seed
 }
--- a/internal/dataplane/frontend/observe.go
+++ b/internal/dataplane/frontend/observe.go
@@ -12,7 +12,7 @@
 const deadlineSlack = 150 * time.Millisecond
 
 // SetRecorder has events and violations recorded. It is called before anything is served.
-func (f *Server) SetRecorder(r *telemetry.Recorder) { f.telemetry = r }
+func (s *Server) SetRecorder(r *telemetry.Recorder) { s.telemetry = r }
 
 // refuse answers a request that the node turns away by itself.
 func (c *conn) refuse(q *httpwire.Request, a *httpwire.ClientResponse, why telemetry.Reason) bool {
@@ -21,13 +21,13 @@
 }
 
 // turnsAway counts a request in, or tells why it can't be.
-func (f *Server) turnsAway(c *conn) telemetry.Reason {
+func (s *Server) turnsAway(c *conn) telemetry.Reason {
 	switch {
 	case c.tired:
 		return telemetry.QueueTimeout
-	case f.halted():
+	case s.halted():
 		return telemetry.Draining
-	case !f.begin():
+	case !s.begin():
 		return telemetry.AtCapacity
 	}
 	return telemetry.NoReason
@@ -56,9 +56,9 @@
 }
 
 // records notes that a connection ends, and looks whether a request on it has had its answer.
-func (f *Server) records(c *conn, why telemetry.Reason) {
-	f.telemetry.Record(telemetry.Event{Kind: telemetry.ClientConnectionClosed, Reason: why})
+func (s *Server) records(c *conn, why telemetry.Reason) {
+	s.telemetry.Record(telemetry.Event{Kind: telemetry.ClientConnectionClosed, Reason: why})
 	if c.owed.Load() && !c.ended.Load() && why != telemetry.PeerClosed && why != telemetry.WriteFailed {
-		f.telemetry.Violation(telemetry.Violation{Rule: telemetry.ClosedUnanswered, Detail: why.String()})
+		s.telemetry.Violation(telemetry.Violation{Rule: telemetry.ClosedUnanswered, Detail: why.String()})
 	}
 }
--- a/internal/dataplane/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -100,7 +100,7 @@
 // KeepFormer has the classes and tenants that another service took before taken until a time, and classes whose effect has changed
 // in either form: callers hear of new settings later than the node does. What that one still took from settings before its own
 // stays as long as it was to: settings may change again before callers have heard of the last.
-func (v *Service) KeepFormer(before *Service, now, until time.Duration) *Service {
+func (s *Service) KeepFormer(before *Service, now, until time.Duration) *Service {
 	for name, k := range before.methods {
 		if k.until > 0 && now > k.until {
 			continue // one that is over would else be handed on from settings to settings
@@ -109,10 +109,10 @@
 		if k.until > 0 {
 			last = k.until
 		}
-		is, stays := v.methods[name]
+		is, stays := s.methods[name]
 		if !stays {
 			k.until = last
-			v.methods[name] = k
+			s.methods[name] = k
 			continue
 		}
 		for _, f := range k.former {
@@ -123,49 +123,49 @@
 		if k.repeat != is.repeat {
 			is.former = append(is.former, form{k.repeat, last})
 		}
-		v.methods[name] = is
+		s.methods[name] = is
 	}
 	for name, t := range before.tenants {
-		if _, stays := v.tenants[name]; stays || t.until > 0 && now > t.until {
+		if _, stays := s.tenants[name]; stays || t.until > 0 && now > t.until {
 			continue
 		}
 		if t.until == 0 {
 			t.until = until
 		}
-		v.tenants[name] = t
+		s.tenants[name] = t
 	}
-	return v
+	return s
 }
 
 // enter counts a request in. A service that has left takes none: who holds an old table has to look into the new one.
-func (v *Service) enter() bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.closed {
+func (s *Service) enter() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
 		return false
 	}
-	v.open++
+	s.open++
 	return true
 }
 
-func (v *Service) leave() {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.open--; v.closed && v.open == 0 {
-		close(v.empty)
+func (s *Service) leave() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.open--; s.closed && s.open == 0 {
+		close(s.empty)
 	}
 }
 
 // Close lets nothing more in. The channel is closed once all that was in has left.
-func (v *Service) Close() <-chan struct{} {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if !v.closed {
-		if v.closed = true; v.open == 0 {
-			close(v.empty)
+func (s *Service) Close() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.closed {
+		if s.closed = true; s.open == 0 {
+			close(s.empty)
 		}
 	}
-	return v.empty
+	return s.empty
 }
 
 // Table is one version of what is served.
@@ -176,9 +176,9 @@
 }
 
 // find counts a request into its service.
-func (f *Server) find(q *httpwire.Request) (*Service, *httpwire.ClientResponse) {
+func (s *Server) find(q *httpwire.Request) (*Service, *httpwire.ClientResponse) {
 	for {
-		t := f.table.Load()
+		t := s.table.Load()
 		v := t.Only
 		if t.Find != nil {
 			var none *httpwire.ClientResponse
@@ -193,11 +193,11 @@
 }
 
 // ready answers who asks whether the node is ready.
-func (f *Server) ready(q *httpwire.Request) *httpwire.ClientResponse {
+func (s *Server) ready(q *httpwire.Request) *httpwire.ClientResponse {
 	switch {
 	case q.Verb != "GET" && q.Verb != "HEAD":
 		return &httpwire.ClientResponse{Status: 405, Allow: "GET"}
-	case f.closing():
+	case s.closing():
 		return &httpwire.ClientResponse{Status: 503}
 	}
 	return &httpwire.ClientResponse{Status: 200}
@@ -205,13 +205,13 @@
 
 // check finds what a request asks for, or the answer to one that can't be taken. None of those answers is 429
 // or 503: they would promise that asking the same again helps.
-func (v *Service) check(q *httpwire.Request, l *limits.Limits, now time.Duration) (k class, tenant int, bad *httpwire.ClientResponse) {
+func (s *Service) check(q *httpwire.Request, l *limits.Limits, now time.Duration) (k class, tenant int, bad *httpwire.ClientResponse) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(q.Path, "/"), "/")
-	k, known := v.methods[first]
+	k, known := s.methods[first]
 	if !known || k.until > 0 && now > k.until {
 		return k, 0, &httpwire.ClientResponse{Status: 404}
 	}
-	t, paying := v.tenants[q.Tenant]
+	t, paying := s.tenants[q.Tenant]
 	paying = paying && (t.until == 0 || now <= t.until)
 	wrong := misfit(k.repeat, q)
 	if slices.ContainsFunc(k.former, func(f form) bool { return now < f.until && misfit(f.repeat, q) == 0 }) {
@@ -220,7 +220,7 @@
 	switch {
 	case wrong == 405:
 		return k, 0, &httpwire.ClientResponse{Status: 405, Allow: verb(k.repeat)}
-	case wrong != 0, q.Method != first, q.TraceID == "", !q.HasTimeLeft, q.TimeLeft > l.MaxTimeLeft, len(v.tenants) > 0 && !paying:
+	case wrong != 0, q.Method != first, q.TraceID == "", !q.HasTimeLeft, q.TimeLeft > l.MaxTimeLeft, len(s.tenants) > 0 && !paying:
 		return k, 0, &httpwire.ClientResponse{Status: 400}
 	}
 	return k, t.slot, nil
--- a/internal/dataplane/services/gate.go
+++ b/internal/dataplane/services/gate.go
@@ -29,16 +29,16 @@
 }
 
 // Acquire asks for a request's part.
-func (x *share) Acquire(tenant, body int) (frontend.Lease, time.Duration, bool) {
-	x.g.mu.Lock()
-	defer x.g.mu.Unlock()
-	l, why := x.s.Acquire(tenant, quota.Amount{quota.InFlight: 1, quota.BodyBytes: int64(body)})
+func (s *share) Acquire(tenant, body int) (frontend.Lease, time.Duration, bool) {
+	s.g.mu.Lock()
+	defer s.g.mu.Unlock()
+	l, why := s.s.Acquire(tenant, quota.Amount{quota.InFlight: 1, quota.BodyBytes: int64(body)})
 	if why != quota.Admitted {
 		// Spread, so that those who follow it do not all come back in one moment.
-		wait := time.Duration(float64(x.g.back) * (0.5 + 1.5*x.g.rand.Float64()))
-		return nil, min(wait, x.most), false
+		wait := time.Duration(float64(s.g.back) * (0.5 + 1.5*s.g.rand.Float64()))
+		return nil, min(wait, s.most), false
 	}
-	return &lease{x.g, l}, 0, true
+	return &lease{s.g, l}, 0, true
 }
 
 type lease struct {
--- a/internal/dataplane/services/services.go
+++ b/internal/dataplane/services/services.go
@@ -81,32 +81,32 @@
 }
 
 // Go runs something for as long as the set lives.
-func (s *Manager) Go(f func(context.Context)) { s.owned.Go(func() { f(s.life) }) }
+func (m *Manager) Go(f func(context.Context)) { m.owned.Go(func() { f(m.life) }) }
 
 // Apply puts a configuration in force, as one step, and returns the table to serve. Pools that stay keep what their
 // modules have learned; what changes in place does; the others leave once their last request has ended.
-func (s *Manager) Apply(c *nodeconfig.Config) *frontend.Table {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.gate.mu.Lock()
-	s.gate.tree.Config = c.Quota
-	s.gate.tree.Resize(c.Quota.Total)
-	s.gate.mu.Unlock()
+func (m *Manager) Apply(c *nodeconfig.Config) *frontend.Table {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.gate.mu.Lock()
+	m.gate.tree.Config = c.Quota
+	m.gate.tree.Resize(c.Quota.Total)
+	m.gate.mu.Unlock()
 	now := map[string]*pool{}
 	var stay, fresh, left []string
 	var services []*frontend.Service
 	// Guarantees that shrink go first: those that grow then find the room.
 	for _, p := range c.Pools {
-		if old := s.pools[p.Name]; old != nil && old.share != nil {
-			s.gate.mu.Lock()
+		if old := m.pools[p.Name]; old != nil && old.share != nil {
+			m.gate.mu.Lock()
 			old.share.s.Update(min(old.share.s.Guarantee, p.Guarantee), p.Weight)
-			s.gate.mu.Unlock()
+			m.gate.mu.Unlock()
 		}
 	}
-	for name, p := range s.pools {
+	for name, p := range m.pools {
 		i := slices.IndexFunc(c.Pools, func(x nodeconfig.Pool) bool { return x.Name == name })
 		if i < 0 || !p.stays(&c.Pools[i]) || (p.share == nil) != c.Sharing.Off {
-			s.retire(p)
+			m.retire(p)
 			left = append(left, name)
 			continue
 		}
@@ -115,22 +115,22 @@
 	for _, x := range c.Pools {
 		p := now[x.Name]
 		if p != nil {
-			p.change(x, s.gate)
+			p.change(x, m.gate)
 			stay = append(stay, x.Name)
 		} else {
-			p = s.start(c, x, s.pools[x.Name])
+			p = m.start(c, x, m.pools[x.Name])
 			now[x.Name] = p
 			fresh = append(fresh, x.Name)
 		}
 		services = append(services, p.service)
 	}
-	s.config, s.pools = c, now
+	m.config, m.pools = c, now
 	if len(stay)+len(fresh) < 30 {
 		slices.Sort(left)
-		s.log.Info("services in force", zap.Strings("kept", stay), zap.Strings("begun", fresh), zap.Strings("ended", left),
+		m.log.Info("services in force", zap.Strings("kept", stay), zap.Strings("begun", fresh), zap.Strings("ended", left),
 			zap.Int("routes", len(c.Table.Rules())))
 	} else {
-		s.log.Info("services in force", zap.Int("kept", len(stay)), zap.Int("begun", len(fresh)), zap.Int("ended", len(left)),
+		m.log.Info("services in force", zap.Int("kept", len(stay)), zap.Int("begun", len(fresh)), zap.Int("ended", len(left)),
 			zap.Int("routes", len(c.Table.Rules())))
 	}
 	return &frontend.Table{Find: finder(c.Table, services)}
@@ -161,46 +161,46 @@
 }
 
 // start makes a pool and what belongs to it. One that takes another's place knows its servers from the first moment.
-func (s *Manager) start(c *nodeconfig.Config, x nodeconfig.Pool, before *pool) *pool {
+func (m *Manager) start(c *nodeconfig.Config, x nodeconfig.Pool, before *pool) *pool {
 	p := &pool{Pool: x}
-	log := s.log.With(zap.String("service", x.Name))
-	var count upstream.Budget = plain{s.budget}
+	log := m.log.With(zap.String("service", x.Name))
+	var count upstream.Budget = plain{m.budget}
 	if !c.Sharing.Off {
-		s.gate.mu.Lock()
-		p.share = &share{g: s.gate, s: s.gate.tree.Add(x.QuotaSpec)}
-		s.gate.mu.Unlock()
+		m.gate.mu.Lock()
+		p.share = &share{g: m.gate, s: m.gate.tree.Add(x.QuotaSpec)}
+		m.gate.mu.Unlock()
 		if !x.NoRetryAfter {
 			p.share.most = time.Duration(x.MaxRetryAfter)
 		}
-		count = &budget{x: p.share, all: s.budget, other: s.evict}
+		count = &budget{x: p.share, all: m.budget, other: m.evict}
 	}
-	life, end := context.WithCancel(s.life)
+	life, end := context.WithCancel(m.life)
 	p.end = end
 	ask := func() {}
 	if x.Discovery != "" {
-		p.watcher = endpoints.New(x.Discovery, x.Settings.ZoneNames, x.Limits, s.budget, log)
-		if s.Keys != nil {
-			p.watcher.SetTLS(s.Keys.Client)
+		p.watcher = endpoints.New(x.Discovery, x.Settings.ZoneNames, x.Limits, m.budget, log)
+		if m.Keys != nil {
+			p.watcher.SetTLS(m.Keys.Client)
 		}
-		if s.Dial != nil {
-			p.watcher.SetDialer(s.Dial)
+		if m.Dial != nil {
+			p.watcher.SetDialer(m.Dial)
 		}
 		ask = p.watcher.RequestWatch
 	}
-	p.core = node.New(x.Settings, c.SeedOf(x.Name), s.clock, time.Now(), ask)
-	p.core.SetRecorder(s.Telemetry)
+	p.core = node.New(x.Settings, c.SeedOf(x.Name), m.clock, time.Now(), ask)
+	p.core.SetRecorder(m.Telemetry)
 	if before != nil {
 		p.core.AdoptListClock(before.core.ListClock())
 	}
-	if s.OnServiceStart != nil {
-		s.OnServiceStart(p.core)
+	if m.OnServiceStart != nil {
+		m.OnServiceStart(p.core)
 	}
 	var to endpoints.Receiver = p.core
-	if s.WrapReceiver != nil {
-		to = s.WrapReceiver(x.Name, to)
+	if m.WrapReceiver != nil {
+		to = m.WrapReceiver(x.Name, to)
 	}
-	if s.RecordCache != nil {
-		p.sink = s.RecordCache.Subscribe(x.Name, to)
+	if m.RecordCache != nil {
+		p.sink = m.RecordCache.Subscribe(x.Name, to)
 		to = p.sink
 	}
 	if p.watcher != nil {
@@ -213,8 +213,8 @@
 	} else {
 		to.UpdateEndpoints(x.StaticEndpoints, true)
 	}
-	p.conns = upstream.NewPool(p.core, x.Limits, count, s.poller)
-	p.conns.SetRecorder(s.Telemetry)
+	p.conns = upstream.NewPool(p.core, x.Limits, count, m.poller)
+	p.conns.SetRecorder(m.Telemetry)
 	if x.Protocol == "fastcgi" {
 		p.conns.UseFastCGI(x.Params)
 	}
@@ -227,26 +227,26 @@
 }
 
 // retire takes a pool out: nothing new comes in, what is in ends where it began, then all that it had is freed.
-func (s *Manager) retire(p *pool) {
-	s.leave = append(s.leave, p)
+func (m *Manager) retire(p *pool) {
+	m.leave = append(m.leave, p)
 	if p.sink != nil {
-		s.RecordCache.Unsubscribe(p.sink)
+		m.RecordCache.Unsubscribe(p.sink)
 	}
 	empty := p.service.Close()
 	if p.share != nil {
-		s.gate.mu.Lock()
-		s.gate.tree.Remove(p.share.s)
-		s.gate.mu.Unlock()
+		m.gate.mu.Lock()
+		m.gate.tree.Remove(p.share.s)
+		m.gate.mu.Unlock()
 	}
-	s.owned.Go(func() {
+	m.owned.Go(func() {
 		select {
 		case <-empty:
-		case <-s.life.Done():
+		case <-m.life.Done():
 		}
 		p.stop()
-		s.mu.Lock()
-		s.leave = slices.DeleteFunc(s.leave, func(x *pool) bool { return x == p })
-		s.mu.Unlock()
+		m.mu.Lock()
+		m.leave = slices.DeleteFunc(m.leave, func(x *pool) bool { return x == p })
+		m.mu.Unlock()
 	})
 }
 
@@ -258,30 +258,30 @@
 }
 
 // run does what is done a few times a second for all pools together: idle connections, the cores, what is called back.
-func (s *Manager) run() {
+func (m *Manager) run() {
 	const every = 100 * time.Millisecond
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	cpu := used()
 	for n := 0; ; n++ {
 		select {
-		case <-s.life.Done():
+		case <-m.life.Done():
 			return
 		case <-tick.C:
 		}
 		now := used()
-		s.mu.Lock()
+		m.mu.Lock()
 		cores, sweep := 1.0, n%5 == 0
 		var all []*pool
-		if s.config != nil {
-			cores = s.config.Machine.Cores
+		if m.config != nil {
+			cores = m.config.Machine.Cores
 		}
 		if sweep {
-			all = s.all()
+			all = m.all()
 		}
-		s.mu.Unlock()
-		if back := s.gate.tick(s.clock.Now().Seconds(), (now - cpu).Seconds(), cores); back > 0 {
-			s.log.Warn("what services had borrowed was called back", zap.Int("requests", back))
+		m.mu.Unlock()
+		if back := m.gate.tick(m.clock.Now().Seconds(), (now - cpu).Seconds(), cores); back > 0 {
+			m.log.Warn("what services had borrowed was called back", zap.Int("requests", back))
 		}
 		cpu = now
 		for _, p := range all {
@@ -290,9 +290,9 @@
 	}
 }
 
-func (s *Manager) all() []*pool {
-	out := slices.Clone(s.leave)
-	for _, p := range s.pools {
+func (m *Manager) all() []*pool {
+	out := slices.Clone(m.leave)
+	for _, p := range m.pools {
 		out = append(out, p)
 	}
 	return out
@@ -308,18 +308,18 @@
 }
 
 // evict closes an idle connection of another service than that one; of those beyond their guarantees first.
-func (s *Manager) evict(but *share) bool {
-	s.mu.Lock()
-	all := s.all()
-	s.mu.Unlock()
-	s.gate.mu.Lock()
+func (m *Manager) evict(but *share) bool {
+	m.mu.Lock()
+	all := m.all()
+	m.mu.Unlock()
+	m.gate.mu.Lock()
 	over := map[*pool]int64{}
 	for _, p := range all {
 		if p.share != nil {
 			over[p] = p.share.s.Borrowed(quota.Connections)
 		}
 	}
-	s.gate.mu.Unlock()
+	m.gate.mu.Unlock()
 	slices.SortFunc(all, func(a, b *pool) int { return int(over[b] - over[a]) })
 	for _, p := range all {
 		if (but == nil || p.share != but) && p.conns.EvictIdle() {
@@ -330,44 +330,44 @@
 }
 
 // Cores are those of the services in force.
-func (s *Manager) Cores() []*node.Core {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (m *Manager) Cores() []*node.Core {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var out []*node.Core
-	for _, p := range s.all() {
+	for _, p := range m.all() {
 		out = append(out, p.core)
 	}
 	return out
 }
 
 // InFlight counts the requests in all pools.
-func (s *Manager) InFlight() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (m *Manager) InFlight() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	n := 0
-	for _, p := range s.all() {
+	for _, p := range m.all() {
 		n += p.core.InFlight()
 	}
 	return n
 }
 
 // Usage tells what each service holds, for the log.
-func (s *Manager) Usage() []quota.Usage {
-	s.gate.mu.Lock()
-	defer s.gate.mu.Unlock()
-	return s.gate.tree.Usage()
+func (m *Manager) Usage() []quota.Usage {
+	m.gate.mu.Lock()
+	defer m.gate.mu.Unlock()
+	return m.gate.tree.Usage()
 }
 
 // Close ends all pools, whatever is out, and waits for what they own.
-func (s *Manager) Close() {
-	s.mu.Lock()
-	all := s.all()
-	s.mu.Unlock()
+func (m *Manager) Close() {
+	m.mu.Lock()
+	all := m.all()
+	m.mu.Unlock()
 	for _, p := range all {
 		p.core.Close()
 	}
-	s.end()
-	s.owned.Wait()
+	m.end()
+	m.owned.Wait()
 	for _, p := range all {
 		p.stop()
 	}
--- a/internal/dataplane/upstream/exchange.go
+++ b/internal/dataplane/upstream/exchange.go
@@ -49,36 +49,36 @@
 }
 
 // Cancel makes what waits return at once. The core calls it while it holds its mutex; neither call here waits.
-func (x *exchange) Cancel() {
-	if !x.stage.CompareAndSwap(running, broken) {
+func (e *exchange) Cancel() {
+	if !e.stage.CompareAndSwap(running, broken) {
 		return
 	}
-	if c := x.linked.Load(); c != nil {
+	if c := e.linked.Load(); c != nil {
 		c.SetDeadline(time.Unix(1, 0))
-	} else if x.cancel != nil {
-		x.cancel()
+	} else if e.cancel != nil {
+		e.cancel()
 	}
 }
 
-func (x *exchange) isBroken() bool { return x.stage.Load() == broken }
+func (e *exchange) isBroken() bool { return e.stage.Load() == broken }
 
 // Run carries it out.
-func (x *exchange) Run() {
-	res, answer := x.run()
-	served := x.pool.core.AttemptDone(x.pick, res, answer)
+func (e *exchange) Run() {
+	res, answer := e.run()
+	served := e.pool.core.AttemptDone(e.pick, res, answer)
 	if answer != nil && !served {
-		x.pool.bytes.Release(answer.ReservedBytes)
+		e.pool.bytes.Release(answer.ReservedBytes)
 	}
 	if answer == nil || answer.BodyStream == nil {
 		return
 	}
 	rest := answer.BodyStream.(*rest)
-	if served && <-rest.read && rest.Complete() && rest.again && !x.conn.beyond() {
-		x.conn.streams = false
-		x.conn.onTime()
-		x.pool.keep(x.pick.Server, x.conn)
+	if served && <-rest.read && rest.Complete() && rest.again && !e.conn.beyond() {
+		e.conn.streams = false
+		e.conn.onTime()
+		e.pool.keep(e.pick.Server, e.conn)
 	} else {
-		x.pool.close(x.conn, telemetry.NotReusable)
+		e.pool.close(e.conn, telemetry.NotReusable)
 	}
 }
 
@@ -92,20 +92,20 @@
 // Close tells that no more of it is read.
 func (r *rest) Close(whole bool) { r.read <- whole }
 
-func (x *exchange) run() (decide.Result, *node.Response) {
-	p := x.pool
-	server := x.pick.Server
+func (e *exchange) run() (decide.Result, *node.Response) {
+	p := e.pool
+	server := e.pick.Server
 	addr, ready := p.core.Address(server)
 	if !ready {
 		return decide.NotSent, nil
 	}
-	if body := x.q.BodyStream; body != nil {
+	if body := e.q.BodyStream; body != nil {
 		if !body.Claim() { // it has gone to another server, or its caller is not read any more
 			return decide.NotSent, nil
 		}
 		defer body.Release()
 	}
-	if x.pick.FreshConnection {
+	if e.pick.FreshConnection {
 		p.closeIdle(server, telemetry.StaleConnection)
 	}
 	c := p.reuse(server, addr)
@@ -113,7 +113,7 @@
 		if !p.budget.Acquire() {
 			return decide.NotSent, nil // no descriptor: the server is not to blame
 		}
-		raw, err := x.dial(addr)
+		raw, err := e.dial(addr)
 		if err != nil {
 			p.budget.Release()
 			if socket.Classify(err).Transient() {
@@ -127,18 +127,18 @@
 			return decide.NotSent, nil
 		}
 	}
-	x.conn = c
-	x.linked.Store(c)
-	if !p.core.Begin(x.pick, x) || !x.awaited() {
-		if x.stage.CompareAndSwap(running, over) {
+	e.conn = c
+	e.linked.Store(c)
+	if !p.core.Begin(e.pick, e) || !e.awaited() {
+		if e.stage.CompareAndSwap(running, over) {
 			p.keep(server, c)
 		} else {
 			p.close(c, telemetry.NotReusable)
 		}
 		return decide.NotSent, nil
 	}
-	res, answer, whole := x.talk(c)
-	switch running := x.stage.CompareAndSwap(running, over); {
+	res, answer, whole := e.talk(c)
+	switch running := e.stage.CompareAndSwap(running, over); {
 	case running && answer != nil && answer.BodyStream != nil:
 		c.onTime()
 		c.streams, c.first = true, time.Now()
@@ -156,23 +156,23 @@
 
 // awaited tells whether the caller still waits, which the core may not have heard yet: whoever tells it may be late, as a timer
 // that orders another pick is not.
-func (x *exchange) awaited() bool { return x.q.Client == nil || x.q.Client.StillWaiting(x.q) }
+func (e *exchange) awaited() bool { return e.q.Client == nil || e.q.Client.StillWaiting(e.q) }
 
 // dialAgain is shorter than the time for which accepting pauses once it has made callers give way.
 const dialAgain = 2 * time.Millisecond
 
 // dial connects, for as long as the pick is wanted. Where the process can open nothing more, whatever the budget says, an idle
 // connection gives way, or callers do, and it is tried again, as it is where the machine lacks memory, a port or a way for a moment: turned away at once the pick would be ordered again in the same moment.
-func (x *exchange) dial(addr string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(x.pool.connect.Load()))
+func (e *exchange) dial(addr string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.pool.connect.Load()))
 	defer cancel()
-	x.cancel = cancel
-	if !x.pool.core.Bind(x.pick, x) {
+	e.cancel = cancel
+	if !e.pool.core.Bind(e.pick, e) {
 		return nil, context.Canceled
 	}
 	var short error
 	for {
-		c, err := x.pool.dialer.DialContext(ctx, "tcp", addr)
+		c, err := e.pool.dialer.DialContext(ctx, "tcp", addr)
 		if err != nil && short != nil && (ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded)) {
 			if socket.Classify(short) == socket.NoRoute {
 				return nil, err // it has lasted: no moment's trouble of this side
@@ -183,7 +183,7 @@
 			return c, err
 		}
 		short = err
-		if socket.Exhausted(err) && x.pool.EvictIdle() {
+		if socket.Exhausted(err) && e.pool.EvictIdle() {
 			continue
 		}
 		select {
@@ -198,61 +198,61 @@
 var heads = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
 // talk writes the request and reads the answer. The connection can be used again only after a whole one.
-func (x *exchange) talk(c *conn) (res decide.Result, answer *node.Response, whole bool) {
+func (e *exchange) talk(c *conn) (res decide.Result, answer *node.Response, whole bool) {
 	// One write: it is known whether its last byte went out.
 	head := heads.Get().(*[]byte)
-	left := x.q.TimeLeft
-	if x.q.BodyStream == nil {
-		left = x.pool.core.TimeLeft(x.pick)
+	left := e.q.TimeLeft
+	if e.q.BodyStream == nil {
+		left = e.pool.core.TimeLeft(e.pick)
 	}
 	var msg []byte
 	if c.app == nil {
-		msg = x.q.AppendHead((*head)[:0], c.addr, left)
+		msg = e.q.AppendHead((*head)[:0], c.addr, left)
 	} else {
-		msg = c.app.begin((*head)[:0], x.q, c.addr, left)
+		msg = c.app.begin((*head)[:0], e.q, c.addr, left)
 	}
 	var err error
-	if x.q.BodyStream != nil {
+	if e.q.BodyStream != nil {
 		*head = msg
 		defer heads.Put(head)
-		if res, ok := x.upload(c, msg); !ok {
+		if res, ok := e.upload(c, msg); !ok {
 			return res, nil, false
 		}
-		return x.answer(c)
+		return e.answer(c)
 	}
-	if c.app != nil && cap(msg)-len(msg) >= len(x.q.Body)+32 {
-		msg = c.app.end(fcgi.AppendStream(msg, fcgi.TypeStdin, c.app.id, x.q.Body))
+	if c.app != nil && cap(msg)-len(msg) >= len(e.q.Body)+32 {
+		msg = c.app.end(fcgi.AppendStream(msg, fcgi.TypeStdin, c.app.id, e.q.Body))
 		err = socket.Write(c.Conn, msg)
 	} else if c.app != nil {
-		parts := append(append(net.Buffers{msg}, c.app.frame(x.q.Body)...), c.app.end(nil))
+		parts := append(append(net.Buffers{msg}, c.app.frame(e.q.Body)...), c.app.end(nil))
 		err = socket.WriteBuffers(c.Conn, &parts)
-	} else if cap(msg)-len(msg) >= len(x.q.Body) {
-		msg = append(msg, x.q.Body...)
+	} else if cap(msg)-len(msg) >= len(e.q.Body) {
+		msg = append(msg, e.q.Body...)
 		err = socket.Write(c.Conn, msg)
 	} else {
-		err = socket.WriteBuffers(c.Conn, &net.Buffers{msg, x.q.Body})
+		err = socket.WriteBuffers(c.Conn, &net.Buffers{msg, e.q.Body})
 	}
 	*head = msg
 	heads.Put(head)
 	if err != nil {
 		return decide.ConnectFailed, nil, false
 	}
-	return x.answer(c)
+	return e.answer(c)
 }
 
 // answer reads it.
-func (x *exchange) answer(c *conn) (res decide.Result, answer *node.Response, whole bool) {
-	c.by = x
+func (e *exchange) answer(c *conn) (res decide.Result, answer *node.Response, whole bool) {
+	c.by = e
 	r, err := c.reader.ReadResponse()
 	c.by = nil
 	switch {
-	case err != nil && !x.isBroken() && (httpwire.IsMalformed(err) || errors.Is(err, os.ErrDeadlineExceeded)):
+	case err != nil && !e.isBroken() && (httpwire.IsMalformed(err) || errors.Is(err, os.ErrDeadlineExceeded)):
 		return decide.Failed, nil, false // by a process that lives, so no Reset
 	case err != nil:
 		return decide.Reset, nil, false // the core tells one that it broke itself
 	}
 	c.onTime()
-	x.pick.LoadReport = r.LoadReport
+	e.pick.LoadReport = r.LoadReport
 	whole = !r.Close && r.BodyStream == nil && !c.beyond()
 	if r.Status == 200 {
 		answer = &node.Response{ContentType: r.ContentType, Body: r.Body, ReservedBytes: r.ReservedBytes}
@@ -261,7 +261,7 @@
 		}
 		return decide.OK, answer, whole
 	}
-	x.pool.bytes.Release(r.ReservedBytes)
+	e.pool.bytes.Release(r.ReservedBytes)
 	switch {
 	case (r.Status == 503 || r.Status == 504) && r.NeverRan:
 		return decide.Rejected, nil, whole
@@ -271,19 +271,19 @@
 
 // upload writes a request whose body is still coming, in pieces as they come. Until its last byte is written the server
 // has begun nothing, whatever breaks; res is then how it ended.
-func (x *exchange) upload(c *conn, head []byte) (res decide.Result, ok bool) {
-	body := x.q.BodyStream
+func (e *exchange) upload(c *conn, head []byte) (res decide.Result, ok bool) {
+	body := e.q.BodyStream
 	defer body.Release()
 	chunked := body.Remaining() < 0
 	piece, frame := httpwire.BorrowBuffer(), make([]byte, 0, 16)
 	defer httpwire.ReturnBuffer(piece)
 	last := httpwire.LastChunk
-	write := func(p []byte) bool { return x.write(c, httpwire.FrameChunk(p, chunked, frame)) }
+	write := func(p []byte) bool { return e.write(c, httpwire.FrameChunk(p, chunked, frame)) }
 	if c.app != nil {
 		chunked, last = true, c.app.end(nil)
-		write = func(p []byte) bool { return x.write(c, c.app.frame(p)) }
+		write = func(p []byte) bool { return e.write(c, c.app.frame(p)) }
 	}
-	if !x.write(c, net.Buffers{head}) || len(x.q.Body) > 0 && !write(x.q.Body) {
+	if !e.write(c, net.Buffers{head}) || len(e.q.Body) > 0 && !write(e.q.Body) {
 		return decide.ConnectFailed, false
 	}
 	for !body.Complete() {
@@ -295,21 +295,21 @@
 			return decide.ConnectFailed, false
 		}
 	}
-	if chunked && !x.write(c, net.Buffers{last}) {
+	if chunked && !e.write(c, net.Buffers{last}) {
 		return decide.ConnectFailed, false
 	}
 	c.SetWriteDeadline(time.Time{})
-	x.pool.core.BodyReceived(x.pick, x.q.TimeLeft)
-	if x.isBroken() {
+	e.pool.core.BodyReceived(e.pick, e.q.TimeLeft)
+	if e.isBroken() {
 		c.SetDeadline(time.Unix(1, 0))
 	}
 	return 0, true
 }
 
 // write writes to a server that may take its time, but not for ever.
-func (x *exchange) write(c *conn, parts net.Buffers) bool {
-	c.SetWriteDeadline(time.Now().Add(x.pool.limits.RequestStallTimeout))
-	if x.isBroken() { // given up just now: that must not be put off
+func (e *exchange) write(c *conn, parts net.Buffers) bool {
+	c.SetWriteDeadline(time.Now().Add(e.pool.limits.RequestStallTimeout))
+	if e.isBroken() { // given up just now: that must not be put off
 		return false
 	}
 	return socket.WriteBuffers(c.Conn, &parts) == nil
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -316,9 +316,9 @@
 }
 
 // status reads a node's page.
-func (n *one) read() (s recordcache.Status, err error) {
+func (o *one) read() (s recordcache.Status, err error) {
 	c := http.Client{Timeout: 500 * time.Millisecond}
-	resp, err := c.Get("http://" + n.status + "/record")
+	resp, err := c.Get("http://" + o.status + "/record")
 	if err != nil {
 		return s, err
 	}
--- a/internal/lab/chaos/controller.go
+++ b/internal/lab/chaos/controller.go
@@ -249,41 +249,41 @@
 	return x, os.WriteFile(x.file, []byte(text), 0o600)
 }
 
-func (x *replica) start(program string) error {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	log, err := os.OpenFile(x.file+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (r *replica) start(program string) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	log, err := os.OpenFile(r.file+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	x.cmd = exec.Command(program, "--config", x.file)
-	x.cmd.Stdout, x.cmd.Stderr = log, log
-	x.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	return x.cmd.Start()
+	r.cmd = exec.Command(program, "--config", r.file)
+	r.cmd.Stdout, r.cmd.Stderr = log, log
+	r.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	return r.cmd.Start()
 }
 
-func (x *replica) kill() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.cmd != nil && x.cmd.Process != nil {
-		x.cmd.Process.Kill()
-		x.cmd.Wait()
-		x.cmd = nil
+func (r *replica) kill() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.cmd != nil && r.cmd.Process != nil {
+		r.cmd.Process.Kill()
+		r.cmd.Wait()
+		r.cmd = nil
 	}
 }
 
 // ready waits until a replica serves a list.
-func (x *replica) ready(ctx context.Context) error {
+func (r *replica) ready(ctx context.Context) error {
 	for limit := time.Now().Add(30 * time.Second); time.Now().Before(limit) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		c, err := net.DialTimeout("tcp", x.list, time.Second) // it listens once its view is whole
+		c, err := net.DialTimeout("tcp", r.list, time.Second) // it listens once its view is whole
 		if err == nil {
 			c.Close()
 			return nil
 		}
 	}
-	text, _ := os.ReadFile(x.file + ".log")
-	return fmt.Errorf("%s serves no list: %s", x.name, text)
+	text, _ := os.ReadFile(r.file + ".log")
+	return fmt.Errorf("%s serves no list: %s", r.name, text)
 }
 
 // proxy is what stands before the replicas: each connection goes to one that lives.
--- a/internal/lab/cost/chain.go
+++ b/internal/lab/cost/chain.go
@@ -119,9 +119,9 @@
 	return k, err
 }
 
-func (k *links) close() {
+func (l *links) close() {
 	var all sync.WaitGroup
-	for _, t := range k.tiers {
+	for _, t := range l.tiers {
 		all.Go(func() {
 			t.way.close()
 			if t.node != nil {
@@ -136,12 +136,12 @@
 		})
 	}
 	all.Wait()
-	os.RemoveAll(k.dir)
+	os.RemoveAll(l.dir)
 }
 
 // crashed tells of a node that ended by itself.
-func (k *links) crashed() (err error) {
-	for _, t := range k.tiers {
+func (l *links) crashed() (err error) {
+	for _, t := range l.tiers {
 		err = errors.Join(err, t.node.Crashed())
 	}
 	return err
--- a/internal/lab/fleet/run.go
+++ b/internal/lab/fleet/run.go
@@ -828,7 +828,7 @@
 }
 
 // judge compares with what is expected.
-func (res *Result) judge(f *File) {
+func (r *Result) judge(f *File) {
 	value := func(o *Outcome, figure string) (float64, bool) {
 		role := func(name string) *Role {
 			i := slices.IndexFunc(o.Roles, func(x Role) bool { return x.Name == name })
@@ -882,14 +882,14 @@
 		case "waiting":
 			return float64(o.Waiting), true
 		case "came_back":
-			return float64(len(res.CameBack)), true
+			return float64(len(r.CameBack)), true
 		}
 		return 0, false
 	}
 	for key, b := range f.Expect {
 		step, figure, _ := strings.Cut(key, ".")
-		for i := range res.Steps {
-			o := &res.Steps[i]
+		for i := range r.Steps {
+			o := &r.Steps[i]
 			if o.Name != step && (step != "all" || i == 0) {
 				continue
 			}
@@ -897,16 +897,16 @@
 			switch {
 			case !has && step == "all":
 			case !has:
-				res.Failed = append(res.Failed, fmt.Sprintf("%s.%s: it was not measured", o.Name, figure))
+				r.Failed = append(r.Failed, fmt.Sprintf("%s.%s: it was not measured", o.Name, figure))
 			case b.Most != nil && v > *b.Most:
-				res.Failed = append(res.Failed, fmt.Sprintf("%s.%s is %.4g, %.4g at most was expected", o.Name, figure, v, *b.Most))
+				r.Failed = append(r.Failed, fmt.Sprintf("%s.%s is %.4g, %.4g at most was expected", o.Name, figure, v, *b.Most))
 			case b.Least != nil && v < *b.Least:
-				res.Failed = append(res.Failed, fmt.Sprintf("%s.%s is %.4g, %.4g at least was expected", o.Name, figure, v, *b.Least))
+				r.Failed = append(r.Failed, fmt.Sprintf("%s.%s is %.4g, %.4g at least was expected", o.Name, figure, v, *b.Least))
 			}
 		}
 	}
-	sort.Strings(res.Failed)
+	sort.Strings(r.Failed)
 }
 
 // Passed tells whether all that was expected came, and nothing broke.
-func (res *Result) Passed() bool { return len(res.Failed) == 0 && len(res.Broken) == 0 }
+func (r *Result) Passed() bool { return len(r.Failed) == 0 && len(r.Broken) == 0 }
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -251,21 +251,21 @@
 }
 
 // all waits until every node has heard; the wait is bounded only so that a change that somebody is not told of fails.
-func (f *small) all(what, phase string) {
-	f.t.Helper()
+func (s *small) all(what, phase string) {
+	s.t.Helper()
 	n := 0
-	if !assert.Eventually(f.t, func() bool {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		n = len(f.told[what+" "+phase])
-		return n == len(f.nodes)
+	if !assert.Eventually(s.t, func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		n = len(s.told[what+" "+phase])
+		return n == len(s.nodes)
 	}, 60*time.Second, 5*time.Millisecond) {
-		f.t.Fatalf("%s %s is in force at %d of %d nodes", what, phase, n, len(f.nodes))
+		s.t.Fatalf("%s %s is in force at %d of %d nodes", what, phase, n, len(s.nodes))
 	}
 }
 
-func (f *small) news() (messages, bytes int64) {
-	for _, d := range f.doors {
+func (s *small) news() (messages, bytes int64) {
+	for _, d := range s.doors {
 		messages, bytes = messages+d.news.Load(), bytes+d.bytes.Load()
 	}
 	return
--- a/internal/lab/fleet/text.go
+++ b/internal/lab/fleet/text.go
@@ -7,10 +7,10 @@
 )
 
 // Text writes a result for people.
-func (res *Result) Text(w io.Writer) {
-	fmt.Fprintf(w, "%s, %d nodes\n", res.File, res.Nodes)
-	for i := range res.Steps {
-		o := &res.Steps[i]
+func (r *Result) Text(w io.Writer) {
+	fmt.Fprintf(w, "%s, %d nodes\n", r.File, r.Nodes)
+	for i := range r.Steps {
+		o := &r.Steps[i]
 		fmt.Fprintf(w, " %s: %.1f s", o.Name, o.Took.Seconds())
 		if o.Note != "" {
 			fmt.Fprintf(w, "; %s", o.Note)
@@ -55,18 +55,18 @@
 			fmt.Fprintln(w)
 		}
 	}
-	for i, s := range res.CameBack {
+	for i, s := range r.CameBack {
 		if i == 5 {
-			fmt.Fprintf(w, " and %d more came back\n", len(res.CameBack)-5)
+			fmt.Fprintf(w, " and %d more came back\n", len(r.CameBack)-5)
 			break
 		}
 		fmt.Fprintf(w, " CAME BACK: %s\n", s)
 	}
-	for _, s := range res.Broken {
+	for _, s := range r.Broken {
 		fmt.Fprintf(w, " BROKEN: %s\n", s)
 	}
-	for _, s := range res.Failed {
+	for _, s := range r.Failed {
 		fmt.Fprintf(w, " NOT MET: %s\n", s)
 	}
-	fmt.Fprintf(w, " %s\n", map[bool]string{true: "passed", false: "FAILED"}[res.Passed()])
+	fmt.Fprintf(w, " %s\n", map[bool]string{true: "passed", false: "FAILED"}[r.Passed()])
 }
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -143,21 +143,21 @@
 	}
 }
 
-func (a ID) compare(b ID) int {
-	if a.Inner != b.Inner {
-		if a.Inner {
+func (i ID) compare(b ID) int {
+	if i.Inner != b.Inner {
+		if i.Inner {
 			return 1
 		}
 		return -1
 	}
-	return cmp.Or(cmp.Compare(a.Call, b.Call), cmp.Compare(a.N, b.N))
+	return cmp.Or(cmp.Compare(i.Call, b.Call), cmp.Compare(i.N, b.N))
 }
 
-func (a ID) String() string {
-	if a.Inner {
-		return fmt.Sprintf("inner call %d try %d", a.Call, a.N)
+func (i ID) String() string {
+	if i.Inner {
+		return fmt.Sprintf("inner call %d try %d", i.Call, i.N)
 	}
-	return fmt.Sprintf("call %d try %d", a.Call, a.N)
+	return fmt.Sprintf("call %d try %d", i.Call, i.N)
 }
 
 // Hist makes a histogram of µs.
--- a/internal/lab/standin/fastcgi.go
+++ b/internal/lab/standin/fastcgi.go
@@ -123,7 +123,7 @@
 }
 
 // Answered is a whole answer of an application.
-func (q *Asked) Answered(head, body string) []byte {
-	out := fcgi.AppendStream(nil, fcgi.TypeStdout, q.ID, []byte(head+"\r\n\r\n"+body))
-	return fcgi.AppendEnd(fcgi.AppendStreamEnd(out, fcgi.TypeStdout, q.ID), q.ID, 0, fcgi.StatusComplete)
+func (a *Asked) Answered(head, body string) []byte {
+	out := fcgi.AppendStream(nil, fcgi.TypeStdout, a.ID, []byte(head+"\r\n\r\n"+body))
+	return fcgi.AppendEnd(fcgi.AppendStreamEnd(out, fcgi.TypeStdout, a.ID), a.ID, 0, fcgi.StatusComplete)
 }
--- a/internal/lab/standin/queue.go
+++ b/internal/lab/standin/queue.go
@@ -14,18 +14,18 @@
 const refusalShare = 16
 
 // take tells how long a call that comes now has to wait for its answer, or that it is refused.
-func (q *callQueue) take(now time.Time) (wait time.Duration, taken bool) {
-	if q.work == 0 {
+func (c *callQueue) take(now time.Time) (wait time.Duration, taken bool) {
+	if c.work == 0 {
 		return 0, true
 	}
-	if q.free.Before(now) {
-		q.free = now
+	if c.free.Before(now) {
+		c.free = now
 	}
-	if wait = q.free.Sub(now) + q.work; wait > q.most {
-		q.free = q.free.Add(q.work / refusalShare)
-		q.refused++
+	if wait = c.free.Sub(now) + c.work; wait > c.most {
+		c.free = c.free.Add(c.work / refusalShare)
+		c.refused++
 		return 0, false
 	}
-	q.free = q.free.Add(q.work)
+	c.free = c.free.Add(c.work)
 	return wait, true
 }
--- a/internal/lab/wire/wire.go
+++ b/internal/lab/wire/wire.go
@@ -37,18 +37,18 @@
 const innerBit = 1 << 40
 
 // String is the trace id on the wire.
-func (id ID) String() string {
-	n := uint64(id.Call)<<8 | uint64(id.Try)
-	if id.Inner {
+func (i ID) String() string {
+	n := uint64(i.Call)<<8 | uint64(i.Try)
+	if i.Inner {
 		n |= innerBit
 	}
 	return fmt.Sprintf("%016x", n)
 }
 
 // Append writes the trace id.
-func (id ID) Append(to []byte) []byte {
-	n := uint64(id.Call)<<8 | uint64(id.Try)
-	if id.Inner {
+func (i ID) Append(to []byte) []byte {
+	n := uint64(i.Call)<<8 | uint64(i.Try)
+	if i.Inner {
 		n |= innerBit
 	}
 	const digits = "0123456789abcdef"
@@ -95,8 +95,8 @@
 }
 
 // Query returns one value of the target's query.
-func (q *Request) Query(name string) string {
-	_, query, _ := strings.Cut(q.Target, "?")
+func (r *Request) Query(name string) string {
+	_, query, _ := strings.Cut(r.Target, "?")
 	for query != "" {
 		var pair string
 		pair, query, _ = strings.Cut(query, "&")
@@ -108,8 +108,8 @@
 }
 
 // Deadline is when the caller gives up, by what it says.
-func (q *Request) Deadline(came time.Time) time.Time {
-	ms, err := strconv.Atoi(q.Header.Get(Left))
+func (r *Request) Deadline(came time.Time) time.Time {
+	ms, err := strconv.Atoi(r.Header.Get(Left))
 	if err != nil {
 		return came.Add(time.Hour)
 	}
@@ -143,7 +143,7 @@
 }
 
 // Wait is what an answer advises, 0 for none.
-func (p *Response) Wait() time.Duration { return Seconds(p.Header.Get(RetryAfter)) }
+func (r *Response) Wait() time.Duration { return Seconds(r.Header.Get(RetryAfter)) }
 
 // Seconds reads Retry-After: seconds, whole or decimal.
 func Seconds(s string) time.Duration {
--- a/internal/protocol/fcgi/cgi.go
+++ b/internal/protocol/fcgi/cgi.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (h *CGI) field(line string) error {
+func (c *CGI) field(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	value = strings.Trim(value, " \t")
 	if !ok || !token(name) || strings.ContainsFunc(value, control) {
@@ -78,28 +78,28 @@
 		if len(code) != 3 || err != nil || n < 200 || n > 599 {
 			return fmt.Errorf("%w: the status %.60q", ErrHead, value)
 		}
-		err, h.Status = once(h.Status != 0), n
+		err, c.Status = once(c.Status != 0), n
 		return err
 	case "content-type":
-		err := once(h.Type != "")
-		h.Type = value
+		err := once(c.Type != "")
+		c.Type = value
 		return err
 	case "location":
-		err := once(h.Location != "")
-		h.Location = value
+		err := once(c.Location != "")
+		c.Location = value
 		return err
 	case "content-length":
 		n, err := strconv.ParseUint(value, 10, 62)
 		if err != nil {
 			return fmt.Errorf("%w: the length %.60q", ErrHead, value)
 		}
-		err, h.Length = once(h.Length >= 0), int64(n)
+		err, c.Length = once(c.Length >= 0), int64(n)
 		return err
 	}
-	if h.Fields == nil {
-		h.Fields = map[string][]string{}
+	if c.Fields == nil {
+		c.Fields = map[string][]string{}
 	}
-	h.Fields[name] = append(h.Fields[name], value)
+	c.Fields[name] = append(c.Fields[name], value)
 	return nil
 }
 
--- a/internal/protocol/fcgi/record.go
+++ b/internal/protocol/fcgi/record.go
@@ -75,7 +75,7 @@
 	Ends    bool   // an empty record of a stream: the stream's end
 }
 
-func (t RecordType) stream() bool { return t >= TypeParams && t <= TypeData }
+func (r RecordType) stream() bool { return r >= TypeParams && r <= TypeData }
 
 // Reader takes a stream of records apart.
 type Reader struct {
--- a/internal/protocol/httpwire/message.go
+++ b/internal/protocol/httpwire/message.go
@@ -166,30 +166,30 @@
 }
 
 // AppendHead writes the request's head as it goes on to a server, which is told how long this node waits.
-func (q *Request) AppendHead(to []byte, host string, left time.Duration) []byte {
-	if q.Host != "" {
-		host = q.Host
+func (r *Request) AppendHead(to []byte, host string, left time.Duration) []byte {
+	if r.Host != "" {
+		host = r.Host
 	}
-	to = append(to, q.Verb...)
+	to = append(to, r.Verb...)
 	to = append(to, ' ')
-	to = append(to, q.Target...)
+	to = append(to, r.Target...)
 	to = append(to, " HTTP/1.1\r\n"...)
 	to = header(to, "Host", host)
-	to = header(to, HeaderTraceID, q.TraceID)
-	to = header(to, HeaderIdempotencyKey, q.IdempotencyKey)
-	to = header(to, HeaderMethod, q.Method)
-	to = header(to, HeaderTenant, q.Tenant)
-	to = header(to, headerType, q.ContentType)
+	to = header(to, HeaderTraceID, r.TraceID)
+	to = header(to, HeaderIdempotencyKey, r.IdempotencyKey)
+	to = header(to, HeaderMethod, r.Method)
+	to = header(to, HeaderTenant, r.Tenant)
+	to = header(to, headerType, r.ContentType)
 	to = append(to, HeaderTimeLeft+": "...)
 	to = strconv.AppendInt(to, max(1, left.Milliseconds()), 10)
 	to = append(to, "\r\n"...)
 	switch {
-	case q.BodyStream != nil && q.BodyStream.Remaining() < 0:
+	case r.BodyStream != nil && r.BodyStream.Remaining() < 0:
 		to = header(to, headerEncoding, "chunked")
-	case q.BodyStream != nil:
-		to = length(to, len(q.Body)+int(q.BodyStream.Remaining()))
-	case q.Verb != "GET" || len(q.Body) > 0:
-		to = length(to, len(q.Body))
+	case r.BodyStream != nil:
+		to = length(to, len(r.Body)+int(r.BodyStream.Remaining()))
+	case r.Verb != "GET" || len(r.Body) > 0:
+		to = length(to, len(r.Body))
 	}
 	return append(to, "\r\n"...)
 }
@@ -346,34 +346,34 @@
 }
 
 // Chunked tells whether the answer goes out in chunks.
-func (a *ClientResponse) Chunked() bool {
-	return a.BodyStream != nil && a.BodyStream.Remaining() < 0 && !a.HTTP10
+func (c *ClientResponse) Chunked() bool {
+	return c.BodyStream != nil && c.BodyStream.Remaining() < 0 && !c.HTTP10
 }
 
 // AppendHead writes the answer's head.
-func (a *ClientResponse) AppendHead(to []byte) []byte {
+func (c *ClientResponse) AppendHead(to []byte) []byte {
 	to = append(to, "HTTP/1.1 "...)
-	to = strconv.AppendInt(to, int64(a.Status), 10)
+	to = strconv.AppendInt(to, int64(c.Status), 10)
 	to = append(to, ' ')
-	to = append(to, reasons[a.Status]...)
+	to = append(to, reasons[c.Status]...)
 	to = append(to, "\r\n"...)
-	to = header(to, "Allow", a.Allow)
-	to = header(to, headerType, a.ContentType)
-	if a.RetryAfter > 0 {
+	to = header(to, "Allow", c.Allow)
+	to = header(to, headerType, c.ContentType)
+	if c.RetryAfter > 0 {
 		to = append(to, HeaderRetryAfter+": "...)
-		to = strconv.AppendFloat(to, a.RetryAfter.Seconds(), 'f', 3, 64)
+		to = strconv.AppendFloat(to, c.RetryAfter.Seconds(), 'f', 3, 64)
 		to = append(to, "\r\n"...)
 	}
-	if a.Close {
+	if c.Close {
 		to = header(to, headerConnection, "close")
 	}
 	switch {
-	case a.Chunked():
+	case c.Chunked():
 		to = header(to, headerEncoding, "chunked")
-	case a.BodyStream != nil && a.BodyStream.Remaining() >= 0:
-		to = length(to, len(a.Body)+int(a.BodyStream.Remaining()))
-	case a.BodyStream == nil:
-		to = length(to, len(a.Body))
+	case c.BodyStream != nil && c.BodyStream.Remaining() >= 0:
+		to = length(to, len(c.Body)+int(c.BodyStream.Remaining()))
+	case c.BodyStream == nil:
+		to = length(to, len(c.Body))
 	}
 	return append(to, "\r\n"...)
 }
--- a/internal/record/record/view.go
+++ b/internal/record/record/view.go
@@ -245,15 +245,15 @@
 }
 
 // toldBy tells whether a fact says all that a sighting does, whose value this is.
-func (s *Observation) toldBy(f Entry, value []byte) bool {
+func (o *Observation) toldBy(f Entry, value []byte) bool {
 	var was Observation
 	if f.Deleted || json.Unmarshal(f.Value, &was) != nil {
 		return false
 	}
 	same := was
-	same.ListRevision = s.ListRevision
+	same.ListRevision = o.ListRevision
 	b, _ := json.Marshal(same)
-	return string(b) == string(value) || s.Start < was.Start || s.Start == was.Start && rank(s.Phase) < rank(was.Phase)
+	return string(b) == string(value) || o.Start < was.Start || o.Start == was.Start && rank(o.Phase) < rank(was.Phase)
 }
 
 // sight queues a sighting, if it says more than is recorded.
--- a/internal/record/store/controllers.go
+++ b/internal/record/store/controllers.go
@@ -222,7 +222,7 @@
 	return is.age()
 }
 
-func (s *Position) age() time.Duration { return time.Duration(min(s.Age, 1<<40)) * time.Millisecond }
+func (p *Position) age() time.Duration { return time.Duration(min(p.Age, 1<<40)) * time.Millisecond }
 
 // line reads what a replica says; nil is a sign of life.
 func line(in *bufio.Reader) (*Position, error) {
--- a/internal/record/store/sqlstore/database.go
+++ b/internal/record/store/sqlstore/database.go
@@ -97,11 +97,11 @@
 }
 
 // faulty names what an error means, in the project's words.
-func (s *database) faulty(err error) error {
+func (d *database) faulty(err error) error {
 	if err == nil || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		return err
 	}
-	if k := s.d.fault(err); k != nil {
+	if k := d.d.fault(err); k != nil {
 		return fmt.Errorf("%w (%w)", k, err)
 	}
 	return err
@@ -112,14 +112,14 @@
 }
 
 // standing reads the one row of meta, and what is wrong where there is none.
-func (s *database) standing(ctx context.Context, q querier) (m record.Meta, schema int64, err error) {
+func (d *database) standing(ctx context.Context, q querier) (m record.Meta, schema int64, err error) {
 	var app string
-	err = q.QueryRowContext(ctx, s.q.meta).Scan(&app, &schema, &m.Epoch, &m.Revision)
+	err = q.QueryRowContext(ctx, d.q.meta).Scan(&app, &schema, &m.Epoch, &m.Revision)
 	switch {
 	case errors.Is(err, sql.ErrNoRows):
 		return m, 0, store.ErrForeign
 	case err != nil:
-		return m, 0, s.faulty(err)
+		return m, 0, d.faulty(err)
 	case app != application:
 		return m, 0, store.ErrForeign
 	}
@@ -136,37 +136,37 @@
 	return nil
 }
 
-func (s *database) Meta(ctx context.Context) (record.Meta, error) {
+func (d *database) Meta(ctx context.Context) (record.Meta, error) {
 	var tables int
-	if err := s.db.QueryRowContext(ctx, s.q.tables, "record_meta").Scan(&tables); err != nil {
-		return record.Meta{}, s.faulty(err)
+	if err := d.db.QueryRowContext(ctx, d.q.tables, "record_meta").Scan(&tables); err != nil {
+		return record.Meta{}, d.faulty(err)
 	}
 	if tables == 0 {
 		return record.Meta{}, store.ErrNoRecord
 	}
-	m, schema, err := s.standing(ctx, s.db)
+	m, schema, err := d.standing(ctx, d.db)
 	if err == nil {
 		err = checkSchema(schema)
 	}
 	return m, err
 }
 
-func (s *database) Since(ctx context.Context, after int64, most int) (page record.Page, err error) {
-	tx, err := s.db.BeginTx(ctx, &sql.TxOptions{ReadOnly: true, Isolation: s.d.snapshot})
+func (d *database) Since(ctx context.Context, after int64, most int) (page record.Page, err error) {
+	tx, err := d.db.BeginTx(ctx, &sql.TxOptions{ReadOnly: true, Isolation: d.d.snapshot})
 	if err != nil {
-		return page, s.faulty(err)
+		return page, d.faulty(err)
 	}
 	defer tx.Rollback()
-	m, schema, err := s.standing(ctx, tx)
+	m, schema, err := d.standing(ctx, tx)
 	if err == nil {
 		err = checkSchema(schema)
 	}
 	if err != nil {
 		return page, err
 	}
-	rows, err := tx.QueryContext(ctx, s.q.since, after, most)
+	rows, err := tx.QueryContext(ctx, d.q.since, after, most)
 	if err != nil {
-		return page, s.faulty(err)
+		return page, d.faulty(err)
 	}
 	defer rows.Close()
 	for rows.Next() {
@@ -174,7 +174,7 @@
 		var deleted int64
 		var value string
 		if err := rows.Scan(&f.Kind, &f.Name, &f.Revision, &deleted, &f.Writer, &f.IdempotencyKey, &f.WrittenAt, &value); err != nil {
-			return page, s.faulty(err)
+			return page, d.faulty(err)
 		}
 		if f.Deleted = deleted != 0; value != "" {
 			f.Value = []byte(value)
@@ -182,7 +182,7 @@
 		page.Entries = append(page.Entries, f)
 	}
 	if err := rows.Err(); err != nil {
-		return page, s.faulty(err)
+		return page, d.faulty(err)
 	}
 	page.Meta, page.Complete = m, after == 0 && len(page.Entries) < most
 	if len(page.Entries) == most { // more is to come: this far it is known
@@ -191,11 +191,11 @@
 	return page, nil
 }
 
-func (s *database) fact(ctx context.Context, tx *sql.Tx, k record.Key) (*record.Entry, error) {
+func (d *database) fact(ctx context.Context, tx *sql.Tx, k record.Key) (*record.Entry, error) {
 	f := record.Entry{Key: k}
 	var deleted int64
 	var value string
-	err := tx.QueryRowContext(ctx, s.q.one, string(k.Kind), k.Name).Scan(&f.Revision, &deleted, &f.Writer, &f.IdempotencyKey, &f.WrittenAt, &value)
+	err := tx.QueryRowContext(ctx, d.q.one, string(k.Kind), k.Name).Scan(&f.Revision, &deleted, &f.Writer, &f.IdempotencyKey, &f.WrittenAt, &value)
 	if errors.Is(err, sql.ErrNoRows) {
 		return nil, nil
 	}
@@ -205,18 +205,18 @@
 	return &f, err
 }
 
-func (s *database) Write(ctx context.Context, epoch string, changes []record.Change) (facts []record.Entry, m record.Meta, err error) {
-	tx, err := s.db.BeginTx(ctx, nil)
+func (d *database) Write(ctx context.Context, epoch string, changes []record.Change) (facts []record.Entry, m record.Meta, err error) {
+	tx, err := d.db.BeginTx(ctx, nil)
 	if err != nil {
-		return nil, m, s.faulty(err)
+		return nil, m, d.faulty(err)
 	}
 	defer tx.Rollback()
-	if s.d.lock != "" {
-		if _, err := tx.ExecContext(ctx, s.d.lock); err != nil {
-			return nil, m, s.faulty(err)
+	if d.d.lock != "" {
+		if _, err := tx.ExecContext(ctx, d.d.lock); err != nil {
+			return nil, m, d.faulty(err)
 		}
 	}
-	m, schema, err := s.standing(ctx, tx)
+	m, schema, err := d.standing(ctx, tx)
 	if err == nil {
 		err = checkSchema(schema)
 	}
@@ -229,9 +229,9 @@
 	before := m.Revision
 	for i := range changes {
 		c := &changes[i]
-		now, err := s.fact(ctx, tx, c.Key)
+		now, err := d.fact(ctx, tx, c.Key)
 		if err != nil {
-			return nil, m, s.faulty(err)
+			return nil, m, d.faulty(err)
 		}
 		outcome, err := record.Evaluate(now, c)
 		if err != nil {
@@ -249,7 +249,7 @@
 		if !c.Delete {
 			f.Value = c.Value
 		}
-		if err := s.put(ctx, tx, f); err != nil {
+		if err := d.put(ctx, tx, f); err != nil {
 			return nil, m, err
 		}
 		facts = append(facts, f)
@@ -257,75 +257,75 @@
 	if m.Revision == before {
 		return facts, m, nil
 	}
-	if err := s.moved(ctx, tx, epoch, before, m.Revision); err != nil {
+	if err := d.moved(ctx, tx, epoch, before, m.Revision); err != nil {
 		return nil, m, err
 	}
-	return facts, m, s.commit(tx)
+	return facts, m, d.commit(tx)
 }
 
-func (s *database) put(ctx context.Context, tx *sql.Tx, f record.Entry) error {
+func (d *database) put(ctx context.Context, tx *sql.Tx, f record.Entry) error {
 	deleted := int64(0)
 	if f.Deleted {
 		deleted = 1
 	}
-	_, err := tx.ExecContext(ctx, s.q.put, string(f.Kind), f.Name, f.Revision, deleted, f.Writer, f.IdempotencyKey, f.WrittenAt, string(f.Value))
-	return s.faulty(err)
+	_, err := tx.ExecContext(ctx, d.q.put, string(f.Kind), f.Name, f.Revision, deleted, f.Writer, f.IdempotencyKey, f.WrittenAt, string(f.Value))
+	return d.faulty(err)
 }
 
 // moved sets the record's revision, by compare and set beside the lock: a lock that a proxy or a failover lost must not
 // let two writers give one revision to two changes.
-func (s *database) moved(ctx context.Context, tx *sql.Tx, epoch string, from, to int64) error {
-	r, err := tx.ExecContext(ctx, s.q.move, to, epoch, from)
+func (d *database) moved(ctx context.Context, tx *sql.Tx, epoch string, from, to int64) error {
+	r, err := tx.ExecContext(ctx, d.q.move, to, epoch, from)
 	if err != nil {
-		return s.faulty(err)
+		return d.faulty(err)
 	}
 	if n, err := r.RowsAffected(); err != nil || n != 1 {
 		return fmt.Errorf("another writer was faster: %w", errors.Join(err, record.ErrEpochMismatch))
 	}
-	if s.d.notify != "" {
-		if _, err := tx.ExecContext(ctx, s.d.notify, strconv.FormatInt(to, 10)); err != nil {
-			return s.faulty(err)
+	if d.d.notify != "" {
+		if _, err := tx.ExecContext(ctx, d.d.notify, strconv.FormatInt(to, 10)); err != nil {
+			return d.faulty(err)
 		}
 	}
 	return nil
 }
 
 // commit ends a transaction. If that fails without the database's word, nobody knows whether it was done.
-func (s *database) commit(tx *sql.Tx) error {
+func (d *database) commit(tx *sql.Tx) error {
 	err := tx.Commit()
 	if err == nil {
 		return nil
 	}
-	if k := s.d.fault(err); k != nil && !errors.Is(k, store.ErrOutcomeUnknown) {
+	if k := d.d.fault(err); k != nil && !errors.Is(k, store.ErrOutcomeUnknown) {
 		return fmt.Errorf("%w (%w)", k, err)
 	}
 	return fmt.Errorf("%w: %w", store.ErrOutcomeUnknown, err)
 }
 
-func (s *database) Init(ctx context.Context, dry bool) (did []string, err error) {
+func (d *database) Init(ctx context.Context, dry bool) (did []string, err error) {
 	var tables int
-	if err := s.db.QueryRowContext(ctx, s.q.tables, "record_meta").Scan(&tables); err != nil {
-		return nil, s.faulty(err)
+	if err := d.db.QueryRowContext(ctx, d.q.tables, "record_meta").Scan(&tables); err != nil {
+		return nil, d.faulty(err)
 	}
 	from := int64(0)
 	if tables > 0 {
-		if _, from, err = s.standing(ctx, s.db); err != nil {
+		if _, from, err = d.standing(ctx, d.db); err != nil {
 			return nil, err
 		}
 	}
 	if from > Schema {
 		return nil, checkSchema(from)
 	}
-	tx, err := s.db.BeginTx(ctx, nil)
+	tx, err := d.db.BeginTx(ctx, nil)
 	if err != nil {
-		return nil, s.faulty(err)
+		return nil, d.faulty(err)
 	}
 	defer tx.Rollback()
-	p := s.d.place
+	p := d.d.place
 	for v := from; v < Schema; v++ {
-		for _, q := range s.d.migrations()[v] {
+		for _, q := range d.d.migrations()[v] {
 			if _, err := tx.ExecContext(ctx, q); err != nil {
-				return nil, s.faulty(err)
+				return nil, d.faulty(err)
 			}
 		}
 		did = append(did, fmt.Sprintf("schema %d to %d", v, v+1))
@@ -338,30 +338,30 @@
 		_, err = tx.ExecContext(ctx, "UPDATE record_meta SET schema_version = "+p(1), int64(Schema))
 	}
 	if err != nil {
-		return nil, s.faulty(err)
+		return nil, d.faulty(err)
 	}
 	if dry {
 		return did, nil // all of it was tried, and is rolled back
 	}
-	return did, s.commit(tx)
+	return did, d.commit(tx)
 }
 
-func (s *database) Replace(ctx context.Context, facts []record.Entry) (m record.Meta, err error) {
-	tx, err := s.db.BeginTx(ctx, nil)
+func (d *database) Replace(ctx context.Context, facts []record.Entry) (m record.Meta, err error) {
+	tx, err := d.db.BeginTx(ctx, nil)
 	if err != nil {
-		return m, s.faulty(err)
+		return m, d.faulty(err)
 	}
 	defer tx.Rollback()
-	if s.d.lock != "" {
-		if _, err := tx.ExecContext(ctx, s.d.lock); err != nil {
-			return m, s.faulty(err)
+	if d.d.lock != "" {
+		if _, err := tx.ExecContext(ctx, d.d.lock); err != nil {
+			return m, d.faulty(err)
 		}
 	}
-	if _, _, err = s.standing(ctx, tx); err != nil {
+	if _, _, err = d.standing(ctx, tx); err != nil {
 		return m, err
 	}
-	if _, err := tx.ExecContext(ctx, s.q.clear); err != nil {
-		return m, s.faulty(err)
+	if _, err := tx.ExecContext(ctx, d.q.clear); err != nil {
+		return m, d.faulty(err)
 	}
 	m.Epoch = NewEpoch()
 	for _, f := range facts {
@@ -370,24 +370,24 @@
 		}
 		m.Revision++
 		f.Revision = m.Revision
-		if err := s.put(ctx, tx, f); err != nil {
+		if err := d.put(ctx, tx, f); err != nil {
 			return m, err
 		}
 	}
-	if _, err := tx.ExecContext(ctx, s.q.setEpoch, m.Epoch, m.Revision); err != nil {
-		return m, s.faulty(err)
+	if _, err := tx.ExecContext(ctx, d.q.setEpoch, m.Epoch, m.Revision); err != nil {
+		return m, d.faulty(err)
 	}
-	return m, s.commit(tx)
+	return m, d.commit(tx)
 }
 
-func (s *database) Verify(ctx context.Context) (wrong []string, err error) {
-	m, err := s.Meta(ctx)
+func (d *database) Verify(ctx context.Context) (wrong []string, err error) {
+	m, err := d.Meta(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var n, highest, distinct int64
-	if err := s.db.QueryRowContext(ctx, s.q.count).Scan(&n, &highest, &distinct); err != nil {
-		return nil, s.faulty(err)
+	if err := d.db.QueryRowContext(ctx, d.q.count).Scan(&n, &highest, &distinct); err != nil {
+		return nil, d.faulty(err)
 	}
 	if highest > m.Revision {
 		wrong = append(wrong, fmt.Sprintf("a fact has revision %d, and the record stands at %d", highest, m.Revision))
@@ -396,7 +396,7 @@
 		wrong = append(wrong, fmt.Sprintf("%d facts share %d revisions", n, distinct))
 	}
 	for after := int64(0); ; {
-		page, err := s.Since(ctx, after, 1000)
+		page, err := d.Since(ctx, after, 1000)
 		if err != nil {
 			return wrong, err
 		}
@@ -413,4 +413,4 @@
 	}
 }
 
-func (s *database) Close() error { return s.db.Close() }
+func (d *database) Close() error { return d.db.Close() }
--- a/internal/resources/admission/admission.go
+++ b/internal/resources/admission/admission.go
@@ -93,129 +93,129 @@
 )
 
 // Arrive asks for a place for a member whose connection has something to read. A regular has been served of late.
-func (g *Controller) Arrive(m *Member, regular bool, now time.Duration) Verdict {
+func (c *Controller) Arrive(m *Member, regular bool, now time.Duration) Verdict {
 	m.since = now
-	if g.served < g.c.MaxServing && (regular || g.others.n == 0 && g.may(now)) {
-		g.take(m, regular, now)
+	if c.served < c.c.MaxServing && (regular || c.others.n == 0 && c.may(now)) {
+		c.take(m, regular, now)
 		return Serve
 	}
 	if regular {
 		m.state = waitingRegular
-		g.regulars.push(m)
+		c.regulars.push(m)
 	} else {
 		m.state = waiting
-		g.others.push(m)
+		c.others.push(m)
 	}
 	return Wait
 }
 
 // may tells whether another than a regular can be let in now. A wave that is let in all at once stands before the regulars
 // in every queue there is, the scheduler's first.
-func (g *Controller) may(now time.Duration) bool {
-	if g.c.AdmitsPerStep == 0 {
+func (c *Controller) may(now time.Duration) bool {
+	if c.c.AdmitsPerStep == 0 {
 		return true
 	}
-	most := float64(g.c.AdmitsPerStep)
-	g.tokens = min(most, g.tokens+most*float64(now-g.filled)/float64(g.c.Step))
-	g.filled = now
-	return g.tokens >= 1
+	most := float64(c.c.AdmitsPerStep)
+	c.tokens = min(most, c.tokens+most*float64(now-c.filled)/float64(c.c.Step))
+	c.filled = now
+	return c.tokens >= 1
 }
 
-func (g *Controller) take(m *Member, regular bool, now time.Duration) {
+func (c *Controller) take(m *Member, regular bool, now time.Duration) {
 	m.state, m.since = served, now
-	g.served++
+	c.served++
 	if !regular {
-		g.tokens--
+		c.tokens--
 	}
 }
 
 // Next hands out the next member that waits and can have a place now, with what becomes of it; nil if there is none. It is
 // asked after each Done until it has none, and every few milliseconds while some wait.
-func (g *Controller) Next(now time.Duration) (*Member, Verdict) {
+func (c *Controller) Next(now time.Duration) (*Member, Verdict) {
 	// Who has waited too long stands first in its queue. Places to be told are apart: with all others taken for seconds,
 	// none would else learn of it.
-	if g.refused < g.c.MaxRejecting {
-		for _, q := range []*queue{&g.others, &g.regulars} {
-			if m := q.first(); m != nil && now-m.since > g.c.MaxWait {
+	if c.refused < c.c.MaxRejecting {
+		for _, q := range []*queue{&c.others, &c.regulars} {
+			if m := q.first(); m != nil && now-m.since > c.c.MaxWait {
 				q.drop(m)
 				m.state, m.since = refused, now
-				g.refused++
+				c.refused++
 				return m, Reject
 			}
 		}
 	}
-	if g.served >= g.c.MaxServing {
+	if c.served >= c.c.MaxServing {
 		return nil, Wait
 	}
 	// Regulars go first, so that a wave does not stop those at work; but one turn in four is the others', who would else
 	// wait for ever behind a steady flow.
-	others := g.others.n > 0 && g.may(now)
-	q := &g.regulars
-	if q.n == 0 || others && g.turns%4 == 3 {
-		if q = &g.others; !others {
+	others := c.others.n > 0 && c.may(now)
+	q := &c.regulars
+	if q.n == 0 || others && c.turns%4 == 3 {
+		if q = &c.others; !others {
 			return nil, Wait
 		}
 	}
 	m := q.first()
-	if now-m.since > g.c.MaxWait { // until there is a place to tell it
+	if now-m.since > c.c.MaxWait { // until there is a place to tell it
 		return nil, Wait
 	}
-	g.turns++
+	c.turns++
 	q.drop(m)
-	g.take(m, q == &g.regulars, now)
+	c.take(m, q == &c.regulars, now)
 	return m, Serve
 }
 
 // WaitingCount is how many wait.
-func (g *Controller) WaitingCount() int { return g.regulars.n + g.others.n }
+func (c *Controller) WaitingCount() int { return c.regulars.n + c.others.n }
 
 // ServingCount is how many have a place.
-func (g *Controller) ServingCount() int { return g.served }
+func (c *Controller) ServingCount() int { return c.served }
 
 // SlowCount is how many of those served are slow.
-func (g *Controller) SlowCount() int { return g.slows.n }
+func (c *Controller) SlowCount() int { return c.slows.n }
 
 // MarkSlow tells that a member's request comes in pieces. Where as many as may be are slow already, the one that has been for
 // longest has to end, if it has had its time; else the newcomer has to. It returns who has to end, or nil.
-func (g *Controller) MarkSlow(m *Member, now time.Duration) *Member {
+func (c *Controller) MarkSlow(m *Member, now time.Duration) *Member {
 	if m.state != served {
 		return nil
 	}
 	var out *Member
-	if g.slows.n >= g.c.MaxSlow {
-		if out = g.slows.first(); out == nil || now-out.since < g.c.MinSlowTime {
+	if c.slows.n >= c.c.MaxSlow {
+		if out = c.slows.first(); out == nil || now-out.since < c.c.MinSlowTime {
 			return m
 		}
-		g.slows.drop(out)
+		c.slows.drop(out)
 		out.state = served // until its Done
 	}
 	m.state, m.since = slow, now
-	g.slows.push(m)
+	c.slows.push(m)
 	return out
 }
 
 // MarkComplete tells that a member's request has come.
-func (g *Controller) MarkComplete(m *Member) {
+func (c *Controller) MarkComplete(m *Member) {
 	if m.state == slow {
-		g.slows.drop(m)
+		c.slows.drop(m)
 		m.state = served
 	}
 }
 
 // Leave gives a member's place back, or takes it out of the queue.
-func (g *Controller) Leave(m *Member) {
+func (c *Controller) Leave(m *Member) {
 	switch m.state {
 	case waiting:
-		g.others.drop(m)
+		c.others.drop(m)
 	case waitingRegular:
-		g.regulars.drop(m)
+		c.regulars.drop(m)
 	case slow:
-		g.slows.drop(m)
-		g.served--
+		c.slows.drop(m)
+		c.served--
 	case served:
-		g.served--
+		c.served--
 	case refused:
-		g.refused--
+		c.refused--
 	}
 	m.state = away
 }
--- a/internal/resources/limits/bytes.go
+++ b/internal/resources/limits/bytes.go
@@ -16,16 +16,16 @@
 }
 
 // Resize changes how many there are; what is held stays held.
-func (b *MemoryBudget) Resize(most int64) { b.most.Store(most) }
+func (m *MemoryBudget) Resize(most int64) { m.most.Store(most) }
 
 // InUse is how many are taken.
-func (b *MemoryBudget) InUse() int64 { return b.all.Load() }
+func (m *MemoryBudget) InUse() int64 { return m.all.Load() }
 
 // ForRequests is the part for requests.
-func (b *MemoryBudget) ForRequests() MemoryPool { return MemoryPool{b, true} }
+func (m *MemoryBudget) ForRequests() MemoryPool { return MemoryPool{m, true} }
 
 // ForResponses is the part for answers: all of it.
-func (b *MemoryBudget) ForResponses() MemoryPool { return MemoryPool{b, false} }
+func (m *MemoryBudget) ForResponses() MemoryPool { return MemoryPool{m, false} }
 
 // MemoryPool is one side of the budget.
 type MemoryPool struct {
@@ -34,28 +34,28 @@
 }
 
 // Reserve asks for n bytes.
-func (r MemoryPool) Reserve(n int) bool {
-	if r.b == nil {
+func (m MemoryPool) Reserve(n int) bool {
+	if m.b == nil {
 		return true
 	}
-	most := r.b.most.Load()
-	if r.body && r.b.bodies.Add(int64(n)) > most/2 {
-		r.b.bodies.Add(-int64(n))
+	most := m.b.most.Load()
+	if m.body && m.b.bodies.Add(int64(n)) > most/2 {
+		m.b.bodies.Add(-int64(n))
 		return false
 	}
-	if r.b.all.Add(int64(n)) > most {
-		r.Release(n)
+	if m.b.all.Add(int64(n)) > most {
+		m.Release(n)
 		return false
 	}
 	return true
 }
 
 // Release returns n bytes.
-func (r MemoryPool) Release(n int) {
-	if r.b == nil {
+func (m MemoryPool) Release(n int) {
+	if m.b == nil {
 		return
 	}
-	if r.b.all.Add(-int64(n)); r.body {
-		r.b.bodies.Add(-int64(n))
+	if m.b.all.Add(-int64(n)); m.body {
+		m.b.bodies.Add(-int64(n))
 	}
 }
--- a/internal/resources/quota/quota.go
+++ b/internal/resources/quota/quota.go
@@ -21,7 +21,7 @@
 	NumResources
 )
 
-func (k Resource) String() string { return [...]string{"requests", "body bytes", "connections"}[k] }
+func (r Resource) String() string { return [...]string{"requests", "body bytes", "connections"}[r] }
 
 // Amount is so much of each kind.
 type Amount [NumResources]int64
@@ -116,8 +116,8 @@
 	ServiceRemoved            // the service is gone
 )
 
-func (w Decision) String() string {
-	return [...]string{"taken", "full", "beyond its part", "beyond its tenant's part", "beyond its part of the cores", "leaving"}[w]
+func (d Decision) String() string {
+	return [...]string{"taken", "full", "beyond its part", "beyond its tenant's part", "beyond its part of the cores", "leaving"}[d]
 }
 
 // Validate names every mistake.
--- a/internal/system/socket/errors.go
+++ b/internal/system/socket/errors.go
@@ -68,13 +68,13 @@
 }
 
 // Transient tells that it is this side's, and may be over in a moment: a peer is not to blame, and what was to be done is to be tried again.
-func (k ErrorKind) Transient() bool {
-	return k == Descriptors || k == Memory || k == LocalPorts || k == NoRoute
+func (e ErrorKind) Transient() bool {
+	return e == Descriptors || e == Memory || e == LocalPorts || e == NoRoute
 }
 
 // Advice is what an operator can do about it; empty: nothing is needed.
-func (k ErrorKind) Advice() string {
-	switch k {
+func (e ErrorKind) Advice() string {
+	switch e {
 	case Descriptors:
 		return "raise the limit of open files (limits.sockets, ulimit -n, fs.file-max), or run fewer processes on this machine"
 	case Memory:
--- a/internal/system/socket/shortage.go
+++ b/internal/system/socket/shortage.go
@@ -28,9 +28,9 @@
 type ShortageConn struct{ net.Conn }
 
 // Read is the connection's, tried again.
-func (p ShortageConn) Read(to []byte) (n int, err error) {
+func (s ShortageConn) Read(to []byte) (n int, err error) {
 	err = RetryShortage(func() error {
-		n, err = p.Conn.Read(to)
+		n, err = s.Conn.Read(to)
 		return err
 	})
 	return n, err
--- a/internal/system/workerpool/workerpool.go
+++ b/internal/system/workerpool/workerpool.go
@@ -19,35 +19,35 @@
 type hand struct{ in chan Task }
 
 // Do runs a task, at once, beside its caller.
-func (c *Pool) Do(t Task) {
-	c.mu.Lock()
-	n := len(c.idle) - 1
+func (p *Pool) Do(t Task) {
+	p.mu.Lock()
+	n := len(p.idle) - 1
 	if n >= 0 {
-		h := c.idle[n]
-		c.idle[n] = nil
-		c.idle = c.idle[:n]
-		c.low = min(c.low, n)
-		c.mu.Unlock()
+		h := p.idle[n]
+		p.idle[n] = nil
+		p.idle = p.idle[:n]
+		p.low = min(p.low, n)
+		p.mu.Unlock()
 		h.in <- t
 		return
 	}
-	c.low = 0
-	c.mu.Unlock()
+	p.low = 0
+	p.mu.Unlock()
 	h := &hand{in: make(chan Task, 1)}
-	c.all.Go(func() { c.run(h, t) })
+	p.all.Go(func() { p.run(h, t) })
 }
 
-func (c *Pool) run(h *hand, t Task) {
+func (p *Pool) run(h *hand, t Task) {
 	for {
 		t.Run()
 		t = nil
-		c.mu.Lock()
-		if c.closed {
-			c.mu.Unlock()
+		p.mu.Lock()
+		if p.closed {
+			p.mu.Unlock()
 			return
 		}
-		c.idle = append(c.idle, h)
-		c.mu.Unlock()
+		p.idle = append(p.idle, h)
+		p.mu.Unlock()
 		var ok bool
 		if t, ok = <-h.in; !ok {
 			return
@@ -57,25 +57,25 @@
 
 // Trim ends those that were not needed since the last Trim, and tells how many are idle still. It is called every second
 // or so.
-func (c *Pool) Trim() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, h := range c.idle[:c.low] {
+func (p *Pool) Trim() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, h := range p.idle[:p.low] {
 		close(h.in)
 	}
-	c.idle = append(c.idle[:0:0], c.idle[c.low:]...)
-	c.low = len(c.idle)
-	return c.low
+	p.idle = append(p.idle[:0:0], p.idle[p.low:]...)
+	p.low = len(p.idle)
+	return p.low
 }
 
 // Close ends the idle ones and waits for the tasks that still run. Nothing may be given to it any more.
-func (c *Pool) Close() {
-	c.mu.Lock()
-	c.closed = true
-	for _, h := range c.idle {
+func (p *Pool) Close() {
+	p.mu.Lock()
+	p.closed = true
+	for _, h := range p.idle {
 		close(h.in)
 	}
-	c.idle, c.low = nil, 0
-	c.mu.Unlock()
-	c.all.Wait()
+	p.idle, p.low = nil, 0
+	p.mu.Unlock()
+	p.all.Wait()
 }
