--- a/internal/testutil/tags.go
+++ b/internal/testutil/tags.go
@@ -11,8 +11,9 @@
 
 var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-// EveryFieldTagged fails the test for each exported field of a struct, and of the structs in it, that has no name in lower
-// case under that key of its tag. Decoders take the Go field's name where there is none, and a rename would change the form.
+// EveryFieldTagged fails the test for each exported field of a struct, and of the structs in it, that has no name in
+// lower case under that key of its tag. Decoders take the Go field's name where there is none, and a rename would
+// change the form.
 func EveryFieldTagged[T any](t testing.TB, key string) {
 	t.Helper()
 	requireTags(t, key, reflect.TypeFor[T]())
