--- a/internal/record/store/golden_test.go
+++ b/internal/record/store/golden_test.go
@@ -27,6 +27,9 @@
 	"robincart/internal/testutil/golden"
 )
 
+// patience bounds the wait for an answer that a changed form keeps away.
+const patience = 10 * time.Second
+
 var (
 	goldenMeta  = record.Meta{Epoch: "epoch-1", Revision: 41}
 	goldenKnown = record.Meta{Epoch: "epoch-2", Revision: 42}
@@ -250,7 +253,9 @@
 	})
 	controllers := DialControllers([]string{address}, nil)
 	defer controllers.Close()
-	meta, err := controllers.Meta(t.Context())
+	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	defer cancel()
+	meta, err := controllers.Meta(ctx)
 	require.NoError(t, err)
 	assert.Equal(t, goldenMeta, meta)
 	controllers.(*through).At(goldenKnown)
@@ -330,6 +335,7 @@
 	connection, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer connection.Close()
+	require.NoError(t, connection.SetDeadline(time.Now().Add(patience)))
 	_, err = io.WriteString(connection, line)
 	require.NoError(t, err)
 	answer, err := io.ReadAll(connection)
