--- /dev/null
+++ b/internal/lab/standin/rude_test.go
@@ -0,0 +1,99 @@
+package standin
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"golang.org/x/sys/unix"
+
+	"robincart/internal/lab/judge"
+	"robincart/internal/lab/load"
+)
+
+// A request that a node resets unread is lost, but for one that stood in its listener's queue as that closed.
+func TestRudeClients_ResetUnread(t *testing.T) {
+	t.Parallel()
+	closeListener := func(ln net.Listener) { ln.Close() }
+	for _, c := range []struct {
+		name string
+		node func(net.Listener)
+		end  judge.End
+	}{
+		{"listener closed with the connection in its queue", closeListener, judge.Crossed},
+		{"connection closed while the listener stays", acceptAndReset(false, 0), judge.Lost},
+		{"connection closed long after its connect, and the listener too", acceptAndReset(true, 2*listenerCloseWindow), judge.Lost},
+	} {
+		for kind, play := range map[string]func(*RudeClients, context.Context){"hasty": (*RudeClients).hasty, "pipeline": (*RudeClients).pipeline} {
+			t.Run(c.name+"/"+kind, func(t *testing.T) {
+				t.Parallel()
+				ln := listenDeferred(t)
+				log := &judge.Log{}
+				r := &RudeClients{Begin: time.Now(), Dest: load.Dest{Addr: ln.Addr().String()}, Log: log, Calls: &atomic.Uint32{},
+					Excused: func(time.Duration) bool { return false }, Lasting: 5 * time.Second}
+				done := make(chan struct{})
+				go func() {
+					defer close(done)
+					play(r, t.Context())
+				}()
+				awaitQueued(t, ln)
+				c.node(ln)
+				<-done
+				ends := map[judge.ID]judge.End{}
+				log.Tries(func(try judge.Try) { ends[try.ID] = try.End })
+				require.Contains(t, ends, judge.ID{Call: rudeCalls + 1})
+				assert.Equal(t, c.end, ends[judge.ID{Call: rudeCalls + 1}], "its first request")
+			})
+		}
+	}
+}
+
+// acceptAndReset takes the connection and resets it after a while, with what it brought unread.
+func acceptAndReset(closeListener bool, after time.Duration) func(net.Listener) {
+	return func(ln net.Listener) {
+		c, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		time.Sleep(after)
+		if closeListener {
+			ln.Close()
+		}
+		reset(c)
+	}
+}
+
+// listenDeferred listens so that a connection stands in the queue only once it has brought bytes.
+func listenDeferred(t *testing.T) *net.TCPListener {
+	t.Helper()
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+		var err error
+		outer := raw.Control(func(fd uintptr) {
+			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_DEFER_ACCEPT, 10)
+		})
+		return errors.Join(outer, err)
+	}}
+	ln, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { ln.Close() })
+	return ln.(*net.TCPListener)
+}
+
+// awaitQueued waits until a connection stands in a listener's queue.
+func awaitQueued(t *testing.T, ln *net.TCPListener) {
+	t.Helper()
+	raw, err := ln.SyscallConn()
+	require.NoError(t, err)
+	queued, failed := 0, error(nil)
+	require.NoError(t, raw.Control(func(fd uintptr) {
+		queued, failed = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 10_000)
+	}))
+	require.NoError(t, failed)
+	require.Positive(t, queued, "no connection within ten seconds")
+}
