--- a/internal/lab/run/faults.go
+++ b/internal/lab/run/faults.go
@@ -214,10 +214,18 @@
 	if ctx.Err() != nil {
 		return
 	}
+	if f.restart(ctx, n) {
+		front.Back(id)
+	}
+}
+
+// restart starts a node that was ended, and reports whether it became ready. A start that the end of the run cuts short
+// is no crash.
+func (f *Fleet) restart(ctx context.Context, n *standin.Node) bool {
 	n.Knows(f.Discovery().Known())
-	if err := n.Start(ctx); err != nil {
+	err := n.Start(ctx)
+	if err != nil && ctx.Err() == nil {
 		f.crash(err)
-		return
 	}
-	front.Back(id)
+	return err == nil
 }
