--- /dev/null
+++ b/internal/controlplane/controller/config.go
@@ -0,0 +1,59 @@
+package controller
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"k8s.io/client-go/rest"
+
+	"robincart/internal/controlplane/fanout"
+	"robincart/internal/controlplane/membership"
+	"robincart/internal/record/store"
+	"robincart/internal/system/keys"
+)
+
+// Service is a service of the cluster manager whose endpoints are published to nodes as one list.
+type Service struct {
+	ListName    string // name of the list in the status page and the log
+	ServiceName string // name of the cluster manager's Service
+	Port        string // name or number of the port; empty: the first one
+	Listen      string // address at which nodes follow the list
+}
+
+// Config configures one replica of the controller.
+type Config struct {
+	API           *rest.Config // connection to the cluster manager
+	Namespace     string
+	Identity      string // of this replica, as the holder of the lease
+	LeaseName     string
+	LeaseDuration time.Duration
+	Membership    membership.Config
+	Fanout        fanout.Config
+	Services      []Service
+	StatusAddress string     // address of the status page; empty: no page
+	Keys          keys.Files // certificates towards nodes; none: plain TCP
+	// Store is the record that the API's Setting objects are written to; nil: they are not followed. Run closes it.
+	Store store.Store
+	// RecordAddress is the address at which this replica serves the record to nodes, so that they need not poll the
+	// store; empty: it is not served.
+	RecordAddress    string
+	MaxRecordClients int // nodes connected to RecordAddress at once
+}
+
+func (c *Config) validate() error {
+	if err := c.Membership.Validate(); err != nil {
+		return fmt.Errorf("membership: %w", err)
+	}
+	if c.RecordAddress != "" && c.Store == nil {
+		return errors.New("the record can't be served to nodes: there is no store; set one, or no address for the record")
+	}
+	seen := make(map[string]bool, len(c.Services))
+	for _, service := range c.Services {
+		if seen[service.ServiceName] {
+			return fmt.Errorf("service %s is configured twice", service.ServiceName)
+		}
+		seen[service.ServiceName] = true
+	}
+	return nil
+}
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -5,12 +5,10 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"path/filepath"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -25,365 +23,421 @@
 	"robincart/internal/record/store/sqlstore"
 )
 
-// story is a stand-in API, met by the real client library, and a replica of the controller.
-type story struct {
-	t   *testing.T
-	api *apiserver.Server
-	k   *Controller
-	at  string // where nodes ask
-	// of the first replica
-	stop func()
+const (
+	eventTimeout = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
+)
+
+// cluster is a stand-in of the cluster manager's API, which replicas reach by the published client library.
+type cluster struct {
+	t     *testing.T
+	api   *apiserver.Server
+	first *replica
 }
 
-func free(t *testing.T) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer ln.Close()
-	return ln.Addr().String()
+// replica is a running controller.
+type replica struct {
+	*Controller
+	list string // address at which nodes follow its list
+	stop func() // ends Run and waits for it
+}
+
+// newCluster starts the API, with the objects that prepare sets, and the first replica.
+func newCluster(t *testing.T, prepare func(*apiserver.Server)) *cluster {
+	api := startAPI(t)
+	if prepare != nil {
+		prepare(api)
+	}
+	c := &cluster{t: t, api: api}
+	c.first = c.startReplica("one", unusedAddress(t), api.Addr())
+	return c
 }
 
-func begin(t *testing.T, prepare func(*apiserver.Server)) *story {
+func startAPI(t *testing.T) *apiserver.Server {
 	api, err := apiserver.Start("127.0.0.1:0", nil)
 	require.NoError(t, err)
 	t.Cleanup(api.Stop)
-	if prepare != nil {
-		prepare(api)
+	return api
+}
+
+func unusedAddress(t *testing.T) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// testConfig is of a replica that publishes the service "s" at an address.
+func testConfig(identity, list, api string) Config {
+	return Config{
+		API:           &rest.Config{Host: "http://" + api},
+		Namespace:     "default",
+		Identity:      identity,
+		LeaseName:     "l",
+		LeaseDuration: 2 * time.Second,
+		Membership:    membership.DefaultConfig(),
+		Fanout:        fanout.DefaultConfig(),
+		Services:      []Service{{ListName: "s", ServiceName: "s", Listen: list}},
 	}
-	s := &story{t: t, api: api, at: free(t)}
-	s.k = s.replica("one", s.at)
-	return s
 }
 
-func (s *story) replica(name, at string) *Controller { return s.reach(name, at, s.api.Addr()) }
-
-// reach starts one that reaches the API at an address; stop ends the first.
-func (s *story) reach(name, at, api string) *Controller {
-	k, err := New(Config{API: &rest.Config{Host: "http://" + api}, Namespace: "default", Identity: name, LeaseName: "l", LeaseDuration: 2 * time.Second,
-		Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig(), Services: []Service{{ListName: "s", ServiceName: "s", Listen: at}}}, zap.NewNop())
-	require.NoError(s.t, err)
-	ctx, end := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	all.Go(func() { assert.NoError(s.t, k.Run(ctx)) })
-	ended := func() { end(); all.Wait() }
-	s.t.Cleanup(ended)
-	if s.stop == nil {
-		s.stop = ended
+// startReplica runs a replica that reaches the API at an address.
+func (c *cluster) startReplica(identity, list, api string) *replica {
+	controller, err := New(testConfig(identity, list, api), zap.NewNop())
+	require.NoError(c.t, err)
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		assert.NoError(c.t, controller.Run(ctx))
+	}()
+	stop := func() {
+		cancel()
+		<-ended
 	}
-	return k
+	c.t.Cleanup(stop)
+	return &replica{Controller: controller, list: list, stop: stop}
 }
 
-func (s *story) pod(name string, deleting bool) {
-	m := map[string]any{"name": name, "namespace": "default", "uid": "uid-" + name}
+func (c *cluster) setPod(name string, deleting bool) {
+	metadata := map[string]any{"name": name, "namespace": "default", "uid": "uid-" + name}
 	if deleting {
-		m["deletionTimestamp"] = "2026-04-13T10:00:00Z"
+		metadata["deletionTimestamp"] = "2026-04-13T10:00:00Z"
 	}
-	s.api.Set("pods", apiserver.Object{"metadata": m, "status": map[string]any{"phase": "Running"}})
+	c.api.Set("pods", apiserver.Object{"metadata": metadata, "status": map[string]any{"phase": "Running"}})
 }
 
-func slice(names ...string) apiserver.Object {
-	var eps []apiserver.Object
-	for i, n := range names {
-		eps = append(eps, apiserver.Object{"addresses": []string{fmt.Sprintf("10.0.0.%d", i+1)}, "conditions": map[string]any{"ready": true},
-			"targetRef": map[string]any{"kind": "Pod", "name": n, "uid": "uid-" + n}})
+// newSlice is an EndpointSlice of the service "s" with an endpoint for each pod.
+func newSlice(pods ...string) apiserver.Object {
+	var endpoints []apiserver.Object
+	for i, pod := range pods {
+		endpoints = append(endpoints, apiserver.Object{
+			"addresses":  []string{fmt.Sprintf("10.0.0.%d", i+1)},
+			"conditions": map[string]any{"ready": true},
+			"targetRef":  map[string]any{"kind": "Pod", "name": pod, "uid": "uid-" + pod},
+		})
+	}
+	return apiserver.Object{
+		"metadata": map[string]any{
+			"name": "s-1", "namespace": "default", "labels": map[string]any{"kubernetes.io/service-name": "s"},
+		},
+		"addressType": "IPv4",
+		"endpoints":   endpoints,
+		"ports":       []map[string]any{{"name": "http", "port": 80}},
 	}
-	return apiserver.Object{"metadata": map[string]any{"name": "s-1", "namespace": "default", "labels": map[string]any{"kubernetes.io/service-name": "s"}},
-		"addressType": "IPv4", "endpoints": eps, "ports": []map[string]any{{"name": "http", "port": 80}}}
 }
 
-// list is what a node that asks is told.
-func (s *story) list(at string) (map[string]string, int64) {
-	resp, err := (&http.Client{Timeout: time.Second}).Get("http://" + at + "/registry/instances")
+// snapshot is a list as a node gets it.
+type snapshot struct {
+	phases   map[string]string // by pod
+	revision int64
+}
+
+// fetchSnapshot polls a replica as a node does. The snapshot is empty if there is no answer.
+func fetchSnapshot(address string) snapshot {
+	response, err := (&http.Client{Timeout: time.Second}).Get("http://" + address + "/registry/instances")
 	if err != nil {
-		return nil, 0
+		return snapshot{}
 	}
-	defer resp.Body.Close()
-	var m struct {
+	defer response.Body.Close()
+	var message struct {
 		Revision int64
 		Members  []fanout.Member
 	}
-	if resp.StatusCode != 200 || json.NewDecoder(resp.Body).Decode(&m) != nil {
-		return nil, 0
+	if response.StatusCode != http.StatusOK || json.NewDecoder(response.Body).Decode(&message) != nil {
+		return snapshot{}
 	}
-	out := map[string]string{}
-	for _, x := range m.Members {
-		out[strings.TrimPrefix(x.ID, "uid-")] = x.Phase
+	phases := map[string]string{}
+	for _, member := range message.Members {
+		phases[strings.TrimPrefix(member.ID, "uid-")] = member.Phase
 	}
-	return out, m.Revision
+	return snapshot{phases: phases, revision: message.Revision}
 }
 
-func (s *story) becomes(want map[string]string) {
-	s.t.Helper()
-	var is map[string]string
-	ok := assert.Eventually(s.t, func() bool { is, _ = s.list(s.at); return assert.ObjectsAreEqual(want, is) }, 20*time.Second, 5*time.Millisecond)
-	require.True(s.t, ok, "%v, not %v", is, want)
+// followSince begins a watch from a revision, and returns the response with its first message unread. The caller closes
+// the body.
+func followSince(t *testing.T, address string, revision int64) *http.Response {
+	t.Helper()
+	client := http.Client{Timeout: eventTimeout}
+	response, err := client.Get(fmt.Sprintf("http://%s/registry/instances?follow=1&since=%d", address, revision))
+	require.NoError(t, err)
+	return response
+}
+
+func (c *cluster) requireEventually(condition func() bool, messageAndArguments ...any) {
+	c.t.Helper()
+	require.Eventually(c.t, condition, eventTimeout, pollInterval, messageAndArguments...)
+}
+
+// requireList waits until the first replica's address serves the list.
+func (c *cluster) requireList(want map[string]string) {
+	c.t.Helper()
+	var got map[string]string
+	equal := assert.Eventually(c.t, func() bool {
+		got = fetchSnapshot(c.first.list).phases
+		return assert.ObjectsAreEqual(want, got)
+	}, eventTimeout, pollInterval)
+	require.True(c.t, equal, "%v, not %v", got, want)
 }
 
-func TestADrainedServerStaysSoWhateverTheAPITellsAgain(t *testing.T) {
-	s := begin(t, func(a *apiserver.Server) { a.Set("endpointslices", slice("a", "b")) })
-	s.pod("a", false)
-	s.pod("b", false)
-	s.becomes(map[string]string{"a": "ready", "b": "ready"})
-	s.pod("a", true)
-	s.becomes(map[string]string{"a": "draining", "b": "ready"})
-	for _, trouble := range []func(){
-		func() { s.api.Replay("pods", 100); s.api.Replay("endpointslices", 100) },
-		s.api.BreakWatches,
-		func() { s.api.Compact(); s.api.BreakWatches() },
-		func() { s.api.Limit(2); s.api.BreakWatches() },
-		func() { s.api.Fail(2); s.api.BreakWatches() },
-		func() { s.api.Set("endpointslices", slice("a", "b")) },
+func TestController_DrainingServerStaysDraining(t *testing.T) {
+	c := newCluster(t, func(api *apiserver.Server) { api.Set("endpointslices", newSlice("a", "b")) })
+	c.setPod("a", false)
+	c.setPod("b", false)
+	c.requireList(map[string]string{"a": "ready", "b": "ready"})
+	c.setPod("a", true)
+	c.requireList(map[string]string{"a": "draining", "b": "ready"})
+	for _, test := range []struct {
+		name  string
+		fault func()
+	}{
+		{"old events replayed", func() {
+			c.api.Replay("pods", 100)
+			c.api.Replay("endpointslices", 100)
+		}},
+		{"watches broken", c.api.BreakWatches},
+		{"history compacted", func() {
+			c.api.Compact()
+			c.api.BreakWatches()
+		}},
+		{"requests limited", func() {
+			c.api.Limit(2)
+			c.api.BreakWatches()
+		}},
+		{"requests failed", func() {
+			c.api.Fail(2)
+			c.api.BreakWatches()
+		}},
+		{"slice written again", func() { c.api.Set("endpointslices", newSlice("a", "b")) }},
 	} {
-		trouble()
-		for range 20 {
-			time.Sleep(10 * time.Millisecond)
-			is, _ := s.list(s.at)
-			assert.Equal(t, "draining", is["a"])
-		}
+		t.Run(test.name, func(t *testing.T) {
+			test.fault()
+			for range 20 { // it must not change, so there is no event to wait for
+				time.Sleep(10 * time.Millisecond)
+				assert.Equal(t, "draining", fetchSnapshot(c.first.list).phases["a"])
+			}
+		})
 	}
-	s.api.Delete("pods", "default", "a")
-	s.api.Set("endpointslices", slice("b", "c"))
-	s.becomes(map[string]string{"b": "ready", "c": "ready"})
+	c.api.Delete("pods", "default", "a")
+	c.api.Set("endpointslices", newSlice("b", "c"))
+	c.requireList(map[string]string{"b": "ready", "c": "ready"})
+}
+
+func TestController_NothingPublishedBeforeSync(t *testing.T) {
+	c := newCluster(t, func(api *apiserver.Server) {
+		api.Late("pods", 0)
+		api.Hang(true)
+	})
+	time.Sleep(100 * time.Millisecond) // nothing must be published, so there is no event to wait for
+	assert.Nil(t, fetchSnapshot(c.first.list).phases, "an API that hangs does not lead to an empty list")
+	c.api.Set("endpointslices", newSlice("a"))
+	c.api.Hang(false)
+	c.requireList(map[string]string{"a": "ready"})
 }
 
-func TestAReplicaTellsNothingBeforeItsViewIsWholeAndALaterOneStandsAbove(t *testing.T) {
-	s := begin(t, func(a *apiserver.Server) { a.Late("pods", 0); a.Hang(true) })
-	time.Sleep(100 * time.Millisecond)
-	is, _ := s.list(s.at)
-	assert.Nil(t, is, "an API that hangs: nobody is told that there is nothing")
-	s.api.Set("endpointslices", slice("a"))
-	s.api.Hang(false)
-	s.becomes(map[string]string{"a": "ready"})
-	require.Eventually(t, func() bool { return s.k.Status().Leading && s.k.Status().Epoch > 0 }, 20*time.Second, 10*time.Millisecond)
-	_, first := s.list(s.at)
-	lease := s.api.Get("leases", "default", "l")
+func TestController_NewLeaseHolderBeginsEpoch(t *testing.T) {
+	c := newCluster(t, func(api *apiserver.Server) { api.Set("endpointslices", newSlice("a")) })
+	c.requireList(map[string]string{"a": "ready"})
+	c.requireEventually(func() bool { return c.first.Status().Leading && c.first.Status().Epoch > 0 })
+	before := fetchSnapshot(c.first.list).revision
+
+	lease := c.api.Get("leases", "default", "l")
 	spec := lease["spec"].(map[string]any)
 	spec["holderIdentity"], spec["leaseTransitions"] = "another", 7
 	delete(lease["metadata"].(map[string]any), "resourceVersion")
-	s.api.Set("leases", lease)
-	require.Eventually(t, func() bool { _, r := s.list(s.at); return r>>epochBits == 8 && r > first }, 20*time.Second, 5*time.Millisecond)
-	// A node that has heard a newer leader is told nothing older.
-	c, err := net.Dial("tcp", s.at)
-	require.NoError(t, err)
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	fmt.Fprintf(c, "GET /registry/instances?follow=1&since=%d HTTP/1.1\r\nHost: a\r\n\r\n", int64(99)<<epochBits)
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	require.NoError(t, err)
-	assert.Equal(t, 503, resp.StatusCode)
+	c.api.Set("leases", lease)
+	c.requireEventually(func() bool {
+		revision := fetchSnapshot(c.first.list).revision
+		return epochOf(revision) == 8 && revision > before
+	})
+
+	t.Run("node of a later epoch", func(t *testing.T) {
+		connection, err := net.Dial("tcp", c.first.list)
+		require.NoError(t, err)
+		defer connection.Close()
+		connection.SetDeadline(time.Now().Add(eventTimeout))
+		fmt.Fprintf(connection, "GET /registry/instances?follow=1&since=%d HTTP/1.1\r\nHost: a\r\n\r\n",
+			int64(99)<<epochShift)
+		response, err := http.ReadResponse(bufio.NewReader(connection), nil)
+		require.NoError(t, err)
+		assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "it is sent nothing older")
+	})
 }
 
-// A node goes from one replica to another and asks by the revision it had there. The two have counted differently, so nothing but a
-// whole list tells it what it lacks.
-func TestANodeThatComesFromAnotherReplicaIsToldTheWholeList(t *testing.T) {
-	s := begin(t, func(api *apiserver.Server) { api.Set("endpointslices", slice("a", "b")) })
-	s.becomes(map[string]string{"a": "ready", "b": "ready"})
-	other := free(t)
-	s.replica("two", other)
-	require.Eventually(t, func() bool { _, at := s.list(other); return at > 0 }, 20*time.Second, 5*time.Millisecond)
-	s.pod("a", true)
-	for _, at := range []string{s.at, other} {
-		require.Eventually(t, func() bool { l, _ := s.list(at); return l["a"] == "draining" }, 20*time.Second, 5*time.Millisecond)
+// A node that changes replicas asks by the revision it had at the other one. The two number their lists differently, so
+// only a snapshot gives it what it lacks.
+func TestController_NodeChangesReplicas(t *testing.T) {
+	c := newCluster(t, func(api *apiserver.Server) { api.Set("endpointslices", newSlice("a", "b")) })
+	c.requireList(map[string]string{"a": "ready", "b": "ready"})
+	second := c.startReplica("two", unusedAddress(t), c.api.Addr())
+	c.requireEventually(func() bool { return fetchSnapshot(second.list).revision > 0 })
+	c.setPod("a", true)
+	for _, address := range []string{c.first.list, second.list} {
+		c.requireEventually(func() bool { return fetchSnapshot(address).phases["a"] == "draining" })
 	}
-	_, here := s.list(s.at)
-	whole := func(since int64) bool {
-		resp, err := (&http.Client{Timeout: 20 * time.Second}).Get(fmt.Sprintf("http://%s/registry/instances?follow=1&since=%d", other, since))
-		require.NoError(t, err)
-		defer resp.Body.Close()
-		var m struct{ Complete bool }
-		return resp.StatusCode == 503 || json.NewDecoder(resp.Body).Decode(&m) == nil && m.Complete // or nothing, where a leader's word has come to one only
+	// A node of a later epoch gets nothing, where only one of the replicas has seen a leader change.
+	snapshotOrNothing := func(since int64) bool {
+		response := followSince(t, second.list, since)
+		defer response.Body.Close()
+		var message struct{ Complete bool }
+		return response.StatusCode == http.StatusServiceUnavailable ||
+			json.NewDecoder(response.Body).Decode(&message) == nil && message.Complete
 	}
-	for d := int64(-3); d <= 3; d++ {
-		assert.True(t, whole(here+d), "since %d", here+d)
+	revision := fetchSnapshot(c.first.list).revision
+	for offset := int64(-3); offset <= 3; offset++ {
+		assert.True(t, snapshotOrNothing(revision+offset), "since %d", revision+offset)
 	}
-	assert.Eventually(t, func() bool { _, there := s.list(other); return !whole(there) }, 20*time.Second, 5*time.Millisecond, "its own revisions it knows")
+	assert.Eventually(t, func() bool { return !snapshotOrNothing(fetchSnapshot(second.list).revision) },
+		eventTimeout, pollInterval, "its own revisions it knows")
 }
 
-func TestABadObjectCostsNoOther(t *testing.T) {
-	s := begin(t, nil)
-	good := slice("a", "b")
-	eps := good["endpoints"].([]apiserver.Object)
-	eps[1]["addresses"] = []string{"no address"}
-	s.api.Set("endpointslices", good)
-	bad := slice("c")
-	bad["metadata"].(map[string]any)["name"] = "s-2"
-	bad["ports"] = []map[string]any{}
-	s.api.Set("endpointslices", bad)
-	s.becomes(map[string]string{"a": "ready"})
-	require.Eventually(t, func() bool { return len(s.k.Status().Skipped) == 2 }, 20*time.Second, 5*time.Millisecond, "and it says which")
+func TestController_UnusableObjectsSkipped(t *testing.T) {
+	c := newCluster(t, nil)
+	slice := newSlice("a", "b")
+	slice["endpoints"].([]apiserver.Object)[1]["addresses"] = []string{"no address"}
+	c.api.Set("endpointslices", slice)
+	withoutPort := newSlice("c")
+	withoutPort["metadata"].(map[string]any)["name"] = "s-2"
+	withoutPort["ports"] = []map[string]any{}
+	c.api.Set("endpointslices", withoutPort)
+	c.requireList(map[string]string{"a": "ready"})
+	c.requireEventually(func() bool { return len(c.first.Status().Skipped) == 2 }, "the status names both")
 }
 
-// The cluster manager is told, pod by pod, that a cold server may serve.
-func TestGatesOpenAPartAtATime(t *testing.T) {
-	s := begin(t, func(a *apiserver.Server) {
-		for i := range 12 {
-			conds := []map[string]any{{"type": "ContainersReady", "status": "True"}}
-			if i < 8 {
-				conds = append(conds, map[string]any{"type": ReadinessGate, "status": "True"})
+func TestController_GatesOpenAFractionAtATime(t *testing.T) {
+	const podCount, openBefore = 12, 8
+	podName := func(i int) string { return fmt.Sprint("p", i) }
+	c := newCluster(t, func(api *apiserver.Server) {
+		for i := range podCount {
+			conditions := []map[string]any{{"type": "ContainersReady", "status": "True"}}
+			if i < openBefore {
+				conditions = append(conditions, map[string]any{"type": ReadinessGate, "status": "True"})
 			}
-			a.Set("pods", apiserver.Object{"metadata": map[string]any{"name": fmt.Sprint("p", i), "namespace": "default", "labels": map[string]any{"robincart.dev/service": "s"}},
-				"spec": map[string]any{"readinessGates": []map[string]any{{"conditionType": ReadinessGate}}}, "status": map[string]any{"phase": "Running", "conditions": conds}})
+			api.Set("pods", apiserver.Object{
+				"metadata": map[string]any{
+					"name": podName(i), "namespace": "default", "labels": map[string]any{gatedServiceLabel: "s"},
+				},
+				"spec":   map[string]any{"readinessGates": []map[string]any{{"conditionType": ReadinessGate}}},
+				"status": map[string]any{"phase": "Running", "conditions": conditions},
+			})
 		}
 	})
-	open := func() (n int) {
-		for i := range 12 {
-			b, _ := json.Marshal(s.api.Get("pods", "default", fmt.Sprint("p", i))["status"])
-			if strings.Contains(string(b), ReadinessGate) {
-				n++
+	countOpen := func() int {
+		open := 0
+		for i := range podCount {
+			status, err := json.Marshal(c.api.Get("pods", "default", podName(i))["status"])
+			require.NoError(t, err)
+			if strings.Contains(string(status), ReadinessGate) {
+				open++
 			}
 		}
-		return n
+		return open
 	}
-	require.Eventually(t, func() bool { return open() == 11 }, 20*time.Second, 5*time.Millisecond)
-	time.Sleep(300 * time.Millisecond)
-	assert.Equal(t, 11, open(), "a quarter of twelve are cold; the last waits for them")
+	c.requireEventually(func() bool { return countOpen() == 11 })
+	time.Sleep(300 * time.Millisecond) // no other gate must open, so there is no event to wait for
+	assert.Equal(t, 11, countOpen(), "a quarter of twelve are in slow start; the last waits for them")
 }
 
-func TestAWrongAddressOrKeyIsOnePlainMessage(t *testing.T) {
-	api, err := apiserver.Start("127.0.0.1:0", nil)
-	require.NoError(t, err)
-	defer api.Stop()
+func TestController_APIUnusable(t *testing.T) {
+	api := startAPI(t)
 	api.Token = "right"
-	c := Config{API: &rest.Config{Host: "http://" + api.Addr(), BearerToken: "wrong"}, Namespace: "default", Identity: "x", LeaseName: "l", LeaseDuration: time.Second,
-		Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig(), Services: []Service{{ListName: "s", ServiceName: "s", Listen: free(t)}}}
-	k, err := New(c, zap.NewNop())
-	require.NoError(t, err)
-	assert.ErrorContains(t, k.Run(t.Context()), "Unauthorized")
-	c.API = &rest.Config{Host: "http://" + free(t)}
-	k, err = New(c, zap.NewNop())
-	require.NoError(t, err)
-	assert.ErrorContains(t, k.Run(t.Context()), "refused")
-	c.API = &rest.Config{Host: "https://" + api.Addr(), TLSClientConfig: rest.TLSClientConfig{CAFile: filepath.Join(t.TempDir(), "none")}}
-	k, err = New(c, zap.NewNop())
-	require.NoError(t, err)
-	assert.Error(t, k.Run(t.Context()))
+	for _, test := range []struct {
+		name   string
+		config *rest.Config
+		want   string
+	}{
+		{"wrong token", &rest.Config{Host: "http://" + api.Addr(), BearerToken: "wrong"}, "Unauthorized"},
+		{"nobody listens", &rest.Config{Host: "http://" + unusedAddress(t)}, "refused"},
+		{"no authority's file", &rest.Config{
+			Host:            "https://" + api.Addr(),
+			TLSClientConfig: rest.TLSClientConfig{CAFile: filepath.Join(t.TempDir(), "none")},
+		}, ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			config := testConfig("x", unusedAddress(t), api.Addr())
+			config.API = test.config
+			config.LeaseDuration = time.Second
+			controller, err := New(config, zap.NewNop())
+			require.NoError(t, err)
+			assert.ErrorContains(t, controller.Run(t.Context()), test.want)
+		})
+	}
 }
 
-// A leader that is cut off from the API goes on serving its list and says how old its view is; another leads, and no node goes
-// back to the epoch before.
-func TestALeaderThatIsCutOffServesOnAndIsSucceeded(t *testing.T) {
-	s := begin(t, func(a *apiserver.Server) { a.Set("endpointslices", slice("a", "b")) })
-	s.becomes(map[string]string{"a": "ready", "b": "ready"})
-	require.Eventually(t, func() bool { return s.k.Status().Leading }, 20*time.Second, 5*time.Millisecond)
-	wire := newWire(t, s.api.Addr())
-	require.Eventually(t, func() bool { return s.k.Status().Epoch > 0 }, 20*time.Second, 5*time.Millisecond)
-	first := s.k.Status().Epoch
-	second := s.reach("two", free(t), wire.addr())
-	require.Eventually(t, func() bool { return second.Status().Synced }, 20*time.Second, 5*time.Millisecond)
-	// The first one hands the lead over, so that the second, behind the wire, leads; then the wire is cut.
-	s.stop()
-	require.Eventually(t, func() bool { return second.Status().Leading && second.Status().Epoch > first }, 20*time.Second, 5*time.Millisecond)
-	cut := second.Status().Epoch
-	wire.cut(true)
-	third := s.replica("three", s.at)
-	require.Eventually(t, func() bool { return third.Status().Leading && third.Status().Epoch > cut }, 20*time.Second, 5*time.Millisecond)
-	require.Eventually(t, func() bool {
-		st := second.Status()
-		return !st.Leading && st.Disconnected["endpointslices"] > 0 && st.Disconnected["pods"] > 0
-	}, 20*time.Second, 5*time.Millisecond, "it says what it can't follow: %v", probe{second})
-	s.api.Set("endpointslices", slice("b", "c"))
-	s.becomes(map[string]string{"b": "ready", "c": "ready"})
-	was, old := s.list(second.c.Services[0].Listen)
-	assert.Equal(t, map[string]string{"a": "ready", "b": "ready"}, was, "its last list goes on being served")
-	_, now := s.list(s.at)
-	assert.Greater(t, now>>epochBits, old>>epochBits)
-	c := http.Client{Timeout: 5 * time.Second}
-	r, err := c.Get(fmt.Sprintf("http://%s/registry/instances?follow=1&since=%d", second.c.Services[0].Listen, now))
-	require.NoError(t, err)
-	r.Body.Close()
-	assert.Equal(t, 503, r.StatusCode, "not to a node that has heard a later epoch")
-	wire.cut(false)
-	require.Eventually(t, func() bool {
-		is, at := s.list(second.c.Services[0].Listen)
-		return assert.ObjectsAreEqual(map[string]string{"b": "ready", "c": "ready"}, is) && at>>epochBits == now>>epochBits && len(second.Status().Disconnected) == 0
-	}, 30*time.Second, 5*time.Millisecond, "and it follows again")
-}
+// A leader that is cut off from the API goes on serving its list and shows how old its view is. Another replica becomes
+// leader, and no node goes back to the epoch before.
+func TestController_LeaderDisconnected(t *testing.T) {
+	c := newCluster(t, func(api *apiserver.Server) { api.Set("endpointslices", newSlice("a", "b")) })
+	c.requireList(map[string]string{"a": "ready", "b": "ready"})
+	c.requireEventually(func() bool { return c.first.Status().Leading && c.first.Status().Epoch > 0 })
+	proxy := newProxy(t, c.api.Addr())
+	firstEpoch := c.first.Status().Epoch
+	second := c.startReplica("two", unusedAddress(t), proxy.address())
+	c.requireEventually(func() bool { return second.Status().Synced })
+	c.first.stop() // it releases the lease, so that the replica behind the proxy leads
+	c.requireEventually(func() bool { return second.Status().Leading && second.Status().Epoch > firstEpoch })
+	secondEpoch := second.Status().Epoch
 
-// wire stands between a replica and the API, and can be cut.
-type wire struct {
-	ln net.Listener
-	to string
+	proxy.setCut(true)
+	third := c.startReplica("three", c.first.list, c.api.Addr())
+	c.requireEventually(func() bool { return third.Status().Leading && third.Status().Epoch > secondEpoch })
+	c.requireEventually(func() bool {
+		status := second.Status()
+		return !status.Leading && status.Disconnected["endpointslices"] > 0 && status.Disconnected["pods"] > 0
+	}, "it shows what it can't follow: %v", statusPrinter{second})
+	c.api.Set("endpointslices", newSlice("b", "c"))
+	c.requireList(map[string]string{"b": "ready", "c": "ready"})
+	stale, current := fetchSnapshot(second.list), fetchSnapshot(third.list)
+	assert.Equal(t, map[string]string{"a": "ready", "b": "ready"}, stale.phases, "its last list goes on being served")
+	assert.Greater(t, epochOf(current.revision), epochOf(stale.revision))
+	response := followSince(t, second.list, current.revision)
+	response.Body.Close()
+	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "not to a node that has seen a later epoch")
 
-	mu    sync.Mutex
-	off   bool
-	conns map[net.Conn]bool
+	proxy.setCut(false)
+	require.Eventually(t, func() bool {
+		snapshot := fetchSnapshot(second.list)
+		return assert.ObjectsAreEqual(map[string]string{"b": "ready", "c": "ready"}, snapshot.phases) &&
+			epochOf(snapshot.revision) == epochOf(current.revision) && len(second.Status().Disconnected) == 0
+	}, 30*time.Second, pollInterval, "and it follows again")
 }
 
-func newWire(t *testing.T, to string) *wire {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	w := &wire{ln: ln, to: to, conns: map[net.Conn]bool{}}
-	t.Cleanup(func() { ln.Close(); w.cut(true) })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go w.carry(c)
-		}
-	}()
-	return w
-}
+// statusPrinter shows the status at the time of the failure's message.
+type statusPrinter struct{ replica *replica }
 
-func (w *wire) addr() string { return w.ln.Addr().String() }
+func (p statusPrinter) String() string { return fmt.Sprintf("%+v", p.replica.Status()) }
 
-func (w *wire) cut(off bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.off = off; off {
-		for c := range w.conns {
-			c.Close()
-		}
-	}
-}
+func TestController_AddressInUse(t *testing.T) {
+	api := startAPI(t)
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { taken.Close() })
+	address := taken.Addr().String()
+	recordStore, err := sqlstore.Open("sqlite:" + filepath.Join(t.TempDir(), "record.db"))
+	require.NoError(t, err)
 
-func (w *wire) carry(c net.Conn) {
-	defer c.Close()
-	to, err := net.Dial("tcp", w.to)
-	if err != nil {
-		return
-	}
-	defer to.Close()
-	w.mu.Lock()
-	off := w.off
-	w.conns[c], w.conns[to] = true, true
-	w.mu.Unlock()
-	if off {
-		return
+	ofList := testConfig("one", address, api.Addr())
+	ofRecord := testConfig("one", unusedAddress(t), api.Addr())
+	ofRecord.RecordAddress, ofRecord.Store = address, recordStore
+	for name, config := range map[string]Config{"list": ofList, "record": ofRecord} {
+		t.Run(name, func(t *testing.T) {
+			controller, err := New(config, zap.NewNop())
+			require.NoError(t, err)
+			ended := make(chan error, 1)
+			go func() { ended <- controller.Run(t.Context()) }()
+			select {
+			case err := <-ended:
+				assert.ErrorContains(t, err, address)
+			case <-time.After(eventTimeout):
+				t.Fatal("it goes on without its list")
+			}
+		})
 	}
-	go func() { io.Copy(to, c); to.Close() }()
-	io.Copy(c, to)
 }
 
-type probe struct{ k *Controller }
-
-func (p probe) String() string { return fmt.Sprintf("%+v", p.k.Status()) }
-
-// A port that another has taken ends the start with its name, and everything that was begun.
-func TestATakenPortEndsTheStart(t *testing.T) {
-	api, err := apiserver.Start("127.0.0.1:0", nil)
-	require.NoError(t, err)
-	t.Cleanup(api.Stop)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer taken.Close()
-	at := taken.Addr().String()
-	there, err := sqlstore.Open("sqlite:" + filepath.Join(t.TempDir(), "record.db"))
-	require.NoError(t, err)
-	_, err = New(Config{RecordAddress: at, Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig()}, zap.NewNop())
+func TestNew_RecordAddressWithoutStore(t *testing.T) {
+	_, err := New(Config{
+		RecordAddress: "127.0.0.1:8600", Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig(),
+	}, zap.NewNop())
 	assert.ErrorContains(t, err, "there is no store")
-	for _, c := range []Config{{Services: []Service{{ListName: "s", ServiceName: "s", Listen: at}}}, {RecordAddress: at, Store: there, Services: []Service{{ListName: "s", ServiceName: "s", Listen: free(t)}}}} {
-		c.API, c.Namespace, c.Identity, c.LeaseName, c.LeaseDuration = &rest.Config{Host: "http://" + api.Addr()}, "default", "one", "l", 2*time.Second
-		c.Membership, c.Fanout = membership.DefaultConfig(), fanout.DefaultConfig()
-		k, err := New(c, zap.NewNop())
-		require.NoError(t, err)
-		ended := make(chan error, 1)
-		go func() { ended <- k.Run(t.Context()) }()
-		select {
-		case err := <-ended:
-			assert.ErrorContains(t, err, at)
-		case <-time.After(20 * time.Second):
-			t.Fatal("it goes on without its list")
-		}
-	}
 }
--- a/internal/controlplane/controller/golden_test.go
+++ b/internal/controlplane/controller/golden_test.go
@@ -42,7 +42,7 @@
 // recentTime is a time that the clock gave, alone or in microseconds. Those of the golden objects are of 2024.
 var recentTime = regexp.MustCompile(`"20(2[5-9]|[3-9]\d)-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?Z"`)
 
-// apiRequest is one request as the API hears it.
+// apiRequest is one request as the API receives it.
 type apiRequest struct {
 	method, path, contentType string
 	body                      string
@@ -59,10 +59,10 @@
 	mu      sync.Mutex
 	object  string
 	written []apiRequest
-	heard   chan struct{} // something was written
+	changed chan struct{} // something was written
 }
 
-func newFakeAPI() *fakeAPI { return &fakeAPI{heard: make(chan struct{}, 100)} }
+func newFakeAPI() *fakeAPI { return &fakeAPI{changed: make(chan struct{}, 100)} }
 
 func (a *fakeAPI) RoundTrip(request *http.Request) (*http.Response, error) {
 	var body []byte
@@ -82,18 +82,18 @@
 			method: request.Method, path: request.URL.RequestURI(),
 			contentType: request.Header.Get("Content-Type"), body: string(body),
 		})
-		a.heard <- struct{}{}
+		a.changed <- struct{}{}
 	}
-	answer := a.object
-	if answer == "" {
-		answer = `{"apiVersion":"v1","kind":"Status","status":"Failure","reason":"NotFound","code":404}`
+	response := a.object
+	if response == "" {
+		response = `{"apiVersion":"v1","kind":"Status","status":"Failure","reason":"NotFound","code":404}`
 	}
 	if request.Method == http.MethodPatch {
-		answer = `{"apiVersion":"v1","kind":"Pod","metadata":{"name":"patched"}}`
+		response = `{"apiVersion":"v1","kind":"Pod","metadata":{"name":"patched"}}`
 	}
 	return &http.Response{
 		StatusCode: status, Header: http.Header{"Content-Type": {"application/json"}}, Request: request,
-		Body: io.NopCloser(strings.NewReader(answer)),
+		Body: io.NopCloser(strings.NewReader(response)),
 	}, nil
 }
 
@@ -104,8 +104,7 @@
 	return a.written
 }
 
-// goldenController is a replica that has begun at a fixed time and knows nothing yet. Its requests go to the API
-// given.
+// goldenController is a replica that started at a fixed time and has listed nothing yet. Its requests go to api.
 func goldenController(t *testing.T, api *fakeAPI) *Controller {
 	t.Helper()
 	config := Config{
@@ -116,9 +115,9 @@
 	}
 	controller, err := New(config, zap.NewNop())
 	require.NoError(t, err)
-	controller.begin, err = time.Parse(time.RFC3339, fixedTime)
+	controller.started, err = time.Parse(time.RFC3339, fixedTime)
 	require.NoError(t, err)
-	controller.base = 5
+	controller.revisionOffset = 5
 	return controller
 }
 
@@ -130,30 +129,32 @@
 	return object
 }
 
-// hearAll has the replica hear all kinds of objects, so that its view is whole.
-func hearAll(t *testing.T, controller *Controller) {
+// syncAll gives the replica objects of the required kinds, and marks the kinds as listed.
+func syncAll(t *testing.T, controller *Controller) {
 	t.Helper()
-	controller.pod("booking/booking-1", goldenObject[core.Pod](t, "pod.json"), false)
-	controller.slice("booking/booking-api-1", goldenObject[discovery.EndpointSlice](t, "endpointslice.json"), false)
-	controller.lease("booking/booking-controller", goldenObject[coordination.Lease](t, "lease.json"), false)
+	controller.handlePod("booking/booking-1", goldenObject[core.Pod](t, "pod.json"), objectUpdated)
+	slice := goldenObject[discovery.EndpointSlice](t, "endpointslice.json")
+	controller.handleEndpointSlice("booking/booking-api-1", slice, objectUpdated)
+	lease := goldenObject[coordination.Lease](t, "lease.json")
+	controller.handleLease("booking/booking-controller", lease, objectUpdated)
 	for _, kind := range []string{"endpointslices", "pods", "nodes", "leases"} {
-		controller.sync(kind)
+		controller.markListed(kind)
 	}
 }
 
-// toldMembers are a service's members as nodes are told them.
-func toldMembers(controller *Controller) []fanout.Member {
+// publishedMembers are a service's members as nodes get them.
+func publishedMembers(controller *Controller) []fanout.Member {
 	var members []fanout.Member
 	for _, member := range controller.state.Members("booking-api") {
-		members = append(members, controller.member(member))
+		members = append(members, controller.listMember(member))
 	}
 	return members
 }
 
-func TestObjects_ListThatFollows(t *testing.T) {
+func TestController_GoldenList(t *testing.T) {
 	controller := goldenController(t, newFakeAPI())
-	hearAll(t, controller)
-	members := toldMembers(controller)
+	syncAll(t, controller)
+	members := publishedMembers(controller)
 	require.Len(t, members, 2)
 	assert.Greater(t, members[1].UpSince, members[0].UpSince, "it is not known when the second one started")
 	members[1].UpSince = 1712998800456
@@ -162,20 +163,20 @@
 		"the epoch follows the lease's transitions")
 
 	terminating := goldenObject[discovery.EndpointSlice](t, "endpointslice-terminating.json")
-	controller.slice("booking/booking-api-1", terminating, false)
-	controller.node("node-b", goldenObject[core.Node](t, "node.json"), false)
-	members = toldMembers(controller)
+	controller.handleEndpointSlice("booking/booking-api-1", terminating, objectUpdated)
+	controller.handleNode("node-b", goldenObject[core.Node](t, "node.json"), objectUpdated)
+	members = publishedMembers(controller)
 	require.Len(t, members, 2)
 	assert.Equal(t, []string{"draining", "draining"}, []string{members[0].Phase, members[1].Phase},
 		"an endpoint that terminates, and a node with a taint")
 	assert.Equal(t, "zone-b", members[1].Locality, "of its node")
 }
 
-func TestLease_OnlyItsOwn(t *testing.T) {
+func TestHandleLease_OtherLeaseIgnored(t *testing.T) {
 	controller := goldenController(t, newFakeAPI())
 	other := goldenObject[coordination.Lease](t, "lease.json")
 	other.Name = "another"
-	controller.lease("booking/another", other, false)
+	controller.handleLease("booking/another", other, objectUpdated)
 	assert.Zero(t, controller.epoch)
 }
 
@@ -183,10 +184,10 @@
 	api := newFakeAPI()
 	controller := goldenController(t, api)
 	var err error
-	controller.pods, err = controller.client("", "v1")
+	controller.clients, err = newAPIClients(controller.config.API)
 	require.NoError(t, err)
-	hearAll(t, controller)
-	controller.lead(true)
+	syncAll(t, controller)
+	controller.setLeading(true)
 	controller.openGates(t.Context())
 	require.Len(t, api.requests(), 1)
 	testutil.EqualGolden(t, "pod-gate.http", []byte(api.requests()[0].String()))
@@ -196,16 +197,17 @@
 func TestElect_GoldenLease(t *testing.T) {
 	api := newFakeAPI()
 	controller := goldenController(t, api)
-	client, err := controller.client("coordination.k8s.io", "v1")
+	var err error
+	controller.clients, err = newAPIClients(controller.config.API)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		controller.elect(ctx, client)
+		controller.elect(ctx)
 	}()
-	testutil.Receive(t, api.heard) // it is taken
-	testutil.Receive(t, api.heard) // and held
+	testutil.Receive(t, api.changed) // the lease is acquired
+	testutil.Receive(t, api.changed) // and renewed
 	cancel()
 	testutil.Receive(t, ended)
 	requests := api.requests()
@@ -213,34 +215,34 @@
 	testutil.EqualGolden(t, "lease-released.http", []byte(requests[len(requests)-1].String()))
 }
 
-// fakeStore is a record that keeps what is written to it.
+// fakeStore is a record in memory, with the changes that were written to it.
 type fakeStore struct {
 	store.Store
-	facts   []record.Entry
+	entries []record.Entry
 	changes []record.Change
 }
 
 func (s *fakeStore) Since(context.Context, int64, int) (record.Page, error) {
-	return record.Page{Meta: record.Meta{Epoch: "5f2a9c", Revision: 7}, Complete: true, Entries: s.facts}, nil
+	return record.Page{Meta: record.Meta{Epoch: "5f2a9c", Revision: 7}, Complete: true, Entries: s.entries}, nil
 }
 
 func (s *fakeStore) Write(_ context.Context, _ string, changes []record.Change) ([]record.Entry, record.Meta, error) {
 	for _, change := range changes {
 		s.changes = append(s.changes, change)
-		s.facts = append(s.facts, record.Entry{
+		s.entries = append(s.entries, record.Entry{
 			Key: change.Key, Revision: 7, Writer: change.Writer, IdempotencyKey: change.IdempotencyKey, Value: change.Value,
 		})
 	}
-	return s.facts, record.Meta{}, nil
+	return s.entries, record.Meta{}, nil
 }
 
-func goldenBook(t *testing.T) (*book, *fakeAPI, *fakeStore) {
+func goldenRecordWriter(t *testing.T) (*recordWriter, *fakeAPI, *fakeStore) {
 	t.Helper()
-	api, kept := newFakeAPI(), &fakeStore{}
-	opened, err := newBook(goldenController(t, api), kept)
+	api, recordStore := newFakeAPI(), &fakeStore{}
+	writer, err := newRecordWriter(goldenController(t, api), recordStore)
 	require.NoError(t, err)
-	opened.boot = "boot"
-	return opened, api, kept
+	writer.instance = "boot"
+	return writer, api, recordStore
 }
 
 func goldenSetting(t *testing.T, name string) *unstructured.Unstructured {
@@ -250,32 +252,32 @@
 	return object
 }
 
-func TestSetting_Read(t *testing.T) {
-	opened, _, _ := goldenBook(t)
-	opened.hear("booking/acme-quota", goldenSetting(t, "setting.json"), false)
-	opened.hear("booking/odd", goldenSetting(t, "setting-malformed.json"), false)
-	assert.Equal(t, wish{
+func TestHandleSetting_GoldenObject(t *testing.T) {
+	writer, _, _ := goldenRecordWriter(t)
+	writer.handleSetting("booking/acme-quota", goldenSetting(t, "setting.json"), objectUpdated)
+	writer.handleSetting("booking/odd", goldenSetting(t, "setting-malformed.json"), objectUpdated)
+	assert.Equal(t, settingObject{
 		Object: desiredstate.Object{
 			Key: "booking/acme-quota", UID: "uid-acme-quota", Generation: 3, CreatedAt: 1712998800000,
 			Spec: desiredstate.Spec{Kind: "tenant", Name: "booking/acme", Text: `{"quota": 200, "weight": 2}`},
 		},
 		namespace: "booking", name: "acme-quota",
-		has: desiredstate.Status{
+		published: desiredstate.Status{
 			Accepted: true, Reason: "being written to the record", Generation: 2, Revision: 7, Epoch: "5f2a9c",
 			Nodes: 11, ListRevision: 7696581394473,
 		},
-	}, opened.all["booking/acme-quota"])
-	odd := opened.all["booking/odd"]
+	}, writer.settings["booking/acme-quota"])
+	odd := writer.settings["booking/odd"]
 	assert.NotEmpty(t, odd.Malformed)
-	assert.Equal(t, desiredstate.Status{Generation: -1}, odd.has, "a status that can't be read is written anew")
+	assert.Equal(t, desiredstate.Status{Generation: -1}, odd.published, "a status that can't be read is written anew")
 }
 
-func TestSetting_GoldenStatusPatch(t *testing.T) {
+func TestRecordWriter_GoldenStatusPatch(t *testing.T) {
 	const service = "[[service]]\nname = \"booking\"\ndiscovery = \"127.0.0.1:8500\"\n"
 	for _, test := range []struct {
-		golden string
-		spec   desiredstate.Spec
-		has    desiredstate.Status
+		golden    string
+		spec      desiredstate.Spec
+		published desiredstate.Status
 	}{
 		{
 			golden: "setting-accepted.http",
@@ -286,37 +288,37 @@
 			spec:   desiredstate.Spec{Kind: "drain", Name: "booking/pod-1", Text: `{}`},
 		},
 		{
-			golden: "setting-listed.http",
-			spec:   desiredstate.Spec{Kind: "service", Name: "booking", Text: service},
-			has:    desiredstate.Status{Nodes: 11, ListRevision: 7696581394473},
+			golden:    "setting-listed.http",
+			spec:      desiredstate.Spec{Kind: "service", Name: "booking", Text: service},
+			published: desiredstate.Status{Nodes: 11, ListRevision: 7696581394473},
 		},
 	} {
 		t.Run(test.golden, func(t *testing.T) {
-			opened, api, _ := goldenBook(t)
-			opened.counted = time.Now() // nodes stay as the status has them
+			writer, api, _ := goldenRecordWriter(t)
+			writer.nodesCountedAt = time.Now() // the number of nodes stays as it was published
 			object := desiredstate.Object{Key: "booking/acme-quota", UID: "u", Generation: 3, Spec: test.spec}
-			wishes := map[string]wish{
-				object.Key: {Object: object, namespace: "booking", name: "acme-quota", has: test.has},
+			settings := map[string]settingObject{
+				object.Key: {Object: object, namespace: "booking", name: "acme-quota", published: test.published},
 			}
-			require.NoError(t, opened.fulfil(t.Context(), []desiredstate.Object{object}, wishes))
+			require.NoError(t, writer.reconcile(t.Context(), settings))
 			require.Len(t, api.requests(), 1)
 			testutil.EqualGolden(t, test.golden, []byte(api.requests()[0].String()))
 		})
 	}
 }
 
-func TestSetting_RecordedChange(t *testing.T) {
-	opened, _, kept := goldenBook(t)
+func TestRecordWriter_RecordedChange(t *testing.T) {
+	writer, _, recordStore := goldenRecordWriter(t)
 	object := desiredstate.Object{
 		Key: "booking/acme-quota", UID: "u", Generation: 3,
 		Spec: desiredstate.Spec{Kind: "tenant", Name: "booking/acme", Text: `{"quota":200,"weight":2}`},
 	}
-	wishes := map[string]wish{object.Key: {Object: object, namespace: "booking", name: "acme-quota"}}
-	begun := time.Now().UnixMilli()
-	require.NoError(t, opened.fulfil(t.Context(), []desiredstate.Object{object}, wishes))
-	require.Len(t, kept.changes, 1)
-	change := kept.changes[0]
-	assert.GreaterOrEqual(t, change.WrittenAt, begun, "milliseconds of Unix time")
+	settings := map[string]settingObject{object.Key: {Object: object, namespace: "booking", name: "acme-quota"}}
+	started := time.Now().UnixMilli()
+	require.NoError(t, writer.reconcile(t.Context(), settings))
+	require.Len(t, recordStore.changes, 1)
+	change := recordStore.changes[0]
+	assert.GreaterOrEqual(t, change.WrittenAt, started, "milliseconds of Unix time")
 	change.WrittenAt = 0
 	assert.Equal(t, record.Change{
 		Key: record.Key{Kind: "tenant", Name: "booking/acme"}, Writer: "controller", IdempotencyKey: "controller-1.boot.1",
@@ -345,20 +347,21 @@
 	}
 }
 
-func TestPage_Golden(t *testing.T) {
-	opened, _, _ := goldenBook(t)
-	controller := opened.k
-	controller.book = opened
-	opened.fault = "the store is away"
-	controller.lead(true)
-	controller.lease("booking/booking-controller", goldenObject[coordination.Lease](t, "lease.json"), false)
-	controller.pod("booking/odd", &core.Pod{}, false)
-	controller.gates = 8
-	answer := httptest.NewRecorder()
-	controller.page(answer, httptest.NewRequest("GET", "/status", nil))
-	assert.Equal(t, http.StatusOK, answer.Code)
-	assert.Equal(t, "application/json", answer.Header().Get("Content-Type"))
-	testutil.EqualGolden(t, "page.json", answer.Body.Bytes())
+func TestServeStatus_Golden(t *testing.T) {
+	writer, _, _ := goldenRecordWriter(t)
+	controller := writer.controller
+	controller.recordWriter = writer
+	writer.lastError = "the store is away"
+	controller.setLeading(true)
+	lease := goldenObject[coordination.Lease](t, "lease.json")
+	controller.handleLease("booking/booking-controller", lease, objectUpdated)
+	controller.handlePod("booking/odd", &core.Pod{}, objectUpdated)
+	controller.gatesOpened = 8
+	response := httptest.NewRecorder()
+	controller.serveStatus(response, httptest.NewRequest("GET", "/status", nil))
+	assert.Equal(t, http.StatusOK, response.Code)
+	assert.Equal(t, "application/json", response.Header().Get("Content-Type"))
+	testutil.EqualGolden(t, "page.json", response.Body.Bytes())
 	var shown Status
 	require.NoError(t, json.NewDecoder(bytes.NewReader(testutil.Golden(t, "page.json"))).Decode(&shown))
 	assert.Equal(t, controller.Status(), shown)
--- /dev/null
+++ b/internal/controlplane/controller/objects.go
@@ -0,0 +1,206 @@
+package controller
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"strconv"
+	"time"
+
+	"go.uber.org/zap"
+	core "k8s.io/api/core/v1"
+	discovery "k8s.io/api/discovery/v1"
+	"k8s.io/client-go/tools/cache"
+
+	"robincart/internal/controlplane/membership"
+)
+
+// gatedServiceLabel is the label of a Pod that names the service whose slow starts its readiness gate paces.
+const gatedServiceLabel = "robincart.dev/service"
+
+// podRecord is what a patch of a Pod's readiness gate needs of the Pod.
+type podRecord struct {
+	name       string
+	conditions []core.PodCondition
+}
+
+func (c *Controller) handleEndpointSlice(key string, object any, event eventType) {
+	slice, ok := object.(*discovery.EndpointSlice)
+	if event != objectUpdated || !ok {
+		c.update(func(state *membership.State, now float64) []membership.Change { return state.DeleteSlice(key, now) })
+		return
+	}
+	serviceName := slice.Labels[discovery.LabelServiceName]
+	index := slices.IndexFunc(c.config.Services, func(service Service) bool {
+		return service.ServiceName == serviceName
+	})
+	if index < 0 {
+		return
+	}
+	endpoints, problem := endpointsOf(slice, c.config.Services[index].Port)
+	c.update(func(state *membership.State, now float64) []membership.Change {
+		changes := state.UpdateSlice(key, serviceName, endpoints, now)
+		if rejected := state.Rejected(key); rejected > 0 {
+			problem = fmt.Sprintf(
+				"%d endpoints are left out: the service has more than %d servers, those that left lately included",
+				rejected, membership.MaxServers)
+		}
+		return changes
+	})
+	c.setSkipped("endpointslice "+key, problem)
+}
+
+// endpointsOf returns the usable endpoints of a slice, and what is wrong with the last unusable one; empty: all are
+// usable.
+func endpointsOf(slice *discovery.EndpointSlice, wantedPort string) ([]membership.Endpoint, string) {
+	port := portOf(slice, wantedPort)
+	problem := ""
+	var endpoints []membership.Endpoint
+	for _, endpoint := range slice.Endpoints {
+		if len(endpoint.Addresses) == 0 || net.ParseIP(endpoint.Addresses[0]) == nil || port == 0 {
+			problem = fmt.Sprintf("an endpoint has no proper address or port: %v, port %d", endpoint.Addresses, port)
+			continue
+		}
+		endpoints = append(endpoints, endpointOf(endpoint, port))
+	}
+	return endpoints, problem
+}
+
+func endpointOf(endpoint discovery.Endpoint, port int32) membership.Endpoint {
+	conditions := endpoint.Conditions
+	result := membership.Endpoint{
+		Addr:        net.JoinHostPort(endpoint.Addresses[0], strconv.Itoa(int(port))),
+		Ready:       conditions.Ready == nil || *conditions.Ready,
+		Terminating: conditions.Terminating != nil && *conditions.Terminating,
+	}
+	if endpoint.TargetRef != nil {
+		result.Pod = string(endpoint.TargetRef.UID)
+	}
+	if endpoint.NodeName != nil {
+		result.Node = *endpoint.NodeName
+	}
+	if endpoint.Zone != nil {
+		result.Zone = *endpoint.Zone
+	}
+	return result
+}
+
+// portOf returns the port of a slice by its name or number, or the first one if none is wanted; 0: there is none.
+func portOf(slice *discovery.EndpointSlice, wanted string) int32 {
+	for _, port := range slice.Ports {
+		if port.Port == nil || *port.Port <= 0 || *port.Port > maxPort {
+			continue
+		}
+		named := port.Name != nil && *port.Name == wanted
+		if wanted == "" || named || wanted == strconv.Itoa(int(*port.Port)) {
+			return *port.Port
+		}
+	}
+	return 0
+}
+
+const maxPort = 65535
+
+func (c *Controller) handlePod(key string, object any, event eventType) {
+	if unknown, ok := object.(cache.DeletedFinalStateUnknown); ok {
+		object = unknown.Obj
+	}
+	pod, ok := object.(*core.Pod)
+	if event == objectMissing && ok {
+		c.forgetPod(pod)
+		c.update(func(state *membership.State, now float64) []membership.Change {
+			return state.MarkPodMissing(string(pod.UID), now)
+		})
+		return
+	}
+	if !ok || pod.UID == "" {
+		c.setSkipped("pod "+key, "it has no UID")
+		return
+	}
+	if event == objectDeleted {
+		c.forgetPod(pod)
+		c.update(func(state *membership.State, now float64) []membership.Change {
+			return state.DeletePod(string(pod.UID), now)
+		})
+		return
+	}
+	c.mu.Lock()
+	c.pods[string(pod.UID)] = podRecord{name: pod.Name, conditions: pod.Status.Conditions}
+	c.mu.Unlock()
+	observed := podOf(pod, c.started)
+	c.update(func(state *membership.State, now float64) []membership.Change { return state.UpdatePod(observed, now) })
+}
+
+// podOf returns what counts of a Pod, with times in seconds since the controller's start.
+func podOf(pod *core.Pod, started time.Time) membership.Pod {
+	result := membership.Pod{
+		UID:      string(pod.UID),
+		Name:     pod.Name,
+		Deleting: pod.DeletionTimestamp != nil,
+		Finished: pod.Status.Phase == core.PodFailed || pod.Status.Phase == core.PodSucceeded,
+	}
+	for _, condition := range pod.Status.Conditions {
+		switch condition.Type {
+		case core.ContainersReady:
+			result.ContainersReady = condition.Status == core.ConditionTrue
+		case ReadinessGate:
+			result.GateOpen = condition.Status == core.ConditionTrue
+		}
+	}
+	for _, container := range pod.Status.ContainerStatuses {
+		if container.State.Running != nil {
+			startedAt := container.State.Running.StartedAt.Sub(started).Seconds()
+			result.StartedAt = max(result.StartedAt, startedAt)
+		}
+	}
+	for _, gate := range pod.Spec.ReadinessGates {
+		if gate.ConditionType == ReadinessGate {
+			result.GatedService = pod.Labels[gatedServiceLabel]
+		}
+	}
+	return result
+}
+
+// forgetPod drops the record of a pod: with deployments all day the map would otherwise grow by every pod there has
+// been.
+func (c *Controller) forgetPod(pod *core.Pod) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.pods, string(pod.UID))
+}
+
+func (c *Controller) handleNode(key string, object any, event eventType) {
+	node, ok := object.(*core.Node)
+	observed := membership.Node{Missing: true}
+	if event == objectUpdated && ok {
+		observed = nodeOf(node)
+	}
+	c.update(func(state *membership.State, now float64) []membership.Change {
+		return state.UpdateNode(key, observed, now)
+	})
+}
+
+func nodeOf(node *core.Node) membership.Node {
+	return membership.Node{
+		Zone:     node.Labels[core.LabelTopologyZone],
+		Cordoned: node.Spec.Unschedulable,
+		Evicting: slices.ContainsFunc(node.Spec.Taints, func(taint core.Taint) bool {
+			return taint.Effect == core.TaintEffectNoExecute
+		}),
+	}
+}
+
+// setSkipped notes why an object can't be used; an empty reason says that it can. Other objects are not affected.
+func (c *Controller) setSkipped(object, reason string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.skipped[object] == reason {
+		return
+	}
+	if reason == "" {
+		delete(c.skipped, object)
+		return
+	}
+	c.skipped[object] = reason
+	c.log.Warn("object skipped", zap.String("object", object), zap.String("reason", reason))
+}
--- /dev/null
+++ b/internal/controlplane/controller/settings.go
@@ -0,0 +1,121 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+	"k8s.io/apimachinery/pkg/apis/meta/v1/unstructured"
+	"k8s.io/apimachinery/pkg/runtime"
+	"k8s.io/apimachinery/pkg/runtime/schema"
+	"k8s.io/apimachinery/pkg/types"
+	"k8s.io/apimachinery/pkg/watch"
+	"k8s.io/client-go/dynamic"
+	"k8s.io/client-go/tools/cache"
+
+	"robincart/internal/controlplane/desiredstate"
+)
+
+// kindSettings is the kind of Setting objects. It is not among requiredKinds: lists do not depend on settings.
+const kindSettings = "settings"
+
+// settingsResource is the custom resource of services, routes and quotas: deploy/kubernetes/settings.yaml.
+var settingsResource = schema.GroupVersionResource{Group: "robincart.dev", Version: "v1", Resource: kindSettings}
+
+// unreadableGeneration is the generation of a published status that can't be read. No status has it, so the status is
+// written again.
+const unreadableGeneration = -1
+
+// settingObject is a Setting object of the API, with the status that the API has of it.
+type settingObject struct {
+	desiredstate.Object
+	namespace string
+	name      string
+	published desiredstate.Status
+}
+
+// settingOf reads a Setting object. What can't be read of its spec is noted in Malformed.
+func settingOf(key string, object *unstructured.Unstructured) settingObject {
+	result := settingObject{
+		Object: desiredstate.Object{
+			Key:        key,
+			UID:        string(object.GetUID()),
+			Generation: object.GetGeneration(),
+			CreatedAt:  object.GetCreationTimestamp().UnixMilli(),
+		},
+		namespace: object.GetNamespace(),
+		name:      object.GetName(),
+	}
+	if err := decodeField(object.Object["spec"], &result.Spec); err != nil {
+		result.Malformed = err.Error()
+	}
+	if decodeField(object.Object["status"], &result.published) != nil {
+		result.published = desiredstate.Status{Generation: unreadableGeneration}
+	}
+	return result
+}
+
+// decodeField converts a field of an unstructured object to a struct with JSON tags.
+func decodeField(field, target any) error {
+	text, err := json.Marshal(field)
+	if err != nil {
+		return err
+	}
+	return json.Unmarshal(text, target)
+}
+
+// newSettingsSource returns what a reflector of Setting objects lists and watches.
+func newSettingsSource(api dynamic.ResourceInterface) cache.ListerWatcher {
+	listFunc := func(ctx context.Context, options metav1.ListOptions) (runtime.Object, error) {
+		return api.List(ctx, options)
+	}
+	watchFunc := func(ctx context.Context, options metav1.ListOptions) (watch.Interface, error) {
+		return api.Watch(ctx, options)
+	}
+	return &cache.ListWatch{ListWithContextFunc: listFunc, WatchFuncWithContext: watchFunc}
+}
+
+// statusPatch is a merge patch of a Setting's status. It names every field, since a patch leaves a field that it does
+// not name as it is; null removes one.
+type statusPatch struct {
+	Status statusPatchFields `json:"status"`
+}
+
+type statusPatchFields struct {
+	Accepted           bool    `json:"accepted"`
+	ListRevision       *int64  `json:"listRevision"`
+	Nodes              *int64  `json:"nodes"`
+	ObservedGeneration int64   `json:"observedGeneration"`
+	Reason             *string `json:"reason"`
+	RecordEpoch        *string `json:"recordEpoch"`
+	RecordRevision     *int64  `json:"recordRevision"`
+}
+
+func newStatusPatch(status desiredstate.Status) statusPatch {
+	fields := statusPatchFields{Accepted: status.Accepted, ObservedGeneration: status.Generation}
+	if status.ListRevision > 0 {
+		fields.Nodes = &status.Nodes
+		fields.ListRevision = &status.ListRevision
+	}
+	if status.Reason != "" {
+		fields.Reason = &status.Reason
+	}
+	if status.Accepted {
+		fields.RecordRevision = &status.Revision
+		fields.RecordEpoch = &status.Epoch
+	}
+	return statusPatch{Status: fields}
+}
+
+// patchStatus publishes a setting's status in the API.
+func (w *recordWriter) patchStatus(ctx context.Context, setting settingObject, status desiredstate.Status) error {
+	body, err := json.Marshal(newStatusPatch(status))
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, apiCallTimeout)
+	defer cancel()
+	api := w.api.Namespace(setting.namespace)
+	_, err = api.Patch(ctx, setting.name, types.MergePatchType, body, metav1.PatchOptions{}, "status")
+	return err
+}
