--- a/internal/controlplane/controller/objects.go
+++ b/internal/controlplane/controller/objects.go
@@ -135,7 +135,6 @@
 func podOf(pod *core.Pod, started time.Time) membership.Pod {
 	result := membership.Pod{
 		UID:      string(pod.UID),
-		Name:     pod.Name,
 		Deleting: pod.DeletionTimestamp != nil,
 		Finished: pod.Status.Phase == core.PodFailed || pod.Status.Phase == core.PodSucceeded,
 	}
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -9,299 +9,355 @@
 	"pgregory.net/rapid"
 )
 
-func up(pod string) Endpoint {
+// readyEndpoint is the endpoint of a pod on the node "n1".
+func readyEndpoint(pod string) Endpoint {
 	return Endpoint{Addr: pod + ":80", Pod: pod, Node: "n1", Zone: "a", Ready: true}
 }
 
-func phases(s *State, of string) map[string]Phase {
-	out := map[string]Phase{}
-	for _, m := range s.Members(of) {
-		out[m.ID] = m.Phase
+// readyEndpoints are the endpoints of pods that are numbered from 0.
+func readyEndpoints(prefix string, count int) []Endpoint {
+	var endpoints []Endpoint
+	for i := range count {
+		endpoints = append(endpoints, readyEndpoint(fmt.Sprint(prefix, i)))
 	}
-	return out
+	return endpoints
 }
 
-// Every order of what is told about one pod's life, replays of old words included: from the first word of its end on it is
-// never ready again.
-func TestNoOrderOfWordsBringsADrainedServerBack(t *testing.T) {
-	words := []struct {
-		name string
-		ends bool
-		say  func(s *State, now float64) []Change
-	}{
-		{"slice ready", false, func(s *State, now float64) []Change {
-			return s.UpdateSlice("k", "s", []Endpoint{up("p"), up("q")}, now)
-		}},
-		{"slice without it", false, func(s *State, now float64) []Change { return s.UpdateSlice("k", "s", []Endpoint{up("q")}, now) }},
-		{"slice terminating", true, func(s *State, now float64) []Change {
-			e := up("p")
-			e.Terminating, e.Ready = true, false
-			return s.UpdateSlice("k", "s", []Endpoint{e, up("q")}, now)
-		}},
-		{"pod lives", false, func(s *State, now float64) []Change { return s.UpdatePod(Pod{UID: "p"}, now) }},
-		{"pod deleting", true, func(s *State, now float64) []Change { return s.UpdatePod(Pod{UID: "p", Deleting: true}, now) }},
-		{"pod gone", true, func(s *State, now float64) []Change { return s.DeletePod("p", now) }},
-		{"node emptied", true, func(s *State, now float64) []Change { return s.UpdateNode("n1", Node{Evicting: true}, now) }},
-		{"node well", false, func(s *State, now float64) []Change { return s.UpdateNode("n1", Node{}, now) }},
-		{"time", false, func(s *State, now float64) []Change { return s.Tick(now) }},
+func phases(state *State, serviceName string) map[string]Phase {
+	result := map[string]Phase{}
+	for _, member := range state.Members(serviceName) {
+		result[member.ID] = member.Phase
 	}
-	n := 0
-	var play func(order []int)
-	play = func(order []int) {
-		if len(order) == 5 {
-			n++
-			s := New(DefaultConfig(), 0)
-			s.UpdateSlice("k", "s", []Endpoint{up("p"), up("q")}, 0)
-			s.UpdatePod(Pod{UID: "p"}, 0)
-			list := phases(s, "s")
-			ended, revision := false, s.Revision()
-			for i, w := range order {
-				now := float64(i+1) * 3
-				ended = ended || words[w].ends
-				for _, c := range words[w].say(s, now) {
-					revision++
-					assert.Equal(t, revision, c.Revision)
-					if c.Phase == Gone {
-						delete(list, c.ID)
-					} else {
-						list[c.ID] = c.Phase
-					}
-				}
-				if ended {
-					assert.NotEqual(t, Ready, phases(s, "s")["p"], "%v", order[:i+1])
-				}
-				assert.Equal(t, phases(s, "s"), list, "who follows the changes has the list: %v", order)
-			}
-			return
-		}
-		for w := range words {
-			play(append(slices.Clone(order), w))
+	return result
+}
+
+func countReady(state *State) int {
+	ready := 0
+	for _, phase := range phases(state, "s") {
+		if phase == Ready {
+			ready++
 		}
 	}
-	play(nil)
-	assert.Equal(t, 9*9*9*9*9, n)
+	return ready
 }
 
-func TestAPodReplacedUnderItsAddressIsAnother(t *testing.T) {
-	s := New(DefaultConfig(), 0)
-	s.UpdateSlice("k", "s", []Endpoint{{Addr: "a:80", Pod: "old", Ready: true}}, 0)
-	s.UpdatePod(Pod{UID: "old", Deleting: true}, 1)
-	s.UpdateSlice("k", "s", []Endpoint{{Addr: "a:80", Pod: "new", Ready: true}}, 1.05)
-	assert.Equal(t, map[string]Phase{"new": Ready}, phases(s, "s"))
-	s.UpdateSlice("k", "s", []Endpoint{{Addr: "a:80", Pod: "old", Ready: true}, {Addr: "a:80", Pod: "new", Ready: true}}, 1.1)
-	assert.Equal(t, map[string]Phase{"new": Ready, "old": Draining}, phases(s, "s"))
+// observation is one report about the pod "p", which runs beside "q".
+type observation struct {
+	name    string
+	ending  bool // it says that the pod ends
+	observe func(state *State, now float64) []Change
 }
 
-func TestFlapsAreDampedAndDrainsAreNot(t *testing.T) {
-	s := New(DefaultConfig(), 0)
-	now, lost := 0.0, up("p")
-	lost.Ready = false
-	s.UpdateSlice("k", "s", []Endpoint{up("p")}, now)
-	assert.Equal(t, Ready, phases(s, "s")["p"], "the first time at once")
-	for _, wait := range []float64{1, 2, 4, 8, 16, 30, 30} {
-		now += 100
-		s.UpdateSlice("k", "s", []Endpoint{lost}, now)
-		assert.Equal(t, Draining, phases(s, "s")["p"], "a loss counts at once")
-		now++
-		s.UpdateSlice("k", "s", []Endpoint{up("p")}, now)
-		s.Tick(now + wait - 0.01)
-		assert.Equal(t, Draining, phases(s, "s")["p"])
-		s.Tick(now + wait)
-		assert.Equal(t, Ready, phases(s, "s")["p"], "after %v", wait)
-		assert.Equal(t, now+wait, s.Members("s")[0].StartedAt, "as one that has just started")
-		now += wait
-	}
-	s.UpdatePod(Pod{UID: "p", Deleting: true}, now)
-	assert.Equal(t, Draining, phases(s, "s")["p"])
+var observations = []observation{
+	{"slice with it", false, func(state *State, now float64) []Change {
+		return state.UpdateSlice("k", "s", []Endpoint{readyEndpoint("p"), readyEndpoint("q")}, now)
+	}},
+	{"slice without it", false, func(state *State, now float64) []Change {
+		return state.UpdateSlice("k", "s", []Endpoint{readyEndpoint("q")}, now)
+	}},
+	{"slice with it terminating", true, func(state *State, now float64) []Change {
+		terminating := readyEndpoint("p")
+		terminating.Terminating, terminating.Ready = true, false
+		return state.UpdateSlice("k", "s", []Endpoint{terminating, readyEndpoint("q")}, now)
+	}},
+	{"pod lives", false, func(state *State, now float64) []Change { return state.UpdatePod(Pod{UID: "p"}, now) }},
+	{"pod deleting", true, func(state *State, now float64) []Change {
+		return state.UpdatePod(Pod{UID: "p", Deleting: true}, now)
+	}},
+	{"pod deleted", true, func(state *State, now float64) []Change { return state.DeletePod("p", now) }},
+	{"node evicting", true, func(state *State, now float64) []Change {
+		return state.UpdateNode("n1", Node{Evicting: true}, now)
+	}},
+	{"node healthy", false, func(state *State, now float64) []Change {
+		return state.UpdateNode("n1", Node{}, now)
+	}},
+	{"time passes", false, func(state *State, now float64) []Change { return state.Tick(now) }},
 }
 
-func TestAnEmptySliceIsNotBelievedAtOnceAndAScaleDownIs(t *testing.T) {
-	all := func(n int) (out []Endpoint) {
-		for i := range n {
-			out = append(out, up(fmt.Sprint("p", i)))
+// Whatever the order of reports about one pod's life, old ones that come again included: from the first report of its
+// end on it is never ready again.
+func TestState_EndedServerNeverReady(t *testing.T) {
+	const length = 5
+	orders := 0
+	var playAll func(order []int)
+	playAll = func(order []int) {
+		if len(order) == length {
+			orders++
+			playOrder(t, order)
+			return
 		}
-		return out
-	}
-	start := func() *State {
-		s := New(DefaultConfig(), 0)
-		for i := range 10 {
-			s.UpdatePod(Pod{UID: fmt.Sprint("p", i)}, 0)
+		for i := range observations {
+			playAll(append(slices.Clone(order), i))
 		}
-		s.UpdateSlice("k", "s", all(10), 0)
-		return s
 	}
-	ready := func(s *State) (n int) {
-		for _, p := range phases(s, "s") {
-			if p == Ready {
-				n++
+	playAll(nil)
+	assert.Equal(t, 9*9*9*9*9, orders)
+}
+
+func playOrder(t *testing.T, order []int) {
+	state := New(DefaultConfig(), 0)
+	state.UpdateSlice("k", "s", []Endpoint{readyEndpoint("p"), readyEndpoint("q")}, 0)
+	state.UpdatePod(Pod{UID: "p"}, 0)
+	followed := phases(state, "s")
+	revision := state.Revision()
+	ended := false
+	for i, index := range order {
+		now := float64(i+1) * 3
+		ended = ended || observations[index].ending
+		for _, change := range observations[index].observe(state, now) {
+			revision++
+			assert.Equal(t, revision, change.Revision)
+			if change.Phase == Gone {
+				delete(followed, change.ID)
+			} else {
+				followed[change.ID] = change.Phase
 			}
 		}
-		return n
+		if ended {
+			assert.NotEqual(t, Ready, phases(state, "s")["p"], "%v", order[:i+1])
+		}
+		assert.Equal(t, phases(state, "s"), followed, "who follows the changes has the list: %v", order)
 	}
-	s := start()
-	s.UpdateSlice("k", "s", nil, 1)
-	assert.Equal(t, 10, ready(s), "an API fault: what it does not speak of lives on")
-	s.UpdateSlice("k", "s", all(10), 2)
-	s.Tick(40)
-	assert.Equal(t, 10, ready(s))
-	s.DeleteSlice("k", 50)
-	assert.Equal(t, 10, ready(s))
-	s.Tick(111)
-	assert.Empty(t, phases(s, "s"), "after its time it is believed")
+}
 
-	s = start()
-	for i := range 10 { // scaled to zero: of each pod its end is told
-		s.UpdatePod(Pod{UID: fmt.Sprint("p", i), Deleting: true}, 1)
-	}
-	assert.Zero(t, ready(s))
-	s.UpdateSlice("k", "s", nil, 1.1)
-	assert.Empty(t, phases(s, "s"))
+func TestState_PodReplacedAtItsAddress(t *testing.T) {
+	state := New(DefaultConfig(), 0)
+	old := Endpoint{Addr: "a:80", Pod: "old", Ready: true}
+	replacement := Endpoint{Addr: "a:80", Pod: "new", Ready: true}
+	state.UpdateSlice("k", "s", []Endpoint{old}, 0)
+	state.UpdatePod(Pod{UID: "old", Deleting: true}, 1)
+	state.UpdateSlice("k", "s", []Endpoint{replacement}, 1.05)
+	assert.Equal(t, map[string]Phase{"new": Ready}, phases(state, "s"))
+	state.UpdateSlice("k", "s", []Endpoint{old, replacement}, 1.1)
+	assert.Equal(t, map[string]Phase{"new": Ready, "old": Draining}, phases(state, "s"))
+}
 
-	s = start() // all replaced while nobody watched
-	var fresh []Endpoint
-	for i := range 10 {
-		fresh = append(fresh, up(fmt.Sprint("new", i)))
+func TestState_FlapsDelayed(t *testing.T) {
+	state := New(DefaultConfig(), 0)
+	now := 0.0
+	notReady := readyEndpoint("p")
+	notReady.Ready = false
+	state.UpdateSlice("k", "s", []Endpoint{readyEndpoint("p")}, now)
+	assert.Equal(t, Ready, phases(state, "s")["p"], "the first time at once")
+	for _, delay := range []float64{1, 2, 4, 8, 16, 30, 30} {
+		now += 100
+		state.UpdateSlice("k", "s", []Endpoint{notReady}, now)
+		assert.Equal(t, Draining, phases(state, "s")["p"], "a loss counts at once")
+		now++
+		state.UpdateSlice("k", "s", []Endpoint{readyEndpoint("p")}, now)
+		state.Tick(now + delay - 0.01)
+		assert.Equal(t, Draining, phases(state, "s")["p"])
+		state.Tick(now + delay)
+		assert.Equal(t, Ready, phases(state, "s")["p"], "after %v", delay)
+		assert.Equal(t, now+delay, state.Members("s")[0].StartedAt, "as one that has just started")
+		now += delay
 	}
+	state.UpdatePod(Pod{UID: "p", Deleting: true}, now)
+	assert.Equal(t, Draining, phases(state, "s")["p"], "a drain is not delayed")
+}
+
+// tenPods is a service of ten ready pods.
+func tenPods() *State {
+	state := New(DefaultConfig(), 0)
 	for i := range 10 {
-		s.MarkPodMissing(fmt.Sprint("p", i), 1)
+		state.UpdatePod(Pod{UID: fmt.Sprint("p", i)}, 0)
 	}
-	assert.Equal(t, 10, ready(s), "pods that a list lacks, and slices name: nothing is concluded")
-	s.UpdateSlice("k", "s", fresh, 1)
-	assert.Len(t, phases(s, "s"), 10)
-	assert.NotContains(t, phases(s, "s"), "p0")
+	state.UpdateSlice("k", "s", readyEndpoints("p", 10), 0)
+	return state
+}
 
-	s = start()
-	s.UpdateSlice("k", "s", all(9), 1)
-	assert.Equal(t, Draining, phases(s, "s")["p9"], "one alone drains until its pod says more")
-	s.DeletePod("p9", 2)
-	assert.NotContains(t, phases(s, "s"), "p9")
+func TestState_ServersVanish(t *testing.T) {
+	t.Run("all at once", func(t *testing.T) {
+		state := tenPods()
+		state.UpdateSlice("k", "s", nil, 1)
+		assert.Equal(t, 10, countReady(state), "a fault of the API: servers that it does not report live on")
+		state.UpdateSlice("k", "s", readyEndpoints("p", 10), 2)
+		state.Tick(40)
+		assert.Equal(t, 10, countReady(state))
+		state.DeleteSlice("k", 50)
+		assert.Equal(t, 10, countReady(state))
+		state.Tick(111)
+		assert.Empty(t, phases(state, "s"), "after ShrinkHold it is believed")
+	})
+	t.Run("scaled to zero", func(t *testing.T) {
+		state := tenPods()
+		for i := range 10 {
+			state.UpdatePod(Pod{UID: fmt.Sprint("p", i), Deleting: true}, 1)
+		}
+		assert.Zero(t, countReady(state))
+		state.UpdateSlice("k", "s", nil, 1.1)
+		assert.Empty(t, phases(state, "s"))
+	})
+	t.Run("all replaced while nobody watched", func(t *testing.T) {
+		state := tenPods()
+		for i := range 10 {
+			state.MarkPodMissing(fmt.Sprint("p", i), 1)
+		}
+		assert.Equal(t, 10, countReady(state), "pods that a list lacks and slices have: nothing is concluded")
+		state.UpdateSlice("k", "s", readyEndpoints("new", 10), 1)
+		assert.Len(t, phases(state, "s"), 10)
+		assert.NotContains(t, phases(state, "s"), "p0")
+	})
+	t.Run("one alone", func(t *testing.T) {
+		state := tenPods()
+		state.UpdateSlice("k", "s", readyEndpoints("p", 9), 1)
+		assert.Equal(t, Draining, phases(state, "s")["p9"], "it drains until the end of its pod is observed")
+		state.DeletePod("p9", 2)
+		assert.NotContains(t, phases(state, "s"), "p9")
+	})
 }
 
-func TestFewAreColdAtOnce(t *testing.T) {
+func TestOpenGates_SlowStartsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := DefaultConfig()
-		s := New(c, 0)
+		config := DefaultConfig()
+		state := New(config, 0)
 		total := rapid.IntRange(4, 40).Draw(t, "pods")
-		born := map[string]float64{}
+		openedAt := map[string]float64{}
 		for i := range total {
-			uid := fmt.Sprint("old", i)
-			s.UpdatePod(Pod{UID: uid, GatedService: "s", ContainersReady: true, GateOpen: true, StartedAt: -1000}, 0)
+			state.UpdatePod(Pod{
+				UID: fmt.Sprint("old", i), GatedService: "s", ContainersReady: true, GateOpen: true, StartedAt: -1000,
+			}, 0)
 		}
 		now := 0.0
 		for i := range total { // a rolling restart, as fast as the cluster manager likes
 			now += rapid.Float64Range(0, 10).Draw(t, "pause")
-			s.UpdatePod(Pod{UID: fmt.Sprint("new", i), GatedService: "s", ContainersReady: true, StartedAt: now}, now)
+			state.UpdatePod(Pod{
+				UID: fmt.Sprint("new", i), GatedService: "s", ContainersReady: true, StartedAt: now,
+			}, now)
 			if rapid.Bool().Draw(t, "end") {
-				s.DeletePod(fmt.Sprint("old", i), now)
+				state.DeletePod(fmt.Sprint("old", i), now)
 			}
-			for _, uid := range s.OpenGates(now) {
-				assert.NotContains(t, born, uid, "a gate is opened once")
-				born[uid] = now
+			for _, uid := range state.OpenGates(now) {
+				assert.NotContains(t, openedAt, uid, "a gate is opened once")
+				openedAt[uid] = now
 			}
-			cold, living := 0, 0
-			for uid := range s.pods {
-				if _, ended := s.ended[uid]; !ended {
-					living++
+			slowStart, alive := 0, 0
+			for uid := range state.pods {
+				if _, ended := state.endedAt[uid]; !ended {
+					alive++
 				}
 			}
-			for _, at := range born {
-				if now-at < c.SlowStartDuration {
-					cold++
+			for _, at := range openedAt {
+				if now-at < config.SlowStartDuration {
+					slowStart++
 				}
 			}
-			assert.LessOrEqual(t, cold, max(1, int(c.MaxSlowStartFraction*float64(living+1))))
+			assert.LessOrEqual(t, slowStart, max(1, int(config.MaxSlowStartFraction*float64(alive+1))))
 		}
 		for range 200 {
 			now += 5
-			for _, uid := range s.OpenGates(now) {
-				born[uid] = now
+			for _, uid := range state.OpenGates(now) {
+				openedAt[uid] = now
 			}
 		}
-		assert.Len(t, born, total, "all are let in in the end")
+		assert.Len(t, openedAt, total, "all gates are open in the end")
 	})
 }
 
-// Whatever is told, who follows the changes has the list, revisions rise by one, and nothing that was seen to end is ready.
-func TestChangesAddUpToTheList(t *testing.T) {
+// stateModel checks that whoever follows the changes has the list, that revisions rise by one, and that no server is
+// ready whose end was observed.
+type stateModel struct {
+	state    *State
+	followed map[string]Member
+	ended    map[string]bool
+	now      float64
+	revision int64
+}
+
+var modelPods = []string{"a", "b", "c", "d"}
+
+func TestState_ChangesAddUpToList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(DefaultConfig(), 7)
-		list := map[string]Member{}
-		ended := map[string]bool{}
-		now, revision := 0.0, int64(7)
-		pods := []string{"a", "b", "c", "d"}
+		model := &stateModel{
+			state:    New(DefaultConfig(), 7),
+			followed: map[string]Member{},
+			ended:    map[string]bool{},
+			revision: 7,
+		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now += rapid.Float64Range(0, 20).Draw(t, "pass")
-			p := rapid.SampledFrom(pods).Draw(t, "pod")
-			var out []Change
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
-			case 0, 1:
-				var es []Endpoint
-				for _, q := range pods {
-					if rapid.IntRange(0, 3).Draw(t, "in") > 0 {
-						e := up(q)
-						e.Ready = rapid.IntRange(0, 4).Draw(t, "ready") > 0
-						e.Terminating = rapid.IntRange(0, 9).Draw(t, "terminating") == 0
-						ended[q] = ended[q] || e.Terminating
-						es = append(es, e)
-					}
-				}
-				out = s.UpdateSlice(rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "slice"), "s", es, now)
-			case 2:
-				out = s.DeleteSlice("k1", now)
-			case 3:
-				out = s.UpdatePod(Pod{UID: p}, now)
-			case 4:
-				if s.pods[p].UID != "" || s.byPod[p] != nil {
-					ended[p] = true
-				}
-				out = s.DeletePod(p, now)
-			case 5:
-				out = s.Tick(now)
-			case 6:
-				out = s.UpdateNode("n1", Node{Cordoned: rapid.Bool().Draw(t, "cordon")}, now)
-			}
-			drains := true
-			for _, c := range out {
-				revision++
-				assert.Equal(t, revision, c.Revision)
-				if c.Phase == Gone {
-					delete(list, c.ID)
-				} else {
-					list[c.ID] = c.Member
-				}
-				assert.True(t, drains || c.Phase != Draining, "drains go ahead")
-				drains = drains && c.Phase == Draining
-			}
-			got := map[string]Member{}
-			for _, m := range s.Members("s") {
-				got[m.ID] = m
-				assert.False(t, m.Phase == Ready && ended[m.ID], "%s has ended", m.ID)
-				if x, ok := list[m.ID]; ok {
-					m.Reason, x.Reason = "", ""
-					assert.Equal(t, m, x)
-				}
-			}
-			assert.Len(t, list, len(got))
+			model.now += rapid.Float64Range(0, 20).Draw(t, "passed")
+			model.follow(t, model.step(t))
+			model.check(t)
 		}
 	})
 }
 
-func TestAServiceWithTooManyServersIsBoundedAndNamed(t *testing.T) {
-	s := New(DefaultConfig(), 0)
-	var es []Endpoint
-	for i := range MaxServers + 3 {
-		es = append(es, up(fmt.Sprint("p", i)))
+// step makes one random observation.
+func (m *stateModel) step(t *rapid.T) []Change {
+	pod := rapid.SampledFrom(modelPods).Draw(t, "pod")
+	switch rapid.IntRange(0, 6).Draw(t, "observation") {
+	case 0, 1:
+		endpoints := m.drawEndpoints(t)
+		slice := rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "slice")
+		return m.state.UpdateSlice(slice, "s", endpoints, m.now)
+	case 2:
+		return m.state.DeleteSlice("k1", m.now)
+	case 3:
+		return m.state.UpdatePod(Pod{UID: pod}, m.now)
+	case 4:
+		if m.state.pods[pod].UID != "" || m.state.serversByPod[pod] != nil {
+			m.ended[pod] = true
+		}
+		return m.state.DeletePod(pod, m.now)
+	case 5:
+		return m.state.Tick(m.now)
+	default:
+		return m.state.UpdateNode("n1", Node{Cordoned: rapid.Bool().Draw(t, "cordoned")}, m.now)
+	}
+}
+
+func (m *stateModel) drawEndpoints(t *rapid.T) []Endpoint {
+	var endpoints []Endpoint
+	for _, pod := range modelPods {
+		if rapid.IntRange(0, 3).Draw(t, "listed") == 0 {
+			continue
+		}
+		endpoint := readyEndpoint(pod)
+		endpoint.Ready = rapid.IntRange(0, 4).Draw(t, "ready") > 0
+		endpoint.Terminating = rapid.IntRange(0, 9).Draw(t, "terminating") == 0
+		m.ended[pod] = m.ended[pod] || endpoint.Terminating
+		endpoints = append(endpoints, endpoint)
+	}
+	return endpoints
+}
+
+func (m *stateModel) follow(t *rapid.T, changes []Change) {
+	drainsOnly := true
+	for _, change := range changes {
+		m.revision++
+		assert.Equal(t, m.revision, change.Revision)
+		if change.Phase == Gone {
+			delete(m.followed, change.ID)
+		} else {
+			m.followed[change.ID] = change.Member
+		}
+		assert.True(t, drainsOnly || change.Phase != Draining, "servers that drain come first")
+		drainsOnly = drainsOnly && change.Phase == Draining
 	}
-	s.UpdateSlice("a", "web", es, 1)
-	assert.Equal(t, 3, s.Rejected("a"))
-	assert.Len(t, phases(s, "web"), MaxServers)
-	s.UpdateSlice("b", "mail", es[:4400], 1) // ten times the target
-	assert.Zero(t, s.Rejected("b"))
-	s.UpdateSlice("c", "web", es[:5], 2)
-	s.UpdateSlice("c", "web", []Endpoint{up("new")}, 2)
-	assert.Equal(t, 1, s.Rejected("c"))
-	s.DeleteSlice("c", 3)
-	assert.Zero(t, s.Rejected("c"))
-	s.UpdateSlice("a", "web", es[:10], 4)
-	assert.Zero(t, s.Rejected("a"))
+}
+
+func (m *stateModel) check(t *rapid.T) {
+	listed := map[string]Member{}
+	for _, member := range m.state.Members("s") {
+		listed[member.ID] = member
+		assert.False(t, member.Phase == Ready && m.ended[member.ID], "%s has ended", member.ID)
+	}
+	assert.Equal(t, listed, m.followed)
+}
+
+func TestUpdateSlice_MaxServers(t *testing.T) {
+	state := New(DefaultConfig(), 0)
+	endpoints := readyEndpoints("p", MaxServers+3)
+	state.UpdateSlice("a", "web", endpoints, 1)
+	assert.Equal(t, 3, state.Rejected("a"))
+	assert.Len(t, phases(state, "web"), MaxServers)
+	state.UpdateSlice("b", "mail", endpoints[:4400], 1) // ten times the target
+	assert.Zero(t, state.Rejected("b"))
+	state.UpdateSlice("c", "web", endpoints[:5], 2)
+	state.UpdateSlice("c", "web", []Endpoint{readyEndpoint("new")}, 2)
+	assert.Equal(t, 1, state.Rejected("c"))
+	state.DeleteSlice("c", 3)
+	assert.Zero(t, state.Rejected("c"))
+	state.UpdateSlice("a", "web", endpoints[:10], 4)
+	assert.Zero(t, state.Rejected("a"))
 }
