--- a/internal/controlplane/fanout/fanout_test.go
+++ b/internal/controlplane/fanout/fanout_test.go
@@ -18,219 +18,273 @@
 	"go.uber.org/zap"
 )
 
-func begin(t testing.TB, c Config) (*List, string) {
-	leaks := goleak.IgnoreCurrent()
-	l := New(c, zap.NewNop())
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+const (
+	eventTimeout = 20 * time.Second
+	watchTimeout = 60 * time.Second
+)
+
+// startList serves a list until the test ends, and returns its address.
+func startList(t testing.TB, config Config) (*List, string) {
+	before := goleak.IgnoreCurrent()
+	list := New(config, zap.NewNop())
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	ctx, end := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() { defer close(done); l.Serve(ctx, ln) }()
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		list.Serve(ctx, listener)
+	}()
 	t.Cleanup(func() {
-		end()
-		<-done
+		cancel()
+		<-ended
 		http.DefaultClient.CloseIdleConnections()
-		goleak.VerifyNone(t, leaks)
+		goleak.VerifyNone(t, before)
 	})
-	return l, ln.Addr().String()
+	return list, listener.Addr().String()
 }
 
-// watcher follows as a node does.
+// watcher follows a list as a node does.
 type watcher struct {
-	c     net.Conn
-	lines *bufio.Scanner
-	list  map[string]string
-	at    int64
-	whole int
+	conn      net.Conn
+	lines     *bufio.Scanner
+	phases    map[string]string // by ID
+	revision  int64
+	snapshots int
 }
 
-func watch(t testing.TB, addr string, since int64) *watcher {
-	c, err := net.Dial("tcp", addr)
+func startWatch(t testing.TB, address string, since int64) *watcher {
+	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(60 * time.Second))
-	fmt.Fprintf(c, "GET /registry/instances?follow=1&since=%d HTTP/1.1\r\nHost: a\r\n\r\n", since)
-	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(watchTimeout))
+	fmt.Fprintf(conn, "GET /registry/instances?follow=1&since=%d HTTP/1.1\r\nHost: a\r\n\r\n", since)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
-	require.Equal(t, 200, r.StatusCode)
-	w := &watcher{c: c, lines: bufio.NewScanner(r.Body), list: map[string]string{}, at: since}
-	w.lines.Buffer(nil, 1<<24)
-	return w
+	require.Equal(t, http.StatusOK, response.StatusCode)
+	lines := bufio.NewScanner(response.Body)
+	lines.Buffer(nil, 1<<24)
+	return &watcher{conn: conn, lines: lines, phases: map[string]string{}, revision: since}
 }
 
+// read applies the next message; heartbeats are passed over.
 func (w *watcher) read(t testing.TB) message {
 	for w.lines.Scan() {
 		if len(w.lines.Bytes()) == 0 {
 			continue
 		}
-		var m message
-		require.NoError(t, json.Unmarshal(w.lines.Bytes(), &m))
-		if m.Complete {
-			clear(w.list)
-			w.whole++
-		}
-		for _, x := range m.Members {
-			if w.list[x.ID] = x.Phase; x.Phase == "gone" {
-				delete(w.list, x.ID)
-			}
-		}
-		assert.GreaterOrEqual(t, m.Revision, w.at)
-		w.at = m.Revision
-		return m
+		var received message
+		require.NoError(t, json.Unmarshal(w.lines.Bytes(), &received))
+		w.apply(received)
+		assert.GreaterOrEqual(t, received.Revision, w.revision)
+		w.revision = received.Revision
+		return received
 	}
 	require.Fail(t, "the watch ended", w.lines.Err())
 	return message{}
 }
 
-func (w *watcher) until(t testing.TB, revision int64) {
-	for w.at < revision {
+func (w *watcher) apply(received message) {
+	if received.Complete {
+		clear(w.phases)
+		w.snapshots++
+	}
+	for _, member := range received.Members {
+		if member.Phase == "gone" {
+			delete(w.phases, member.ID)
+		} else {
+			w.phases[member.ID] = member.Phase
+		}
+	}
+}
+
+func (w *watcher) readUntil(t testing.TB, revision int64) {
+	for w.revision < revision {
 		w.read(t)
 	}
 }
 
-func server(i int, phase string) Member {
+func newMember(i int, phase string) Member {
 	return Member{ID: fmt.Sprint("s", i), HostPort: "127.0.0.1:80", Locality: "a", Phase: phase, Size: 1}
 }
 
-func TestWatchersFollowWhateverTheyMissed(t *testing.T) {
-	c := DefaultConfig()
-	c.History, c.BatchDelay = 64, 0
-	l, addr := begin(t, c)
-	r, err := http.Get("http://" + addr + "/registry/instances")
-	require.NoError(t, err)
-	r.Body.Close()
-	assert.Equal(t, 503, r.StatusCode, "before anything is known nobody is told that there is nothing")
-	var all []Member
-	for i := range 50 {
-		all = append(all, server(i, "ready"))
+// newLongMember is a member that takes half a kilobyte.
+func newLongMember(i, address int) Member {
+	member := newMember(i, "ready")
+	member.HostPort = fmt.Sprintf("%0500d:80", address)
+	return member
+}
+
+func newMembers(count int) []Member {
+	var members []Member
+	for i := range count {
+		members = append(members, newMember(i, "ready"))
 	}
-	l.PublishSnapshot(100, all)
-	a := watch(t, addr, 0)
-	a.until(t, 100)
-	assert.Len(t, a.list, 50)
+	return members
+}
+
+func requireStatus(t *testing.T, want int, url string) {
+	t.Helper()
+	response, err := http.Get(url)
+	require.NoError(t, err)
+	response.Body.Close()
+	assert.Equal(t, want, response.StatusCode, url)
+}
+
+func TestList_WatchersCatchUp(t *testing.T) {
+	config := DefaultConfig()
+	config.History, config.BatchDelay = 64, 0
+	list, address := startList(t, config)
+	url := "http://" + address + "/registry/instances"
+	requireStatus(t, http.StatusServiceUnavailable, url) // before the first snapshot
+	list.PublishSnapshot(100, newMembers(50))
+	present := startWatch(t, address, 0)
+	present.readUntil(t, 100)
+	assert.Len(t, present.phases, 50)
 	for i := range 30 {
-		l.PublishDelta([]Member{server(i, "draining")})
+		list.PublishDelta([]Member{newMember(i, "draining")})
 		if i%2 == 0 {
-			l.PublishDelta([]Member{server(i, "gone")})
+			list.PublishDelta([]Member{newMember(i, "gone")})
 		}
 	}
-	a.until(t, 145)
-	b, late, strange := watch(t, addr, 120), watch(t, addr, 3), watch(t, addr, 9_000_000)
-	b.until(t, 145)
-	late.read(t)
-	strange.at = 0
-	strange.read(t)
-	assert.Equal(t, 0, b.whole)
-	assert.Equal(t, 1, late.whole, "too old a revision is told all of it")
-	assert.Equal(t, 1, strange.whole, "and so is one that nobody here has given out")
-	assert.Equal(t, late.list, strange.list)
-	assert.Equal(t, late.list, a.list)
-	assert.Len(t, a.list, 35)
-	current := watch(t, addr, 145)
-	assert.Empty(t, current.read(t).Members, "one that has all is told so at once")
-	resp, err := http.Get("http://" + addr + "/registry/instances")
-	require.NoError(t, err)
-	defer resp.Body.Close()
-	var m message
-	require.NoError(t, json.NewDecoder(resp.Body).Decode(&m))
-	assert.True(t, m.Complete)
-	assert.Len(t, m.Members, 35)
-	for path, want := range map[string]int{"/x": 404, "/registry/instances?since=-1": 400, "/registry/instances?since=a": 400} {
-		r, err := http.Get("http://" + addr + path)
+	present.readUntil(t, 145)
+	assert.Len(t, present.phases, 35)
+
+	t.Run("revision in the history", func(t *testing.T) {
+		watcher := startWatch(t, address, 120)
+		watcher.readUntil(t, 145)
+		assert.Equal(t, 0, watcher.snapshots)
+	})
+	t.Run("revision too old", func(t *testing.T) {
+		watcher := startWatch(t, address, 3)
+		watcher.read(t)
+		assert.Equal(t, 1, watcher.snapshots)
+		assert.Equal(t, present.phases, watcher.phases)
+	})
+	t.Run("revision that the list never had", func(t *testing.T) {
+		watcher := startWatch(t, address, 9_000_000)
+		watcher.revision = 0
+		watcher.read(t)
+		assert.Equal(t, 1, watcher.snapshots)
+		assert.Equal(t, present.phases, watcher.phases)
+	})
+	t.Run("latest revision", func(t *testing.T) {
+		watcher := startWatch(t, address, 145)
+		assert.Empty(t, watcher.read(t).Members, "an empty delta comes at once")
+	})
+	t.Run("request without a watch", func(t *testing.T) {
+		response, err := http.Get(url)
 		require.NoError(t, err)
-		r.Body.Close()
-		assert.Equal(t, want, r.StatusCode)
-	}
+		defer response.Body.Close()
+		var received message
+		require.NoError(t, json.NewDecoder(response.Body).Decode(&received))
+		assert.True(t, received.Complete)
+		assert.Len(t, received.Members, 35)
+	})
+	t.Run("invalid requests", func(t *testing.T) {
+		requireStatus(t, http.StatusNotFound, "http://"+address+"/x")
+		requireStatus(t, http.StatusBadRequest, url+"?since=-1")
+		requireStatus(t, http.StatusBadRequest, url+"?since=a")
+	})
 }
 
-// One that does not read holds up nobody and costs no backlog.
-func TestASlowWatcherHoldsUpNobody(t *testing.T) {
-	c := DefaultConfig()
-	c.WriteTimeout, c.BatchDelay, c.History = 2*time.Second, 0, 100
-	l, addr := begin(t, c)
-	l.PublishSnapshot(1, nil)
-	slow, err := net.Dial("tcp", addr)
+// A watcher that does not read delays no other, costs no backlog, and is disconnected.
+func TestList_SlowWatcher(t *testing.T) {
+	config := DefaultConfig()
+	config.WriteTimeout, config.BatchDelay, config.History = 2*time.Second, 0, 100
+	list, address := startList(t, config)
+	list.PublishSnapshot(1, nil)
+	slow, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	defer slow.Close()
+	t.Cleanup(func() { slow.Close() })
 	slow.(*net.TCPConn).SetReadBuffer(4096)
 	fmt.Fprint(slow, "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nHost: a\r\n\r\n")
-	a := watch(t, addr, 0)
-	for i := range 3000 {
-		m := server(i%400, "ready")
-		m.HostPort = fmt.Sprintf("%0500d:80", i)
-		if l.PublishDelta([]Member{m}); i%100 == 99 { // it reads on: where the machine stalls it would else pass for a slow one
-			a.until(t, int64(i+2))
+
+	watcher := startWatch(t, address, 0)
+	const deltas = 3000
+	for i := range deltas {
+		list.PublishDelta([]Member{newLongMember(i%400, i)})
+		if i%100 == 99 { // it reads meanwhile: where the machine stalls it would else be slow itself
+			watcher.readUntil(t, int64(i+2))
 		}
 	}
-	assert.Len(t, a.list, 400)
-	l.mu.Lock()
-	assert.LessOrEqual(t, len(l.history), 100)
-	l.mu.Unlock()
-	// The kernel may take some megabytes for it first.
-	for n, end := 3001, time.Now().Add(20*time.Second); l.watchers.Load() != 1; n += 50 {
-		require.True(t, time.Now().Before(end), "it is let go")
+	assert.Len(t, watcher.phases, 400)
+	list.mu.Lock()
+	assert.LessOrEqual(t, len(list.history), 100)
+	list.mu.Unlock()
+
+	// The kernel may buffer some megabytes for the slow one first.
+	revision := int64(deltas + 1)
+	for deadline := time.Now().Add(eventTimeout); list.watchers.Load() != 1; {
+		require.True(t, time.Now().Before(deadline), "it is disconnected")
 		for i := range 50 {
-			m := server(i, "ready")
-			m.HostPort = fmt.Sprintf("%0500d:80", n+i)
-			l.PublishDelta([]Member{m})
+			list.PublishDelta([]Member{newLongMember(i, int(revision))})
+			revision++
 		}
-		a.until(t, int64(n+50))
+		watcher.readUntil(t, revision)
 	}
 }
 
-func TestMoreThanManyAreToldToComeAgain(t *testing.T) {
-	c := DefaultConfig()
-	c.MaxWatchers = 2
-	l, addr := begin(t, c)
-	l.PublishSnapshot(1, nil)
-	watch(t, addr, 0)
-	watch(t, addr, 0)
-	c3, err := net.Dial("tcp", addr)
+func TestServe_MaxWatchers(t *testing.T) {
+	config := DefaultConfig()
+	config.MaxWatchers = 2
+	list, address := startList(t, config)
+	list.PublishSnapshot(1, nil)
+	startWatch(t, address, 0)
+	startWatch(t, address, 0)
+	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	defer c3.Close()
-	c3.SetDeadline(time.Now().Add(20 * time.Second))
-	text, _ := io.ReadAll(c3)
-	assert.Contains(t, string(text), "503")
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(eventTimeout))
+	response, _ := io.ReadAll(conn) // it may end with a reset
+	assert.Contains(t, string(response), "503")
 }
 
-// From a change to the last watcher. The watchers share the machine with the list.
+// BenchmarkFanOut measures from a delta to the last watcher. The watchers share the machine with the list.
 func BenchmarkFanOut(b *testing.B) {
 	for _, servers := range []int{1000, 20000} {
 		for _, watchers := range []int{1, 100, 1000, 5000} {
 			b.Run(fmt.Sprintf("%d servers, %d watchers", servers, watchers), func(b *testing.B) {
-				l, addr := begin(b, DefaultConfig())
-				var all []Member
-				for i := range servers {
-					all = append(all, server(i, "ready"))
-				}
-				l.PublishSnapshot(1, all)
-				ws := make([]*watcher, watchers)
-				var begun sync.WaitGroup
-				for lane := range 32 {
-					begun.Go(func() {
-						for i := lane; i < watchers; i += 32 {
-							ws[i] = watch(b, addr, 0)
-							ws[i].until(b, 1)
-							ws[i].list = map[string]string{}
-						}
-					})
-				}
-				begun.Wait()
-				b.ResetTimer()
-				for i := 0; b.Loop(); i++ {
-					var told sync.WaitGroup
-					at := int64(i + 2)
-					for _, w := range ws {
-						told.Go(func() { w.until(b, at) })
-					}
-					l.PublishDelta([]Member{server(i%servers, "draining")})
-					told.Wait()
-				}
-				b.StopTimer()
-				for _, w := range ws {
-					w.c.Close()
-				}
+				benchmarkFanOut(b, servers, watchers)
 			})
 		}
 	}
 }
+
+func benchmarkFanOut(b *testing.B, servers, watcherCount int) {
+	list, address := startList(b, DefaultConfig())
+	list.PublishSnapshot(1, newMembers(servers))
+	watchers := startWatches(b, address, watcherCount)
+	b.ResetTimer()
+	for i := 0; b.Loop(); i++ {
+		var notified sync.WaitGroup
+		revision := int64(i + 2)
+		for _, watcher := range watchers {
+			notified.Go(func() { watcher.readUntil(b, revision) })
+		}
+		list.PublishDelta([]Member{newMember(i%servers, "draining")})
+		notified.Wait()
+	}
+	b.StopTimer()
+	for _, watcher := range watchers {
+		watcher.conn.Close()
+	}
+}
+
+// startWatches starts watchers that have read the snapshot. What they remember of it is dropped, to save memory.
+func startWatches(b *testing.B, address string, count int) []*watcher {
+	const lanes = 32
+	watchers := make([]*watcher, count)
+	var started sync.WaitGroup
+	for lane := range lanes {
+		started.Go(func() {
+			for i := lane; i < count; i += lanes {
+				watchers[i] = startWatch(b, address, 0)
+				watchers[i].readUntil(b, 1)
+				watchers[i].phases = map[string]string{}
+			}
+		})
+	}
+	started.Wait()
+	return watchers
+}
--- a/internal/controlplane/fanout/golden_test.go
+++ b/internal/controlplane/fanout/golden_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// goldenChange is a server that drains.
-func goldenChange() []Member {
+// goldenDelta is a server that drains and one that is gone.
+func goldenDelta() []Member {
 	member := goldenMembers()[0]
 	member.Phase = "draining"
 	return []Member{member, {ID: "pod-2", Phase: "gone"}}
@@ -45,7 +45,7 @@
 func TestMessage_Golden(t *testing.T) {
 	for name, want := range map[string]message{
 		"whole.json":  {Revision: 41, Complete: true, Members: goldenMembers()},
-		"change.json": {Revision: 42, Members: goldenChange()},
+		"change.json": {Revision: 42, Members: goldenDelta()},
 		"empty.json":  {Revision: 43, Complete: true, Members: []Member{}},
 	} {
 		t.Run(name, func(t *testing.T) { testutil.EqualGoldenJSON(t, name, want) })
@@ -61,7 +61,7 @@
 	}
 }
 
-// goldenList holds the golden members at revision 41. It sends no empty lines.
+// goldenList holds the golden members at revision 41. It sends no heartbeats.
 func goldenList() *List {
 	config := DefaultConfig()
 	config.HeartbeatInterval = time.Hour
@@ -70,18 +70,18 @@
 	return list
 }
 
-// exchange has the list answer a request. What is read from the connection is kept in raw; end closes the
-// connection and waits for the list's side of it.
+// exchange sends a request to the list. What is read from the connection is copied to raw; end closes the connection
+// and waits for the list's side of it.
 func exchange(t *testing.T, list *List, request string) (reader io.Reader, raw *bytes.Buffer, end func()) {
 	t.Helper()
 	client, server := net.Pipe()
 	require.NoError(t, client.SetDeadline(time.Now().Add(20*time.Second)))
 	ctx, cancel := context.WithCancel(context.Background())
-	answered := make(chan struct{})
+	served := make(chan struct{})
 	go func() {
-		defer close(answered)
+		defer close(served)
 		defer server.Close()
-		list.answer(ctx, server)
+		list.serveConn(ctx, server)
 	}()
 	_, err := io.WriteString(client, request)
 	require.NoError(t, err)
@@ -89,11 +89,11 @@
 	return io.TeeReader(client, raw), raw, func() {
 		cancel()
 		client.Close()
-		<-answered
+		<-served
 	}
 }
 
-func TestAnswer_Watch(t *testing.T) {
+func TestServeConn_Watch(t *testing.T) {
 	list := goldenList()
 	reader, raw, end := exchange(t, list, "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nHost: a\r\n\r\n")
 	defer end()
@@ -103,14 +103,14 @@
 	line, err := lines.ReadBytes('\n')
 	require.NoError(t, err)
 	testutil.EqualGolden(t, "whole.json", line)
-	list.PublishDelta(goldenChange())
+	list.PublishDelta(goldenDelta())
 	line, err = lines.ReadBytes('\n')
 	require.NoError(t, err)
 	testutil.EqualGolden(t, "change.json", line)
 	testutil.EqualGolden(t, "watch.http", raw.Bytes())
 }
 
-func TestAnswer_WholeList(t *testing.T) {
+func TestServeConn_Snapshot(t *testing.T) {
 	reader, raw, end := exchange(t, goldenList(), "GET /registry/instances HTTP/1.1\r\nHost: a\r\n\r\n")
 	defer end()
 	_, err := io.ReadAll(reader)
@@ -118,13 +118,13 @@
 	testutil.EqualGolden(t, "list.http", raw.Bytes())
 }
 
-func TestAnswer_Refusals(t *testing.T) {
+func TestServeConn_Rejected(t *testing.T) {
 	const unchanged = "Content-Length: 0\r\nConnection: close\r\n\r\n"
 	for _, test := range []struct {
 		name, request, want string
 		list                *List
 	}{
-		{"nothing known", "GET /registry/instances", "503 Service Unavailable\r\nRetry-After: 1\r\n",
+		{"no snapshot yet", "GET /registry/instances", "503 Service Unavailable\r\nRetry-After: 1\r\n",
 			New(DefaultConfig(), zap.NewNop())},
 		{"other path", "GET /instances", "404 Not Found\r\n", goldenList()},
 		{"other method", "POST /registry/instances", "405 Method Not Allowed\r\nAllow: GET\r\n", goldenList()},
@@ -140,9 +140,9 @@
 	}
 }
 
-func TestNext_UpToDate(t *testing.T) {
-	text, at, _ := goldenList().next(41, true)
-	assert.Equal(t, "2e\r\n"+`{"revision":41,"complete":false,"members":[]}`+"\n\r\n", string(text))
-	assert.EqualValues(t, 41, at)
-	assert.Equal(t, "1\r\n\n\r\n", string(empty), "the line that shows that discovery lives")
+func TestFirstUpdate_UpToDate(t *testing.T) {
+	first := goldenList().firstUpdate(41)
+	assert.Equal(t, "2e\r\n"+`{"revision":41,"complete":false,"members":[]}`+"\n\r\n", string(first.chunk))
+	assert.EqualValues(t, 41, first.revision)
+	assert.Equal(t, "1\r\n\n\r\n", string(heartbeat))
 }
--- a/internal/controlplane/membership/evaluate.go
+++ b/internal/controlplane/membership/evaluate.go
@@ -15,8 +15,8 @@
 	endpoints map[string]Endpoint // by key of the slices that list it
 	published bool                // the list had it after the last change
 
-	// drained says that the process is known to end. It is never taken back.
-	drained   bool
+	// ending says that the process is known to end. It is never reset.
+	ending    bool
 	goneSince float64 // 0: it has not gone, or it was never in a list
 	// vanishedSince is since when no slice lists it although its end is not known; 0: it has not vanished.
 	vanishedSince float64
@@ -26,8 +26,8 @@
 	readyNotBefore  float64 // when the delay after its last loss ends; 0: no delay has begun
 }
 
-// settle evaluates the servers that an observation touched, and returns what changed: servers that drain first, since
-// each millisecond that they still get requests counts.
+// settle evaluates the servers that an observation touched, and returns what changed: servers that drain first, so
+// that nodes stop sending them requests as early as possible.
 func (s *State) settle() []Change {
 	servers := slices.SortedFunc(maps.Keys(s.dirty), func(a, b *server) int {
 		return cmp.Or(cmp.Compare(a.service, b.service), cmp.Compare(a.ID, b.ID))
@@ -77,9 +77,9 @@
 	if server.Zone == "" {
 		server.Zone = s.nodes[server.node].Zone
 	}
-	server.drained = server.drained || terminating || s.isEnding(server)
+	server.ending = server.ending || terminating || s.isEnding(server)
 	switch {
-	case server.drained:
+	case server.ending:
 		s.drain(server, listed)
 	case !listed && server.published:
 		s.evaluateVanished(server)
--- a/internal/controlplane/membership/shrink.go
+++ b/internal/controlplane/membership/shrink.go
@@ -37,7 +37,7 @@
 // vanishesNow reports whether a published server has vanished since it was last evaluated.
 func (s *State) vanishesNow(server *server) bool {
 	return len(server.endpoints) == 0 && server.published && server.vanishedSince == 0 &&
-		!server.drained && !s.hasEnded(server)
+		!server.ending && !s.hasEnded(server)
 }
 
 func (s *service) countReady() int {
@@ -53,7 +53,7 @@
 func (s *State) countAlive(owner *service) int {
 	alive := 0
 	for _, server := range owner.servers {
-		if len(server.endpoints) > 0 && !server.drained && !s.hasEnded(server) {
+		if len(server.endpoints) > 0 && !server.ending && !s.hasEnded(server) {
 			alive++
 		}
 	}
