--- a/internal/controlplane/desiredstate/desiredstate_test.go
+++ b/internal/controlplane/desiredstate/desiredstate_test.go
@@ -6,79 +6,144 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
 	"robincart/internal/record/record"
 )
 
-const service = "[[service]]\nname = \"s\"\nservers = [\"127.0.0.1:1\"]\n"
+const serviceText = "[[service]]\nname = \"s\"\nservers = [\"127.0.0.1:1\"]\n"
 
-func wish(key string, created int64, kind, name, text string) Object {
-	return Object{Key: key, UID: key, Generation: 3, CreatedAt: created, Spec: Spec{kind, name, text}}
+func newObject(key string, created int64, kind, name, text string) Object {
+	return Object{
+		Key: key, UID: key, Generation: 3, CreatedAt: created, Spec: Spec{Kind: kind, Name: name, Text: text},
+	}
 }
 
-func fact(kind record.Kind, name, by, value string) record.Entry {
-	return record.Entry{Key: record.Key{Kind: kind, Name: name}, Revision: 7, Writer: by, Value: json.RawMessage(value)}
+func newEntry(kind record.Kind, name, writer, value string) record.Entry {
+	return record.Entry{
+		Key: record.Key{Kind: kind, Name: name}, Revision: 7, Writer: writer, Value: json.RawMessage(value),
+	}
 }
 
-func mark() string { return "m" }
+func newKey() string { return "m" }
 
-func TestEachWishIsToldHowItStands(t *testing.T) {
-	text, _ := json.Marshal(map[string]string{"toml": service})
-	facts := []record.Entry{fact(record.KindService, "s", Writer, string(text)), fact(record.KindTenant, "s/mine", "a person", `{"quota":1,"weight":1}`),
-		fact(record.KindRoute, "left", Writer, `{"toml":""}`), fact(record.KindRoute, "theirs", "a person", `{"toml":""}`), fact(record.KindDrain, "s/x", Writer, `{}`)}
-	malformed := wish("d/malformed", 1, "route", "r", "")
+// recordedEntries are a service that an object defines, a route that none does any more, and entries that are not the
+// controller's to change.
+func recordedEntries(t *testing.T) []record.Entry {
+	value, err := json.Marshal(tomlValue{TOML: serviceText})
+	require.NoError(t, err)
+	return []record.Entry{
+		newEntry(record.KindService, "s", Writer, string(value)),
+		newEntry(record.KindTenant, "s/mine", "a person", `{"quota":1,"weight":1}`),
+		newEntry(record.KindRoute, "left", Writer, `{"toml":""}`),
+		newEntry(record.KindRoute, "theirs", "a person", `{"toml":""}`),
+		newEntry(record.KindDrain, "s/x", Writer, `{}`),
+	}
+}
+
+func TestReconcile_Statuses(t *testing.T) {
+	malformed := newObject("d/malformed", 1, "route", "r", "")
 	malformed.Malformed = "no object"
-	objects := []Object{wish("d/late", 9, "service", "s", service), wish("d/first", 1, "service", "s", service), wish("d/theirs", 1, "tenant", "s/mine", `{"quota":2,"weight":1}`),
-		wish("d/new", 1, "tenant", "s/new", `{"quota": 2, "weight": 1}`), wish("d/kind", 1, "drain", "s/x", "{}"), wish("d/quota", 1, "tenant", "s/q", `{"quota":-1}`),
-		wish("d/toml", 1, "route", "r", "[[route]]\nname = \"other\"\n"), wish("d/tenant", 1, "tenant", "no service", `{}`), malformed}
-	changes, told := Reconcile(objects, true, facts, "e", mark)
-	assert.Equal(t, Status{Accepted: true, Generation: 3, Revision: 7, Epoch: "e"}, told["d/first"])
-	for key, why := range map[string]string{"d/late": "d/first already", "d/theirs": "by a person", "d/new": "being written", "d/kind": "spec.kind", "d/quota": "quota",
-		"d/toml": "of that name", "d/tenant": "SERVICE/NAME", "d/malformed": "no object"} {
-		assert.False(t, told[key].Accepted, key)
-		assert.Contains(t, told[key].Reason, why)
+	rejected := []struct {
+		object Object
+		reason string
+	}{
+		{newObject("d/late", 9, "service", "s", serviceText), "d/first already"},
+		{newObject("d/theirs", 1, "tenant", "s/mine", `{"quota":2,"weight":1}`), "by a person"},
+		{newObject("d/new", 1, "tenant", "s/new", `{"quota": 2, "weight": 1}`), "being written"},
+		{newObject("d/kind", 1, "drain", "s/x", "{}"), "spec.kind"},
+		{newObject("d/quota", 1, "tenant", "s/q", `{"quota":-1}`), "quota"},
+		{newObject("d/toml", 1, "route", "r", "[[route]]\nname = \"other\"\n"), "of that name"},
+		{newObject("d/tenant", 1, "tenant", "no service", `{}`), "SERVICE/NAME"},
+		{malformed, "no object"},
+	}
+	objects := []Object{newObject("d/first", 1, "service", "s", serviceText)}
+	for _, test := range rejected {
+		objects = append(objects, test.object)
 	}
-	assert.Len(t, changes, 2)
-	assert.Equal(t, record.Change{Key: record.Key{Kind: record.KindTenant, Name: "s/new"}, Writer: Writer, IdempotencyKey: "m", Value: json.RawMessage(`{"quota": 2, "weight": 1}`)}, changes[0])
-	assert.Equal(t, record.Change{Key: record.Key{Kind: record.KindRoute, Name: "left"}, ExpectedRevision: 7, Delete: true, Writer: Writer, IdempotencyKey: "m"}, changes[1])
-	changes, _ = Reconcile(nil, false, facts, "e", mark)
-	assert.Empty(t, changes, "a list that is lacking is no word")
+
+	changes, statuses := Reconcile(objects, true, recordedEntries(t), "e", newKey)
+	assert.Equal(t, Status{Accepted: true, Generation: 3, Revision: 7, Epoch: "e"}, statuses["d/first"])
+	for _, test := range rejected {
+		t.Run(test.object.Key, func(t *testing.T) {
+			assert.False(t, statuses[test.object.Key].Accepted)
+			assert.Contains(t, statuses[test.object.Key].Reason, test.reason)
+		})
+	}
+	assert.Equal(t, []record.Change{
+		{
+			Key: record.Key{Kind: record.KindTenant, Name: "s/new"}, Writer: Writer, IdempotencyKey: "m",
+			Value: json.RawMessage(`{"quota": 2, "weight": 1}`),
+		},
+		{
+			Key: record.Key{Kind: record.KindRoute, Name: "left"}, ExpectedRevision: 7, Delete: true, Writer: Writer,
+			IdempotencyKey: "m",
+		},
+	}, changes)
+}
+
+func TestReconcile_IncompleteListDeletesNothing(t *testing.T) {
+	changes, _ := Reconcile(nil, false, recordedEntries(t), "e", newKey)
+	assert.Empty(t, changes)
 }
 
-// Whatever was there, one turn brings the record to where nothing is left to do, touches nobody else's facts, and in any order of
-// the objects the same ones hold.
-func TestOneTurnIsEnough(t *testing.T) {
+// Whatever the record had, it is as defined after one turn, entries of other writers are not touched, and the order of
+// the objects does not matter.
+func TestReconcile_OneTurnIsEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		facts := map[record.Key]record.Entry{}
-		for i := range rapid.IntRange(0, 5).Draw(t, "facts") {
-			f := fact(record.KindTenant, fmt.Sprint("s/", i), rapid.SampledFrom([]string{Writer, "a person"}).Draw(t, "by"), fmt.Sprintf(`{"quota":%d,"weight":1}`, rapid.IntRange(-1, 1).Draw(t, "was")))
-			facts[f.Key] = f
-		}
-		var objects []Object
-		for i := range rapid.IntRange(0, 6).Draw(t, "objects") {
-			objects = append(objects, wish(fmt.Sprint("d/", i), int64(rapid.IntRange(0, 2).Draw(t, "created")), "tenant", fmt.Sprint("s/", rapid.IntRange(0, 5).Draw(t, "name")),
-				fmt.Sprintf(`{"quota":%d,"weight":1}`, rapid.IntRange(-1, 1).Draw(t, "is"))))
-		}
-		list := func() (all []record.Entry) {
-			for _, f := range facts {
-				all = append(all, f)
+		present := drawEntries(t)
+		objects := drawObjects(t)
+		changes, _ := Reconcile(objects, true, listEntries(present), "e", newKey)
+		for _, change := range changes {
+			replaced, exists := present[change.Key]
+			assert.Equal(t, replaced.Revision, change.ExpectedRevision)
+			assert.False(t, exists && replaced.Writer != Writer, "%+v", change)
+			delete(present, change.Key)
+			if !change.Delete {
+				present[change.Key] = record.Entry{
+					Key: change.Key, Revision: 8, Writer: change.Writer, Value: change.Value,
+				}
 			}
-			return all
 		}
-		changes, _ := Reconcile(objects, true, list(), "e", mark)
-		for _, c := range changes {
-			now, is := facts[c.Key]
-			assert.Equal(t, now.Revision, c.ExpectedRevision)
-			assert.False(t, is && now.Writer != Writer, "%+v", c)
-			if delete(facts, c.Key); !c.Delete {
-				facts[c.Key] = record.Entry{Key: c.Key, Revision: 8, Writer: c.Writer, Value: c.Value}
-			}
-		}
-		again, told := Reconcile(objects, true, list(), "e", mark)
+		again, statuses := Reconcile(objects, true, listEntries(present), "e", newKey)
 		assert.Empty(t, again)
-		assert.Len(t, told, len(objects))
-		_, shuffled := Reconcile(rapid.Permutation(objects).Draw(t, "order"), true, list(), "e", mark)
-		assert.Equal(t, told, shuffled)
+		assert.Len(t, statuses, len(objects))
+		shuffled := rapid.Permutation(objects).Draw(t, "order")
+		_, statusesOfShuffled := Reconcile(shuffled, true, listEntries(present), "e", newKey)
+		assert.Equal(t, statuses, statusesOfShuffled)
 	})
 }
+
+// drawQuota draws the value of a tenant; a quota of -1 is invalid.
+func drawQuota(t *rapid.T, label string) string {
+	return fmt.Sprintf(`{"quota":%d,"weight":1}`, rapid.IntRange(-1, 1).Draw(t, label))
+}
+
+func drawEntries(t *rapid.T) map[record.Key]record.Entry {
+	entries := map[record.Key]record.Entry{}
+	for i := range rapid.IntRange(0, 5).Draw(t, "entries") {
+		writer := rapid.SampledFrom([]string{Writer, "a person"}).Draw(t, "writer")
+		entry := newEntry(record.KindTenant, fmt.Sprint("s/", i), writer, drawQuota(t, "present"))
+		entries[entry.Key] = entry
+	}
+	return entries
+}
+
+func drawObjects(t *rapid.T) []Object {
+	var objects []Object
+	for i := range rapid.IntRange(0, 6).Draw(t, "objects") {
+		created := int64(rapid.IntRange(0, 2).Draw(t, "created"))
+		name := fmt.Sprint("s/", rapid.IntRange(0, 5).Draw(t, "name"))
+		objects = append(objects, newObject(fmt.Sprint("d/", i), created, "tenant", name, drawQuota(t, "desired")))
+	}
+	return objects
+}
+
+func listEntries(byKey map[record.Key]record.Entry) []record.Entry {
+	var entries []record.Entry
+	for _, entry := range byKey {
+		entries = append(entries, entry)
+	}
+	return entries
+}
--- a/internal/controlplane/desiredstate/golden_test.go
+++ b/internal/controlplane/desiredstate/golden_test.go
@@ -1,7 +1,7 @@
 package desiredstate
 
-// The files under testdata were written by the code at commit 0cdd5b2. Objects of the cluster manager and facts of
-// the record keep these forms over versions. Never regenerate the files to follow a rename.
+// The files under testdata were written by the code at commit 0cdd5b2. Objects of the cluster manager and entries
+// of the record keep these forms over versions. Never regenerate the files to follow a rename.
 
 import (
 	"encoding/json"
@@ -43,8 +43,7 @@
 	}
 }
 
-// The value of a fact is what stands in the record.
-func TestFact_Golden(t *testing.T) {
+func TestEntry_GoldenValue(t *testing.T) {
 	for _, test := range []struct {
 		golden string
 		spec   Spec
@@ -56,16 +55,16 @@
 	} {
 		t.Run(test.golden, func(t *testing.T) {
 			object := Object{Spec: test.spec}
-			key, value, err := object.fact()
+			entry, err := object.entry()
 			require.NoError(t, err)
-			assert.Equal(t, test.want, key)
-			testutil.EqualGolden(t, test.golden, append(value, '\n'))
+			assert.Equal(t, test.want, entry.Key)
+			testutil.EqualGolden(t, test.golden, append(entry.Value, '\n'))
 		})
 	}
 }
 
 // A golden value that is in the record already is found again, and nothing is written.
-func TestDecide_GoldenFactIsAccepted(t *testing.T) {
+func TestReconcile_GoldenEntryAccepted(t *testing.T) {
 	object := Object{
 		Key: "booking/tables", UID: "u", Generation: 3, CreatedAt: 1712998800123,
 		Spec: Spec{Kind: "service", Name: "tables", Text: goldenText},
@@ -74,11 +73,11 @@
 		Key: record.Key{Kind: "service", Name: "tables"}, Revision: 7, Writer: "controller",
 		Value: json.RawMessage(testutil.Golden(t, "fact-service.json")),
 	}
-	changes, statuses := Reconcile([]Object{object}, true, []record.Entry{stored}, "5f2a9c", mark)
+	changes, statuses := Reconcile([]Object{object}, true, []record.Entry{stored}, "5f2a9c", newKey)
 	assert.Empty(t, changes)
 	want := Status{Accepted: true, Generation: 3, Revision: 7, Epoch: "5f2a9c"}
 	assert.Equal(t, map[string]Status{"booking/tables": want}, statuses)
-	changes, _ = Reconcile([]Object{object}, true, nil, "5f2a9c", mark)
+	changes, _ = Reconcile([]Object{object}, true, nil, "5f2a9c", newKey)
 	require.Len(t, changes, 1)
-	assert.Equal(t, "controller", changes[0].Writer, "who wrote a fact is stored with it")
+	assert.Equal(t, "controller", changes[0].Writer, "the writer is stored with the entry")
 }
