--- a/internal/controlplane/recordcache/recordcache.go
+++ b/internal/controlplane/recordcache/recordcache.go
@@ -263,7 +263,8 @@
 		k.back = true
 	}
 	k.mu.Lock()
-	after, whole := k.view.NextRead(m)
+	read := k.view.NextRead(m)
+	after, whole := read.After, read.Complete
 	if k.back {
 		after, whole = 0, true
 	}
--- /dev/null
+++ b/internal/record/record/change.go
@@ -0,0 +1,242 @@
+package record
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// AnyRevision as a change's ExpectedRevision applies the change whatever revision the entry has.
+const AnyRevision = -1
+
+// Change is a request to write or delete one entry.
+type Change struct {
+	Key
+	ExpectedRevision int64           `json:"Expect"` // of the entry; 0: there is none, or a deleted one; or AnyRevision
+	Delete           bool            `json:"Delete"`
+	Writer           string          `json:"By"`
+	IdempotencyKey   string          `json:"Mark"` // unique to a change; a retry carries the same one
+	WrittenAt        int64           `json:"At"`
+	Value            json.RawMessage `json:"Value"`
+}
+
+// InvalidChangeError reports a change that no store accepts.
+type InvalidChangeError struct {
+	Key    Key
+	Reason string
+}
+
+func (e *InvalidChangeError) Error() string {
+	return fmt.Sprintf("%s %q: %s", e.Key.Kind, e.Key.Name, e.Reason)
+}
+
+// ConflictError rejects a change because the entry does not have the expected revision: another writer was faster.
+type ConflictError struct {
+	Change  Change `json:"Change"`
+	Current Entry  `json:"Now"` // Revision 0: there is none
+}
+
+func (e *ConflictError) Error() string {
+	if e.Current.Revision == 0 {
+		return fmt.Sprintf("%s %s: expected revision %d, but there is no such entry",
+			e.Change.Kind, e.Change.Name, e.Change.ExpectedRevision)
+	}
+	return fmt.Sprintf("%s %s: expected revision %d, but it has revision %d by %s: %s",
+		e.Change.Kind, e.Change.Name, e.Change.ExpectedRevision, e.Current.Revision, e.Current.Writer, e.Current.Value)
+}
+
+// StaleError rejects a change that a newer entry has superseded.
+type StaleError struct {
+	Change  Change `json:"Change"`
+	Current Entry  `json:"Now"`
+}
+
+func (e *StaleError) Error() string {
+	return fmt.Sprintf("%s %s: superseded by revision %d: %s",
+		e.Change.Kind, e.Change.Name, e.Current.Revision, e.Current.Value)
+}
+
+// Validate checks a change's form, without regard to what is stored. Its error is an *InvalidChangeError.
+func (c *Change) Validate() error {
+	reason := c.invalidField()
+	if reason == "" && !c.Delete {
+		reason = c.invalidValue()
+	}
+	if reason == "" {
+		return nil
+	}
+	return &InvalidChangeError{Key: c.Key, Reason: reason}
+}
+
+// invalidField returns what is wrong with the fields that every change has, or an empty string.
+func (c *Change) invalidField() string {
+	switch {
+	case !slices.Contains(Kinds, c.Kind):
+		return "unknown kind"
+	case !validName(c.Name):
+		return fmt.Sprintf("the name is empty, longer than %d bytes or not printable", MaxNameLength)
+	case c.IdempotencyKey == "":
+		return "the idempotency key is missing"
+	case len(c.IdempotencyKey) > MaxNameLength || len(c.Writer) > MaxNameLength:
+		return fmt.Sprintf("the idempotency key or the writer's name is longer than %d bytes", MaxNameLength)
+	case c.ExpectedRevision < AnyRevision:
+		return "the expected revision is out of range"
+	}
+	return ""
+}
+
+func validName(name string) bool {
+	const replacementCharacter = 0xfffd // what invalid UTF-8 decodes to
+	if name == "" || len(name) > MaxNameLength {
+		return false
+	}
+	return !strings.ContainsFunc(name, func(char rune) bool { return char < ' ' || char == replacementCharacter })
+}
+
+// invalidValue returns what is wrong with a value and the name that goes with it, or an empty string.
+func (c *Change) invalidValue() string {
+	if len(c.Value) > MaxValueSize {
+		return fmt.Sprintf("the value is longer than %d bytes", MaxValueSize)
+	}
+	if !json.Valid(c.Value) {
+		return "the value is not valid JSON"
+	}
+	if c.Kind != KindService && c.Kind != KindRoute {
+		if _, member, _ := strings.Cut(c.Name, "/"); member == "" {
+			return "the name is not of the form SERVICE/NAME"
+		}
+	}
+	switch c.Kind {
+	case KindServer:
+		return invalidObservation(c.Value)
+	case KindDrain:
+		return invalidDrain(c.Value)
+	}
+	return ""
+}
+
+func invalidObservation(value json.RawMessage) string {
+	var observation Observation
+	if err := json.Unmarshal(value, &observation); err != nil {
+		return err.Error()
+	}
+	if phaseRank(observation.Phase) < 0 {
+		return fmt.Sprintf("unknown phase %q", observation.Phase)
+	}
+	return ""
+}
+
+func invalidDrain(value json.RawMessage) string {
+	var drain Drain
+	if err := json.Unmarshal(value, &drain); err != nil {
+		return err.Error()
+	}
+	if drain.Since < 0 || drain.Start < 0 || drain.Until < 0 {
+		return "a time is before 1970"
+	}
+	return ""
+}
+
+// Outcome is what a store does with an accepted change.
+type Outcome int
+
+// The outcomes of a change.
+const (
+	OutcomeWrite          Outcome = iota
+	OutcomeAlreadyApplied         // an earlier attempt was written: its idempotency key is stored
+	OutcomeUnchanged              // the entry already says so
+)
+
+// Evaluate decides what a change does to the current entry, nil if there is none. Stores call it inside their
+// transaction, so that all of them enforce the same rules: compare-and-set by revision, and no older change undoes a
+// drain or a newer process. It returns an *InvalidChangeError, a *ConflictError or a *StaleError.
+func Evaluate(current *Entry, change *Change) (Outcome, error) {
+	if err := change.Validate(); err != nil {
+		return 0, err
+	}
+	if current != nil && current.IdempotencyKey == change.IdempotencyKey {
+		return OutcomeAlreadyApplied, nil
+	}
+	if err := checkRevision(current, change); err != nil {
+		return 0, err
+	}
+	if current == nil || current.Deleted {
+		if change.Delete {
+			return OutcomeUnchanged, nil
+		}
+		return OutcomeWrite, nil
+	}
+	if change.Delete {
+		return OutcomeWrite, nil
+	}
+	if string(current.Value) == string(change.Value) {
+		return OutcomeUnchanged, nil
+	}
+	switch change.Kind {
+	case KindDrain:
+		return evaluateDrain(current, change)
+	case KindServer:
+		return evaluateObservation(current, change)
+	}
+	return OutcomeWrite, nil
+}
+
+// checkRevision is the compare of compare-and-set.
+func checkRevision(current *Entry, change *Change) error {
+	if change.ExpectedRevision == AnyRevision {
+		return nil
+	}
+	conflict := &ConflictError{Change: *change}
+	var revision int64 // 0: there is no entry, or a deleted one
+	if current != nil {
+		conflict.Current = *current
+		if !current.Deleted {
+			revision = current.Revision
+		}
+	}
+	if change.ExpectedRevision == revision {
+		return nil
+	}
+	return conflict
+}
+
+// evaluateDrain replaces a drain by one that covers more. Of two drains of one process the one that expires later
+// wins, unless an operator ended it: an end names the revision that it ends.
+func evaluateDrain(current *Entry, change *Change) (Outcome, error) {
+	stored, ok := current.drain()
+	if !ok {
+		return OutcomeWrite, nil
+	}
+	var requested Drain
+	json.Unmarshal(change.Value, &requested) // Validate has decoded it
+	if requested.equivalent(stored) {
+		// All nodes are notified of a drain, each at its own time: the first of them is the one that stays.
+		return OutcomeUnchanged, nil
+	}
+	superseded := requested.weakerThan(stored)
+	if stored.Ended && !requested.Ended {
+		superseded = !requested.reopens(stored, current.Revision)
+	}
+	if superseded && change.ExpectedRevision != current.Revision {
+		return 0, &StaleError{Change: *change, Current: *current}
+	}
+	return OutcomeWrite, nil
+}
+
+// evaluateObservation replaces an observation by one of a later process or phase, or of the same with other data.
+func evaluateObservation(current *Entry, change *Change) (Outcome, error) {
+	stored, ok := current.observation()
+	if !ok {
+		return OutcomeWrite, nil
+	}
+	var requested Observation
+	json.Unmarshal(change.Value, &requested) // Validate has decoded it
+	if requested.equivalent(stored) {
+		return OutcomeUnchanged, nil
+	}
+	if requested.olderThan(stored) {
+		return 0, &StaleError{Change: *change, Current: *current}
+	}
+	return OutcomeWrite, nil
+}
--- a/internal/record/record/golden_test.go
+++ b/internal/record/record/golden_test.go
@@ -16,7 +16,7 @@
 	"robincart/internal/testutil/golden"
 )
 
-func goldenFact() Entry {
+func goldenEntry() Entry {
 	return Entry{
 		Key:            Key{Kind: KindServer, Name: "shop/a1"},
 		Revision:       41,
@@ -40,7 +40,7 @@
 	}
 }
 
-func goldenSighting() Observation {
+func goldenObservation() Observation {
 	return Observation{
 		Addr:         "10.0.0.1:8080",
 		Phase:        "ready",
@@ -52,7 +52,7 @@
 	}
 }
 
-func goldenDrained() Drain {
+func goldenDrain() Drain {
 	return Drain{
 		Start:      1764000000001,
 		Since:      1765000000002,
@@ -63,8 +63,8 @@
 	}
 }
 
-// factOfEachKind pins the names of the kinds as well.
-func factOfEachKind() []Entry {
+// entryOfEachKind pins the names of the kinds as well.
+func entryOfEachKind() []Entry {
 	return []Entry{
 		{Key: Key{Kind: KindDrain, Name: "shop/a1"}, Revision: 1, Writer: "alice", IdempotencyKey: "m1", WrittenAt: 11,
 			Value: json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice"}`)},
@@ -81,24 +81,24 @@
 func TestGolden_JSON(t *testing.T) {
 	meta := Meta{Epoch: "epoch-1", Revision: 44}
 	t.Run("meta", func(t *testing.T) { golden.FullJSON(t, "meta.json", meta) })
-	t.Run("fact", func(t *testing.T) { golden.FullJSON(t, "fact.json", goldenFact()) })
+	t.Run("fact", func(t *testing.T) { golden.FullJSON(t, "fact.json", goldenEntry()) })
 	t.Run("fact zero", func(t *testing.T) { golden.JSON(t, "fact_zero.json", Entry{}) })
 	t.Run("change", func(t *testing.T) { golden.FullJSON(t, "change.json", goldenChange()) })
 	t.Run("conflict", func(t *testing.T) {
-		golden.FullJSON(t, "conflict.json", ConflictError{Change: goldenChange(), Current: goldenFact()})
+		golden.FullJSON(t, "conflict.json", ConflictError{Change: goldenChange(), Current: goldenEntry()})
 	})
 	t.Run("stale", func(t *testing.T) {
-		golden.FullJSON(t, "stale.json", StaleError{Change: goldenChange(), Current: goldenFact()})
+		golden.FullJSON(t, "stale.json", StaleError{Change: goldenChange(), Current: goldenEntry()})
 	})
 	t.Run("sighting", func(t *testing.T) {
 		// Service and ID are of the fact's name and stay out of its value: FullJSON passes over them.
-		golden.FullJSON(t, "sighting.json", goldenSighting())
+		golden.FullJSON(t, "sighting.json", goldenObservation())
 	})
 	t.Run("sighting zero", func(t *testing.T) { golden.JSON(t, "sighting_zero.json", Observation{}) })
-	t.Run("drained", func(t *testing.T) { golden.FullJSON(t, "drained.json", goldenDrained()) })
+	t.Run("drained", func(t *testing.T) { golden.FullJSON(t, "drained.json", goldenDrain()) })
 	t.Run("drained zero", func(t *testing.T) { golden.JSON(t, "drained_zero.json", Drain{}) })
 	t.Run("page", func(t *testing.T) {
-		golden.FullJSON(t, "page.json", Page{Meta: meta, Complete: true, Entries: factOfEachKind()})
+		golden.FullJSON(t, "page.json", Page{Meta: meta, Complete: true, Entries: entryOfEachKind()})
 	})
 	t.Run("page zero", func(t *testing.T) { golden.JSON(t, "page_zero.json", Page{}) })
 	t.Run("snapshot", func(t *testing.T) {
@@ -106,8 +106,8 @@
 			Meta:        meta,
 			LastContact: 1765000000789,
 			LatestTime:  1765000000999,
-			Entries:     factOfEachKind(),
-			Drains:      map[string]Drain{"shop/a1": goldenDrained(), "shop/b2": {Since: 7, By: "bob"}},
+			Entries:     entryOfEachKind(),
+			Drains:      map[string]Drain{"shop/a1": goldenDrain(), "shop/b2": {Since: 7, By: "bob"}},
 		})
 	})
 	t.Run("snapshot zero", func(t *testing.T) { golden.JSON(t, "snapshot_zero.json", Snapshot{}) })
@@ -121,8 +121,8 @@
 	golden.Check(t, "change_zero.json", append(written, '\n'))
 }
 
-func TestGolden_SightingWithoutItsName(t *testing.T) {
-	sighting := goldenSighting()
+func TestGolden_ObservationOmitsName(t *testing.T) {
+	sighting := goldenObservation()
 	sighting.Service, sighting.ID = "shop", "a1"
 	written, err := json.Marshal(sighting)
 	require.NoError(t, err)
@@ -164,7 +164,7 @@
 }
 
 // The status page shows these words.
-func TestGolden_StandingWords(t *testing.T) {
+func TestGolden_SyncStateText(t *testing.T) {
 	for standing, want := range map[SyncState]string{
 		NeverSynced:  "never reached",
 		Following:    "follows",
--- /dev/null
+++ b/internal/record/record/view_pending.go
@@ -0,0 +1,108 @@
+package record
+
+import (
+	"encoding/json"
+	"slices"
+	"strings"
+)
+
+// Pending returns the changes to be written next, drains first and at most a limit.
+func (v *View) Pending(limit int) []Change {
+	byKind := map[Kind][]Change{}
+	for key, change := range v.pending {
+		byKind[key.Kind] = append(byKind[key.Kind], change)
+	}
+	var changes []Change
+	for _, kind := range Kinds {
+		slices.SortFunc(byKind[kind], func(a, b Change) int { return strings.Compare(a.Name, b.Name) })
+		changes = append(changes, byKind[kind]...)
+	}
+	return changes[:min(limit, len(changes))]
+}
+
+// PendingCount returns how many changes are to be written.
+func (v *View) PendingCount() int { return len(v.pending) }
+
+// UnrecordedDrains returns how many drains are known to this node alone.
+func (v *View) UnrecordedDrains() int {
+	count := 0
+	for key := range v.pending {
+		if key.Kind == KindDrain {
+			count++
+		}
+	}
+	return count
+}
+
+// MarkWritten notes that a change was stored as an entry. An entry with Revision 0 says that the store rejected the
+// change in favor of something newer.
+func (v *View) MarkWritten(change Change, entry Entry) {
+	queued, ok := v.pending[change.Key]
+	if ok && queued.IdempotencyKey == change.IdempotencyKey {
+		delete(v.pending, change.Key)
+	}
+	if entry.Revision <= 0 {
+		return
+	}
+	v.writtenRevision = max(v.writtenRevision, entry.Revision)
+	known, ok := v.entries[entry.Key]
+	if !ok || known.Revision < entry.Revision {
+		v.entries[entry.Key] = entry
+	}
+}
+
+// Prune queues the deletion of servers that left longer ago than a retention time. Without it the record would grow
+// with every server name there has been; until then an old endpoint list can't bring such a server back.
+func (v *View) Prune(now, retention int64) {
+	now = v.advanceClock(now)
+	for key, entry := range v.entries {
+		if len(v.pending) >= v.MaxPending {
+			return
+		}
+		if key.Kind != KindServer || now-entry.WrittenAt <= retention {
+			continue
+		}
+		observation, ok := entry.observation()
+		if !ok || observation.Phase != PhaseGone {
+			continue
+		}
+		if _, queued := v.pending[key]; !queued {
+			v.enqueue(Change{Key: key, ExpectedRevision: entry.Revision, Delete: true})
+		}
+	}
+}
+
+// queueObservation queues an observation that adds something to the copy. If the queue is full it is dropped: the next
+// endpoint list brings it again.
+func (v *View) queueObservation(observation Observation) {
+	key := Key{Kind: KindServer, Name: observation.Service + "/" + observation.ID}
+	value, _ := json.Marshal(observation) // a struct of strings and numbers is always encoded
+	if entry, ok := v.entries[key]; ok && observation.impliedBy(entry, value) {
+		return
+	}
+	if _, queued := v.pending[key]; !queued && len(v.pending) >= v.MaxPending {
+		v.Dropped++
+		return
+	}
+	v.enqueue(Change{Key: key, ExpectedRevision: AnyRevision, Value: value})
+}
+
+// queueDrain queues a drain, whatever the queue's length. A change that is already queued with the same value keeps
+// its idempotency key: it may have been written.
+func (v *View) queueDrain(name string, drain Drain) {
+	key := drainKey(name)
+	value, _ := json.Marshal(drain) // a struct of strings and numbers is always encoded
+	queued, ok := v.pending[key]
+	if ok && string(queued.Value) == string(value) {
+		return
+	}
+	v.enqueue(Change{Key: key, ExpectedRevision: AnyRevision, Value: value})
+}
+
+// enqueue completes a change and puts it into the queue, in place of an earlier one of the same key.
+func (v *View) enqueue(change Change) {
+	change.Writer = v.writer
+	change.IdempotencyKey = v.newIdempotencyKey()
+	change.WrittenAt = v.LatestTime
+	v.pending[change.Key] = change
+}
--- /dev/null
+++ b/internal/record/record/view_sync.go
@@ -0,0 +1,166 @@
+package record
+
+// Position returns how far this node has read or written the record.
+func (v *View) Position() Meta {
+	return Meta{Epoch: v.Meta.Epoch, Revision: max(v.Meta.Revision, v.writtenRevision)}
+}
+
+// NextRead returns what to read from a store at a position.
+func (v *View) NextRead(store Meta) ReadRange {
+	position := v.Position()
+	if store.Epoch != position.Epoch || store.Revision < position.Revision {
+		return ReadRange{Complete: true}
+	}
+	return ReadRange{After: v.Meta.Revision}
+}
+
+// SizeWith returns how many entries the view would hold after a page, deleted ones included.
+func (v *View) SizeWith(page Page) int {
+	if page.Complete {
+		return len(page.Entries)
+	}
+	size := len(v.entries)
+	for _, entry := range page.Entries {
+		if _, known := v.entries[entry.Key]; !known {
+			size++
+		}
+	}
+	return size
+}
+
+// ApplyPage merges a page read from the store. It never forgets a drain that this node knows: a drain that the store
+// lacks is queued to be written again.
+func (v *View) ApplyPage(page Page, now int64) {
+	v.advanceClock(now)
+	v.SyncState = v.stateAtPage(page.Meta)
+	recorded := v.recordedDrains()
+	v.mergeEntries(page)
+	inPage := map[Key]bool{}
+	for _, entry := range page.Entries {
+		inPage[entry.Key] = true
+		v.dropImpliedObservation(entry)
+	}
+	v.adoptLostDrains(recorded, page.Complete, inPage)
+	v.reconcileLocalDrains(inPage)
+	if v.SyncState != RolledBack {
+		v.Meta = page.Meta
+		v.writtenRevision = 0
+	}
+	v.LastContact = now
+}
+
+// stateAtPage returns the copy's state towards a store that returned a page at a position.
+func (v *View) stateAtPage(store Meta) SyncState {
+	switch {
+	case v.Meta.Epoch == "":
+		return Following
+	case store.Epoch != v.Meta.Epoch:
+		return EpochChanged
+	case store.Revision < v.Position().Revision:
+		return RolledBack
+	}
+	return Following
+}
+
+// recordedDrains returns the drains in the copy, by name.
+func (v *View) recordedDrains() map[string]Entry {
+	drains := map[string]Entry{}
+	for key, entry := range v.entries {
+		if key.Kind == KindDrain && !entry.Deleted {
+			drains[key.Name] = entry
+		}
+	}
+	return drains
+}
+
+// mergeEntries puts a page's entries into the copy. Entries that are newer than those of a store that was rolled back
+// stay until the store has passed them.
+func (v *View) mergeEntries(page Page) {
+	rolledBack := v.SyncState == RolledBack
+	if page.Complete && !rolledBack {
+		clear(v.entries)
+	}
+	for _, entry := range page.Entries {
+		known, ok := v.entries[entry.Key]
+		if rolledBack && ok && known.Revision >= entry.Revision {
+			continue
+		}
+		v.entries[entry.Key] = entry
+	}
+}
+
+// dropImpliedObservation takes a pending change to a server out of the queue if the stored entry already says the
+// same. All nodes learn of a server at once: if each of them wrote it, a node far from the store might never get
+// through its queue of changes that change nothing within the time of one call.
+func (v *View) dropImpliedObservation(entry Entry) {
+	change, queued := v.pending[entry.Key]
+	if !queued || entry.Kind != KindServer {
+		return
+	}
+	if change.Delete {
+		if entry.Deleted {
+			delete(v.pending, entry.Key)
+		}
+		return
+	}
+	observation, ok := Entry{Value: change.Value}.observation()
+	if ok && observation.impliedBy(entry, change.Value) {
+		delete(v.pending, entry.Key)
+	}
+}
+
+// adoptLostDrains makes drains that the store has lost this node's own, so that they are written again: those that a
+// complete page lacks (a drain that was deleted is in it as deleted), and in a new epoch those written differently.
+func (v *View) adoptLostDrains(recorded map[string]Entry, complete bool, inPage map[Key]bool) {
+	for name, entry := range recorded {
+		missing := complete && !inPage[entry.Key]
+		replaced := v.SyncState == EpochChanged && v.entries[entry.Key].IdempotencyKey != entry.IdempotencyKey
+		if !missing && !replaced {
+			continue
+		}
+		if drain, ok := entry.drain(); ok {
+			v.addLocalDrain(name, drain)
+		}
+	}
+}
+
+// reconcileLocalDrains forgets this node's own drains once the record has them, and queues those that it lacks.
+func (v *View) reconcileLocalDrains(inPage map[Key]bool) {
+	for name, drain := range v.localDrains {
+		key := drainKey(name)
+		entry, exists := v.entries[key]
+		stored, ok := entry.drain()
+		inStore := v.SyncState == Following || inPage[entry.Key] // and not in a copy of what the store has lost
+		if exists && ok && inStore && !drain.extends(stored, entry.Revision) {
+			if stored.Ended || stored.lastStart() > drain.lastStart() || stored == drain {
+				delete(v.localDrains, name)
+			}
+			delete(v.pending, key)
+			continue
+		}
+		_, queued := v.pending[key]
+		if exists && entry.Deleted && v.SyncState == Following && entry.Revision > 0 && !queued {
+			delete(v.localDrains, name) // it had been recorded; an operator deleted it since
+			continue
+		}
+		v.queueDrain(name, drain)
+	}
+}
+
+// MarkSynced notes the position of a store that was rolled back or changed its epoch, once the changes that it lacked
+// have been written. From there the store is followed.
+func (v *View) MarkSynced(store Meta) {
+	if len(v.pending) > 0 && store.Revision < v.Meta.Revision {
+		return
+	}
+	v.Meta = store
+	v.writtenRevision = 0
+	v.SyncState = Following
+}
+
+// MarkDisconnected notes that the store is unreachable.
+func (v *View) MarkDisconnected() {
+	if v.SyncState != NeverSynced {
+		v.SyncState = Disconnected
+	}
+}
--- a/internal/record/replica/replica_test.go
+++ b/internal/record/replica/replica_test.go
@@ -105,7 +105,7 @@
 	}
 	bad := drain
 	bad.Value = json.RawMessage(`{`)
-	assert.ErrorContains(t, CheckAllowed("e", []record.Change{bad}), "no JSON")
+	assert.ErrorContains(t, CheckAllowed("e", []record.Change{bad}), "the value is not valid JSON")
 	assert.ErrorIs(t, CheckAllowed(strings.Repeat("e", 1000), []record.Change{drain}), record.ErrEpochMismatch)
 	long := sighting("s/a", "ready", 1)
 	long.Value = json.RawMessage(`{"phase":"ready","addr":"` + strings.Repeat("x", MaxValueSize) + `"}`)
