--- a/internal/controlplane/recordcache/fleet_test.go
+++ b/internal/controlplane/recordcache/fleet_test.go
@@ -1,19 +1,11 @@
 package recordcache
 
 import (
-	"bufio"
-	"context"
-	"encoding/json"
 	"fmt"
-	"net"
-	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
-	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -21,279 +13,278 @@
 	"go.uber.org/zap"
 
 	"robincart/decide"
-	"robincart/internal/controlplane/recordserver"
 	"robincart/internal/core/node"
-	"robincart/internal/lab/pgstand"
-	"robincart/internal/lab/traffic"
 	"robincart/internal/record/record"
 	"robincart/internal/record/store"
 	"robincart/internal/record/store/sqlstore"
 )
 
-// TestMain serves the stand-in of the store, or three replicas' relays, where a measurement has started this binary for that: their CPU is to be told by
-// itself.
-func TestMain(m *testing.M) {
-	rows, of := os.Getenv("ROBINCART_PGSTAND_ROWS"), os.Getenv("ROBINCART_RELAYS_OF")
-	var counts func() counted
-	switch {
-	case rows != "":
-		s, err := pgstand.Start("127.0.0.1:0", rows)
-		if err != nil {
-			panic(err)
-		}
-		fmt.Println(s.Address())
-		counts = func() counted { return counted{Counts: s.Counts()} }
-	case of != "":
-		var addrs []string
-		var all []*traffic.Listener
-		for range 3 {
-			up, err := sqlstore.OpenExisting(of)
-			if err != nil {
-				panic(err)
-			}
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				panic(err)
-			}
-			r, t := recordserver.New(up, recordserver.DefaultConfig(), zap.NewNop()), traffic.Listen(ln)
-			go r.Run(context.Background())
-			go store.ServeWithLimits(context.Background(), t, r, recordserver.ClientLimits(5000))
-			addrs, all = append(addrs, ln.Addr().String()), append(all, t)
-		}
-		fmt.Println(strings.Join(addrs, ","))
-		counts = func() (c counted) {
-			for _, t := range all {
-				x := t.Counts()
-				c.Bytes, c.Segments, c.Connections = c.Bytes+x.Bytes, c.Segments+x.Segments, c.Connections+x.Connections
-			}
-			return c
+const (
+	fleetServices      = 30
+	serversPerService  = 15
+	fleetTimeout       = 60 * time.Second // of the start, and of each notification
+	quietTime          = 2 * time.Second
+	idleMeasuringTime  = 10 * time.Second
+	backgroundLeadTime = 200 * time.Millisecond
+)
+
+// BenchmarkFleet measures what a fleet's nodes cost the store of record, each by itself or through three replicas of
+// the controller: at their start, idle, for a drain that an operator records, for one that discovery notifies all nodes
+// of, and for an operator's while discovery notifies of a zone's end. Bytes per node are those that it sends and
+// receives for the record. Quiet is when nobody has written for two seconds.
+func BenchmarkFleet(b *testing.B) {
+	for _, mode := range []string{"direct", "controllers"} {
+		for _, nodes := range []int{14, 27, 55, 110, 220, 440} {
+			b.Run(fmt.Sprint(mode, "/", nodes), func(b *testing.B) {
+				for b.Loop() {
+					f := newFleet(b, mode == "controllers")
+					f.start(nodes)
+					f.measureIdle()
+					f.measureNotifications()
+					f.close()
+				}
+			})
 		}
-	default:
-		os.Exit(m.Run())
-	}
-	for in := bufio.NewScanner(os.Stdin); in.Scan(); { // a line asks for the counts
-		c := counts()
-		c.CPU, c.Resident = used(syscall.RUSAGE_SELF), resident()
-		text, _ := json.Marshal(c)
-		fmt.Println(string(text))
 	}
 }
 
-type counted struct {
-	pgstand.Counts
-	CPU      time.Duration
-	Resident int // KB
+// fleet is a store's process, perhaps one of replicas, and nodes in this process.
+type fleet struct {
+	b             *testing.B
+	postgres      *childProcess
+	replicas      *childProcess // nil: nodes read the store themselves
+	database      store.Store
+	opened        int // nodes
+	caches        []*Cache
+	subscriptions [][]*Subscription // by node and service
 }
 
-func used(who int) time.Duration {
-	var u syscall.Rusage
-	syscall.Getrusage(who, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+func newFleet(b *testing.B, throughReplicas bool) *fleet {
+	f := &fleet{b: b, postgres: startChild(b, rowsVariable, filepath.Join(b.TempDir(), "rows"))}
+	database, err := sqlstore.Open(f.postgres.Address)
+	require.NoError(b, err)
+	_, err = database.Init(b.Context(), false)
+	require.NoError(b, err)
+	f.database = database
+	if throughReplicas {
+		f.replicas = startChild(b, storeVariable, f.postgres.Address)
+	}
+	return f
 }
 
-func resident() (kb int) {
-	text, _ := os.ReadFile("/proc/self/status")
-	if _, after, ok := strings.Cut(string(text), "VmRSS:"); ok {
-		fmt.Sscan(after, &kb)
+// close ends the nodes. The processes end with the benchmark.
+func (f *fleet) close() {
+	for _, cache := range f.caches {
+		cache.Close()
 	}
-	return kb
+	f.database.Close()
 }
 
-// distant is the stand-in, or the relays, in a process of its own.
-type distant struct {
-	Address string
-	ask     func() counted
+// openStore opens a node's store. Through replicas, a third of the nodes begins at each.
+func (f *fleet) openStore() (store.Store, error) {
+	if f.replicas == nil {
+		return sqlstore.Open(f.postgres.Address)
+	}
+	addresses := strings.Split(f.replicas.Address, ",")
+	f.opened++
+	first := f.opened % replicaCount
+	return store.DialControllers(append(addresses[first:], addresses[:first]...), nil), nil
 }
 
-func newDistant(b testing.TB, env string) *distant {
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), env)
-	cmd.Stderr = os.Stderr
-	in, err := cmd.StdinPipe()
-	require.NoError(b, err)
-	out, err := cmd.StdoutPipe()
-	require.NoError(b, err)
-	require.NoError(b, cmd.Start())
-	b.Cleanup(func() { in.Close(); cmd.Process.Kill(); cmd.Wait() })
-	lines := bufio.NewScanner(out)
-	require.True(b, lines.Scan())
-	return &distant{Address: lines.Text(), ask: func() (c counted) {
-		fmt.Fprintln(in)
-		require.True(b, lines.Scan())
-		require.NoError(b, json.Unmarshal(lines.Bytes(), &c))
-		return c
-	}}
+// serverList is a range of a service's servers. Each replica of the controller numbers its lists by itself.
+func serverList(replica int, state decide.State, from, to int) []node.Endpoint {
+	var list []node.Endpoint
+	for i := from; i < to; i++ {
+		list = append(list, node.Endpoint{
+			ID:        fmt.Sprint("pod-", i),
+			Addr:      fmt.Sprintf("10.0.0.%d:8080", i),
+			State:     state,
+			Weight:    1,
+			StartedAt: time.UnixMilli(1000),
+			Revision:  int64(1000*replica + 1),
+		})
+	}
+	return list
 }
 
-// waits is a core that tells when a server is drained.
-type waits struct {
-	id   string
-	seen atomic.Bool
-	done func()
+// fleetUsage is what all processes have used.
+type fleetUsage struct {
+	store    usage
+	replicas usage
+	nodes    usage // traffic only: of the process that the nodes are connected to
+	nodesCPU time.Duration
 }
 
-func (w *waits) UpdateEndpoints(entries []node.Endpoint, _ bool) {
-	for _, e := range entries {
-		if e.ID == w.id && e.State == decide.Draining && !w.seen.Swap(true) {
-			w.done()
-		}
+func (f *fleet) usage() fleetUsage {
+	current := fleetUsage{store: f.postgres.usage(), nodesCPU: cpuTime()}
+	current.nodes = current.store
+	if f.replicas != nil {
+		current.replicas = f.replicas.usage()
+		current.nodes = current.replicas
 	}
+	return current
 }
-func (w *waits) EndpointWatchFailed(node.WatchFailure) {}
 
-// BenchmarkFleet is what a fleet's nodes ask of the store of record, each by itself or through three replicas of the controller: at their start, at rest, for a
-// drain that an operator records, for one that discovery tells all nodes, and for an operator's while discovery tells of a zone's end. Bytes a node are
-// those that it sends and gets for the record. Quiet is when nobody has written for two seconds.
-func BenchmarkFleet(b *testing.B) {
-	for _, how := range []string{"direct", "controllers"} {
-		for _, n := range []int{14, 27, 55, 110, 220, 440} {
-			b.Run(fmt.Sprint(how, "/", n), func(b *testing.B) {
-				for b.Loop() {
-					fleet(b, n, how == "controllers")
-				}
-			})
+// start opens the nodes and measures until they have written all servers.
+func (f *fleet) start(nodes int) {
+	begin := time.Now()
+	for i := range nodes {
+		cache, err := Open(f.b.Context(), Config{
+			Name:         fmt.Sprint("n", i),
+			Store:        "stand-in",
+			Open:         f.openStore,
+			MaxPending:   10_000,
+			CallTimeout:  2 * time.Second,
+			PollInterval: time.Second,
+			MaxStaleness: 10 * time.Minute,
+		}, zap.NewNop())
+		require.NoError(f.b, err)
+		f.caches = append(f.caches, cache)
+		var subscriptions []*Subscription
+		for service := range fleetServices {
+			subscription := cache.Subscribe(fmt.Sprint("s", service), &fakeCore{})
+			subscription.UpdateEndpoints(serverList(i%replicaCount, decide.Ready, 0, serversPerService), true)
+			subscriptions = append(subscriptions, subscription)
 		}
+		f.subscriptions = append(f.subscriptions, subscriptions)
 	}
+	for time.Since(begin) < fleetTimeout && f.pending() > 0 {
+		time.Sleep(100 * time.Millisecond)
+	}
+	now := f.usage()
+	f.b.Logf("start: all written after %v, %d changes still pending; %d commits, %d statements, store's CPU %v, "+
+		"%d connections at most; replicas' CPU %v, %d MB",
+		time.Since(begin).Round(time.Millisecond), f.pending(), now.store.Commits, now.store.Statements,
+		now.store.CPU, now.store.Most, now.replicas.CPU, now.replicas.ResidentKB>>10)
 }
 
-func fleet(b *testing.B, n int, relayed bool) {
-	d := newDistant(b, "ROBINCART_PGSTAND_ROWS="+filepath.Join(b.TempDir(), "rows"))
-	db, err := sqlstore.Open(d.Address)
-	require.NoError(b, err)
-	defer db.Close()
-	_, err = db.Init(b.Context(), false)
-	require.NoError(b, err)
-	nodes, relays := d, (*distant)(nil)
-	open := func() (store.Store, error) { return sqlstore.Open(d.Address) }
-	replica := 0
-	if relayed {
-		relays = newDistant(b, "ROBINCART_RELAYS_OF="+d.Address)
-		nodes = relays
-		open = func() (store.Store, error) { // a third begins at each
-			addrs := strings.Split(relays.Address, ",")
-			replica++
-			return store.DialControllers(append(addrs[replica%3:], addrs[:replica%3]...), nil), nil
-		}
-	}
-	const services, servers = 30, 15
-	list := func(replica int, phase decide.State, from, to int) (l []node.Endpoint) { // each replica of the controller numbers its lists by itself
-		for i := from; i < to; i++ {
-			l = append(l, node.Endpoint{ID: fmt.Sprint("pod-", i), Addr: fmt.Sprintf("10.0.0.%d:8080", i), State: phase, Weight: 1, StartedAt: time.UnixMilli(1000),
-				Revision: int64(1000*replica + 1)})
-		}
-		return l
-	}
-	quiet := func() (at time.Time) {
-		at = time.Now()
-		for last := d.ask().Commits; time.Since(at) < 2*time.Second; time.Sleep(50 * time.Millisecond) {
-			if c := d.ask().Commits; c != last {
-				last, at = c, time.Now()
-			}
-		}
-		return at
-	}
-	type sum struct {
-		store, nodes, relays counted
-		mine                 time.Duration
-	}
-	all := func() (s sum) {
-		s.store, s.nodes, s.mine = d.ask(), nodes.ask(), used(syscall.RUSAGE_SELF)
-		if relays != nil {
-			s.relays = relays.ask()
-		}
-		return s
+// pending returns how many changes the nodes have to write.
+func (f *fleet) pending() int {
+	count := 0
+	for _, cache := range f.caches {
+		count += cache.Status().Pending
 	}
-	var ks []*Cache
-	var sinks [][]*Subscription
-	begun := time.Now()
-	for i := range n {
-		k, err := Open(b.Context(), Config{Name: fmt.Sprint("n", i), Store: "stand-in", Open: open, MaxPending: 10_000, CallTimeout: 2 * time.Second, PollInterval: time.Second,
-			MaxStaleness: 10 * time.Minute}, zap.NewNop())
-		require.NoError(b, err)
-		defer k.Close()
-		ks = append(ks, k)
-		var of []*Subscription
-		for s := range services {
-			x := k.Subscribe(fmt.Sprint("s", s), &core{})
-			x.UpdateEndpoints(list(i%3, decide.Ready, 0, servers), true)
-			of = append(of, x)
-		}
-		sinks = append(sinks, of)
-	}
-	waiting := func() (w int) {
-		for _, k := range ks {
-			w += k.Status().Pending
-		}
-		return w
-	}
-	for time.Since(begun) < 60*time.Second && waiting() > 0 {
-		time.Sleep(100 * time.Millisecond)
-	}
-	a := all()
-	b.Logf("start: all written after %v, %d changes still wait; %d commits, %d statements, store's CPU %v, %d connections at most; relays' CPU %v, %d MB", time.Since(begun).Round(time.Millisecond),
-		waiting(), a.store.Commits, a.store.Statements, a.store.CPU, a.store.Most, a.relays.CPU, a.relays.Resident>>10)
-	quiet()
-	const rest = 10
-	a = all()
-	time.Sleep(rest * time.Second)
-	c := all()
-	b.Logf("at rest: %d connections at the store; a node and second %.0f bytes, %.2f ms of CPU; store's CPU %.1f ms/s, relays' %.1f ms/s", c.store.Connections,
-		float64(c.nodes.Wire()-a.nodes.Wire())/float64(n*rest), ms(c.mine-a.mine)/float64(n*rest), ms(c.store.CPU-a.store.CPU)/rest, ms(c.relays.CPU-a.relays.CPU)/rest)
-	told := func(what, pod string, do func()) {
-		var mu sync.Mutex
-		var late []time.Duration
-		a, begun, done := all(), time.Now(), make(chan struct{})
-		for i := range ks {
-			c := &waits{id: pod, done: func() {
-				mu.Lock()
-				defer mu.Unlock()
-				if late = append(late, time.Since(begun)); len(late) == n {
-					close(done)
-				}
-			}}
-			s := sinks[i][0]
-			s.order.Lock()
-			s.core = c
-			s.order.Unlock()
-		}
-		do()
-		select {
-		case <-done:
-		case <-time.After(60 * time.Second):
+	return count
+}
+
+// awaitQuiet waits until nobody has written for a while, and returns when the last write was.
+func (f *fleet) awaitQuiet() time.Time {
+	lastWrite := time.Now()
+	commits := f.postgres.usage().Commits
+	for time.Since(lastWrite) < quietTime {
+		time.Sleep(50 * time.Millisecond)
+		if now := f.postgres.usage().Commits; now != commits {
+			commits = now
+			lastWrite = time.Now()
 		}
-		mu.Lock()
-		got, last := len(late), slices.Max(append(late, 0))
-		mu.Unlock()
-		end := quiet()
-		c := all()
-		b.Logf("%s: %d of %d nodes told, last after %v; %d commits, %d statements, %d notices, store's CPU %v; %.0f bytes a node, relays' CPU %v; quiet after %v", what, got, n,
-			last.Round(time.Millisecond), c.store.Commits-a.store.Commits, c.store.Statements-a.store.Statements, c.store.Notices-a.store.Notices, c.store.CPU-a.store.CPU,
-			float64(c.nodes.Wire()-a.nodes.Wire())/float64(n), c.relays.CPU-a.relays.CPU, end.Sub(begun).Round(time.Millisecond))
 	}
-	drain := func(pod string) {
-		m, err := db.Meta(b.Context())
-		require.NoError(b, err)
-		_, _, err = db.Write(b.Context(), m.Epoch, []record.Change{{Key: record.Key{Kind: record.KindDrain, Name: "s0/" + pod}, ExpectedRevision: record.AnyRevision, Writer: "op", IdempotencyKey: "m" + pod,
-			Value: []byte(`{"start_ms":0,"since_ms":1,"by":"op"}`)}})
-		require.NoError(b, err)
-	}
-	told("an operator's drain", "pod-0", func() { drain("pod-0") })
-	told("discovery's", "pod-1", func() {
-		for i := range n {
-			go sinks[i][0].UpdateEndpoints(list(i%3, decide.Draining, 1, 2), false)
+	return lastWrite
+}
+
+func (f *fleet) measureIdle() {
+	f.awaitQuiet()
+	before := f.usage()
+	time.Sleep(idleMeasuringTime)
+	after := f.usage()
+	seconds := idleMeasuringTime.Seconds()
+	nodeSeconds := float64(len(f.caches)) * seconds
+	f.b.Logf("idle: %d connections at the store; a node and second %.0f bytes, %.2f ms of CPU; "+
+		"store's CPU %.1f ms/s, replicas' %.1f ms/s",
+		after.store.Connections, float64(after.nodes.Wire()-before.nodes.Wire())/nodeSeconds,
+		milliseconds(after.nodesCPU-before.nodesCPU)/nodeSeconds,
+		milliseconds(after.store.CPU-before.store.CPU)/seconds,
+		milliseconds(after.replicas.CPU-before.replicas.CPU)/seconds)
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+
+func (f *fleet) measureNotifications() {
+	f.measureNotification("an operator's drain", "pod-0", func() { f.recordDrain("pod-0") })
+	f.measureNotification("discovery's", "pod-1", func() {
+		for i, subscriptions := range f.subscriptions {
+			go subscriptions[0].UpdateEndpoints(serverList(i%replicaCount, decide.Draining, 1, 2), false)
 		}
 	})
-	told("an operator's while discovery tells of a zone's 56", "pod-2", func() {
-		for i := range n {
+	f.measureNotification("an operator's while discovery notifies of a zone's 56", "pod-2", func() {
+		for i, subscriptions := range f.subscriptions {
 			go func() {
-				for s := 2; s < services; s++ {
-					sinks[i][s].UpdateEndpoints(list(i%3, decide.Draining, 13, 15), false)
+				for _, subscription := range subscriptions[2:] {
+					subscription.UpdateEndpoints(serverList(i%replicaCount, decide.Draining, 13, 15), false)
 				}
 			}()
 		}
-		time.Sleep(200 * time.Millisecond)
-		drain("pod-2")
+		time.Sleep(backgroundLeadTime)
+		f.recordDrain("pod-2")
 	})
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+// measureNotification measures until all nodes have drained a server of the first service, and the store is quiet.
+func (f *fleet) measureNotification(name, pod string, notify func()) {
+	nodes := len(f.caches)
+	before := f.usage()
+	begin := time.Now()
+	drained := make(chan time.Duration, nodes)
+	for _, subscriptions := range f.subscriptions {
+		subscription := subscriptions[0]
+		subscription.mu.Lock()
+		subscription.core = &drainObserver{id: pod, drained: func() { drained <- time.Since(begin) }}
+		subscription.mu.Unlock()
+	}
+	notify()
+	delays := collect(drained, nodes, fleetTimeout)
+	last := slices.Max(append(delays, 0))
+	quiet := f.awaitQuiet()
+	after := f.usage()
+	f.b.Logf("%s: %d of %d nodes notified, last after %v; %d commits, %d statements, %d notices, store's CPU %v; "+
+		"%.0f bytes a node, replicas' CPU %v; quiet after %v",
+		name, len(delays), nodes, last.Round(time.Millisecond), after.store.Commits-before.store.Commits,
+		after.store.Statements-before.store.Statements, after.store.Notices-before.store.Notices,
+		after.store.CPU-before.store.CPU, float64(after.nodes.Wire()-before.nodes.Wire())/float64(nodes),
+		after.replicas.CPU-before.replicas.CPU, quiet.Sub(begin).Round(time.Millisecond))
+}
+
+// collect receives a number of values, or those that arrive in time.
+func collect(values <-chan time.Duration, count int, timeout time.Duration) []time.Duration {
+	var collected []time.Duration
+	deadline := time.After(timeout)
+	for len(collected) < count {
+		select {
+		case value := <-values:
+			collected = append(collected, value)
+		case <-deadline:
+			return collected
+		}
+	}
+	return collected
+}
+
+// drainObserver is a core that reports, once, that a server is drained.
+type drainObserver struct {
+	id      string
+	once    sync.Once
+	drained func()
+}
+
+func (o *drainObserver) UpdateEndpoints(list []node.Endpoint, _ bool) {
+	for _, endpoint := range list {
+		if endpoint.ID == o.id && endpoint.State == decide.Draining {
+			o.once.Do(o.drained)
+		}
+	}
+}
+
+func (o *drainObserver) EndpointWatchFailed(node.WatchFailure) {}
+
+// recordDrain records a drain of a server of the first service, as an operator does.
+func (f *fleet) recordDrain(pod string) {
+	position, err := f.database.Meta(f.b.Context())
+	require.NoError(f.b, err)
+	_, _, err = f.database.Write(f.b.Context(), position.Epoch, []record.Change{{
+		Key:              record.Key{Kind: record.KindDrain, Name: "s0/" + pod},
+		ExpectedRevision: record.AnyRevision,
+		Writer:           "op",
+		IdempotencyKey:   "m" + pod,
+		Value:            []byte(`{"start_ms":0,"since_ms":1,"by":"op"}`),
+	}})
+	require.NoError(f.b, err)
+}
--- a/internal/controlplane/recordcache/golden_test.go
+++ b/internal/controlplane/recordcache/golden_test.go
@@ -91,8 +91,8 @@
 	t.Run("zero", func(t *testing.T) { golden.JSON(t, "status_zero.json", Status{}) })
 }
 
-// goldenKeeper is one whose copy was heard, saved and written to at fixed times.
-func goldenKeeper() *Cache {
+// goldenCache is a cache whose last contact, snapshot and writes were at fixed times.
+func goldenCache() *Cache {
 	now := time.UnixMilli(1765000010000)
 	view := record.NewView("node-1", 1, func() string { return "mark" })
 	view.ApplyPage(record.Page{
@@ -106,33 +106,33 @@
 		{ID: "d4", Addr: "10.0.0.4:80", Phase: "ready", Start: 3, ListRevision: 9},
 	}, true, 1765000006000)
 	return &Cache{
-		c: Config{
+		config: Config{
 			Store:        "sqlite:/var/lib/record.db",
 			Required:     true,
 			MaxStaleness: 90 * time.Minute,
 			MaxPending:   500,
 		},
-		now:   func() time.Time { return now },
-		view:  view,
-		sinks: map[string]*Subscription{"shop": {service: "shop"}},
-		fault: "the store is away",
-		saved: now.Add(-2500 * time.Millisecond),
-		wrote: 7,
+		now:           func() time.Time { return now },
+		view:          view,
+		subscriptions: map[string]*Subscription{"shop": {service: "shop"}},
+		storeError:    "the store is away",
+		savedAt:       now.Add(-2500 * time.Millisecond),
+		written:       7,
 	}
 }
 
-// askPage makes one request to the status page.
-func askPage(t *testing.T, keeper *Cache, path string) (*http.Response, []byte) {
+// getPage makes one request to the status page.
+func getPage(t *testing.T, cache *Cache, path string) (*http.Response, []byte) {
 	t.Helper()
-	ours, theirs := net.Pipe()
-	defer ours.Close()
+	client, server := net.Pipe()
+	defer client.Close()
 	go func() {
-		defer theirs.Close()
-		keeper.show(theirs)
+		defer server.Close()
+		cache.handleStatus(server)
 	}()
-	_, err := io.WriteString(ours, "GET "+path+" HTTP/1.1\r\nHost: node\r\n\r\n")
+	_, err := io.WriteString(client, "GET "+path+" HTTP/1.1\r\nHost: node\r\n\r\n")
 	require.NoError(t, err)
-	response, err := http.ReadResponse(bufio.NewReader(ours), nil)
+	response, err := http.ReadResponse(bufio.NewReader(client), nil)
 	require.NoError(t, err)
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
@@ -141,7 +141,7 @@
 }
 
 func TestGolden_StatusPage(t *testing.T) {
-	keeper := goldenKeeper()
+	cache := goldenCache()
 	assert.Equal(t, Status{
 		Store:                "sqlite:/var/lib/record.db",
 		SyncState:            "follows",
@@ -158,21 +158,21 @@
 		Required:             true,
 		MaxStaleness:         "1h30m0s",
 		MaxPending:           500,
-	}, keeper.Status())
-	response, body := askPage(t, keeper, "/record")
+	}, cache.Status())
+	response, body := getPage(t, cache, "/record")
 	assert.Equal(t, http.StatusOK, response.StatusCode)
 	assert.Equal(t, "application/json", response.Header.Get("Content-Type"))
 	golden.Check(t, "status_page.golden", body)
-	response, _ = askPage(t, keeper, "/")
+	response, _ = getPage(t, cache, "/")
 	assert.Equal(t, http.StatusNotFound, response.StatusCode)
 }
 
 // A node that has reached no store yet, saved nothing and holds nothing.
 func TestGolden_StatusPageAtTheStart(t *testing.T) {
-	keeper := &Cache{
+	cache := &Cache{
 		now:  time.Now,
 		view: record.NewView("node-1", 1, func() string { return "mark" }),
 	}
-	_, body := askPage(t, keeper, "/record")
+	_, body := getPage(t, cache, "/record")
 	golden.Check(t, "status_page_start.golden", body)
 }
--- /dev/null
+++ b/internal/controlplane/recordcache/run.go
@@ -0,0 +1,123 @@
+package recordcache
+
+import (
+	"context"
+	"math/rand"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"robincart/internal/system/wait"
+)
+
+const (
+	goneRetention    = 10 * time.Minute // of the observation of a server that has left
+	pruneInterval    = 30 * time.Second
+	finalWriteTime   = time.Second // for what is pending when the cache is closed
+	minRetryInterval = 100 * time.Millisecond
+	maxRetryInterval = 5 * time.Second
+)
+
+// run reads the store and writes to it, in turn, until the context ends.
+func (c *Cache) run(ctx context.Context) {
+	storeChanged := wait.NewSignal()
+	var watcher sync.WaitGroup
+	defer watcher.Wait()
+	watcher.Go(func() { c.watchStore(ctx, storeChanged) })
+
+	retryInterval := time.Duration(0)
+	lastPrune := time.Now()
+	for {
+		select {
+		case <-ctx.Done():
+			c.writeFinally()
+			return
+		case <-storeChanged:
+		case <-c.writeRequested:
+		}
+		wait.Sleep(ctx, retryInterval)
+		if ctx.Err() != nil {
+			continue
+		}
+		retryInterval = c.sync(ctx, retryInterval)
+		c.publishAll() // drains expire, and copies grow stale
+		if time.Since(lastPrune) > pruneInterval {
+			lastPrune = time.Now()
+			c.prune()
+		}
+	}
+}
+
+// watchStore sets a signal whenever something may have been written to the store.
+func (c *Cache) watchStore(ctx context.Context, storeChanged wait.Signal) {
+	for ctx.Err() == nil {
+		err := c.store.Wait(ctx, c.config.PollInterval)
+		storeChanged.Set()
+		if err != nil {
+			wait.Sleep(ctx, c.config.PollInterval)
+		}
+	}
+}
+
+// sync reads the store and writes to it once. It returns the time until the next attempt, given that before this one.
+func (c *Cache) sync(ctx context.Context, retryInterval time.Duration) time.Duration {
+	err := c.read(ctx)
+	if err == nil {
+		err = c.write(ctx)
+	}
+	switch {
+	case ctx.Err() != nil:
+		return retryInterval
+	case err != nil:
+		c.markUnavailable(err)
+		c.writeRequested.Set()
+		return nextRetryInterval(retryInterval)
+	}
+	c.markAvailable()
+	return 0
+}
+
+// nextRetryInterval is an exponential backoff with jitter: a store that recovers must not meet all nodes at once.
+func nextRetryInterval(last time.Duration) time.Duration {
+	interval := min(max(2*last, minRetryInterval), maxRetryInterval)
+	return interval/2 + time.Duration(rand.Int63n(int64(interval)))
+}
+
+// writeFinally writes what is pending when the cache is closed, if the store takes it at once.
+func (c *Cache) writeFinally() {
+	ctx, cancel := context.WithTimeout(context.Background(), finalWriteTime)
+	defer cancel()
+	c.write(ctx)
+}
+
+func (c *Cache) prune() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.view.Prune(c.millis(), goneRetention.Milliseconds())
+}
+
+// markUnavailable notes that the store can't be used. It logs the first failure in a row.
+func (c *Cache) markUnavailable(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.failures++
+	c.view.MarkDisconnected()
+	if c.storeError == "" {
+		c.log.Error("record store unavailable", zap.Error(err), zap.String("store", c.config.Store),
+			zap.Int("pending", c.view.PendingCount()))
+	}
+	c.storeError = err.Error()
+}
+
+// markAvailable notes that the store can be used.
+func (c *Cache) markAvailable() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.storeError == "" {
+		return
+	}
+	c.log.Info("record store recovered", zap.Int("failures", c.failures), zap.Int64("revision", c.view.Meta.Revision))
+	c.storeError = ""
+	c.failures = 0
+}
--- a/internal/controlplane/recordcache/snapshot.go
+++ b/internal/controlplane/recordcache/snapshot.go
@@ -12,38 +12,43 @@
 	"robincart/internal/system/statefile"
 )
 
-// form is a snapshot's first line: what it is, its version, the length and the checksum of the rest.
-const form = "robincart-snapshot 1 %d %x\n"
+// snapshotHeader is the format of a snapshot's first line: its type and version, and the length and the checksum of
+// the rest.
+const snapshotHeader = "robincart-snapshot 1 %d %x\n"
 
-const mostSnapshot = 256 << 20
+const (
+	maxSnapshotSize = 256 << 20 // bytes
+	corruptSuffix   = ".aside"  // of the name under which a corrupt snapshot is kept
+)
 
 // ErrCorruptSnapshot is a snapshot that was not written to its end, or altered since.
-var ErrCorruptSnapshot = errors.New("the snapshot is torn or altered")
+var ErrCorruptSnapshot = errors.New("the snapshot is truncated or altered")
 
-// burst is how many facts are encoded in one go, and breath the pause after them. On one core a request would else wait for
-// thousands of them.
+// Entries are encoded in small batches with a pause after each. On a machine of one core a request would otherwise
+// wait until thousands of them are encoded.
 const (
-	burst  = 128
-	breath = 300 * time.Microsecond
+	encodeBatchSize = 128
+	encodePause     = 300 * time.Microsecond
 )
 
-// encode writes a snapshot's text: what json.Marshal makes of it, but for the order of the keys.
-func encode(s record.Snapshot) ([]byte, error) {
-	facts := s.Entries
-	s.Entries = nil
-	body, err := json.Marshal(struct {
-		record.Snapshot
-		Facts *int `json:"facts,omitempty"` // they follow
-	}{Snapshot: s})
+// snapshotBody is a snapshot as it is written: its entries follow at the end, encoded one by one.
+type snapshotBody struct {
+	record.Snapshot
+	Entries *struct{} `json:"facts,omitempty"` // hides the embedded field; always nil
+}
+
+// encodeSnapshot returns a snapshot file's content: the header, and the JSON of the snapshot with its entries last.
+func encodeSnapshot(snapshot record.Snapshot) ([]byte, error) {
+	body, err := json.Marshal(snapshotBody{Snapshot: snapshot})
 	if err != nil {
 		return nil, err
 	}
 	body = append(body[:len(body)-1], `,"facts":[`...)
-	for i, f := range facts {
-		if i%burst == burst-1 {
-			time.Sleep(breath)
+	for i, entry := range snapshot.Entries {
+		if i%encodeBatchSize == encodeBatchSize-1 {
+			time.Sleep(encodePause)
 		}
-		text, err := json.Marshal(f)
+		text, err := json.Marshal(entry)
 		if err != nil {
 			return nil, err
 		}
@@ -53,79 +58,86 @@
 		body = append(body, text...)
 	}
 	body = append(body, "]}"...)
-	return append(fmt.Appendf(nil, form, len(body), sha256.Sum256(body)), body...), nil
+	return append(fmt.Appendf(nil, snapshotHeader, len(body), sha256.Sum256(body)), body...), nil
 }
 
-// decode reads one: all of it, or nothing.
-func decode(text []byte) (s record.Snapshot, err error) {
-	head, body, ok := bytes.Cut(text, []byte("\n"))
-	var n int
-	var sum []byte
+// decodeSnapshot reads a snapshot file's content: all of it, or nothing. Its error wraps ErrCorruptSnapshot.
+func decodeSnapshot(content []byte) (record.Snapshot, error) {
+	header, body, ok := bytes.Cut(content, []byte("\n"))
 	if !ok {
-		return s, fmt.Errorf("%w: no first line", ErrCorruptSnapshot)
+		return record.Snapshot{}, fmt.Errorf("%w: it has no first line", ErrCorruptSnapshot)
 	}
-	if k, err := fmt.Sscanf(string(head)+"\n", form, &n, &sum); err != nil || k != 2 {
-		return s, fmt.Errorf("%w: its first line is %.60q", ErrCorruptSnapshot, head)
+	var length int
+	var checksum []byte
+	fields, err := fmt.Sscanf(string(header)+"\n", snapshotHeader, &length, &checksum)
+	if err != nil || fields != 2 {
+		return record.Snapshot{}, fmt.Errorf("%w: its first line is %.60q", ErrCorruptSnapshot, header)
 	}
-	if is := sha256.Sum256(body); n != len(body) || !bytes.Equal(is[:], sum) {
-		return s, fmt.Errorf("%w: %d bytes of %d, or another checksum", ErrCorruptSnapshot, len(body), n)
+	actual := sha256.Sum256(body)
+	if length != len(body) || !bytes.Equal(actual[:], checksum) {
+		return record.Snapshot{}, fmt.Errorf("%w: it has %d bytes of %d, or another checksum",
+			ErrCorruptSnapshot, len(body), length)
 	}
-	if err := json.Unmarshal(body, &s); err != nil {
-		return s, fmt.Errorf("%w: %w", ErrCorruptSnapshot, err)
+	var snapshot record.Snapshot
+	if err := json.Unmarshal(body, &snapshot); err != nil {
+		return record.Snapshot{}, fmt.Errorf("%w: %w", ErrCorruptSnapshot, err)
 	}
-	return s, nil
+	return snapshot, nil
 }
 
-// WriteSnapshot puts a snapshot in a file's place: at every moment the file is the old one or the new one, whole, also if the
+// WriteSnapshot replaces a snapshot file. At every moment the file is the old one or the new one, complete, also if the
 // machine stops in between.
-func WriteSnapshot(path string, s record.Snapshot) error {
-	text, err := encode(s)
+func WriteSnapshot(path string, snapshot record.Snapshot) error {
+	content, err := encodeSnapshot(snapshot)
 	if err != nil {
 		return err
 	}
-	return statefile.Write(path, text)
+	return statefile.Write(path, content)
 }
 
-// LoadSnapshot reads a file and leaves it where it is.
-func LoadSnapshot(path string) (s record.Snapshot, found bool, err error) {
-	text, found, err := statefile.Read(path, mostSnapshot)
-	var large *statefile.TooLargeError
+// LoadSnapshot reads a snapshot file, and reports whether there is one. The error of a corrupt file wraps
+// ErrCorruptSnapshot; the file stays where it is.
+func LoadSnapshot(path string) (record.Snapshot, bool, error) {
+	content, found, err := statefile.Read(path, maxSnapshotSize)
+	var tooLarge *statefile.TooLargeError
 	switch {
-	case errors.As(err, &large):
-		return s, false, fmt.Errorf("%w: %w", ErrCorruptSnapshot, err)
+	case errors.As(err, &tooLarge):
+		return record.Snapshot{}, false, fmt.Errorf("%w: %w", ErrCorruptSnapshot, err)
 	case err != nil || !found:
-		return s, false, err
+		return record.Snapshot{}, false, err
 	}
-	s, err = decode(text)
-	return s, err == nil, err
+	snapshot, err := decodeSnapshot(content)
+	return snapshot, err == nil, err
 }
 
-// ReadSnapshot reads a file; there being none is no error. One that was not written to its end, ErrTorn, is set aside under another name,
-// which the error tells, and never half used. Any other error says that it can't be read for now, and it stays where it is.
-func ReadSnapshot(path string) (s record.Snapshot, found bool, err error) {
-	s, found, err = LoadSnapshot(path)
+// ReadSnapshot is LoadSnapshot for the file's owner: it sets a corrupt file aside under another name, which the error
+// says. Any other error means that the file can't be read for now, and leaves it where it is.
+func ReadSnapshot(path string) (record.Snapshot, bool, error) {
+	snapshot, found, err := LoadSnapshot(path)
 	if !errors.Is(err, ErrCorruptSnapshot) {
-		return s, found, err
+		return snapshot, found, err
 	}
-	aside := path + ".aside"
-	if e := statefile.SetAside(path, aside); e != nil {
-		return record.Snapshot{}, false, errors.Join(err, e)
+	aside := path + corruptSuffix
+	if asideErr := statefile.SetAside(path, aside); asideErr != nil {
+		return record.Snapshot{}, false, errors.Join(err, asideErr)
 	}
 	return record.Snapshot{}, false, fmt.Errorf("%w; it was set aside as %s", err, aside)
 }
 
-// A snapshot that can't be read for now is tried again for a while: what stands in it nobody else may know.
+// A start waits for a snapshot file that can't be read for a moment: its drains may be known to nobody else.
 const (
-	readFor   = 4 * time.Second
-	readPause = 50 * time.Millisecond
+	snapshotReadTimeout   = 4 * time.Second
+	snapshotRetryInterval = 50 * time.Millisecond
 )
 
-// awaitSnapshot is ReadSnapshot for a start, which waits for a folder that fails for a moment.
-func awaitSnapshot(path string) (s record.Snapshot, found bool, err error) {
-	for end := time.Now().Add(readFor); ; time.Sleep(readPause) {
-		s, found, err = ReadSnapshot(path)
-		if err == nil || errors.Is(err, ErrCorruptSnapshot) || time.Now().After(end) {
-			return s, found, err
+// awaitSnapshot is ReadSnapshot, repeated for a while if the file can't be read.
+func awaitSnapshot(path string) (record.Snapshot, bool, error) {
+	deadline := time.Now().Add(snapshotReadTimeout)
+	for {
+		snapshot, found, err := ReadSnapshot(path)
+		if err == nil || errors.Is(err, ErrCorruptSnapshot) || time.Now().After(deadline) {
+			return snapshot, found, err
 		}
+		time.Sleep(snapshotRetryInterval)
 	}
 }
--- /dev/null
+++ b/internal/controlplane/recordcache/write.go
@@ -0,0 +1,130 @@
+package recordcache
+
+import (
+	"context"
+	"slices"
+
+	"robincart/internal/record/record"
+)
+
+// The changes in one transaction. A node does not know how far its store is, and a transaction keeps all other writers
+// out: it begins with few, and adapts to what fits into the time of one call.
+const (
+	initialBatchSize = 8
+	maxBatchSize     = 200
+)
+
+// batch is a set of changes to be written in one transaction.
+type batch struct {
+	epoch   string
+	changes []record.Change
+}
+
+// write writes all pending changes, drains first. A change that something newer has superseded is given up: the store
+// is right.
+func (c *Cache) write(ctx context.Context) error {
+	for {
+		next := c.nextBatch()
+		if len(next.changes) == 0 {
+			return c.finishRollback(ctx)
+		}
+		if next.epoch == "" {
+			return nil // nothing was read yet
+		}
+		entries, err := c.writeBatch(ctx, next)
+		c.markWritten(next.changes, entries)
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// nextBatch returns the next changes to be written. Drains do not wait for what comes with them: they are a batch of
+// their own.
+func (c *Cache) nextBatch() batch {
+	c.mu.Lock()
+	next := batch{epoch: c.view.Meta.Epoch, changes: c.view.Pending(c.batchSize)}
+	c.mu.Unlock()
+	if len(next.changes) == 0 || next.changes[0].Kind != record.KindDrain {
+		return next
+	}
+	end := slices.IndexFunc(next.changes, func(change record.Change) bool { return change.Kind != record.KindDrain })
+	if end >= 0 {
+		next.changes = next.changes[:end]
+	}
+	return next
+}
+
+// writeBatch writes a batch within the time of one call and adapts the batches' size. It returns the entries of the
+// changes that are done with, from the first on.
+func (c *Cache) writeBatch(ctx context.Context, next batch) ([]record.Entry, error) {
+	call, cancel := context.WithTimeout(ctx, c.config.CallTimeout)
+	defer cancel()
+	entries, _, err := c.store.Write(call, next.epoch, next.changes)
+	switch {
+	case err == nil:
+		c.batchSize = min(maxBatchSize, 2*c.batchSize)
+	case call.Err() != nil && ctx.Err() == nil: // too much for one call, so far from the store
+		c.batchSize = max(1, len(next.changes)/2)
+	}
+	if _, rejected := record.Rejection(err); rejected {
+		return c.writeSingly(call, next)
+	}
+	return entries, err
+}
+
+// writeSingly writes each change of a batch by itself, so that a rejected one costs no other. For a rejected change it
+// returns the entry in favor of which it was rejected.
+func (c *Cache) writeSingly(ctx context.Context, all batch) ([]record.Entry, error) {
+	var entries []record.Entry
+	for i := range all.changes {
+		written, _, err := c.store.Write(ctx, all.epoch, all.changes[i:i+1])
+		current, rejected := record.Rejection(err)
+		switch {
+		case rejected:
+			entries = append(entries, current)
+		case err != nil:
+			return entries, err
+		default:
+			entries = append(entries, written...)
+		}
+	}
+	return entries, nil
+}
+
+// markWritten notes what became of the first changes of a batch.
+func (c *Cache) markWritten(changes []record.Change, entries []record.Entry) {
+	c.mu.Lock()
+	for i, entry := range entries {
+		c.view.MarkWritten(changes[i], entry)
+		c.written++
+	}
+	c.mu.Unlock()
+	c.reportPosition()
+	c.snapshotRequested.Set()
+}
+
+// finishRollback ends the state RolledBack once nothing is pending: the store has again what it had lost.
+func (c *Cache) finishRollback(ctx context.Context) error {
+	c.mu.Lock()
+	epoch := c.view.Meta.Epoch
+	state := c.view.SyncState
+	c.mu.Unlock()
+	if state != record.RolledBack {
+		return nil
+	}
+	call, cancel := context.WithTimeout(ctx, c.config.CallTimeout)
+	defer cancel()
+	position, err := c.store.Meta(call)
+	if err != nil {
+		return err
+	}
+	if position.Epoch != epoch {
+		return nil
+	}
+	c.mu.Lock()
+	c.view.MarkSynced(position)
+	c.mu.Unlock()
+	c.reportPosition()
+	return nil
+}
--- a/internal/record/record/change.go
+++ b/internal/record/record/change.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -57,6 +58,20 @@
 		e.Change.Kind, e.Change.Name, e.Current.Revision, e.Current.Value)
 }
 
+// Rejection returns the entry in favor of which a store rejected a change, if err is or wraps a *ConflictError or a
+// *StaleError.
+func Rejection(err error) (Entry, bool) {
+	var conflict *ConflictError
+	if errors.As(err, &conflict) {
+		return conflict.Current, true
+	}
+	var stale *StaleError
+	if errors.As(err, &stale) {
+		return stale.Current, true
+	}
+	return Entry{}, false
+}
+
 // Validate checks a change's form, without regard to what is stored. Its error is an *InvalidChangeError.
 func (c *Change) Validate() error {
 	reason := c.invalidField()
--- a/internal/record/record/record.go
+++ b/internal/record/record/record.go
@@ -12,6 +12,7 @@
 	"cmp"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"slices"
 	"strings"
 )
@@ -37,6 +38,13 @@
 	MaxValueSize  = 64 << 10
 )
 
+// Limits of a record that is copied into memory, ten times what the largest fleet needs with all servers that left
+// lately. A follower does not follow a store beyond them, and keeps the copy that it has.
+const (
+	MaxEntries = 100_000  // deleted ones included
+	MaxBytes   = 64 << 20 // of names and values
+)
+
 // Key identifies an entry.
 type Key struct {
 	Kind Kind   `json:"kind"`
@@ -104,8 +112,11 @@
 	Complete bool  // read the complete record, in place of what the follower has
 }
 
-// Errors of a record's position.
+// Errors of a record as a whole.
 var (
+	// ErrTooLarge is returned by a follower whose store has more than MaxEntries or MaxBytes.
+	ErrTooLarge = fmt.Errorf("the record has more than %d entries or %d MB", MaxEntries, MaxBytes>>20)
+
 	// ErrEpochMismatch rejects a write or a read that continues another epoch of the record than the store's: the
 	// record was restored, imported or created anew in between. Read it again before writing.
 	ErrEpochMismatch = errors.New("the record has another epoch: it was restored, imported or created anew")
--- a/internal/record/store/controllers.go
+++ b/internal/record/store/controllers.go
@@ -251,15 +251,15 @@
 	return &is.Position, nil
 }
 
-// At tells where the caller stands, so that no replica that is behind takes it back.
-func (s *through) At(m record.Meta) {
+// SetPosition implements ReplicaClient.
+func (s *through) SetPosition(m record.Meta) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.known = m
 }
 
-// Back tells, once, that the record went back: what was read before has to be compared with all of it.
-func (s *through) Back() bool {
+// TakeRollback implements ReplicaClient.
+func (s *through) TakeRollback() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	back := s.back
@@ -267,7 +267,7 @@
 	return back
 }
 
-// Age is how long ago the store itself said where it stands.
+// Age implements ReplicaClient.
 func (s *through) Age() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/record/store/golden_test.go
+++ b/internal/record/store/golden_test.go
@@ -253,7 +253,7 @@
 	meta, err := controllers.Meta(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, goldenMeta, meta)
-	controllers.(*through).At(goldenKnown)
+	controllers.(*through).SetPosition(goldenKnown)
 	page, err := controllers.Since(t.Context(), 11, 12)
 	require.NoError(t, err)
 	assert.Equal(t, goldenPage(), page)
--- /dev/null
+++ b/internal/record/store/pages.go
@@ -0,0 +1,44 @@
+package store
+
+import (
+	"context"
+	"iter"
+
+	"robincart/internal/record/record"
+)
+
+// Pages reads a store's entries after a revision, page by page, to the end of the record. An error ends the sequence.
+func Pages(ctx context.Context, s Store, after int64, pageSize int) iter.Seq2[record.Page, error] {
+	return func(yield func(record.Page, error) bool) {
+		for {
+			page, err := s.Since(ctx, after, pageSize)
+			if !yield(page, err) || err != nil || len(page.Entries) < pageSize {
+				return
+			}
+			after = page.Entries[len(page.Entries)-1].Revision
+		}
+	}
+}
+
+// ReadRange reads a range of a store's entries as one page. It calls check with each page as it arrives; an error of
+// check ends the read, so that a store that claims entries without end can't fill the memory. If the store changes its
+// epoch during the read the error is record.ErrEpochMismatch, and the read has to start over.
+func ReadRange(
+	ctx context.Context, s Store, next record.ReadRange, pageSize int, check func(record.Page) error,
+) (record.Page, error) {
+	result := record.Page{Complete: next.Complete}
+	for page, err := range Pages(ctx, s, next.After, pageSize) {
+		if err != nil {
+			return record.Page{}, err
+		}
+		if len(result.Entries) > 0 && page.Meta.Epoch != result.Meta.Epoch {
+			return record.Page{}, record.ErrEpochMismatch
+		}
+		result.Meta = page.Meta
+		result.Entries = append(result.Entries, page.Entries...)
+		if err := check(page); err != nil {
+			return record.Page{}, err
+		}
+	}
+	return result, nil
+}
--- a/internal/record/store/store.go
+++ b/internal/record/store/store.go
@@ -60,3 +60,14 @@
 	}
 	return u.Redacted()
 }
+
+// ReplicaClient is a store that is read through a replica's copy of it.
+type ReplicaClient interface {
+	Store
+	// SetPosition reports the caller's position, so that it is not answered by a replica that is behind it.
+	SetPosition(record.Meta)
+	// TakeRollback reports, once, that the record was rolled back: the caller has to read the complete record.
+	TakeRollback() bool
+	// Age returns how long ago the store itself confirmed what the replica returns.
+	Age() time.Duration
+}
