--- a/cmd/robincart-record/record.go
+++ b/cmd/robincart-record/record.go
@@ -36,7 +36,7 @@
 	c.CompletionOptions.DisableDefaultCmd = true
 	c.PersistentFlags().StringVar(&address, "store", "", "its address: sqlite:PATH or postgres://...")
 	c.PersistentFlags().DurationVar(&wait, "wait", 5*time.Second, "for the store, at most")
-	with := func(f func(ctx context.Context, c *cobra.Command, s store.Store, args []string) error) func(*cobra.Command, []string) error {
+	with := func(f func(ctx context.Context, c *cobra.Command, s store.Database, args []string) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, args []string) error {
 			if address == "" {
 				return errors.New("--store is missing")
@@ -57,7 +57,7 @@
 	}
 	var dry bool
 	initial := &cobra.Command{Use: "init", Short: "Make a record, or bring an older one forward", Args: cobra.NoArgs,
-		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, _ []string) error {
+		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Database, _ []string) error {
 			did, err := s.Init(ctx, dry)
 			for _, d := range did {
 				fmt.Fprintln(c.OutOrStdout(), map[bool]string{true: "would do: ", false: "done: "}[dry]+d)
@@ -71,7 +71,7 @@
 
 	var kind string
 	show := &cobra.Command{Use: "show", Short: "Print what is recorded", Args: cobra.NoArgs,
-		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, _ []string) error {
+		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Database, _ []string) error {
 			facts, m, err := all(ctx, s)
 			if err != nil {
 				return err
@@ -92,7 +92,7 @@
 	show.Flags().StringVar(&kind, "kind", "", "only these, deleted ones as well: drain, service, tenant, route, server")
 
 	export := &cobra.Command{Use: "export", Short: "Print all of the record, with a checksum, for import", Args: cobra.NoArgs,
-		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, _ []string) error {
+		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Database, _ []string) error {
 			facts, m, err := all(ctx, s)
 			if err != nil {
 				return err
@@ -102,7 +102,7 @@
 
 	var dryImport bool
 	imports := &cobra.Command{Use: "import FILE", Short: "Put an export in the place of all that is recorded, under a new epoch", Args: cobra.ExactArgs(1),
-		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, args []string) error {
+		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Database, args []string) error {
 			facts, m, err := readExport(args[0])
 			if err != nil {
 				return err
@@ -126,7 +126,7 @@
 	imports.Flags().BoolVar(&dryImport, "dry", false, "read and compare only")
 
 	verify := &cobra.Command{Use: "verify", Short: "Look for what should not be in the record", Args: cobra.NoArgs,
-		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, _ []string) error {
+		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Database, _ []string) error {
 			wrong, err := s.Verify(ctx)
 			for _, w := range wrong {
 				fmt.Fprintln(c.OutOrStdout(), w)
@@ -142,7 +142,7 @@
 
 	var snapshot string
 	plan := &cobra.Command{Use: "repair-plan", Short: "Say what a node's snapshot knows that the store lacks, and what a node would do", Args: cobra.NoArgs,
-		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, _ []string) error {
+		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Database, _ []string) error {
 			return repairPlan(ctx, c.OutOrStdout(), s, snapshot)
 		})}
 	plan.Flags().StringVar(&snapshot, "snapshot", "", "the node's snapshot file")
@@ -150,7 +150,7 @@
 	var by, until string
 	var start int64
 	drain := &cobra.Command{Use: "drain SERVICE/SERVER", Short: "Record that a server takes nothing new", Args: cobra.ExactArgs(1),
-		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, args []string) error {
+		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Database, args []string) error {
 			d := record.Drain{Start: start, Since: time.Now().UnixMilli(), By: by}
 			if until != "" {
 				at, err := time.Parse(time.RFC3339, until)
@@ -173,7 +173,7 @@
 	drain.Flags().StringVar(&until, "until", "", "a time such as 2026-04-14T02:00:00Z; without it, for good")
 	drain.Flags().Int64Var(&start, "start", 0, "of the process, in ms since 1970; without it whatever runs under that name")
 	undrain := &cobra.Command{Use: "undrain SERVICE/SERVER", Short: "End a recorded drain", Args: cobra.ExactArgs(1),
-		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, args []string) error {
+		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Database, args []string) error {
 			facts, _, err := all(ctx, s)
 			if err != nil {
 				return err
@@ -192,7 +192,7 @@
 		})}
 	var expect int64
 	set := &cobra.Command{Use: "set service|route|tenant NAME FILE", Short: "Record a service or route (TOML, as in the operator's file) or a tenant (JSON with quota and weight)", Args: cobra.ExactArgs(3),
-		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, args []string) error {
+		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Database, args []string) error {
 			text, err := tomlfile.Read(args[2], record.MaxValueSize/2)
 			if err != nil {
 				return err
@@ -209,7 +209,7 @@
 			return change(ctx, c.OutOrStdout(), s, k, args[1], expect, false, by, value)
 		})}
 	remove := &cobra.Command{Use: "delete KIND NAME", Short: "Take something out of the record", Args: cobra.ExactArgs(2),
-		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Store, args []string) error {
+		RunE: with(func(ctx context.Context, c *cobra.Command, s store.Database, args []string) error {
 			return change(ctx, c.OutOrStdout(), s, record.Kind(args[0]), args[1], expect, true, by, nil)
 		})}
 	for _, x := range []*cobra.Command{set, remove} {
@@ -228,7 +228,7 @@
 }
 
 // all reads the whole record.
-func all(ctx context.Context, s store.Store) (facts []record.Entry, m record.Meta, err error) {
+func all(ctx context.Context, s store.Database) (facts []record.Entry, m record.Meta, err error) {
 	for after := int64(0); ; {
 		p, err := s.Since(ctx, after, 2000)
 		if err != nil {
@@ -241,7 +241,7 @@
 	}
 }
 
-func change(ctx context.Context, w io.Writer, s store.Store, k record.Kind, name string, expect int64, remove bool, by string, value any) error {
+func change(ctx context.Context, w io.Writer, s store.Database, k record.Kind, name string, expect int64, remove bool, by string, value any) error {
 	m, err := s.Meta(ctx)
 	if err != nil {
 		return err
@@ -322,7 +322,7 @@
 }
 
 // repairPlan says what a node that starts with a snapshot would do with a store.
-func repairPlan(ctx context.Context, w io.Writer, s store.Store, path string) error {
+func repairPlan(ctx context.Context, w io.Writer, s store.Database, path string) error {
 	snap, found, err := recordcache.LoadSnapshot(path)
 	switch {
 	case err != nil:
--- a/internal/controlplane/recordserver/recordserver_test.go
+++ b/internal/controlplane/recordserver/recordserver_test.go
@@ -32,7 +32,7 @@
 type place struct {
 	t  *testing.T
 	pg *pgstand.Server
-	db store.Store // people's way to it
+	db store.Database // people's way to it
 }
 
 func newPlace(t *testing.T) *place {
--- /dev/null
+++ b/internal/controlplane/recordserver/write.go
@@ -0,0 +1,197 @@
+package recordserver
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"robincart/internal/record/record"
+	"robincart/internal/record/replica"
+	"robincart/internal/record/store"
+)
+
+// Write implements store.Store. It answers what the copy knows, and has the rest written once for all nodes that ask
+// for it. Unlike a store it may apply some of the changes and not others; a node that repeats them with the same
+// idempotency keys loses nothing.
+func (s *Server) Write(
+	ctx context.Context, epoch string, changes []record.Change,
+) ([]record.Entry, record.Meta, error) {
+	if err := replica.CheckAllowed(epoch, changes); err != nil {
+		return nil, record.Meta{}, err
+	}
+	submitted, err := s.submit(epoch, changes)
+	if err != nil {
+		return nil, record.Meta{}, err
+	}
+	s.writeRequested.Set()
+	entries, err := submitted.await(ctx)
+	if err != nil {
+		return nil, record.Meta{}, err
+	}
+	return entries, s.awaitCopy(ctx, epoch, entries), nil
+}
+
+// submission is what became of the changes of one call, each at its index: an entry or a pending write.
+type submission struct {
+	entries []record.Entry
+	writes  []*replica.PendingWrite // nil: the copy resolved the change
+	err     error                   // the first with which the copy rejected a change
+}
+
+// submit resolves changes from the copy, and queues the rest.
+func (s *Server) submit(epoch string, changes []record.Change) (*submission, error) {
+	submitted := &submission{
+		entries: make([]record.Entry, len(changes)),
+		writes:  make([]*replica.PendingWrite, len(changes)),
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i := range changes {
+		if resolution, known := s.resolve(epoch, &changes[i]); known {
+			s.answered++
+			submitted.entries[i] = resolution.Entry
+			if submitted.err == nil {
+				submitted.err = resolution.Err
+			}
+			continue
+		}
+		submitted.writes[i] = s.queue.Add(epoch, changes[i])
+		if submitted.writes[i] == nil {
+			return nil, fmt.Errorf("%w: %d changes are pending", store.ErrBusy, replica.MaxPendingWrites)
+		}
+	}
+	return submitted, nil
+}
+
+// resolve returns a change's outcome if the copy, in the same epoch, knows it. The mutex is held.
+func (s *Server) resolve(epoch string, change *record.Change) (replica.Resolution, bool) {
+	if epoch != s.copy.Meta().Epoch {
+		return replica.Resolution{}, false
+	}
+	return s.copy.Resolve(change)
+}
+
+// await waits until the store has answered all writes. It returns the entries, or the first error.
+func (s *submission) await(ctx context.Context) ([]record.Entry, error) {
+	for i, write := range s.writes {
+		if write == nil {
+			continue
+		}
+		select {
+		case <-ctx.Done():
+			return nil, fmt.Errorf("%w: %w", store.ErrOutcomeUnknown, ctx.Err())
+		case <-write.Done:
+		}
+		s.entries[i] = write.Entry
+		if s.err == nil {
+			s.err = write.Err
+		}
+	}
+	return s.entries, s.err
+}
+
+// awaitCopy waits for a while until the copy has the entries, and returns its position: the node that wrote them would
+// otherwise find this replica behind itself.
+func (s *Server) awaitCopy(ctx context.Context, epoch string, entries []record.Entry) record.Meta {
+	ctx, cancel := context.WithTimeout(ctx, s.config.FreshnessTimeout)
+	defer cancel()
+	var revision int64
+	for _, entry := range entries {
+		revision = max(revision, entry.Revision)
+	}
+	for {
+		s.mu.Lock()
+		meta := s.copy.Meta()
+		readDone := s.readDone
+		s.mu.Unlock()
+		if ctx.Err() != nil || meta.Epoch != epoch || meta.Revision >= revision {
+			return meta
+		}
+		s.awaitRead(ctx, readDone)
+	}
+}
+
+// writeBatch writes the next batch of the queue to the store. It returns whether there was one.
+func (s *Server) writeBatch(ctx context.Context) bool {
+	s.mu.Lock()
+	batch := s.queue.Next(s.batchSize)
+	s.mu.Unlock()
+	if len(batch) == 0 {
+		return false
+	}
+	err := s.send(ctx, batch)
+	s.adaptBatchSize(len(batch), err)
+
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.queue.Complete(batch)
+	s.written += len(batch)
+	for _, write := range batch {
+		if s.copy.Meta().Epoch == write.Epoch {
+			s.copy.NoteWritten(write.Entry)
+		}
+		close(write.Done)
+	}
+	return true
+}
+
+// adaptBatchSize halves the batches' size after a timeout and doubles it after a full batch. A distant store takes long
+// for each change: a batch that never finishes in its time would be repeated for ever, and lock the store meanwhile.
+func (s *Server) adaptBatchSize(written int, err error) {
+	switch {
+	case errors.Is(err, context.DeadlineExceeded):
+		s.batchSize = max(written/2, 1)
+	case err == nil && written == s.batchSize:
+		s.batchSize = min(2*s.batchSize, s.config.MaxBatch)
+	}
+}
+
+// send writes a batch in one transaction. If the store rejects one of the changes each is written by itself, so that
+// it costs no other.
+func (s *Server) send(ctx context.Context, batch []*replica.PendingWrite) error {
+	err := s.sendTransaction(ctx, batch)
+	_, rejected := record.Rejection(err)
+	if !rejected || len(batch) == 1 {
+		return err
+	}
+	for i := range batch {
+		s.sendTransaction(ctx, batch[i:i+1]) // its error is the write's
+	}
+	return nil
+}
+
+// sendTransaction writes a batch in one transaction, and sets each write's result.
+func (s *Server) sendTransaction(ctx context.Context, batch []*replica.PendingWrite) error {
+	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
+	defer cancel()
+	changes := make([]record.Change, len(batch))
+	for i, write := range batch {
+		changes[i] = write.Change
+	}
+	entries, _, err := s.upstream.Write(ctx, batch[0].Epoch, changes)
+	for i, write := range batch {
+		write.Err = err
+		if err == nil {
+			write.Entry = entries[i]
+		}
+	}
+	return err
+}
+
+// failPendingWrites answers all waiting writes with the error of a store that is unavailable: nodes repeat them in
+// their own time.
+func (s *Server) failPendingWrites(err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for {
+		batch := s.queue.Next(replica.MaxPendingWrites)
+		if len(batch) == 0 {
+			return
+		}
+		for _, write := range batch {
+			write.Err = err
+			close(write.Done)
+		}
+		s.queue.Complete(batch)
+	}
+}
--- /dev/null
+++ b/internal/record/replica/copy.go
@@ -0,0 +1,160 @@
+// Package replica has the rules by which a replica of the controller answers nodes in place of the store of record.
+// Copy decides what the replica's copy can answer, CheckAllowed which changes a node may make, and Queue merges the
+// equal changes of many nodes into one write. It has no clock, no socket and no database, and starts no goroutine;
+// package recordserver has those.
+package replica
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"sort"
+
+	"robincart/internal/record/record"
+)
+
+// Copy is the record as the replica has last read it. Its zero value is empty. It is not safe for concurrent use.
+type Copy struct {
+	meta            record.Meta
+	writtenRevision int64 // highest revision this replica has written since the last read: the store was there
+	entries         map[record.Key]record.Entry
+	bytes           int            // of entries
+	byRevision      []record.Entry // entries in order; nil: to be sorted again
+}
+
+// Meta returns the copy's position. Its epoch is empty until the first read.
+func (c *Copy) Meta() record.Meta { return c.meta }
+
+// Len returns the number of entries, deleted ones included.
+func (c *Copy) Len() int { return len(c.entries) }
+
+// NextRead returns what to read from a store at a position, and whether there is anything to read.
+func (c *Copy) NextRead(store record.Meta) (record.ReadRange, bool) {
+	if store.Epoch != c.meta.Epoch || store.Revision < c.position() {
+		return record.ReadRange{Complete: true}, true
+	}
+	if store == c.meta {
+		return record.ReadRange{}, false
+	}
+	return record.ReadRange{After: c.meta.Revision}, true
+}
+
+// position returns the highest revision at which the store is known to have been.
+func (c *Copy) position() int64 { return max(c.meta.Revision, c.writtenRevision) }
+
+// Apply merges a page read from the store, all of it or, with record.ErrTooLarge, nothing. It returns whether the
+// record was rolled back or has another epoch: then nodes that follow the copy have to be notified.
+func (c *Copy) Apply(page record.Page) (bool, error) {
+	var err error
+	if page.Complete {
+		err = c.replaceEntries(page.Entries)
+	} else {
+		err = c.mergeEntries(page.Entries)
+	}
+	if err != nil {
+		return false, err
+	}
+	isFirst := c.meta.Epoch == ""
+	rolledBack := page.Meta.Epoch != c.meta.Epoch || page.Meta.Revision < c.position()
+	c.meta = page.Meta
+	c.writtenRevision = 0
+	c.byRevision = nil
+	return rolledBack && !isFirst, nil
+}
+
+func (c *Copy) replaceEntries(list []record.Entry) error {
+	entries := map[record.Key]record.Entry{}
+	bytes := 0
+	for _, entry := range list {
+		bytes += size(entry) - size(entries[entry.Key])
+		entries[entry.Key] = entry
+		if len(entries) > record.MaxEntries || bytes > record.MaxBytes {
+			return record.ErrTooLarge
+		}
+	}
+	c.entries = entries
+	c.bytes = bytes
+	return nil
+}
+
+func (c *Copy) mergeEntries(list []record.Entry) error {
+	count := len(c.entries)
+	bytes := c.bytes
+	for _, entry := range list {
+		known, exists := c.entries[entry.Key]
+		if !exists {
+			count++
+		}
+		bytes += size(entry) - size(known)
+	}
+	if count > record.MaxEntries || bytes > record.MaxBytes {
+		return record.ErrTooLarge
+	}
+	if c.entries == nil {
+		c.entries = map[record.Key]record.Entry{}
+	}
+	for _, entry := range list {
+		c.bytes += size(entry) - size(c.entries[entry.Key])
+		c.entries[entry.Key] = entry
+	}
+	return nil
+}
+
+// size returns what an entry counts towards record.MaxBytes.
+func size(entry record.Entry) int {
+	return len(entry.Name) + len(entry.Value) + len(entry.Writer) + len(entry.IdempotencyKey)
+}
+
+// NoteWritten notes an entry that the store returned for a write.
+func (c *Copy) NoteWritten(entry record.Entry) {
+	c.writtenRevision = max(c.writtenRevision, entry.Revision)
+}
+
+// IsCurrentFor reports whether the copy can answer a node at a position. A node that is further, or in another epoch,
+// was answered by a replica that may know more.
+func (c *Copy) IsCurrentFor(node record.Meta) bool {
+	if c.meta.Epoch == "" {
+		return false
+	}
+	return node.Epoch == "" || node.Epoch == c.meta.Epoch && node.Revision <= c.meta.Revision
+}
+
+// Since returns what changed after a revision, as a store does: at most limit entries, in the order of revisions.
+func (c *Copy) Since(after int64, limit int) record.Page {
+	if c.byRevision == nil {
+		c.byRevision = slices.SortedFunc(maps.Values(c.entries), func(a, b record.Entry) int {
+			return cmp.Compare(a.Revision, b.Revision)
+		})
+	}
+	from := sort.Search(len(c.byRevision), func(i int) bool { return c.byRevision[i].Revision > after })
+	to := min(from+max(limit, 1), len(c.byRevision))
+	page := record.Page{
+		Meta:     c.meta,
+		Complete: after == 0 && to == len(c.byRevision),
+		Entries:  slices.Clone(c.byRevision[from:to]),
+	}
+	if len(page.Entries) == limit { // more may follow: the page's position is that of its last entry
+		page.Meta.Revision = page.Entries[limit-1].Revision
+	}
+	return page
+}
+
+// Resolution is the outcome of a change that needs no write.
+type Resolution struct {
+	Entry record.Entry // that is stored
+	Err   error        // a *record.ConflictError or *record.StaleError, if the store would reject the change
+}
+
+// Resolve returns a change's outcome if the copy knows it. A change that would be written has to be sent to the store,
+// and so has one whose writer has seen more than the copy.
+func (c *Copy) Resolve(change *record.Change) (Resolution, bool) {
+	current, exists := c.entries[change.Key]
+	if !exists || change.ExpectedRevision > c.meta.Revision {
+		return Resolution{}, false
+	}
+	outcome, err := record.Evaluate(&current, change)
+	if err == nil && outcome == record.OutcomeWrite {
+		return Resolution{}, false
+	}
+	return Resolution{Entry: current, Err: err}, true
+}
--- a/internal/record/store/controllers.go
+++ b/internal/record/store/controllers.go
@@ -351,12 +351,6 @@
 	return nil
 }
 
-func (s *through) Init(context.Context, bool) ([]string, error) { return nil, errPeople }
-func (s *through) Replace(context.Context, []record.Entry) (record.Meta, error) {
-	return record.Meta{}, errPeople
-}
-func (s *through) Verify(context.Context) ([]string, error) { return nil, errPeople }
-
 func (s *through) Close() error {
 	s.end()
 	s.all.Wait()
--- a/internal/record/store/remote.go
+++ b/internal/record/store/remote.go
@@ -143,29 +143,7 @@
 	return err
 }
 
-var errPeople = errors.New("run robincart record for that")
-
-func (s *remote) Init(context.Context, bool) ([]string, error) { return nil, errPeople }
-func (s *remote) Replace(context.Context, []record.Entry) (record.Meta, error) {
-	return record.Meta{}, errPeople
-}
-func (s *remote) Verify(context.Context) ([]string, error) { return nil, errPeople }
-func (s *remote) Close() error                             { return nil }
-
-// Position is where a record stands, and how old that word is.
-type Position struct {
-	Meta record.Meta `json:"meta"`
-	Age  int64       `json:"age_ms"` // since the store said so
-}
-
-// Replica is a store that answers from a copy, and tells many who follow it where that stands.
-type Replica interface {
-	Store
-	// CheckFresh returns nil if the copy is not behind one who stands there, else record.ErrBehind.
-	CheckFresh(ctx context.Context, at record.Meta) error
-	// Watch tells each change of the copy's stand, and nil in between as a sign of life, until the context or the telling ends, or the copy goes back.
-	Watch(ctx context.Context, tell func(*Position) error) error
-}
+func (s *remote) Close() error { return nil }
 
 // ServerLimits are of those who call.
 type ServerLimits struct {
--- a/internal/record/store/sqlstore/database.go
+++ b/internal/record/store/sqlstore/database.go
@@ -24,18 +24,18 @@
 const application = "robincart record"
 
 // Open prepares a store; nothing is reached yet. The address is sqlite:PATH or a postgres:// one.
-func Open(address string) (store.Store, error) { return open(address, true) }
+func Open(address string) (store.Database, error) { return open(address, true) }
 
 // OpenExisting prepares a store that has to be there: a node that comes before its file must not make an empty one in its
 // place, which it would go on reading when the file is put back.
-func OpenExisting(address string) (store.Store, error) { return open(address, false) }
+func OpenExisting(address string) (store.Database, error) { return open(address, false) }
 
 // OpenWithDialer prepares a store at a postgres:// address that is reached another way than by the machine's own network.
-func OpenWithDialer(address string, dial func(ctx context.Context, network, addr string) (net.Conn, error)) (store.Store, error) {
+func OpenWithDialer(address string, dial func(ctx context.Context, network, addr string) (net.Conn, error)) (store.Database, error) {
 	return openPostgres(address, dial)
 }
 
-func open(address string, make bool) (store.Store, error) {
+func open(address string, make bool) (store.Database, error) {
 	switch {
 	case strings.HasPrefix(address, "sqlite:"):
 		return openSQLite(strings.TrimPrefix(address, "sqlite:"), make)
--- a/internal/record/store/sqlstore/golden_test.go
+++ b/internal/record/store/sqlstore/golden_test.go
@@ -61,7 +61,7 @@
 }
 
 // goldenDatabase opens a copy of record.db.
-func goldenDatabase(t *testing.T) store.Store {
+func goldenDatabase(t *testing.T) store.Database {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "record.db")
 	require.NoError(t, os.WriteFile(path, golden.Read(t, "record.db"), 0o600))
@@ -72,7 +72,7 @@
 }
 
 // writtenDatabase makes a database with what record.db holds.
-func writtenDatabase(t *testing.T, path string) store.Store {
+func writtenDatabase(t *testing.T, path string) store.Database {
 	t.Helper()
 	made, err := Open("sqlite:" + path)
 	require.NoError(t, err)
@@ -88,7 +88,7 @@
 }
 
 // dump is the result of a query: the names of its columns, and a line a row.
-func dump(t *testing.T, from store.Store, query string) string {
+func dump(t *testing.T, from store.Database, query string) string {
 	t.Helper()
 	rows, err := db(from).Query(query)
 	require.NoError(t, err)
@@ -116,12 +116,12 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func dumpSchema(t *testing.T, from store.Store) []byte {
+func dumpSchema(t *testing.T, from store.Database) []byte {
 	t.Helper()
 	return []byte(dump(t, from, "SELECT type, name, tbl_name, sql FROM sqlite_master ORDER BY name"))
 }
 
-func dumpRows(t *testing.T, from store.Store) []byte {
+func dumpRows(t *testing.T, from store.Database) []byte {
 	t.Helper()
 	meta := dump(t, from, "SELECT * FROM record_meta")
 	facts := dump(t, from, "SELECT * FROM record_fact ORDER BY revision")
@@ -171,7 +171,7 @@
 
 // A database that is made now has the tables and rows of the golden one.
 func TestGolden_SchemaAndRows(t *testing.T) {
-	for name, from := range map[string]store.Store{
+	for name, from := range map[string]store.Database{
 		"golden": goldenDatabase(t),
 		"made":   writtenDatabase(t, filepath.Join(t.TempDir(), "made.db")),
 	} {
--- a/internal/record/store/sqlstore/postgres.go
+++ b/internal/record/store/sqlstore/postgres.go
@@ -20,7 +20,7 @@
 
 // openPostgres prepares a pool of connections and, for Wait, one that listens. Statements are not prepared on the server,
 // so that a pooler in between may be.
-func openPostgres(address string, dial pgconn.DialFunc) (store.Store, error) {
+func openPostgres(address string, dial pgconn.DialFunc) (store.Database, error) {
 	c, err := pgx.ParseConfig(address)
 	if err != nil {
 		var p *pgconn.ParseConfigError
--- a/internal/record/store/sqlstore/sqlite.go
+++ b/internal/record/store/sqlstore/sqlite.go
@@ -16,7 +16,7 @@
 
 // openSQLite opens a file. Writers take turns by SQLite's own lock, taken at a transaction's begin; a commit is on the disk
 // before it returns.
-func openSQLite(path string, make bool) (store.Store, error) {
+func openSQLite(path string, make bool) (store.Database, error) {
 	if path == "" {
 		return nil, errors.New("sqlite: without a path")
 	}
--- a/internal/record/store/sqlstore/store_test.go
+++ b/internal/record/store/sqlstore/store_test.go
@@ -24,7 +24,7 @@
 )
 
 // each runs a test on both stores. The server is nil for SQLite.
-func each(t *testing.T, f func(t *testing.T, open func() store.Store, s *pgstand.Server)) {
+func each(t *testing.T, f func(t *testing.T, open func() store.Database, s *pgstand.Server)) {
 	t.Run("sqlite", func(t *testing.T) {
 		path := filepath.Join(t.TempDir(), "record # 1?.db")
 		f(t, opener(t, "sqlite:"+path), nil)
@@ -37,8 +37,8 @@
 	})
 }
 
-func opener(t *testing.T, address string) func() store.Store {
-	return func() store.Store {
+func opener(t *testing.T, address string) func() store.Database {
+	return func() store.Database {
 		s, err := Open(address)
 		require.NoError(t, err)
 		t.Cleanup(func() { s.Close() })
@@ -46,7 +46,7 @@
 	}
 }
 
-func begun(t *testing.T, s store.Store) record.Meta {
+func begun(t *testing.T, s store.Database) record.Meta {
 	_, err := s.Init(t.Context(), false)
 	require.NoError(t, err)
 	m, err := s.Meta(t.Context())
@@ -59,7 +59,7 @@
 }
 
 func TestARecordIsMadeOnceAndBroughtForwardOnly(t *testing.T) {
-	each(t, func(t *testing.T, open func() store.Store, _ *pgstand.Server) {
+	each(t, func(t *testing.T, open func() store.Database, _ *pgstand.Server) {
 		s, ctx := open(), t.Context()
 		_, err := s.Meta(ctx)
 		assert.ErrorIs(t, err, store.ErrNoRecord)
@@ -99,7 +99,7 @@
 	})
 }
 
-func db(s store.Store) *sql.DB {
+func db(s store.Database) *sql.DB {
 	if f, ok := s.(*file); ok {
 		return f.db
 	}
@@ -107,7 +107,7 @@
 }
 
 func TestChangesAreWrittenTogetherOrNotAtAll(t *testing.T) {
-	each(t, func(t *testing.T, open func() store.Store, _ *pgstand.Server) {
+	each(t, func(t *testing.T, open func() store.Database, _ *pgstand.Server) {
 		s, ctx := open(), t.Context()
 		m := begun(t, s)
 		facts, m, err := s.Write(ctx, m.Epoch, []record.Change{route("a", 0, "1", `{"to":"x"}`), route("b", 0, "2", `"ü\n"`)})
@@ -156,7 +156,7 @@
 }
 
 func TestAWriteWakesWhoWaits(t *testing.T) {
-	each(t, func(t *testing.T, open func() store.Store, _ *pgstand.Server) {
+	each(t, func(t *testing.T, open func() store.Database, _ *pgstand.Server) {
 		a, b, ctx := open(), open(), t.Context()
 		m := begun(t, a)
 		b.Wait(ctx, time.Millisecond)
@@ -295,7 +295,7 @@
 // Writers that race on one route, some of whose connections are cut: the history is linearizable, and what was acknowledged
 // is there.
 func TestRacingWritersAreLinearizable(t *testing.T) {
-	each(t, func(t *testing.T, open func() store.Store, p *pgstand.Server) {
+	each(t, func(t *testing.T, open func() store.Database, p *pgstand.Server) {
 		m := begun(t, open())
 		var mu sync.Mutex
 		var history []porcupine.Operation
