--- a/internal/controlplane/recordserver/nodes_test.go
+++ b/internal/controlplane/recordserver/nodes_test.go
@@ -153,7 +153,7 @@
 			f.eventually(hasSecond, "the near one notifies")
 			near.stop()
 			f.eventually(func() bool { return node.Status().Error != "" }, "the far one rejects the node")
-			assert.Contains(t, node.Status().Error, "no controller tells the record")
+			assert.Contains(t, node.Status().Error, "no controller serves the record")
 			assert.True(t, hasSecond())
 			assert.Zero(t, far.Status().Nodes)
 			far.upstream.detached.Store(false)
--- a/internal/record/store/golden_test.go
+++ b/internal/record/store/golden_test.go
@@ -32,7 +32,7 @@
 	goldenKnown = record.Meta{Epoch: "epoch-2", Revision: 42}
 )
 
-func goldenFact() record.Entry {
+func goldenEntry() record.Entry {
 	return record.Entry{
 		Key:            record.Key{Kind: record.KindServer, Name: "shop/a1"},
 		Revision:       43,
@@ -57,48 +57,48 @@
 }
 
 func goldenPage() record.Page {
-	return record.Page{Meta: goldenMeta, Complete: true, Entries: []record.Entry{goldenFact()}}
+	return record.Page{Meta: goldenMeta, Complete: true, Entries: []record.Entry{goldenEntry()}}
 }
 
 func goldenConflict() *record.ConflictError {
-	return &record.ConflictError{Change: goldenChange(), Current: goldenFact()}
+	return &record.ConflictError{Change: goldenChange(), Current: goldenEntry()}
 }
 
 func goldenStale() *record.StaleError {
-	return &record.StaleError{Change: goldenChange(), Current: goldenFact()}
+	return &record.StaleError{Change: goldenChange(), Current: goldenEntry()}
 }
 
 func TestGolden_JSON(t *testing.T) {
 	t.Run("call", func(t *testing.T) {
-		golden.FullJSON(t, "call.json", call{
-			Op:      "write",
-			After:   11,
-			Most:    12,
-			Epoch:   "epoch-1",
-			Changes: []record.Change{goldenChange()},
-			Left:    90 * time.Second,
-			At:      &goldenKnown,
+		golden.FullJSON(t, "call.json", request{
+			Op:       "write",
+			After:    11,
+			Limit:    12,
+			Epoch:    "epoch-1",
+			Changes:  []record.Change{goldenChange()},
+			TimeLeft: 90 * time.Second,
+			Position: &goldenKnown,
 		})
 	})
-	t.Run("call zero", func(t *testing.T) { golden.JSON(t, "call_zero.json", call{}) })
+	t.Run("call zero", func(t *testing.T) { golden.JSON(t, "call_zero.json", request{}) })
 	t.Run("reply", func(t *testing.T) {
-		golden.FullJSON(t, "reply.json", reply{
+		golden.FullJSON(t, "reply.json", response{
 			Meta:     goldenMeta,
 			Page:     goldenPage(),
-			Facts:    []record.Entry{goldenFact()},
-			Fault:    "what went wrong",
-			Name:     "behind",
+			Entries:  []record.Entry{goldenEntry()},
+			Error:    "what went wrong",
+			Code:     "behind",
 			Conflict: goldenConflict(),
 			Stale:    goldenStale(),
 		})
 	})
-	t.Run("reply zero", func(t *testing.T) { golden.JSON(t, "reply_zero.json", reply{}) })
+	t.Run("reply zero", func(t *testing.T) { golden.JSON(t, "reply_zero.json", response{}) })
 	t.Run("stand", func(t *testing.T) { golden.FullJSON(t, "stand.json", Position{Meta: goldenMeta, Age: 250}) })
 	t.Run("stand zero", func(t *testing.T) { golden.JSON(t, "stand_zero.json", Position{}) })
 }
 
-// Each side knows a fault of the other by its name, whatever its text.
-func TestGolden_FaultNames(t *testing.T) {
+// Each side knows an error of the other by its code, whatever its text.
+func TestGolden_ErrorCodes(t *testing.T) {
 	names := map[string]error{
 		"foreign":   ErrForeign,
 		"newer":     ErrSchemaNewer,
@@ -114,12 +114,12 @@
 		"behind":    record.ErrReplicaBehind,
 		"back":      record.ErrRolledBack,
 	}
-	assert.Len(t, faults, len(names))
+	assert.Len(t, errorCodes, len(names))
 	for name, known := range names {
-		var written reply
-		written.fail(known)
-		assert.Equal(t, name, written.Name)
-		read := reply{Fault: "a text", Name: name}
+		var written response
+		written.setError(known)
+		assert.Equal(t, name, written.Code)
+		read := response{Error: "a text", Code: name}
 		assert.ErrorIs(t, read.err(), known)
 	}
 }
@@ -201,23 +201,23 @@
 	assert.Equal(t, goldenPage(), page)
 	facts, meta, err := remote.Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
 	require.NoError(t, err)
-	assert.Equal(t, []record.Entry{goldenFact()}, facts)
+	assert.Equal(t, []record.Entry{goldenEntry()}, facts)
 	assert.Equal(t, goldenMeta, meta)
 	require.NoError(t, remote.Wait(t.Context(), 2500*time.Millisecond))
 	golden.Check(t, "remote_calls.jsonl", calls.bytes())
 }
 
-// What a node makes of a refusal that comes with what stands in the store.
-func TestGolden_RemoteRefusals(t *testing.T) {
-	for _, refusal := range []string{"conflict", "stale", "fault"} {
-		t.Run(refusal, func(t *testing.T) {
+// What a node makes of a rejection that comes with the stored entry.
+func TestGolden_RemoteErrors(t *testing.T) {
+	for _, rejection := range []string{"conflict", "stale", "fault"} {
+		t.Run(rejection, func(t *testing.T) {
 			socket := filepath.Join(t.TempDir(), "s")
 			listener, err := net.Listen("unix", socket)
 			require.NoError(t, err)
 			var calls recorder
-			calls.answerOnce(t, listener, map[string][]byte{"write": golden.Read(t, "served_"+refusal+".json")})
+			calls.answerOnce(t, listener, map[string][]byte{"write": golden.Read(t, "served_"+rejection+".json")})
 			_, _, err = Remote(socket).Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
-			switch refusal {
+			switch rejection {
 			case "conflict":
 				assert.Equal(t, goldenConflict(), err)
 			case "stale":
@@ -233,14 +233,14 @@
 // The lines that a node sends to the controller, and what it makes of the answers.
 func TestGolden_ControllerCalls(t *testing.T) {
 	var calls recorder
-	stand := golden.Read(t, "stand.json")
+	position := golden.Read(t, "stand.json")
 	since := golden.Read(t, "served_since.json")
 	write := golden.Read(t, "served_write.json")
 	address := peer(t, func(connection net.Conn, line string) {
 		calls.add(line)
 		switch opOf(line) {
 		case "follow":
-			connection.Write(stand)
+			connection.Write(position)
 			connection.Read(make([]byte, 1)) // until the caller leaves
 		case "since":
 			connection.Write(since)
@@ -253,26 +253,26 @@
 	meta, err := controllers.Meta(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, goldenMeta, meta)
-	controllers.(*through).SetPosition(goldenKnown)
+	controllers.(*controllersClient).SetPosition(goldenKnown)
 	page, err := controllers.Since(t.Context(), 11, 12)
 	require.NoError(t, err)
 	assert.Equal(t, goldenPage(), page)
 	facts, meta, err := controllers.Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
 	require.NoError(t, err)
-	assert.Equal(t, []record.Entry{goldenFact()}, facts)
+	assert.Equal(t, []record.Entry{goldenEntry()}, facts)
 	assert.Equal(t, goldenMeta, meta)
 	golden.Check(t, "controller_calls.jsonl", calls.bytes())
 }
 
-// fixedStore answers each call with the golden values, and notes what it was asked.
+// fixedStore answers each call with the golden values, and notes the calls.
 type fixedStore struct {
 	Store
-	refusal error
-	asked   []string
+	rejection error
+	calls     []string
 }
 
 func (s *fixedStore) note(format string, arguments ...any) {
-	s.asked = append(s.asked, fmt.Sprintf(format, arguments...))
+	s.calls = append(s.calls, fmt.Sprintf(format, arguments...))
 }
 
 func (s *fixedStore) Meta(context.Context) (record.Meta, error) {
@@ -280,8 +280,8 @@
 	return goldenMeta, nil
 }
 
-func (s *fixedStore) Since(_ context.Context, after int64, most int) (record.Page, error) {
-	s.note("since %d, %d at most", after, most)
+func (s *fixedStore) Since(_ context.Context, after int64, limit int) (record.Page, error) {
+	s.note("since %d, %d at most", after, limit)
 	return goldenPage(), nil
 }
 
@@ -289,32 +289,32 @@
 	_ context.Context, epoch string, changes []record.Change,
 ) ([]record.Entry, record.Meta, error) {
 	s.note("write %s, as expected: %t", epoch, assert.ObjectsAreEqual([]record.Change{goldenChange()}, changes))
-	if s.refusal != nil {
-		return nil, record.Meta{}, s.refusal
+	if s.rejection != nil {
+		return nil, record.Meta{}, s.rejection
 	}
-	return []record.Entry{goldenFact()}, goldenMeta, nil
+	return []record.Entry{goldenEntry()}, goldenMeta, nil
 }
 
-func (s *fixedStore) Wait(_ context.Context, most time.Duration) error {
-	s.note("wait %v", most)
+func (s *fixedStore) Wait(_ context.Context, timeout time.Duration) error {
+	s.note("wait %v", timeout)
 	return nil
 }
 
-// fixedFollower is a replica that tells two stands, with a sign of life between, and then that the record went back.
-type fixedFollower struct{ fixedStore }
+// fixedReplica notifies of two positions, with a heartbeat between, and then of a rollback.
+type fixedReplica struct{ fixedStore }
 
-func (s *fixedFollower) CheckFresh(_ context.Context, at record.Meta) error {
+func (s *fixedReplica) CheckFresh(_ context.Context, at record.Meta) error {
 	s.note("knows %s %d", at.Epoch, at.Revision)
 	return nil
 }
 
-func (s *fixedFollower) Watch(_ context.Context, tell func(*Position) error) error {
-	for _, stand := range []*Position{{Meta: goldenMeta, Age: 250}, nil, {Meta: goldenKnown}} {
-		if err := tell(stand); err != nil {
+func (s *fixedReplica) Watch(_ context.Context, notify func(*Position) error) error {
+	for _, position := range []*Position{{Meta: goldenMeta, Age: 250}, nil, {Meta: goldenKnown}} {
+		if err := notify(position); err != nil {
 			return err
 		}
 	}
-	return &fault{"what went wrong", record.ErrRolledBack}
+	return &remoteError{"what went wrong", record.ErrRolledBack}
 }
 
 // exchange sends a call's line to a store that is served, and reads all of the answer.
@@ -339,14 +339,14 @@
 
 // What the program answers to the lines that a node of the golden's version sends.
 func TestGolden_Served(t *testing.T) {
-	asked := map[string]string{
+	calls := map[string]string{
 		"meta":  "meta",
 		"since": "since 11, 12 at most",
 		"write": "write epoch-1, as expected: true",
 		"wait":  "wait 2.5s",
 	}
 	lines := goldenLines(t, "remote_calls.jsonl")
-	require.Len(t, lines, len(asked))
+	require.Len(t, lines, len(calls))
 	for _, line := range lines {
 		op := opOf(line)
 		if op == "wait" {
@@ -354,26 +354,26 @@
 		}
 		served := &fixedStore{}
 		golden.Check(t, "served_"+op+".json", exchange(t, served, line))
-		assert.Equal(t, []string{asked[op]}, served.asked)
+		assert.Equal(t, []string{calls[op]}, served.calls)
 	}
 }
 
-func TestGolden_ServedRefusals(t *testing.T) {
+func TestGolden_ServedErrors(t *testing.T) {
 	// The texts are for people and may change: they are not the program's here.
-	for name, refusal := range map[string]error{
-		"conflict": &fault{"what went wrong", goldenConflict()},
-		"stale":    &fault{"what went wrong", goldenStale()},
-		"fault":    &fault{"what went wrong", ErrBusy},
+	for name, rejection := range map[string]error{
+		"conflict": &remoteError{"what went wrong", goldenConflict()},
+		"stale":    &remoteError{"what went wrong", goldenStale()},
+		"fault":    &remoteError{"what went wrong", ErrBusy},
 	} {
 		line := goldenLines(t, "remote_calls.jsonl")[2]
-		golden.Check(t, "served_"+name+".json", exchange(t, &fixedStore{refusal: refusal}, line))
+		golden.Check(t, "served_"+name+".json", exchange(t, &fixedStore{rejection: rejection}, line))
 	}
 }
 
 func TestGolden_ServedToFollowers(t *testing.T) {
 	lines := goldenLines(t, "controller_calls.jsonl")
 	require.Len(t, lines, 3)
-	served := &fixedFollower{}
+	served := &fixedReplica{}
 	golden.Check(t, "follow_stream.jsonl", exchange(t, served, lines[0]))
 	golden.Check(t, "served_since.json", exchange(t, served, lines[1]))
 	golden.Check(t, "served_write.json", exchange(t, served, lines[2]))
@@ -382,20 +382,20 @@
 		"knows epoch-2 42",
 		"since 11, 12 at most",
 		"write epoch-1, as expected: true",
-	}, served.asked)
+	}, served.calls)
 }
 
-// What a node reads off the connection by which a replica tells where the record stands.
+// What a node reads off the connection over which a replica notifies of the record's position.
 func TestGolden_FollowStream(t *testing.T) {
-	stream := bufio.NewReaderSize(bytes.NewReader(golden.Read(t, "follow_stream.jsonl")), mostLine)
+	stream := bufio.NewReaderSize(bytes.NewReader(golden.Read(t, "follow_stream.jsonl")), maxLineSize)
 	for _, want := range []*Position{{Meta: goldenMeta, Age: 250}, nil, {Meta: goldenKnown}} {
-		stand, err := line(stream)
+		position, err := readPosition(stream)
 		require.NoError(t, err)
-		assert.Equal(t, want, stand)
+		assert.Equal(t, want, position)
 	}
-	_, err := line(stream)
+	_, err := readPosition(stream)
 	assert.ErrorIs(t, err, record.ErrRolledBack)
 	assert.EqualError(t, err, "what went wrong")
-	_, err = line(stream)
+	_, err = readPosition(stream)
 	assert.ErrorIs(t, err, io.EOF)
 }
--- /dev/null
+++ b/internal/record/store/protocol.go
@@ -0,0 +1,141 @@
+package store
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"time"
+
+	"robincart/internal/record/record"
+)
+
+// The protocol of a store in another process: a connection for each call, one line of JSON in each direction. The
+// answer to opFollow is a stream of lines: positions, empty lines as heartbeats, and a response at the end.
+
+// Calls, as on the wire.
+const (
+	opMeta   = "meta"
+	opSince  = "since"
+	opWrite  = "write"
+	opWait   = "wait"
+	opFollow = "follow" // Replica.Watch
+)
+
+const (
+	// maxMessageSize limits, in bytes, what a node and its store's process read of each other's calls.
+	maxMessageSize = 256 << 20
+	// defaultCallTime is how long the callee may take if the caller has no deadline.
+	defaultCallTime = time.Minute
+)
+
+// request is a call, as on the wire.
+type request struct {
+	Op       string          `json:"op"`
+	After    int64           `json:"after,omitempty"` // of opSince
+	Limit    int             `json:"most,omitempty"`  // of opSince: entries; of opWait: milliseconds
+	Epoch    string          `json:"epoch,omitempty"`
+	Changes  []record.Change `json:"changes,omitempty"`
+	TimeLeft time.Duration   `json:"left"`         // for which the caller waits
+	Position *record.Meta    `json:"at,omitempty"` // of the caller, for a replica; a store's own process ignores it
+}
+
+// response is the result of a call, as on the wire.
+type response struct {
+	Meta     record.Meta           `json:"meta"`
+	Page     record.Page           `json:"page"`
+	Entries  []record.Entry        `json:"facts,omitempty"`
+	Error    string                `json:"fault,omitempty"` // text, for people
+	Code     string                `json:"name,omitempty"`  // of one of errorCodes
+	Conflict *record.ConflictError `json:"conflict,omitempty"`
+	Stale    *record.StaleError    `json:"stale,omitempty"`
+}
+
+// errorCodes are the errors that the other side can tell apart, by their names on the wire.
+var errorCodes = map[string]error{
+	"foreign":   ErrForeign,
+	"newer":     ErrSchemaNewer,
+	"older":     ErrSchemaOlder,
+	"none":      ErrNoRecord,
+	"damaged":   ErrDamaged,
+	"denied":    ErrAccessDenied,
+	"unknown":   ErrOutcomeUnknown,
+	"full":      ErrDiskFull,
+	"busy":      ErrBusy,
+	"read only": ErrReadOnly,
+	"epoch":     record.ErrEpochMismatch,
+	"behind":    record.ErrReplicaBehind,
+	"back":      record.ErrRolledBack,
+}
+
+// setError puts an error into a response.
+func (r *response) setError(err error) {
+	if err == nil {
+		return
+	}
+	r.Error = err.Error()
+	if errors.As(err, &r.Conflict) || errors.As(err, &r.Stale) {
+		return
+	}
+	for code, known := range errorCodes {
+		if errors.Is(err, known) {
+			r.Code = code
+		}
+	}
+}
+
+// err returns the error in a response, nil if there is none.
+func (r *response) err() error {
+	switch {
+	case r.Conflict != nil:
+		return r.Conflict
+	case r.Stale != nil:
+		return r.Stale
+	case r.Error == "":
+		return nil
+	}
+	if known := errorCodes[r.Code]; known != nil {
+		return &remoteError{text: r.Error, kind: known}
+	}
+	return errors.New(r.Error)
+}
+
+// remoteError has the text of an error of the other process, and wraps the error of errorCodes that it is.
+type remoteError struct {
+	text string
+	kind error
+}
+
+func (e *remoteError) Error() string { return e.text }
+func (e *remoteError) Unwrap() error { return e.kind }
+
+// roundTrip makes one call over a connection of its own, which it closes. It reads at most maxResponse bytes of the
+// answer. Peer names the other side in errors.
+func roundTrip(
+	ctx context.Context, connection net.Conn, call request, maxResponse int64, peer string,
+) (response, error) {
+	defer connection.Close()
+	stop := context.AfterFunc(ctx, func() { connection.SetDeadline(time.Unix(1, 0)) }) // long ago
+	defer stop()
+	call.TimeLeft = defaultCallTime
+	if deadline, ok := ctx.Deadline(); ok {
+		call.TimeLeft = time.Until(deadline)
+	}
+	var answer response
+	err := json.NewEncoder(connection).Encode(call)
+	if err == nil {
+		err = json.NewDecoder(io.LimitReader(connection, maxResponse)).Decode(&answer)
+	}
+	if err == nil {
+		return answer, answer.err()
+	}
+	if ctx.Err() != nil {
+		err = ctx.Err()
+	}
+	if call.Op == opWrite { // it may have been done
+		err = errors.Join(ErrOutcomeUnknown, err)
+	}
+	return response{}, fmt.Errorf("%s: %w", peer, err)
+}
--- a/internal/record/store/store.go
+++ b/internal/record/store/store.go
@@ -17,8 +17,9 @@
 
 // Errors of a store, for an operator to act on.
 var (
-	ErrForeign      = errors.New("this database holds something else than a record of robincart")
-	ErrSchemaNewer  = errors.New("the record was written by a newer robincart: start that one, or restore a backup made by this one")
+	ErrForeign     = errors.New("this database holds something else than a record of robincart")
+	ErrSchemaNewer = errors.New("the record was written by a newer robincart: start that one, " +
+		"or restore a backup made by this one")
 	ErrSchemaOlder  = errors.New("the record has an older schema: run robincart record init to bring it forward")
 	ErrNoRecord     = errors.New("there is no record yet: run robincart record init")
 	ErrDamaged      = errors.New("the database is damaged: restore a backup (robincart record import)")
--- /dev/null
+++ b/internal/record/store/watch.go
@@ -0,0 +1,187 @@
+package store
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"net"
+	"slices"
+	"time"
+
+	"robincart/internal/record/record"
+)
+
+const (
+	maxLineSize      = 4 << 10                 // bytes, of a line in an answer to opFollow
+	heartbeatTimeout = 5 * time.Second         // a working replica sends a line every two seconds
+	maxPositionAge   = 4 * time.Second         // of a replica that is not left for one with a newer position
+	probeTimeout     = 1500 * time.Millisecond // of another replica's first line
+	maxAgeMillis     = 1 << 40                 // what a replica can claim
+)
+
+// unreachableAge is the age of the position of a replica that does not answer.
+const unreachableAge time.Duration = math.MaxInt64
+
+// fresherReplicaError ends a watch because another replica has a newer position of the store.
+type fresherReplicaError struct{ address string }
+
+func (e *fresherReplicaError) Error() string {
+	return "the controller at " + e.address + " has a newer position of the record"
+}
+
+// replicaWatch is one connection over which a replica notifies of its position.
+type replicaWatch struct {
+	client         *controllersClient
+	address        string
+	connection     net.Conn
+	reader         *bufio.Reader
+	callerPosition record.Meta
+	isNotified     bool // a position has arrived
+	lastProbed     int  // index of the other replica that was probed last
+}
+
+// watch watches a replica until the connection ends or another replica is fresher.
+func (c *controllersClient) watch(ctx context.Context, address string) error {
+	err := c.watchReplica(ctx, address)
+	return fmt.Errorf("the controller at %s: %w", address, err)
+}
+
+func (c *controllersClient) watchReplica(ctx context.Context, address string) error {
+	connection, err := c.dial(ctx, address)
+	if err != nil {
+		return err
+	}
+	defer connection.Close()
+	stop := context.AfterFunc(ctx, func() { connection.Close() })
+	defer stop()
+	c.mu.Lock()
+	callerPosition := c.callerPosition
+	c.mu.Unlock()
+	w := &replicaWatch{
+		client:         c,
+		address:        address,
+		connection:     connection,
+		reader:         bufio.NewReaderSize(connection, maxLineSize),
+		callerPosition: callerPosition,
+		lastProbed:     slices.Index(c.addresses, address),
+	}
+	connection.SetDeadline(time.Now().Add(heartbeatTimeout))
+	if err := sendFollow(connection, callerPosition, heartbeatTimeout); err != nil {
+		return err
+	}
+	for {
+		connection.SetReadDeadline(time.Now().Add(heartbeatTimeout))
+		position, err := readPosition(w.reader)
+		if err != nil {
+			return err
+		}
+		if err := w.checkAge(ctx, position); err != nil {
+			return err
+		}
+		w.note(position)
+	}
+}
+
+func sendFollow(connection net.Conn, callerPosition record.Meta, timeLeft time.Duration) error {
+	call := request{Op: opFollow, Position: &callerPosition, TimeLeft: timeLeft}
+	return json.NewEncoder(connection).Encode(call)
+}
+
+// checkAge probes one other replica if this one's position is old: it may be cut off from the store while another one
+// is not. It returns a *fresherReplicaError if that has a position of less than half the age.
+func (w *replicaWatch) checkAge(ctx context.Context, position *Position) error {
+	addresses := w.client.addresses
+	if position == nil || position.age() <= maxPositionAge || len(addresses) == 1 {
+		return nil
+	}
+	w.lastProbed = (w.lastProbed + 1) % len(addresses)
+	other := addresses[w.lastProbed]
+	if other != w.address && w.client.probe(ctx, other, w.callerPosition) < position.age()/2 {
+		return &fresherReplicaError{address: other}
+	}
+	return nil
+}
+
+// note takes a position, or with nil a heartbeat.
+func (w *replicaWatch) note(position *Position) {
+	c := w.client
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	if position == nil {
+		if w.isNotified {
+			c.confirmedAt = now
+		}
+		return
+	}
+	c.confirmedAt = now.Add(-position.age())
+	isNewer := position.Meta.Epoch != c.watched.position.Epoch || position.Meta.Revision > c.watched.position.Revision
+	if w.isNotified && !isNewer {
+		return // a call that was answered while the line was on its way may have advanced the position
+	}
+	if !w.isNotified {
+		w.isNotified = true
+		c.watched.number++
+	}
+	c.watched.address = w.address
+	c.watched.position = position.Meta
+	c.notifyChange()
+}
+
+// probe returns the age of another replica's position.
+func (c *controllersClient) probe(ctx context.Context, address string, callerPosition record.Meta) time.Duration {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
+	defer cancel()
+	connection, err := c.dial(ctx, address)
+	if err != nil {
+		return unreachableAge
+	}
+	defer connection.Close()
+	connection.SetDeadline(time.Now().Add(probeTimeout))
+	if err := sendFollow(connection, callerPosition, probeTimeout); err != nil {
+		return unreachableAge
+	}
+	position, err := readPosition(bufio.NewReaderSize(connection, maxLineSize))
+	if err != nil || position == nil {
+		return unreachableAge
+	}
+	return position.age()
+}
+
+// age returns the position's age as a duration, bounded so that it does not overflow.
+func (p *Position) age() time.Duration {
+	return time.Duration(min(p.Age, maxAgeMillis)) * time.Millisecond
+}
+
+// positionLine is a line in the answer to opFollow: a position, or the response at the end.
+type positionLine struct {
+	Position
+	Error string `json:"fault"`
+	Code  string `json:"name"`
+}
+
+// readPosition reads one line of the answer to opFollow. It returns nil for a heartbeat.
+func readPosition(reader *bufio.Reader) (*Position, error) {
+	text, err := reader.ReadSlice('\n')
+	if errors.Is(err, bufio.ErrBufferFull) {
+		return nil, fmt.Errorf("a line is longer than %d bytes", maxLineSize)
+	}
+	if err != nil || len(text) == 1 {
+		return nil, err
+	}
+	var line positionLine
+	if err := json.Unmarshal(text, &line); err != nil {
+		return nil, fmt.Errorf("invalid line: %w", err)
+	}
+	end := response{Error: line.Error, Code: line.Code}
+	if err := end.err(); err != nil {
+		return nil, err
+	}
+	if line.Meta.Epoch == "" || line.Meta.Revision < 0 || line.Age < 0 {
+		return nil, errors.New("invalid line: it has no position of the record")
+	}
+	return &line.Position, nil
+}
