--- a/internal/record/store/pages.go
+++ b/internal/record/store/pages.go
@@ -7,11 +7,15 @@
 	"robincart/internal/record/record"
 )
 
-// Pages reads a store's entries after a revision, page by page, to the end of the record. An error ends the sequence.
-func Pages(ctx context.Context, s Store, after int64, pageSize int) iter.Seq2[record.Page, error] {
+// Pages reads a store's entries after a revision, by its method Since, page by page to the end of the record. An error
+// ends the sequence.
+func Pages(
+	ctx context.Context, since func(ctx context.Context, after int64, limit int) (record.Page, error),
+	after int64, pageSize int,
+) iter.Seq2[record.Page, error] {
 	return func(yield func(record.Page, error) bool) {
 		for {
-			page, err := s.Since(ctx, after, pageSize)
+			page, err := since(ctx, after, pageSize)
 			if !yield(page, err) || err != nil || len(page.Entries) < pageSize {
 				return
 			}
@@ -27,7 +31,7 @@
 	ctx context.Context, s Store, next record.ReadRange, pageSize int, check func(record.Page) error,
 ) (record.Page, error) {
 	result := record.Page{Complete: next.Complete}
-	for page, err := range Pages(ctx, s, next.After, pageSize) {
+	for page, err := range Pages(ctx, s.Since, next.After, pageSize) {
 		if err != nil {
 			return record.Page{}, err
 		}
--- a/internal/record/store/sqlstore/postgres.go
+++ b/internal/record/store/sqlstore/postgres.go
@@ -16,122 +16,173 @@
 	"robincart/internal/record/store"
 )
 
-const channel = "robincart_record"
+const (
+	notifyChannel             = "robincart_record"
+	postgresConnectTimeout    = 3 * time.Second // unless the address has one
+	postgresCloseTimeout      = time.Second
+	postgresMaxConnections    = 2 // beside the one that listens
+	postgresMaxConnectionIdle = time.Minute
+)
+
+// postgresDatabase is a record in a PostgreSQL database.
+type postgresDatabase struct {
+	*database
+	config *pgx.ConnConfig
 
-// openPostgres prepares a pool of connections and, for Wait, one that listens. Statements are not prepared on the server,
-// so that a pooler in between may be.
+	mu       sync.Mutex
+	listener *pgx.Conn // listens to notifyChannel; nil: none, or Wait has it
+}
+
+// openPostgres returns a pool of connections and, for Wait, one that listens. Statements are not prepared on the
+// server: a connection pooler may be in between.
 func openPostgres(address string, dial pgconn.DialFunc) (store.Database, error) {
-	c, err := pgx.ParseConfig(address)
+	config, err := pgx.ParseConfig(address)
 	if err != nil {
-		var p *pgconn.ParseConfigError
-		if errors.As(err, &p) { // its text holds the address
+		var parseError *pgconn.ParseConfigError
+		if errors.As(err, &parseError) { // its text has the password
 			return nil, fmt.Errorf("postgres: the address %q can't be read", store.Redact(address))
 		}
 		return nil, fmt.Errorf("postgres: %w", err)
 	}
-	c.DefaultQueryExecMode = pgx.QueryExecModeExec
+	config.DefaultQueryExecMode = pgx.QueryExecModeExec
 	if dial != nil {
-		c.DialFunc = dial
+		config.DialFunc = dial
 	}
-	if c.ConnectTimeout == 0 {
-		c.ConnectTimeout = 3 * time.Second
+	if config.ConnectTimeout == 0 {
+		config.ConnectTimeout = postgresConnectTimeout
 	}
-	db := stdlib.OpenDB(*c)
-	db.SetMaxOpenConns(2)
-	db.SetConnMaxIdleTime(time.Minute)
-	return &server{database: newDatabase(db, dialect{
-		place: func(n int) string { return fmt.Sprintf("$%d", n) },
-		// One number for all records of one database: who writes waits for the one before. The compare and set of the
-		// revision holds where the lock does not.
-		lock:     "SELECT pg_advisory_xact_lock(7275051002)",
-		notify:   "SELECT pg_notify('" + channel + "', $1)",
-		tables:   "SELECT COUNT(*) FROM information_schema.tables WHERE table_schema = current_schema() AND table_name = $1",
-		integer:  "BIGINT",
-		snapshot: sql.LevelRepeatableRead,
-		fault: func(err error) error {
-			var e *pgconn.PgError
-			if !errors.As(err, &e) {
-				return nil
-			}
-			switch {
-			case strings.HasPrefix(e.Code, "28"), e.Code == "42501", e.Code == "3D000":
-				return store.ErrAccessDenied
-			case e.Code == "53100":
-				return store.ErrDiskFull
-			case e.Code == "40001", e.Code == "40P01", e.Code == "55P03", e.Code == "53300":
-				return store.ErrBusy
-			case e.Code == "25006":
-				return store.ErrReadOnly
-			case strings.HasPrefix(e.Code, "XX"):
-				return store.ErrDamaged
-			case strings.HasPrefix(e.Code, "08"), strings.HasPrefix(e.Code, "57P"):
-				return store.ErrOutcomeUnknown
-			}
-			return errOther
-		}}), config: c}, nil
+	db := stdlib.OpenDB(*config)
+	db.SetMaxOpenConns(postgresMaxConnections)
+	db.SetConnMaxIdleTime(postgresMaxConnectionIdle)
+	return &postgresDatabase{database: newDatabase(db, postgresDialect()), config: config}, nil
 }
 
-var errOther = errors.New("the database refused")
+func postgresDialect() dialect {
+	return dialect{
+		parameter:   func(n int) string { return fmt.Sprintf("$%d", n) },
+		integerType: "BIGINT",
+		countTables: "SELECT COUNT(*) FROM information_schema.tables" +
+			" WHERE table_schema = current_schema() AND table_name = $1",
+		// One number for all records of a database. If the lock is lost, the compare-and-set of the revision holds.
+		lock:         "SELECT pg_advisory_xact_lock(7275051002)",
+		notify:       "SELECT pg_notify('" + notifyChannel + "', $1)",
+		isolation:    sql.LevelRepeatableRead,
+		errorMeaning: postgresErrorMeaning,
+	}
+}
 
-type server struct {
-	*database
-	config *pgx.ConnConfig
+// SQLSTATE codes, and the prefixes of classes of them.
+const (
+	classConnectionException  = "08"
+	classInvalidAuthorization = "28"
+	classOperatorIntervention = "57P"
+	classInternalError        = "XX"
+	codeReadOnlyTransaction   = "25006"
+	codeInvalidCatalogName    = "3D000"
+	codeSerializationFailure  = "40001"
+	codeDeadlockDetected      = "40P01"
+	codeInsufficientPrivilege = "42501"
+	codeDiskFull              = "53100"
+	codeTooManyConnections    = "53300"
+	codeLockNotAvailable      = "55P03"
+)
+
+// errRejected is any other error that the database answered with.
+var errRejected = errors.New("the database refused")
 
-	mu     sync.Mutex
-	listen *pgx.Conn
+// postgresErrorMeaning returns what an error means, nil if it is not the database's answer.
+func postgresErrorMeaning(err error) error {
+	var answer *pgconn.PgError
+	if !errors.As(err, &answer) {
+		return nil
+	}
+	switch answer.Code {
+	case codeInsufficientPrivilege, codeInvalidCatalogName:
+		return store.ErrAccessDenied
+	case codeDiskFull:
+		return store.ErrDiskFull
+	case codeSerializationFailure, codeDeadlockDetected, codeLockNotAvailable, codeTooManyConnections:
+		return store.ErrBusy
+	case codeReadOnlyTransaction:
+		return store.ErrReadOnly
+	}
+	switch {
+	case strings.HasPrefix(answer.Code, classInvalidAuthorization):
+		return store.ErrAccessDenied
+	case strings.HasPrefix(answer.Code, classInternalError):
+		return store.ErrDamaged
+	case strings.HasPrefix(answer.Code, classConnectionException),
+		strings.HasPrefix(answer.Code, classOperatorIntervention):
+		return store.ErrOutcomeUnknown
+	}
+	return errRejected
 }
 
-// Wait waits for a NOTIFY, or for a while where none comes: a notification can be lost with its connection, and who polls
-// behind it loses nothing.
-func (s *server) Wait(ctx context.Context, most time.Duration) error {
-	s.mu.Lock()
-	c := s.listen
-	s.listen = nil
-	s.mu.Unlock()
-	if c == nil {
-		var err error
-		if c, err = pgx.ConnectConfig(ctx, s.config); err != nil {
-			return s.faulty(err)
+// Wait implements store.Store. It returns on a notification or after the timeout. A notification can be lost with its
+// connection: a caller that polls as well loses nothing.
+func (p *postgresDatabase) Wait(ctx context.Context, timeout time.Duration) error {
+	listener := p.takeListener()
+	if listener == nil {
+		listener, err := p.listen(ctx)
+		if err != nil {
+			return p.wrapError(err)
 		}
-		if _, err := c.Exec(ctx, "LISTEN "+channel); err != nil {
-			c.Close(context.Background())
-			return s.faulty(err)
-		}
-		// What was written before the LISTEN has not been told.
-		s.keep(c)
-		return nil
+		p.putListener(listener)
+		return nil // there was no notification of what was written before
 	}
-	wait, cancel := context.WithTimeout(ctx, most)
+	waiting, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	_, err := c.WaitForNotification(wait)
+	_, err := listener.WaitForNotification(waiting)
+	timedOut := waiting.Err() != nil && ctx.Err() == nil
 	switch {
-	case err == nil, wait.Err() != nil && ctx.Err() == nil && !c.IsClosed():
-		s.keep(c)
+	case err == nil, timedOut && !listener.IsClosed():
+		p.putListener(listener)
 		return nil
-	case wait.Err() != nil && ctx.Err() == nil:
-		c.Close(context.Background())
+	case timedOut:
+		listener.Close(context.Background())
 		return nil
 	}
-	end, stop := context.WithTimeout(context.Background(), time.Second)
-	defer stop()
-	c.Close(end)
-	return s.faulty(err)
+	closeListener(listener)
+	return p.wrapError(err)
+}
+
+// listen returns a new connection that listens to notifyChannel.
+func (p *postgresDatabase) listen(ctx context.Context) (*pgx.Conn, error) {
+	connection, err := pgx.ConnectConfig(ctx, p.config)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := connection.Exec(ctx, "LISTEN "+notifyChannel); err != nil {
+		connection.Close(context.Background())
+		return nil, err
+	}
+	return connection, nil
+}
+
+func (p *postgresDatabase) takeListener() *pgx.Conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	listener := p.listener
+	p.listener = nil
+	return listener
 }
 
-func (s *server) keep(c *pgx.Conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.listen = c
+func (p *postgresDatabase) putListener(listener *pgx.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.listener = listener
+}
+
+func closeListener(listener *pgx.Conn) {
+	ctx, cancel := context.WithTimeout(context.Background(), postgresCloseTimeout)
+	defer cancel()
+	listener.Close(ctx)
 }
 
-func (s *server) Close() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.listen != nil {
-		end, stop := context.WithTimeout(context.Background(), time.Second)
-		defer stop()
-		s.listen.Close(end)
-		s.listen = nil
+// Close implements store.Store.
+func (p *postgresDatabase) Close() error {
+	if listener := p.takeListener(); listener != nil {
+		closeListener(listener)
 	}
-	return s.database.Close()
+	return p.database.Close()
 }
--- a/internal/record/store/sqlstore/sqlite.go
+++ b/internal/record/store/sqlstore/sqlite.go
@@ -14,78 +14,99 @@
 	"robincart/internal/record/store"
 )
 
-// openSQLite opens a file. Writers take turns by SQLite's own lock, taken at a transaction's begin; a commit is on the disk
-// before it returns.
-func openSQLite(path string, make bool) (store.Database, error) {
+const (
+	sqliteMaxConnections = 2
+	sqlitePollInterval   = 50 * time.Millisecond
+	sqlitePrimaryCode    = 0xff // the bits of an error code that are not the extended code
+)
+
+// sqliteDatabase is a record in an SQLite file.
+type sqliteDatabase struct{ *database }
+
+// openSQLite opens a file. SQLite's own lock, taken when a transaction begins, excludes other writers; a commit is on
+// the disk before it returns.
+func openSQLite(path string, create bool) (store.Database, error) {
 	if path == "" {
 		return nil, errors.New("sqlite: without a path")
 	}
-	q := url.Values{"_txlock": {"immediate"}, "_pragma": {"journal_mode(WAL)", "synchronous(FULL)", "busy_timeout(2000)", "foreign_keys(1)"}}
-	if !make {
-		q.Set("mode", "rw")
+	options := url.Values{
+		"_txlock": {"immediate"},
+		"_pragma": {"journal_mode(WAL)", "synchronous(FULL)", "busy_timeout(2000)", "foreign_keys(1)"},
+	}
+	if !create {
+		options.Set("mode", "rw")
 	}
-	db, err := sql.Open("sqlite", "file:"+(&url.URL{Path: path}).EscapedPath()+"?"+q.Encode())
+	file := url.URL{Path: path}
+	db, err := sql.Open("sqlite", "file:"+file.EscapedPath()+"?"+options.Encode())
 	if err != nil {
 		return nil, fmt.Errorf("sqlite: %w", err)
 	}
-	db.SetMaxOpenConns(2)
-	return &file{newDatabase(db, dialect{
-		place:    func(n int) string { return fmt.Sprintf("?%d", n) },
-		tables:   "SELECT COUNT(*) FROM sqlite_master WHERE type = 'table' AND name = ?1",
-		integer:  "INTEGER",
-		snapshot: sql.LevelDefault,
-		fault: func(err error) error {
-			var e *sqlite.Error
-			if !errors.As(err, &e) {
-				return nil
-			}
-			switch e.Code() & 0xff {
-			case lib.SQLITE_NOTADB:
-				return store.ErrForeign
-			case lib.SQLITE_CORRUPT:
-				return store.ErrDamaged
-			case lib.SQLITE_CANTOPEN:
-				if make {
-					return store.ErrAccessDenied
-				}
-				return store.ErrNoRecord
-			case lib.SQLITE_PERM, lib.SQLITE_READONLY, lib.SQLITE_AUTH:
-				return store.ErrAccessDenied
-			case lib.SQLITE_FULL:
-				return store.ErrDiskFull
-			case lib.SQLITE_BUSY, lib.SQLITE_LOCKED:
-				return store.ErrBusy
-			}
-			return nil
-		}})}, nil
+	db.SetMaxOpenConns(sqliteMaxConnections)
+	return &sqliteDatabase{newDatabase(db, dialect{
+		parameter:    func(n int) string { return fmt.Sprintf("?%d", n) },
+		integerType:  "INTEGER",
+		countTables:  "SELECT COUNT(*) FROM sqlite_master WHERE type = 'table' AND name = ?1",
+		isolation:    sql.LevelDefault,
+		errorMeaning: func(err error) error { return sqliteErrorMeaning(err, create) },
+	})}, nil
 }
 
-type file struct{ *database }
+// sqliteErrorMeaning returns what an error means. A file that can't be opened is one that does not exist, unless it
+// could have been created.
+func sqliteErrorMeaning(err error, create bool) error {
+	var sqliteError *sqlite.Error
+	if !errors.As(err, &sqliteError) {
+		return nil
+	}
+	switch sqliteError.Code() & sqlitePrimaryCode {
+	case lib.SQLITE_NOTADB:
+		return store.ErrForeign
+	case lib.SQLITE_CORRUPT:
+		return store.ErrDamaged
+	case lib.SQLITE_CANTOPEN:
+		if create {
+			return store.ErrAccessDenied
+		}
+		return store.ErrNoRecord
+	case lib.SQLITE_PERM, lib.SQLITE_READONLY, lib.SQLITE_AUTH:
+		return store.ErrAccessDenied
+	case lib.SQLITE_FULL:
+		return store.ErrDiskFull
+	case lib.SQLITE_BUSY, lib.SQLITE_LOCKED:
+		return store.ErrBusy
+	}
+	return nil
+}
 
-// Wait looks at the file's own counter of changes by others.
-func (f *file) Wait(ctx context.Context, most time.Duration) error {
-	conn, err := f.db.Conn(ctx)
+// Wait implements store.Store. It polls the file's counter of changes by other connections.
+func (s *sqliteDatabase) Wait(ctx context.Context, timeout time.Duration) error {
+	connection, err := s.db.Conn(ctx)
 	if err != nil {
-		return f.faulty(err)
+		return s.wrapError(err)
 	}
-	defer conn.Close()
-	var first int64
-	end := time.Now().Add(most)
-	for i := 0; ; i++ {
-		var version int64
-		if err := conn.QueryRowContext(ctx, "PRAGMA data_version").Scan(&version); err != nil {
-			return f.faulty(err)
-		}
-		if i == 0 {
-			first = version
-		}
-		if version != first || time.Now().After(end) {
-			return nil
-		}
+	defer connection.Close()
+	deadline := time.Now().Add(timeout)
+	first, err := s.dataVersion(ctx, connection)
+	if err != nil {
+		return err
+	}
+	for version := first; version == first && time.Now().Before(deadline); {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(50 * time.Millisecond):
+		case <-time.After(sqlitePollInterval):
+		}
+		version, err = s.dataVersion(ctx, connection)
+		if err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+func (s *sqliteDatabase) dataVersion(ctx context.Context, connection *sql.Conn) (int64, error) {
+	var version int64
+	row := connection.QueryRowContext(ctx, "PRAGMA data_version")
+	err := row.Scan(&version)
+	return version, s.wrapError(err)
 }
