--- a/cmd/robincart-record/golden_test.go
+++ b/cmd/robincart-record/golden_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// goldenExportWithDeleted has gaps in its revisions, and a fact that was deleted.
+// goldenExportWithDeleted has gaps in its revisions, and an entry that was deleted.
 func goldenExportWithDeleted() (record.Meta, []record.Entry) {
 	return record.Meta{Epoch: "89abcdef0123456789abcdef", Revision: 99}, []record.Entry{
 		{Key: record.Key{Kind: record.KindService, Name: "shop"}, Revision: 21, Writer: "bob", IdempotencyKey: "m1", WrittenAt: 11,
@@ -66,14 +66,14 @@
 	return flag
 }
 
-// exported reads the facts of a store, as its export has them.
+// exported reads the entries of a store, as its export has them.
 func exported(t *testing.T, storeFlag string) ([]record.Entry, record.Meta) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "export")
 	require.NoError(t, os.WriteFile(path, run(t, "export", storeFlag), 0o600))
-	facts, meta, err := readExport(path)
+	entries, meta, err := readExport(path)
 	require.NoError(t, err)
-	return facts, meta
+	return entries, meta
 }
 
 func TestGolden_Export(t *testing.T) {
@@ -85,15 +85,15 @@
 		},
 	} {
 		t.Run(file, func(t *testing.T) {
-			meta, facts := content()
+			meta, entries := content()
 			var written bytes.Buffer
-			require.NoError(t, writeExport(&written, meta, facts))
+			require.NoError(t, writeExport(&written, meta, entries))
 			golden.Check(t, file, written.Bytes())
 
-			readFacts, readMeta, err := readExport(filepath.Join("testdata", file))
+			readEntries, readMeta, err := readExport(filepath.Join("testdata", file))
 			require.NoError(t, err)
 			assert.Equal(t, meta, readMeta)
-			assert.Equal(t, facts, readFacts)
+			assert.Equal(t, entries, readEntries)
 		})
 	}
 }
@@ -112,9 +112,9 @@
 	storeFlag := newStore(t)
 	run(t, "import", filepath.Join("testdata", "export.golden"), storeFlag)
 	again := run(t, "export", storeFlag)
-	facts, meta := exported(t, storeFlag)
-	want, wantFacts := goldenExport()
-	assert.Equal(t, wantFacts, facts)
+	entries, meta := exported(t, storeFlag)
+	want, wantEntries := goldenExport()
+	assert.Equal(t, wantEntries, entries)
 	assert.Equal(t, want.Revision, meta.Revision)
 	assert.NotEqual(t, want.Epoch, meta.Epoch, "an import begins an epoch")
 	golden.Check(t, "export.golden", bytes.Replace(again, []byte(meta.Epoch), []byte(want.Epoch), 1))
@@ -125,11 +125,11 @@
 func TestGolden_ImportOfDeletedFacts(t *testing.T) {
 	storeFlag := newStore(t)
 	run(t, "import", filepath.Join("testdata", "export_deleted.golden"), storeFlag)
-	facts, meta := exported(t, storeFlag)
+	entries, meta := exported(t, storeFlag)
 	_, before := goldenExportWithDeleted()
 	service, tenant := before[0], before[2]
 	service.Revision, tenant.Revision = 1, 2
-	assert.Equal(t, []record.Entry{service, tenant}, facts)
+	assert.Equal(t, []record.Entry{service, tenant}, entries)
 	assert.EqualValues(t, 2, meta.Revision)
 }
 
@@ -150,14 +150,14 @@
 	run(t, "undrain", "shop/a1", storeFlag, "--by=frank")
 	run(t, "delete", "route", "front", storeFlag, "--by=grace", "--expect=2")
 
-	facts, _ := exported(t, storeFlag)
-	require.Len(t, facts, 5)
-	for i := range facts { // by the clock and by chance
-		assert.Positive(t, facts[i].WrittenAt)
-		assert.True(t, strings.HasPrefix(facts[i].IdempotencyKey, "hand."), facts[i].IdempotencyKey)
-		facts[i].WrittenAt, facts[i].IdempotencyKey = 0, ""
-		if facts[i].Kind == record.KindDrain {
-			facts[i].Value = withoutSince(t, facts[i].Value)
+	entries, _ := exported(t, storeFlag)
+	require.Len(t, entries, 5)
+	for i := range entries { // by the clock and by chance
+		assert.Positive(t, entries[i].WrittenAt)
+		assert.True(t, strings.HasPrefix(entries[i].IdempotencyKey, "hand."), entries[i].IdempotencyKey)
+		entries[i].WrittenAt, entries[i].IdempotencyKey = 0, ""
+		if entries[i].Kind == record.KindDrain {
+			entries[i].Value = withoutSince(t, entries[i].Value)
 		}
 	}
 	toml := json.RawMessage(`{"toml":"[[service]]\nname = \"shop\"\n"}`)
@@ -171,7 +171,7 @@
 			Value: json.RawMessage(
 				`{"by":"alice","ended":true,"over":4,"start_ms":1765000000123,"until_ms":1776132000000}`)},
 		{Key: record.Key{Kind: record.KindRoute, Name: "front"}, Revision: 7, Deleted: true, Writer: "grace"},
-	}, facts)
+	}, entries)
 }
 
 // withoutSince takes the time out at which a drain was recorded, and sorts the other keys.
--- a/internal/controlplane/recordcache/golden_test.go
+++ b/internal/controlplane/recordcache/golden_test.go
@@ -22,7 +22,7 @@
 	"robincart/internal/testutil/golden"
 )
 
-// goldenSnapshot has a fact of each kind, and all fields of a drain.
+// goldenSnapshot has an entry of each kind, and all fields of a drain.
 func goldenSnapshot() record.Snapshot {
 	return record.Snapshot{
 		Meta:        record.Meta{Epoch: "epoch-1", Revision: 44},
--- a/internal/record/record/golden_test.go
+++ b/internal/record/record/golden_test.go
@@ -91,7 +91,7 @@
 		golden.FullJSON(t, "stale.json", StaleError{Change: goldenChange(), Current: goldenEntry()})
 	})
 	t.Run("sighting", func(t *testing.T) {
-		// Service and ID are of the fact's name and stay out of its value: FullJSON passes over them.
+		// Service and ID are of the entry's name and stay out of its value: FullJSON passes over them.
 		golden.FullJSON(t, "sighting.json", goldenObservation())
 	})
 	t.Run("sighting zero", func(t *testing.T) { golden.JSON(t, "sighting_zero.json", Observation{}) })
@@ -122,20 +122,20 @@
 }
 
 func TestGolden_ObservationOmitsName(t *testing.T) {
-	sighting := goldenObservation()
-	sighting.Service, sighting.ID = "shop", "a1"
-	written, err := json.Marshal(sighting)
+	observation := goldenObservation()
+	observation.Service, observation.ID = "shop", "a1"
+	written, err := json.Marshal(observation)
 	require.NoError(t, err)
 	golden.Check(t, "sighting.json", append(written, '\n'))
 }
 
-// What a node writes to the store of its own accord: sightings in each phase, discovery's drain and an operator's,
-// and the end of a sighting.
+// What a node writes to the store of its own accord: observations in each phase, discovery's drain and an operator's,
+// and the deletion of an observation.
 func TestGolden_PendingChanges(t *testing.T) {
-	marks := 0
+	keys := 0
 	view := NewView("node-1", 100, func() string {
-		marks++
-		return fmt.Sprintf("mark-%d", marks)
+		keys++
+		return fmt.Sprintf("mark-%d", keys)
 	})
 	leftLongAgo := Entry{
 		Key:            Key{Kind: KindServer, Name: "shop/e5"},
@@ -163,15 +163,15 @@
 	golden.Check(t, "pending.jsonl", written.Bytes())
 }
 
-// The status page shows these words.
+// The status page shows these texts.
 func TestGolden_SyncStateText(t *testing.T) {
-	for standing, want := range map[SyncState]string{
+	for state, want := range map[SyncState]string{
 		NeverSynced:  "never reached",
 		Following:    "follows",
 		RolledBack:   "went back",
 		EpochChanged: "another epoch",
 		Disconnected: "lost",
 	} {
-		assert.Equal(t, want, standing.String())
+		assert.Equal(t, want, state.String())
 	}
 }
--- a/internal/record/store/golden_test.go
+++ b/internal/record/store/golden_test.go
@@ -148,7 +148,7 @@
 	return bytes.Clone(r.lines.Bytes())
 }
 
-// answerOnce serves the connections of a listener: each call's line is kept, and answered with a golden reply.
+// answerOnce serves the connections of a listener: each call's line is recorded, and answered with a golden reply.
 func (r *recorder) answerOnce(t *testing.T, listener net.Listener, replies map[string][]byte) {
 	var all sync.WaitGroup
 	all.Go(func() {
@@ -199,9 +199,9 @@
 	page, err := remote.Since(t.Context(), 11, 12)
 	require.NoError(t, err)
 	assert.Equal(t, goldenPage(), page)
-	facts, meta, err := remote.Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
+	entries, meta, err := remote.Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
 	require.NoError(t, err)
-	assert.Equal(t, []record.Entry{goldenEntry()}, facts)
+	assert.Equal(t, []record.Entry{goldenEntry()}, entries)
 	assert.Equal(t, goldenMeta, meta)
 	require.NoError(t, remote.Wait(t.Context(), 2500*time.Millisecond))
 	golden.Check(t, "remote_calls.jsonl", calls.bytes())
@@ -257,9 +257,9 @@
 	page, err := controllers.Since(t.Context(), 11, 12)
 	require.NoError(t, err)
 	assert.Equal(t, goldenPage(), page)
-	facts, meta, err := controllers.Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
+	entries, meta, err := controllers.Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
 	require.NoError(t, err)
-	assert.Equal(t, []record.Entry{goldenEntry()}, facts)
+	assert.Equal(t, []record.Entry{goldenEntry()}, entries)
 	assert.Equal(t, goldenMeta, meta)
 	golden.Check(t, "controller_calls.jsonl", calls.bytes())
 }
--- a/internal/record/store/sqlstore/golden_test.go
+++ b/internal/record/store/sqlstore/golden_test.go
@@ -124,8 +124,8 @@
 func dumpRows(t *testing.T, from store.Database) []byte {
 	t.Helper()
 	meta := dump(t, from, "SELECT * FROM record_meta")
-	facts := dump(t, from, "SELECT * FROM record_fact ORDER BY revision")
-	return []byte(meta + facts)
+	entries := dump(t, from, "SELECT * FROM record_fact ORDER BY revision")
+	return []byte(meta + entries)
 }
 
 func TestGolden_DatabaseIsRead(t *testing.T) {
@@ -152,7 +152,7 @@
 		Writer: "frank", IdempotencyKey: "mark-7", WrittenAt: 17, Value: json.RawMessage(`{"quota":200,"weight":2}`)}
 	fresh := record.Change{Key: record.Key{Kind: record.KindRoute, Name: "front"}, ExpectedRevision: 0,
 		Writer: "grace", IdempotencyKey: "mark-8", WrittenAt: 18, Value: json.RawMessage(`{"toml":""}`)}
-	facts, meta, err := opened.Write(t.Context(), goldenEpoch, []record.Change{again, over, fresh})
+	entries, meta, err := opened.Write(t.Context(), goldenEpoch, []record.Change{again, over, fresh})
 	require.NoError(t, err)
 	assert.Equal(t, record.Meta{Epoch: goldenEpoch, Revision: 8}, meta)
 	want := []record.Entry{
@@ -160,7 +160,7 @@
 		{Key: over.Key, Revision: 7, Writer: "frank", IdempotencyKey: "mark-7", WrittenAt: 17, Value: over.Value},
 		{Key: fresh.Key, Revision: 8, Writer: "grace", IdempotencyKey: "mark-8", WrittenAt: 18, Value: fresh.Value},
 	}
-	assert.Equal(t, want, facts)
+	assert.Equal(t, want, entries)
 	page, err := opened.Since(t.Context(), 6, 100)
 	require.NoError(t, err)
 	assert.Equal(t, record.Page{Meta: meta, Entries: want[1:]}, page)
