--- a/internal/record/record/golden_test.go
+++ b/internal/record/record/golden_test.go
@@ -16,7 +16,7 @@
 	"robincart/internal/testutil/golden"
 )
 
-func goldenFact() Entry {
+func goldenEntry() Entry {
 	return Entry{
 		Key:            Key{Kind: KindServer, Name: "shop/a1"},
 		Revision:       41,
@@ -40,7 +40,7 @@
 	}
 }
 
-func goldenSighting() Observation {
+func goldenObservation() Observation {
 	return Observation{
 		Addr:         "10.0.0.1:8080",
 		Phase:        "ready",
@@ -52,7 +52,7 @@
 	}
 }
 
-func goldenDrained() Drain {
+func goldenDrain() Drain {
 	return Drain{
 		Start:      1764000000001,
 		Since:      1765000000002,
@@ -63,8 +63,8 @@
 	}
 }
 
-// factOfEachKind pins the names of the kinds as well.
-func factOfEachKind() []Entry {
+// entryOfEachKind pins the names of the kinds as well.
+func entryOfEachKind() []Entry {
 	return []Entry{
 		{Key: Key{Kind: KindDrain, Name: "shop/a1"}, Revision: 1, Writer: "alice", IdempotencyKey: "m1", WrittenAt: 11,
 			Value: json.RawMessage(`{"start_ms":5,"since_ms":6,"by":"alice"}`)},
@@ -81,24 +81,24 @@
 func TestGolden_JSON(t *testing.T) {
 	meta := Meta{Epoch: "epoch-1", Revision: 44}
 	t.Run("meta", func(t *testing.T) { golden.FullJSON(t, "meta.json", meta) })
-	t.Run("fact", func(t *testing.T) { golden.FullJSON(t, "fact.json", goldenFact()) })
+	t.Run("fact", func(t *testing.T) { golden.FullJSON(t, "fact.json", goldenEntry()) })
 	t.Run("fact zero", func(t *testing.T) { golden.JSON(t, "fact_zero.json", Entry{}) })
 	t.Run("change", func(t *testing.T) { golden.FullJSON(t, "change.json", goldenChange()) })
 	t.Run("conflict", func(t *testing.T) {
-		golden.FullJSON(t, "conflict.json", ConflictError{Change: goldenChange(), Current: goldenFact()})
+		golden.FullJSON(t, "conflict.json", ConflictError{Change: goldenChange(), Current: goldenEntry()})
 	})
 	t.Run("stale", func(t *testing.T) {
-		golden.FullJSON(t, "stale.json", StaleError{Change: goldenChange(), Current: goldenFact()})
+		golden.FullJSON(t, "stale.json", StaleError{Change: goldenChange(), Current: goldenEntry()})
 	})
 	t.Run("sighting", func(t *testing.T) {
-		// Service and ID are of the fact's name and stay out of its value: FullJSON passes over them.
-		golden.FullJSON(t, "sighting.json", goldenSighting())
+		// Service and ID are of the entry's name and stay out of its value: FullJSON passes over them.
+		golden.FullJSON(t, "sighting.json", goldenObservation())
 	})
 	t.Run("sighting zero", func(t *testing.T) { golden.JSON(t, "sighting_zero.json", Observation{}) })
-	t.Run("drained", func(t *testing.T) { golden.FullJSON(t, "drained.json", goldenDrained()) })
+	t.Run("drained", func(t *testing.T) { golden.FullJSON(t, "drained.json", goldenDrain()) })
 	t.Run("drained zero", func(t *testing.T) { golden.JSON(t, "drained_zero.json", Drain{}) })
 	t.Run("page", func(t *testing.T) {
-		golden.FullJSON(t, "page.json", Page{Meta: meta, Complete: true, Entries: factOfEachKind()})
+		golden.FullJSON(t, "page.json", Page{Meta: meta, Complete: true, Entries: entryOfEachKind()})
 	})
 	t.Run("page zero", func(t *testing.T) { golden.JSON(t, "page_zero.json", Page{}) })
 	t.Run("snapshot", func(t *testing.T) {
@@ -106,8 +106,8 @@
 			Meta:        meta,
 			LastContact: 1765000000789,
 			LatestTime:  1765000000999,
-			Entries:     factOfEachKind(),
-			Drains:      map[string]Drain{"shop/a1": goldenDrained(), "shop/b2": {Since: 7, By: "bob"}},
+			Entries:     entryOfEachKind(),
+			Drains:      map[string]Drain{"shop/a1": goldenDrain(), "shop/b2": {Since: 7, By: "bob"}},
 		})
 	})
 	t.Run("snapshot zero", func(t *testing.T) { golden.JSON(t, "snapshot_zero.json", Snapshot{}) })
@@ -121,21 +121,21 @@
 	golden.Check(t, "change_zero.json", append(written, '\n'))
 }
 
-func TestGolden_SightingWithoutItsName(t *testing.T) {
-	sighting := goldenSighting()
-	sighting.Service, sighting.ID = "shop", "a1"
-	written, err := json.Marshal(sighting)
+func TestGolden_ObservationOmitsName(t *testing.T) {
+	observation := goldenObservation()
+	observation.Service, observation.ID = "shop", "a1"
+	written, err := json.Marshal(observation)
 	require.NoError(t, err)
 	golden.Check(t, "sighting.json", append(written, '\n'))
 }
 
-// What a node writes to the store of its own accord: sightings in each phase, discovery's drain and an operator's,
-// and the end of a sighting.
+// What a node writes to the store of its own accord: observations in each phase, discovery's drain and an operator's,
+// and the deletion of an observation.
 func TestGolden_PendingChanges(t *testing.T) {
-	marks := 0
+	keys := 0
 	view := NewView("node-1", 100, func() string {
-		marks++
-		return fmt.Sprintf("mark-%d", marks)
+		keys++
+		return fmt.Sprintf("mark-%d", keys)
 	})
 	leftLongAgo := Entry{
 		Key:            Key{Kind: KindServer, Name: "shop/e5"},
@@ -163,15 +163,15 @@
 	golden.Check(t, "pending.jsonl", written.Bytes())
 }
 
-// The status page shows these words.
-func TestGolden_StandingWords(t *testing.T) {
-	for standing, want := range map[SyncState]string{
+// The status page shows these texts.
+func TestGolden_SyncStateText(t *testing.T) {
+	for state, want := range map[SyncState]string{
 		NeverSynced:  "never reached",
 		Following:    "follows",
 		RolledBack:   "went back",
 		EpochChanged: "another epoch",
 		Disconnected: "lost",
 	} {
-		assert.Equal(t, want, standing.String())
+		assert.Equal(t, want, state.String())
 	}
 }
