--- a/internal/controlplane/controller/recordwriter_test.go
+++ b/internal/controlplane/controller/recordwriter_test.go
@@ -24,7 +24,7 @@
 	api        *apiserver.Server
 	controller *Controller
 	// operators is the record as other writers open it.
-	operators store.Store
+	operators store.Database
 }
 
 func newRecordFixture(t *testing.T) *recordFixture {
