--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -156,7 +156,7 @@
 			_, err := near.Write(golden(t, file))
 			require.NoError(t, err)
 			var got sampleState
-			require.NoError(t, NewLink(far).ReceiveState(&got, sendTime))
+			require.NoError(t, NewLink(far).ReceiveState(&got, sendTimeout))
 			assert.Equal(t, want, got)
 		})
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -7,7 +7,6 @@
 	"os"
 	"path/filepath"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
@@ -15,192 +14,224 @@
 	"github.com/stretchr/testify/require"
 )
 
-type peer struct {
-	conns chan net.Conn
-	words chan Command
-	ended chan error
+// timeout bounds each wait of these tests.
+const timeout = 20 * time.Second
+
+// channelPeer passes on what it is handed. Connections on which no request has arrived are closed.
+type channelPeer struct {
+	conns        chan net.Conn
+	commands     chan Command // messages of other kinds too: the path names them
+	disconnected chan error
 }
 
-func newPeer() *peer {
-	return &peer{make(chan net.Conn, 100), make(chan Command, 9), make(chan error, 1)}
+func newChannelPeer() *channelPeer {
+	return &channelPeer{
+		conns:        make(chan net.Conn, 100),
+		commands:     make(chan Command, 9),
+		disconnected: make(chan error, 1),
+	}
 }
-func (p *peer) SuccessorReady()       { p.words <- Command{Path: "takes"} }
-func (p *peer) RequestIDs(all []byte) { p.words <- Command{Path: string(all)} }
-func (p *peer) Connection(c net.Conn, asked bool) {
-	if asked {
-		p.conns <- c
+
+func (c *channelPeer) SuccessorReady()           { c.commands <- Command{Path: "ready"} }
+func (c *channelPeer) RequestIDs(encoded []byte) { c.commands <- Command{Path: string(encoded)} }
+func (c *channelPeer) Command(command Command)   { c.commands <- command }
+func (c *channelPeer) Disconnected(err error)    { c.disconnected <- err }
+
+func (c *channelPeer) Connection(conn net.Conn, hadRequest bool) {
+	if hadRequest {
+		c.conns <- conn
 	} else {
-		c.Close()
+		conn.Close()
 	}
 }
-func (p *peer) Command(w Command)      { p.words <- w }
-func (p *peer) Disconnected(err error) { p.ended <- err }
 
-func one[T any](t *testing.T, from chan T) T {
+func receive[T any](t *testing.T, from chan T) T {
 	t.Helper()
 	select {
-	case x := <-from:
-		return x
-	case <-time.After(20 * time.Second):
-		require.Fail(t, "nothing came")
-		panic("")
+	case value := <-from:
+		return value
+	case <-time.After(timeout):
+		require.Fail(t, "nothing received")
+		panic("unreachable")
 	}
 }
 
-// pair is a link's two ends, at a path longer than the kernel takes.
-func pair(t *testing.T) (old, heir *Link) {
+// newLinkPair returns the two ends of a link, at a path longer than the kernel accepts.
+func newLinkPair(t *testing.T) (predecessor, successor *Link) {
+	t.Helper()
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	path := SocketPath(dir, "a name\nof any form")
 	stale, err := Listen(path)
 	require.NoError(t, err)
 	stale.Close()
-	ln, err := Listen(path)
-	require.NoError(t, err, "what a process left behind is no hindrance")
-	defer ln.Close()
-	heir, err = Dial(path, 5*time.Second)
+	listener, err := Listen(path)
+	require.NoError(t, err, "the socket that an ended process has left is replaced")
+	defer listener.Close()
+	successor, err = Dial(path, 5*time.Second)
 	require.NoError(t, err)
-	c, err := ln.AcceptUnix()
+	conn, err := listener.AcceptUnix()
 	require.NoError(t, err)
-	t.Cleanup(func() { heir.Close(); c.Close() })
-	return NewLink(c), heir
+	t.Cleanup(func() {
+		successor.Close()
+		conn.Close()
+	})
+	return NewLink(conn), successor
 }
 
-func TestStateConnectionsAndWordsComeAcrossInOrder(t *testing.T) {
-	old, heir := pair(t)
-	big := strings.Repeat("x", 3<<20) // far more than the kernel holds for a message
-	go old.SendState(big)
-	var got string
-	require.NoError(t, heir.ReceiveState(&got, 20*time.Second))
-	assert.Equal(t, big, got)
-	p := newPeer()
-	go heir.Serve(p)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// newClients returns connections of clients, and the ends of them that a server has accepted.
+func newClients(t *testing.T, count int) (clients, accepted []net.Conn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer ln.Close()
-	var callers []net.Conn
-	for range 50 {
-		c, err := net.Dial("tcp", ln.Addr().String())
+	defer listener.Close()
+	for range count {
+		client, err := net.Dial("tcp", listener.Addr().String())
 		require.NoError(t, err)
-		defer c.Close()
-		callers = append(callers, c)
-		in, err := ln.Accept()
+		t.Cleanup(func() { client.Close() })
+		conn, err := listener.Accept()
 		require.NoError(t, err)
-		c.Write([]byte("crossed"))
-		require.NoError(t, old.SendConnection(in, true))
-		in.Close()
+		clients, accepted = append(clients, client), append(accepted, conn)
 	}
-	require.NoError(t, old.SendRequestIDs([]byte("ids")))
-	require.NoError(t, old.SendCommand(Command{Path: "/x", Server: "s1"}))
-	for _, c := range callers {
-		in := one(t, p.conns)
-		buf := make([]byte, 7)
-		in.SetDeadline(time.Now().Add(20 * time.Second))
-		_, err := in.Read(buf)
+	return clients, accepted
+}
+
+func TestLink_TransfersInOrder(t *testing.T) {
+	predecessor, successor := newLinkPair(t)
+	state := strings.Repeat("x", 3<<20) // far more than the kernel buffers
+	go predecessor.SendState(state)
+	var got string
+	require.NoError(t, successor.ReceiveState(&got, timeout))
+	assert.Equal(t, state, got)
+	peer := newChannelPeer()
+	go successor.Serve(peer)
+	clients, accepted := newClients(t, 50)
+	for i, conn := range accepted {
+		clients[i].Write([]byte("crossed"))
+		require.NoError(t, predecessor.SendConnection(conn, true))
+		conn.Close()
+	}
+	require.NoError(t, predecessor.SendRequestIDs([]byte("ids")))
+	require.NoError(t, predecessor.SendCommand(Command{Path: "/x", Server: "s1"}))
+	for _, client := range clients {
+		conn := receive(t, peer.conns)
+		buffer := make([]byte, 7)
+		conn.SetDeadline(time.Now().Add(timeout))
+		_, err := conn.Read(buffer)
 		require.NoError(t, err)
-		assert.Equal(t, "crossed", string(buf))
-		in.Write([]byte("!"))
-		in.Close()
-		c.SetDeadline(time.Now().Add(20 * time.Second))
-		n, err := c.Read(buf)
+		assert.Equal(t, "crossed", string(buffer))
+		conn.Write([]byte("!"))
+		conn.Close()
+		client.SetDeadline(time.Now().Add(timeout))
+		n, err := client.Read(buffer)
 		require.NoError(t, err)
-		assert.Equal(t, "!", string(buf[:n]))
+		assert.Equal(t, "!", string(buffer[:n]))
 	}
-	assert.Equal(t, Command{Path: "ids"}, one(t, p.words))
-	assert.Equal(t, Command{Path: "/x", Server: "s1"}, one(t, p.words))
-	old.Close()
-	assert.Error(t, one(t, p.ended))
+	assert.Equal(t, Command{Path: "ids"}, receive(t, peer.commands))
+	assert.Equal(t, Command{Path: "/x", Server: "s1"}, receive(t, peer.commands))
+	predecessor.Close()
+	assert.Error(t, receive(t, peer.disconnected))
 }
 
-// message is one whose text need be no JSON.
-func message(kind byte, text string) string {
-	head := make([]byte, headSize)
-	head[0] = kind
-	binary.BigEndian.PutUint32(head[1:], uint32(len(text)))
-	binary.BigEndian.PutUint32(head[5:], crc32.Checksum([]byte(text), table))
-	return string(head) + text
+// rawMessage encodes a message whose payload need not be JSON.
+func rawMessage(kind messageKind, payload string) string {
+	head := make([]byte, headerSize)
+	head[0] = byte(kind)
+	binary.BigEndian.PutUint32(head[1:], uint32(len(payload)))
+	binary.BigEndian.PutUint32(head[5:], crc32.Checksum([]byte(payload), castagnoli))
+	return string(head) + payload
 }
 
-func TestWhatIsNoMessageEndsTheLink(t *testing.T) {
-	for name, text := range map[string]string{"kind": message('X', "{}"), "length": "W\xff\xff\xff\xff\x00\x00\x00\x00", "json": message('W', "{"),
-		"no descriptor": message('C', "true"), "cut off": "W\x00", "torn": message('W', "{}")[:headSize] + "{ ", "no ids": message('I', "7")} {
-		old, heir := pair(t)
-		p := newPeer()
-		go heir.Serve(p)
-		old.c.Write([]byte(text))
-		if name == "cut off" {
-			old.Close()
-		}
-		assert.Error(t, one(t, p.ended), name)
-		assert.Empty(t, p.words)
+func TestLink_MalformedMessageEndsIt(t *testing.T) {
+	const truncated = "truncated"
+	for name, text := range map[string]string{
+		"unknown kind":   rawMessage('X', "{}"),
+		"too long":       "W\xff\xff\xff\xff\x00\x00\x00\x00",
+		"no JSON":        rawMessage('W', "{"),
+		"no descriptor":  rawMessage('C', "true"),
+		truncated:        "W\x00",
+		"wrong checksum": rawMessage('W', "{}")[:headerSize] + "{ ",
+		"no request IDs": rawMessage('I', "7"),
+	} {
+		t.Run(name, func(t *testing.T) {
+			predecessor, successor := newLinkPair(t)
+			peer := newChannelPeer()
+			go successor.Serve(peer)
+			predecessor.conn.Write([]byte(text))
+			if name == truncated {
+				predecessor.Close()
+			}
+			assert.Error(t, receive(t, peer.disconnected))
+			assert.Empty(t, peer.commands)
+		})
 	}
 }
 
 // Whatever another process sends, this one reads it as messages or ends the link.
 func FuzzLink(f *testing.F) {
-	f.Add([]byte(message('S', "{}") + message('W', `{"Call":"/x"}`) + message('I', `"AAAA"`) + message('T', "{}")))
-	f.Add([]byte(message('S', "{}") + message('C', "true")))
+	f.Add([]byte(rawMessage('S', "{}") + rawMessage('W', `{"Call":"/x"}`) + rawMessage('I', `"AAAA"`) + rawMessage('T', "{}")))
+	f.Add([]byte(rawMessage('S', "{}") + rawMessage('C', "true")))
 	f.Add([]byte("W\x00\xff\xff\xff{"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-		if err != nil {
-			t.Skip(err)
-		}
-		var ends [2]*net.UnixConn
-		for i, fd := range fds {
-			file := os.NewFile(uintptr(fd), "end")
-			c, err := net.FileConn(file)
-			file.Close()
-			if err != nil {
-				t.Skip(err)
-			}
-			ends[i] = c.(*net.UnixConn)
-		}
+		near, far := socketPair(t)
 		go func() {
-			ends[1].Write(text)
-			ends[1].Close()
+			far.Write(text)
+			far.Close()
 		}()
-		l := NewLink(ends[0])
+		link := NewLink(near)
 		var state any
-		if l.ReceiveState(&state, 20*time.Second) != nil {
-			l.Close()
+		if link.ReceiveState(&state, timeout) != nil {
+			link.Close()
 			return
 		}
-		p := &peer{make(chan net.Conn, 1), make(chan Command, len(text)), make(chan error, 1)}
-		l.Serve(p)
-		if <-p.ended == nil {
-			t.Fatal("it ended without a reason")
+		peer := &channelPeer{make(chan net.Conn, 1), make(chan Command, len(text)), make(chan error, 1)}
+		link.Serve(peer)
+		if <-peer.disconnected == nil {
+			t.Fatal("the link ended without a reason")
 		}
 	})
 }
 
-func TestWhatWasSaidIsKeptWholeOrNotAtAll(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "said")
-	got := map[string]int{"before": 1}
-	require.NoError(t, Load(path, &got))
-	assert.Equal(t, map[string]int{"before": 1}, got)
+func TestLoad_MissingFileLeavesState(t *testing.T) {
+	state := map[string]int{"before": 1}
+	require.NoError(t, Load(filepath.Join(t.TempDir(), "state"), &state))
+	assert.Equal(t, map[string]int{"before": 1}, state)
+}
+
+func TestLoad_SetsCorruptFileAside(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
 	require.NoError(t, Save(path, map[string]int{"a": 1}))
-	got = nil
+	var got map[string]int
 	require.NoError(t, Load(path, &got))
 	assert.Equal(t, map[string]int{"a": 1}, got)
-	whole, err := os.ReadFile(path)
+	saved, err := os.ReadFile(path)
 	require.NoError(t, err)
-	bad := []string{`{"a":`, "foreign", string(whole) + " ", strings.Replace(string(whole), "1", "2", 1), message('W', "{}"), message('K', "[1]")}
-	for n := range len(whole) { // each cut
-		bad = append(bad, string(whole[:n]))
+	corrupt := []string{
+		`{"a":`,
+		"foreign",
+		string(saved) + " ",
+		strings.Replace(string(saved), "1", "2", 1),
+		rawMessage('W', "{}"),
+		rawMessage('K', "[1]"),
+	}
+	for size := range len(saved) {
+		corrupt = append(corrupt, string(saved[:size]))
 	}
-	for _, text := range bad {
+	for _, text := range corrupt {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		assert.ErrorContains(t, Load(path, &got), "set aside", "%q", text)
-		assert.NoError(t, Load(path, &got), "the next start finds nothing there")
+		err := Load(path, &got)
+		assert.ErrorContains(t, err, "set aside", "%q", text)
+		var corruptErr *CorruptError
+		assert.ErrorAs(t, err, &corruptErr, "%q", text)
+		assert.NoError(t, Load(path, &got), "the next start finds no file")
 		aside, err := os.ReadFile(path + ".bad")
 		require.NoError(t, err)
 		assert.Equal(t, text, string(aside))
 	}
 	require.NoError(t, os.WriteFile(path, []byte(`{"a":3}`), 0o600))
-	require.NoError(t, Load(path, &got), "of the form before")
+	require.NoError(t, Load(path, &got), "the form of older versions")
 	assert.Equal(t, map[string]int{"a": 3}, got)
-	all, err := os.ReadDir(filepath.Dir(path))
+	files, err := os.ReadDir(filepath.Dir(path))
 	require.NoError(t, err)
-	assert.Len(t, all, 2)
+	assert.Len(t, files, 2)
 }
