--- /dev/null
+++ b/cmd/robincart/clientlistener.go
@@ -0,0 +1,67 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"sync"
+	"syscall"
+
+	"robincart/internal/system/socket"
+)
+
+// firstInheritedDescriptor is the first one behind the standard streams.
+const firstInheritedDescriptor = 3
+
+// clientListener is the listener for clients. One that the platform holds can be closed and opened again.
+type clientListener struct {
+	file *os.File // the platform's; nil: the listener is this process's own
+
+	mu       sync.Mutex
+	listener net.Listener
+}
+
+// openClientListener listens on an address, or on the descriptor that the platform holds for all processes of this
+// node.
+func openClientListener(address, descriptor string) (*clientListener, error) {
+	if descriptor == "" {
+		listener, err := socket.Listen("tcp", address)
+		if err != nil {
+			return nil, fmt.Errorf("listen: %w", err)
+		}
+		return &clientListener{listener: listener}, nil
+	}
+	number, err := strconv.Atoi(descriptor)
+	if err != nil || number < firstInheritedDescriptor {
+		return nil, fmt.Errorf("EDGE_ACCEPT_FD is %q, no descriptor", descriptor)
+	}
+	syscall.CloseOnExec(number)
+	c := &clientListener{file: os.NewFile(uintptr(number), "listener")}
+	if err := socket.RetryTransient(c.open); err != nil {
+		return nil, fmt.Errorf("EDGE_ACCEPT_FD is %s: %w", descriptor, err)
+	}
+	return c, nil
+}
+
+// inherited reports whether the platform holds the listener, so that it outlives this process.
+func (c *clientListener) inherited() bool { return c.file != nil }
+
+// open listens by the platform's descriptor.
+func (c *clientListener) open() error {
+	listener, err := socket.FileListener(c.file)
+	if err != nil {
+		return err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.listener = listener
+	return nil
+}
+
+// current returns the listener that was opened last.
+func (c *clientListener) current() net.Listener {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.listener
+}
--- /dev/null
+++ b/cmd/robincart/commands.go
@@ -0,0 +1,253 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"robincart/internal/admin"
+	"robincart/internal/core/node"
+	"robincart/internal/handover"
+	"robincart/internal/system/socket"
+)
+
+// lameDuckSetter is the front end, which asks clients to leave while the node is a lame duck.
+type lameDuckSetter interface{ SetLameDuck(on bool) }
+
+// commandHandler puts operator commands in force: those of this process's admin address, and those that another
+// process of the node relays. It owns the operator state.
+type commandHandler struct {
+	frontend  lameDuckSetter
+	cores     func() []*node.Core // of all services
+	stateFile *operatorStateFile  // nil: the state does not outlive the process
+	log       *zap.Logger
+	accepting atomic.Bool // clients are accepted
+
+	mu    sync.Mutex                  // held while one command is put in force and relayed
+	links map[*handover.Link]struct{} // to the node's other processes
+
+	// stateMu is apart from mu: a service that starts needs the state while the services are locked, and a command
+	// needs the services while mu is held.
+	stateMu sync.Mutex
+	state   operatorState
+	// pending is not nil while the saved state can't be read.
+	pending *pendingRestore
+}
+
+func newCommandHandler(front lameDuckSetter, cores func() []*node.Core, log *zap.Logger) *commandHandler {
+	return &commandHandler{
+		frontend: front,
+		cores:    cores,
+		log:      log,
+		links:    map[*handover.Link]struct{}{},
+		state:    operatorState{BannedSince: map[string]int64{}, StartedAt: map[string]int64{}},
+	}
+}
+
+// Ready reports whether this process accepts clients.
+func (c *commandHandler) Ready() bool { return c.accepting.Load() }
+
+// Detach bans a server in every service that lists it, or did.
+func (c *commandHandler) Detach(server string) error {
+	return c.execute(handover.Command{Path: admin.PathDetach, Server: server}, nil)
+}
+
+// Attach ends the ban of a server in all services.
+func (c *commandHandler) Attach(server string) error {
+	return c.execute(handover.Command{Path: admin.PathAttach, Server: server}, nil)
+}
+
+// ExclusionReason returns what keeps a server excluded in one of the services, "" for nothing.
+func (c *commandHandler) ExclusionReason(server string) string {
+	for _, core := range c.cores() {
+		if reason := core.ExclusionReason(server); reason != "" {
+			return reason
+		}
+	}
+	return ""
+}
+
+// SetLameDuck asks clients to leave the node, or no longer.
+func (c *commandHandler) SetLameDuck(on bool) error {
+	command := handover.Command{Path: admin.PathLameDuckOff}
+	if on {
+		command.Path = admin.PathLameDuckOn
+	}
+	return c.execute(command, nil)
+}
+
+// execute puts a command in force, relays it to the node's other processes, and saves the state. from is the link
+// that it came by, nil for this process's admin address.
+//
+// A state that can't be saved is in force all the same, and saved as soon as possible; the error is then an
+// admin.NotPersistedError. A relayed command does not wait for that: its operator has the answer from the other
+// process, and client connections may follow it on the link.
+func (c *commandHandler) execute(command handover.Command, from *handover.Link) error {
+	number, err := c.applyAndRelay(command, from)
+	if err != nil || c.stateFile == nil || from != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), saveTimeout)
+	defer cancel()
+	if err := c.stateFile.waitSaved(ctx, number); err != nil {
+		return &admin.NotPersistedError{Cause: err}
+	}
+	return nil
+}
+
+// applyAndRelay returns the number of the state that is being saved.
+func (c *commandHandler) applyAndRelay(command handover.Command, from *handover.Link) (number uint64, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.apply(command); err != nil {
+		return 0, err
+	}
+	for link := range c.links {
+		if link == from {
+			continue
+		}
+		if err := link.SendCommand(command); err != nil {
+			c.log.Warn("operator command not relayed", zap.String("path", command.Path),
+				zap.String("server", command.Server), zap.Error(err))
+		}
+	}
+	if c.stateFile == nil {
+		return 0, nil
+	}
+	return c.stateFile.save(c.operatorState()), nil
+}
+
+// apply puts a command in force. mu is held.
+func (c *commandHandler) apply(command handover.Command) error {
+	switch command.Path {
+	case admin.PathDetach:
+		if err := c.detach(command.Server); err != nil {
+			return err
+		}
+	case admin.PathAttach:
+		if !c.anyCore(func(core *node.Core) bool { return core.Attach(command.Server) }) {
+			return admin.ErrNeverListed
+		}
+		c.unban(command.Server)
+	case admin.PathLameDuckOn, admin.PathLameDuckOff:
+		c.setLameDuck(command.Path == admin.PathLameDuckOn)
+	default:
+		return fmt.Errorf("%q is no operator command", command.Path)
+	}
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	if c.pending != nil {
+		c.pending.note(command)
+	}
+	return nil
+}
+
+func (c *commandHandler) detach(server string) error {
+	// The state comes first: a service that starts meanwhile then learns of the ban from it, or is among the cores
+	// below.
+	added := c.ban(server)
+	if c.anyCore(func(core *node.Core) bool { return core.Detach(server) }) {
+		return nil
+	}
+	if added {
+		c.unban(server)
+	}
+	return admin.ErrNeverListed
+}
+
+// anyCore calls do for every core, and reports whether one of the calls returned true.
+func (c *commandHandler) anyCore(do func(*node.Core) bool) bool {
+	found := false
+	for _, core := range c.cores() {
+		found = do(core) || found
+	}
+	return found
+}
+
+// ban adds a server to the banned ones, and reports whether it was not among them.
+func (c *commandHandler) ban(server string) (added bool) {
+	started, known := c.startTime(server)
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	if _, banned := c.state.BannedSince[server]; banned {
+		return false
+	}
+	c.state.BannedSince[server] = time.Now().UnixMilli()
+	if known {
+		c.state.StartedAt[server] = started
+	}
+	return true
+}
+
+// unban removes a server from the banned ones.
+func (c *commandHandler) unban(server string) {
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	delete(c.state.BannedSince, server)
+	delete(c.state.StartedAt, server)
+}
+
+func (c *commandHandler) setLameDuck(on bool) {
+	c.stateMu.Lock()
+	c.state.LameDuck = on
+	c.stateMu.Unlock()
+	c.frontend.SetLameDuck(on)
+}
+
+// startTime returns a server's start as the endpoint list has it, in milliseconds of Unix time; 0 is long ago.
+func (c *commandHandler) startTime(server string) (milliseconds int64, known bool) {
+	for _, core := range c.cores() {
+		if started, listed := core.StartTime(server); listed {
+			return startMilliseconds(started), true
+		}
+	}
+	return 0, false
+}
+
+// operatorState returns a copy of the state.
+func (c *commandHandler) operatorState() operatorState {
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	return c.state.clone()
+}
+
+// serviceStarted gives the core of a service that has just started the bans in force.
+func (c *commandHandler) serviceStarted(core *node.Core) { core.Inherit(c.operatorState().bans(), nil) }
+
+// addLink has commands relayed to another process of the node from now on.
+func (c *commandHandler) addLink(link *handover.Link) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.links[link] = struct{}{}
+}
+
+// addSuccessor sends a successor the state, and has commands relayed to it from then on. No command is executed in
+// between, so that the successor is given each one either with the state or relayed.
+func (c *commandHandler) addSuccessor(successor *handover.Link, sendState func() error) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.links[successor] = struct{}{}
+	return sendState()
+}
+
+func (c *commandHandler) removeLink(link *handover.Link) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.links, link)
+}
+
+// serveAdmin serves the admin address, if there is one, and returns the function that ends that.
+func serveAdmin(address string, commands *commandHandler, log *zap.Logger) (closeAdmin func(), err error) {
+	if address == "" {
+		return func() {}, nil
+	}
+	listener, err := socket.Listen("tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("the operators' address: %w", err)
+	}
+	return admin.Serve(listener, commands, admin.DefaultLimits(), log).Close, nil
+}
--- a/cmd/robincart/endings_test.go
+++ b/cmd/robincart/endings_test.go
@@ -76,15 +76,15 @@
 
 func TestLinesThatNobodyReadsAreCountedAndTheLogGoesOn(t *testing.T) {
 	r, w := io.Pipe()
-	l := newLines(w)
-	for i := range written + 9 {
+	l := newAsyncWriter(w)
+	for i := range maxQueuedLines + 9 {
 		l.Write(fmt.Appendf(nil, "line %d\n", i))
 	}
 	l.Sync() // not for ever
 	all := ""
 	for lines := bufio.NewScanner(r); !strings.HasSuffix(all, "next") && lines.Scan(); {
 		all += lines.Text()
-		if strings.HasSuffix(all, fmt.Sprintf("line %d", written-1)) {
+		if strings.HasSuffix(all, fmt.Sprintf("line %d", maxQueuedLines-1)) {
 			l.Write([]byte("next\n"))
 		}
 	}
--- /dev/null
+++ b/cmd/robincart/fileservices.go
@@ -0,0 +1,183 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+
+	"robincart/internal/config/nodeconfig"
+	"robincart/internal/controlplane/recordcache"
+	"robincart/internal/dataplane/services"
+	"robincart/internal/system/keys"
+	"robincart/internal/system/socket"
+)
+
+// runFile runs the node by a configuration file: several services behind one set of listeners.
+func runFile(path string, caught signals) error {
+	config, err := readAtStart(func() (*nodeconfig.Config, error) { return readFileConfig(path) })
+	if err != nil {
+		return err
+	}
+	level, err := zapcore.ParseLevel(config.Log.Level)
+	if err != nil {
+		return fmt.Errorf("log: %w", err)
+	}
+	log := newLog(config.Log.Format, level, config.Name)
+	defer log.Sync()
+	listeners, err := listenAll(config.Listen)
+	if err != nil {
+		return err
+	}
+	gateways, err := listenForGateways(config)
+	if err != nil {
+		closeAll(listeners)
+		return err
+	}
+	p, err := newProcess(config.Name, config.Limits, log)
+	if err != nil {
+		return err
+	}
+	defer p.close()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	b := newFileBackend(ctx, p, path, config, gateways)
+	defer b.closeRecord()
+	if err := b.start(); err != nil {
+		b.services.Close()
+		return err
+	}
+	p.run(listeners, b, caught)
+	return nil
+}
+
+// readFileConfig reads a configuration file for this process.
+func readFileConfig(path string) (*nodeconfig.Config, error) {
+	maxDescriptors := descriptorLimit()
+	return readWithSpare(func() (*nodeconfig.Config, error) { return nodeconfig.Read(path, maxDescriptors) })
+}
+
+// listenAll listens on all addresses, or on none.
+func listenAll(addresses []string) ([]net.Listener, error) {
+	var listeners []net.Listener
+	for _, address := range addresses {
+		listener, err := socket.Listen("tcp", address)
+		if err != nil {
+			closeAll(listeners)
+			return nil, fmt.Errorf("listen: %w", err)
+		}
+		listeners = append(listeners, listener)
+	}
+	return listeners, nil
+}
+
+func closeAll(listeners []net.Listener) {
+	for _, listener := range listeners {
+		listener.Close()
+	}
+}
+
+// fileBackend is the services of a configuration file.
+type fileBackend struct {
+	process      *process
+	path         string             // of the configuration file
+	fileConfig   *nodeconfig.Config // the file alone
+	config       *nodeconfig.Config // in force: the file, and the record over it
+	services     *services.Manager
+	commands     *commandHandler
+	gateways     []gatewayListener
+	record       *recordcache.Cache // nil: there is no record
+	recordStatus net.Listener       // the record's status page; nil: there is none
+	closeAdmin   func()
+}
+
+// newFileBackend makes the services, with the operator state that was saved.
+func newFileBackend(ctx context.Context, p *process, path string, config *nodeconfig.Config,
+	gateways []gatewayListener) *fileBackend {
+	b := &fileBackend{process: p, path: path, fileConfig: config, config: config, gateways: gateways}
+	b.services = services.New(config, p.clock, p.budget, p.log, p.poller)
+	b.services.Telemetry = p.telemetry
+	b.commands = newCommandHandler(p.frontend, b.services.Cores, p.log)
+	if config.Admin.StateFile != "" {
+		b.commands.stateFile = newOperatorStateFile(config.Admin.StateFile, p.log)
+		b.commands.restore(ctx)
+	}
+	b.services.OnServiceStart = b.commands.serviceStarted
+	return b
+}
+
+// start opens the keys and the record, starts the services and serves the admin address.
+func (f *fileBackend) start() error {
+	if err := f.openKeys(); err != nil {
+		return err
+	}
+	if err := f.openRecord(); err != nil {
+		return err
+	}
+	f.apply()
+	var err error
+	if f.closeAdmin, err = serveAdmin(f.config.Admin.Listen, f.commands, f.process.log); err != nil {
+		return err
+	}
+	l := f.process.limits
+	f.process.log.Info("serving", zap.Strings("listen", f.config.Listen), zap.Int("services", len(f.config.Pools)),
+		zap.Int("descriptors", l.Descriptors), zap.Int64("memory", l.MemoryLimit))
+	return nil
+}
+
+func (f *fileBackend) openKeys() error {
+	if !f.config.Keys.Enabled() {
+		return nil
+	}
+	ring, err := keys.Open(f.config.Keys, f.process.log)
+	if err != nil {
+		return err
+	}
+	f.services.Keys = ring
+	f.services.Go(ring.Run)
+	return nil
+}
+
+// apply puts the configuration in force.
+func (f *fileBackend) apply() {
+	f.process.frontend.SetTable(f.services.Apply(f.config))
+}
+
+func (f *fileBackend) started() {
+	for _, gateway := range f.gateways {
+		f.process.frontend.ServeGateways(gateway.listener, gateway.gateway)
+	}
+	f.commands.accepting.Store(true)
+}
+
+func (f *fileBackend) reload() error {
+	next, err := readFileConfig(f.path)
+	var unreadable *unreadableError
+	if errors.As(err, &unreadable) {
+		return err
+	}
+	if err != nil {
+		logRejectedConfiguration(f.process.log, err)
+		return nil
+	}
+	if restartKeys := next.KeepProcessSettings(f.config); len(restartKeys) > 0 {
+		f.process.log.Warn("restart required", zap.Strings("keys", restartKeys))
+	}
+	f.fileConfig = next
+	f.config = f.withRecord()
+	f.apply()
+	return nil
+}
+
+func (f *fileBackend) inFlight() int { return f.services.InFlight() }
+
+// prepareShutdown reports false: these processes have no successors.
+func (f *fileBackend) prepareShutdown() (handedOver bool) { return false }
+
+func (f *fileBackend) close() {
+	f.closeAdmin()
+	f.services.Close()
+}
--- a/cmd/robincart/golden_output_test.go
+++ b/cmd/robincart/golden_output_test.go
@@ -20,7 +20,7 @@
 func printed(t *testing.T, arguments ...string) string {
 	t.Helper()
 	var out bytes.Buffer
-	command := root(signals{})
+	command := rootCommand(signals{})
 	command.SetArgs(arguments)
 	command.SetOut(&out)
 	require.NoError(t, command.Execute())
@@ -86,7 +86,7 @@
 
 func TestGolden_LostLinesAreTold(t *testing.T) {
 	var out bytes.Buffer
-	l := newLines(&out)
+	l := newAsyncWriter(&out)
 	l.lost.Store(3)
 	_, err := l.Write([]byte("the line after\n"))
 	require.NoError(t, err)
--- a/cmd/robincart/golden_test.go
+++ b/cmd/robincart/golden_test.go
@@ -45,50 +45,50 @@
 	return path
 }
 
-// fullSaid has every field of what operators have said. The server whose start is 0 was started long ago; server-3 was
+// fullOperatorState has every field of what operators have said. The server whose start is 0 was started long ago; server-3 was
 // taken out by a process that noted no start.
-func fullSaid() said {
-	return said{
-		Out:    map[string]int64{"server-1": 1764547200001, "server-2": 1764547200002, "server-3": 1764547200003},
-		Starts: map[string]int64{"server-1": 1764540000004, "server-2": 0},
-		Lame:   true,
+func fullOperatorState() operatorState {
+	return operatorState{
+		BannedSince: map[string]int64{"server-1": 1764547200001, "server-2": 1764547200002, "server-3": 1764547200003},
+		StartedAt:   map[string]int64{"server-1": 1764540000004, "server-2": 0},
+		LameDuck:    true,
 	}
 }
 
-// fullKnown has every field of what is handed to a successor.
-func fullKnown() known {
-	return known{
-		Form: 2, Said: fullSaid(), Unread: true,
-		Servers: []node.Endpoint{
+// fullHandoverState has every field of what is handed to a successor.
+func fullHandoverState() handoverState {
+	return handoverState{
+		Version: 2, Operators: fullOperatorState(), OperatorsUnread: true,
+		Endpoints: []node.Endpoint{
 			{ID: "server-5", Addr: "127.0.0.1:3005", State: decide.Draining, Zone: 6, Cell: 7, Weight: 8.25,
 				StartedAt: time.Date(2026, 12, 1, 9, 10, 11, 12_000_000, time.UTC), Revision: 13},
 			{ID: "server-14", Addr: "127.0.0.1:3014", State: decide.Ready, Zone: 15, Cell: 16, Weight: 17, Revision: 18},
 		},
-		Listed:   []string{"server-5", "server-14", "server-19"},
-		Held:     20,
-		Seed:     18446744073709551595, // more than a floating-point number holds
-		ListTime: time.Date(2026, 12, 1, 22, 23, 24, 123_456_789, time.UTC),
+		KnownServers:  []string{"server-5", "server-14", "server-19"},
+		Descriptors:   20,
+		RequestIDSeed: 18446744073709551595, // more than a floating-point number holds
+		ListClock:     time.Date(2026, 12, 1, 22, 23, 24, 123_456_789, time.UTC),
 	}
 }
 
-// bareKnown is what a process hands over that knows no server and has heard of no operator.
-func bareKnown() known {
-	return known{
-		Form: 2, Said: said{Out: map[string]int64{}, Starts: map[string]int64{}}, Servers: []node.Endpoint{}, Seed: 1,
+// bareHandoverState is what a process hands over that knows no server and has heard of no operator.
+func bareHandoverState() handoverState {
+	return handoverState{
+		Version: 2, Operators: operatorState{BannedSince: map[string]int64{}, StartedAt: map[string]int64{}}, Endpoints: []node.Endpoint{}, RequestIDSeed: 1,
 	}
 }
 
-// bareKnownRead is the same as it is read: no start stands in the message.
-func bareKnownRead() known {
-	k := bareKnown()
-	k.Said.Starts = nil
+// bareHandoverStateRead is the same as it is read: no start stands in the message.
+func bareHandoverStateRead() handoverState {
+	k := bareHandoverState()
+	k.Operators.StartedAt = nil
 	return k
 }
 
 // stateCases names the state messages, with what is sent and what is read.
-var stateCases = map[string]struct{ sent, read known }{
-	"state.message":      {fullKnown(), fullKnown()},
-	"state_bare.message": {bareKnown(), bareKnownRead()},
+var stateCases = map[string]struct{ sent, read handoverState }{
+	"state.message":      {fullHandoverState(), fullHandoverState()},
+	"state_bare.message": {bareHandoverState(), bareHandoverStateRead()},
 	"state_zero.message": {},
 }
 
@@ -128,8 +128,8 @@
 			near, far := socketPair(t)
 			_, err := near.Write([]byte(golden(t, file)))
 			require.NoError(t, err)
-			var got known
-			require.NoError(t, handover.NewLink(far).ReceiveState(&got, stateTime))
+			var got handoverState
+			require.NoError(t, handover.NewLink(far).ReceiveState(&got, stateTimeout))
 			assert.Equal(t, state.read, got)
 		})
 	}
@@ -149,26 +149,26 @@
 		}
 	}()
 	s := &succession{path: path, log: zap.NewNop()}
-	told, err := s.reach()
+	state, err := s.connectToPredecessor()
 	require.NoError(t, err)
-	defer s.before.Close()
-	assert.Equal(t, fullKnown(), told)
+	defer s.predecessor.Close()
+	assert.Equal(t, fullHandoverState(), state)
 }
 
 func TestGolden_OperatorFileIsWrittenByteForByte(t *testing.T) {
-	noStarts := fullSaid()
-	noStarts.Starts = nil
-	for file, state := range map[string]said{
-		"said":           fullSaid(),
+	noStarts := fullOperatorState()
+	noStarts.StartedAt = nil
+	for file, state := range map[string]operatorState{
+		"said":           fullOperatorState(),
 		"said_no_starts": noStarts,
-		"said_nothing":   {Out: map[string]int64{}, Starts: map[string]int64{}},
+		"said_nothing":   {BannedSince: map[string]int64{}, StartedAt: map[string]int64{}},
 		"said_zero":      {},
 	} {
 		t.Run(file, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "said")
-			operators := newOperatorFile(path, zap.NewNop())
-			operators.adopt()
-			require.NoError(t, operators.await(t.Context(), operators.put(state)))
+			operators := newOperatorStateFile(path, zap.NewNop())
+			operators.allowWrites()
+			require.NoError(t, operators.waitSaved(t.Context(), operators.save(state)))
 			written, err := os.ReadFile(path)
 			require.NoError(t, err)
 			assert.Equal(t, golden(t, file), string(written))
@@ -177,18 +177,18 @@
 }
 
 func TestGolden_OperatorFileIsRead(t *testing.T) {
-	noStarts := fullSaid()
-	noStarts.Starts = nil
-	for file, want := range map[string]said{
-		"said":               fullSaid(),
+	noStarts := fullOperatorState()
+	noStarts.StartedAt = nil
+	for file, want := range map[string]operatorState{
+		"said":               fullOperatorState(),
 		"said_no_starts":     noStarts,
-		"said_nothing":       {Out: map[string]int64{}}, // no start stands in the file
+		"said_nothing":       {BannedSince: map[string]int64{}}, // no start stands in the file
 		"said_zero":          {},
 		"said_headless.json": noStarts,
 	} {
 		t.Run(file, func(t *testing.T) {
 			path := copied(t, file)
-			got, err := newOperatorFile(path, zap.NewNop()).peek()
+			got, err := newOperatorStateFile(path, zap.NewNop()).read()
 			require.NoError(t, err)
 			assert.Equal(t, want, got)
 			_, err = os.Stat(path + ".bad")
@@ -227,7 +227,7 @@
 }
 
 func TestGolden_NodeConfigurationIsRead(t *testing.T) {
-	c, err := readConfig(environment(t, "node.json", nil))
+	c, err := readPlatformConfig(environment(t, "node.json", nil))
 	require.NoError(t, err)
 	assert.Equal(t, "node-1", c.Name)
 	assert.Equal(t, "127.0.0.1:3002", c.Listen)
@@ -247,7 +247,7 @@
 }
 
 func TestGolden_NodeConfigurationMayLeaveOut(t *testing.T) {
-	c, err := readConfig(environment(t, "node_required.json", nil))
+	c, err := readPlatformConfig(environment(t, "node_required.json", nil))
 	require.NoError(t, err)
 	assert.Empty(t, c.Name)
 	assert.Empty(t, c.Admin)
@@ -260,14 +260,14 @@
 }
 
 func TestGolden_EnvironmentGoesBeforeTheFile(t *testing.T) {
-	for name, field := range map[string]func(*config) string{
-		"EDGE_NAME":       func(c *config) string { return c.Name },
-		"EDGE_LISTEN":     func(c *config) string { return c.Listen },
-		"EDGE_DISCOVERY":  func(c *config) string { return c.Discovery },
-		"EDGE_ADMIN_ADDR": func(c *config) string { return c.Admin },
+	for name, field := range map[string]func(*platformConfig) string{
+		"EDGE_NAME":       func(c *platformConfig) string { return c.Name },
+		"EDGE_LISTEN":     func(c *platformConfig) string { return c.Listen },
+		"EDGE_DISCOVERY":  func(c *platformConfig) string { return c.Discovery },
+		"EDGE_ADMIN_ADDR": func(c *platformConfig) string { return c.Admin },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, err := readConfig(environment(t, "node.json", map[string]string{name: "127.0.0.1:4000"}))
+			c, err := readPlatformConfig(environment(t, "node.json", map[string]string{name: "127.0.0.1:4000"}))
 			require.NoError(t, err)
 			assert.Equal(t, "127.0.0.1:4000", field(c))
 		})
@@ -278,7 +278,7 @@
 // letter: decoding alone takes "Listen" for "listen".
 func TestGolden_NodeConfigurationHasExactlyTheseNames(t *testing.T) {
 	whole := golden(t, "node.json")
-	var c config
+	var c platformConfig
 	decoder := json.NewDecoder(strings.NewReader(whole))
 	decoder.DisallowUnknownFields()
 	require.NoError(t, decoder.Decode(&c))
--- a/cmd/robincart/log.go
+++ b/cmd/robincart/log.go
@@ -11,92 +11,110 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// written is how many lines wait for the log's reader at most, and lastLines how long the end waits for it.
 const (
-	written   = 512
-	lastLines = 100 * time.Millisecond
+	// maxQueuedLines is how many lines wait for the log's reader. Further ones are lost, and counted.
+	maxQueuedLines = 512
+	// syncTimeout is how long the end of the process waits for the log's reader.
+	syncTimeout = 100 * time.Millisecond
+	// Of the lines with one message the first samplingFirst in a samplingPeriod are logged, and then each
+	// samplingThereafter-th.
+	samplingPeriod     = time.Second
+	samplingFirst      = 100
+	samplingThereafter = 100
 )
 
-// lines writes a log's lines beside the program. Written in place, a line would wait for whoever reads the log, with whatever
-// lock its writer holds: a reader that stands still would stop the node, and hold it past its end.
-type lines struct {
+// asyncWriter writes a log's lines in a goroutine of its own, which ends with the process. Written in place, a line
+// would wait for whoever reads the log, with whatever lock its writer holds: a reader that hangs would stop the
+// node.
+type asyncWriter struct {
 	to    io.Writer
 	queue chan []byte
-	rests chan chan struct{}
-	lost  atomic.Int64
+	syncs chan chan struct{} // each is closed when the queue has been written
+	lost  atomic.Int64       // lines since the last one that was written
 }
 
-func newLines(to io.Writer) *lines {
-	l := &lines{to: to, queue: make(chan []byte, written), rests: make(chan chan struct{})}
-	go l.run()
-	return l
+func newAsyncWriter(to io.Writer) *asyncWriter {
+	a := &asyncWriter{to: to, queue: make(chan []byte, maxQueuedLines), syncs: make(chan chan struct{})}
+	go a.run()
+	return a
 }
 
-// Write takes a line, or loses it where none has been read for long.
-func (l *lines) Write(line []byte) (int, error) {
+// Write queues a line, or loses it if the queue is full.
+func (a *asyncWriter) Write(line []byte) (int, error) {
 	select {
-	case l.queue <- append([]byte(nil), line...):
+	case a.queue <- append([]byte(nil), line...):
 	default:
-		l.lost.Add(1)
+		a.lost.Add(1)
 	}
 	return len(line), nil
 }
 
-// Sync waits for what was written before, but not for ever.
-func (l *lines) Sync() error {
-	done, end := make(chan struct{}), time.After(lastLines)
+// Sync waits for the lines that were queued before, for syncTimeout at most.
+func (a *asyncWriter) Sync() error {
+	done, timeout := make(chan struct{}), time.After(syncTimeout)
 	select {
-	case l.rests <- done:
-		select {
-		case <-done:
-		case <-end:
-		}
-	case <-end:
+	case a.syncs <- done:
+	case <-timeout:
+		return nil
+	}
+	select {
+	case <-done:
+	case <-timeout:
 	}
 	return nil
 }
 
-func (l *lines) run() {
-	write := func(line []byte) {
-		if n := l.lost.Swap(0); n > 0 {
-			fmt.Fprintf(l.to, `{"level":"warn","msg":"lines of the log are lost: nobody read it","lines":%d}`+"\n", n)
+func (a *asyncWriter) run() {
+	for {
+		select {
+		case line := <-a.queue:
+			a.writeLine(line)
+		case done := <-a.syncs:
+			a.writeQueue()
+			close(done)
 		}
-		l.to.Write(line)
 	}
+}
+
+// writeQueue writes what is queued now.
+func (a *asyncWriter) writeQueue() {
 	for {
 		select {
-		case line := <-l.queue:
-			write(line)
-		case done := <-l.rests:
-			for more := true; more; {
-				select {
-				case line := <-l.queue:
-					write(line)
-				default:
-					more = false
-				}
-			}
-			close(done)
+		case line := <-a.queue:
+			a.writeLine(line)
+		default:
+			return
 		}
 	}
 }
 
-// newLog makes a node's log on standard error.
-func newLog(form string, level zapcore.Level, name string) *zap.Logger {
+// writeLine writes a line, behind one that says how many were lost before it.
+func (a *asyncWriter) writeLine(line []byte) {
+	if lost := a.lost.Swap(0); lost > 0 {
+		const format = `{"level":"warn","msg":"lines of the log are lost: nobody read it","lines":%d}` + "\n"
+		fmt.Fprintf(a.to, format, lost)
+	}
+	a.to.Write(line)
+}
+
+// newLog returns a node's log on standard error, in the format "console" or as JSON lines.
+func newLog(format string, level zapcore.Level, name string) *zap.Logger {
 	encoder := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
-	if form == "console" {
+	if format == "console" {
 		encoder = zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
 	}
-	core := zapcore.NewCore(encoder, newLines(os.Stderr), level)
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, 100, 100), zap.AddCaller(), zap.Fields(zap.String("node", name)))
+	core := zapcore.NewCore(encoder, newAsyncWriter(os.Stderr), level)
+	sampler := zapcore.NewSamplerWithOptions(core, samplingPeriod, samplingFirst, samplingThereafter)
+	return zap.New(sampler, zap.AddCaller(), zap.Fields(zap.String("node", name)))
 }
 
-// newTrace makes the log of each event, on standard error, if EDGE_EVENTS asks for it; else it is nil. Unlike the usual log it leaves
-// no line out but where nobody reads.
-func newTrace(getenv func(string) string, name string) *zap.Logger {
+// newEventLog returns the log of every event on standard error if EDGE_EVENTS is set, and else nil. Unlike newLog's
+// it samples nothing: a line is lost only if nobody reads them.
+func newEventLog(getenv func(string) string, name string) *zap.Logger {
 	if getenv("EDGE_EVENTS") == "" {
 		return nil
 	}
 	encoder := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
-	return zap.New(zapcore.NewCore(encoder, newLines(os.Stderr), zap.InfoLevel), zap.Fields(zap.String("node", name)))
+	core := zapcore.NewCore(encoder, newAsyncWriter(os.Stderr), zap.InfoLevel)
+	return zap.New(core, zap.Fields(zap.String("node", name)))
 }
--- a/cmd/robincart/node_test.go
+++ b/cmd/robincart/node_test.go
@@ -224,7 +224,7 @@
 		})
 	}
 	p.reload("{")
-	require.Eventually(t, func() bool { return strings.Contains(p.Log(), "the old one stays") },
+	require.Eventually(t, func() bool { return strings.Contains(p.Log(), "configuration rejected") },
 		2*time.Second, 10*time.Millisecond)
 	assert.Equal(t, "old", p.ask("find", "").body)
 	config["discovery"], config["seed"], config["name"] = there.addr(), "2", "n2"
@@ -234,7 +234,7 @@
 	}
 	require.Eventually(t, func() bool { return p.ask("find", "").body == "fresh" }, time.Second, 10*time.Millisecond)
 	require.Eventually(t, func() bool { return here.open() == 0 && there.open() == 1 }, time.Second, 10*time.Millisecond)
-	assert.Contains(t, p.Log(), `"only after a restart":["name"]`)
+	assert.Contains(t, p.Log(), `"restart_required":["name"]`)
 	close(ended)
 	callers.Wait()
 	assert.Greater(t, served.Load(), 9*pushedBack.Load())
--- a/cmd/robincart/operate_test.go
+++ b/cmd/robincart/operate_test.go
@@ -132,7 +132,7 @@
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "c.json")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	c, err := readConfig(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
+	c, err := readPlatformConfig(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
 	require.NoError(t, err)
 	assert.Greater(t, c.node.MaxFirstPollDelay, 0.0)
 	assert.InDelta(t, c.limits.MaxCallInterval.Seconds(), c.node.MaxFirstPollDelay, 1e-9)
@@ -152,12 +152,12 @@
 	}
 	write := func(b []byte) { require.NoError(t, os.WriteFile(path, b, 0o600)) }
 	write(text)
-	c, err := readConfig(env)
+	c, err := readPlatformConfig(env)
 	require.NoError(t, err)
 	moves := &moved{}
 	tuned := 0
-	reload := func() *config {
-		now, err := c.reload(env, moves, func(*config) { tuned++ }, zap.NewNop())
+	reload := func() *platformConfig {
+		now, err := c.reload(env, moves, func(*platformConfig) { tuned++ }, zap.NewNop())
 		require.NoError(t, err, "a mistake is none that passes")
 		return now
 	}
@@ -230,7 +230,7 @@
 		edited(t, c, func(s map[string]any, all []any) []any { return append(all, all[0]) }),
 	} {
 		p.reload(broken)
-		require.Eventually(t, func() bool { return strings.Count(p.Log(), "the old one stays") == i+1 }, 10*time.Second, 5*time.Millisecond, "%.300s", broken)
+		require.Eventually(t, func() bool { return strings.Count(p.Log(), "configuration rejected") == i+1 }, 10*time.Second, 5*time.Millisecond, "%.300s", broken)
 		assert.Equal(t, 200, p.askWith("tip", "x", map[string]string{"Idempotency-Key": fmt.Sprint("b", i)}).status)
 	}
 	assert.Eventually(t, func() bool { return p.ask("find", "").status == 404 }, 10*time.Second, 50*time.Millisecond, "and is gone in the end")
--- a/cmd/robincart/operatorstate_test.go
+++ b/cmd/robincart/operatorstate_test.go
@@ -16,83 +16,106 @@
 	"robincart/internal/handover"
 )
 
-// A folder that is not there stands for one that fails.
-func failingFolder(t *testing.T) (path string, mend func()) {
-	folder := filepath.Join(t.TempDir(), "folder")
-	return filepath.Join(folder, "said"), func() { require.NoError(t, os.Mkdir(folder, 0o700)) }
+// newFailingDirectory returns a file's path in a directory that does not exist, which stands for one that fails, and the
+// function that makes it work.
+func newFailingDirectory(t *testing.T) (path string, repair func()) {
+	directory := filepath.Join(t.TempDir(), "directory")
+	return filepath.Join(directory, "state"), func() { require.NoError(t, os.Mkdir(directory, 0o700)) }
 }
 
-func TestWhatOperatorsSaidIsWrittenOnceThatCanBe(t *testing.T) {
-	path, mend := failingFolder(t)
-	f := newOperatorFile(path, zap.NewNop())
-	soon, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-	defer cancel()
-	assert.ErrorIs(t, f.await(soon, f.put(said{Lame: true})), errNotReadYet, "what stands there is not written over before it is known")
-	_, err := f.load()
+func timeoutContext(t *testing.T, timeout time.Duration) context.Context {
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
+	t.Cleanup(cancel)
+	return ctx
+}
+
+func TestOperatorStateFile_SavesOnceDirectoryWorks(t *testing.T) {
+	path, repair := newFailingDirectory(t)
+	file := newOperatorStateFile(path, zap.NewNop())
+	err := file.waitSaved(timeoutContext(t, 50*time.Millisecond), file.save(operatorState{LameDuck: true}))
+	assert.ErrorIs(t, err, errStateUnread, "the file is not overwritten before it is known")
+	_, err = file.load()
 	require.NoError(t, err)
-	soon, cancel = context.WithTimeout(t.Context(), 50*time.Millisecond)
-	defer cancel()
-	assert.ErrorIs(t, f.await(soon, 1), os.ErrNotExist)
-	last := f.put(said{Out: map[string]int64{"s1": 7}, Starts: map[string]int64{"s1": 0}})
-	mend()
-	whole, cancel := context.WithTimeout(t.Context(), 10*time.Second)
-	defer cancel()
-	require.NoError(t, f.await(whole, last))
-	var kept said
-	require.NoError(t, handover.Load(path, &kept))
-	assert.Equal(t, said{Out: map[string]int64{"s1": 7}, Starts: map[string]int64{"s1": 0}}, kept, "the latest, and not one of before")
+	assert.ErrorIs(t, file.waitSaved(timeoutContext(t, 50*time.Millisecond), 1), os.ErrNotExist)
+
+	latest := operatorState{BannedSince: map[string]int64{"s1": 7}, StartedAt: map[string]int64{"s1": 0}}
+	number := file.save(latest)
+	repair()
+	require.NoError(t, file.waitSaved(timeoutContext(t, 10*time.Second), number))
+	var saved operatorState
+	require.NoError(t, handover.Load(path, &saved))
+	assert.Equal(t, latest, saved, "the latest state, and no earlier one")
 }
 
-func TestBansKnowTheStartThatWasListedThen(t *testing.T) {
-	bans := said{Out: map[string]int64{"a": 5000, "b": 5000, "c": 5000}, Starts: map[string]int64{"a": 0, "b": 1000}}.bans()
+func TestOperatorState_BansHaveListedStartTimes(t *testing.T) {
+	state := operatorState{
+		BannedSince: map[string]int64{"a": 5000, "b": 5000, "c": 5000},
+		StartedAt:   map[string]int64{"a": 0, "b": 1000},
+	}
 	assert.Equal(t, map[string]node.Ban{
 		"a": {Since: time.UnixMilli(5000), StartKnown: true},
 		"b": {Since: time.UnixMilli(5000), Started: time.UnixMilli(1000), StartKnown: true},
 		"c": {Since: time.UnixMilli(5000)},
-	}, bans)
+	}, state.bans())
+}
+
+// newTestCommandHandler returns a handler without services, whose state is kept in a file.
+func newTestCommandHandler(path string) *commandHandler {
+	noCores := func() []*node.Core { return nil }
+	handler := newCommandHandler(&recordingFrontend{}, noCores, zap.NewNop())
+	handler.stateFile = newOperatorStateFile(path, zap.NewNop())
+	return handler
 }
 
-// What stood in a file that could be read only late comes into force beside what operators have said meanwhile, which goes before it.
-func TestWhatIsReadLateDoesNotUndoWhatWasSaidMeanwhile(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "said")
-	require.NoError(t, handover.Save(path, said{Out: map[string]int64{"stays": 1, "back": 2, "again": 3}, Lame: true}))
-	o := &operations{cores: func() []*node.Core { return nil }, front: &recordedFront{}, log: zap.NewNop(), file: newOperatorFile(path, zap.NewNop())}
-	o.succeed(said{}, nil)
-	o.spoken = map[string]bool{"back": true, "again": true, "new": true}
-	o.said.Out = map[string]int64{"again": 9, "new": 9}
-	before, err := o.file.peek()
+func TestCommandHandler_LaterCommandsSupersedeRestoredState(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
+	require.NoError(t, handover.Save(path, operatorState{
+		BannedSince: map[string]int64{"stays": 1, "back": 2, "again": 3},
+		LameDuck:    true,
+	}))
+	handler := newTestCommandHandler(path)
+	handler.inherit(operatorState{}, nil)
+	handler.pending = &pendingRestore{servers: map[string]bool{"back": true, "again": true, "new": true}}
+	handler.state.BannedSince = map[string]int64{"again": 9, "new": 9}
+	saved, err := handler.stateFile.read()
 	require.NoError(t, err)
-	o.merge(before)
-	assert.Equal(t, map[string]int64{"stays": 1, "again": 9, "new": 9}, o.sayings().Out)
-	assert.True(t, o.sayings().Lame)
-	assert.Nil(t, o.spoken)
-	require.NoError(t, o.file.await(t.Context(), 1))
-	var kept said
-	require.NoError(t, handover.Load(path, &kept))
-	assert.Equal(t, o.sayings().Out, kept.Out)
+	handler.merge(saved)
+	assert.Equal(t, map[string]int64{"stays": 1, "again": 9, "new": 9}, handler.operatorState().BannedSince)
+	assert.True(t, handler.operatorState().LameDuck)
+	assert.Nil(t, handler.pending)
+	require.NoError(t, handler.stateFile.waitSaved(t.Context(), 1))
+	var written operatorState
+	require.NoError(t, handover.Load(path, &written))
+	assert.Equal(t, handler.operatorState().BannedSince, written.BannedSince)
 }
 
-// A process that follows one which could not read the file does not write over it either, and takes it over once it can.
-func TestAFileThatTheProcessBeforeCouldNotReadIsNotWrittenOver(t *testing.T) {
-	for _, unread := range []bool{false, true} {
-		path := filepath.Join(t.TempDir(), "said")
-		require.NoError(t, handover.Save(path, said{Out: map[string]int64{"old": 1}}))
-		o := &operations{cores: func() []*node.Core { return nil }, front: &recordedFront{}, log: zap.NewNop(), file: newOperatorFile(path, zap.NewNop())}
-		o.follow(said{Out: map[string]int64{"new": 2}}, nil, unread)
-		want := map[string]int64{"new": 2}
-		if unread {
-			assert.True(t, o.unread())
-			want["old"] = 1
-		}
-		assert.Eventually(t, func() bool {
-			var kept said
-			return handover.Load(path, &kept) == nil && !o.unread() && maps.Equal(want, kept.Out)
-		}, 10*time.Second, 10*time.Millisecond)
-		assert.Equal(t, want, o.sayings().Out)
+// Where the predecessor could not read the file, its successor does not overwrite it either, and restores it later.
+func TestCommandHandler_InheritedStateAndFile(t *testing.T) {
+	for name, test := range map[string]struct {
+		unread bool
+		want   map[string]int64
+	}{
+		"file was read":   {false, map[string]int64{"new": 2}},
+		"file was unread": {true, map[string]int64{"new": 2, "old": 1}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "state")
+			require.NoError(t, handover.Save(path, operatorState{BannedSince: map[string]int64{"old": 1}}))
+			handler := newTestCommandHandler(path)
+			inherited := operatorState{BannedSince: map[string]int64{"new": 2}}
+			handler.inheritFromPredecessor(t.Context(), inherited, nil, test.unread)
+			assert.Equal(t, test.unread, handler.stateUnread())
+			assert.Eventually(t, func() bool {
+				var written operatorState
+				err := handover.Load(path, &written)
+				return err == nil && !handler.stateUnread() && maps.Equal(test.want, written.BannedSince)
+			}, 10*time.Second, 10*time.Millisecond)
+			assert.Equal(t, test.want, handler.operatorState().BannedSince)
+		})
 	}
 }
 
-// recordedFront is emptied or not.
-type recordedFront struct{ lame bool }
+// recordingFrontend notes whether the node is a lame duck.
+type recordingFrontend struct{ lameDuck bool }
 
-func (r *recordedFront) SetLameDuck(on bool) { r.lame = on }
+func (r *recordingFrontend) SetLameDuck(on bool) { r.lameDuck = on }
--- /dev/null
+++ b/cmd/robincart/platform.go
@@ -0,0 +1,138 @@
+package main
+
+import (
+	"context"
+	"net"
+	"os"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"robincart/internal/controlplane/endpoints"
+	"robincart/internal/core/node"
+	"robincart/internal/dataplane/frontend"
+	"robincart/internal/dataplane/upstream"
+)
+
+// runPlatform runs the node as the platform starts it: one service, by the configuration that EDGE_CONFIG names.
+func runPlatform(caught signals) error {
+	config, err := readAtStart(func() (*platformConfig, error) { return readPlatformConfig(os.Getenv) })
+	if err != nil {
+		return err
+	}
+	log := newLog("", zap.InfoLevel, config.Name)
+	defer log.Sync()
+	listener, err := openClientListener(config.Listen, os.Getenv("EDGE_ACCEPT_FD"))
+	if err != nil {
+		return err
+	}
+	p, err := newProcess(config.Name, config.limits, log)
+	if err != nil {
+		return err
+	}
+	defer p.close()
+	b, err := startPlatformBackend(p, config, listener)
+	if err != nil {
+		return err
+	}
+	p.run([]net.Listener{listener.current()}, b, caught)
+	return nil
+}
+
+// platformBackend is the platform's one service.
+type platformBackend struct {
+	process    *process
+	config     *platformConfig // in force
+	watcher    *endpoints.Watcher
+	core       *node.Core
+	pool       *upstream.Pool
+	service    *frontend.Service
+	settings   *settingsTransition
+	commands   *commandHandler
+	succession *succession
+	closeAdmin func()
+	cancel     context.CancelFunc // of goroutines
+	goroutines sync.WaitGroup
+}
+
+// startPlatformBackend starts the service, and takes over from a process of this node that serves now.
+func startPlatformBackend(p *process, config *platformConfig, listener *clientListener) (*platformBackend, error) {
+	l := config.limits
+	b := &platformBackend{process: p, config: config}
+	b.watcher = endpoints.New(config.Discovery, config.node.ZoneNames, l, p.budget, p.log)
+	b.core = node.New(config.node, config.seed(), p.clock, time.Now(), b.watcher.RequestWatch)
+	b.core.SetRecorder(p.telemetry)
+	b.watcher.StartWith(b.core, config.list)
+	b.pool = upstream.NewPool(b.core, l, p.budget, p.poller)
+	b.pool.SetRecorder(p.telemetry)
+	b.settings = &settingsTransition{core: b.core, now: time.Now, current: config.node}
+	b.service = frontend.NewService("", config.node, b.core, b.pool, nil)
+	p.frontend.SetTable(&frontend.Table{Only: b.service})
+
+	var ctx context.Context
+	ctx, b.cancel = context.WithCancel(context.Background())
+	b.goroutines.Go(func() { b.watcher.Run(ctx) })
+	b.goroutines.Go(func() { b.pool.Run(ctx) })
+	b.commands = newCommandHandler(p.frontend, func() []*node.Core { return []*node.Core{b.core} }, p.log)
+	b.succession = &succession{
+		log: p.log, commands: b.commands, frontend: p.frontend, core: b.core, pool: b.pool, budget: p.budget, limits: l,
+		clients: listener,
+	}
+	b.succession.start(ctx, os.Getenv("TMPDIR"), config.Name+" "+config.Listen)
+	if b.succession.predecessor != nil {
+		// The core spreads its first poll, for fleets that start together. This process starts alone.
+		b.watcher.RequestWatch()
+	}
+	var err error
+	if b.closeAdmin, err = serveAdmin(config.Admin, b.commands, p.log); err != nil {
+		b.cancel()
+		return nil, err
+	}
+	p.log.Info("serving", zap.String("listen", config.Listen), zap.Int("tier", config.node.Stage),
+		zap.Int("servers", len(config.list.Members)), zap.Int("descriptors", l.Descriptors),
+		zap.Int64("memory", l.MemoryLimit))
+	return b, nil
+}
+
+func (p *platformBackend) started() {
+	p.commands.accepting.Store(true)
+	p.succession.announceReady()
+}
+
+func (p *platformBackend) reload() error {
+	config, err := p.config.reload(os.Getenv, p.watcher, p.applySettings, p.process.log)
+	p.config = config
+	return err
+}
+
+// applySettings puts a configuration's settings in force. Clients learn of them later, so what the former settings
+// allowed is allowed for RemovedMethodGrace.
+func (p *platformBackend) applySettings(config *platformConfig) {
+	grace := config.limits.RemovedMethodGrace
+	inForce := p.settings.update(config.node, grace)
+	none := func(int) bool { return false }
+	now := p.process.clock.Now()
+	service := frontend.NewService("", config.node.WithSlotsOf(inForce, none, none), p.core, p.pool, nil)
+	p.service = service.KeepFormer(p.service, now, now+grace)
+	p.process.frontend.SetTable(&frontend.Table{Only: p.service})
+	p.process.frontend.SetRequestIDTTL(config.limits.RequestIDTTL)
+	p.pool.SetTimeouts(config.limits)
+	p.process.limits = config.limits
+}
+
+func (p *platformBackend) recordChanges() <-chan struct{} { return nil }
+
+func (p *platformBackend) applyRecord() {}
+
+func (p *platformBackend) inFlight() int { return p.core.InFlight() }
+
+func (p *platformBackend) prepareShutdown() (handedOver bool) { return p.succession.stop() }
+
+func (p *platformBackend) close() {
+	p.closeAdmin()
+	p.succession.close()
+	p.core.Close()
+	p.cancel()
+	p.goroutines.Wait()
+}
--- a/cmd/robincart/record.go
+++ b/cmd/robincart/record.go
@@ -4,17 +4,9 @@
 	"context"
 	"crypto/tls"
 	"fmt"
-	"math/rand"
-	"net"
-	"os"
-	"os/exec"
-	"path/filepath"
 	"strings"
-	"sync"
-	"syscall"
 	"time"
 
-	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
 	"robincart/internal/config/nodeconfig"
@@ -25,186 +17,109 @@
 	"robincart/internal/system/socket"
 )
 
-// recordProgram has the databases' drivers, which would cost every node 4 MB. It is found beside this program.
-const recordProgram = "robincart-record"
+// configurationKinds are the kinds of entries that go over the configuration file.
+var configurationKinds = []record.Kind{record.KindService, record.KindRoute, record.KindTenant}
 
-func beside() (string, error) {
-	self, err := os.Executable()
-	if err != nil {
-		return "", err
+// openRecord opens the cache of the record, if the configuration has one, and serves its status page.
+func (f *fileBackend) openRecord() error {
+	config := f.config.Record
+	if config.Store == "" {
+		return nil
+	}
+	if config.StatusAddress != "" {
+		var err error
+		if f.recordStatus, err = socket.Listen("tcp", config.StatusAddress); err != nil {
+			return fmt.Errorf("record.status: %w", err)
+		}
 	}
-	path := filepath.Join(filepath.Dir(self), recordProgram)
-	if p := os.Getenv("ROBINCART_RECORD"); p != "" {
-		path = p
+	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Duration(config.CallTimeout))
+	defer cancel()
+	var err error
+	if f.record, err = recordcache.Open(ctx, f.recordCacheConfig(), f.process.log); err != nil {
+		return err
 	}
-	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("the store of record needs the program %s beside this one: %w", recordProgram, err)
+	if f.recordStatus != nil {
+		go f.record.ServeStatus(f.recordStatus)
 	}
-	return path, nil
-}
-
-// recordCommand hands over to it.
-func recordCommand() *cobra.Command {
-	return &cobra.Command{Use: "record", Short: "Make, show, change, save and check the store of record", DisableFlagParsing: true,
-		RunE: func(_ *cobra.Command, args []string) error {
-			path, err := beside()
-			if err != nil {
-				return err
-			}
-			return syscall.Exec(path, append([]string{recordProgram}, args...), os.Environ())
-		}}
+	f.services.RecordCache = f.record
+	f.config = f.withRecord()
+	return nil
 }
 
-// helper is the store's program while the node runs.
-type helper struct {
-	store.Store
-	end  context.CancelFunc
-	done sync.WaitGroup
-	dir  string
+func (f *fileBackend) recordCacheConfig() recordcache.Config {
+	config := f.config.Record
+	ring, log := f.services.Keys, f.process.log // the cache opens the store from a goroutine of its own
+	return recordcache.Config{
+		Name:         f.config.Name,
+		Store:        store.Redact(config.Store),
+		Open:         func() (store.Store, error) { return openStore(config.Store, ring, log) },
+		Snapshot:     config.Snapshot,
+		Required:     config.Required,
+		MaxStaleness: time.Duration(*config.MaxStaleness),
+		MaxPending:   config.MaxPending,
+		CallTimeout:  time.Duration(config.CallTimeout),
+		PollInterval: time.Duration(config.PollInterval),
+	}
 }
 
-// agent starts the store's program, and again whenever it ends.
-func agent(address string, log *zap.Logger) (store.Store, error) {
-	path, err := beside()
-	if err != nil {
-		return nil, err
-	}
-	dir, err := os.MkdirTemp("", "robincart-")
-	if err != nil {
-		return nil, err
+// openStore opens the store of record: by the controllers, which takes neither a driver nor another program, or
+// else by the program that has the drivers.
+func openStore(address string, ring *keys.Ring, log *zap.Logger) (store.Store, error) {
+	addresses, byControllers, _ := store.ParseControllers(address)
+	if !byControllers {
+		return startStoreProgram(address, log)
 	}
-	ctx, end := context.WithCancel(context.Background())
-	h := &helper{Store: store.Remote(filepath.Join(dir, "store")), end: end, dir: dir}
-	up := make(chan struct{})
-	h.done.Go(func() {
-		for n := 0; ctx.Err() == nil; n++ {
-			cmd := exec.CommandContext(ctx, path, "serve", "--socket", filepath.Join(dir, "store"))
-			cmd.Env = append(os.Environ(), "ROBINCART_STORE="+address)
-			cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-			var said tail
-			cmd.Stderr = &said
-			in, err := cmd.StdinPipe() // its end tells the program that this one has ended
-			if err == nil {
-				err = cmd.Start()
-			}
-			if err == nil {
-				if n == 0 {
-					waitFor(ctx, filepath.Join(dir, "store"))
-					close(up)
-				}
-				err = cmd.Wait()
-				in.Close()
-			} else if n == 0 {
-				close(up)
-			}
-			if ctx.Err() == nil {
-				log.Error("the store's program ended; it is started again", zap.Error(err), zap.String("said", said.String()))
-				select {
-				case <-ctx.Done():
-				case <-time.After(time.Duration(200+rand.Intn(800)) * time.Millisecond):
-				}
-			}
-		}
-	})
-	select {
-	case <-up:
-	case <-time.After(5 * time.Second):
+	var clientTLS func(string) *tls.Config
+	if ring != nil {
+		clientTLS = ring.Client
 	}
-	return h, nil
+	return store.DialControllers(addresses, clientTLS), nil
 }
 
-func waitFor(ctx context.Context, socket string) {
-	for i := 0; i < 400 && ctx.Err() == nil; i++ {
-		if c, err := net.Dial("unix", socket); err == nil {
-			c.Close()
-			return
-		}
-		time.Sleep(10 * time.Millisecond)
+// closeRecord closes the status page and the cache, if they are open.
+func (f *fileBackend) closeRecord() {
+	if f.recordStatus != nil {
+		f.recordStatus.Close()
+	}
+	if f.record != nil {
+		f.record.Close()
 	}
 }
 
-func (h *helper) Close() error {
-	h.end()
-	h.done.Wait()
-	return os.RemoveAll(h.dir)
-}
-
-// tail keeps the last of what a program says.
-type tail struct {
-	mu   sync.Mutex
-	text []byte
-}
-
-func (t *tail) Write(p []byte) (int, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.text = append(t.text, p...)
-	t.text = t.text[max(0, len(t.text)-500):]
-	return len(p), nil
-}
-
-func (t *tail) String() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return strings.TrimSpace(string(t.text))
+func (f *fileBackend) recordChanges() <-chan struct{} {
+	if f.record == nil {
+		return nil
+	}
+	return f.record.Changes()
 }
 
-// keep begins to keep the record, and to show how it stands.
-func keep(c *nodeconfig.Config, ring *keys.Ring, log *zap.Logger) (*recordcache.Cache, func(), error) {
-	r := c.Record
-	open := func() (store.Store, error) { return agent(r.Store, log) }
-	if addrs, is, _ := store.ParseControllers(r.Store); is { // no driver, no program beside this one
-		var secure func(string) *tls.Config
-		if ring != nil {
-			secure = ring.Client
-		}
-		open = func() (store.Store, error) { return store.DialControllers(addrs, secure), nil }
+func (f *fileBackend) applyRecord() {
+	next := f.withRecord()
+	if next == f.config {
+		return
 	}
-	var status net.Listener
-	if r.StatusAddress != "" {
-		var err error
-		if status, err = socket.Listen("tcp", r.StatusAddress); err != nil {
-			return nil, nil, fmt.Errorf("record.status: %w", err)
-		}
-	}
-	start, cancel := context.WithTimeout(context.Background(), 2*time.Duration(r.CallTimeout))
-	defer cancel()
-	k, err := recordcache.Open(start, recordcache.Config{Name: c.Name, Store: store.Redact(r.Store), Open: open, Snapshot: r.Snapshot, Required: r.Required, MaxStaleness: time.Duration(*r.MaxStaleness),
-		MaxPending: r.MaxPending, CallTimeout: time.Duration(r.CallTimeout), PollInterval: time.Duration(r.PollInterval)}, log)
-	if err != nil {
-		if status != nil {
-			status.Close()
-		}
-		return nil, nil, err
-	}
-	if status != nil {
-		go k.ServeStatus(status)
-	}
-	return k, func() {
-		if status != nil {
-			status.Close()
-		}
-		k.Close()
-	}, nil
+	f.config = next
+	f.apply()
 }
 
-// over puts what the record says over the file. What can't be compiled is logged, and what is in force stays.
-func over(file *nodeconfig.Config, k *recordcache.Cache, now *nodeconfig.Config, log *zap.Logger) *nodeconfig.Config {
-	if k == nil {
-		return file
+// withRecord returns the configuration file with what the record says over it. If that can't be compiled it is
+// logged, and the configuration in force is returned.
+func (f *fileBackend) withRecord() *nodeconfig.Config {
+	if f.record == nil {
+		return f.fileConfig
 	}
-	var facts []record.Entry
-	for _, kind := range []record.Kind{record.KindService, record.KindRoute, record.KindTenant} {
-		facts = append(facts, k.Entries(kind)...)
+	var entries []record.Entry
+	for _, kind := range configurationKinds {
+		entries = append(entries, f.record.Entries(kind)...)
 	}
-	if len(facts) == 0 {
-		return file
+	if len(entries) == 0 {
+		return f.fileConfig
 	}
-	fresh, err := file.WithRecord(facts)
+	next, err := f.fileConfig.WithRecord(entries)
 	if err != nil {
-		log.Error("what the record says of services and routes can't be used; the old one stays", zap.Strings("mistakes", strings.Split(err.Error(), "\n")))
-		return now
+		f.process.log.Error("record configuration rejected", zap.Strings("errors", strings.Split(err.Error(), "\n")))
+		return f.config
 	}
-	fresh.KeepProcessSettings(now)
-	return fresh
+	next.KeepProcessSettings(f.config)
+	return next
 }
--- a/cmd/robincart/services_test.go
+++ b/cmd/robincart/services_test.go
@@ -373,7 +373,7 @@
 	all.Wait()
 	assert.Greater(t, served[0].Load(), int64(50))
 	assert.Greater(t, served[1].Load(), int64(50))
-	assert.Contains(t, p.Log(), "the old one stays")
+	assert.Contains(t, p.Log(), "configuration rejected")
 	assert.Contains(t, p.Log(), "unknown key route.colour")
 	assert.EqualValues(t, served[0].Load(), a.count())
 	assert.EqualValues(t, served[1].Load(), b.count())
--- a/cmd/robincart/succeed_test.go
+++ b/cmd/robincart/succeed_test.go
@@ -236,7 +236,7 @@
 	l, _ := newPlace(t, slow)
 	sock := handover.SocketPath(l.dir, fmt.Sprint(l.config["name"], " ", l.addr))
 	// Somebody else's socket, who says what is no state, or one of another form.
-	for _, says := range []any{"foreign", known{Form: form + 1, Said: said{Lame: true}}} {
+	for _, says := range []any{"foreign", handoverState{Version: handoverVersion + 1, Operators: operatorState{LameDuck: true}}} {
 		ln, err := handover.Listen(sock)
 		require.NoError(t, err)
 		go func() {
@@ -246,7 +246,7 @@
 		}()
 		require.NoError(t, os.WriteFile(sock+".said", []byte("torn"), 0o600))
 		p := l.start()
-		assert.Contains(t, p.log.String(), "does not hand over")
+		assert.Contains(t, p.log.String(), "predecessor does not hand over")
 		assert.Contains(t, p.log.String(), "set aside")
 		p.Process.Kill()
 		<-p.ended
@@ -283,7 +283,7 @@
 	assert.Equal(t, 200, calls(t, second.admin, "/_servers/detach", `{"host":"s0"}`))
 	require.NoError(t, second.Process.Signal(syscall.SIGSTOP))
 	third := l.start()
-	assert.Contains(t, third.log.String(), "does not hand over")
+	assert.Contains(t, third.log.String(), "predecessor does not hand over")
 	second.Process.Kill()
 	assert.Equal(t, 503, ask(connect(), "banned"), "it has read what was kept")
 	assert.Equal(t, 200, calls(t, third.admin, "/_servers/attach", `{"host":"s0"}`))
@@ -387,10 +387,10 @@
 	}
 	ask("a")
 	require.NoError(t, os.Mkdir(l.dir, 0o700))
-	require.Eventually(t, func() bool { return strings.Contains(first.log.String(), "can reach this process now") }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(first.log.String(), "handover socket available") }, 10*time.Second, 10*time.Millisecond)
 	second := l.start()
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
 	first.exits(t)
 	ask("b")
-	assert.Contains(t, second.log.String(), "callers are taken over")
+	assert.Contains(t, second.log.String(), "taking over from predecessor")
 }
--- /dev/null
+++ b/cmd/robincart/successor.go
@@ -0,0 +1,134 @@
+package main
+
+import (
+	"net"
+
+	"go.uber.org/zap"
+
+	"robincart/internal/handover"
+)
+
+// acceptSuccessors accepts successors until the listener is closed, one at a time.
+func (s *succession) acceptSuccessors(listener *net.UnixListener) {
+	for {
+		conn, err := listener.AcceptUnix()
+		if err != nil {
+			return // closed
+		}
+		link := handover.NewLink(conn)
+		if !s.setSuccessor(link) {
+			link.Close()
+			continue
+		}
+		err = s.commands.addSuccessor(link, func() error { return link.SendState(s.state()) })
+		if err != nil {
+			s.log.Warn("state not sent to successor", zap.Error(err))
+		}
+		s.goroutines.Go(func() { link.Serve(successorPeer{s, link}) })
+	}
+}
+
+// setSuccessor makes a link that to the successor, unless there is another one, or this process ends.
+func (s *succession) setSuccessor(link *handover.Link) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.successor != nil || s.stopping {
+		return false
+	}
+	s.successor = link
+	return true
+}
+
+// state returns what is handed to a successor.
+func (s *succession) state() handoverState {
+	return handoverState{
+		Version:         handoverVersion,
+		Operators:       s.commands.operatorState(),
+		OperatorsUnread: s.commands.stateUnread(),
+		Endpoints:       s.core.Endpoints(),
+		KnownServers:    s.core.KnownServers(),
+		Descriptors:     s.limits.Descriptors - s.budget.Available(),
+		RequestIDSeed:   s.frontend.RequestIDSeed(),
+		ListClock:       s.core.ListClock(),
+	}
+}
+
+// successorPeer handles what a successor sends.
+type successorPeer struct {
+	*succession
+	link *handover.Link
+}
+
+// SuccessorReady hands the clients over: this process closes the listener, and connections are transferred between
+// requests.
+func (s successorPeer) SuccessorReady() {
+	s.mu.Lock()
+	s.handedOver = true
+	s.mu.Unlock()
+	s.commands.accepting.Store(false)
+	s.log.Info("handing over to successor")
+	s.clients.current().Close()
+	// From now on requests begin here only on connections that are in use, and these have one by then.
+	if err := s.link.SendRequestIDs(s.frontend.ExportRequestIDs()); err != nil {
+		s.log.Warn("request IDs not sent to successor", zap.Error(err))
+	}
+	s.frontend.TransferTo(s.link.SendConnection)
+	s.closeIdleServerConnections()
+	s.shareMemory(2)
+}
+
+// closeIdleServerConnections frees descriptors, which count against the successor's.
+func (s successorPeer) closeIdleServerConnections() {
+	for s.pool.EvictIdle() {
+		continue
+	}
+}
+
+// Connection closes what is not a successor's to send.
+func (s successorPeer) Connection(conn net.Conn, _ bool) { conn.Close() }
+
+// RequestIDs are not a successor's to send.
+func (s successorPeer) RequestIDs([]byte) {}
+
+// Command executes an operator command that the successor was given.
+func (s successorPeer) Command(command handover.Command) { s.commands.execute(command, s.link) }
+
+// Disconnected accepts clients again if the successor has died and this process is not to end: no other process
+// would.
+func (s successorPeer) Disconnected(err error) {
+	s.commands.removeLink(s.link)
+	s.mu.Lock()
+	resume := s.handedOver && !s.stopping
+	s.successor, s.handedOver = nil, false
+	s.mu.Unlock()
+	if resume {
+		s.log.Error("successor lost", zap.Error(err), zap.String("effect", "clients are accepted here again"))
+		s.resume()
+	}
+}
+
+// resume accepts clients, and successors, again.
+func (s *succession) resume() {
+	s.shareMemory(1)
+	s.frontend.TransferTo(nil)
+	if err := s.clients.open(); err != nil {
+		s.log.Error("client listener not reopened", zap.Error(err))
+		return
+	}
+	s.replaceListener()
+	s.frontend.Serve(s.clients.current())
+	s.commands.accepting.Store(true)
+}
+
+// replaceListener takes the socket's path back from a successor that has died.
+func (s *succession) replaceListener() {
+	listener, err := handover.Listen(s.path)
+	if err != nil {
+		return
+	}
+	s.mu.Lock()
+	s.listener.Close()
+	s.listener = listener
+	s.mu.Unlock()
+	s.goroutines.Go(func() { s.acceptSuccessors(listener) })
+}
--- a/cmd/robincart/tune_test.go
+++ b/cmd/robincart/tune_test.go
@@ -37,16 +37,16 @@
 		clk := clock{time.Now()}
 		now := time.Now()
 		core := node.New(once, 1, clk, now, func() {})
-		tune := &tuning{core: core, now: func() time.Time { return now }, last: once}
-		tune.to(between, 3*time.Hour)
+		tune := &settingsTransition{core: core, now: func() time.Time { return now }, current: once}
+		tune.update(between, 3*time.Hour)
 		now = now.Add(time.Hour)
-		assert.Equal(t, decide.NonIdempotent, effect(tune.to(free, 3*time.Hour)), name)
+		assert.Equal(t, decide.NonIdempotent, effect(tune.update(free, 3*time.Hour)), name)
 		now = now.Add(2 * time.Hour) // what the first change began is over
 		assert.Equal(t, decide.Idempotent, effect(tune.apply()), name)
-		assert.Len(t, tune.past, 1, name)
+		assert.Len(t, tune.previous, 1, name)
 		now = now.Add(time.Hour)
 		tune.apply()
-		assert.Empty(t, tune.past, name)
+		assert.Empty(t, tune.previous, name)
 		core.Close()
 	}
 }
