--- a/cmd/robincart/bulk_test.go
+++ b/cmd/robincart/bulk_test.go
@@ -23,17 +23,18 @@
 	"robincart/internal/lab/wire"
 )
 
-// bulkServer speaks HTTP by hand: it reads a body as it comes and gives an answer in pieces, of a form that the path names.
+// bulkServer speaks HTTP by hand: it reads a body as it arrives and writes a response in pieces, framed as the
+// query says.
 type bulkServer struct {
 	net.Listener
-	mu  sync.Mutex
-	got map[string][32]byte // sum of each whole body, by trace id
+	mu   sync.Mutex
+	sums map[string][32]byte // of each complete body, by trace ID
 }
 
 func newBulkServer(t *testing.T) *bulkServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &bulkServer{Listener: ln, got: map[string][32]byte{}}
+	s := &bulkServer{Listener: ln, sums: map[string][32]byte{}}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -50,11 +51,11 @@
 func (b *bulkServer) bodies() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.got)
+	return len(b.sums)
 }
 
-// contents is a body of some size, the same each time.
-func contents(n int) []byte {
+// randomBody returns a body of a size, the same each time.
+func randomBody(n int) []byte {
 	b := make([]byte, n)
 	rand.New(rand.NewSource(int64(n))).Read(b)
 	return b
@@ -70,14 +71,14 @@
 		}
 		sum := sha256.New()
 		if _, err := io.Copy(sum, q.Body); err != nil {
-			return // broken off: it never ran
+			return // incomplete: it never ran
 		}
 		b.mu.Lock()
-		b.got[q.Header.Get("X-Trace-Id")] = [32]byte(sum.Sum(nil))
+		b.sums[q.Header.Get("X-Trace-Id")] = [32]byte(sum.Sum(nil))
 		b.mu.Unlock()
 		form, size, _ := strings.Cut(strings.TrimPrefix(q.URL.RawQuery, "a="), ".")
 		n, _ := strconv.Atoi(size)
-		body := contents(n)
+		body := randomBody(n)
 		switch form {
 		case "length":
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", n)
@@ -106,27 +107,27 @@
 	}
 }
 
-// dripping gives a body in pieces cut anywhere.
-type dripping struct {
+// choppyReader reads a body in pieces of varying sizes.
+type choppyReader struct {
 	io.Reader
-	k int
+	reads int
 }
 
-func (d *dripping) Read(p []byte) (int, error) {
-	d.k++
-	if d.k%50 == 0 {
+func (c *choppyReader) Read(p []byte) (int, error) {
+	c.reads++
+	if c.reads%50 == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	return d.Reader.Read(p[:min(len(p), 1+(d.k*104_729)%30_000)])
+	return c.Reader.Read(p[:min(len(p), 1+(c.reads*104_729)%30_000)])
 }
 
-func TestLargeBodiesAndAnswersPassUnchangedInEveryForm(t *testing.T) {
+func TestBodies_LargePassUnchangedInEveryForm(t *testing.T) {
 	s := newBulkServer(t)
-	d := newDiscovery(t, listed("s0", s.Addr().String(), "ready"))
-	config := configuration(t, d, d.all()...)
+	d := newDiscovery(t, newMember("s0", s.Addr().String(), "ready"))
+	config := newConfig(t, d, d.members()...)
 	// 64 MiB under the race detector on a busy machine take seconds: how long is not what is tested here.
 	config["settings"] = json.RawMessage(regexp.MustCompile(`"(Aim|Deadline)Ms":\s*\d+`).ReplaceAllString(testSettings, `"${1}Ms":60000`))
-	p := start(t, config)
+	p := startTestNode(t, config)
 	type one struct {
 		body, answer int
 		form         string
@@ -139,14 +140,14 @@
 		}
 	}
 	all = append(all, one{32 << 20, 32 << 20, "length", false}, one{32 << 20, 1, "chunks", true})
-	before := rss(t, p)
+	before := peakMemory(t, p)
 	var at sync.WaitGroup
 	work := make(chan one)
 	for range 6 {
 		at.Go(func() {
 			for x := range work {
-				sent := contents(x.body)
-				var body io.Reader = &dripping{Reader: strings.NewReader(string(sent))}
+				sent := randomBody(x.body)
+				var body io.Reader = &choppyReader{Reader: strings.NewReader(string(sent))}
 				q, err := http.NewRequest("POST", fmt.Sprintf("http://%s/charge/x?a=%s.%d", p.addr, x.form, x.answer), body)
 				if !assert.NoError(t, err) {
 					return
@@ -154,7 +155,7 @@
 				if q.ContentLength = int64(x.body); x.chunked || x.body == 0 {
 					q.ContentLength = -1
 				}
-				id := fmt.Sprintf("%016x", asked.Add(1))
+				id := fmt.Sprintf("%016x", requestCount.Add(1))
 				for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "charge", "X-Customer": "acme", "X-Expires-In-Ms": "60000", "Expect": "100-continue"} {
 					q.Header.Set(k, v)
 				}
@@ -166,9 +167,9 @@
 				r.Body.Close()
 				assert.NoError(t, err, "%+v", x)
 				assert.Equal(t, 200, r.StatusCode, "%+v", x)
-				assert.True(t, string(got) == string(contents(x.answer)), "%+v: %d bytes", x, len(got))
+				assert.True(t, string(got) == string(randomBody(x.answer)), "%+v: %d bytes", x, len(got))
 				s.mu.Lock()
-				assert.Equal(t, sha256.Sum256(sent), s.got[id], "%+v", x)
+				assert.Equal(t, sha256.Sum256(sent), s.sums[id], "%+v", x)
 				s.mu.Unlock()
 			}
 		})
@@ -178,11 +179,11 @@
 	}
 	close(work)
 	at.Wait()
-	assert.Less(t, rss(t, p)-before, int64(64<<20), "some hundred MB have passed")
+	assert.Less(t, peakMemory(t, p)-before, int64(64<<20), "some hundred MB have passed")
 }
 
-// rss is a program's most memory so far, in bytes.
-func rss(t *testing.T, p *program) int64 {
+// peakMemory returns a process's peak resident memory, in bytes.
+func peakMemory(t *testing.T, p *testNode) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
 	require.NoError(t, err)
 	for line := range strings.SplitSeq(string(text), "\n") {
@@ -195,17 +196,17 @@
 	return 0
 }
 
-// fresh is a head with an id of its own.
-func fresh(line string, more ...string) string {
-	return raw(line, "charge", append(more, fmt.Sprintf("X-Trace-Id: %016x", asked.Add(1)))...)
+// newRequestHead returns a head with a trace ID of its own.
+func newRequestHead(line string, more ...string) string {
+	return requestHead(line, "charge", append(more, fmt.Sprintf("X-Trace-Id: %016x", requestCount.Add(1)))...)
 }
 
-// What goes wrong on either side of a large body ends as the rules want, and harms nobody else.
-func TestLargeBodiesThatBreakOff(t *testing.T) {
+// A large body that breaks off on either side is answered as the rules say, and harms no other request.
+func TestBodies_LargeBrokenOff(t *testing.T) {
 	s := newBulkServer(t)
-	d := newDiscovery(t, listed("s0", s.Addr().String(), "ready"))
-	p := start(t, configuration(t, d, d.all()...))
-	head := func(more string) string { return fresh("POST /charge/x?a=length.5", more) }
+	d := newDiscovery(t, newMember("s0", s.Addr().String(), "ready"))
+	p := startTestNode(t, newConfig(t, d, d.members()...))
+	head := func(more string) string { return newRequestHead("POST /charge/x?a=length.5", more) }
 	say := func(text string) (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", p.addr)
 		require.NoError(t, err)
@@ -214,14 +215,14 @@
 		io.WriteString(c, text)
 		return c, bufio.NewReader(c)
 	}
-	// Its caller leaves, or stops sending: the server has begun nothing.
+	// The client closes, or stops sending: no server has begun.
 	c, _ := say(head("Content-Length: 1000000") + strings.Repeat("x", 300_000))
 	c.Close()
 	_, r := say(head("Content-Length: 100000") + strings.Repeat("x", 10_000))
 	a, err := http.ReadResponse(r, nil)
 	require.NoError(t, err)
 	assert.Contains(t, []int{408, 503}, a.StatusCode)
-	// More than anyone may send, known at once or found out.
+	// More than the maximum, by its length or found out while reading.
 	_, r = say(head("Content-Length: 60000000") + strings.Repeat("x", 10_000))
 	a, err = http.ReadResponse(r, nil)
 	require.NoError(t, err)
@@ -243,10 +244,10 @@
 	require.NoError(t, err)
 	assert.GreaterOrEqual(t, a.StatusCode, 400)
 	assert.Zero(t, s.bodies())
-	// A server that dies in its answer: the caller gets what there was and can tell that it is not all.
+	// The server dies while responding: the client receives what there was, and an error.
 	q, err := http.NewRequest("POST", "http://"+p.addr+"/charge/x?a=short.200000", strings.NewReader("x"))
 	require.NoError(t, err)
-	for k, v := range map[string]string{"X-Trace-Id": fmt.Sprintf("%016x", asked.Add(1)), "X-Qos": "charge", "X-Customer": "acme", "X-Expires-In-Ms": "3000"} {
+	for k, v := range map[string]string{"X-Trace-Id": fmt.Sprintf("%016x", requestCount.Add(1)), "X-Qos": "charge", "X-Customer": "acme", "X-Expires-In-Ms": "3000"} {
 		q.Header.Set(k, v)
 	}
 	res, err := client.Do(q)
@@ -254,25 +255,25 @@
 	got, err := io.ReadAll(res.Body)
 	res.Body.Close()
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	assert.True(t, string(got) == string(contents(200_000)))
+	assert.True(t, string(got) == string(randomBody(200_000)))
 	assert.Equal(t, 1, s.bodies())
-	// A caller that reads nothing holds up nobody, and the node ends all the same.
-	say(fresh("POST /charge/x?a=length.30000000", "Content-Length: 0"))
+	// A client that reads nothing holds up no other, and the node shuts down all the same.
+	say(newRequestHead("POST /charge/x?a=length.30000000", "Content-Length: 0"))
 	require.Eventually(t, func() bool { return s.bodies() == 2 }, 10*time.Second, time.Millisecond)
-	(&program{t: t, addr: p.addr}).ask("charge", "x")
+	(&testNode{t: t, addr: p.addr}).send("charge", "x")
 	assert.Equal(t, 3, s.bodies())
 	p.stop(20 * time.Second)
 }
 
-func TestASlowCallerIsServed(t *testing.T) {
+func TestBodies_SlowClientIsServed(t *testing.T) {
 	s := newBulkServer(t)
-	d := newDiscovery(t, listed("s0", s.Addr().String(), "ready"))
-	p := start(t, configuration(t, d, d.all()...))
+	d := newDiscovery(t, newMember("s0", s.Addr().String(), "ready"))
+	p := startTestNode(t, newConfig(t, d, d.members()...))
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	text := fresh("POST /charge/x?a=length.1", "Content-Length: 150000", "X-Expires-In-Ms: 900") + strings.Repeat("x", 150_000)
+	text := newRequestHead("POST /charge/x?a=length.1", "Content-Length: 150000", "X-Expires-In-Ms: 900") + strings.Repeat("x", 150_000)
 	head := strings.Index(text, "\r\n\r\n")
 	for i := range 4 { // a second for the head
 		io.WriteString(c, text[i*head/4:(i+1)*head/4])
@@ -289,9 +290,9 @@
 	assert.Equal(t, 200, a.StatusCode, "its time runs from its last byte on")
 }
 
-// A small node holds as many requests as it has memory for, not as if each had the largest body and answer; a body that
-// finds no room passes in pieces.
-func TestASmallNodeHoldsManyRequestsAtOnce(t *testing.T) {
+// A small node holds as many requests as it has memory for, not as if each had the largest body and response; a
+// body that finds no memory is streamed.
+func TestBodies_SmallNodeHoldsManyRequests(t *testing.T) {
 	const callers = 170
 	all := make(chan struct{})
 	came := sync.OnceFunc(func() { close(all) })
@@ -302,19 +303,19 @@
 		}
 		select {
 		case <-all:
-		case <-time.After(4 * time.Second): // some have been turned away, then
+		case <-time.After(4 * time.Second): // some have been rejected, then
 		}
-		return says(200, strings.Repeat("y", 3000))(c, q)
+		return respond(200, strings.Repeat("y", 3000))(c, q)
 	})
-	d := newDiscovery(t, listed("s0", s.addr(), "ready"))
-	c := configuration(t, d, d.all()...)
+	d := newDiscovery(t, newMember("s0", s.addr(), "ready"))
+	c := newConfig(t, d, d.members()...)
 	c["limits"] = map[string]any{"cores": 1, "memory_mb": 32, "sockets": 1024}
-	c["settings"] = json.RawMessage(strings.Replace(testSettings, `"Instances":1`, `"Instances":1,"Stage":1`, 1)) // which takes all that can be in time
-	p := start(t, c)
+	c["settings"] = json.RawMessage(strings.Replace(testSettings, `"Instances":1`, `"Instances":1,"Stage":1`, 1)) // a tier that admits all that can be served in time
+	p := startTestNode(t, c)
 	var at sync.WaitGroup
 	for range callers {
-		at.Go(func() { assert.Equal(t, 200, p.ask("slow", strings.Repeat("x", 60_000)).status) })
+		at.Go(func() { assert.Equal(t, 200, p.send("slow", strings.Repeat("x", 60_000)).status) })
 	}
 	at.Wait()
-	assert.Equal(t, 200, p.ask("slow", "x").status)
+	assert.Equal(t, 200, p.send("slow", "x").status)
 }
--- a/cmd/robincart/fastcgi_test.go
+++ b/cmd/robincart/fastcgi_test.go
@@ -40,7 +40,7 @@
   deadline = "3s"
 `
 
-func applications(t *testing.T, n int, serve func(c net.Conn, q *standin.Asked) bool) *program {
+func startApplications(t *testing.T, n int, serve func(c net.Conn, q *standin.Asked) bool) *testNode {
 	var addrs []string
 	for range n {
 		s := &standin.Application{Serve: serve}
@@ -48,39 +48,41 @@
 		t.Cleanup(s.Stop)
 		addrs = append(addrs, fmt.Sprintf("%q", s.Addr()))
 	}
-	return withServices(t, fmt.Sprintf(fastcgiService, strings.Join(addrs, ", ")))
+	return startServices(t, fmt.Sprintf(fastcgiService, strings.Join(addrs, ", ")))
 }
 
-// deaths are the ends of a request that its application has done.
-var deaths = map[string]func(c net.Conn, q *standin.Asked) bool{
+// failures are the ways in which an application ends a request that it has run.
+var failures = map[string]func(c net.Conn, q *standin.Asked) bool{
 	"before the answer":  func(net.Conn, *standin.Asked) bool { return false },
-	"in a record's head": func(c net.Conn, q *standin.Asked) bool { return partly(c, q.Answered("Status: 200", "x"), 5) },
-	"in the CGI head":    func(c net.Conn, q *standin.Asked) bool { return partly(c, q.Answered("Status: 200", "x"), 14) },
-	"in the body":        func(c net.Conn, q *standin.Asked) bool { return partly(c, q.Answered("Status: 200", "xxxxxxxxx"), 30) },
+	"in a record's head": func(c net.Conn, q *standin.Asked) bool { return writePart(c, q.Answered("Status: 200", "x"), 5) },
+	"in the CGI head":    func(c net.Conn, q *standin.Asked) bool { return writePart(c, q.Answered("Status: 200", "x"), 14) },
+	"in the body": func(c net.Conn, q *standin.Asked) bool {
+		return writePart(c, q.Answered("Status: 200", "xxxxxxxxx"), 30)
+	},
 	"in the END": func(c net.Conn, q *standin.Asked) bool {
 		a := q.Answered("Status: 200", "x")
-		return partly(c, a, len(a)-3)
+		return writePart(c, a, len(a)-3)
 	},
 	"END without STDOUT": func(c net.Conn, q *standin.Asked) bool {
-		return partly(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete), 0)
+		return writePart(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete), 0)
 	},
 	"STDOUT after END": func(c net.Conn, q *standin.Asked) bool {
-		return partly(c, append(fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete), q.Answered("Status: 200", "another's")...), 0)
+		return writePart(c, append(fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete), q.Answered("Status: 200", "another's")...), 0)
 	},
 	"another's id": func(c net.Conn, q *standin.Asked) bool {
 		other := *q
 		other.ID++
-		return partly(c, other.Answered("Status: 200", "another's"), 0)
+		return writePart(c, other.Answered("Status: 200", "another's"), 0)
 	},
 	"a number": func(c net.Conn, q *standin.Asked) bool {
-		return partly(c, append(fcgi.AppendStream(nil, fcgi.TypeStdout, q.ID, []byte("Status: 200\n\nx")), fcgi.AppendEnd(nil, q.ID, 9, fcgi.StatusComplete)...), 0)
+		return writePart(c, append(fcgi.AppendStream(nil, fcgi.TypeStdout, q.ID, []byte("Status: 200\n\nx")), fcgi.AppendEnd(nil, q.ID, 9, fcgi.StatusComplete)...), 0)
 	},
 	"words only": func(c net.Conn, q *standin.Asked) bool {
-		return partly(c, fcgi.AppendStream(nil, fcgi.TypeStderr, q.ID, make([]byte, 100_000)), 0) && false
+		return writePart(c, fcgi.AppendStream(nil, fcgi.TypeStderr, q.ID, make([]byte, 100_000)), 0) && false
 	},
 }
 
-func partly(c net.Conn, b []byte, n int) bool {
+func writePart(c net.Conn, b []byte, n int) bool {
 	if n > 0 {
 		c.Write(b[:n])
 		return false
@@ -89,20 +91,20 @@
 	return err == nil
 }
 
-// Applications die at any moment after they have done what they were asked. Callers get one answer each, nothing is done twice, and what
-// may have been done is never called harmless to ask again.
-func TestApplicationsThatDieInTheirAnswersLeaveOneEachAndNothingTwice(t *testing.T) {
+// Applications die at any moment after they have run a request. Clients get one response each, nothing runs twice,
+// and what may have run is never reported as safe to retry.
+func TestFastCGI_ApplicationDiesWhileResponding(t *testing.T) {
 	var mu sync.Mutex
 	picks := 0
 	done, names, hit := map[string]int{}, []string{}, map[string]int{}
-	for name := range deaths {
+	for name := range failures {
 		names = append(names, name)
 	}
-	p := applications(t, 4, func(c net.Conn, q *standin.Asked) bool {
+	p := startApplications(t, 4, func(c net.Conn, q *standin.Asked) bool {
 		body := "for " + q.Params["HTTP_X_TRACE_ID"]
 		mu.Lock()
 		what := ""
-		switch picks++; { // each of them in turn, however few picks there are
+		switch picks++; { // each of them in turn, however few attempts there are
 		case picks%10 == 0:
 			what = "refused"
 		case picks%10 == 3 || picks%10 == 6:
@@ -111,18 +113,18 @@
 		hit[what]++
 		if what != "refused" {
 			key := q.Params["HTTP_X_QOS"] + " " + q.Params["HTTP_X_TRACE_ID"]
-			if mark := q.Params["HTTP_IDEMPOTENCY_KEY"]; mark == "" || done[key] == 0 { // repeats of a mark are dropped, by all servers together
+			if mark := q.Params["HTTP_IDEMPOTENCY_KEY"]; mark == "" || done[key] == 0 { // repeats of an idempotency key are dropped, by all servers together
 				done[key]++
 			}
 		}
 		mu.Unlock()
 		switch {
 		case what == "refused":
-			return partly(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusOverloaded), 0)
+			return writePart(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusOverloaded), 0)
 		case what != "":
-			return deaths[what](c, q)
+			return failures[what](c, q)
 		}
-		return partly(c, q.Answered("Content-Type: text/plain", body), 0)
+		return writePart(c, q.Answered("Content-Type: text/plain", body), 0)
 	})
 	var all sync.WaitGroup
 	var ok, back, aborted atomic.Int64
@@ -135,7 +137,7 @@
 				if method == "book" {
 					header["Idempotency-Key"] = "mark " + id
 				}
-				r := p.askWith(method, map[bool]string{true: "seats"}[method != "find"], header)
+				r := p.sendWith(method, map[bool]string{true: "seats"}[method != "find"], header)
 				mu.Lock()
 				did := done["charge "+id]
 				mu.Unlock()
@@ -154,7 +156,7 @@
 		})
 	}
 	all.Wait()
-	mu.Lock() // picks that nobody waits for any more may still be at work
+	mu.Lock() // attempts that nobody waits for any more may still run
 	defer mu.Unlock()
 	t.Log(ok.Load(), back.Load(), aborted.Load(), hit)
 	assert.Greater(t, ok.Load(), int64(50))
@@ -169,22 +171,22 @@
 }
 
 // Non-idempotent requests alone: each runs once at most, whatever its server does.
-func TestAChargeIsNeverSentToAnotherApplicationOnceItMayHaveRun(t *testing.T) {
+func TestFastCGI_NonIdempotentRunsOnceAtMost(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
 	names := []string{}
-	for name := range deaths {
+	for name := range failures {
 		names = append(names, name)
 	}
 	var n atomic.Int64
-	p := applications(t, 3, func(c net.Conn, q *standin.Asked) bool {
+	p := startApplications(t, 3, func(c net.Conn, q *standin.Asked) bool {
 		mu.Lock()
 		ran[q.Params["HTTP_X_TRACE_ID"]]++
 		mu.Unlock()
-		return deaths[names[int(n.Add(1))%len(names)]](c, q)
+		return failures[names[int(n.Add(1))%len(names)]](c, q)
 	})
 	for range 60 {
-		r := p.ask("charge", "x")
+		r := p.send("charge", "x")
 		require.NoError(t, r.err)
 		assert.Contains(t, []int{503, 504}, r.status)
 	}
@@ -196,8 +198,8 @@
 	}
 }
 
-// The standard library's application is nobody's of ours: what it understands, and writes, is the protocol.
-func TestTheStandardLibrarysApplicationIsServed(t *testing.T) {
+// The standard library's application is an independent implementation of the protocol.
+func TestFastCGI_StandardLibraryApplication(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -209,34 +211,34 @@
 		}
 		fmt.Fprintf(w, "%s %s %s %s %s %s", q.Method, q.URL.RequestURI(), q.Host, q.Header.Get("X-Customer"), stock.ProcessEnv(q)["SCRIPT_FILENAME"], text)
 	}))
-	p := withServices(t, fmt.Sprintf(fastcgiService, fmt.Sprintf("%q", ln.Addr())))
+	p := startServices(t, fmt.Sprintf(fastcgiService, fmt.Sprintf("%q", ln.Addr())))
 	for range 3 {
-		r := p.ask("charge", "seats")
+		r := p.send("charge", "seats")
 		require.NoError(t, r.err)
 		assert.Equal(t, 200, r.status)
 		assert.Equal(t, "POST /charge/table?k=7 "+p.addr+" acme /srv/gateway.php seats", r.body)
 		assert.Equal(t, "text/x", r.header.Get("Content-Type"))
-		assert.Equal(t, 200, p.ask("find", "").status)
+		assert.Equal(t, 200, p.send("find", "").status)
 	}
-	assert.Contains(t, []int{503, 504}, p.ask("book", "seats").status)
+	assert.Contains(t, []int{503, 504}, p.send("book", "seats").status)
 }
 
-// 4 MB each way, in as many records as that takes; what breaks off looks broken.
-func TestLargeBodiesAndAnswersPassThroughFastCGI(t *testing.T) {
+// 4 MB each way, in as many records as that takes; a response that breaks off is an error for the client.
+func TestFastCGI_LargeBodies(t *testing.T) {
 	large := bytes.Repeat([]byte("0123456789abcdef"), 1<<18)
-	p := applications(t, 1, func(c net.Conn, q *standin.Asked) bool {
+	p := startApplications(t, 1, func(c net.Conn, q *standin.Asked) bool {
 		c.SetWriteDeadline(time.Now().Add(20 * time.Second))
 		if len(q.Body) != len(large) {
-			return partly(c, q.Answered("Status: 500", ""), 0)
+			return writePart(c, q.Answered("Status: 500", ""), 0)
 		}
 		answer := q.Answered("Content-Type: a/b", string(q.Body))
 		if q.Params["HTTP_X_QOS"] == "book" {
-			return partly(c, answer, len(answer)/2)
+			return writePart(c, answer, len(answer)/2)
 		}
-		return partly(c, answer, 0)
+		return writePart(c, answer, 0)
 	})
 	for range 2 {
-		r := p.ask("charge", string(large))
+		r := p.send("charge", string(large))
 		require.NoError(t, r.err)
 		assert.Equal(t, 200, r.status)
 		assert.True(t, r.body == string(large), "%d bytes", len(r.body))
--- /dev/null
+++ b/cmd/robincart/fileservices_test.go
@@ -0,0 +1,369 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"robincart/internal/lab/standin"
+)
+
+const oneService = `
+[[service]]
+name = %q
+servers = [%q]
+guarantee = %v
+%s
+  [[service.method]]
+  name = "find"
+  repeat = "idempotent"
+  deadline = "3s"
+  [[service.method]]
+  name = "charge"
+  deadline = "3s"
+`
+
+func serviceTOML(name string, s *server, guarantee float64, more string) string {
+	return fmt.Sprintf(oneService, name, s.addr(), guarantee, more)
+}
+
+func routeTOML(host, to string, more ...string) string {
+	return fmt.Sprintf("[[route]]\nhost = %q\nto = %q\n%s\n", host, to, strings.Join(more, "\n"))
+}
+
+// startServices starts a node with a configuration file.
+func startServices(t *testing.T, text string) *testNode {
+	addr := freeAddress(t)
+	p := &testNode{t: t, addr: addr, Node: &standin.Node{Name: "n1", Addr: addr, Program: os.Args[0], Dir: t.TempDir(),
+		Env: []string{"ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0"}, Text: "listen = [\"" + addr + "\"]\n" + text}}
+	t.Cleanup(func() {
+		p.Kill()
+		assert.NotContains(t, p.Log(), "DATA RACE")
+		assert.NotContains(t, p.Log(), "panic:")
+	})
+	require.NoError(t, p.Start(t.Context()))
+	return p
+}
+
+// sendOn sends a request with a target and headers of the test's making, on a given connection, or a new one if
+// that is nil.
+func (t *testNode) sendOn(c net.Conn, line string, headers ...string) (status int, body string) {
+	if c == nil {
+		var err error
+		c, err = net.Dial("tcp", t.addr)
+		require.NoError(t.t, err)
+		defer c.Close()
+	}
+	c.SetDeadline(time.Now().Add(20 * time.Second))
+	class := strings.SplitN(strings.Trim(strings.SplitN(line, " ", 2)[1], "/"), "/", 2)[0]
+	if i := strings.LastIndex(line, "/find"); i >= 0 {
+		class = "find"
+	}
+	fmt.Fprintf(c, "%s HTTP/1.1\r\nX-Trace-Id: %016x\r\nX-Qos: %s\r\nX-Expires-In-Ms: 3000\r\n", line, requestCount.Add(1), class)
+	for _, h := range headers {
+		fmt.Fprintf(c, "%s\r\n", h)
+	}
+	io.WriteString(c, "\r\n")
+	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		return 0, err.Error()
+	}
+	text, _ := io.ReadAll(r.Body)
+	return r.StatusCode, string(text)
+}
+
+func TestServices_RoutedByHostPathAndClass(t *testing.T) {
+	a, b := newServer(t, respond(200, "a")), newServer(t, respond(200, "b"))
+	p := startServices(t, serviceTOML("booking", a, 0.5, "")+serviceTOML("tables", b, 0.5, "")+routeTOML("booking.example.org", "booking")+
+		routeTOML("*.example.org", "tables")+routeTOML("", "booking", `header = "X-Member"`, `value = "7"`, `path = "/find/inner"`))
+	for _, x := range []struct {
+		line, host string
+		status     int
+		body       string
+	}{
+		{"GET /find", "Host: booking.example.org", 200, "a"},
+		{"GET /find", "Host: BOOKING.Example.ORG:8080", 200, "a"},
+		{"GET /find", "Host: booking.example.org.", 200, "a"},
+		{"GET /find", "Host: tables.example.org", 200, "b"},
+		{"GET /find", "Host: deep.tables.example.org", 200, "b"},
+		{"GET http://booking.example.org/find", "Host: booking.example.org", 200, "a"},
+		{"GET http://tables.example.org:80/find", "X-None: 1", 200, "b"},
+		{"GET http://tables.example.org/find", "Host: booking.example.org", 400, ""}, // ambiguous
+		{"GET /find", "X-None: 1", 400, ""},
+		{"GET /find", "Host: booking.example.org\r\nHost: booking.example.org", 400, ""},
+		{"GET /find", "Host: booking.example.org, x", 400, ""},
+		{"GET /find", "Host: elsewhere.org", 404, ""},
+		{"GET /find/inner/x", "Host: elsewhere.org\r\nX-Member: 7", 200, "a"},
+		{"GET /find/inner/x", "Host: elsewhere.org\r\nX-Member: 7\r\nX-Member: 7", 404, ""},
+		{"GET /find/%69nner", "Host: elsewhere.org\r\nX-Member: 7", 200, "a"},
+		{"GET /find/innermost", "Host: elsewhere.org\r\nX-Member: 7", 404, ""},
+		{"GET /find/..", "Host: booking.example.org", 400, ""},
+		{"GET /find%2fx", "Host: booking.example.org", 400, ""},
+		{"GET /find//x", "Host: booking.example.org", 400, ""},
+		{"GET /find/%2e%2e/x", "Host: booking.example.org", 400, ""},
+	} {
+		before := a.count() + b.count()
+		status, body := p.sendOn(nil, x.line, x.host)
+		assert.Equal(t, x.status, status, "%s %s", x.line, x.host)
+		assert.Equal(t, x.body, body, "%s %s", x.line, x.host)
+		if x.status != 200 {
+			assert.Equal(t, before, a.count()+b.count(), "no pick: %s %s", x.line, x.host)
+		}
+	}
+	// One connection, from one service to the other and back.
+	c, err := net.Dial("tcp", p.addr)
+	require.NoError(t, err)
+	defer c.Close()
+	for _, x := range []struct {
+		host string
+		want int
+		body string
+	}{{"booking", 200, "a"}, {"tables", 200, "b"}, {"booking", 200, "a"}} {
+		status, body := p.sendOn(c, "GET /find", "Host: "+x.host+".example.org")
+		assert.Equal(t, x.want, status)
+		assert.Equal(t, x.body, body)
+	}
+}
+
+// A flood of ten times its service's quota, at servers that hang, with bodies and connections held: the other
+// service's clients are all served meanwhile, and the flood's are rejected at once.
+func TestServices_FloodLeavesOthersTheirQuota(t *testing.T) {
+	hung, calm := newServer(t, hang), newServer(t, respond(200, "well"))
+	p := startServices(t, "[machine]\ncores = 1\nmemory_mb = 64\nsockets = 256\n"+serviceTOML("flood", hung, 0.5, "")+serviceTOML("calm", calm, 0.3, "")+
+		routeTOML("flood.org", "flood")+routeTOML("calm.org", "calm"))
+	var all sync.WaitGroup
+	ended := make(chan bool)
+	var told, other atomic.Int64
+	body := strings.Repeat("x", 60<<10)
+	for range 200 {
+		all.Go(func() {
+			for {
+				select {
+				case <-ended:
+					return
+				default:
+				}
+				c, err := net.Dial("tcp", p.addr)
+				if err != nil {
+					continue
+				}
+				c.SetDeadline(time.Now().Add(20 * time.Second))
+				fmt.Fprintf(c, "POST /charge HTTP/1.1\r\nHost: flood.org\r\nX-Trace-Id: %016x\r\nX-Qos: charge\r\nX-Expires-In-Ms: 3000\r\nContent-Length: %d\r\n\r\n%s",
+					requestCount.Add(1), len(body), body)
+				r, err := http.ReadResponse(bufio.NewReader(c), nil)
+				if err == nil && r.StatusCode == 503 {
+					told.Add(1)
+					time.Sleep(300 * time.Millisecond)
+				} else {
+					other.Add(1)
+				}
+				c.Close()
+			}
+		})
+	}
+	require.Eventually(t, func() bool { return hung.count() > 10 }, 20*time.Second, 10*time.Millisecond)
+	kept, err := net.Dial("tcp", p.addr)
+	require.NoError(t, err)
+	defer kept.Close()
+	for i := range 110 {
+		c := kept
+		if i%11 == 0 {
+			c = nil // a new one, through the same listener as the flood
+		}
+		status, text := p.sendOn(c, "GET /find", "Host: calm.org")
+		assert.Equal(t, 200, status, text)
+	}
+	close(ended)
+	all.Wait()
+	assert.Greater(t, told.Load(), int64(20))
+	assert.Equal(t, 110, calm.count())
+}
+
+// Ten changes a second with calls in flight: services leave and come back, a host moves from one to the other, every
+// other file is wrong. Each request is answered once, by the service of one version or the other.
+func TestServices_ReloadUnderTraffic(t *testing.T) {
+	a, b := newServer(t, delayed(30*time.Millisecond, respond(200, "a"))), newServer(t, delayed(30*time.Millisecond, respond(200, "b")))
+	both := serviceTOML("booking", a, 0.4, "") + serviceTOML("tables", b, 0.4, "")
+	versions := []string{
+		both + routeTOML("x.org", "booking") + routeTOML("y.org", "tables"),
+		both + routeTOML("x.org", "tables") + routeTOML("y.org", "booking"),
+		serviceTOML("booking", a, 0.4, "") + routeTOML("x.org", "booking") + routeTOML("y.org", "booking"), // tables is removed
+		serviceTOML("booking", a, 0.2, "weight = 3") + serviceTOML("tables", b, 0.7, "max_picks = 2") + routeTOML("x.org", "booking") + routeTOML("y.org", "tables"),
+	}
+	p := startServices(t, versions[0])
+	path := filepath.Join(p.Dir, "n1.toml")
+	ended := make(chan bool)
+	var all sync.WaitGroup
+	var served [2]atomic.Int64
+	for i := range 8 {
+		all.Go(func() {
+			c, err := net.Dial("tcp", p.addr)
+			if !assert.NoError(t, err) {
+				return
+			}
+			defer c.Close()
+			for {
+				select {
+				case <-ended:
+					return
+				default:
+				}
+				status, body := p.sendOn(c, "GET /find", []string{"Host: x.org", "Host: y.org"}[i%2])
+				if !assert.Equal(t, 200, status, body) {
+					return
+				}
+				served[strings.Index("ab", body)].Add(1)
+			}
+		})
+	}
+	for i := range 30 {
+		text := "listen = [\"" + p.addr + "\"]\n" + versions[i/2%len(versions)]
+		if i%2 == 1 {
+			text += "colour = 1\n[[route]]\nto = \"nowhere\"\n"
+		}
+		require.NoError(t, os.WriteFile(path+".new", []byte(text), 0o600))
+		require.NoError(t, os.Rename(path+".new", path))
+		require.NoError(t, p.Signal(syscall.SIGHUP))
+		time.Sleep(100 * time.Millisecond)
+	}
+	close(ended)
+	all.Wait()
+	assert.Greater(t, served[0].Load(), int64(50))
+	assert.Greater(t, served[1].Load(), int64(50))
+	assert.Contains(t, p.Log(), "configuration rejected")
+	assert.Contains(t, p.Log(), "unknown key route.colour")
+	assert.EqualValues(t, served[0].Load(), a.count())
+	assert.EqualValues(t, served[1].Load(), b.count())
+	p.stop(10 * time.Second)
+}
+
+// A thousand services, ten of them busy, cost what ten do and some memory.
+func TestServices_ThousandOfWhichTenAreBusy(t *testing.T) {
+	s := newServer(t, respond(200, "well"))
+	var text strings.Builder
+	for i := range 1000 {
+		text.WriteString(serviceTOML(fmt.Sprint("s", i), s, 0.0005, "") + routeTOML(fmt.Sprintf("h%d.org", i), fmt.Sprint("s", i)))
+	}
+	p := startServices(t, text.String())
+	for i := range 300 {
+		status, body := p.sendOn(nil, "GET /find", fmt.Sprintf("Host: h%d.org", i%10*97))
+		assert.Equal(t, 200, status, body)
+	}
+	status, _ := p.sendOn(nil, "GET /find", "Host: h1000.org")
+	assert.Equal(t, 404, status)
+}
+
+func TestServices_BadConfigurationNamesEveryMistake(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "bad.toml")
+	run := func(text string, args ...string) (string, int) {
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+		cmd := exec.Command(os.Args[0], append(args, path)...)
+		cmd.Env = append(os.Environ(), "ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0")
+		out, _ := cmd.CombinedOutput()
+		return string(out), cmd.ProcessState.ExitCode()
+	}
+	bad := `listen = ["127.0.0.1:0"]
+[[service]]
+name = "a"
+servers = ["127.0.0.1:1"]
+guarantee = 0.7
+  [[service.method]]
+  name = "find"
+  deadline = "1s"
+  target = "2s"
+[[service]]
+name = "a"
+servers = ["nowhere"]
+guarantee = 0.7
+speaks = "ftp"
+params = { HTTP_PROXY = "x" }
+[[route]]
+host = "A.org"
+to = "b"
+[[route]]
+host = "x.org"
+to = "a"
+[[route]]
+host = "x.org"
+to = "a"
+[[gateway]]
+listen = "nowhere"
+left = "-1s"
+params = { trace = "A B" }
+`
+	for _, args := range [][]string{{"check"}, {"serve", "--config"}, {"--config"}} {
+		out, code := run(bad, args...)
+		assert.Equal(t, 1, code, out)
+		for _, want := range []string{"line 9: service[1].method[1].target", "line 11: service[2].name: \"a\" stands twice", "line 12: service[2].servers",
+			"service[2].method: there is none", "add up to 1.400", `line 14: service[2].speaks: "ftp"`, `line 15: service[2].params: "HTTP_PROXY"`, `gateway[1].listen: "nowhere" is neither`, "gateway[1].left: it is negative", `gateway[1].params: "A B"`, `line 18: route[1].to: there is no service "b"`, `is to be written "a.org"`,
+			"line 22: route[3]: route 3: can't be told apart from route 2"} {
+			assert.Contains(t, out, want)
+		}
+	}
+	out, code := run("listen = 7\n", "check")
+	assert.Equal(t, 1, code)
+	assert.Contains(t, out, "line 1, column 10")
+	out, code = run("colour = 7\n", "check")
+	assert.Equal(t, 1, code)
+	assert.Contains(t, out, "line 1: unknown key colour")
+
+	good, err := os.ReadFile("../../deploy/services.toml")
+	require.NoError(t, err)
+	out, code = run(string(good), "check")
+	assert.Equal(t, 0, code, out)
+	assert.Contains(t, out, "service booking: discovery at 127.0.0.1:8500")
+	ask := func(args ...string) string {
+		cmd := exec.Command(os.Args[0], append([]string{"routes", path}, args...)...)
+		cmd.Env = append(os.Environ(), "ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0")
+		out, err := cmd.CombinedOutput()
+		assert.NoError(t, err, string(out))
+		return string(out)
+	}
+	assert.Equal(t, 4, strings.Count(ask(), "\n"))
+	out = ask("--host", "Other.Example.ORG:80", "--class", "book-table", "--path", "/book-table/x")
+	assert.Contains(t, out, "service booking, by route others-book")
+	assert.Contains(t, out, "it goes before others: host *.example.org -> tables")
+	assert.Contains(t, ask("--host", "x.org"), "404")
+	assert.Contains(t, ask("--host", "a.example.org", "--path", "/a/../b"), "400")
+}
+
+func TestServices_DetachAppliesToAll(t *testing.T) {
+	a, b := newServer(t, respond(200, "a")), newServer(t, respond(200, "b"))
+	admin, kept := freeAddress(t), filepath.Join(t.TempDir(), "said.json")
+	text := serviceTOML("one", a, 0.3, "") + serviceTOML("two", b, 0.3, "") + routeTOML("one.test", "one") + routeTOML("two.test", "two") +
+		fmt.Sprintf("[admin]\nlisten = %q\nkept = %q\n", admin, kept)
+	p := startServices(t, text)
+	ask := func(host string) int {
+		c, err := net.Dial("tcp", p.addr)
+		require.NoError(t, err)
+		defer c.Close()
+		status, _ := p.sendOn(c, "GET /find/x", "Host: "+host)
+		return status
+	}
+	assert.Equal(t, 200, ask("one.test"))
+	assert.Equal(t, 404, callAdmin(t, admin, "/_servers/detach", `{"host":"nobody"}`))
+	assert.Equal(t, 200, callAdmin(t, admin, "/_servers/detach", fmt.Sprintf(`{"host":%q}`, a.addr())))
+	before := a.count()
+	assert.Equal(t, 503, ask("one.test"))
+	assert.Equal(t, 200, ask("two.test"))
+	p.stop(20 * time.Second)
+	require.NoError(t, p.Start(t.Context()))
+	assert.Equal(t, 503, ask("one.test"), "it was kept")
+	assert.Equal(t, before, a.count())
+	assert.Equal(t, 200, callAdmin(t, admin, "/_servers/attach", fmt.Sprintf(`{"host":%q}`, a.addr())))
+	assert.Eventually(t, func() bool { return ask("one.test") == 200 }, 20*time.Second, 10*time.Millisecond)
+}
--- a/cmd/robincart/golden_output_test.go
+++ b/cmd/robincart/golden_output_test.go
@@ -70,7 +70,7 @@
 }
 
 func TestGolden_HealthAnswers(t *testing.T) {
-	p, _, admin := operatedNode(t, newServer(t, says(200, "")))
+	p, _, admin := startWithAdmin(t, newServer(t, respond(200, "")))
 	var transcript strings.Builder
 	ask := func(state, method string) {
 		request := method + " /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"
@@ -79,7 +79,7 @@
 	ask("ready", "GET")
 	ask("ready", "HEAD")
 	ask("ready", "POST")
-	require.Equal(t, 200, calls(t, admin, "/_lameduck/on", ""))
+	require.Equal(t, 200, callAdmin(t, admin, "/_lameduck/on", ""))
 	ask("emptied", "GET")
 	assert.Equal(t, golden(t, "health.txt"), transcript.String())
 }
--- a/cmd/robincart/standins_test.go
+++ b/cmd/robincart/helpers_test.go
@@ -24,7 +24,7 @@
 	"robincart/internal/lab/wire"
 )
 
-// The test binary is the program, too, so that what is started is checked for races like the tests.
+// The test binary is also the program, so that what is started is checked for races like the tests.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROBINCART_TEST_PROGRAM") != "" {
 		main()
@@ -33,14 +33,14 @@
 	os.Exit(m.Run())
 }
 
-func listed(id, addr, phase string) standin.Member {
+func newMember(id, addr, phase string) standin.Member {
 	return standin.Member{ID: id, Addr: addr, Zone: "a", Flavor: "m", Phase: phase, Size: 1}
 }
 
-// discovery is the lab's, with one door.
+// discovery is the lab's stand-in, with one address.
 type discovery struct {
 	*standin.Discovery
-	door *standin.Door
+	address *standin.Door
 }
 
 func newDiscovery(t *testing.T, members ...standin.Member) *discovery {
@@ -50,27 +50,27 @@
 		d.Tell(members...)
 	}
 	var err error
-	d.door, err = d.Door(0, "127.0.0.1:0")
+	d.address, err = d.Door(0, "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(d.Stop)
 	return d
 }
 
-func (d *discovery) addr() string { return d.door.Addr() }
+func (d *discovery) addr() string { return d.address.Addr() }
 
-func (d *discovery) all() []standin.Member {
+func (d *discovery) members() []standin.Member {
 	_, list := d.List()
 	return list
 }
 
-func (d *discovery) watching() int { begun, _ := d.door.Watches(); return begun }
-func (d *discovery) open() int     { _, last := d.door.Watches(); return last }
+func (d *discovery) watchesStarted() int { begun, _ := d.address.Watches(); return begun }
+func (d *discovery) openWatches() int    { _, last := d.address.Watches(); return last }
 
-// server is one of the lab's with a handler of the test's, which keeps what it got.
+// server is the lab's stand-in with a handler of the test's, which keeps the requests.
 type server struct {
 	standin.Server
-	mu  sync.Mutex
-	got []*wire.Request
+	mu       sync.Mutex
+	requests []*wire.Request
 }
 
 type handler func(c net.Conn, q *wire.Request) (again bool)
@@ -79,7 +79,7 @@
 	s := &server{}
 	s.Serve = func(c net.Conn, q *wire.Request) bool {
 		s.mu.Lock()
-		s.got = append(s.got, q)
+		s.requests = append(s.requests, q)
 		s.mu.Unlock()
 		return h(c, q)
 	}
@@ -91,7 +91,7 @@
 func (s *server) addr() string { return s.Addr() }
 func (s *server) count() int   { return s.Got() }
 
-func says(status int, body string) handler {
+func respond(status int, body string) handler {
 	head := ""
 	if status == 503 {
 		head = wire.NeverRan + ": 1\r\n"
@@ -102,21 +102,21 @@
 	}
 }
 
-func after(d time.Duration, h handler) handler {
+func delayed(d time.Duration, h handler) handler {
 	return func(c net.Conn, q *wire.Request) bool {
 		time.Sleep(d)
 		return h(c, q)
 	}
 }
 
-// breaks takes the request in and resets its connection.
-func breaks(c net.Conn, _ *wire.Request) bool {
+// resetConnection reads the request and resets its connection.
+func resetConnection(c net.Conn, _ *wire.Request) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// hangs waits until the other end has gone.
-func hangs(c net.Conn, _ *wire.Request) bool {
+// hang waits until the other end has closed.
+func hang(c net.Conn, _ *wire.Request) bool {
 	c.SetReadDeadline(time.Now().Add(30 * time.Second))
 	c.Read(make([]byte, 1))
 	return false
@@ -131,8 +131,8 @@
  "Limits":{"MaxAttempts":4,"MayCancel":true,"RetryAfter":true,"MaxRetryAfterMs":2000,"ConnectTimeoutMs":2500,
  "ConnIdleMs":30000},"Rules":{"MustAskInMs":400}}`
 
-// program is one started node.
-type program struct {
+// testNode is one started node.
+type testNode struct {
 	*standin.Node
 	t    *testing.T
 	addr string
@@ -144,25 +144,25 @@
 	return addr
 }
 
-// logged is what a program has written so far.
-type logged struct {
+// logBuffer collects what a program has written so far.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-func command(t *testing.T, config any) (*exec.Cmd, *logged) {
+func newCommand(t *testing.T, config any) (*exec.Cmd, *logBuffer) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text, err := json.Marshal(config)
 	require.NoError(t, err)
@@ -170,13 +170,13 @@
 		text = []byte(s)
 	}
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	cmd, log := exec.Command(os.Args[0]), &logged{}
+	cmd, log := exec.Command(os.Args[0]), &logBuffer{}
 	cmd.Env = append(os.Environ(), "ROBINCART_TEST_PROGRAM=1", "EDGE_CONFIG="+path, "GORACE=atexit_sleep_ms=0")
 	cmd.Stderr = log
 	return cmd, log
 }
 
-func configuration(t *testing.T, d *discovery, known ...standin.Member) map[string]any {
+func newConfig(t *testing.T, d *discovery, known ...standin.Member) map[string]any {
 	if known == nil {
 		known = []standin.Member{}
 	}
@@ -186,15 +186,15 @@
 		"settings": json.RawMessage(testSettings)}
 }
 
-func start(t *testing.T, config map[string]any) *program {
-	p := prepared(t, config)
+func startTestNode(t *testing.T, config map[string]any) *testNode {
+	p := newTestNode(t, config)
 	require.NoError(t, p.Start(t.Context()))
 	return p
 }
 
-// prepared is a node that is still to start.
-func prepared(t *testing.T, config map[string]any) *program {
-	p := &program{t: t, addr: config["listen"].(string), Node: &standin.Node{Name: "n1", Addr: config["listen"].(string), Program: os.Args[0],
+// newTestNode returns a node that has not started yet.
+func newTestNode(t *testing.T, config map[string]any) *testNode {
+	p := &testNode{t: t, addr: config["listen"].(string), Node: &standin.Node{Name: "n1", Addr: config["listen"].(string), Program: os.Args[0],
 		Config: config, Dir: t.TempDir(), Env: []string{"ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0",
 			"EDGE_DISCOVERY=" + config["discovery"].(string)}}}
 	t.Cleanup(func() {
@@ -205,65 +205,65 @@
 	return p
 }
 
-// serving starts a node that knows these servers from the start.
-func serving(t *testing.T, servers ...*server) (*program, *discovery) {
+// startWithServers starts a node whose initial endpoint list has these servers.
+func startWithServers(t *testing.T, servers ...*server) (*testNode, *discovery) {
 	var members []standin.Member
 	for i, s := range servers {
-		members = append(members, listed(fmt.Sprint("s", i), s.addr(), "ready"))
+		members = append(members, newMember(fmt.Sprint("s", i), s.addr(), "ready"))
 	}
 	d := newDiscovery(t, members...)
-	return start(t, configuration(t, d, d.all()...)), d
+	return startTestNode(t, newConfig(t, d, d.members()...)), d
 }
 
-func (p *program) stop(within time.Duration) {
-	p.t.Helper()
-	require.NoError(p.t, p.Signal(syscall.SIGTERM))
-	p.exits(within)
+func (t *testNode) stop(within time.Duration) {
+	t.t.Helper()
+	require.NoError(t.t, t.Signal(syscall.SIGTERM))
+	t.waitExit(within)
 }
 
-// reload replaces the configuration and tells the program.
-func (p *program) reload(text string) {
-	path := filepath.Join(p.Dir, "n1.json")
-	require.NoError(p.t, os.WriteFile(path+".new", []byte(text), 0o600))
-	require.NoError(p.t, os.Rename(path+".new", path))
-	require.NoError(p.t, p.Signal(syscall.SIGHUP))
+// reload replaces the configuration and signals the program.
+func (t *testNode) reload(text string) {
+	path := filepath.Join(t.Dir, "n1.json")
+	require.NoError(t.t, os.WriteFile(path+".new", []byte(text), 0o600))
+	require.NoError(t.t, os.Rename(path+".new", path))
+	require.NoError(t.t, t.Signal(syscall.SIGHUP))
 }
 
-func (p *program) exits(within time.Duration) {
-	p.t.Helper()
-	err, ended := p.Wait(within)
-	if assert.True(p.t, ended, "the program is still there") {
-		assert.NoError(p.t, err, p.Log())
+func (t *testNode) waitExit(within time.Duration) {
+	t.t.Helper()
+	err, ended := t.Wait(within)
+	if assert.True(t.t, ended, "the program is still there") {
+		assert.NoError(t.t, err, t.Log())
 	}
 }
 
-type reply struct {
-	status int
-	header http.Header
-	body   string
-	closes bool
-	took   time.Duration
-	err    error
+type response struct {
+	status   int
+	header   http.Header
+	body     string
+	closes   bool
+	duration time.Duration
+	err      error
 }
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
 
-var asked atomic.Int64
+var requestCount atomic.Int64
 
-// ask sends a request as a caller does.
-func (p *program) ask(method, body string) reply { return p.askWith(method, body, nil) }
+// send sends a request as a client does.
+func (t *testNode) send(method, body string) response { return t.sendWith(method, body, nil) }
 
-func (p *program) askWith(method, body string, header map[string]string) reply {
+func (t *testNode) sendWith(method, body string, header map[string]string) response {
 	verb := "POST"
 	if method == "find" {
 		verb = "GET"
 	}
-	q, err := http.NewRequest(verb, "http://"+p.addr+"/"+method+"/table?k=7", strings.NewReader(body))
-	require.NoError(p.t, err)
+	q, err := http.NewRequest(verb, "http://"+t.addr+"/"+method+"/table?k=7", strings.NewReader(body))
+	require.NoError(t.t, err)
 	if body == "" {
 		q.Body = http.NoBody
 	}
-	for k, v := range map[string]string{"X-Trace-Id": fmt.Sprintf("%016x", asked.Add(1)), "X-Qos": method, "X-Customer": "acme",
+	for k, v := range map[string]string{"X-Trace-Id": fmt.Sprintf("%016x", requestCount.Add(1)), "X-Qos": method, "X-Customer": "acme",
 		"X-Expires-In-Ms": "3000"} {
 		q.Header.Set(k, v)
 	}
@@ -276,9 +276,9 @@
 	began := time.Now()
 	r, err := client.Do(q)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer r.Body.Close()
 	text, err := io.ReadAll(r.Body)
-	return reply{r.StatusCode, r.Header, string(text), r.Close, time.Since(began), err}
+	return response{r.StatusCode, r.Header, string(text), r.Close, time.Since(began), err}
 }
--- a/cmd/robincart/shapes_test.go
+++ b/cmd/robincart/mixedfleet_test.go
@@ -17,36 +17,36 @@
 	"robincart/internal/lab/wire"
 )
 
-// The settings of a deployment before and after its move to a node beside each client: second copies go, load reports
-// come with the answers, hints with the requests, and the nodes are many.
-func shape(copies bool, nodes int, more string) json.RawMessage {
+// mixedSettings returns the settings of a deployment before or after its move to a node beside each client: hedged
+// requests go, load reports arrive with the responses, hints with the requests, and the nodes are many.
+func mixedSettings(copies bool, nodes int, more string) json.RawMessage {
 	s := strings.Replace(testSettings, `"Instances":1`, fmt.Sprintf(`"Instances":%d%s`, nodes, more), 1)
 	s = strings.Replace(s, `"MayCancel":true`, fmt.Sprintf(`"MayCancel":true,"SecondCopies":%t`, copies), 1)
 	return json.RawMessage(strings.Replace(s, `"Rules":{`, `"Rules":{"ColdFrom":0.2,"ColdMs":20000,"FallMultiple":3,"FallMs":3000,`, 1))
 }
 
-// shapesRun is what a run with nodes of both shapes left behind.
-type shapesRun struct {
-	status map[string]int    // by id; 0: no answer came
-	kind   map[string]string // of the node that was asked, by id
-	once   map[string]bool   // ids that must not run twice
-	ran    map[string]int    // by id
-	strays int               // came to the drained server after its grace
+// mixedFleet is the outcome of a run with nodes of both settings.
+type mixedFleet struct {
+	status map[string]int    // by ID; 0: no response
+	kind   map[string]string // of the node that served it, by ID
+	once   map[string]bool   // IDs that must not run twice
+	ran    map[string]int    // by ID
+	strays int               // requests that arrived at the drained server after its grace
 }
 
-// wrong names the broken rules, and a kind of node that starves beside the other.
-func (s *shapesRun) wrong() (wrong []string) {
+// violations returns the broken rules, and a kind of node that starves beside the other.
+func (m *mixedFleet) violations() (wrong []string) {
 	ok, all := map[string]int{}, map[string]int{}
-	for id, status := range s.status {
-		all[s.kind[id]]++
+	for id, status := range m.status {
+		all[m.kind[id]]++
 		if status == 200 {
-			ok[s.kind[id]]++
+			ok[m.kind[id]]++
 		}
 		if status != 200 && status != 503 && status != 504 {
 			wrong = append(wrong, fmt.Sprintf("%s got %d", id, status))
 		}
-		if s.once[id] && (s.ran[id] > 1 || s.ran[id] > 0 && status == 503) {
-			wrong = append(wrong, fmt.Sprintf("%s ran %d times and was answered with %d", id, s.ran[id], status))
+		if m.once[id] && (m.ran[id] > 1 || m.ran[id] > 0 && status == 503) {
+			wrong = append(wrong, fmt.Sprintf("%s ran %d times and was answered with %d", id, m.ran[id], status))
 		}
 	}
 	for kind, n := range all {
@@ -54,16 +54,16 @@
 			wrong = append(wrong, fmt.Sprintf("the %s nodes starve: %d of %d served", kind, ok[kind], n))
 		}
 	}
-	if s.strays > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d came to a drained server", s.strays))
+	if m.strays > 0 {
+		wrong = append(wrong, fmt.Sprintf("%d came to a drained server", m.strays))
 	}
 	return wrong
 }
 
-func TestNodesOfTheOldAndTheNewShapeBeforeTheSameServers(t *testing.T) {
-	m := &shapesRun{status: map[string]int{}, kind: map[string]string{}, once: map[string]bool{}, ran: map[string]int{}}
+func TestMixedFleet_OldAndNewSettings(t *testing.T) {
+	m := &mixedFleet{status: map[string]int{}, kind: map[string]string{}, once: map[string]bool{}, ran: map[string]int{}}
 	var mu sync.Mutex
-	var drained time.Time // and its grace is over
+	var drained time.Time // when its grace is over
 	d := newDiscovery(t)
 	servers := map[string]*server{}
 	add := func(name string, up time.Time) {
@@ -81,7 +81,7 @@
 			_, err := c.Write(wire.Answer(nil, 200, head, nil))
 			return err == nil
 		})
-		member := listed(name, servers[name].addr(), "ready")
+		member := newMember(name, servers[name].addr(), "ready")
 		if !up.IsZero() {
 			member.UpSince = up.UnixMilli()
 		}
@@ -92,34 +92,34 @@
 	}
 	var at sync.WaitGroup
 	stop := make(chan struct{})
-	ask := func(p *program, kind string) {
+	ask := func(p *testNode, kind string) {
 		for i := 0; ; i++ {
 			select {
 			case <-stop:
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
-			method, id := []string{"find", "book", "charge"}[i%3], fmt.Sprintf("%016x", 1<<40+asked.Add(1))
-			r := p.askWith(method, "", map[string]string{"X-Trace-Id": id, "X-Work-Hint": fmt.Sprint(8 + i%5)})
+			method, id := []string{"find", "book", "charge"}[i%3], fmt.Sprintf("%016x", 1<<40+requestCount.Add(1))
+			r := p.sendWith(method, "", map[string]string{"X-Trace-Id": id, "X-Work-Hint": fmt.Sprint(8 + i%5)})
 			mu.Lock()
 			m.status[id], m.kind[id], m.once[id] = r.status, kind, method == "charge"
 			mu.Unlock()
 		}
 	}
 	for i := range 7 {
-		kind, settings := "old", shape(true, 7, "")
+		kind, settings := "old", mixedSettings(true, 7, "")
 		if i >= 2 {
-			kind, settings = "new", shape(false, 7, `,"Hints":true,"Report":{"How":"piggyback","Fields":["concurrent","depth","load_share"]}`)
+			kind, settings = "new", mixedSettings(false, 7, `,"Hints":true,"Report":{"How":"piggyback","Fields":["concurrent","depth","load_share"]}`)
 		}
-		config := configuration(t, d, d.all()...)
+		config := newConfig(t, d, d.members()...)
 		config["settings"] = settings
-		p := start(t, config)
+		p := startTestNode(t, config)
 		for range map[string]int{"old": 5, "new": 2}[kind] { // both kinds carry as much
 			at.Go(func() { ask(p, kind) })
 		}
 	}
 	time.Sleep(700 * time.Millisecond)
-	leaving := d.all()[0]
+	leaving := d.members()[0]
 	leaving.Phase = "draining"
 	d.Tell(leaving)
 	mu.Lock()
@@ -130,19 +130,19 @@
 	close(stop)
 	at.Wait()
 	require.Greater(t, len(m.status), 300)
-	assert.Empty(t, m.wrong())
+	assert.Empty(t, m.violations())
 	assert.Less(t, servers["cold"].count(), len(m.status)/6, "a cold server's part over all nodes of both kinds")
 
-	for crime, commit := range map[string]func(m *shapesRun){
-		"no answer":      func(m *shapesRun) { m.status["x"] = 0 },
-		"twice":          func(m *shapesRun) { m.status["x"], m.once["x"], m.ran["x"] = 200, true, 2 },
-		"false pushback": func(m *shapesRun) { m.status["x"], m.once["x"], m.ran["x"] = 503, true, 1 },
-		"a stray":        func(m *shapesRun) { m.strays = 1 },
-		"starving":       func(m *shapesRun) { m.status["x"], m.kind["x"] = 503, "third" },
+	for crime, commit := range map[string]func(m *mixedFleet){
+		"no answer":      func(m *mixedFleet) { m.status["x"] = 0 },
+		"twice":          func(m *mixedFleet) { m.status["x"], m.once["x"], m.ran["x"] = 200, true, 2 },
+		"false pushback": func(m *mixedFleet) { m.status["x"], m.once["x"], m.ran["x"] = 503, true, 1 },
+		"a stray":        func(m *mixedFleet) { m.strays = 1 },
+		"starving":       func(m *mixedFleet) { m.status["x"], m.kind["x"] = 503, "third" },
 	} {
-		guilty := &shapesRun{maps.Clone(m.status), maps.Clone(m.kind), maps.Clone(m.once), maps.Clone(m.ran), 0}
+		guilty := &mixedFleet{maps.Clone(m.status), maps.Clone(m.kind), maps.Clone(m.once), maps.Clone(m.ran), 0}
 		guilty.kind["x"] = "old"
 		commit(guilty)
-		assert.Len(t, guilty.wrong(), 1, crime)
+		assert.Len(t, guilty.violations(), 1, crime)
 	}
 }
--- a/cmd/robincart/operatorstate_test.go
+++ b/cmd/robincart/operatorstate_test.go
@@ -16,8 +16,8 @@
 	"robincart/internal/handover"
 )
 
-// newFailingDirectory returns a file's path in a directory that does not exist, which stands for one that fails, and the
-// function that makes it work.
+// newFailingDirectory returns a file's path in a directory that does not exist, which stands for one that fails,
+// and the function that makes it work.
 func newFailingDirectory(t *testing.T) (path string, repair func()) {
 	directory := filepath.Join(t.TempDir(), "directory")
 	return filepath.Join(directory, "state"), func() { require.NoError(t, os.Mkdir(directory, 0o700)) }
--- /dev/null
+++ b/cmd/robincart/overload_test.go
@@ -0,0 +1,106 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestOverload_EveryClientIsAnswered(t *testing.T) {
+	slow := newServer(t, delayed(300*time.Millisecond, respond(200, "well")))
+	d := newDiscovery(t, newMember("s0", slow.addr(), "ready"))
+	config := newConfig(t, d, d.members()...)
+	config["limits"] = map[string]any{"cores": 1, "memory_mb": 64, "sockets": 48}
+	p := startTestNode(t, config)
+	for range 60 { // idle connections give way
+		c, err := net.Dial("tcp", p.addr)
+		require.NoError(t, err)
+		defer c.Close()
+	}
+	counts := map[int]int{}
+	var mu sync.Mutex
+	var all sync.WaitGroup
+	for range 60 {
+		all.Go(func() {
+			r := p.send("charge", "x")
+			mu.Lock()
+			defer mu.Unlock()
+			assert.NoError(t, r.err)
+			assert.Less(t, r.duration, 2500*time.Millisecond)
+			counts[r.status]++
+		})
+	}
+	all.Wait()
+	assert.Equal(t, 60, counts[200]+counts[503], "%v", counts)
+	assert.Greater(t, counts[200], 10, "%v", counts)
+	assert.Equal(t, counts[200], slow.count(), "what was refused was never sent")
+	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid()))
+	require.NoError(t, err)
+	assert.LessOrEqual(t, len(files), 48)
+	assert.Equal(t, 200, p.send("charge", "x").status, "afterwards there is room again")
+}
+
+// Connections without a complete request must give way: other clients wait in the listener's queue behind them.
+func TestOverload_ClientServedBehindIdleFlood(t *testing.T) {
+	s := newServer(t, respond(200, "well"))
+	d := newDiscovery(t, newMember("s0", s.addr(), "ready"))
+	config := newConfig(t, d, d.members()...)
+	config["limits"] = map[string]any{"cores": 1, "memory_mb": 64, "sockets": 64}
+	p := startTestNode(t, config)
+	for i := range 200 {
+		c, err := net.Dial("tcp", p.addr)
+		require.NoError(t, err)
+		defer c.Close()
+		io.WriteString(c, []string{"", "GET /find HTT", "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"}[i%3])
+	}
+	r := p.send("charge", "x")
+	assert.Equal(t, 200, r.status)
+	assert.Less(t, r.duration, 1500*time.Millisecond)
+}
+
+// Each is answered or closed within 3 s of connecting, and other clients are served meanwhile.
+func TestOverload_HostileClientsAreClosedInTime(t *testing.T) {
+	t.Parallel()
+	p, _ := startWithServers(t, newServer(t, respond(200, "well")))
+	began := time.Now()
+	ends := func(c net.Conn, want string) {
+		c.SetReadDeadline(began.Add(3 * time.Second))
+		text, err := io.ReadAll(c)
+		assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
+		assert.Contains(t, string(text), want)
+		c.Close()
+	}
+	dial := func() net.Conn {
+		c, err := net.Dial("tcp", p.addr)
+		require.NoError(t, err)
+		return c
+	}
+	var all sync.WaitGroup
+	silent, late := dial(), dial()
+	all.Go(func() { ends(silent, "") })
+	all.Go(func() {
+		time.Sleep(1500 * time.Millisecond)
+		io.WriteString(late, "GET /find HTT")
+		ends(late, " 408 ")
+	})
+	huge, sent := dial(), 0
+	io.WriteString(huge, requestHead("POST /charge", "charge", "Content-Length: 62914560"))
+	huge.SetWriteDeadline(began.Add(3 * time.Second))
+	for block := make([]byte, 1<<20); sent < 60; sent++ {
+		if _, err := huge.Write(block); err != nil {
+			assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
+			break
+		}
+	}
+	assert.Less(t, sent, 30, "taking it all in would cost the usual callers the core")
+	huge.Close()
+	assert.Equal(t, 200, p.send("charge", "x").status)
+	all.Wait()
+}
--- /dev/null
+++ b/cmd/robincart/platformconfig_test.go
@@ -0,0 +1,184 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+	"sync"
+	"sync/atomic"
+	"syscall"
+)
+
+// editSettings returns a configuration with its settings changed.
+func editSettings(t *testing.T, c map[string]any, edit func(settings map[string]any, classes []any) []any) string {
+	var s map[string]any
+	require.NoError(t, json.Unmarshal(c["settings"].(json.RawMessage), &s))
+	s["Classes"] = edit(s, s["Classes"].([]any))
+	out := map[string]any{}
+	for k, v := range c {
+		out[k] = v
+	}
+	out["settings"] = s
+	text, err := json.Marshal(out)
+	require.NoError(t, err)
+	return string(text)
+}
+
+// The endpoint list from before a process started binds it from its first moment, so its first poll must be soon,
+// whatever the settings say.
+func TestPlatformConfig_FirstPollDelayIsBounded(t *testing.T) {
+	text, err := json.Marshal(newConfig(t, newDiscovery(t)))
+	require.NoError(t, err)
+	path := filepath.Join(t.TempDir(), "c.json")
+	require.NoError(t, os.WriteFile(path, text, 0o600))
+	c, err := readPlatformConfig(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
+	require.NoError(t, err)
+	assert.Greater(t, c.node.MaxFirstPollDelay, 0.0)
+	assert.InDelta(t, c.limits.MaxCallInterval.Seconds(), c.node.MaxFirstPollDelay, 1e-9)
+}
+
+// A file that is truncated anywhere, or lacks any key, changes nothing.
+func TestPlatformConfig_TruncatedFileIsRejected(t *testing.T) {
+	d := newDiscovery(t)
+	text, err := json.Marshal(newConfig(t, d))
+	require.NoError(t, err)
+	path := filepath.Join(t.TempDir(), "c.json")
+	env := func(name string) string {
+		if name == "EDGE_CONFIG" {
+			return path
+		}
+		return ""
+	}
+	write := func(b []byte) { require.NoError(t, os.WriteFile(path, b, 0o600)) }
+	write(text)
+	c, err := readPlatformConfig(env)
+	require.NoError(t, err)
+	moves := &recordedAddresses{}
+	tuned := 0
+	reload := func() *platformConfig {
+		now, err := c.reload(env, moves, func(*platformConfig) { tuned++ }, zap.NewNop())
+		require.NoError(t, err, "a mistake is none that passes")
+		return now
+	}
+	for n := range len(text) {
+		write(text[:n])
+		require.Same(t, c, reload(), "%s", text[:n])
+	}
+	var whole map[string]any
+	require.NoError(t, json.Unmarshal(text, &whole))
+	for _, in := range []map[string]any{whole, whole["settings"].(map[string]any), whole["settings"].(map[string]any)["Limits"].(map[string]any)} {
+		for key, v := range in {
+			delete(in, key)
+			short, err := json.Marshal(whole)
+			require.NoError(t, err)
+			write(short)
+			require.Same(t, c, reload(), "without %s", key)
+			in[key] = v
+		}
+	}
+	assert.Zero(t, tuned)
+	write(text)
+	assert.NotSame(t, c, reload())
+	assert.Empty(t, moves.addresses)
+}
+
+type recordedAddresses struct{ addresses []string }
+
+func (r *recordedAddresses) SetAddress(addr string) { r.addresses = append(r.addresses, addr) }
+
+func TestReload_MethodsChangeUnderTraffic(t *testing.T) {
+	slow := newServer(t, delayed(200*time.Millisecond, respond(200, "x")))
+	d := newDiscovery(t, newMember("s0", slow.addr(), "ready"))
+	c := newConfig(t, d, d.members()...)
+	p := startTestNode(t, c)
+	out := make(chan response, 1)
+	go func() { out <- p.send("find", "") }()
+	require.Eventually(t, func() bool { return slow.count() == 1 }, 5*time.Second, time.Millisecond)
+	good := editSettings(t, c, func(_ map[string]any, all []any) []any {
+		extra := map[string]any{}
+		for k, v := range all[1].(map[string]any) {
+			extra[k] = v
+		}
+		extra["Name"] = "tip"
+		return append([]any{extra}, all[1:]...) // find is removed
+	})
+	p.reload(good)
+	require.Eventually(t, func() bool { return p.send("tip", "x").status != 404 }, 10*time.Second, 5*time.Millisecond)
+	assert.Equal(t, 200, (<-out).status, "what was open is served")
+	assert.Equal(t, 200, p.send("find", "").status, "callers hear of it later")
+	assert.Equal(t, 200, p.sendWith("tip", "x", map[string]string{"Idempotency-Key": "k"}).status)
+	for i, broken := range []string{"", good[:len(good)/2], strings.Replace(good, `"Classes"`, `"Klasses"`, 1), strings.Replace(good, `"seed"`, `"sead"`, 1),
+		editSettings(t, c, func(_ map[string]any, all []any) []any { all[0].(map[string]any)["DeadlineMs"] = 0; return all }),
+		editSettings(t, c, func(_ map[string]any, all []any) []any { delete(all[0].(map[string]any), "AimMs"); return all }),
+		editSettings(t, c, func(s map[string]any, all []any) []any { s["Limits"].(map[string]any)["MaxAttempts"] = 0; return all }),
+		editSettings(t, c, func(s map[string]any, all []any) []any {
+			delete(s["Limits"].(map[string]any), "MaxAttempts")
+			return all
+		}),
+		editSettings(t, c, func(_ map[string]any, all []any) []any { return append(all, all[0]) }),
+	} {
+		p.reload(broken)
+		require.Eventually(t, func() bool { return strings.Count(p.Log(), "configuration rejected") == i+1 }, 10*time.Second, 5*time.Millisecond, "%.300s", broken)
+		assert.Equal(t, 200, p.sendWith("tip", "x", map[string]string{"Idempotency-Key": fmt.Sprint("b", i)}).status)
+	}
+	assert.Eventually(t, func() bool { return p.send("find", "").status == 404 }, 10*time.Second, 50*time.Millisecond, "and is gone in the end")
+}
+
+// EDGE_DISCOVERY, which startTestNode sets, names the old discovery all along.
+func TestReload_MovesWatchUnderTraffic(t *testing.T) {
+	old, fresh := newServer(t, respond(200, "old")), newServer(t, respond(200, "fresh"))
+	here, there := newDiscovery(t, newMember("s0", old.addr(), "ready")), newDiscovery(t)
+	there.Number(2)
+	there.Tell(newMember("s1", fresh.addr(), "ready"))
+	config := newConfig(t, here, here.members()...)
+	p := startTestNode(t, config)
+	require.Eventually(t, func() bool { return here.watchesStarted() == 1 }, 5*time.Second, 10*time.Millisecond)
+	ended := make(chan bool)
+	var callers sync.WaitGroup
+	var served, pushedBack atomic.Int64
+	for range 4 {
+		callers.Go(func() {
+			for {
+				select {
+				case <-ended:
+					return
+				default:
+					r := p.send("charge", "x")
+					assert.NoError(t, r.err)
+					if r.status == 503 { // a busy machine makes servers look slow, and a rejection loses nothing
+						pushedBack.Add(1)
+						continue
+					}
+					served.Add(1)
+					assert.Equal(t, 200, r.status)
+				}
+			}
+		})
+	}
+	p.reload("{")
+	require.Eventually(t, func() bool { return strings.Contains(p.Log(), "configuration rejected") },
+		2*time.Second, 10*time.Millisecond)
+	assert.Equal(t, "old", p.send("find", "").body)
+	config["discovery"], config["seed"], config["name"] = there.addr(), "2", "n2"
+	text, _ := json.Marshal(config)
+	for range 5 {
+		p.reload(string(text))
+	}
+	require.Eventually(t, func() bool { return p.send("find", "").body == "fresh" }, time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return here.openWatches() == 0 && there.openWatches() == 1 }, time.Second, 10*time.Millisecond)
+	assert.Contains(t, p.Log(), `"restart_required":["name"]`)
+	close(ended)
+	callers.Wait()
+	assert.Greater(t, served.Load(), 9*pushedBack.Load())
+	require.NoError(t, p.Signal(syscall.SIGTERM))
+	p.Signal(syscall.SIGHUP)
+	p.waitExit(3 * time.Second)
+}
--- a/cmd/robincart/tune_test.go
+++ b/cmd/robincart/settingstransition_test.go
@@ -12,9 +12,10 @@
 	"robincart/internal/protocol/settings"
 )
 
-// Settings change again before callers have heard of the last change: what any of them may still send is repeated as none of them
-// forbids, also where the class had left in between, and the last settings are in force in the end, whichever timer rings when.
-func TestSettingsThatChangeAgainAtOnceBindWithAllThatCallersMayGoBy(t *testing.T) {
+// Settings change again before clients have learned of the last change: what any of them may still send is retried
+// as none of them forbids, also where the method was removed in between, and the last settings are in force in the
+// end, in whatever order timers fire.
+func TestSettingsTransition_FormerSettingsBindDuringGrace(t *testing.T) {
 	parse := func(classes string) *settings.Instance {
 		n, err := settings.Parse([]byte(`{"Classes":[{"Name":"other","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}` + classes + `],"RegistryMode":"automatic"}`))
 		require.NoError(t, err)
@@ -41,7 +42,7 @@
 		tune.update(between, 3*time.Hour)
 		now = now.Add(time.Hour)
 		assert.Equal(t, decide.NonIdempotent, effect(tune.update(free, 3*time.Hour)), name)
-		now = now.Add(2 * time.Hour) // what the first change began is over
+		now = now.Add(2 * time.Hour) // the grace of the first change is over
 		assert.Equal(t, decide.Idempotent, effect(tune.apply()), name)
 		assert.Len(t, tune.previous, 1, name)
 		now = now.Add(time.Hour)
--- /dev/null
+++ b/cmd/robincart/shutdown_test.go
@@ -0,0 +1,155 @@
+package main
+
+import (
+	"fmt"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"bufio"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"io"
+	"net"
+	"net/http"
+	"robincart/internal/handover"
+	"robincart/internal/testutil"
+	"sync/atomic"
+)
+
+// A node that shares its CPU runs a part of the time only. Servers hang throughout its shutdown, with many requests
+// in flight: each of them is answered before the kill may come.
+func TestShutdown_StarvedNodeAnswersAllInFlight(t *testing.T) {
+	const (
+		callers  = 120
+		killed   = 3700 * time.Millisecond // from SIGTERM: the longest deadline and 0.7 s
+		heldUp   = 45 * time.Millisecond
+		runs     = 5 * time.Millisecond
+		heldFrom = 3300 * time.Millisecond
+	)
+	var servers []*server
+	for range 16 {
+		servers = append(servers, newServer(t, hang))
+	}
+	p, _ := startWithServers(t, servers...)
+	statuses := make(chan response, callers)
+	var all sync.WaitGroup
+	for range callers {
+		all.Go(func() { statuses <- p.sendWith("slow", "x", map[string]string{"X-Expires-In-Ms": "6000"}) })
+	}
+	time.Sleep(300 * time.Millisecond)
+	term := time.Now()
+	assert.NoError(t, p.Signal(syscall.SIGTERM))
+	time.Sleep(heldFrom)
+	for time.Since(term) < killed {
+		p.Signal(syscall.SIGSTOP)
+		time.Sleep(heldUp)
+		p.Signal(syscall.SIGCONT)
+		time.Sleep(runs)
+	}
+	p.Signal(syscall.SIGKILL)
+	all.Wait()
+	close(statuses)
+	counts := map[string]int{}
+	for r := range statuses {
+		if r.err != nil {
+			counts["lost"]++
+			continue
+		}
+		counts[fmt.Sprint(r.status)]++
+	}
+	assert.Equal(t, callers, counts["503"]+counts["504"], "%v", counts)
+	assert.Greater(t, counts["504"], callers/2, "%v", counts)
+}
+
+// A process that waits for its predecessor has a listener already, and the kernel accepts clients for it.
+func TestShutdown_SignalBeforeServing(t *testing.T) {
+	l, _ := newNodeSite(t, newServer(t, respond(200, "well")))
+	before, err := handover.Listen(handover.SocketPath(l.dir, "n1 "+l.addr)) // it sends nothing, and is waited for
+	require.NoError(t, err)
+	defer before.Close()
+	l.config["admin_addr"] = freeAddress(t)
+	p := l.launch()
+	link, err := before.AcceptUnix()
+	require.NoError(t, err)
+	defer link.Close()
+	c, err := net.Dial("tcp", l.addr)
+	require.NoError(t, err)
+	defer c.Close()
+	io.WriteString(c, requestHead("GET /find", "find"))
+	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
+	c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if assert.NoError(t, err, p.log) {
+		assert.Equal(t, 200, r.StatusCode)
+	}
+	p.waitExit(t)
+}
+
+func TestShutdown_AnswersAllAccepted(t *testing.T) {
+	slow := newServer(t, delayed(900*time.Millisecond, respond(200, "well")))
+	p, _ := startWithServers(t, slow)
+	idle, err := net.Dial("tcp", p.addr)
+	require.NoError(t, err)
+	defer idle.Close()
+	var all sync.WaitGroup
+	ask := func() {
+		r := p.send("charge", "x")
+		assert.NoError(t, r.err)
+		assert.Equal(t, 200, r.status)
+		assert.True(t, r.closes)
+	}
+	all.Go(ask)
+	time.Sleep(100 * time.Millisecond)
+	require.NoError(t, p.Signal(syscall.SIGTERM))
+	time.Sleep(400 * time.Millisecond)
+	c, err := net.Dial("tcp", p.addr)
+	require.NoError(t, err, "the front goes on dealing out connections for 0.4 s")
+	defer c.Close()
+	io.WriteString(c, "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n")
+	first, err := bufio.NewReader(c).ReadString('\n')
+	assert.NoError(t, err)
+	assert.Equal(t, "HTTP/1.1 503 Service Unavailable\r\n", first)
+	all.Go(ask)
+	all.Wait()
+	p.waitExit(time.Second)
+}
+
+// The platform goes on sending connections for up to 0.4 s, and clients use those that they have.
+func TestShutdown_UnderTraffic(t *testing.T) {
+	p, _ := startWithServers(t, newServer(t, delayed(20*time.Millisecond, respond(200, "well"))))
+	until := time.Now().Add(700 * time.Millisecond)
+	var all sync.WaitGroup
+	var served, closed atomic.Int64
+	for range 8 {
+		all.Go(func() {
+			for time.Now().Before(until) {
+				r := p.send("find", "")
+				if !assert.NoError(t, r.err) || !assert.Equal(t, 200, r.status) {
+					return
+				}
+				served.Add(1)
+				if r.closes {
+					closed.Add(1)
+				}
+			}
+		})
+	}
+	time.Sleep(300 * time.Millisecond)
+	p.stop(2 * time.Second)
+	all.Wait()
+	assert.Greater(t, served.Load(), int64(80))
+	assert.Greater(t, closed.Load(), int64(40), "after the stop each answer closes its connection")
+}
+
+func TestShutdown_AbortsInFlightBeforeKill(t *testing.T) {
+	p, _ := startWithServers(t, newServer(t, hang))
+	got := make(chan response, 1)
+	go func() { got <- p.sendWith("slow", "x", map[string]string{"X-Expires-In-Ms": "6000"}) }()
+	time.Sleep(100 * time.Millisecond)
+	began := time.Now()
+	p.stop(3700 * time.Millisecond)
+	assert.Greater(t, time.Since(began), 3*time.Second, "an RPC with time left is not cut short")
+	assert.Equal(t, 504, testutil.Receive(t, got).status)
+}
--- a/cmd/robincart/stalled_test.go
+++ b/cmd/robincart/stalledclient_test.go
@@ -15,13 +15,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stalledFor is the operators' bound for a client that stops in the middle of its request and stays: by then it has an error or a close.
+// stalledFor is the operators' bound for a client that stops in the middle of its request and stays connected: by
+// then it has an error or a close.
 const stalledFor = 3 * time.Second
 
-// A client that stops in the middle of a request and stays is told so in time, wherever it stops, on a new connection and on one that has
-// brought a request before. Nothing of it goes to a server as a whole request.
-func TestAClientThatStopsInTheMiddleOfItsRequestIsToldInTime(t *testing.T) {
-	var asks, whole atomic.Int32 // requests sent whole, and those that a server has had whole
+// A client that stops in the middle of a request and stays connected is answered in time, wherever it stops, on a
+// new connection and on one that has carried a request before. No server gets it as a complete request.
+func TestStalledClient_InRequestIsAnsweredInTime(t *testing.T) {
+	var asks, whole atomic.Int32 // complete requests that were sent, and that a server has read
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if _, err := io.Copy(io.Discard, q.Body); err == nil {
 			whole.Add(1)
@@ -29,11 +30,11 @@
 		io.WriteString(w, "x")
 	}))
 	t.Cleanup(s.Close)
-	d := newDiscovery(t, listed("s0", s.Listener.Addr().String(), "ready"))
-	p := start(t, configuration(t, d, d.all()...))
+	d := newDiscovery(t, newMember("s0", s.Listener.Addr().String(), "ready"))
+	p := startTestNode(t, newConfig(t, d, d.members()...))
 	head := func(lines string) string {
 		return fmt.Sprintf("POST /book/x HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %016x\r\nX-Qos: book\r\nX-Customer: acme\r\nX-Expires-In-Ms: 3000\r\nIdempotency-Key: k%d\r\n%s\r\n",
-			asked.Add(1), asked.Load(), lines)
+			requestCount.Add(1), requestCount.Load(), lines)
 	}
 	length := func(whole, sent int) string {
 		return head(fmt.Sprintf("Content-Length: %d\r\n", whole)) + strings.Repeat("x", sent)
@@ -91,11 +92,12 @@
 	}
 }
 
-// The same where the part of a request comes in one piece with the whole one before it: that is answered, and the rest has its bound.
-func TestAClientThatStopsBehindAWholeRequestIsToldInTime(t *testing.T) {
-	p, _ := serving(t, newServer(t, says(200, "x")))
+// The same where the incomplete request arrives together with a complete one before it: that is answered, and the
+// rest has its bound.
+func TestStalledClient_BehindCompleteRequestIsAnsweredInTime(t *testing.T) {
+	p, _ := startWithServers(t, newServer(t, respond(200, "x")))
 	request := func() string {
-		return fmt.Sprintf("GET /find/x HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %016x\r\nX-Qos: find\r\nX-Customer: acme\r\nX-Expires-In-Ms: 3000\r\n\r\n", asked.Add(1))
+		return fmt.Sprintf("GET /find/x HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %016x\r\nX-Qos: find\r\nX-Customer: acme\r\nX-Expires-In-Ms: 3000\r\n\r\n", requestCount.Add(1))
 	}
 	for _, part := range []int{1, 30, 100} {
 		t.Run(fmt.Sprint(part, " bytes"), func(t *testing.T) {
--- a/cmd/robincart/succession.go
+++ b/cmd/robincart/succession.go
@@ -28,7 +28,7 @@
 	KnownServers    []string        `json:"Listed"` // the IDs that were ever in the endpoint list
 	Descriptors     int             `json:"Held"`   // in use
 	RequestIDSeed   uint64          `json:"Seed"`
-	ListClock       time.Time       `json:"ListTime"` // of the endpoint list's source, as far as it is known; zero: it is not
+	ListClock       time.Time       `json:"ListTime"` // of the endpoint list's source; zero: not known
 }
 
 const (
