--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -24,63 +24,70 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fake knows one server, and notes what it is told.
-type fake struct {
-	mu      sync.Mutex
-	heard   []string
-	failing bool // nothing can be kept
+// fakeNode knows the server s1, and records what it is commanded.
+type fakeNode struct {
+	mu       sync.Mutex
+	commands []string
+	failing  bool // nothing can be saved
 }
 
-func (f *fake) note(what string) {
+func (f *fakeNode) record(command string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard = append(f.heard, what)
+	f.commands = append(f.commands, command)
 }
-func (f *fake) Ready() bool            { return true }
-func (f *fake) Detach(id string) error { f.note("out " + id); return f.outcome(id) }
-func (f *fake) Attach(id string) error { f.note("back " + id); return f.outcome(id) }
 
-func (f *fake) outcome(id string) error {
+func (f *fakeNode) Ready() bool                   { return true }
+func (f *fakeNode) ExclusionReason(string) string { return "" }
+
+func (f *fakeNode) Detach(server string) error {
+	f.record("detach " + server)
+	return f.outcome(server)
+}
+
+func (f *fakeNode) Attach(server string) error {
+	f.record("attach " + server)
+	return f.outcome(server)
+}
+
+func (f *fakeNode) SetLameDuck(on bool) error {
+	f.record(fmt.Sprint("lame duck ", on))
+	return f.outcome("s1")
+}
+
+func (f *fakeNode) outcome(server string) error {
 	if f.failing {
 		return &NotPersistedError{Cause: syscall.ENOSPC}
 	}
-	if id != "s1" {
+	if server != "s1" {
 		return ErrNeverListed
 	}
 	return nil
 }
-func (f *fake) ExclusionReason(string) string { return "" }
-func (f *fake) SetLameDuck(on bool) error {
-	f.note(fmt.Sprint("lame ", on))
-	if f.failing {
-		return &NotPersistedError{Cause: syscall.ENOSPC}
-	}
-	return nil
-}
 
-func begin(t *testing.T, l Limits) (*Server, *fake) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func newTestServer(t *testing.T, l Limits) (*Server, *fakeNode) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := &fake{}
-	s := Serve(ln, f, l, zap.NewNop())
-	t.Cleanup(s.Close)
-	return s, f
+	node := &fakeNode{}
+	server := Serve(listener, node, l, zap.NewNop())
+	t.Cleanup(server.Close)
+	return server, node
 }
 
-// call is the status of one call, written whole on a connection of its own.
-func call(t *testing.T, s *Server, text string) int {
+// call returns the status of one call, which is written at once on a connection of its own.
+func call(t *testing.T, server *Server, request string) int {
 	t.Helper()
-	c, err := net.Dial("tcp", s.Addr())
+	conn, err := net.Dial("tcp", server.Addr())
 	require.NoError(t, err)
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	_, err = io.WriteString(c, text)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	_, err = io.WriteString(conn, request)
 	require.NoError(t, err)
-	all, err := io.ReadAll(c)
+	response, err := io.ReadAll(conn)
 	require.NoError(t, err)
 	status := 0
-	if _, err := fmt.Sscanf(string(all), "HTTP/1.1 %d", &status); err != nil {
-		assert.Empty(t, all)
+	if _, err := fmt.Sscanf(string(response), "HTTP/1.1 %d", &status); err != nil {
+		assert.Empty(t, response)
 	}
 	return status
 }
@@ -89,34 +96,41 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: n\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// What can't be kept is refused, though it is in force, and the answer says so.
-func TestACallThatCannotBeKeptIsRefused(t *testing.T) {
-	s, f := begin(t, DefaultLimits())
-	f.failing = true
-	for _, text := range []string{post(PathDetach, `{"host":"s1"}`), post(PathAttach, `{"host":"s1"}`), post(PathLameDuckOn, ""), post(PathLameDuckOff, "")} {
-		assert.Equal(t, 503, call(t, s, text), "%.40q", text)
+// A command that can't be saved is in force and answered 503, and the response says so.
+func TestServer_CommandNotPersisted(t *testing.T) {
+	server, node := newTestServer(t, DefaultLimits())
+	node.failing = true
+	for _, request := range []string{
+		post(PathDetach, `{"host":"s1"}`),
+		post(PathAttach, `{"host":"s1"}`),
+		post(PathLameDuckOn, ""),
+		post(PathLameDuckOff, ""),
+	} {
+		assert.Equal(t, 503, call(t, server, request), "%.40q", request)
 	}
-	assert.Equal(t, []string{"out s1", "back s1", "lame true", "lame false"}, f.heard)
+	assert.Equal(t, []string{"detach s1", "attach s1", "lame duck true", "lame duck false"}, node.commands)
 	assert.ErrorContains(t, &NotPersistedError{Cause: syscall.ENOSPC}, "in force")
 	assert.ErrorIs(t, &NotPersistedError{Cause: syscall.ENOSPC}, syscall.ENOSPC)
 }
 
-func TestEachCallIsDoneOrRefused(t *testing.T) {
-	s, f := begin(t, DefaultLimits())
-	for _, x := range []struct {
-		text   string
-		status int
-		heard  string
+func TestServer_Calls(t *testing.T) {
+	const chunked = "POST /_servers/detach HTTP/1.1\r\nHost: n\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		"5\r\n{\"hos\r\n8\r\nt\":\"s1\"}\r\n0\r\n\r\n"
+	server, node := newTestServer(t, DefaultLimits())
+	for _, test := range []struct {
+		request string
+		status  int
+		command string // "": none
 	}{
 		{"GET /_ready HTTP/1.1\r\nHost: n\r\n\r\n", 200, ""},
 		{"HEAD /_ready HTTP/1.1\r\nHost: n\r\n\r\n", 200, ""},
-		{post(PathDetach, `{"host":"s1"}`), 200, "out s1"},
-		{post(PathDetach, `{"host":"s1","why":"disk"}`), 200, "out s1"},
-		{"POST /_servers/detach HTTP/1.1\r\nHost: n\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"hos\r\n8\r\nt\":\"s1\"}\r\n0\r\n\r\n", 200, "out s1"},
-		{post(PathAttach, `{"host":"s1"}`), 200, "back s1"},
-		{post(PathAttach, `{"host":"nobody"}`), 404, "back nobody"},
-		{post(PathLameDuckOn, ""), 200, "lame true"},
-		{post(PathLameDuckOff, "{}"), 200, "lame false"},
+		{post(PathDetach, `{"host":"s1"}`), 200, "detach s1"},
+		{post(PathDetach, `{"host":"s1","why":"disk"}`), 200, "detach s1"},
+		{chunked, 200, "detach s1"},
+		{post(PathAttach, `{"host":"s1"}`), 200, "attach s1"},
+		{post(PathAttach, `{"host":"nobody"}`), 404, "attach nobody"},
+		{post(PathLameDuckOn, ""), 200, "lame duck true"},
+		{post(PathLameDuckOff, "{}"), 200, "lame duck false"},
 		{post(PathDetach, `{"host":""}`), 400, ""},
 		{post(PathDetach, `{"host":7}`), 400, ""},
 		{post(PathDetach, `{"host":"s1"}{"host":"s2"}`), 400, ""},
@@ -129,64 +143,73 @@
 		{"nonsense\r\n\r\n", 400, ""},
 		{"GET /" + strings.Repeat("x", 1<<20) + " HTTP/1.1\r\n\r\n", 431, ""},
 	} {
-		f.heard = nil
-		if n := len(x.text); n > 1<<19 { // it is answered and closed with the rest unread: only that it ends can be relied on
-			x.text = x.text[:12<<10]
-		}
-		assert.Equal(t, x.status, call(t, s, x.text), "%.80q", x.text)
-		if x.heard == "" {
-			assert.Empty(t, f.heard, "%.80q", x.text)
-		} else {
-			assert.Equal(t, []string{x.heard}, f.heard)
-		}
+		t.Run(fmt.Sprintf("%.60q", test.request), func(t *testing.T) {
+			node.commands = nil
+			request := test.request
+			if len(request) > 1<<19 {
+				// It is answered and closed with the rest unread: all that can be relied on is that it ends.
+				request = request[:12<<10]
+			}
+			assert.Equal(t, test.status, call(t, server, request))
+			if test.command == "" {
+				assert.Empty(t, node.commands)
+			} else {
+				assert.Equal(t, []string{test.command}, node.commands)
+			}
+		})
 	}
 }
 
-// Whatever a caller sends, at most one call is done, and only one whose body names its server.
+// Whatever a caller sends, at most one command is executed, and only one whose body names its server.
 func FuzzCall(f *testing.F) {
 	f.Add([]byte(post(PathDetach, `{"host":"s1"}`)))
 	f.Add([]byte(post(PathAttach, `{"host":"s1"} x`)))
 	f.Add([]byte(post(PathLameDuckOn, "")))
 	f.Add([]byte(post(PathDetach, `{"HOST":null,"host":{}}`)))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		q, err := httpwire.NewReader(bytes.NewReader(text), DefaultLimits().Wire).ReadRequest()
+		request, err := httpwire.NewReader(bytes.NewReader(text), DefaultLimits().Wire).ReadRequest()
 		if err != nil {
 			return
 		}
-		node := &fake{}
-		s := &Server{node: node, log: zap.NewNop()}
-		status, _, _ := s.call(q)
-		if done := len(node.heard); done > 1 || done == 1 && status != 200 && status != 404 || done == 0 && status == 200 && q.Path != PathReady {
-			t.Fatalf("%q: %d, %q", text, status, node.heard)
+		node := &fakeNode{}
+		server := &Server{node: node, log: zap.NewNop()}
+		status := server.handle(request).Status
+		executed := len(node.commands)
+		tooMany := executed > 1
+		notReported := executed == 1 && status != 200 && status != 404
+		notExecuted := executed == 0 && status == 200 && request.Path != PathReady
+		if tooMany || notReported || notExecuted {
+			t.Fatalf("%q: %d, %q", text, status, node.commands)
 		}
 	})
 }
 
-func TestCallersThatFinishNothingKeepNobodyOut(t *testing.T) {
+func TestServer_IncompleteRequestsGiveWay(t *testing.T) {
 	l := DefaultLimits()
 	l.MaxConnections = 3
-	s, _ := begin(t, l)
-	var idle []net.Conn
+	server, _ := newTestServer(t, l)
+	var incomplete []net.Conn
 	for i := range 20 {
-		c, err := net.Dial("tcp", s.Addr())
+		conn, err := net.Dial("tcp", server.Addr())
 		require.NoError(t, err)
-		defer c.Close()
-		io.WriteString(c, "POST /_servers/detach HTTP/1.1\r\nContent-Length: 9\r\n\r\n{"[:i%3*20])
-		idle = append(idle, c)
+		t.Cleanup(func() { conn.Close() })
+		io.WriteString(conn, "POST /_servers/detach HTTP/1.1\r\nContent-Length: 9\r\n\r\n{"[:i%3*20])
+		incomplete = append(incomplete, conn)
 		if i%5 == 4 {
-			r, err := http.Post("http://"+s.Addr()+PathDetach, "application/json", bytes.NewBufferString(`{"host":"s1"}`))
+			body := bytes.NewBufferString(`{"host":"s1"}`)
+			response, err := http.Post("http://"+server.Addr()+PathDetach, "application/json", body)
 			require.NoError(t, err)
-			r.Body.Close()
-			assert.Equal(t, 200, r.StatusCode)
+			response.Body.Close()
+			assert.Equal(t, 200, response.StatusCode)
 		}
 	}
-	for _, c := range idle[:15] { // these had to give way
-		c.SetDeadline(time.Now().Add(10 * time.Second))
-		_, err := c.Read(make([]byte, 1))
+	for _, conn := range incomplete[:15] { // these had to give way
+		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		_, err := conn.Read(make([]byte, 1))
 		assert.Error(t, err)
 		assert.False(t, errors.Is(err, os.ErrDeadlineExceeded), "still open")
 	}
-	s.mu.Lock()
-	assert.LessOrEqual(t, len(s.conns), l.MaxConnections)
-	s.mu.Unlock()
+	server.mu.Lock()
+	assert.LessOrEqual(t, len(server.conns), l.MaxConnections)
+	server.mu.Unlock()
 }
