--- a/internal/config/nodeconfig/golden_test.go
+++ b/internal/config/nodeconfig/golden_test.go
@@ -207,15 +207,15 @@
 	for _, test := range []struct {
 		golden string
 		key    record.Key
-		want   fact
+		want   parsedEntry
 	}{
-		{"record-service.json", record.Key{Kind: "service", Name: "tables"}, fact{service: new(recordedService())}},
-		{"record-route.json", record.Key{Kind: "route", Name: "tables"}, fact{route: &route}},
+		{"record-service.json", record.Key{Kind: "service", Name: "tables"}, parsedEntry{service: new(recordedService())}},
+		{"record-route.json", record.Key{Kind: "route", Name: "tables"}, parsedEntry{route: &route}},
 		{"record-tenant.json", record.Key{Kind: "tenant", Name: "tables/acme"},
-			fact{tenant: &Tenant{Name: "acme", Quota: 200.5, Weight: 2.5}}},
+			parsedEntry{tenant: &Tenant{Name: "acme", Quota: 200.5, Weight: 2.5}}},
 	} {
 		t.Run(test.golden, func(t *testing.T) {
-			got, err := read(record.Entry{Key: test.key, Value: json.RawMessage(testutil.Golden(t, test.golden))})
+			got, err := parseEntry(record.Entry{Key: test.key, Value: json.RawMessage(testutil.Golden(t, test.golden))})
 			require.NoError(t, err)
 			assert.Equal(t, test.want, got)
 		})
@@ -223,10 +223,10 @@
 }
 
 func TestFactValues_Golden(t *testing.T) {
-	testutil.EqualGoldenJSON(t, "record-service.json", text{TOML: string(testutil.Golden(t, "record-service.toml"))})
-	testutil.EqualGoldenJSON(t, "record-route.json", text{TOML: string(testutil.Golden(t, "record-route.toml"))})
-	testutil.EqualGoldenJSON(t, "record-tenant.json", tenantQuota{Quota: 200.5, Weight: 2.5})
-	testutil.EqualGoldenJSON(t, "record-tenant-zero.json", tenantQuota{})
+	testutil.EqualGoldenJSON(t, "record-service.json", tomlValue{TOML: string(testutil.Golden(t, "record-service.toml"))})
+	testutil.EqualGoldenJSON(t, "record-route.json", tomlValue{TOML: string(testutil.Golden(t, "record-route.toml"))})
+	testutil.EqualGoldenJSON(t, "record-tenant.json", tenantValue{Quota: 200.5, Weight: 2.5})
+	testutil.EqualGoldenJSON(t, "record-tenant-zero.json", tenantValue{})
 }
 
 func TestFile_EveryFieldTagged(t *testing.T) {
