--- a/internal/system/tomlfile/tomlfile.go
+++ b/internal/system/tomlfile/tomlfile.go
@@ -1,4 +1,6 @@
-// Package tomlfile reads the TOML that people write, strictly: every key that nobody knows is named with its line.
+// Package tomlfile reads the TOML files that people write, strictly: each unknown key is an error with its line.
+//
+// It owns the limits and errors of reading and the form of durations. What the keys mean is up to its callers.
 package tomlfile
 
 import (
@@ -16,65 +18,98 @@
 // Duration is a time as Go writes it: "250ms", "1m30s".
 type Duration time.Duration
 
-// UnmarshalText reads one.
+// UnmarshalText parses a duration.
 func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is no time such as \"250ms\"", text)
 	}
-	*d = Duration(v)
+	*d = Duration(parsed)
 	return nil
 }
 
-// MarshalText writes one.
+// MarshalText formats the duration.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Std is the time itself.
+// Std returns the duration as the standard library's type.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Milliseconds is it in milliseconds.
+// Milliseconds returns the duration in milliseconds.
 func (d Duration) Milliseconds() float64 { return float64(d) / float64(time.Millisecond) }
 
-// Read reads a file of at most that many bytes.
-func Read(path string, most int64) ([]byte, error) {
-	f, err := os.Open(path)
+// TooLargeError reports a file with more content than its reader accepts.
+type TooLargeError struct {
+	Path  string
+	Limit int64 // in bytes
+}
+
+func (t *TooLargeError) Error() string {
+	return fmt.Sprintf("%s: longer than %d bytes", t.Path, t.Limit)
+}
+
+// Read reads a file of at most maxBytes.
+func Read(path string, maxBytes int64) ([]byte, error) {
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, most+1))
-	if err == nil && int64(len(text)) > most {
-		err = fmt.Errorf("%s: longer than %d bytes", path, most)
+	defer file.Close()
+	text, err := io.ReadAll(io.LimitReader(file, maxBytes+1))
+	if err != nil {
+		return nil, err
 	}
-	return text, err
+	if int64(len(text)) > maxBytes {
+		return nil, &TooLargeError{Path: path, Limit: maxBytes}
+	}
+	return text, nil
+}
+
+// SyntaxError reports a text that is not TOML, or a value that does not fit its key.
+type SyntaxError struct {
+	Line, Column int // from 1
+	Reason       string
+}
+
+func (s *SyntaxError) Error() string {
+	return fmt.Sprintf("line %d, column %d: %s", s.Line, s.Column, s.Reason)
+}
+
+// UnknownKeyError reports a key that the file may not have.
+type UnknownKeyError struct {
+	Line int // from 1
+	Key  string
+}
+
+func (u *UnknownKeyError) Error() string {
+	return fmt.Sprintf("line %d: unknown key %s", u.Line, u.Key)
 }
 
-// Decode reads a text. The error holds every mistake of its form, a line each, with its place.
+// Decode decodes a text. The error is a SyntaxError, or joins an UnknownKeyError for each unknown key.
 func Decode(text []byte, to any) error {
-	d := toml.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	err := d.Decode(to)
-	var strict *toml.StrictMissingError
-	var wrong *toml.DecodeError
-	switch {
-	case errors.As(err, &strict):
-		var all []error
-		for _, x := range strict.Errors {
-			row, _ := x.Position()
-			all = append(all, fmt.Errorf("line %d: unknown key %s", row, strings.Join(x.Key(), ".")))
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(to)
+	var strictErr *toml.StrictMissingError
+	if errors.As(err, &strictErr) {
+		var unknown []error
+		for _, missing := range strictErr.Errors {
+			line, _ := missing.Position()
+			unknown = append(unknown, &UnknownKeyError{Line: line, Key: strings.Join(missing.Key(), ".")})
 		}
-		return errors.Join(all...)
-	case errors.As(err, &wrong):
-		row, col := wrong.Position()
-		return fmt.Errorf("line %d, column %d: %s", row, col, strings.TrimPrefix(wrong.Error(), "toml: "))
+		return errors.Join(unknown...)
+	}
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, column := decodeErr.Position()
+		return &SyntaxError{Line: line, Column: column, Reason: strings.TrimPrefix(decodeErr.Error(), "toml: ")}
 	}
 	return err
 }
 
-// Default sets what the file left open.
-func Default[T comparable](to *T, v T) {
+// Default sets a key that the file leaves out.
+func Default[T comparable](field *T, value T) {
 	var zero T
-	if *to == zero {
-		*to = v
+	if *field == zero {
+		*field = value
 	}
 }
