--- a/internal/system/keys/keys_test.go
+++ b/internal/system/keys/keys_test.go
@@ -23,167 +23,230 @@
 	"robincart/internal/resources/limits"
 )
 
-func of(dir, name string) Files {
-	return Files{Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), CA: filepath.Join(dir, "ca.pem")}
+// filesOf returns the files of a name that makeKeys has written.
+func filesOf(dir, name string) Files {
+	return Files{
+		Cert: filepath.Join(dir, name+".pem"),
+		Key:  filepath.Join(dir, name+".key"),
+		CA:   filepath.Join(dir, "ca.pem"),
+	}
 }
 
-func made(t *testing.T, life time.Duration) string {
-	dir := t.TempDir()
-	require.NoError(t, Make(dir, []string{"controller", "node"}, []string{"ctl.test"}, life))
+// makeKeys returns a directory with the keys of a controller and a node, and of an authority of their own.
+func makeKeys(t *testing.T, validity time.Duration) (dir string) {
+	t.Helper()
+	dir = t.TempDir()
+	require.NoError(t, Make(dir, []string{"controller", "node"}, []string{"ctl.test"}, validity))
 	return dir
 }
 
-// meet tells whether two sides take each other.
-func meet(t *testing.T, server, client *tls.Config) bool {
-	a, b := net.Pipe()
-	defer a.Close()
-	defer b.Close()
-	for _, c := range []net.Conn{a, b} {
-		c.SetDeadline(time.Now().Add(20 * time.Second))
+func openRing(t *testing.T, files Files) *Ring {
+	t.Helper()
+	ring, err := Open(files, zap.NewNop())
+	require.NoError(t, err)
+	return ring
+}
+
+// handshake reports whether two sides accept each other.
+func handshake(t *testing.T, server, client *tls.Config) bool {
+	t.Helper()
+	near, far := net.Pipe()
+	defer near.Close()
+	defer far.Close()
+	for _, conn := range []net.Conn{near, far} {
+		conn.SetDeadline(time.Now().Add(20 * time.Second))
 	}
-	taken := make(chan bool, 1)
+	accepted := make(chan bool, 1)
 	go func() {
-		s := tls.Server(a, server)
-		ok := s.Handshake() == nil
-		if taken <- ok; ok {
-			s.Write([]byte("!"))
+		conn := tls.Server(near, server)
+		ok := conn.Handshake() == nil
+		accepted <- ok
+		if ok {
+			conn.Write([]byte("!"))
 		}
-		a.Close()
+		near.Close()
 	}()
-	c := tls.Client(b, client)
-	one := make([]byte, 1)
-	_, err := io.ReadFull(c, one) // in TLS 1.3 a server's no comes after the client's handshake
-	return <-taken && err == nil
+	conn := tls.Client(far, client)
+	_, err := io.ReadFull(conn, make([]byte, 1)) // in TLS 1.3 a server rejects after the client's handshake
+	return <-accepted && err == nil
 }
 
-func TestOnlyWhoIsTrustedIsSpokenTo(t *testing.T) {
-	dir, other := made(t, time.Hour), made(t, time.Hour)
-	open := func(f Files) *Ring {
-		r, err := Open(f, zap.NewNop())
-		require.NoError(t, err)
-		return r
+func TestRing_AcceptsOnlyTrustedPeers(t *testing.T) {
+	dir, otherDir := makeKeys(t, time.Hour), makeKeys(t, time.Hour)
+	controller := openRing(t, filesOf(dir, "controller"))
+	nodeRing := openRing(t, filesOf(dir, "node"))
+	stranger := openRing(t, filesOf(otherDir, "node"))
+	strangeController := openRing(t, filesOf(otherDir, "controller"))
+	withoutCertificate := nodeRing.Client("127.0.0.1:1")
+	withoutCertificate.Certificates = nil
+	oldTLS := nodeRing.Client("127.0.0.1:1")
+	oldTLS.MinVersion, oldTLS.MaxVersion = 0, tls.VersionTLS12
+	for name, test := range map[string]struct {
+		server, client *tls.Config
+		accepted       bool
+	}{
+		"trusted":                   {controller.Server(), nodeRing.Client("127.0.0.1:1"), true},
+		"trusted, by name":          {controller.Server(), nodeRing.Client("ctl.test:1"), true},
+		"certificate of other name": {controller.Server(), nodeRing.Client("elsewhere.test:1"), false},
+		"client of other authority": {controller.Server(), stranger.Client("127.0.0.1:1"), false},
+		"server of other authority": {strangeController.Server(), nodeRing.Client("127.0.0.1:1"), false},
+		"client has no certificate": {controller.Server(), withoutCertificate, false},
+		"old TLS":                   {controller.Server(), oldTLS, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			assert.Equal(t, test.accepted, handshake(t, test.server, test.client))
+		})
 	}
-	ctl, n, stranger := open(of(dir, "controller")), open(of(dir, "node")), open(of(other, "node"))
-	assert.True(t, meet(t, ctl.Server(), n.Client("127.0.0.1:1")))
-	assert.True(t, meet(t, ctl.Server(), n.Client("ctl.test:1")))
-	assert.False(t, meet(t, ctl.Server(), n.Client("elsewhere.test:1")), "a certificate for another name")
-	assert.False(t, meet(t, ctl.Server(), stranger.Client("127.0.0.1:1")))
-	assert.False(t, meet(t, open(of(other, "controller")).Server(), n.Client("127.0.0.1:1")))
-	nobody := n.Client("127.0.0.1:1")
-	nobody.Certificates = nil
-	assert.False(t, meet(t, ctl.Server(), nobody), "who shows none")
-	old := n.Client("127.0.0.1:1")
-	old.MinVersion, old.MaxVersion = 0, tls.VersionTLS12
-	assert.False(t, meet(t, ctl.Server(), old))
+}
 
+func TestMake_Errors(t *testing.T) {
+	dir := makeKeys(t, time.Hour)
 	assert.ErrorContains(t, Make(dir, []string{"node"}, nil, time.Hour), "there already")
 	assert.Error(t, Make(t.TempDir(), []string{"../x"}, nil, time.Hour))
+}
+
+func TestFiles_ValidatePartial(t *testing.T) {
 	assert.Error(t, Files{Cert: "x"}.Validate())
-	for name, spoil := range map[string]func(f *Files){
-		"no such file": func(f *Files) { f.CA += "x" }, "fits another": func(f *Files) { f.Key = of(other, "node").Key },
-		"no certificate": func(f *Files) { f.CA = f.Key }, "readable": func(f *Files) { os.Chmod(f.Key, 0o644) }} {
-		f := of(made(t, time.Hour), "node")
-		spoil(&f)
-		_, err := Open(f, zap.NewNop())
-		assert.ErrorContains(t, err, "keys: ", name)
+}
+
+func TestOpen_UnusableFiles(t *testing.T) {
+	otherDir := makeKeys(t, time.Hour)
+	for name, damage := range map[string]func(files *Files){
+		"missing file":              func(files *Files) { files.CA += "x" },
+		"key of other certificate":  func(files *Files) { files.Key = filesOf(otherDir, "node").Key },
+		"no certificate":            func(files *Files) { files.CA = files.Key },
+		"key is readable by others": func(files *Files) { os.Chmod(files.Key, 0o644) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			files := filesOf(makeKeys(t, time.Hour), "node")
+			damage(&files)
+			_, err := Open(files, zap.NewNop())
+			assert.ErrorContains(t, err, "keys: ")
+		})
 	}
-	_, err := Open(of(made(t, time.Nanosecond), "node"), zap.NewNop())
-	assert.ErrorContains(t, err, "holds from", "one that has ended")
+	t.Run("expired", func(t *testing.T) {
+		_, err := Open(filesOf(makeKeys(t, time.Nanosecond), "node"), zap.NewNop())
+		assert.ErrorContains(t, err, "holds from")
+		var validity *ValidityError
+		assert.ErrorAs(t, err, &validity)
+	})
 }
 
-func TestKeysAreFollowedAndTheirEndIsTold(t *testing.T) {
+func TestRing_ReloadsAndLogsExpiry(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
-	dir, next := made(t, time.Hour), made(t, 2*time.Hour)
-	f := of(dir, "controller")
-	r, err := Open(f, zap.New(core))
+	dir, nextDir := makeKeys(t, time.Hour), makeKeys(t, 2*time.Hour)
+	files := filesOf(dir, "controller")
+	ring, err := Open(files, zap.New(core))
 	require.NoError(t, err)
 	now := time.Now()
-	r.now = func() time.Time { return now }
-	r.tick()
+	ring.now = func() time.Time { return now }
+	ring.poll()
 	assert.Zero(t, logs.Len())
-	client, err := Open(of(next, "node"), zap.NewNop())
-	require.NoError(t, err)
-	replace := func(to, from string) {
+	client := openRing(t, filesOf(nextDir, "node"))
+	replace := func(path, from string) {
 		text, err := os.ReadFile(from)
 		require.NoError(t, err)
-		require.NoError(t, os.WriteFile(to+".new", text, 0o600))
-		require.NoError(t, os.Rename(to+".new", to))
-		r.tick()
-		r.tick()
+		require.NoError(t, os.WriteFile(path+".new", text, 0o600))
+		require.NoError(t, os.Rename(path+".new", path))
+		ring.poll()
+		ring.poll()
 	}
-	replace(f.Cert, of(next, "controller").Cert)
-	assert.Equal(t, 1, logs.FilterMessageSnippet("those before stay").Len(), "halfway through a change, told once")
-	replace(f.Key, of(next, "controller").Key)
-	replace(f.CA, of(next, "controller").CA)
-	assert.True(t, meet(t, r.Server(), client.Client("127.0.0.1:1")))
+	replace(files.Cert, filesOf(nextDir, "controller").Cert)
+	assert.Equal(t, 1, logs.FilterMessage("keys rejected").Len(), "halfway through a change, logged once")
+	replace(files.Key, filesOf(nextDir, "controller").Key)
+	replace(files.CA, filesOf(nextDir, "controller").CA)
+	assert.True(t, handshake(t, ring.Server(), client.Client("127.0.0.1:1")))
 	now = now.Add(100 * time.Minute)
-	r.tick()
-	r.tick()
-	assert.Equal(t, 1, logs.FilterMessageSnippet("ends soon").Len())
+	ring.poll()
+	ring.poll()
+	assert.Equal(t, 1, logs.FilterMessage("certificate expires soon").Len())
 	now = now.Add(time.Hour)
-	r.tick()
-	r.tick()
-	assert.Equal(t, 1, logs.FilterMessageSnippet("has ended").Len())
+	ring.poll()
+	ring.poll()
+	assert.Equal(t, 1, logs.FilterMessage("certificate expired").Len())
 }
 
-type lists chan []node.Endpoint
+// listReceiver passes on the endpoint lists that a watcher receives.
+type listReceiver chan []node.Endpoint
 
-func (l lists) UpdateEndpoints(e []node.Endpoint, _ bool) { l <- e }
-func (l lists) EndpointWatchFailed(node.WatchFailure)     {}
+func (l listReceiver) UpdateEndpoints(endpoints []node.Endpoint, _ bool) { l <- endpoints }
+func (l listReceiver) EndpointWatchFailed(node.WatchFailure)             {}
 
-// A node follows a list over keys, and goes on with new ones on both sides.
-func TestANodeFollowsItsControllerOverKeys(t *testing.T) {
-	dir := made(t, time.Hour)
-	ctl, err := Open(of(dir, "controller"), zap.NewNop())
-	require.NoError(t, err)
-	n, err := Open(of(dir, "node"), zap.NewNop())
-	require.NoError(t, err)
-	plain, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	list := fanout.New(fanout.DefaultConfig(), zap.NewNop())
-	list.PublishSnapshot(7, []fanout.Member{{ID: "a", HostPort: "127.0.0.1:80", Locality: "z", Phase: "ready", Size: 1}})
-	life, end := context.WithCancel(t.Context())
-	var all sync.WaitGroup
-	defer all.Wait()
-	defer end()
-	all.Go(func() { list.Serve(life, tls.NewListener(plain, ctl.Server())) })
-	logged, logs := observer.New(zap.InfoLevel)
-	follow := func(by func(string) *tls.Config) lists {
-		l := limits.Limits{Wire: httpwire.Sizes{BufferSize: 512, ReadSize: 64, MaxHead: 4096, MaxBody: 4096, MaxChunkLine: 64}, MaxListLine: 1 << 16, DiscoveryConnectTimeout: 10 * time.Second,
-			FirstUpdateTimeout: 10 * time.Second, MaxCallInterval: 20 * time.Second, MaxUpdateDelay: 10 * time.Second, WatchSilenceTimeout: 10 * time.Second}
-		w := endpoints.New(plain.Addr().String(), []string{"z"}, l, limits.NewBudget(1, 0, nil), zap.New(logged))
-		told := make(lists, 9)
-		w.SetReceiver(told)
-		if by != nil {
-			w.SetTLS(by)
-		}
-		w.RequestWatch()
-		all.Go(func() { w.Run(life) })
-		return told
+func (l listReceiver) receive(t *testing.T) []node.Endpoint {
+	t.Helper()
+	select {
+	case endpoints := <-l:
+		return endpoints
+	case <-time.After(20 * time.Second):
+		require.Fail(t, "no list received")
+		return nil
 	}
-	hears := func(l lists) []node.Endpoint {
-		select {
-		case e := <-l:
-			return e
-		case <-time.After(20 * time.Second):
-			require.Fail(t, "no list came", "%v", logs.All())
-			return nil
-		}
+}
+
+// watchList has a node's watcher watch the endpoint list at an address, over TLS unless that is nil.
+func watchList(t *testing.T, address string, clientTLS func(string) *tls.Config, log *zap.Logger) listReceiver {
+	l := limits.Limits{
+		Wire:                    httpwire.Sizes{BufferSize: 512, ReadSize: 64, MaxHead: 4096, MaxBody: 4096, MaxChunkLine: 64},
+		MaxListLine:             1 << 16,
+		DiscoveryConnectTimeout: 10 * time.Second,
+		FirstUpdateTimeout:      10 * time.Second,
+		MaxCallInterval:         20 * time.Second,
+		MaxUpdateDelay:          10 * time.Second,
+		WatchSilenceTimeout:     10 * time.Second,
+	}
+	watcher := endpoints.New(address, []string{"z"}, l, limits.NewBudget(1, 0, nil), log)
+	receiver := make(listReceiver, 9)
+	watcher.SetReceiver(receiver)
+	if clientTLS != nil {
+		watcher.SetTLS(clientTLS)
 	}
-	assert.Equal(t, "a", hears(follow(n.Client))[0].ID)
-	strange, err := Open(of(made(t, time.Hour), "node"), zap.NewNop())
+	watcher.RequestWatch()
+	runUntilCleanup(t, watcher.Run)
+	return receiver
+}
+
+// runUntilCleanup runs a function in a goroutine, which it cancels and waits for at the test's end.
+func runUntilCleanup(t *testing.T, run func(context.Context)) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { run(ctx) })
+	t.Cleanup(func() {
+		cancel()
+		running.Wait()
+	})
+}
+
+// A node watches a controller's list over TLS, and goes on with new keys on both sides.
+func TestRing_EndpointWatch(t *testing.T) {
+	const watchFailed = "no watch"
+	dir := makeKeys(t, time.Hour)
+	controller := openRing(t, filesOf(dir, "controller"))
+	nodeRing := openRing(t, filesOf(dir, "node"))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	follow(strange.Client)
-	require.Eventually(t, func() bool { return logs.FilterMessageSnippet("no watch").Len() == 1 }, 20*time.Second, time.Millisecond)
-	follow(nil)
-	require.Eventually(t, func() bool { return logs.FilterMessageSnippet("no watch").Len() == 2 }, 20*time.Second, time.Millisecond)
-	// New keys on both sides, in place.
+	address := listener.Addr().String()
+	list := fanout.New(fanout.DefaultConfig(), zap.NewNop())
+	list.PublishSnapshot(7, []fanout.Member{
+		{ID: "a", HostPort: "127.0.0.1:80", Locality: "z", Phase: "ready", Size: 1},
+	})
+	runUntilCleanup(t, func(ctx context.Context) { list.Serve(ctx, tls.NewListener(listener, controller.Server())) })
+	core, logs := observer.New(zap.InfoLevel)
+	log := zap.New(core)
+	failures := func() int { return logs.FilterMessageSnippet(watchFailed).Len() }
+
+	assert.Equal(t, "a", watchList(t, address, nodeRing.Client, log).receive(t)[0].ID)
+	stranger := openRing(t, filesOf(makeKeys(t, time.Hour), "node"))
+	watchList(t, address, stranger.Client, log)
+	require.Eventually(t, func() bool { return failures() == 1 }, 20*time.Second, time.Millisecond)
+	watchList(t, address, nil, log)
+	require.Eventually(t, func() bool { return failures() == 2 }, 20*time.Second, time.Millisecond)
+
 	for _, name := range []string{"ca.pem", "controller.pem", "controller.key", "node.pem", "node.key"} {
 		require.NoError(t, os.Remove(filepath.Join(dir, name)))
 	}
 	require.NoError(t, Make(dir, []string{"controller", "node"}, nil, time.Hour))
-	ctl.tick()
-	n.tick()
-	assert.Equal(t, "a", hears(follow(n.Client))[0].ID)
-	assert.Equal(t, 2, logs.FilterMessageSnippet("no watch").Len())
+	controller.poll()
+	nodeRing.poll()
+	assert.Equal(t, "a", watchList(t, address, nodeRing.Client, log).receive(t)[0].ID)
+	assert.Equal(t, 2, failures())
 }
