--- a/cmd/robincart/attempts_test.go
+++ b/cmd/robincart/attempts_test.go
@@ -40,7 +40,8 @@
 	good := newServer(t, respond(200, "well"))
 	d := newDiscovery(t, newMember("s0", unconnectableAddress(t), "ready"), newMember("s1", good.addr(), "ready"))
 	c := newConfig(t, d, d.members()...)
-	c["settings"] = json.RawMessage(strings.Replace(testSettings, `"ConnectTimeoutMs":2500`, `"ConnectTimeoutMs":300`, 1))
+	settings := strings.Replace(testSettings, `"ConnectTimeoutMs":2500`, `"ConnectTimeoutMs":300`, 1)
+	c["settings"] = json.RawMessage(settings)
 	p := startTestNode(t, c)
 	asked, waited := 0, false
 	for asked < 200 && !waited {
--- a/cmd/robincart/bulk_test.go
+++ b/cmd/robincart/bulk_test.go
@@ -126,7 +126,8 @@
 	d := newDiscovery(t, newMember("s0", s.Addr().String(), "ready"))
 	config := newConfig(t, d, d.members()...)
 	// 64 MiB under the race detector on a busy machine take seconds: how long is not what is tested here.
-	config["settings"] = json.RawMessage(regexp.MustCompile(`"(Aim|Deadline)Ms":\s*\d+`).ReplaceAllString(testSettings, `"${1}Ms":60000`))
+	times := regexp.MustCompile(`"(Aim|Deadline)Ms":\s*\d+`)
+	config["settings"] = json.RawMessage(times.ReplaceAllString(testSettings, `"${1}Ms":60000`))
 	p := startTestNode(t, config)
 	type one struct {
 		body, answer int
@@ -148,17 +149,22 @@
 			for x := range work {
 				sent := randomBody(x.body)
 				var body io.Reader = &choppyReader{Reader: strings.NewReader(string(sent))}
-				q, err := http.NewRequest("POST", fmt.Sprintf("http://%s/charge/x?a=%s.%d", p.addr, x.form, x.answer), body)
+				url := fmt.Sprintf("http://%s/charge/x?a=%s.%d", p.addr, x.form, x.answer)
+				q, err := http.NewRequest("POST", url, body)
 				if !assert.NoError(t, err) {
 					return
 				}
 				if q.ContentLength = int64(x.body); x.chunked || x.body == 0 {
 					q.ContentLength = -1
 				}
-				id := fmt.Sprintf("%016x", requestCount.Add(1))
-				for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "charge", "X-Customer": "acme", "X-Expires-In-Ms": "60000", "Expect": "100-continue"} {
-					q.Header.Set(k, v)
-				}
+				id := nextTraceID()
+				setHeaders(q, map[string]string{
+					"X-Trace-Id":      id,
+					"X-Qos":           "charge",
+					"X-Customer":      "acme",
+					"X-Expires-In-Ms": "60000",
+					"Expect":          "100-continue",
+				})
 				r, err := client.Do(q)
 				if !assert.NoError(t, err, "%+v", x) {
 					continue
@@ -198,7 +204,7 @@
 
 // newRequestHead returns a head with a trace ID of its own.
 func newRequestHead(line string, more ...string) string {
-	return requestHead(line, "charge", append(more, fmt.Sprintf("X-Trace-Id: %016x", requestCount.Add(1)))...)
+	return requestHead(line, "charge", append(more, "X-Trace-Id: "+nextTraceID())...)
 }
 
 // A large body that breaks off on either side is answered as the rules say, and harms no other request.
@@ -247,9 +253,12 @@
 	// The server dies while responding: the client receives what there was, and an error.
 	q, err := http.NewRequest("POST", "http://"+p.addr+"/charge/x?a=short.200000", strings.NewReader("x"))
 	require.NoError(t, err)
-	for k, v := range map[string]string{"X-Trace-Id": fmt.Sprintf("%016x", requestCount.Add(1)), "X-Qos": "charge", "X-Customer": "acme", "X-Expires-In-Ms": "3000"} {
-		q.Header.Set(k, v)
-	}
+	setHeaders(q, map[string]string{
+		"X-Trace-Id":      nextTraceID(),
+		"X-Qos":           "charge",
+		"X-Customer":      "acme",
+		"X-Expires-In-Ms": "3000",
+	})
 	res, err := client.Do(q)
 	require.NoError(t, err)
 	got, err := io.ReadAll(res.Body)
@@ -273,7 +282,8 @@
 	require.NoError(t, err)
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	text := newRequestHead("POST /charge/x?a=length.1", "Content-Length: 150000", "X-Expires-In-Ms: 900") + strings.Repeat("x", 150_000)
+	text := newRequestHead("POST /charge/x?a=length.1", "Content-Length: 150000", "X-Expires-In-Ms: 900")
+	text += strings.Repeat("x", 150_000)
 	head := strings.Index(text, "\r\n\r\n")
 	for i := range 4 { // a second for the head
 		io.WriteString(c, text[i*head/4:(i+1)*head/4])
@@ -310,7 +320,8 @@
 	d := newDiscovery(t, newMember("s0", s.addr(), "ready"))
 	c := newConfig(t, d, d.members()...)
 	c["limits"] = map[string]any{"cores": 1, "memory_mb": 32, "sockets": 1024}
-	c["settings"] = json.RawMessage(strings.Replace(testSettings, `"Instances":1`, `"Instances":1,"Stage":1`, 1)) // a tier that admits all that can be served in time
+	// A tier that admits all that can be served in time.
+	c["settings"] = json.RawMessage(strings.Replace(testSettings, `"Instances":1`, `"Instances":1,"Stage":1`, 1))
 	p := startTestNode(t, c)
 	var at sync.WaitGroup
 	for range callers {
--- a/cmd/robincart/check.go
+++ b/cmd/robincart/check.go
@@ -82,7 +82,7 @@
 	return text
 }
 
-// describeMatch says which requests a rule matches.
+// describeMatch describes the requests that a rule matches.
 func describeMatch(rule routes.Rule) string {
 	var parts []string
 	if rule.Host != "" {
@@ -106,7 +106,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// describeTargets says where a rule's requests go.
+// describeTargets describes where a rule's requests go.
 func describeTargets(rule routes.Rule, config *nodeconfig.Config) string {
 	var targets []string
 	for _, target := range rule.To {
--- a/cmd/robincart/commandrestore.go
+++ b/cmd/robincart/commandrestore.go
@@ -65,7 +65,7 @@
 	c.frontend.SetLameDuck(state.LameDuck)
 }
 
-// inheritFromPredecessor puts the predecessor's state in force. stateUnread says that the predecessor could not
+// inheritFromPredecessor puts the predecessor's state in force. stateUnread is set if the predecessor could not
 // read the file: then this process does not overwrite it either before it is read.
 func (c *commandHandler) inheritFromPredecessor(ctx context.Context, state operatorState, knownServers []string,
 	stateUnread bool) {
--- a/cmd/robincart/commands_test.go
+++ b/cmd/robincart/commands_test.go
@@ -28,7 +28,8 @@
 // callAdmin returns the status of one call on an admin address.
 func callAdmin(t *testing.T, admin, path, body string) int {
 	t.Helper()
-	r, err := (&http.Client{Timeout: 5 * time.Second}).Post("http://"+admin+path, "application/json", strings.NewReader(body))
+	client := &http.Client{Timeout: 5 * time.Second}
+	r, err := client.Post("http://"+admin+path, "application/json", strings.NewReader(body))
 	require.NoError(t, err)
 	defer r.Body.Close()
 	return r.StatusCode
@@ -56,11 +57,16 @@
 	watches := d.watchesStarted()
 	d.Tell(newMember("s0", a.addr(), "gone"))
 	d.Tell(newMember("s0", a.addr(), "ready"))
-	require.Eventually(t, func() bool { return p.send("find", "").status == 200 && d.watchesStarted() >= watches }, 5*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool {
+		return p.send("find", "").status == 200 && d.watchesStarted() >= watches
+	}, 5*time.Second, 10*time.Millisecond)
 	time.Sleep(100 * time.Millisecond) // for the endpoint list to arrive: it must change nothing
 	quiet("whatever the list says")
 	assert.Equal(t, 200, callAdmin(t, admin, "/_servers/attach", `{"host":"s0"}`))
-	assert.Eventually(t, func() bool { p.send("find", ""); return a.count() > before }, 20*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool {
+		p.send("find", "")
+		return a.count() > before
+	}, 20*time.Second, time.Millisecond)
 }
 
 func TestOperator_LameDuckOnAndOff(t *testing.T) {
--- a/cmd/robincart/descriptors_test.go
+++ b/cmd/robincart/descriptors_test.go
@@ -143,7 +143,7 @@
 }
 
 func (i *idleClient) send(line, class string) {
-	io.WriteString(i, requestHead(line, class, fmt.Sprintf("X-Trace-Id: %016x", requestCount.Add(1)), "X-Expires-In-Ms: 60000"))
+	io.WriteString(i, requestHead(line, class, "X-Trace-Id: "+nextTraceID(), "X-Expires-In-Ms: 60000"))
 }
 
 func (i *idleClient) receive(t *testing.T) int {
@@ -202,7 +202,8 @@
 			admin := freeAddress(t)
 			c["admin_addr"], c["discovery"] = admin, between.ln.Addr().String()
 			c["limits"] = map[string]any{"cores": 1, "memory_mb": 64, "sockets": 74}
-			c["settings"] = json.RawMessage(strings.Replace(testSettings, `"AimMs":6000,"DeadlineMs":6000`, longDeadline, 1))
+			settings := strings.Replace(testSettings, `"AimMs":6000,"DeadlineMs":6000`, longDeadline, 1)
+			c["settings"] = json.RawMessage(settings)
 			p := startTestNode(t, c)
 			require.Eventually(t, func() bool { return d.openWatches() == 1 }, 20*time.Second, 10*time.Millisecond)
 			const requests, connections = 22, 28 // what 64 sockets beside the admin address's leave for clients
@@ -212,15 +213,21 @@
 			}
 			if down == "mute" {
 				between.setMute(true)
-				require.Eventually(t, func() bool { return between.muteCallCount() > 0 }, 20*time.Second, time.Millisecond)
+				require.Eventually(t, func() bool {
+					return between.muteCallCount() > 0
+				}, 20*time.Second, time.Millisecond)
 			} else {
 				d.Gone(true)
-				require.Eventually(t, func() bool { return strings.Contains(p.Log(), "no watch of the server list") }, 20*time.Second, time.Millisecond)
+				require.Eventually(t, func() bool {
+					return strings.Contains(p.Log(), "no watch of the server list")
+				}, 20*time.Second, time.Millisecond)
 			}
 			for _, x := range callers[:requests] {
 				x.send("POST /slow", "slow")
 			}
-			assert.Eventually(t, func() bool { return totalInFlight(servers) == requests }, 20*time.Second, 10*time.Millisecond, "each has a connection to a server")
+			assert.Eventually(t, func() bool {
+				return totalInFlight(servers) == requests
+			}, 20*time.Second, 10*time.Millisecond, "each has a connection to a server")
 			connectSilently(t, p.addr)
 			time.Sleep(200 * time.Millisecond) // for some hundreds of them to use up what is left
 			before := d.watchesStarted()
@@ -229,7 +236,9 @@
 			} else {
 				d.Gone(false)
 			}
-			assert.Eventually(t, func() bool { return d.watchesStarted() > before }, 20*time.Second, 10*time.Millisecond, "the watch is back")
+			assert.Eventually(t, func() bool {
+				return d.watchesStarted() > before
+			}, 20*time.Second, 10*time.Millisecond, "the watch is back")
 			assert.Equal(t, 404, callAdmin(t, admin, "/_servers/detach", `{"host":"never"}`))
 			assert.Contains(t, []int{200, 503}, p.send("find", "").status)
 			assert.Equal(t, requests, totalInFlight(servers), "nobody has been given up meanwhile")
@@ -239,7 +248,9 @@
 			for _, x := range callers[:requests] {
 				assert.Equal(t, 200, x.receive(t))
 			}
-			assert.Eventually(t, func() bool { return p.send("find", "").status == 200 }, 20*time.Second, 10*time.Millisecond)
+			assert.Eventually(t, func() bool {
+				return p.send("find", "").status == 200
+			}, 20*time.Second, 10*time.Millisecond)
 		})
 	}
 }
@@ -247,7 +258,8 @@
 // limitDescriptors has a node's program started with a limit of descriptors.
 func limitDescriptors(t *testing.T, p *testNode, files int) {
 	path := filepath.Join(t.TempDir(), "limited")
-	require.NoError(t, os.WriteFile(path, fmt.Appendf(nil, "#!/bin/sh\nulimit -n %d\nexec %q\n", files, p.Program), 0o700))
+	script := fmt.Appendf(nil, "#!/bin/sh\nulimit -n %d\nexec %q\n", files, p.Program)
+	require.NoError(t, os.WriteFile(path, script, 0o700))
 	p.Program = path
 }
 
@@ -268,7 +280,9 @@
 	d.Gone(true)
 	time.Sleep(300 * time.Millisecond)
 	d.Gone(false)
-	assert.Eventually(t, func() bool { return d.watchesStarted() > before }, 20*time.Second, 10*time.Millisecond, "the watch comes back")
+	assert.Eventually(t, func() bool {
+		return d.watchesStarted() > before
+	}, 20*time.Second, 10*time.Millisecond, "the watch comes back")
 	there := newDiscovery(t)
 	there.Number(9)
 	there.Tell(d.members()...)
@@ -276,7 +290,9 @@
 	text, err := json.Marshal(config)
 	require.NoError(t, err)
 	p.reload(string(text))
-	assert.Eventually(t, func() bool { return there.watchesStarted() > 0 }, 20*time.Second, 10*time.Millisecond, "the new configuration is read")
+	assert.Eventually(t, func() bool {
+		return there.watchesStarted() > 0
+	}, 20*time.Second, 10*time.Millisecond, "the new configuration is read")
 	assert.NotContains(t, p.Log(), "configuration rejected")
 	assert.Equal(t, 200, p.send("find", "").status)
 }
--- a/cmd/robincart/fastcgi_test.go
+++ b/cmd/robincart/fastcgi_test.go
@@ -53,9 +53,13 @@
 
 // failures are the ways in which an application ends a request that it has run.
 var failures = map[string]func(c net.Conn, q *standin.Asked) bool{
-	"before the answer":  func(net.Conn, *standin.Asked) bool { return false },
-	"in a record's head": func(c net.Conn, q *standin.Asked) bool { return writePart(c, q.Answered("Status: 200", "x"), 5) },
-	"in the CGI head":    func(c net.Conn, q *standin.Asked) bool { return writePart(c, q.Answered("Status: 200", "x"), 14) },
+	"before the answer": func(net.Conn, *standin.Asked) bool { return false },
+	"in a record's head": func(c net.Conn, q *standin.Asked) bool {
+		return writePart(c, q.Answered("Status: 200", "x"), 5)
+	},
+	"in the CGI head": func(c net.Conn, q *standin.Asked) bool {
+		return writePart(c, q.Answered("Status: 200", "x"), 14)
+	},
 	"in the body": func(c net.Conn, q *standin.Asked) bool {
 		return writePart(c, q.Answered("Status: 200", "xxxxxxxxx"), 30)
 	},
@@ -67,7 +71,8 @@
 		return writePart(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete), 0)
 	},
 	"STDOUT after END": func(c net.Conn, q *standin.Asked) bool {
-		return writePart(c, append(fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete), q.Answered("Status: 200", "another's")...), 0)
+		end := fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete)
+		return writePart(c, append(end, q.Answered("Status: 200", "another's")...), 0)
 	},
 	"another's id": func(c net.Conn, q *standin.Asked) bool {
 		other := *q
@@ -75,7 +80,8 @@
 		return writePart(c, other.Answered("Status: 200", "another's"), 0)
 	},
 	"a number": func(c net.Conn, q *standin.Asked) bool {
-		return writePart(c, append(fcgi.AppendStream(nil, fcgi.TypeStdout, q.ID, []byte("Status: 200\n\nx")), fcgi.AppendEnd(nil, q.ID, 9, fcgi.StatusComplete)...), 0)
+		stdout := fcgi.AppendStream(nil, fcgi.TypeStdout, q.ID, []byte("Status: 200\n\nx"))
+		return writePart(c, fcgi.AppendEnd(stdout, q.ID, 9, fcgi.StatusComplete), 0)
 	},
 	"words only": func(c net.Conn, q *standin.Asked) bool {
 		return writePart(c, fcgi.AppendStream(nil, fcgi.TypeStderr, q.ID, make([]byte, 100_000)), 0) && false
@@ -113,7 +119,8 @@
 		hit[what]++
 		if what != "refused" {
 			key := q.Params["HTTP_X_QOS"] + " " + q.Params["HTTP_X_TRACE_ID"]
-			if mark := q.Params["HTTP_IDEMPOTENCY_KEY"]; mark == "" || done[key] == 0 { // repeats of an idempotency key are dropped, by all servers together
+			// Repeats of an idempotency key are dropped, by all servers together.
+			if q.Params["HTTP_IDEMPOTENCY_KEY"] == "" || done[key] == 0 {
 				done[key]++
 			}
 		}
@@ -209,7 +216,9 @@
 		if q.URL.Path == "/book/table" {
 			w.WriteHeader(500)
 		}
-		fmt.Fprintf(w, "%s %s %s %s %s %s", q.Method, q.URL.RequestURI(), q.Host, q.Header.Get("X-Customer"), stock.ProcessEnv(q)["SCRIPT_FILENAME"], text)
+		script := stock.ProcessEnv(q)["SCRIPT_FILENAME"]
+		customer := q.Header.Get("X-Customer")
+		fmt.Fprintf(w, "%s %s %s %s %s %s", q.Method, q.URL.RequestURI(), q.Host, customer, script, text)
 	}))
 	p := startServices(t, fmt.Sprintf(fastcgiService, fmt.Sprintf("%q", ln.Addr())))
 	for range 3 {
@@ -246,9 +255,12 @@
 	}
 	q, err := http.NewRequest("POST", "http://"+p.addr+"/book/x", bytes.NewReader(large))
 	require.NoError(t, err)
-	for k, v := range map[string]string{"X-Trace-Id": "broken", "X-Qos": "book", "X-Expires-In-Ms": "3000", "Idempotency-Key": "k"} {
-		q.Header.Set(k, v)
-	}
+	setHeaders(q, map[string]string{
+		"X-Trace-Id":      "broken",
+		"X-Qos":           "book",
+		"X-Expires-In-Ms": "3000",
+		"Idempotency-Key": "k",
+	})
 	resp, err := client.Do(q)
 	require.NoError(t, err)
 	defer resp.Body.Close()
--- a/cmd/robincart/fileservices_test.go
+++ b/cmd/robincart/fileservices_test.go
@@ -48,8 +48,14 @@
 // startServices starts a node with a configuration file.
 func startServices(t *testing.T, text string) *testNode {
 	addr := freeAddress(t)
-	p := &testNode{t: t, addr: addr, Node: &standin.Node{Name: "n1", Addr: addr, Program: os.Args[0], Dir: t.TempDir(),
-		Env: []string{"ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0"}, Text: "listen = [\"" + addr + "\"]\n" + text}}
+	p := &testNode{t: t, addr: addr, Node: &standin.Node{
+		Name:    "n1",
+		Addr:    addr,
+		Program: os.Args[0],
+		Dir:     t.TempDir(),
+		Env:     testProgramEnvironment(),
+		Text:    "listen = [\"" + addr + "\"]\n" + text,
+	}}
 	t.Cleanup(func() {
 		p.Kill()
 		assert.NotContains(t, p.Log(), "DATA RACE")
@@ -73,7 +79,8 @@
 	if i := strings.LastIndex(line, "/find"); i >= 0 {
 		class = "find"
 	}
-	fmt.Fprintf(c, "%s HTTP/1.1\r\nX-Trace-Id: %016x\r\nX-Qos: %s\r\nX-Expires-In-Ms: 3000\r\n", line, requestCount.Add(1), class)
+	fmt.Fprintf(c, "%s HTTP/1.1\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\n", line, nextTraceID(), class)
+	io.WriteString(c, "X-Expires-In-Ms: 3000\r\n")
 	for _, h := range headers {
 		fmt.Fprintf(c, "%s\r\n", h)
 	}
@@ -88,8 +95,11 @@
 
 func TestServices_RoutedByHostPathAndClass(t *testing.T) {
 	a, b := newServer(t, respond(200, "a")), newServer(t, respond(200, "b"))
-	p := startServices(t, serviceTOML("booking", a, 0.5, "")+serviceTOML("tables", b, 0.5, "")+routeTOML("booking.example.org", "booking")+
-		routeTOML("*.example.org", "tables")+routeTOML("", "booking", `header = "X-Member"`, `value = "7"`, `path = "/find/inner"`))
+	p := startServices(t, serviceTOML("booking", a, 0.5, "")+
+		serviceTOML("tables", b, 0.5, "")+
+		routeTOML("booking.example.org", "booking")+
+		routeTOML("*.example.org", "tables")+
+		routeTOML("", "booking", `header = "X-Member"`, `value = "7"`, `path = "/find/inner"`))
 	for _, x := range []struct {
 		line, host string
 		status     int
@@ -143,8 +153,11 @@
 // service's clients are all served meanwhile, and the flood's are rejected at once.
 func TestServices_FloodLeavesOthersTheirQuota(t *testing.T) {
 	hung, calm := newServer(t, hang), newServer(t, respond(200, "well"))
-	p := startServices(t, "[machine]\ncores = 1\nmemory_mb = 64\nsockets = 256\n"+serviceTOML("flood", hung, 0.5, "")+serviceTOML("calm", calm, 0.3, "")+
-		routeTOML("flood.org", "flood")+routeTOML("calm.org", "calm"))
+	p := startServices(t, "[machine]\ncores = 1\nmemory_mb = 64\nsockets = 256\n"+
+		serviceTOML("flood", hung, 0.5, "")+
+		serviceTOML("calm", calm, 0.3, "")+
+		routeTOML("flood.org", "flood")+
+		routeTOML("calm.org", "calm"))
 	var all sync.WaitGroup
 	ended := make(chan bool)
 	var told, other atomic.Int64
@@ -162,8 +175,8 @@
 					continue
 				}
 				c.SetDeadline(time.Now().Add(20 * time.Second))
-				fmt.Fprintf(c, "POST /charge HTTP/1.1\r\nHost: flood.org\r\nX-Trace-Id: %016x\r\nX-Qos: charge\r\nX-Expires-In-Ms: 3000\r\nContent-Length: %d\r\n\r\n%s",
-					requestCount.Add(1), len(body), body)
+				fmt.Fprintf(c, "POST /charge HTTP/1.1\r\nHost: flood.org\r\nX-Trace-Id: %s\r\nX-Qos: charge\r\n"+
+					"X-Expires-In-Ms: 3000\r\nContent-Length: %d\r\n\r\n%s", nextTraceID(), len(body), body)
 				r, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err == nil && r.StatusCode == 503 {
 					told.Add(1)
@@ -196,13 +209,16 @@
 // Ten changes a second with calls in flight: services leave and come back, a host moves from one to the other, every
 // other file is wrong. Each request is answered once, by the service of one version or the other.
 func TestServices_ReloadUnderTraffic(t *testing.T) {
-	a, b := newServer(t, delayed(30*time.Millisecond, respond(200, "a"))), newServer(t, delayed(30*time.Millisecond, respond(200, "b")))
+	a := newServer(t, delayed(30*time.Millisecond, respond(200, "a")))
+	b := newServer(t, delayed(30*time.Millisecond, respond(200, "b")))
 	both := serviceTOML("booking", a, 0.4, "") + serviceTOML("tables", b, 0.4, "")
 	versions := []string{
 		both + routeTOML("x.org", "booking") + routeTOML("y.org", "tables"),
 		both + routeTOML("x.org", "tables") + routeTOML("y.org", "booking"),
-		serviceTOML("booking", a, 0.4, "") + routeTOML("x.org", "booking") + routeTOML("y.org", "booking"), // tables is removed
-		serviceTOML("booking", a, 0.2, "weight = 3") + serviceTOML("tables", b, 0.7, "max_picks = 2") + routeTOML("x.org", "booking") + routeTOML("y.org", "tables"),
+		// Without tables.
+		serviceTOML("booking", a, 0.4, "") + routeTOML("x.org", "booking") + routeTOML("y.org", "booking"),
+		serviceTOML("booking", a, 0.2, "weight = 3") + serviceTOML("tables", b, 0.7, "max_picks = 2") +
+			routeTOML("x.org", "booking") + routeTOML("y.org", "tables"),
 	}
 	p := startServices(t, versions[0])
 	path := filepath.Join(p.Dir, "n1.toml")
@@ -256,7 +272,9 @@
 	s := newServer(t, respond(200, "well"))
 	var text strings.Builder
 	for i := range 1000 {
-		text.WriteString(serviceTOML(fmt.Sprint("s", i), s, 0.0005, "") + routeTOML(fmt.Sprintf("h%d.org", i), fmt.Sprint("s", i)))
+		name := fmt.Sprint("s", i)
+		text.WriteString(serviceTOML(name, s, 0.0005, ""))
+		text.WriteString(routeTOML(fmt.Sprintf("h%d.org", i), name))
 	}
 	p := startServices(t, text.String())
 	for i := range 300 {
@@ -272,7 +290,7 @@
 	run := func(text string, args ...string) (string, int) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		cmd := exec.Command(os.Args[0], append(args, path)...)
-		cmd.Env = append(os.Environ(), "ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0")
+		cmd.Env = append(os.Environ(), testProgramEnvironment()...)
 		out, _ := cmd.CombinedOutput()
 		return string(out), cmd.ProcessState.ExitCode()
 	}
@@ -308,8 +326,19 @@
 	for _, args := range [][]string{{"check"}, {"serve", "--config"}, {"--config"}} {
 		out, code := run(bad, args...)
 		assert.Equal(t, 1, code, out)
-		for _, want := range []string{"line 9: service[1].method[1].target", "line 11: service[2].name: \"a\" stands twice", "line 12: service[2].servers",
-			"service[2].method: there is none", "add up to 1.400", `line 14: service[2].speaks: "ftp"`, `line 15: service[2].params: "HTTP_PROXY"`, `gateway[1].listen: "nowhere" is neither`, "gateway[1].left: it is negative", `gateway[1].params: "A B"`, `line 18: route[1].to: there is no service "b"`, `is to be written "a.org"`,
+		for _, want := range []string{
+			"line 9: service[1].method[1].target",
+			"line 11: service[2].name: \"a\" stands twice",
+			"line 12: service[2].servers",
+			"service[2].method: there is none",
+			"add up to 1.400",
+			`line 14: service[2].speaks: "ftp"`,
+			`line 15: service[2].params: "HTTP_PROXY"`,
+			`gateway[1].listen: "nowhere" is neither`,
+			"gateway[1].left: it is negative",
+			`gateway[1].params: "A B"`,
+			`line 18: route[1].to: there is no service "b"`,
+			`is to be written "a.org"`,
 			"line 22: route[3]: route 3: can't be told apart from route 2"} {
 			assert.Contains(t, out, want)
 		}
@@ -328,7 +357,7 @@
 	assert.Contains(t, out, "service booking: discovery at 127.0.0.1:8500")
 	ask := func(args ...string) string {
 		cmd := exec.Command(os.Args[0], append([]string{"routes", path}, args...)...)
-		cmd.Env = append(os.Environ(), "ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0")
+		cmd.Env = append(os.Environ(), testProgramEnvironment()...)
 		out, err := cmd.CombinedOutput()
 		assert.NoError(t, err, string(out))
 		return string(out)
@@ -344,7 +373,8 @@
 func TestServices_DetachAppliesToAll(t *testing.T) {
 	a, b := newServer(t, respond(200, "a")), newServer(t, respond(200, "b"))
 	admin, kept := freeAddress(t), filepath.Join(t.TempDir(), "said.json")
-	text := serviceTOML("one", a, 0.3, "") + serviceTOML("two", b, 0.3, "") + routeTOML("one.test", "one") + routeTOML("two.test", "two") +
+	text := serviceTOML("one", a, 0.3, "") + serviceTOML("two", b, 0.3, "") +
+		routeTOML("one.test", "one") + routeTOML("two.test", "two") +
 		fmt.Sprintf("[admin]\nlisten = %q\nkept = %q\n", admin, kept)
 	p := startServices(t, text)
 	ask := func(host string) int {
--- a/cmd/robincart/gateway_test.go
+++ b/cmd/robincart/gateway_test.go
@@ -54,8 +54,16 @@
 }
 
 func gatewayParams(method, verb string, more ...string) map[string]string {
-	p := map[string]string{"REQUEST_METHOD": verb, "REQUEST_URI": "/" + method + "/table?k=7", "HTTP_HOST": "gateway", "HTTP_X_QOS": method, "HTTP_X_EXPIRES_IN_MS": "2900",
-		"HTTP_X_TRACE_ID": fmt.Sprintf("g%016x", requestCount.Add(1)), "SERVER_SOFTWARE": "an old gateway", "HTTP_PROXY": "x"}
+	p := map[string]string{
+		"REQUEST_METHOD":       verb,
+		"REQUEST_URI":          "/" + method + "/table?k=7",
+		"HTTP_HOST":            "gateway",
+		"HTTP_X_QOS":           method,
+		"HTTP_X_EXPIRES_IN_MS": "2900",
+		"HTTP_X_TRACE_ID":      "g" + nextTraceID(),
+		"SERVER_SOFTWARE":      "an old gateway",
+		"HTTP_PROXY":           "x",
+	}
 	for i := 0; i+1 < len(more); i += 2 {
 		if p[more[i]] = more[i+1]; more[i+1] == "" {
 			delete(p, more[i])
@@ -114,25 +122,31 @@
 // withGateways starts a node in front of a server that speaks HTTP, with an address and a Unix socket for gateways.
 func withGateways(t *testing.T, s *server, more string) (p *testNode, addr, path string) {
 	addr, path = freeAddress(t), filepath.Join(t.TempDir(), "gateway.sock")
-	text := fmt.Sprintf(oneService, "gateway", s.addr(), 0, more) + "  [[service.method]]\n  name = \"book\"\n  repeat = \"deduplicated\"\n  window = \"10s\"\n  deadline = \"3s\"\n"
+	const bookMethod = "  [[service.method]]\n  name = \"book\"\n  repeat = \"deduplicated\"\n" +
+		"  window = \"10s\"\n  deadline = \"3s\"\n"
+	text := fmt.Sprintf(oneService, "gateway", s.addr(), 0, more) + bookMethod
 	return startServices(t, text+fmt.Sprintf(unixGateways, addr, "unix:"+path)), addr, path
 }
 
 func TestGateway_ServedAsAnyClient(t *testing.T) {
 	s := newServer(t, func(c net.Conn, q *wire.Request) bool {
-		_, err := c.Write(wire.Answer(nil, 200, "Content-Type: text/x\r\n", fmt.Appendf(nil, "%s %s %s %s %s %d", q.Verb, q.Target, q.Header.Get("X-Trace-Id"), q.Header.Get("X-Customer"),
-			q.Header.Get("Idempotency-Key"), len(q.Body))))
+		body := fmt.Appendf(nil, "%s %s %s %s %s %d", q.Verb, q.Target, q.Header.Get("X-Trace-Id"),
+			q.Header.Get("X-Customer"), q.Header.Get("Idempotency-Key"), len(q.Body))
+		_, err := c.Write(wire.Answer(nil, 200, "Content-Type: text/x\r\n", body))
 		return err == nil
 	})
 	p, addr, path := withGateways(t, s, "")
 	g := dialGateway(t, "tcp", addr)
 	for range 3 { // the ID is reused at once
-		status, body := g.roundTrip(7, encodeRequest(7, true, gatewayParams("find", "GET", "HTTP_X_TRACE_ID", "t1", "HTTP_X_TRACE_ID", fmt.Sprint("t", requestCount.Add(1))), "", 1))
+		traceID := fmt.Sprint("t", requestCount.Add(1))
+		params := gatewayParams("find", "GET", "HTTP_X_TRACE_ID", "t1", "HTTP_X_TRACE_ID", traceID)
+		status, body := g.roundTrip(7, encodeRequest(7, true, params, "", 1))
 		assert.Equal(t, 200, status)
 		assert.Regexp(t, `^GET /find/table\?k=7 t\d+   0$`, body)
 	}
 	body := strings.Repeat("x", 1<<16)
-	status, text := g.roundTrip(8, encodeRequest(8, true, gatewayParams("charge", "POST", "CONTENT_LENGTH", "65536"), body, 1))
+	params := gatewayParams("charge", "POST", "CONTENT_LENGTH", "65536")
+	status, text := g.roundTrip(8, encodeRequest(8, true, params, body, 1))
 	assert.Equal(t, 200, status, "64 KiB in records of a byte")
 	assert.Contains(t, text, " 65536")
 	_, err := g.Write(fcgi.AppendGetValues(nil))
@@ -147,12 +161,22 @@
 
 	// The configuration file has what this gateway can't send.
 	u := dialGateway(t, "unix", path)
-	status, text = u.roundTrip(1, encodeRequest(1, true, gatewayParams("book", "POST", "HTTP_X_TRACE_ID", "", "HTTP_X_EXPIRES_IN_MS", "", "HTTP_X_QOS", "", "REQUEST_ID", "r9", "BOOKING_ID", "b9", "REQUEST_URI", "",
-		"SCRIPT_NAME", "/book", "PATH_INFO", "/table", "QUERY_STRING", "a=b"), "seats", 9))
+	params = gatewayParams("book", "POST",
+		"HTTP_X_TRACE_ID", "",
+		"HTTP_X_EXPIRES_IN_MS", "",
+		"HTTP_X_QOS", "",
+		"REQUEST_ID", "r9",
+		"BOOKING_ID", "b9",
+		"REQUEST_URI", "",
+		"SCRIPT_NAME", "/book",
+		"PATH_INFO", "/table",
+		"QUERY_STRING", "a=b")
+	status, text = u.roundTrip(1, encodeRequest(1, true, params, "seats", 9))
 	assert.Equal(t, 200, status)
 	assert.Equal(t, "POST /book/table?a=b r9 acme b9 5", text)
 	// A duplicate request ID is detected, whichever way it arrives.
-	status, _ = dialGateway(t, "tcp", addr).roundTrip(1, encodeRequest(1, true, gatewayParams("find", "GET", "HTTP_X_TRACE_ID", "r9"), "", 1))
+	params = gatewayParams("find", "GET", "HTTP_X_TRACE_ID", "r9")
+	status, _ = dialGateway(t, "tcp", addr).roundTrip(1, encodeRequest(1, true, params, "", 1))
 	assert.Equal(t, 409, status)
 	// HTTP is served beside it, and a rejection is reported as the gateway expects it.
 	assert.Equal(t, 200, p.send("find", "").status)
@@ -197,14 +221,20 @@
 		assert.Equal(t, 400, status, name)
 	}
 	twice := fcgi.AppendPair(fcgi.AppendPair(nil, "HTTP_HOST", "a"), "HTTP_HOST", "b")
-	records := fcgi.AppendStreamEnd(fcgi.AppendStream(fcgi.AppendBegin(nil, 1, true), fcgi.TypeParams, 1, twice), fcgi.TypeParams, 1)
+	begin := fcgi.AppendBegin(nil, 1, true)
+	records := fcgi.AppendStreamEnd(fcgi.AppendStream(begin, fcgi.TypeParams, 1, twice), fcgi.TypeParams, 1)
 	status, _ := dialGateway(t, "tcp", addr).roundTrip(1, records)
 	assert.Equal(t, 400, status, "two hosts")
 	// What is not FastCGI, or incomplete, ends its connection; a second request on one is refused, and the first is
 	// served.
 	halves := map[string]*gatewayClient{}
-	for name, text := range map[string]string{"HTTP": "GET /find HTTP/1.1\r\n\r\n", "half a head": "\x01\x01\x00", "half a BEGIN": string(fcgi.AppendBegin(nil, 1, true)[:12]),
-		"no params' end": string(fcgi.AppendStream(fcgi.AppendBegin(nil, 1, true), fcgi.TypeParams, 1, []byte("\x01\x01ab")))} {
+	withoutParamsEnd := fcgi.AppendStream(fcgi.AppendBegin(nil, 1, true), fcgi.TypeParams, 1, []byte("\x01\x01ab"))
+	for name, text := range map[string]string{
+		"HTTP":           "GET /find HTTP/1.1\r\n\r\n",
+		"half a head":    "\x01\x01\x00",
+		"half a BEGIN":   string(fcgi.AppendBegin(nil, 1, true)[:12]),
+		"no params' end": string(withoutParamsEnd),
+	} {
 		g := dialGateway(t, "tcp", addr)
 		io.WriteString(g, text)
 		halves[name] = g
@@ -287,7 +317,8 @@
 	}}
 	require.NoError(t, app.Start("127.0.0.1:0"))
 	t.Cleanup(app.Stop)
-	p := startServices(t, fmt.Sprintf(fastcgiService, fmt.Sprintf("%q", app.Addr()))+fmt.Sprintf("\n[[gateway]]\nlisten = %q\n", addr))
+	service := fmt.Sprintf(fastcgiService, fmt.Sprintf("%q", app.Addr()))
+	p := startServices(t, service+fmt.Sprintf("\n[[gateway]]\nlisten = %q\n", addr))
 	g := dialGateway(t, "tcp", addr)
 	for _, body := range []string{"", "seats", large, "seats"} {
 		status, text := g.roundTrip(3, encodeRequest(3, true, gatewayParams("charge", "POST"), body, 30_000))
--- a/cmd/robincart/helpers_test.go
+++ b/cmd/robincart/helpers_test.go
@@ -33,6 +33,11 @@
 	os.Exit(m.Run())
 }
 
+// testProgramEnvironment has the test binary run as the program, and end at once when it is checked for races.
+func testProgramEnvironment() []string {
+	return []string{"ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0"}
+}
+
 func newMember(id, addr, phase string) standin.Member {
 	return standin.Member{ID: id, Addr: addr, Zone: "a", Flavor: "m", Phase: phase, Size: 1}
 }
@@ -171,7 +176,8 @@
 	}
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	cmd, log := exec.Command(os.Args[0]), &logBuffer{}
-	cmd.Env = append(os.Environ(), "ROBINCART_TEST_PROGRAM=1", "EDGE_CONFIG="+path, "GORACE=atexit_sleep_ms=0")
+	cmd.Env = append(os.Environ(), testProgramEnvironment()...)
+	cmd.Env = append(cmd.Env, "EDGE_CONFIG="+path)
 	cmd.Stderr = log
 	return cmd, log
 }
@@ -194,9 +200,15 @@
 
 // newTestNode returns a node that has not started yet.
 func newTestNode(t *testing.T, config map[string]any) *testNode {
-	p := &testNode{t: t, addr: config["listen"].(string), Node: &standin.Node{Name: "n1", Addr: config["listen"].(string), Program: os.Args[0],
-		Config: config, Dir: t.TempDir(), Env: []string{"ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0",
-			"EDGE_DISCOVERY=" + config["discovery"].(string)}}}
+	addr := config["listen"].(string)
+	p := &testNode{t: t, addr: addr, Node: &standin.Node{
+		Name:    "n1",
+		Addr:    addr,
+		Program: os.Args[0],
+		Config:  config,
+		Dir:     t.TempDir(),
+		Env:     append(testProgramEnvironment(), "EDGE_DISCOVERY="+config["discovery"].(string)),
+	}}
 	t.Cleanup(func() {
 		p.Kill()
 		assert.NotContains(t, p.Log(), "DATA RACE")
@@ -250,6 +262,15 @@
 
 var requestCount atomic.Int64
 
+// nextTraceID returns a trace ID that no other request has.
+func nextTraceID() string { return fmt.Sprintf("%016x", requestCount.Add(1)) }
+
+func setHeaders(request *http.Request, headers map[string]string) {
+	for name, value := range headers {
+		request.Header.Set(name, value)
+	}
+}
+
 // send sends a request as a client does.
 func (t *testNode) send(method, body string) response { return t.sendWith(method, body, nil) }
 
@@ -263,16 +284,16 @@
 	if body == "" {
 		q.Body = http.NoBody
 	}
-	for k, v := range map[string]string{"X-Trace-Id": fmt.Sprintf("%016x", requestCount.Add(1)), "X-Qos": method, "X-Customer": "acme",
-		"X-Expires-In-Ms": "3000"} {
-		q.Header.Set(k, v)
-	}
+	setHeaders(q, map[string]string{
+		"X-Trace-Id":      nextTraceID(),
+		"X-Qos":           method,
+		"X-Customer":      "acme",
+		"X-Expires-In-Ms": "3000",
+	})
 	if method == "book" {
 		q.Header.Set("Idempotency-Key", "5c0f6e1a")
 	}
-	for k, v := range header {
-		q.Header.Set(k, v)
-	}
+	setHeaders(q, header)
 	began := time.Now()
 	r, err := client.Do(q)
 	if err != nil {
--- a/cmd/robincart/log.go
+++ b/cmd/robincart/log.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// writeLine writes a line, behind one that says how many were lost before it.
+// writeLine writes a line, after one with the number of lines that were lost before it.
 func (a *asyncWriter) writeLine(line []byte) {
 	if lost := a.lost.Swap(0); lost > 0 {
 		const format = `{"level":"warn","msg":"lines of the log are lost: nobody read it","lines":%d}` + "\n"
--- a/cmd/robincart/main.go
+++ b/cmd/robincart/main.go
@@ -1,5 +1,5 @@
 // Command robincart is the node: a load balancer between clients and servers. Every tier runs the same program, and
-// its configuration says which tier it serves.
+// its configuration tells it which tier it serves.
 //
 // It is started in one of two ways. With no argument, or with no --config, it reads the platform's configuration,
 // which EDGE_CONFIG names, and serves one service (platform.go). With --config it reads a configuration file with
--- a/cmd/robincart/mixedfleet_test.go
+++ b/cmd/robincart/mixedfleet_test.go
@@ -22,7 +22,8 @@
 func mixedSettings(copies bool, nodes int, more string) json.RawMessage {
 	s := strings.Replace(testSettings, `"Instances":1`, fmt.Sprintf(`"Instances":%d%s`, nodes, more), 1)
 	s = strings.Replace(s, `"MayCancel":true`, fmt.Sprintf(`"MayCancel":true,"SecondCopies":%t`, copies), 1)
-	return json.RawMessage(strings.Replace(s, `"Rules":{`, `"Rules":{"ColdFrom":0.2,"ColdMs":20000,"FallMultiple":3,"FallMs":3000,`, 1))
+	const rules = `"Rules":{"ColdFrom":0.2,"ColdMs":20000,"FallMultiple":3,"FallMs":3000,`
+	return json.RawMessage(strings.Replace(s, `"Rules":{`, rules, 1))
 }
 
 // mixedFleet is the outcome of a run with nodes of both settings.
@@ -61,7 +62,12 @@
 }
 
 func TestMixedFleet_OldAndNewSettings(t *testing.T) {
-	m := &mixedFleet{status: map[string]int{}, kind: map[string]string{}, once: map[string]bool{}, ran: map[string]int{}}
+	m := &mixedFleet{
+		status: map[string]int{},
+		kind:   map[string]string{},
+		once:   map[string]bool{},
+		ran:    map[string]int{},
+	}
 	var mu sync.Mutex
 	var drained time.Time // when its grace is over
 	d := newDiscovery(t)
@@ -109,7 +115,8 @@
 	for i := range 7 {
 		kind, settings := "old", mixedSettings(true, 7, "")
 		if i >= 2 {
-			kind, settings = "new", mixedSettings(false, 7, `,"Hints":true,"Report":{"How":"piggyback","Fields":["concurrent","depth","load_share"]}`)
+			const reports = `,"Hints":true,"Report":{"How":"piggyback","Fields":["concurrent","depth","load_share"]}`
+			kind, settings = "new", mixedSettings(false, 7, reports)
 		}
 		config := newConfig(t, d, d.members()...)
 		config["settings"] = settings
--- a/cmd/robincart/operatorstate.go
+++ b/cmd/robincart/operatorstate.go
@@ -14,7 +14,7 @@
 	// StartedAt are the banned servers' start times as the endpoint list had them at the ban, in milliseconds of Unix
 	// time; 0 is long ago. A banned server without one was banned by a version of the program that did not note it.
 	StartedAt map[string]int64 `json:"starts,omitempty"`
-	// LameDuck says that clients are asked to leave the node.
+	// LameDuck is set while clients are asked to leave the node.
 	LameDuck bool `json:"lame"`
 }
 
--- a/cmd/robincart/operatorstatefile.go
+++ b/cmd/robincart/operatorstatefile.go
@@ -79,7 +79,7 @@
 	return state, err
 }
 
-// allowWrites says that the file's former content is known, here or to another process, and may be overwritten.
+// allowWrites allows the file to be overwritten: its former content is known, here or to another process.
 func (o *operatorStateFile) allowWrites() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/cmd/robincart/platformconfig.go
+++ b/cmd/robincart/platformconfig.go
@@ -129,7 +129,7 @@
 //
 // Discovery's address and the settings are taken over; everything else needs a restart. The file's address goes
 // before EDGE_DISCOVERY, which is as old as the process. A file that is wrong, or lacks a key that the one in force
-// has, changes nothing. An unreadableError says that the file can't be read for now and has to be read again.
+// has, changes nothing. An unreadableError means that the file can't be read for now and has to be read again.
 func (p *platformConfig) reload(getenv func(string) string, watcher addressSetter, applySettings func(*platformConfig),
 	log *zap.Logger) (*platformConfig, error) {
 	next, err := p.readNext(getenv)
--- a/cmd/robincart/platformconfig_test.go
+++ b/cmd/robincart/platformconfig_test.go
@@ -74,7 +74,8 @@
 	}
 	var whole map[string]any
 	require.NoError(t, json.Unmarshal(text, &whole))
-	for _, in := range []map[string]any{whole, whole["settings"].(map[string]any), whole["settings"].(map[string]any)["Limits"].(map[string]any)} {
+	settings := whole["settings"].(map[string]any)
+	for _, in := range []map[string]any{whole, settings, settings["Limits"].(map[string]any)} {
 		for key, v := range in {
 			delete(in, key)
 			short, err := json.Marshal(whole)
@@ -115,10 +116,23 @@
 	assert.Equal(t, 200, (<-out).status, "what was open is served")
 	assert.Equal(t, 200, p.send("find", "").status, "callers hear of it later")
 	assert.Equal(t, 200, p.sendWith("tip", "x", map[string]string{"Idempotency-Key": "k"}).status)
-	for i, broken := range []string{"", good[:len(good)/2], strings.Replace(good, `"Classes"`, `"Klasses"`, 1), strings.Replace(good, `"seed"`, `"sead"`, 1),
-		editSettings(t, c, func(_ map[string]any, all []any) []any { all[0].(map[string]any)["DeadlineMs"] = 0; return all }),
-		editSettings(t, c, func(_ map[string]any, all []any) []any { delete(all[0].(map[string]any), "AimMs"); return all }),
-		editSettings(t, c, func(s map[string]any, all []any) []any { s["Limits"].(map[string]any)["MaxAttempts"] = 0; return all }),
+	for i, broken := range []string{
+		"",
+		good[:len(good)/2],
+		strings.Replace(good, `"Classes"`, `"Klasses"`, 1),
+		strings.Replace(good, `"seed"`, `"sead"`, 1),
+		editSettings(t, c, func(_ map[string]any, all []any) []any {
+			all[0].(map[string]any)["DeadlineMs"] = 0
+			return all
+		}),
+		editSettings(t, c, func(_ map[string]any, all []any) []any {
+			delete(all[0].(map[string]any), "AimMs")
+			return all
+		}),
+		editSettings(t, c, func(s map[string]any, all []any) []any {
+			s["Limits"].(map[string]any)["MaxAttempts"] = 0
+			return all
+		}),
 		editSettings(t, c, func(s map[string]any, all []any) []any {
 			delete(s["Limits"].(map[string]any), "MaxAttempts")
 			return all
@@ -126,10 +140,14 @@
 		editSettings(t, c, func(_ map[string]any, all []any) []any { return append(all, all[0]) }),
 	} {
 		p.reload(broken)
-		require.Eventually(t, func() bool { return strings.Count(p.Log(), "configuration rejected") == i+1 }, 10*time.Second, 5*time.Millisecond, "%.300s", broken)
+		require.Eventually(t, func() bool {
+			return strings.Count(p.Log(), "configuration rejected") == i+1
+		}, 10*time.Second, 5*time.Millisecond, "%.300s", broken)
 		assert.Equal(t, 200, p.sendWith("tip", "x", map[string]string{"Idempotency-Key": fmt.Sprint("b", i)}).status)
 	}
-	assert.Eventually(t, func() bool { return p.send("find", "").status == 404 }, 10*time.Second, 50*time.Millisecond, "and is gone in the end")
+	assert.Eventually(t, func() bool {
+		return p.send("find", "").status == 404
+	}, 10*time.Second, 50*time.Millisecond, "and is gone in the end")
 }
 
 // EDGE_DISCOVERY, which startTestNode sets, names the old discovery all along.
@@ -173,7 +191,9 @@
 		p.reload(string(text))
 	}
 	require.Eventually(t, func() bool { return p.send("find", "").body == "fresh" }, time.Second, 10*time.Millisecond)
-	require.Eventually(t, func() bool { return here.openWatches() == 0 && there.openWatches() == 1 }, time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool {
+		return here.openWatches() == 0 && there.openWatches() == 1
+	}, time.Second, 10*time.Millisecond)
 	assert.Contains(t, p.Log(), `"restart_required":["name"]`)
 	close(ended)
 	callers.Wait()
--- a/cmd/robincart/predecessor.go
+++ b/cmd/robincart/predecessor.go
@@ -76,7 +76,7 @@
 	s.commands.inheritFromPredecessor(ctx, state.Operators, state.KnownServers, state.OperatorsUnread)
 }
 
-// announceReady says to the predecessor that this process accepts clients.
+// announceReady notifies the predecessor that this process accepts clients.
 func (s *succession) announceReady() {
 	if s.predecessor == nil {
 		return
--- a/cmd/robincart/process.go
+++ b/cmd/robincart/process.go
@@ -62,22 +62,22 @@
 
 func (p *process) close() { p.poller.Close() }
 
-// backend is what stands behind the front end: the platform's one service, or those of a configuration file.
+// backend is what the front end serves requests with: the platform's one service, or those of a configuration file.
 type backend interface {
 	// started is called once clients are accepted.
 	started()
-	// reload reads the configuration again and applies it. An unreadableError says that it has to be tried again.
+	// reload reads the configuration again and applies it. An unreadableError means that it has to be tried again.
 	reload() error
 	// recordChanges receives a value when services, routes or tenants of the record have changed; nil if there is no
 	// record.
 	recordChanges() <-chan struct{}
-	// applyRecord applies what the record says now.
+	// applyRecord applies the record as it is now.
 	applyRecord()
-	// inFlight is the number of requests that are not answered yet.
+	// inFlight returns the number of requests without a response.
 	inFlight() int
 	// prepareShutdown reports whether a successor accepts the clients. From then on this process never will again.
 	prepareShutdown() (handedOver bool)
-	// close ends it after the last response.
+	// close releases it, after the last response.
 	close()
 }
 
--- a/cmd/robincart/record.go
+++ b/cmd/robincart/record.go
@@ -102,7 +102,7 @@
 	f.apply()
 }
 
-// withRecord returns the configuration file with what the record says over it. If that can't be compiled it is
+// withRecord returns the configuration file with the record over it. If that can't be compiled it is
 // logged, and the configuration in force is returned.
 func (f *fileBackend) withRecord() *nodeconfig.Config {
 	if f.record == nil {
--- a/cmd/robincart/record_test.go
+++ b/cmd/robincart/record_test.go
@@ -50,7 +50,8 @@
 	record("init")
 	a, b := newServer(t, respond(200, "a")), newServer(t, respond(200, "b"))
 	t.Setenv("ROBINCART_RECORD", helper)
-	p := startServices(t, fmt.Sprintf("[record]\nstore = %q\nsnapshot = %q\npoll = \"100ms\"\n", at, filepath.Join(dir, "snap"))+
+	snapshot := filepath.Join(dir, "snap")
+	p := startServices(t, fmt.Sprintf("[record]\nstore = %q\nsnapshot = %q\npoll = \"100ms\"\n", at, snapshot)+
 		serviceTOML("first", a, 0.5, "")+routeTOML("a.example.org", "first"))
 	status, _ := p.sendOn(nil, "GET /find", "Host: b.example.org")
 	assert.Equal(t, 404, status)
@@ -58,23 +59,30 @@
 	record("set", "route", "r", text("[[route]]\nname = \"r\"\nhost = \"b.example.org\"\nto = \"second\"\n"))
 	becomes := func(want int) {
 		t.Helper()
-		require.Eventually(t, func() bool { status, _ := p.sendOn(nil, "GET /find", "Host: b.example.org"); return status == want }, 20*time.Second, 20*time.Millisecond, "%s", lateLog{p})
+		require.Eventually(t, func() bool {
+			status, _ := p.sendOn(nil, "GET /find", "Host: b.example.org")
+			return status == want
+		}, 20*time.Second, 20*time.Millisecond, "%s", lateLog{p})
 	}
 	becomes(200)
 	record("set", "route", "bad", text("[[route]]\nname = \"bad\"\nhost = \"c.example.org\"\nto = \"nowhere\"\n"))
-	require.Eventually(t, func() bool { return strings.Contains(p.Log(), "nowhere") }, 20*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool {
+		return strings.Contains(p.Log(), "nowhere")
+	}, 20*time.Second, 20*time.Millisecond)
 	becomes(200)
 	p.Kill()
 	// Its log and shared memory go with it: SQLite would apply a log that stays behind to the file that is put back.
 	move := func(from, to string) {
 		for _, part := range []string{"", "-wal", "-shm"} {
-			if err := os.Rename(filepath.Join(dir, from)+part, filepath.Join(dir, to)+part); part == "" || !os.IsNotExist(err) {
+			err := os.Rename(filepath.Join(dir, from)+part, filepath.Join(dir, to)+part)
+			if part == "" || !os.IsNotExist(err) {
 				require.NoError(t, err)
 			}
 		}
 	}
 	move("record.db", "lost")
-	require.NoError(t, exec.Command(helper, "delete", "route", "bad", "--store", "sqlite:"+filepath.Join(dir, "lost")).Run())
+	lost := "sqlite:" + filepath.Join(dir, "lost")
+	require.NoError(t, exec.Command(helper, "delete", "route", "bad", "--store", lost).Run())
 	require.NoError(t, p.Start(t.Context()))
 	status, _ = p.sendOn(nil, "GET /find", "Host: a.example.org")
 	assert.Equal(t, 200, status, "without its store, and with a bad route in its snapshot, the file alone is in force")
@@ -106,24 +114,36 @@
 	stop := begin()
 	t.Setenv("ROBINCART_RECORD", filepath.Join(dir, "no such program"))
 	a := newServer(t, respond(200, "a"))
-	p := startServices(t, fmt.Sprintf("[record]\nstore = \"controllers:%s\"\nsnapshot = %q\n", at, filepath.Join(dir, "snap"))+serviceTOML("first", a, 0.5, "")+routeTOML("a.example.org", "first"))
+	recordTable := fmt.Sprintf("[record]\nstore = \"controllers:%s\"\nsnapshot = %q\n", at, filepath.Join(dir, "snap"))
+	p := startServices(t, recordTable+serviceTOML("first", a, 0.5, "")+routeTOML("a.example.org", "first"))
 	set := func(name, host string) {
 		m, err := up.Meta(t.Context())
 		require.NoError(t, err)
-		value, _ := json.Marshal(map[string]string{"toml": fmt.Sprintf("[[route]]\nname = %q\nhost = %q\nto = \"first\"\n", name, host)})
-		_, _, err = up.Write(t.Context(), m.Epoch, []record.Change{{Key: record.Key{Kind: record.KindRoute, Name: name}, ExpectedRevision: 0, Writer: "op", IdempotencyKey: name, Value: value}})
+		text := fmt.Sprintf("[[route]]\nname = %q\nhost = %q\nto = \"first\"\n", name, host)
+		value, _ := json.Marshal(map[string]string{"toml": text})
+		_, _, err = up.Write(t.Context(), m.Epoch, []record.Change{{
+			Key:              record.Key{Kind: record.KindRoute, Name: name},
+			ExpectedRevision: 0,
+			Writer:           "op",
+			IdempotencyKey:   name,
+			Value:            value,
+		}})
 		require.NoError(t, err)
 	}
 	becomes := func(host string) {
 		t.Helper()
-		require.Eventually(t, func() bool { status, _ := p.sendOn(nil, "GET /find", "Host: "+host); return status == 200 }, 20*time.Second, 20*time.Millisecond, "%s", lateLog{p})
+		require.Eventually(t, func() bool {
+			status, _ := p.sendOn(nil, "GET /find", "Host: "+host)
+			return status == 200
+		}, 20*time.Second, 20*time.Millisecond, "%s", lateLog{p})
 	}
 	becomes("a.example.org")
 	set("b", "b.example.org")
 	becomes("b.example.org")
 	require.Eventually(t, func() bool {
 		s, found, err := recordcache.LoadSnapshot(filepath.Join(dir, "snap"))
-		return err == nil && found && slices.ContainsFunc(s.Entries, func(f record.Entry) bool { return f.Kind == record.KindRoute })
+		isRoute := func(entry record.Entry) bool { return entry.Kind == record.KindRoute }
+		return err == nil && found && slices.ContainsFunc(s.Entries, isRoute)
 	}, 20*time.Second, 5*time.Millisecond)
 	stop()
 	p.Kill()
@@ -138,8 +158,17 @@
 func TestRecord_NodesAndStoreKilled(t *testing.T) {
 	helper := buildStoreProgram(t)
 	for _, sqlite := range []bool{false, true} {
-		r := &chaos.Record{Program: os.Args[0], Env: []string{"ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0", "ROBINCART_RECORD=" + helper}, For: 7 * time.Second, Slack: 2 * time.Second,
-			Seed: time.Now().UnixNano() % 1_000_000, Nodes: 2, Servers: 20, Rate: 30, SQLite: sqlite}
+		r := &chaos.Record{
+			Program: os.Args[0],
+			Env:     append(testProgramEnvironment(), "ROBINCART_RECORD="+helper),
+			For:     7 * time.Second,
+			Slack:   2 * time.Second,
+			Seed:    time.Now().UnixNano() % 1_000_000,
+			Nodes:   2,
+			Servers: 20,
+			Rate:    30,
+			SQLite:  sqlite,
+		}
 		require.NoError(t, r.Play(t.Context()))
 		assert.Empty(t, r.Broken, "seed %d", r.Seed)
 		assert.NotZero(t, r.Counts["ok"])
--- a/cmd/robincart/settingstransition_test.go
+++ b/cmd/robincart/settingstransition_test.go
@@ -17,7 +17,8 @@
 // end, in whatever order timers fire.
 func TestSettingsTransition_FormerSettingsBindDuringGrace(t *testing.T) {
 	parse := func(classes string) *settings.Instance {
-		n, err := settings.Parse([]byte(`{"Classes":[{"Name":"other","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}` + classes + `],"RegistryMode":"automatic"}`))
+		const other = `{"Name":"other","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}`
+		n, err := settings.Parse([]byte(`{"Classes":[` + other + classes + `],"RegistryMode":"automatic"}`))
 		require.NoError(t, err)
 		return n
 	}
--- a/cmd/robincart/stalledclient_test.go
+++ b/cmd/robincart/stalledclient_test.go
@@ -33,8 +33,8 @@
 	d := newDiscovery(t, newMember("s0", s.Listener.Addr().String(), "ready"))
 	p := startTestNode(t, newConfig(t, d, d.members()...))
 	head := func(lines string) string {
-		return fmt.Sprintf("POST /book/x HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %016x\r\nX-Qos: book\r\nX-Customer: acme\r\nX-Expires-In-Ms: 3000\r\nIdempotency-Key: k%d\r\n%s\r\n",
-			requestCount.Add(1), requestCount.Load(), lines)
+		return fmt.Sprintf("POST /book/x HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %s\r\nX-Qos: book\r\nX-Customer: acme\r\n"+
+			"X-Expires-In-Ms: 3000\r\nIdempotency-Key: k%d\r\n%s\r\n", nextTraceID(), requestCount.Load(), lines)
 	}
 	length := func(whole, sent int) string {
 		return head(fmt.Sprintf("Content-Length: %d\r\n", whole)) + strings.Repeat("x", sent)
@@ -97,7 +97,7 @@
 func TestStalledClient_BehindCompleteRequestIsAnsweredInTime(t *testing.T) {
 	p, _ := startWithServers(t, newServer(t, respond(200, "x")))
 	request := func() string {
-		return fmt.Sprintf("GET /find/x HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %016x\r\nX-Qos: find\r\nX-Customer: acme\r\nX-Expires-In-Ms: 3000\r\n\r\n", requestCount.Add(1))
+		return findRequest(nextTraceID())
 	}
 	for _, part := range []int{1, 30, 100} {
 		t.Run(fmt.Sprint(part, " bytes"), func(t *testing.T) {
--- a/cmd/robincart/start_test.go
+++ b/cmd/robincart/start_test.go
@@ -119,9 +119,20 @@
 		for i := range nodes {
 			addr, err := standin.FreeAddress("127.0.0.1")
 			require.NoError(b, err)
-			n := &standin.Node{Name: fmt.Sprint("n", i), Addr: addr, Program: os.Args[0], Dir: dir, Env: []string{"ROBINCART_TEST_PROGRAM=1"},
-				Config: map[string]any{"discovery": door.Addr(), "seed": fmt.Sprint(i), "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-					"known": map[string]any{"revision": 1, "complete": true, "members": known}, "settings": json.RawMessage(testSettings)}}
+			n := &standin.Node{
+				Name:    fmt.Sprint("n", i),
+				Addr:    addr,
+				Program: os.Args[0],
+				Dir:     dir,
+				Env:     []string{"ROBINCART_TEST_PROGRAM=1"},
+				Config: map[string]any{
+					"discovery": door.Addr(),
+					"seed":      fmt.Sprint(i),
+					"limits":    map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
+					"known":     map[string]any{"revision": 1, "complete": true, "members": known},
+					"settings":  json.RawMessage(testSettings),
+				},
+			}
 			started = append(started, n)
 			all.Go(func() {
 				ctx, cancel := context.WithTimeout(b.Context(), most)
--- a/cmd/robincart/storeprogram.go
+++ b/cmd/robincart/storeprogram.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// storeProgramName is the program that has the databases' drivers, which would cost every node 4 MB. It stands
+	// storeProgramName is the program that has the databases' drivers, which would cost every node 4 MB. It is
 	// beside this one.
 	storeProgramName = "robincart-record"
 	// storeStartTimeout is how long opening the store waits for the program's first start.
--- a/cmd/robincart/succession.go
+++ b/cmd/robincart/succession.go
@@ -137,7 +137,7 @@
 	s.budget.Memory().Resize(s.limits.BodyMemory / processes)
 }
 
-// stop says that this process ends, and reports whether a successor accepts the clients. From then on this process
+// stop notes that this process ends, and reports whether a successor accepts the clients. From then on this process
 // does not accept any again.
 func (s *succession) stop() (handedOver bool) {
 	s.mu.Lock()
--- a/cmd/robincart/succession_test.go
+++ b/cmd/robincart/succession_test.go
@@ -70,12 +70,18 @@
 // launch starts one more process, with the configuration as it is.
 func (n *nodeSite) launch() *siteProcess {
 	n.t.Helper()
-	p := &siteProcess{admin: n.config["admin_addr"].(string), log: &logBuffer{}, ended: make(chan error, 1), config: filepath.Join(n.t.TempDir(), "config.json")}
+	p := &siteProcess{
+		admin:  n.config["admin_addr"].(string),
+		log:    &logBuffer{},
+		ended:  make(chan error, 1),
+		config: filepath.Join(n.t.TempDir(), "config.json"),
+	}
 	text, err := json.Marshal(n.config)
 	require.NoError(n.t, err)
 	require.NoError(n.t, os.WriteFile(p.config, text, 0o600))
 	p.Cmd = exec.Command(os.Args[0])
-	p.Env = append(os.Environ(), "ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0", "EDGE_CONFIG="+p.config, "EDGE_ACCEPT_FD=3", "TMPDIR="+n.dir)
+	p.Env = append(os.Environ(), testProgramEnvironment()...)
+	p.Env = append(p.Env, "EDGE_CONFIG="+p.config, "EDGE_ACCEPT_FD=3", "TMPDIR="+n.dir)
 	p.ExtraFiles, p.Stderr = []*os.File{n.file}, p.log
 	require.NoError(n.t, p.Start())
 	go func() { p.ended <- p.Wait() }()
@@ -182,7 +188,9 @@
 	time.Sleep(200 * time.Millisecond)
 	for range 3 {
 		next := l.start()
-		assert.Eventually(t, func() bool { return !p.ready() }, 20*time.Second, time.Millisecond, "the predecessor is no longer ready")
+		assert.Eventually(t, func() bool {
+			return !p.ready()
+		}, 20*time.Second, time.Millisecond, "the predecessor is no longer ready")
 		time.Sleep(50 * time.Millisecond)
 		require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 		p.waitExit(t)
@@ -242,7 +250,9 @@
 	require.Eventually(t, first.ready, 20*time.Second, 5*time.Millisecond)
 	assert.Equal(t, 200, (&testNode{t: t, addr: l.addr}).send("find", "").status)
 	third := l.start()
-	assert.Eventually(t, func() bool { return !first.ready() }, 20*time.Second, time.Millisecond, "and it can be followed again")
+	assert.Eventually(t, func() bool {
+		return !first.ready()
+	}, 20*time.Second, time.Millisecond, "and it can be followed again")
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
 	first.waitExit(t)
 	assert.Equal(t, 200, (&testNode{t: t, addr: l.addr}).send("find", "").status)
@@ -256,7 +266,8 @@
 	l, _ := newNodeSite(t, slow)
 	sock := handover.SocketPath(l.dir, fmt.Sprint(l.config["name"], " ", l.addr))
 	// A foreign socket, which sends what is no state, or one of another version.
-	for _, state := range []any{"foreign", handoverState{Version: handoverVersion + 1, Operators: operatorState{LameDuck: true}}} {
+	otherVersion := handoverState{Version: handoverVersion + 1, Operators: operatorState{LameDuck: true}}
+	for _, state := range []any{"foreign", otherVersion} {
 		ln, err := handover.Listen(sock)
 		require.NoError(t, err)
 		go func() {
@@ -312,7 +323,8 @@
 
 // Operators act in any order and in quick succession: clients notice none of it, and the last command is in force.
 func TestHandover_OperatorsActInQuickSuccession(t *testing.T) {
-	l, _ := newNodeSite(t, newServer(t, delayed(5*time.Millisecond, respond(200, "x"))), newServer(t, respond(200, "y")))
+	slow := newServer(t, delayed(5*time.Millisecond, respond(200, "x")))
+	l, _ := newNodeSite(t, slow, newServer(t, respond(200, "y")))
 	first := l.start()
 	asker := &testNode{t: t, addr: l.addr}
 	var all sync.WaitGroup
@@ -408,7 +420,9 @@
 	}
 	ask("a")
 	require.NoError(t, os.Mkdir(l.dir, 0o700))
-	require.Eventually(t, func() bool { return strings.Contains(first.log.String(), "handover socket available") }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool {
+		return strings.Contains(first.log.String(), "handover socket available")
+	}, 10*time.Second, 10*time.Millisecond)
 	second := l.start()
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
 	first.waitExit(t)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -54,7 +54,7 @@
 
 func (n *NotPersistedError) Unwrap() error { return n.Cause }
 
-// Limits bound what callers may cost.
+// Limits bound what the clients of the admin address may use.
 type Limits struct {
 	MaxConnections int           // at once
 	CallTimeout    time.Duration // from the connect to the request's last byte
--- a/internal/config/nodeconfig/nodeconfig.go
+++ b/internal/config/nodeconfig/nodeconfig.go
@@ -7,7 +7,7 @@
 // servicesettings.go). Entries of the record go over the file before the same steps (recordentries.go).
 //
 // The package is pure but for reading the file. It does not decide when a configuration is applied;
-// KeepProcessSettings says what a running process can't change.
+// KeepProcessSettings returns what a running process can't change.
 package nodeconfig
 
 import (
--- a/internal/config/nodeconfig/nodeconfig_test.go
+++ b/internal/config/nodeconfig/nodeconfig_test.go
@@ -27,7 +27,8 @@
 	assert.Equal(t, []string{"book-table", "find-table"}, c.Pools[0].Settings.MethodNames)
 	assert.True(t, c.Pools[0].Settings.MustSubscribe, "its servers come from discovery")
 	assert.False(t, c.Pools[1].Settings.MustSubscribe)
-	assert.InDelta(t, c.Limits.MaxCallInterval.Seconds(), c.Pools[0].Settings.MaxFirstPollDelay, 1e-9, "a new process polls as soon as any")
+	firstPoll := c.Pools[0].Settings.MaxFirstPollDelay
+	assert.InDelta(t, c.Limits.MaxCallInterval.Seconds(), firstPoll, 1e-9, "a new process polls as soon as any")
 	assert.Len(t, c.Pools[1].StaticEndpoints, 2)
 	assert.InDelta(t, 2.5, c.Pools[0].Settings.Methods[0].LatencyObjective, 1e-9)
 	assert.EqualValues(t, c.Limits.MaxRequests, c.Quota.Total[quota.InFlight])
@@ -75,14 +76,16 @@
 			}
 		})
 	}
-	_, err := Parse([]byte(string(exampleFile(t))+"\n[record]\nstore = \"controllers:127.0.0.1:8600\"\ntimeout = \"-1s\"\n"), 0)
+	const negativeTimeout = "\n[record]\nstore = \"controllers:127.0.0.1:8600\"\ntimeout = \"-1s\"\n"
+	_, err := Parse([]byte(string(exampleFile(t))+negativeTimeout), 0)
 	assert.ErrorContains(t, err, "record.timeout")
 }
 
 // Whatever the file has: an error with a text, or a complete configuration.
 func FuzzParse(f *testing.F) {
 	f.Add(exampleFile(f))
-	f.Add([]byte("listen = [\":1\"]\n[[service]]\nname = \"a\"\nservers = [\"127.0.0.1:1\"]\n[[service.method]]\nname = \"m\"\ndeadline = \"1s\"\n"))
+	f.Add([]byte("listen = [\":1\"]\n[[service]]\nname = \"a\"\nservers = [\"127.0.0.1:1\"]\n" +
+		"[[service.method]]\nname = \"m\"\ndeadline = \"1s\"\n"))
 	f.Add([]byte("[[route]]\nsplit = [{to = \"x\", weight = nan}]\nby = \"header:\"\n"))
 	f.Add([]byte("[machine]\nsockets = -1\ncores = inf\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/config/nodeconfig/servicesettings.go
+++ b/internal/config/nodeconfig/servicesettings.go
@@ -9,7 +9,7 @@
 )
 
 // A service is compiled to the platform's settings object, and that is parsed as the platform's is, so that both
-// kinds of configuration are read by the same code. These types are that object. Their fields stand in the order of
+// kinds of configuration are read by the same code. These types are that object. Their fields are in the order of
 // their names, which is the order in fingerprints.
 type (
 	settingsObject struct {
@@ -55,7 +55,7 @@
 	}
 )
 
-// repeatModes are the settings' words for a method's idempotency.
+// repeatModes are the settings' values for a method's idempotency.
 var repeatModes = map[string]string{
 	idempotent:    "repeatable",
 	deduplicated:  "by_key",
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -27,7 +27,7 @@
 
 // Peer handles what a Link receives. The methods are called one at a time, from Link.Serve.
 type Peer interface {
-	// SuccessorReady says that the successor accepts clients.
+	// SuccessorReady is called when the successor accepts clients.
 	SuccessorReady()
 	// RequestIDs hands over the IDs of requests that began at the predecessor.
 	RequestIDs(encoded []byte)
@@ -35,6 +35,6 @@
 	Connection(conn net.Conn, hadRequest bool)
 	// Command hands over what an operator commanded the other process.
 	Command(command Command)
-	// Disconnected says that the link has ended, and why. It is the last call.
+	// Disconnected is called when the link has ended, with the reason. It is the last call.
 	Disconnected(err error)
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -169,7 +169,8 @@
 
 // Whatever another process sends, this one reads it as messages or ends the link.
 func FuzzLink(f *testing.F) {
-	f.Add([]byte(rawMessage('S', "{}") + rawMessage('W', `{"Call":"/x"}`) + rawMessage('I', `"AAAA"`) + rawMessage('T', "{}")))
+	f.Add([]byte(rawMessage('S', "{}") + rawMessage('W', `{"Call":"/x"}`) +
+		rawMessage('I', `"AAAA"`) + rawMessage('T', "{}")))
 	f.Add([]byte(rawMessage('S', "{}") + rawMessage('C', "true")))
 	f.Add([]byte("W\x00\xff\xff\xff{"))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -31,7 +31,7 @@
 // SendState sends what the process knows. It has to be the first message.
 func (l *Link) SendState(state any) error { return l.send(kindState, state, nil) }
 
-// SendReady says that this process accepts clients.
+// SendReady announces that this process accepts clients.
 func (l *Link) SendReady() error { return l.send(kindReady, struct{}{}, nil) }
 
 // SendRequestIDs sends the IDs of requests that began here.
@@ -198,7 +198,7 @@
 	m.descriptor = noDescriptor
 }
 
-// dispatch hands the message to a peer. An error says that it is none that a peer may send.
+// dispatch hands the message to a peer. It returns an error for one that a peer may not send.
 func (m *message) dispatch(peer Peer) error {
 	switch m.kind {
 	case kindReady:
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -31,7 +31,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ProtocolError reports bytes that are no message of this protocol, or a message that may not come where it came.
+// ProtocolError reports bytes that are no message of this protocol, or a message that is out of order.
 type ProtocolError struct {
 	Kind   byte // the message's first byte
 	Reason string
--- a/internal/handover/savedstate.go
+++ b/internal/handover/savedstate.go
@@ -38,7 +38,7 @@
 // Load reads what Save has written. A file that does not exist is no error, and leaves the state as it is.
 //
 // A corrupt file is moved and reported as a CorruptError: no part of it is used, and the next Save has its name
-// free. Any other error says that the file can't be read for now: it stays where it is, and the caller should try
+// free. Any other error means that the file can't be read for now: it stays where it is, and the caller should try
 // again.
 func Load(path string, state any) error {
 	encoded, found, err := statefile.Read(path, headerSize+maxPayloadBytes)
--- a/internal/system/keys/ring.go
+++ b/internal/system/keys/ring.go
@@ -33,7 +33,7 @@
 	expiredLogged bool
 }
 
-// Open reads the files. The error says what an operator has to mend.
+// Open reads the files. The error names what an operator has to fix.
 func Open(files Files, log *zap.Logger) (*Ring, error) {
 	r := &Ring{files: files, log: log, now: time.Now}
 	r.version = files.version()
--- a/internal/system/statefile/statefile.go
+++ b/internal/system/statefile/statefile.go
@@ -62,8 +62,8 @@
 	return fmt.Sprintf("%s: over %d bytes, so it was not written by this program", e.Path, e.Limit)
 }
 
-// Read reads a file of at most maxBytes; found is false if there is none. A TooLargeError says that the file holds
-// more. Any other error says that it can't be read for now, and nothing of what is in it.
+// Read reads a file of at most maxBytes; found is false if there is none. A TooLargeError means that the file holds
+// more. Any other error means that it can't be read for now, and nothing of what is in it.
 func Read(path string, maxBytes int64) (content []byte, found bool, err error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
