--- a/cmd/robincart/golden_test.go
+++ b/cmd/robincart/golden_test.go
@@ -45,8 +45,8 @@
 	return path
 }
 
-// fullOperatorState has every field of what operators have said. The server whose start is 0 was started long ago; server-3 was
-// taken out by a process that noted no start.
+// fullOperatorState has every field of what operators have commanded. The server whose start is 0 was started long ago;
+// server-3 was banned by a process that noted no start.
 func fullOperatorState() operatorState {
 	return operatorState{
 		BannedSince: map[string]int64{"server-1": 1764547200001, "server-2": 1764547200002, "server-3": 1764547200003},
@@ -71,10 +71,13 @@
 	}
 }
 
-// bareHandoverState is what a process hands over that knows no server and has heard of no operator.
+// bareHandoverState is what a process hands over that knows no server and has had no operator command.
 func bareHandoverState() handoverState {
 	return handoverState{
-		Version: 2, Operators: operatorState{BannedSince: map[string]int64{}, StartedAt: map[string]int64{}}, Endpoints: []node.Endpoint{}, RequestIDSeed: 1,
+		Version:       2,
+		Operators:     operatorState{BannedSince: map[string]int64{}, StartedAt: map[string]int64{}},
+		Endpoints:     []node.Endpoint{},
+		RequestIDSeed: 1,
 	}
 }
 
