--- a/cmd/robincart/descriptors_test.go
+++ b/cmd/robincart/descriptors_test.go
@@ -216,7 +216,7 @@
 				require.Eventually(t, func() bool { return between.calls() > 0 }, 20*time.Second, time.Millisecond)
 			} else {
 				d.Gone(true)
-				require.Eventually(t, func() bool { return strings.Contains(p.Log(), "no watch of the server list") }, 20*time.Second, time.Millisecond)
+				require.Eventually(t, func() bool { return strings.Contains(p.Log(), "endpoint watch lost") }, 20*time.Second, time.Millisecond)
 			}
 			for _, x := range callers[:requests] {
 				x.ask("POST /slow", "slow")
--- a/internal/controlplane/endpoints/moves_test.go
+++ b/internal/controlplane/endpoints/address_test.go
@@ -17,66 +17,66 @@
 	"robincart/internal/testutil"
 )
 
-// handClock moves when told to.
-type handClock struct {
+// manualClock moves when told to.
+type manualClock struct {
 	mu     sync.Mutex
 	now    time.Duration
-	timers []handTimer
+	timers []manualTimer
 }
 
-type handTimer struct {
+type manualTimer struct {
 	at time.Duration
 	f  func()
 }
 
-func (h *handClock) Now() time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.now
+func (m *manualClock) Now() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.now
 }
 
-func (h *handClock) AfterFunc(d time.Duration, f func()) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.timers = append(h.timers, handTimer{h.now + d, f})
+func (m *manualClock) AfterFunc(d time.Duration, f func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.timers = append(m.timers, manualTimer{m.now + d, f})
 }
 
-func (h *handClock) step() {
-	h.mu.Lock()
-	h.now += time.Millisecond
+func (m *manualClock) step() {
+	m.mu.Lock()
+	m.now += time.Millisecond
 	var due []func()
-	rest := h.timers[:0]
-	for _, t := range h.timers {
-		if t.at <= h.now {
+	rest := m.timers[:0]
+	for _, t := range m.timers {
+		if t.at <= m.now {
 			due = append(due, t.f)
 		} else {
 			rest = append(rest, t)
 		}
 	}
-	h.timers = rest
-	h.mu.Unlock()
+	m.timers = rest
+	m.mu.Unlock()
 	for _, f := range due {
 		f()
 	}
 }
 
-// toldCore is the real core, with word of each failure that it was told.
-type toldCore struct {
+// failureRecorder is the real core, with word of each failure that it was told.
+type failureRecorder struct {
 	*node.Core
-	told chan bool
+	resets chan bool
 }
 
-func (t toldCore) EndpointWatchFailed(f node.WatchFailure) {
+func (t failureRecorder) EndpointWatchFailed(f node.WatchFailure) {
 	t.Core.EndpointWatchFailed(f)
-	t.told <- f.ResetBackoff
+	t.resets <- f.ResetBackoff
 }
 
 // The watcher tells each move's failure; the module still has one call to make, not one for each.
 func TestMovesWhileDiscoveryIsDownMakeTheModuleAskNoOftener(t *testing.T) {
 	n, err := settings.Parse([]byte(`{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],"RegistryMode":"subscribe","Rules":{"MustAskInMs":1}}`))
 	require.NoError(t, err)
-	clk, asks := &handClock{}, atomic.Int64{}
-	core := toldCore{node.New(n, 1, clk, time.Now(), func() { asks.Add(1) }), make(chan bool, 9)}
+	clk, asks := &manualClock{}, atomic.Int64{}
+	core := failureRecorder{node.New(n, 1, clk, time.Now(), func() { asks.Add(1) }), make(chan bool, 9)}
 	w := New(freeAddress(t), nil, limits.Limits{DiscoveryConnectTimeout: time.Second, FirstUpdateTimeout: time.Second, MaxUpdateDelay: time.Second, MaxCallInterval: time.Hour, WatchSilenceTimeout: time.Hour}, limits.NewBudget(1, 0, nil), zap.NewNop())
 	w.SetReceiver(core)
 	ctx, end := context.WithCancel(context.Background())
@@ -84,10 +84,10 @@
 	go func() { w.Run(ctx); close(done) }()
 	defer func() { end(); <-done; core.Close() }()
 	w.RequestWatch()
-	assert.False(t, testutil.Receive(t, core.told))
+	assert.False(t, testutil.Receive(t, core.resets))
 	for range 3 {
 		w.SetAddress(freeAddress(t))
-		assert.True(t, testutil.Receive(t, core.told))
+		assert.True(t, testutil.Receive(t, core.resets))
 	}
 	for range 10_000 {
 		clk.step()
--- a/internal/controlplane/endpoints/delivery_test.go
+++ b/internal/controlplane/endpoints/delivery_test.go
@@ -16,22 +16,22 @@
 	"robincart/internal/protocol/settings"
 )
 
-// idleClock is a clock that stands.
-type idleClock struct{}
+// frozenClock is a clock that stands.
+type frozenClock struct{}
 
-func (idleClock) Now() time.Duration                  { return 0 }
-func (idleClock) AfterFunc(d time.Duration, f func()) {}
+func (frozenClock) Now() time.Duration                  { return 0 }
+func (frozenClock) AfterFunc(d time.Duration, f func()) {}
 
-func idleCore(t testing.TB) *node.Core {
+func frozenCore(t testing.TB) *node.Core {
 	s, err := settings.Parse([]byte(`{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],"RegistryMode":"subscribe"}`))
 	require.NoError(t, err)
-	return node.New(s, 1, idleClock{}, time.Now(), func() {})
+	return node.New(s, 1, frozenClock{}, time.Now(), func() {})
 }
 
-// indented is a whole list as a discovery may write it, over many lines.
-func indented(t testing.TB, servers int, phase string) []byte {
+// indentedSnapshot is a whole list as a discovery may write it, over many lines.
+func indentedSnapshot(t testing.TB, servers int, phase string) []byte {
 	var out bytes.Buffer
-	require.NoError(t, json.Indent(&out, crowd(servers, func(i int) string { return member1(fmt.Sprint("server-", i), phase) }), "", "    "))
+	require.NoError(t, json.Indent(&out, snapshotOf(servers, func(i int) string { return memberJSON(fmt.Sprint("server-", i), phase) }), "", "    "))
 	return out.Bytes()
 }
 
@@ -40,10 +40,10 @@
 func BenchmarkDelivery(b *testing.B) {
 	for _, servers := range []int{1, 30, 300, 1024, 20_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			core := idleCore(b)
-			text := indented(b, servers, "ready")
+			core := frozenCore(b)
+			text := indentedSnapshot(b, servers, "ready")
 			for b.Loop() {
-				messages := feed{from: bytes.NewReader(text), most: 64 << 20, chunk: make([]byte, 2<<10), alive: func() {}}
+				messages := messageReader{source: bytes.NewReader(text), maxMessage: 64 << 20, buffer: make([]byte, 2<<10), onAlive: func() {}}
 				message, err := messages.next()
 				require.NoError(b, err)
 				list, err := Parse(message)
@@ -57,12 +57,12 @@
 // Neither a list of servers nor the servers of a service are capped below what the operators' fleets have.
 func TestAThousandServersAreTaken(t *testing.T) {
 	const servers = 1024
-	core := idleCore(t)
-	list, err := Parse(indented(t, servers, "ready"))
+	core := frozenCore(t)
+	list, err := Parse(indentedSnapshot(t, servers, "ready"))
 	require.NoError(t, err)
 	core.UpdateEndpoints(list.Entries(nil, zap.NewNop()), list.Complete)
 	assert.Len(t, core.Endpoints(), servers)
 	assert.GreaterOrEqual(t, MaxMembers, servers)
-	l := len(strings.TrimSpace(string(indented(t, servers, "ready"))))
+	l := len(strings.TrimSpace(string(indentedSnapshot(t, servers, "ready"))))
 	assert.Less(t, l, 4<<20, "an indented list of them fits into limits.ListBytes")
 }
--- a/internal/controlplane/endpoints/endpoints_test.go
+++ b/internal/controlplane/endpoints/endpoints_test.go
@@ -24,57 +24,59 @@
 	"robincart/internal/testutil"
 )
 
-type news struct {
-	entries []node.Endpoint
-	full    bool
-	failed  bool
-	anew    bool
+type update struct {
+	entries      []node.Endpoint
+	full         bool
+	failed       bool
+	resetBackoff bool
 }
 
-type fakeCore chan news
+type fakeReceiver chan update
 
-func (c fakeCore) UpdateEndpoints(e []node.Endpoint, full bool) { c <- news{entries: e, full: full} }
-func (c fakeCore) EndpointWatchFailed(f node.WatchFailure) {
-	c <- news{failed: true, anew: f.ResetBackoff}
+func (c fakeReceiver) UpdateEndpoints(e []node.Endpoint, full bool) {
+	c <- update{entries: e, full: full}
+}
+func (c fakeReceiver) EndpointWatchFailed(f node.WatchFailure) {
+	c <- update{failed: true, resetBackoff: f.ResetBackoff}
 }
 
-func (c fakeCore) next(t *testing.T) news {
+func (c fakeReceiver) next(t *testing.T) update {
 	t.Helper()
 	select {
 	case n := <-c:
 		return n
 	case <-time.After(5 * time.Second):
 		require.Fail(t, "no news came")
-		return news{}
+		return update{}
 	}
 }
 
-const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const responseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-func line(revision int, complete bool, members ...string) string {
+func messageChunk(revision int, complete bool, members ...string) string {
 	return chunk(fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`+"\n", revision, complete,
 		strings.Join(members, ",")))
 }
 
-func member1(id, phase string) string {
+func memberJSON(id, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:80","locality":"south","flavor":"m2","cell":3,"phase":%q,`+
 		`"size":1.5,"up_since_ms":1800000000000}`, id, phase)
 }
 
-func times() limits.Limits {
+func testLimits() limits.Limits {
 	return limits.Limits{Wire: httpwire.Sizes{BufferSize: 64, ReadSize: 64, MaxHead: 4096, MaxBody: 4096, MaxChunkLine: 64}, MaxListLine: 1 << 16,
 		DiscoveryConnectTimeout: time.Second, FirstUpdateTimeout: 500 * time.Millisecond, MaxUpdateDelay: 5 * time.Second, MaxCallInterval: time.Hour, WatchSilenceTimeout: 200 * time.Millisecond}
 }
 
-// watch starts a Watcher at a discovery that writes one text to each call, in turn, and then does as the last
+// startWatcher starts a Watcher at a discovery that writes one text to each call, in turn, and then does as the last
 // says.
-func watch(t *testing.T, known string, calls ...func(net.Conn)) (fakeCore, *Watcher, chan string) {
-	return watchIn(t, times(), known, calls...)
+func startWatcher(t *testing.T, known string, calls ...func(net.Conn)) (fakeReceiver, *Watcher, chan string) {
+	return startWatcherWith(t, testLimits(), known, calls...)
 }
 
-func watchIn(t *testing.T, l limits.Limits, known string, calls ...func(net.Conn)) (fakeCore, *Watcher, chan string) {
+func startWatcherWith(t *testing.T, l limits.Limits, known string, calls ...func(net.Conn)) (fakeReceiver, *Watcher, chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	asked := make(chan string, 9)
@@ -100,7 +102,7 @@
 		}
 	}()
 	w := New(ln.Addr().String(), []string{"north", "south"}, l, limits.NewBudget(2, 0, nil), zap.NewNop())
-	core := make(fakeCore, 9)
+	core := make(fakeReceiver, 9)
 	list, err := Parse([]byte(known))
 	require.NoError(t, err)
 	w.StartWith(core, list)
@@ -113,19 +115,19 @@
 	return core, w, asked
 }
 
-func say(parts ...string) func(net.Conn) {
+func send(parts ...string) func(net.Conn) {
 	return func(c net.Conn) { io.WriteString(c, strings.Join(parts, "")) }
 }
 
-func sayAndClose(parts ...string) func(net.Conn) {
+func sendAndClose(parts ...string) func(net.Conn) {
 	return func(c net.Conn) { io.WriteString(c, strings.Join(parts, "")); c.Close() }
 }
 
-const nothing = `{"revision":41,"complete":true,"members":[]}`
+const emptySnapshot = `{"revision":41,"complete":true,"members":[]}`
 
 func TestAWatchTellsTheListAndThenItsChanges(t *testing.T) {
-	core, _, asked := watch(t, nothing, say(head, line(43, true, member1("a", "ready")), chunk("\n"),
-		line(44, false, member1("a", "draining"))))
+	core, _, asked := startWatcher(t, emptySnapshot, send(responseHead, messageChunk(43, true, memberJSON("a", "ready")), chunk("\n"),
+		messageChunk(44, false, memberJSON("a", "draining"))))
 	assert.Equal(t, "GET /registry/instances?follow=1&since=41 HTTP/1.1", testutil.Receive(t, asked))
 	n := core.next(t)
 	assert.True(t, n.full)
@@ -137,35 +139,35 @@
 }
 
 func TestAChangeOlderThanTheListHeldIsDropped(t *testing.T) {
-	core, _, _ := watch(t, nothing, say(head, line(40, false, member1("gone long ago", "ready")),
-		line(41, false, member1("known", "ready")), line(42, false, member1("new", "ready"))))
-	assert.Equal(t, news{}, core.next(t), "that it answered is news all the same")
-	assert.Equal(t, news{}, core.next(t))
+	core, _, _ := startWatcher(t, emptySnapshot, send(responseHead, messageChunk(40, false, memberJSON("gone long ago", "ready")),
+		messageChunk(41, false, memberJSON("known", "ready")), messageChunk(42, false, memberJSON("new", "ready"))))
+	assert.Equal(t, update{}, core.next(t), "that it answered is news all the same")
+	assert.Equal(t, update{}, core.next(t))
 	assert.Equal(t, "new", core.next(t).entries[0].ID)
 }
 
 func TestEachWayThatAWatchCanEndIsToldAndTheListStays(t *testing.T) {
 	for name, call := range map[string]func(net.Conn){
-		"refused":        sayAndClose("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+		"refused":        sendAndClose("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
 		"reset":          func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 		"no answer":      func(net.Conn) {},
-		"ended":          sayAndClose(head, "0\r\n\r\n"),
-		"broken off":     sayAndClose(head, "ff\r\n{\"rev"),
-		"malformed":      say(head, chunk("{\"revision\":}\n")),
-		"not chunked":    say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
-		"silence":        say(head, chunk("\n")),
-		"no message":     say(head, chunk("null\n")),
-		"no end":         say(head, chunk("{\"members\":[\""), strings.Repeat(chunk(strings.Repeat("x", 4096)), 20)),
-		"two phases":     say(head, line(42, true, member1("b", "ready"), member1("b", "draining"))),
-		"half a message": say(head, line(41, false), chunk("{\"revision\":42,")),
+		"ended":          sendAndClose(responseHead, "0\r\n\r\n"),
+		"broken off":     sendAndClose(responseHead, "ff\r\n{\"rev"),
+		"malformed":      send(responseHead, chunk("{\"revision\":}\n")),
+		"not chunked":    send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
+		"silence":        send(responseHead, chunk("\n")),
+		"no message":     send(responseHead, chunk("null\n")),
+		"no end":         send(responseHead, chunk("{\"members\":[\""), strings.Repeat(chunk(strings.Repeat("x", 4096)), 20)),
+		"two phases":     send(responseHead, messageChunk(42, true, memberJSON("b", "ready"), memberJSON("b", "draining"))),
+		"half a message": send(responseHead, messageChunk(41, false), chunk("{\"revision\":42,")),
 	} {
-		core, w, asked := watch(t, nothing, call, say(head, line(50, true, member1("a", "ready"))))
+		core, w, asked := startWatcher(t, emptySnapshot, call, send(responseHead, messageChunk(50, true, memberJSON("a", "ready"))))
 		n := core.next(t)
 		if name == "half a message" {
 			n = core.next(t)
 		}
 		silent := name == "no answer" || name == "silence" || name == "half a message"
-		assert.Equal(t, news{failed: true, anew: silent}, n, name)
+		assert.Equal(t, update{failed: true, resetBackoff: silent}, n, name)
 		w.RequestWatch()
 		assert.Contains(t, testutil.Receive(t, asked), "since=41", name)
 		assert.Contains(t, testutil.Receive(t, asked), "since=41", name)
@@ -174,13 +176,13 @@
 }
 
 func TestEmptyLinesKeepAWatchAlive(t *testing.T) {
-	core, _, asked := watch(t, nothing, func(c net.Conn) {
-		io.WriteString(c, head)
+	core, _, asked := startWatcher(t, emptySnapshot, func(c net.Conn) {
+		io.WriteString(c, responseHead)
 		for range 8 {
 			time.Sleep(40 * time.Millisecond)
 			io.WriteString(c, chunk("\n"))
 		}
-		io.WriteString(c, line(42, false, member1("a", "ready")))
+		io.WriteString(c, messageChunk(42, false, memberJSON("a", "ready")))
 	})
 	assert.Equal(t, "a", core.next(t).entries[0].ID)
 	assert.Len(t, asked, 1)
@@ -192,8 +194,8 @@
 	require.NoError(t, err)
 	defer fresh.Close()
 	ended := make(chan error, 1)
-	core, w, asked := watch(t, nothing, func(c net.Conn) {
-		io.WriteString(c, head+line(43, true, member1("a", "ready")))
+	core, w, asked := startWatcher(t, emptySnapshot, func(c net.Conn) {
+		io.WriteString(c, responseHead+messageChunk(43, true, memberJSON("a", "ready")))
 		go func() {
 			_, err := io.ReadAll(c)
 			ended <- err
@@ -207,7 +209,7 @@
 	require.NoError(t, err)
 	first, _ := bufio.NewReader(c).ReadString('\n')
 	assert.Contains(t, first, "since=0")
-	io.WriteString(c, head+line(7, false, member1("b", "ready")))
+	io.WriteString(c, responseHead+messageChunk(7, false, memberJSON("b", "ready")))
 	assert.Equal(t, "b", core.next(t).entries[0].ID)
 	c.Close()
 	assert.True(t, core.next(t).failed, "the module asks again in its own time")
@@ -217,33 +219,33 @@
 // A node that has waited for long since discovery was down must not wait as long for a new one whose first call fails: what that
 // tells binds it seconds after the move. Of all that fails while the module waits it makes one call (decide's own test).
 func TestAMoveWhileDiscoveryIsDownBeginsThePausesAnew(t *testing.T) {
-	core, w, asked := watch(t, nothing, sayAndClose("no"))
-	assert.Equal(t, news{failed: true}, core.next(t))
+	core, w, asked := startWatcher(t, emptySnapshot, sendAndClose("no"))
+	assert.Equal(t, update{failed: true}, core.next(t))
 	testutil.Receive(t, asked)
 	here := w.addr
 	for range 3 {
 		w.SetAddress(freeAddress(t))
-		assert.Equal(t, news{failed: true, anew: true}, core.next(t))
+		assert.Equal(t, update{failed: true, resetBackoff: true}, core.next(t))
 	}
 	w.SetAddress(here)
 	assert.Contains(t, testutil.Receive(t, asked), "since=0")
-	assert.Equal(t, news{failed: true, anew: true}, core.next(t))
+	assert.Equal(t, update{failed: true, resetBackoff: true}, core.next(t))
 	w.RequestWatch()
-	assert.Equal(t, news{failed: true}, core.next(t), "this discovery has had its call")
+	assert.Equal(t, update{failed: true}, core.next(t), "this discovery has had its call")
 }
 
 // The bench's calm+brink: a call was on its way when all watches fell silent, and its node listened to nobody for 6 s.
 func TestACallThatIsNotAnsweredIsGivenUpInTimeForAnother(t *testing.T) {
 	mute := func(net.Conn) {}
-	core, w, asked := watch(t, nothing, sayAndClose("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), mute, mute, say(head, line(42, false, member1("a", "draining"))))
+	core, w, asked := startWatcher(t, emptySnapshot, sendAndClose("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), mute, mute, send(responseHead, messageChunk(42, false, memberJSON("a", "draining"))))
 	first := testutil.Receive(t, asked)
-	assert.Equal(t, news{failed: true}, core.next(t))
+	assert.Equal(t, update{failed: true}, core.next(t))
 	w.RequestWatch()
 	testutil.Receive(t, asked)
-	assert.Equal(t, news{failed: true, anew: true}, core.next(t))
+	assert.Equal(t, update{failed: true, resetBackoff: true}, core.next(t))
 	w.RequestWatch()
 	assert.Equal(t, first, testutil.Receive(t, asked))
-	assert.Equal(t, news{failed: true, anew: true}, core.next(t))
+	assert.Equal(t, update{failed: true, resetBackoff: true}, core.next(t))
 	w.RequestWatch()
 	assert.Equal(t, decide.Draining, core.next(t).entries[0].State)
 }
@@ -253,12 +255,12 @@
 func TestACallThatStandsInAQueueIsStillTakenBesideTheNext(t *testing.T) {
 	conns := make(chan net.Conn, 9)
 	hold := func(c net.Conn) { conns <- c }
-	core, w, asked := watch(t, nothing, hold)
+	core, w, asked := startWatcher(t, emptySnapshot, hold)
 	var stand []net.Conn
 	for range 3 {
 		testutil.Receive(t, asked)
 		stand = append(stand, testutil.Receive(t, conns))
-		assert.Equal(t, news{failed: true, anew: true}, core.next(t), "another call is wanted")
+		assert.Equal(t, update{failed: true, resetBackoff: true}, core.next(t), "another call is wanted")
 		w.RequestWatch()
 	}
 	testutil.Receive(t, asked)
@@ -270,10 +272,10 @@
 	}
 	assert.True(t, left(stand[0]), "two stand at most")
 	assert.True(t, left(stand[1]))
-	io.WriteString(stand[2], head+line(42, true, member1("a", "draining")))
+	io.WriteString(stand[2], responseHead+messageChunk(42, true, memberJSON("a", "draining")))
 	assert.Equal(t, decide.Draining, core.next(t).entries[0].State, "the earlier one is answered first")
 	assert.True(t, left(stand[3]), "and the other one leaves the queue")
-	io.WriteString(stand[2], line(43, true, member1("b", "ready")))
+	io.WriteString(stand[2], messageChunk(43, true, memberJSON("b", "ready")))
 	assert.Equal(t, "b", core.next(t).entries[0].ID)
 	stand[2].Close()
 	assert.True(t, core.next(t).failed, "the watch's end is told, whatever the call was told to be")
@@ -282,33 +284,33 @@
 
 // Each list begins the pauses anew only if its watch lasted: a discovery that ends each watch right behind its list is overrun.
 func TestAWatchThatEndsRightBehindItsListDoesNotBeginThePausesAnew(t *testing.T) {
-	l := times()
+	l := testLimits()
 	l.WatchSilenceTimeout = time.Hour
-	core, _, _ := watchIn(t, l, nothing, sayAndClose(head, line(42, true)))
+	core, _, _ := startWatcherWith(t, l, emptySnapshot, sendAndClose(responseHead, messageChunk(42, true)))
 	core.next(t)
-	assert.Equal(t, news{failed: true}, core.next(t))
-	core, _, _ = watch(t, nothing, func(c net.Conn) {
-		io.WriteString(c, head+line(42, true))
+	assert.Equal(t, update{failed: true}, core.next(t))
+	core, _, _ = startWatcher(t, emptySnapshot, func(c net.Conn) {
+		io.WriteString(c, responseHead+messageChunk(42, true))
 		for range 4 {
-			time.Sleep(times().WatchSilenceTimeout / 2)
+			time.Sleep(testLimits().WatchSilenceTimeout / 2)
 			io.WriteString(c, chunk("\n"))
 		}
 		c.Close()
 	})
 	core.next(t)
-	assert.Equal(t, news{failed: true, anew: true}, core.next(t), "it has lasted")
+	assert.Equal(t, update{failed: true, resetBackoff: true}, core.next(t), "it has lasted")
 }
 
 func TestListsMayComeIndentedAndCutAnywhere(t *testing.T) {
 	var text bytes.Buffer
-	compact := fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s,%s]}`, 50, member1(`a"}{`, "ready"), member1("b", "draining"))
+	compact := fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s,%s]}`, 50, memberJSON(`a"}{`, "ready"), memberJSON("b", "draining"))
 	require.NoError(t, json.Indent(&text, []byte(compact), "\r\n", "    "))
 	whole := text.String() + text.String() + "\n\n" + strings.ReplaceAll(text.String(), `50`, `51`)
 	var cut strings.Builder
 	for i := 0; i < len(whole); i += 7 {
 		cut.WriteString(chunk(whole[i:min(i+7, len(whole))]))
 	}
-	core, _, asked := watch(t, nothing, say(head, cut.String()))
+	core, _, asked := startWatcher(t, emptySnapshot, send(responseHead, cut.String()))
 	for range 3 {
 		n := core.next(t)
 		assert.True(t, n.full)
@@ -329,33 +331,33 @@
 	require.NoError(t, err)
 	ln.Close()
 	w := New(ln.Addr().String(), nil, limits.Limits{DiscoveryConnectTimeout: time.Second, FirstUpdateTimeout: time.Second, MaxUpdateDelay: time.Second}, limits.NewBudget(1, 0, nil), zap.NewNop())
-	core := make(fakeCore, 2)
-	w.core = core
+	core := make(fakeReceiver, 2)
+	w.receiver = core
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	go w.Run(ctx)
 	w.RequestWatch()
-	assert.Equal(t, news{failed: true}, core.next(t))
+	assert.Equal(t, update{failed: true}, core.next(t))
 }
 
 func TestANodeShortOfDescriptorsDoesNotPutTheListOff(t *testing.T) {
 	budget := limits.NewBudget(1, 0, nil)
 	require.True(t, budget.Acquire())
 	w := New(freeAddress(t), nil, limits.Limits{}, budget, zap.NewNop())
-	core := make(fakeCore, 2)
-	w.core = core
+	core := make(fakeReceiver, 2)
+	w.receiver = core
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	go w.Run(ctx)
 	w.RequestWatch()
-	assert.Equal(t, news{failed: true, anew: true}, core.next(t), "discovery has had no call")
+	assert.Equal(t, update{failed: true, resetBackoff: true}, core.next(t), "discovery has had no call")
 }
 
 func TestOneBadEntryCostsNoOther(t *testing.T) {
 	l, err := Parse([]byte(`{"revision":1,"complete":true,"members":[` + strings.Join([]string{
-		member1("good", "ready"),
-		member1("phase", "resting"),
-		member1("", "ready"),
+		memberJSON("good", "ready"),
+		memberJSON("phase", "resting"),
+		memberJSON("", "ready"),
 		`{"id":"address","host_port":"example.org:80","phase":"ready"}`,
 		`{"id":"port","host_port":"127.0.0.1:99999","phase":"ready"}`,
 		`{"id":"type","host_port":"127.0.0.1:80","phase":"ready","cell":"three"}`,
@@ -372,8 +374,8 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(nothing))
-	f.Add([]byte(`{"revision":1,"members":[` + member1("a", "ready") + `,null,{}]}`))
+	f.Add([]byte(emptySnapshot))
+	f.Add([]byte(`{"revision":1,"members":[` + memberJSON("a", "ready") + `,null,{}]}`))
 	f.Add([]byte(`{"revision":-1,"members":null}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l, err := Parse(text)
@@ -391,18 +393,18 @@
 // Discovery is down, and each watch ends. What stands in the watcher's way between two tries takes every descriptor that it can get.
 func TestAWatcherKeepsItsDescriptorFromWatchToWatch(t *testing.T) {
 	budget := limits.NewBudget(3, 0, nil)
-	w := New(freeAddress(t), nil, times(), budget, zap.NewNop())
-	core := make(fakeCore, 9)
-	w.core = core
+	w := New(freeAddress(t), nil, testLimits(), budget, zap.NewNop())
+	core := make(fakeReceiver, 9)
+	w.receiver = core
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { w.Run(ctx); close(done) }()
 	w.RequestWatch()
-	assert.Equal(t, news{failed: true}, core.next(t))
+	assert.Equal(t, update{failed: true}, core.next(t))
 	for budget.Acquire() {
 	}
 	w.RequestWatch()
-	assert.Equal(t, news{failed: true}, core.next(t), "it has a descriptor, and discovery is called")
+	assert.Equal(t, update{failed: true}, core.next(t), "it has a descriptor, and discovery is called")
 	end()
 	<-done
 	assert.Equal(t, 1, budget.Available(), "it comes back at the end")
--- a/internal/controlplane/endpoints/errors.go
+++ b/internal/controlplane/endpoints/errors.go
@@ -3,68 +3,64 @@
 import (
 	"errors"
 	"fmt"
+
 	"robincart/internal/system/socket"
 )
 
-// RejectedError is a call for the server list that discovery answered with something else than a list.
+// RejectedError means that discovery answered a poll with another HTTP status than 200.
 type RejectedError struct {
 	Status int // of HTTP
 }
 
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("discovery answered %d: the list held stays and the call is made again; if this lasts, look at discovery's load "+
-		"and at the number of nodes that call it", e.Status)
+	return fmt.Sprintf("discovery answered %d: the current endpoint list stays in force and the poll is retried; "+
+		"if this lasts, look at discovery's load and at the number of nodes that poll it", e.Status)
 }
 
-// EntryLimitError is a message or a service with more servers than are taken. The list held stays.
+// EntryLimitError means that a message has more entries than are accepted. The current list stays in force.
 type EntryLimitError struct {
 	Entries int
 }
 
 func (e *EntryLimitError) Error() string {
-	return fmt.Sprintf("server list: %d entries, %d at most are taken: whoever fills discovery has lost count; take out what is not there, "+
-		"or split the service", e.Entries, MaxMembers)
+	return fmt.Sprintf("endpoint list: %d entries, %d at most are accepted: whoever fills discovery has lost count; "+
+		"remove entries that do not exist, or split the service", e.Entries, MaxMembers)
 }
 
-// ConflictError is a whole list that names a server twice, in two phases. The list held stays.
+// ConflictError means that a snapshot names one server in two phases. The current list stays in force.
 type ConflictError struct {
 	ID          string
-	FirstPhase  string // phase
+	FirstPhase  string
 	SecondPhase string
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("server list: %.100q is named as %s and as %s in one whole list: two processes have one name, or discovery holds an old "+
-		"entry; take one out", e.ID, e.FirstPhase, e.SecondPhase)
+	return fmt.Sprintf("endpoint list: %.100q is named as %s and as %s in one snapshot: two processes have one name, "+
+		"or discovery holds an old entry; take one out", e.ID, e.FirstPhase, e.SecondPhase)
 }
 
-// MalformedError is a message that can't be read as one of the list. The list held stays.
+// MalformedError means that a message is not one of discovery's protocol. The current list stays in force.
 type MalformedError struct {
 	Cause error
 }
 
 func (e *MalformedError) Error() string {
-	return fmt.Sprintf("server list: %v: what answers there is no discovery, or one of another version", e.Cause)
+	return fmt.Sprintf("endpoint list: %v: what answers there is no discovery, or one of another version", e.Cause)
 }
 
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// IncompleteTurnoverError is a watch whose changes have named more servers since the last whole list than a service may have. Many may have
-// left since, so the whole list is asked for.
+// IncompleteTurnoverError means that the deltas of a watch have named more servers since the last snapshot than a
+// service may have. Many of them may be gone, which only a new snapshot can tell.
 type IncompleteTurnoverError struct{}
 
 func (e *IncompleteTurnoverError) Error() string {
-	return fmt.Sprintf("server list: changes named more than %d servers since the last whole list, which is asked for; if this lasts, see "+
-		"what makes servers come and go", MaxMembers)
+	return fmt.Sprintf("endpoint list: deltas named more than %d servers since the last snapshot; a new snapshot is "+
+		"requested; if this lasts, find out why servers are replaced so often", MaxMembers)
 }
 
-var (
-	errNoDescriptor = errors.New("no descriptor left for discovery: raise the process's limit or limits.sockets")
-	errUnanswered   = errors.New("discovery has not answered yet")
-	errDropped      = errors.New("another call was answered")
-)
-
-// ShortageError is a call that this machine had no means for: discovery has had no call, and is not to blame.
+// ShortageError means that this machine lacked the means for a poll. It never reached discovery, which is not to
+// blame.
 type ShortageError struct{ Cause error }
 
 func (e *ShortageError) Error() string {
@@ -72,3 +68,11 @@
 }
 
 func (e *ShortageError) Unwrap() error { return e.Cause }
+
+var (
+	errNoDescriptor = errors.New(
+		"no descriptor left for discovery: raise the process's limit or limits.sockets")
+	errUnanswered      = errors.New("discovery has not answered yet")
+	errDropped         = errors.New("another poll was answered")
+	errMessageTooLarge = errors.New("endpoint list: a message larger than the limit for one list")
+)
--- a/internal/controlplane/endpoints/golden_test.go
+++ b/internal/controlplane/endpoints/golden_test.go
@@ -170,8 +170,8 @@
 		request <- text[:n]
 		io.WriteString(server, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	}()
-	watcher := New("10.0.0.9:8500", goldenZones, times(), limits.NewBudget(1, 0, nil), zap.NewNop())
-	status, _, err := watcher.call(client, &call{at: "10.0.0.9:8500", since: 41})
+	watcher := New("10.0.0.9:8500", goldenZones, testLimits(), limits.NewBudget(1, 0, nil), zap.NewNop())
+	status, _, err := watcher.sendRequest(client, &poll{addr: "10.0.0.9:8500", since: 41})
 	require.NoError(t, err)
 	assert.Equal(t, 503, status)
 	testutil.EqualGolden(t, "watch-request.http", testutil.Receive(t, request))
--- a/internal/controlplane/endpoints/list.go
+++ b/internal/controlplane/endpoints/list.go
@@ -1,4 +1,3 @@
-// Package registry follows the list of servers at discovery.
 package endpoints
 
 import (
@@ -18,13 +17,35 @@
 	"robincart/internal/core/node"
 )
 
-// List is one message of discovery: the whole list, or the entries that changed.
+const (
+	// MaxMembers is how many entries a message may have, and how many servers a service. A fleet of the target size
+	// has 440 in all; a source that lists more than this has lost count, and each entry would cost the node a record.
+	MaxMembers = 20_000
+
+	// maxSkippedLogged is how many skipped entries of one message are logged one by one; of the others only the
+	// number is.
+	maxSkippedLogged = 10
+
+	// maxLoggedBytes is how much of a skipped entry is logged.
+	maxLoggedBytes = 1000
+
+	maxPort = 65535
+
+	// maxStartMillis is the end of plausible start times, in milliseconds of Unix time: some 30,000 years ahead.
+	// Later ones are ignored.
+	maxStartMillis = 1e15
+)
+
+var phases = map[string]decide.State{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+
+// List is one message of discovery: a snapshot of all entries, or a delta with those that changed.
 type List struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"`
+	Complete bool     `json:"complete"` // a snapshot
 	Members  []member `json:"members"`
 }
 
+// member is one entry of a message.
 type member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -34,32 +55,22 @@
 	Size     float64 `json:"size"`
 	UpSince  float64 `json:"up_since_ms"`
 
-	err  error  // why it can't be read
-	text []byte // as it came, then
+	err  error  // why it can't be decoded; nil: it was
+	text []byte // the begin of what can't be decoded
 }
 
-// UnmarshalJSON never fails: one bad entry must not cost the others.
+// UnmarshalJSON never fails: one malformed entry must not cost the others. The error is kept in the entry.
 func (m *member) UnmarshalJSON(text []byte) error {
 	type fields member
-	if m.err = json.Unmarshal(text, (*fields)(m)); m.err != nil {
+	m.err = json.Unmarshal(text, (*fields)(m))
+	if m.err != nil {
 		m.text = bytes.Clone(text[:min(len(text), maxLoggedBytes)])
 	}
 	return nil
 }
 
-var phases = map[string]decide.State{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
-
-// MaxMembers is how many entries a message may have, and a service servers. A fleet of the target's size has 440 in all; who
-// claims more than this has lost count, and each would cost the node a record.
-const MaxMembers = 20_000
-
-// maxSkippedLogged is how many skipped entries of one message are logged each; of the rest only the number is.
-const maxSkippedLogged = 10
-
-// maxLoggedBytes is how much of a skipped entry is logged.
-const maxLoggedBytes = 1000
-
-// Parse reads one message.
+// Parse decodes one message. It returns an error only where the message as a whole can't be used; entries that can't
+// be used are left to Entries.
 func Parse(text []byte) (*List, error) {
 	l := &List{}
 	if err := json.Unmarshal(text, l); err != nil {
@@ -71,61 +82,75 @@
 	if l.Revision < 0 {
 		return nil, &MalformedError{Cause: fmt.Errorf("revision %d", l.Revision)}
 	}
-	if !l.Complete {
-		return l, nil
-	}
-	if err := l.conflict(); err != nil {
-		return nil, err
+	if l.Complete {
+		if err := l.checkPhases(); err != nil {
+			return nil, err
+		}
 	}
 	return l, nil
 }
 
-// conflict finds a server that a whole list names in two phases. Changes may: each tells of what followed the one before.
-func (l *List) conflict() error {
+// checkPhases finds a server that a snapshot names in two phases. A delta may: its entries follow one another.
+func (l *List) checkPhases() error {
 	phaseOf := make(map[string]string, len(l.Members))
 	for _, m := range l.Members {
-		if phase, named := phaseOf[m.ID]; named && phase != m.Phase && m.err == nil {
+		if m.err != nil {
+			continue
+		}
+		if phase, named := phaseOf[m.ID]; named && phase != m.Phase {
 			return &ConflictError{ID: m.ID, FirstPhase: phase, SecondPhase: m.Phase}
 		}
-		if m.err == nil && m.ID != "" {
+		if m.ID != "" {
 			phaseOf[m.ID] = m.Phase
 		}
 	}
 	return nil
 }
 
-// Entries turns a message into the core's words. A line that can't be used is left out and told: one bad line
-// must not cost the others.
+// Entries converts a message into the core's endpoints. Entries that can't be used are skipped and logged.
 func (l *List) Entries(zones []string, log *zap.Logger) []node.Endpoint {
 	out := make([]node.Endpoint, 0, len(l.Members))
 	skipped := 0
 	for i := range l.Members {
 		m := &l.Members[i]
 		state, err := m.state()
-		if err != nil {
-			if skipped++; skipped <= maxSkippedLogged {
-				log.Warn("skipped an entry of the server list", m.logged(), zap.Error(err))
-			}
+		if err == nil {
+			out = append(out, m.endpoint(state, zones, l.Revision))
 			continue
 		}
-		e := node.Endpoint{ID: m.ID, Addr: m.HostPort, State: state, Zone: slices.Index(zones, m.Locality),
-			Cell: m.Cell, Weight: m.Size, Revision: l.Revision}
-		if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
-			e.Weight = 1
+		skipped++
+		if skipped <= maxSkippedLogged {
+			log.Warn("endpoint entry skipped", m.logField(), zap.Error(err))
 		}
-		if m.UpSince > 0 && m.UpSince < 1e15 {
-			e.StartedAt = time.UnixMilli(int64(m.UpSince))
-		}
-		out = append(out, e)
 	}
 	if skipped > maxSkippedLogged {
-		log.Warn("skipped entries of the server list", zap.Int("all", skipped), zap.Int("of", len(l.Members)))
+		log.Warn("endpoint entries skipped", zap.Int("skipped", skipped), zap.Int("total", len(l.Members)))
 	}
 	return out
 }
 
-// logged is the entry as the log shows it.
-func (m *member) logged() zap.Field {
+// endpoint converts an entry whose state is valid.
+func (m *member) endpoint(state decide.State, zones []string, revision int64) node.Endpoint {
+	e := node.Endpoint{
+		ID:       m.ID,
+		Addr:     m.HostPort,
+		State:    state,
+		Zone:     slices.Index(zones, m.Locality),
+		Cell:     m.Cell,
+		Weight:   m.Size,
+		Revision: revision,
+	}
+	if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
+		e.Weight = 1
+	}
+	if m.UpSince > 0 && m.UpSince < maxStartMillis {
+		e.StartedAt = time.UnixMilli(int64(m.UpSince))
+	}
+	return e
+}
+
+// logField is the entry as the log shows it: as it was received, as far as that is known.
+func (m *member) logField() zap.Field {
 	text := m.text
 	if m.err == nil {
 		text, _ = json.Marshal(m)
@@ -133,7 +158,7 @@
 	return zap.ByteString("entry", text[:min(len(text), maxLoggedBytes)])
 }
 
-// state is what the entry says of its server, or why it can't be used.
+// state returns the server's state, or why the entry can't be used.
 func (m *member) state() (decide.State, error) {
 	if m.err != nil {
 		return 0, m.err
@@ -145,7 +170,7 @@
 	case !known:
 		return 0, fmt.Errorf("phase %q", m.Phase)
 	case state == decide.Gone:
-		return state, nil // nobody goes there any more
+		return state, nil // nothing is sent there: its address does not matter
 	}
 	return state, checkAddress(m.HostPort)
 }
@@ -158,7 +183,7 @@
 	if net.ParseIP(host) == nil {
 		return fmt.Errorf("address: %q is no IP", host)
 	}
-	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 {
+	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > maxPort {
 		return fmt.Errorf("address: %q is no port", port)
 	}
 	return nil
--- /dev/null
+++ b/internal/controlplane/endpoints/messages.go
@@ -0,0 +1,117 @@
+package endpoints
+
+import (
+	"fmt"
+	"io"
+)
+
+// reuseFactor bounds the memory that a messageReader keeps from one message to the next, in sizes of its read buffer.
+// Snapshots are large and rare, deltas are short.
+const reuseFactor = 16
+
+// messageReader cuts the body of a watch response into messages, one JSON object each. It finds them by their braces
+// and not by line breaks, since discovery may write indented JSON.
+type messageReader struct {
+	source     io.Reader
+	maxMessage int    // bytes
+	onAlive    func() // called after white space between two messages, and after each complete message
+	buffer     []byte // of one read
+
+	position int // in buffer: bytes before it were scanned
+	filled   int // in buffer: bytes before it were read
+	message  []byte
+	depth    int  // of open braces and brackets
+	inString bool // the position is inside a JSON string
+	escaped  bool // the byte before the position is the string's backslash
+}
+
+// next returns the next message, which is valid until the call after it. Bytes of an incomplete message do not count
+// as a sign of life: a discovery that hangs in the middle of a message would otherwise never time out.
+func (m *messageReader) next() ([]byte, error) {
+	if cap(m.message) > reuseFactor*len(m.buffer) {
+		m.message = nil
+	}
+	m.message = m.message[:0]
+	for {
+		if err := m.fill(); err != nil {
+			return nil, err
+		}
+		complete, err := m.scan()
+		if err != nil {
+			return nil, err
+		}
+		if complete {
+			m.onAlive()
+			return m.message, nil
+		}
+	}
+}
+
+// fill reads more bytes once all those in the buffer were scanned.
+func (m *messageReader) fill() error {
+	if m.position < m.filled {
+		return nil
+	}
+	n, err := m.source.Read(m.buffer)
+	m.position, m.filled = 0, n
+	if n == 0 && err != nil {
+		return err
+	}
+	return nil
+}
+
+// scan appends the buffered bytes to the message up to its end, and returns whether it reached that.
+func (m *messageReader) scan() (complete bool, err error) {
+	start := m.position
+	alive := false
+	for m.position < m.filled {
+		c := m.buffer[m.position]
+		m.position++
+		if m.depth == 0 && isSpace(c) {
+			alive = true
+			start = m.position
+			continue
+		}
+		if m.depth == 0 && c != '{' {
+			return false, fmt.Errorf("endpoint list: %q where a message should begin", c)
+		}
+		m.track(c)
+		if m.depth == 0 {
+			return true, m.appendPart(m.buffer[start:m.position])
+		}
+	}
+	if err := m.appendPart(m.buffer[start:m.position]); err != nil {
+		return false, err
+	}
+	if alive {
+		m.onAlive()
+	}
+	return false, nil
+}
+
+// track follows strings and nesting over one byte of a message.
+func (m *messageReader) track(c byte) {
+	switch {
+	case m.escaped:
+		m.escaped = false
+	case m.inString:
+		m.escaped = c == '\\'
+		m.inString = c != '"'
+	case c == '"':
+		m.inString = true
+	case c == '{' || c == '[':
+		m.depth++
+	case c == '}' || c == ']':
+		m.depth--
+	}
+}
+
+func (m *messageReader) appendPart(part []byte) error {
+	if len(m.message)+len(part) > m.maxMessage {
+		return errMessageTooLarge
+	}
+	m.message = append(m.message, part...)
+	return nil
+}
+
+func isSpace(c byte) bool { return c == '\n' || c == '\r' || c == ' ' || c == '\t' }
--- /dev/null
+++ b/internal/controlplane/endpoints/polls.go
@@ -0,0 +1,161 @@
+package endpoints
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// startPoll starts a poll, if one was requested or discovery's address has changed.
+func (w *Watcher) startPoll(ctx context.Context) {
+	w.mu.Lock()
+	requested, addressChanged := w.pollRequested, w.addressChanged
+	w.pollRequested, w.addressChanged = false, false
+	needed := requested && !w.answerExpected()
+	full := len(w.polls) >= maxPolls
+	w.mu.Unlock()
+	switch {
+	case addressChanged:
+		w.dropAll()
+	case !needed:
+		return
+	case full:
+		w.dropOldest()
+	}
+	acquired := w.descriptors.acquire()
+	if !acquired && w.dropOldest() {
+		acquired = w.descriptors.acquire()
+	}
+	pollCtx, cancel := context.WithCancel(ctx)
+	p := w.addPoll(cancel)
+	if !acquired {
+		w.endPoll(p, errNoDescriptor)
+		return
+	}
+	firstUpdate := time.AfterFunc(w.limits.FirstUpdateTimeout, func() { w.markUnanswered(p) })
+	go func() {
+		err := w.runPoll(pollCtx, p)
+		firstUpdate.Stop()
+		w.descriptors.release()
+		w.endPoll(p, err)
+	}()
+}
+
+// answerExpected returns whether a watch lasts, or a poll may still be answered in time. The mutex is held.
+func (w *Watcher) answerExpected() bool {
+	for _, p := range w.polls {
+		if p.state == pollPending || p.state == pollWatching {
+			return true
+		}
+	}
+	return false
+}
+
+// addPoll adds a poll of the current address.
+func (w *Watcher) addPoll(cancel context.CancelFunc) *poll {
+	now := time.Now()
+	p := &poll{startedAt: now, lastMessage: now, cancel: cancel, done: make(chan struct{})}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.polledAddr != w.addr {
+		// Another discovery may count revisions otherwise: by the old one's, its changes would look old.
+		w.polledAddr, w.revision = w.addr, 0
+		w.failing, w.newAddress = false, true
+		w.rejectedSince = time.Time{}
+		w.log.Info("discovery address changed", zap.String("discovery", w.polledAddr))
+	}
+	p.addr, p.since = w.polledAddr, w.revision
+	if w.addressChanged { // again, since startPoll looked
+		p.drop()
+	}
+	w.polls = append(w.polls, p)
+	return p
+}
+
+// endPoll ends a poll and has Run look at it.
+func (w *Watcher) endPoll(p *poll, cause error) {
+	p.err = cause
+	p.cancel()
+	close(p.done)
+	w.signal()
+}
+
+// markUnanswered has another poll started beside one that was not answered in time.
+func (w *Watcher) markUnanswered(p *poll) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if p.state == pollPending {
+		p.state = pollUnanswered
+		w.signal()
+	}
+}
+
+// dropOldest drops the oldest poll and waits for its end. It returns false if there is none.
+func (w *Watcher) dropOldest() bool {
+	w.mu.Lock()
+	if len(w.polls) == 0 {
+		w.mu.Unlock()
+		return false
+	}
+	p := w.polls[0]
+	w.polls = w.polls[1:]
+	if p == w.watch {
+		w.watch = nil
+	}
+	p.drop()
+	w.mu.Unlock()
+	<-p.done
+	return true
+}
+
+// dropAll drops all polls, the watch included, and waits for their ends.
+func (w *Watcher) dropAll() {
+	for w.dropOldest() {
+	}
+}
+
+// failedPolls returns the polls whose failure has to be reported, and removes those that have ended.
+func (w *Watcher) failedPolls() []*poll {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	var failed, running []*poll
+	for _, p := range w.polls {
+		ended := p.ended()
+		if !ended {
+			running = append(running, p)
+		} else if p == w.watch {
+			w.watch = nil
+		}
+		if p.state != pollDropped && !p.reported && (ended || p.state == pollUnanswered) {
+			p.reported = true
+			failed = append(failed, p)
+		}
+	}
+	w.polls = running
+	return failed
+}
+
+// reportFailure reports a failed poll to the core and, if it is the first one in a row, to the log.
+func (w *Watcher) reportFailure(p *poll) {
+	cause, lasted := errUnanswered, false
+	if p.ended() {
+		cause = p.err
+		lasted = p.delivered && time.Since(p.startedAt) >= w.limits.WatchSilenceTimeout
+	}
+	w.mu.Lock()
+	if w.watch != nil || p.state == pollDropped {
+		// Meanwhile another poll was answered, whose end will be reported, or the address changed, which starts one.
+		w.mu.Unlock()
+		return
+	}
+	failure := w.watchFailure(p, cause, lasted)
+	first, revision := !w.failing, w.revision
+	w.failing, w.newAddress = true, false
+	w.mu.Unlock()
+	if first {
+		w.log.Warn("endpoint watch lost", zap.Error(cause), zap.String("discovery", p.addr),
+			zap.Int64("revision", revision))
+	}
+	w.receiver.EndpointWatchFailed(failure)
+}
--- a/internal/controlplane/endpoints/told_test.go
+++ b/internal/controlplane/endpoints/told_test.go
@@ -24,121 +24,121 @@
 // These tests play on synctest's clock: the real Watcher, the real core with its module, and a stand-in for discovery behind a
 // dialer of its own. What they measure is the same on any machine.
 
-// trouble is how the stand-in meets calls and watches.
-type trouble int
+// fault is how the stand-in meets calls and watches.
+type fault int
 
 const (
-	none     trouble = iota
-	down             // connections are refused, watches end
-	vanished         // connections never come up, open ones are silent for ever
-	mute             // connections come up, calls are not answered, watches fall silent
-	refusing         // 503; watches end
-	resets           // after a call; watches end
-	halves           // a watch brings half a message and no more
-	brief            // a watch ends right behind its list
+	noFault       fault = iota
+	down                // connections are refused, watches end
+	unreachable         // connections never come up, open ones are silent for ever
+	mute                // connections come up, calls are not answered, watches fall silent
+	rejecting           // 503; watches end
+	resetting           // after a call; watches end
+	truncating          // a watch brings half a message and no more
+	endingWatches       // a watch ends right behind its list
 )
 
-// turns is a discovery that works through calls in turn and fails those that have waited too long.
-type turns struct {
-	each  time.Duration // for one call
-	most  time.Duration // that a call waits
-	blind bool          // who has left is worked for all the same
+// fakeDiscovery is a discovery that works through calls in turn and fails those that have waited too long.
+type fakeDiscovery struct {
+	serviceTime  time.Duration // for one call
+	queueTimeout time.Duration // that a call waits
+	servesClosed bool          // who has left is worked for all the same
 	// Where a call would wait longer than busy, it is refused at once, which costs the worker refusal. 0: none is.
-	busy, refusal time.Duration
-
-	mu      sync.Mutex
-	trouble trouble
-	queue   []*waiting
-	wake    chan struct{}
-	conns   map[net.Conn]bool // true: silent from now on
-	version int               // of the list
-	news    chan struct{}     // closed when it changes
-	calls   int               // connects that were refused or lost included
-	longest int               // the queue
-	failed  int               // for they had waited too long
-	vain    int               // turns for callers that had left
-	refused int               // at once
-	free    time.Time         // when the worker will have done all that it has
+	maxWait, rejectionTime time.Duration
+
+	mu       sync.Mutex
+	fault    fault
+	queue    []*queuedPoll
+	wake     chan struct{}
+	conns    map[net.Conn]bool // true: silent from now on
+	version  int               // of the list
+	changed  chan struct{}     // closed when it changes
+	polls    int               // connects that were refused or lost included
+	maxQueue int               // the queue
+	timedOut int               // for they had waited too long
+	wasted   int               // turns for callers that had left
+	rejected int               // at once
+	idleAt   time.Time         // when the worker will have done all that it has
 }
 
-type waiting struct {
-	c    net.Conn
-	left bool
-	done bool
+type queuedPoll struct {
+	conn   net.Conn
+	closed bool
+	done   bool
 }
 
-func newTurns(each, most time.Duration) *turns {
-	return &turns{each: each, most: most, wake: make(chan struct{}, 1), news: make(chan struct{}), version: 42, conns: map[net.Conn]bool{}}
+func newFakeDiscovery(each, most time.Duration) *fakeDiscovery {
+	return &fakeDiscovery{serviceTime: each, queueTimeout: most, wake: make(chan struct{}, 1), changed: make(chan struct{}), version: 42, conns: map[net.Conn]bool{}}
 }
 
-// become begins a trouble, or ends it.
-func (t *turns) become(x trouble) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.trouble = x
-	for c := range t.conns {
-		if x == vanished || x == mute {
-			t.conns[c] = true
-		} else if x != none && x != halves && x != brief {
+// setFault begins a trouble, or ends it.
+func (f *fakeDiscovery) setFault(x fault) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.fault = x
+	for c := range f.conns {
+		if x == unreachable || x == mute {
+			f.conns[c] = true
+		} else if x != noFault && x != truncating && x != endingWatches {
 			c.Close()
-			delete(t.conns, c)
+			delete(f.conns, c)
 		}
 	}
-	if x != none {
-		t.queue = nil
+	if x != noFault {
+		f.queue = nil
 	}
 }
 
-// change has the list change, and tells it on the watches that stand.
-func (t *turns) change() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.version++
-	close(t.news)
-	t.news = make(chan struct{})
+// publishChange has the list change, and tells it on the watches that stand.
+func (f *fakeDiscovery) publishChange() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.version++
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
-// fall makes all open watches silent, or ends them; calls are answered as before.
-func (t *turns) fall(silent bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for c := range t.conns {
-		if t.conns[c] = true; !silent {
+// dropWatches makes all open watches silent, or ends them; calls are answered as before.
+func (f *fakeDiscovery) dropWatches(silent bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for c := range f.conns {
+		if f.conns[c] = true; !silent {
 			c.Close()
-			delete(t.conns, c)
+			delete(f.conns, c)
 		}
 	}
 }
 
-func (t *turns) end() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.trouble = down
-	for c := range t.conns {
+func (f *fakeDiscovery) close() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.fault = down
+	for c := range f.conns {
 		c.Close()
 	}
 }
 
-func (t *turns) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.calls++
-	switch t.trouble {
+func (f *fakeDiscovery) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.polls++
+	switch f.fault {
 	case down:
 		return nil, errors.New("refused")
-	case vanished:
-		t.mu.Unlock()
+	case unreachable:
+		f.mu.Unlock()
 		<-ctx.Done()
-		t.mu.Lock()
+		f.mu.Lock()
 		return nil, ctx.Err()
 	}
 	here, there := net.Pipe()
-	t.conns[there] = t.trouble == mute
-	go t.serve(there)
+	f.conns[there] = f.fault == mute
+	go f.serve(there)
 	return here, nil
 }
 
-func (t *turns) serve(c net.Conn) {
+func (f *fakeDiscovery) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		if line, err := r.ReadString('\n'); err != nil {
@@ -147,131 +147,131 @@
 			break
 		}
 	}
-	w := &waiting{c: c}
-	t.mu.Lock()
-	if t.conns[c] {
-		t.mu.Unlock()
+	w := &queuedPoll{conn: c}
+	f.mu.Lock()
+	if f.conns[c] {
+		f.mu.Unlock()
 		return
 	}
-	switch t.trouble {
-	case refusing:
-		t.mu.Unlock()
-		t.refuse(c)
+	switch f.fault {
+	case rejecting:
+		f.mu.Unlock()
+		f.reject(c)
 		return
-	case resets:
-		t.mu.Unlock()
+	case resetting:
+		f.mu.Unlock()
 		c.Close()
 		return
 	}
-	if now := time.Now(); t.busy > 0 {
-		if t.free.Before(now) {
-			t.free = now
+	if now := time.Now(); f.maxWait > 0 {
+		if f.idleAt.Before(now) {
+			f.idleAt = now
 		}
-		if t.free.Sub(now) > t.busy {
-			t.free = t.free.Add(t.refusal)
-			t.refused++
-			t.mu.Unlock()
-			t.refuse(c)
+		if f.idleAt.Sub(now) > f.maxWait {
+			f.idleAt = f.idleAt.Add(f.rejectionTime)
+			f.rejected++
+			f.mu.Unlock()
+			f.reject(c)
 			return
 		}
-		t.free = t.free.Add(t.each)
+		f.idleAt = f.idleAt.Add(f.serviceTime)
 	}
-	t.queue = append(t.queue, w)
-	t.longest = max(t.longest, len(t.queue))
-	t.mu.Unlock()
-	time.AfterFunc(t.most, func() {
-		t.mu.Lock()
-		late := !w.done && !w.left
+	f.queue = append(f.queue, w)
+	f.maxQueue = max(f.maxQueue, len(f.queue))
+	f.mu.Unlock()
+	time.AfterFunc(f.queueTimeout, func() {
+		f.mu.Lock()
+		late := !w.done && !w.closed
 		w.done = true
 		if late {
-			t.failed++
+			f.timedOut++
 		}
-		t.mu.Unlock()
+		f.mu.Unlock()
 		if late {
-			t.refuse(c)
+			f.reject(c)
 		}
 	})
 	select {
-	case t.wake <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 	if _, err := r.ReadByte(); err != nil {
-		t.mu.Lock()
-		w.left = true
-		t.mu.Unlock()
+		f.mu.Lock()
+		w.closed = true
+		f.mu.Unlock()
 	}
 }
 
-func (t *turns) refuse(c net.Conn) {
+func (f *fakeDiscovery) reject(c net.Conn) {
 	fmt.Fprint(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	c.Close()
 }
 
-// work is the loop of discovery.
-func (t *turns) work(ctx context.Context) {
+// serveQueue is the loop of discovery.
+func (f *fakeDiscovery) serveQueue(ctx context.Context) {
 	for ctx.Err() == nil {
-		t.mu.Lock()
-		var w *waiting
-		for len(t.queue) > 0 && w == nil {
-			w = t.queue[0]
-			if t.queue = t.queue[1:]; w.done || w.left && !t.blind {
+		f.mu.Lock()
+		var w *queuedPoll
+		for len(f.queue) > 0 && w == nil {
+			w = f.queue[0]
+			if f.queue = f.queue[1:]; w.done || w.closed && !f.servesClosed {
 				w = nil
 			}
 		}
 		if w != nil {
 			w.done = true
-			if w.left {
-				t.vain++
+			if w.closed {
+				f.wasted++
 			}
 		}
-		t.mu.Unlock()
+		f.mu.Unlock()
 		if w == nil {
 			select {
-			case <-t.wake:
+			case <-f.wake:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		t.mu.Lock()
-		rest := t.each
-		if t.busy > 0 {
-			rest = max(rest, time.Until(t.free)-time.Duration(len(t.queue))*t.each)
+		f.mu.Lock()
+		rest := f.serviceTime
+		if f.maxWait > 0 {
+			rest = max(rest, time.Until(f.idleAt)-time.Duration(len(f.queue))*f.serviceTime)
 		}
-		t.mu.Unlock()
+		f.mu.Unlock()
 		time.Sleep(rest)
-		go t.watched(w.c)
+		go f.serveWatch(w.conn)
 	}
 }
 
-func (t *turns) watched(c net.Conn) {
+func (f *fakeDiscovery) serveWatch(c net.Conn) {
 	say := func(text string) bool {
-		t.mu.Lock()
-		silent, open := t.conns[c]
-		t.mu.Unlock()
+		f.mu.Lock()
+		silent, open := f.conns[c]
+		f.mu.Unlock()
 		if !open || silent {
 			return false
 		}
 		_, err := c.Write([]byte(text))
 		return err == nil
 	}
-	t.mu.Lock()
-	x, version, news := t.trouble, t.version, t.news
-	t.mu.Unlock()
-	if x == halves {
-		say(head + chunk(`{"revision":42,`))
+	f.mu.Lock()
+	x, version, news := f.fault, f.version, f.changed
+	f.mu.Unlock()
+	if x == truncating {
+		say(responseHead + chunk(`{"revision":42,`))
 		return
 	}
-	if say(head+line(version, true)) && x == brief {
+	if say(responseHead+messageChunk(version, true)) && x == endingWatches {
 		c.Close()
 		return
 	}
 	for said := true; said; {
 		select {
 		case <-news:
-			t.mu.Lock()
-			version, news = t.version, t.news
-			t.mu.Unlock()
-			said = say(line(version, false))
+			f.mu.Lock()
+			version, news = f.version, f.changed
+			f.mu.Unlock()
+			said = say(messageChunk(version, false))
 		case <-time.After(2 * time.Second):
 			said = say(chunk("\n"))
 		}
@@ -288,39 +288,39 @@
 	time.AfterFunc(max(d, time.Nanosecond), f)
 }
 
-// hearing is a real core that notes when lists came.
-type hearing struct {
+// updateRecorder is a real core that notes when lists came.
+type updateRecorder struct {
 	*node.Core
-	mu   sync.Mutex
-	last time.Time
+	mu         sync.Mutex
+	lastUpdate time.Time
 }
 
-func (h *hearing) UpdateEndpoints(e []node.Endpoint, full bool) {
-	h.mu.Lock()
-	h.last = time.Now()
-	h.mu.Unlock()
-	h.Core.UpdateEndpoints(e, full)
+func (u *updateRecorder) UpdateEndpoints(e []node.Endpoint, full bool) {
+	u.mu.Lock()
+	u.lastUpdate = time.Now()
+	u.mu.Unlock()
+	u.Core.UpdateEndpoints(e, full)
 }
 
-func (h *hearing) heard(since time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return !h.last.Before(since)
+func (u *updateRecorder) updatedSince(since time.Time) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return !u.lastUpdate.Before(since)
 }
 
-// follower is one node: its watcher and its core.
-type follower struct {
-	hearing
-	w      *Watcher
-	budget *limits.Budget
+// testNode is one node: its watcher and its core.
+type testNode struct {
+	updateRecorder
+	watcher *Watcher
+	budget  *limits.Budget
 }
 
-func started(t *testing.T, ctx context.Context, all *sync.WaitGroup, d *turns, seed int64, instances int) *follower {
+func startNode(t *testing.T, ctx context.Context, all *sync.WaitGroup, d *fakeDiscovery, seed int64, instances int) *testNode {
 	t.Helper()
-	return startedWith(t, ctx, all, d.dial, seed, instances, limits.NewBudget(2, 0, nil))
+	return startNodeWith(t, ctx, all, d.dial, seed, instances, limits.NewBudget(2, 0, nil))
 }
 
-func startedWith(t *testing.T, ctx context.Context, all *sync.WaitGroup, dial DialFunc, seed int64, instances int, budget *limits.Budget) *follower {
+func startNodeWith(t *testing.T, ctx context.Context, all *sync.WaitGroup, dial DialFunc, seed int64, instances int, budget *limits.Budget) *testNode {
 	t.Helper()
 	s, err := settings.Parse(fmt.Appendf(nil, `{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],"Instances":%d,`+
 		`"RegistryMode":"subscribe","Rules":{"MustAskInMs":60000}}`, instances))
@@ -328,12 +328,12 @@
 	l, err := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, s)
 	require.NoError(t, err)
 	s.MaxFirstPollDelay = l.MaxCallInterval.Seconds()
-	m := &follower{budget: budget}
-	m.w = New("127.0.0.1:1", nil, l, m.budget, zap.NewNop())
-	m.w.dial = dial
-	m.Core = node.New(s, seed, bubbleClock{time.Now()}, time.Now(), m.w.RequestWatch)
-	m.w.SetReceiver(m)
-	all.Go(func() { m.w.Run(ctx); m.Close() })
+	m := &testNode{budget: budget}
+	m.watcher = New("127.0.0.1:1", nil, l, m.budget, zap.NewNop())
+	m.watcher.dial = dial
+	m.Core = node.New(s, seed, bubbleClock{time.Now()}, time.Now(), m.watcher.RequestWatch)
+	m.watcher.SetReceiver(m)
+	all.Go(func() { m.watcher.Run(ctx); m.Close() })
 	return m
 }
 
@@ -342,7 +342,7 @@
 	for _, nodes := range []int{20, 300} {
 		for _, x := range []struct {
 			name  string
-			was   trouble       // for 8 s before
+			was   fault         // for 8 s before
 			all   time.Duration // that discovery takes for as many calls as there are nodes
 			most  time.Duration
 			blind bool
@@ -352,46 +352,46 @@
 			{"down, slow", down, 4500 * time.Millisecond, 2 * time.Second, false},
 			{"down, patient and blind", down, 4500 * time.Millisecond, 10 * time.Second, true},
 			{"down, overrun", down, 15 * time.Second, 2 * time.Second, false},
-			{"vanished, patient and blind", vanished, 4500 * time.Millisecond, 10 * time.Second, true},
-			{"refused", refusing, 3 * time.Second, 2 * time.Second, false},
-			{"watches reset", none, 3 * time.Second, 2 * time.Second, false},
-			{"watches reset, patient and blind", none, 4500 * time.Millisecond, 10 * time.Second, true},
-			{"watches reset, overrun", none, 15 * time.Second, 2 * time.Second, false},
+			{"vanished, patient and blind", unreachable, 4500 * time.Millisecond, 10 * time.Second, true},
+			{"refused", rejecting, 3 * time.Second, 2 * time.Second, false},
+			{"watches reset", noFault, 3 * time.Second, 2 * time.Second, false},
+			{"watches reset, patient and blind", noFault, 4500 * time.Millisecond, 10 * time.Second, true},
+			{"watches reset, overrun", noFault, 15 * time.Second, 2 * time.Second, false},
 		} {
 			t.Run(fmt.Sprint(nodes, " ", x.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, end := context.WithCancel(context.Background())
 					var all sync.WaitGroup
-					d := newTurns(time.Millisecond, time.Hour)
-					all.Go(func() { d.work(ctx) })
-					var fleet []*follower
+					d := newFakeDiscovery(time.Millisecond, time.Hour)
+					all.Go(func() { d.serveQueue(ctx) })
+					var fleet []*testNode
 					for i := range nodes {
-						fleet = append(fleet, started(t, ctx, &all, d, int64(i+1), nodes))
+						fleet = append(fleet, startNode(t, ctx, &all, d, int64(i+1), nodes))
 					}
 					time.Sleep(30 * time.Second)
 					d.mu.Lock()
-					d.calls = 0
+					d.polls = 0
 					d.mu.Unlock()
-					d.become(x.was)
-					if x.was == none {
-						d.fall(false)
+					d.setFault(x.was)
+					if x.was == noFault {
+						d.dropWatches(false)
 					} else {
 						time.Sleep(8 * time.Second)
 					}
 					d.mu.Lock()
-					d.each, d.most, d.blind = x.all/time.Duration(nodes), x.most, x.blind
-					away := d.calls
-					d.calls, d.failed, d.vain, d.longest = 0, 0, 0, 0
+					d.serviceTime, d.queueTimeout, d.servesClosed = x.all/time.Duration(nodes), x.most, x.blind
+					away := d.polls
+					d.polls, d.timedOut, d.wasted, d.maxQueue = 0, 0, 0, 0
 					d.mu.Unlock()
 					back := time.Now()
-					d.become(none)
+					d.setFault(noFault)
 					var half, last time.Duration
 					told := 0
 					for n := 0; told < nodes && n < 3000; n++ {
 						time.Sleep(10 * time.Millisecond)
 						told = 0
 						for _, m := range fleet {
-							if m.heard(back) {
+							if m.updatedSince(back) {
 								told++
 							}
 						}
@@ -403,21 +403,21 @@
 					time.Sleep(10 * time.Second)
 					d.mu.Lock()
 					t.Logf("calls while away %4d, after %4d, failed %4d, in vain %4d, queue %3d, half told %5.2f s, last %5.2f s",
-						away, d.calls, d.failed, d.vain, d.longest, half.Seconds(), last.Seconds())
+						away, d.polls, d.timedOut, d.wasted, d.maxQueue, half.Seconds(), last.Seconds())
 					// Pauses of 0.25 s and twice as long each time, up to two thirds of what the bound allows: six calls in 8 s. A discovery that
 					// could tell them all in time has no more to do for that than half as much again; one that can't fails the others over and
 					// over, and a call that stands in its queue begins no other.
 					assert.LessOrEqual(t, away, 6*nodes)
-					if x.all < toldBy {
-						assert.LessOrEqual(t, last, toldBy)
-						assert.LessOrEqual(t, d.calls, 3*nodes/2)
+					if x.all < maxUpdateDelay {
+						assert.LessOrEqual(t, last, maxUpdateDelay)
+						assert.LessOrEqual(t, d.polls, 3*nodes/2)
 					} else {
-						assert.LessOrEqual(t, last, x.all+toldBy)
-						assert.LessOrEqual(t, d.calls, 4*nodes)
+						assert.LessOrEqual(t, last, x.all+maxUpdateDelay)
+						assert.LessOrEqual(t, d.polls, 4*nodes)
 					}
 					d.mu.Unlock()
 					end()
-					d.end()
+					d.close()
 					all.Wait()
 					time.Sleep(time.Hour) // timers
 				})
@@ -426,12 +426,12 @@
 	}
 }
 
-// toldBy is the operators' term: whatever is allowed after a call that failed, was refused or given up, a change counts as told so
+// maxUpdateDelay is the operators' term: whatever is allowed after a call that failed, was refused or given up, a change counts as told so
 // long after discovery had it and could be reached.
-const toldBy = 6 * time.Second
+const maxUpdateDelay = 6 * time.Second
 
-// queued is how long a discovery that works takes here for a call: STANDING.md leaves a call that waits as much.
-const queued = 2 * time.Second
+// pollTime is how long a discovery that works takes here for a call: STANDING.md leaves a call that waits as much.
+const pollTime = 2 * time.Second
 
 // A discovery that can just tell the whole fleet in time, but refuses at once whoever would have to wait, must neither stand idle
 // while the last nodes wait out long pauses nor be kept busy with refusals. The watches fall silent together, as on the operators'
@@ -457,20 +457,20 @@
 				synctest.Test(t, func(t *testing.T) {
 					ctx, end := context.WithCancel(context.Background())
 					var all sync.WaitGroup
-					d := newTurns(time.Millisecond, time.Hour)
-					all.Go(func() { d.work(ctx) })
-					var fleet []*follower
+					d := newFakeDiscovery(time.Millisecond, time.Hour)
+					all.Go(func() { d.serveQueue(ctx) })
+					var fleet []*testNode
 					for i := range x.nodes {
-						fleet = append(fleet, started(t, ctx, &all, d, int64(1000*play+i), x.nodes))
+						fleet = append(fleet, startNode(t, ctx, &all, d, int64(1000*play+i), x.nodes))
 					}
 					time.Sleep(30 * time.Second)
 					d.mu.Lock()
-					d.each, d.refusal, d.busy, d.calls = x.each, x.refusal, 650*time.Millisecond, 0
+					d.serviceTime, d.rejectionTime, d.maxWait, d.polls = x.each, x.refusal, 650*time.Millisecond, 0
 					d.mu.Unlock()
 					silent := time.Now()
-					d.fall(true)
+					d.dropWatches(true)
 					for _, f := range fleet {
-						for !f.heard(silent) && time.Since(silent) < time.Minute {
+						for !f.updatedSince(silent) && time.Since(silent) < time.Minute {
 							time.Sleep(10 * time.Millisecond)
 						}
 					}
@@ -478,10 +478,10 @@
 					total += took
 					worst = max(worst, took)
 					d.mu.Lock()
-					calls += d.calls
+					calls += d.polls
 					d.mu.Unlock()
 					end()
-					d.end()
+					d.close()
 					all.Wait()
 					time.Sleep(time.Hour) // timers
 				})
@@ -502,13 +502,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, end := context.WithCancel(context.Background())
 			var all sync.WaitGroup
-			before, refuses, next := newTurns(time.Millisecond, time.Hour), newTurns(0, time.Hour), newTurns(370*time.Millisecond, time.Hour)
-			refuses.become(refusing)
-			next.busy, next.refusal = 630*time.Millisecond, 20*time.Millisecond
-			for _, d := range []*turns{before, refuses, next} {
-				all.Go(func() { d.work(ctx) })
+			before, refuses, next := newFakeDiscovery(time.Millisecond, time.Hour), newFakeDiscovery(0, time.Hour), newFakeDiscovery(370*time.Millisecond, time.Hour)
+			refuses.setFault(rejecting)
+			next.maxWait, next.rejectionTime = 630*time.Millisecond, 20*time.Millisecond
+			for _, d := range []*fakeDiscovery{before, refuses, next} {
+				all.Go(func() { d.serveQueue(ctx) })
 			}
-			var fleet []*follower
+			var fleet []*testNode
 			for i := range nodes {
 				first := before
 				if i == 0 {
@@ -520,22 +520,22 @@
 					}
 					return first.dial(ctx, network, addr)
 				}
-				fleet = append(fleet, startedWith(t, ctx, &all, dial, int64(1000*play+i), nodes, limits.NewBudget(2, 0, nil)))
+				fleet = append(fleet, startNodeWith(t, ctx, &all, dial, int64(1000*play+i), nodes, limits.NewBudget(2, 0, nil)))
 			}
 			time.Sleep(13 * time.Second)
 			moved := make([]time.Time, nodes)
 			for _, i := range rand.New(rand.NewSource(int64(play))).Perm(nodes) {
 				moved[i] = time.Now()
-				fleet[i].w.SetAddress("127.0.0.1:2")
+				fleet[i].watcher.SetAddress("127.0.0.1:2")
 				time.Sleep(100 * time.Millisecond)
 			}
 			// The lists of before were heard before the move, so a later one is of the new discovery.
 			for i, f := range fleet {
-				for !f.heard(moved[i].Add(time.Millisecond)) && time.Since(moved[i]) < time.Minute {
+				for !f.updatedSince(moved[i].Add(time.Millisecond)) && time.Since(moved[i]) < time.Minute {
 					time.Sleep(10 * time.Millisecond)
 				}
 				f.mu.Lock()
-				took := f.last.Sub(moved[i])
+				took := f.lastUpdate.Sub(moved[i])
 				f.mu.Unlock()
 				if i == 0 {
 					old += took
@@ -544,8 +544,8 @@
 				}
 			}
 			end()
-			for _, d := range []*turns{before, refuses, next} {
-				d.end()
+			for _, d := range []*fakeDiscovery{before, refuses, next} {
+				d.close()
 			}
 			all.Wait()
 			time.Sleep(time.Hour) // timers
@@ -567,55 +567,58 @@
 		{time.Hour, 7999 * time.Millisecond, time.Second},
 		{time.Hour, 8 * time.Second, 3 * time.Second},
 	} {
-		assert.Equal(t, x.longest, longestPause(l, x.age, x.refused), "%+v", x)
+		assert.Equal(t, x.longest, maxPauseAfterRejection(l, x.age, x.refused), "%+v", x)
 	}
 }
 
 func TestAChangeIsToldInTimeWhateverCameBefore(t *testing.T) {
-	become := func(all ...trouble) func(*turns, *follower, *rand.Rand, time.Duration) {
-		return func(d *turns, _ *follower, _ *rand.Rand, lasts time.Duration) {
+	become := func(all ...fault) func(*fakeDiscovery, *testNode, *rand.Rand, time.Duration) {
+		return func(d *fakeDiscovery, _ *testNode, _ *rand.Rand, lasts time.Duration) {
 			for _, x := range all {
-				d.become(x)
-				d.fall(x == vanished || x == mute)
+				d.setFault(x)
+				d.dropWatches(x == unreachable || x == mute)
 				time.Sleep(lasts / time.Duration(len(all)))
 			}
 		}
 	}
-	for name, before := range map[string]func(*turns, *follower, *rand.Rand, time.Duration){
+	for name, before := range map[string]func(*fakeDiscovery, *testNode, *rand.Rand, time.Duration){
 		"down":                    become(down),
-		"vanished":                become(vanished),
+		"vanished":                become(unreachable),
 		"mute":                    become(mute),
-		"refusing":                become(refusing),
-		"resets":                  become(resets),
-		"half a message":          become(halves),
-		"ends its lists":          become(brief),
+		"refusing":                become(rejecting),
+		"resets":                  become(resetting),
+		"half a message":          become(truncating),
+		"ends its lists":          become(endingWatches),
 		"down, then mute":         become(down, mute),
-		"refusing, then vanished": become(refusing, vanished),
-		"fallen silent":           func(d *turns, _ *follower, _ *rand.Rand, lasts time.Duration) { time.Sleep(lasts); d.fall(true) },
-		"one after another": func(d *turns, _ *follower, r *rand.Rand, lasts time.Duration) {
+		"refusing, then vanished": become(rejecting, unreachable),
+		"fallen silent": func(d *fakeDiscovery, _ *testNode, _ *rand.Rand, lasts time.Duration) {
+			time.Sleep(lasts)
+			d.dropWatches(true)
+		},
+		"one after another": func(d *fakeDiscovery, _ *testNode, r *rand.Rand, lasts time.Duration) {
 			for end := time.Now().Add(lasts); time.Now().Before(end); {
-				d.become(trouble(1 + r.Intn(int(brief))))
+				d.setFault(fault(1 + r.Intn(int(endingWatches))))
 				time.Sleep(min(time.Until(end), time.Duration(r.Float64()*float64(3*time.Second))))
 			}
 		},
-		"moves": func(d *turns, f *follower, r *rand.Rand, lasts time.Duration) {
-			d.become(trouble(1 + r.Intn(int(brief))))
+		"moves": func(d *fakeDiscovery, f *testNode, r *rand.Rand, lasts time.Duration) {
+			d.setFault(fault(1 + r.Intn(int(endingWatches))))
 			for end, i := time.Now().Add(lasts), 2; time.Now().Before(end); i++ {
-				f.w.SetAddress(fmt.Sprintf("127.0.0.1:%d", i))
+				f.watcher.SetAddress(fmt.Sprintf("127.0.0.1:%d", i))
 				time.Sleep(min(time.Until(end), time.Duration(r.Float64()*float64(5*time.Second))))
 			}
 		},
-		"no descriptor to spare": func(d *turns, f *follower, _ *rand.Rand, lasts time.Duration) {
+		"no descriptor to spare": func(d *fakeDiscovery, f *testNode, _ *rand.Rand, lasts time.Duration) {
 			assert.True(t, f.budget.Acquire())
-			d.fall(false)
+			d.dropWatches(false)
 			synctest.Wait()
 			assert.False(t, f.budget.Acquire(), "the watcher keeps its own")
 			time.Sleep(lasts)
 			f.budget.Release()
 		},
-		"one descriptor": func(d *turns, f *follower, _ *rand.Rand, lasts time.Duration) {
+		"one descriptor": func(d *fakeDiscovery, f *testNode, _ *rand.Rand, lasts time.Duration) {
 			assert.True(t, f.budget.Acquire())
-			d.become(mute)
+			d.setFault(mute)
 			time.Sleep(lasts)
 		},
 		"a new process":                      nil,
@@ -626,49 +629,49 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, end := context.WithCancel(context.Background())
 				var all sync.WaitGroup
-				d := newTurns(queued, time.Hour)
-				all.Go(func() { d.work(ctx) })
+				d := newFakeDiscovery(pollTime, time.Hour)
+				all.Go(func() { d.serveQueue(ctx) })
 				lasts := time.Duration(n) * 397 * time.Millisecond
 				r := rand.New(rand.NewSource(int64(n)))
-				var f *follower
+				var f *testNode
 				if name == "a new process without a descriptor" {
 					budget := limits.NewBudget(2, 0, nil)
 					assert.True(t, budget.Acquire())
 					assert.True(t, budget.Acquire())
-					f = startedWith(t, ctx, &all, d.dial, int64(n), 300, budget)
+					f = startNodeWith(t, ctx, &all, d.dial, int64(n), 300, budget)
 					time.Sleep(lasts)
 					budget.Release()
 					budget.Release()
 				} else if before == nil {
-					x := trouble(n % int(brief+1))
-					d.become(x)
-					f = started(t, ctx, &all, d, int64(n), 300)
-					if x != none {
+					x := fault(n % int(endingWatches+1))
+					d.setFault(x)
+					f = startNode(t, ctx, &all, d, int64(n), 300)
+					if x != noFault {
 						time.Sleep(lasts)
 					}
 				} else {
-					f = started(t, ctx, &all, d, int64(n), 300)
+					f = startNode(t, ctx, &all, d, int64(n), 300)
 					time.Sleep(40 * time.Second)
 					before(d, f, r, lasts)
 				}
 				back := time.Now()
-				d.become(none)
-				d.change()
-				for !f.heard(back) && time.Since(back) < 30*time.Second {
+				d.setFault(noFault)
+				d.publishChange()
+				for !f.updatedSince(back) && time.Since(back) < 30*time.Second {
 					time.Sleep(10 * time.Millisecond)
 				}
 				took := time.Since(back)
-				if worst = max(worst, took); took > toldBy {
+				if worst = max(worst, took); took > maxUpdateDelay {
 					late++
 				}
 				end()
-				d.end()
+				d.close()
 				all.Wait()
 				time.Sleep(2 * time.Hour) // timers
 			})
 		}
 		t.Logf("%-24s late %2d of 40, the longest %5.2f s", name, late, worst.Seconds())
-		assert.LessOrEqual(t, worst, toldBy, name)
+		assert.LessOrEqual(t, worst, maxUpdateDelay, name)
 	}
 }
 
@@ -683,26 +686,26 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, end := context.WithCancel(context.Background())
 			var all sync.WaitGroup
-			d := newTurns(answers, time.Hour)
-			all.Go(func() { d.work(ctx) })
-			d.become(refusing)
-			f := started(t, ctx, &all, d, int64(n), 1)
+			d := newFakeDiscovery(answers, time.Hour)
+			all.Go(func() { d.serveQueue(ctx) })
+			d.setFault(rejecting)
+			f := startNode(t, ctx, &all, d, int64(n), 1)
 			time.Sleep(10 * time.Second) // the pauses have grown
 			back := time.Now()
-			d.become(none)
-			for !f.heard(back) {
+			d.setFault(noFault)
+			for !f.updatedSince(back) {
 				time.Sleep(10 * time.Millisecond)
 			}
 			time.Sleep(time.Duration(n) * 97 * time.Millisecond)
 			ended := time.Now()
-			d.fall(false)
-			d.change()
-			for !f.heard(ended) {
+			d.dropWatches(false)
+			d.publishChange()
+			for !f.updatedSince(ended) {
 				time.Sleep(10 * time.Millisecond)
 			}
 			worst = max(worst, time.Since(ended))
 			end()
-			d.end()
+			d.close()
 			all.Wait()
 			time.Sleep(time.Hour) // timers
 		})
@@ -715,23 +718,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(context.Background())
 		var all sync.WaitGroup
-		d := newTurns(time.Millisecond, time.Hour)
-		d.become(brief)
-		all.Go(func() { d.work(ctx) })
-		f := started(t, ctx, &all, d, 1, 1)
+		d := newFakeDiscovery(time.Millisecond, time.Hour)
+		d.setFault(endingWatches)
+		all.Go(func() { d.serveQueue(ctx) })
+		f := startNode(t, ctx, &all, d, 1, 1)
 		time.Sleep(10 * time.Second)
 		d.mu.Lock()
-		d.calls = 0
+		d.polls = 0
 		d.mu.Unlock()
 		time.Sleep(time.Minute)
-		assert.True(t, f.heard(time.Now().Add(-f.w.limits.MaxCallInterval)), "each list is taken")
+		assert.True(t, f.updatedSince(time.Now().Add(-f.watcher.limits.MaxCallInterval)), "each list is taken")
 		d.mu.Lock()
-		assert.LessOrEqual(t, d.calls, int(time.Minute/(f.w.limits.MaxReconnectDelay/2)))
-		assert.GreaterOrEqual(t, d.calls, int(time.Minute/f.w.limits.MaxCallInterval))
-		t.Logf("%d calls in a minute", d.calls)
+		assert.LessOrEqual(t, d.polls, int(time.Minute/(f.watcher.limits.MaxReconnectDelay/2)))
+		assert.GreaterOrEqual(t, d.polls, int(time.Minute/f.watcher.limits.MaxCallInterval))
+		t.Logf("%d calls in a minute", d.polls)
 		d.mu.Unlock()
 		end()
-		d.end()
+		d.close()
 		all.Wait()
 		time.Sleep(time.Hour) // timers
 	})
--- a/internal/system/keys/keys_test.go
+++ b/internal/system/keys/keys_test.go
@@ -174,9 +174,9 @@
 	strange, err := Open(of(made(t, time.Hour), "node"), zap.NewNop())
 	require.NoError(t, err)
 	follow(strange.Client)
-	require.Eventually(t, func() bool { return logs.FilterMessageSnippet("no watch").Len() == 1 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return logs.FilterMessage("endpoint watch lost").Len() == 1 }, 20*time.Second, time.Millisecond)
 	follow(nil)
-	require.Eventually(t, func() bool { return logs.FilterMessageSnippet("no watch").Len() == 2 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return logs.FilterMessage("endpoint watch lost").Len() == 2 }, 20*time.Second, time.Millisecond)
 	// New keys on both sides, in place.
 	for _, name := range []string{"ca.pem", "controller.pem", "controller.key", "node.pem", "node.key"} {
 		require.NoError(t, os.Remove(filepath.Join(dir, name)))
@@ -185,5 +185,5 @@
 	ctl.tick()
 	n.tick()
 	assert.Equal(t, "a", hears(follow(n.Client))[0].ID)
-	assert.Equal(t, 2, logs.FilterMessageSnippet("no watch").Len())
+	assert.Equal(t, 2, logs.FilterMessage("endpoint watch lost").Len())
 }
