--- a/internal/controlplane/endpoints/address_test.go
+++ b/internal/controlplane/endpoints/address_test.go
@@ -1,7 +1,6 @@
 package endpoints
 
 import (
-	"context"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -17,7 +16,7 @@
 	"robincart/internal/testutil"
 )
 
-// manualClock moves when told to.
+// manualClock advances when a test steps it.
 type manualClock struct {
 	mu     sync.Mutex
 	now    time.Duration
@@ -42,47 +41,61 @@
 }
 
 func (m *manualClock) step() {
+	for _, f := range m.advance(time.Millisecond) {
+		f()
+	}
+}
+
+// advance moves the clock and returns the functions that are due.
+func (m *manualClock) advance(d time.Duration) []func() {
 	m.mu.Lock()
-	m.now += time.Millisecond
+	defer m.mu.Unlock()
+	m.now += d
 	var due []func()
-	rest := m.timers[:0]
+	var pending []manualTimer
 	for _, t := range m.timers {
 		if t.at <= m.now {
 			due = append(due, t.f)
 		} else {
-			rest = append(rest, t)
+			pending = append(pending, t)
 		}
 	}
-	m.timers = rest
-	m.mu.Unlock()
-	for _, f := range due {
-		f()
-	}
+	m.timers = pending
+	return due
 }
 
-// failureRecorder is the real core, with word of each failure that it was told.
+// failureRecorder is a real core that tells a test of each failed poll whether it resets the backoff.
 type failureRecorder struct {
 	*node.Core
 	resets chan bool
 }
 
-func (t failureRecorder) EndpointWatchFailed(f node.WatchFailure) {
-	t.Core.EndpointWatchFailed(f)
-	t.resets <- f.ResetBackoff
+func (f failureRecorder) EndpointWatchFailed(failure node.WatchFailure) {
+	f.Core.EndpointWatchFailed(failure)
+	f.resets <- failure.ResetBackoff
 }
 
-// The watcher tells each move's failure; the module still has one call to make, not one for each.
-func TestMovesWhileDiscoveryIsDownMakeTheModuleAskNoOftener(t *testing.T) {
-	n, err := settings.Parse([]byte(`{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],"RegistryMode":"subscribe","Rules":{"MustAskInMs":1}}`))
+// The Watcher reports the failure at each new address; the core still requests one poll, not one for each.
+func TestWatcher_MovesWhileDownCauseOnePoll(t *testing.T) {
+	s, err := settings.Parse([]byte(`{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],` +
+		`"RegistryMode":"subscribe","Rules":{"MustAskInMs":1}}`))
 	require.NoError(t, err)
-	clk, asks := &manualClock{}, atomic.Int64{}
-	core := failureRecorder{node.New(n, 1, clk, time.Now(), func() { asks.Add(1) }), make(chan bool, 9)}
-	w := New(freeAddress(t), nil, limits.Limits{DiscoveryConnectTimeout: time.Second, FirstUpdateTimeout: time.Second, MaxUpdateDelay: time.Second, MaxCallInterval: time.Hour, WatchSilenceTimeout: time.Hour}, limits.NewBudget(1, 0, nil), zap.NewNop())
+	clock := &manualClock{}
+	var requests atomic.Int64
+	core := failureRecorder{
+		Core:   node.New(s, 1, clock, time.Now(), func() { requests.Add(1) }),
+		resets: make(chan bool, 9),
+	}
+	t.Cleanup(core.Close)
+	w := New(freeAddress(t), nil, limits.Limits{
+		DiscoveryConnectTimeout: time.Second,
+		FirstUpdateTimeout:      time.Second,
+		MaxUpdateDelay:          time.Second,
+		MaxCallInterval:         time.Hour,
+		WatchSilenceTimeout:     time.Hour,
+	}, limits.NewBudget(1, 0, nil), zap.NewNop())
 	w.SetReceiver(core)
-	ctx, end := context.WithCancel(context.Background())
-	done := make(chan bool)
-	go func() { w.Run(ctx); close(done) }()
-	defer func() { end(); <-done; core.Close() }()
+	runWatcher(t, w)
 	w.RequestWatch()
 	assert.False(t, testutil.Receive(t, core.resets))
 	for range 3 {
@@ -90,7 +103,7 @@
 		assert.True(t, testutil.Receive(t, core.resets))
 	}
 	for range 10_000 {
-		clk.step()
+		clock.step()
 	}
-	assert.EqualValues(t, 1, asks.Load())
+	assert.EqualValues(t, 1, requests.Load())
 }
--- /dev/null
+++ b/internal/controlplane/endpoints/backoff_test.go
@@ -0,0 +1,33 @@
+package endpoints
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"robincart/internal/resources/limits"
+)
+
+// Pauses after rejections fall while the list grows old.
+func TestMaxPauseAfterRejection(t *testing.T) {
+	l := limits.Limits{
+		MaxCallInterval:     3 * time.Second,
+		MaxUpdateDelay:      6 * time.Second,
+		WatchSilenceTimeout: 2 * time.Second,
+	}
+	for _, x := range []struct{ age, rejected, longest time.Duration }{
+		{0, 0, 3 * time.Second},
+		{2 * time.Second, 0, 3 * time.Second},
+		{5 * time.Second, 2 * time.Second, 2 * time.Second},
+		{8 * time.Second, 5 * time.Second, time.Second},
+		{time.Hour, 0, time.Second},
+		{time.Hour, 7999 * time.Millisecond, time.Second},
+		{time.Hour, 8 * time.Second, 3 * time.Second},
+	} {
+		t.Run(fmt.Sprint(x.age, " ", x.rejected), func(t *testing.T) {
+			assert.Equal(t, x.longest, maxPauseAfterRejection(l, x.age, x.rejected))
+		})
+	}
+}
--- /dev/null
+++ b/internal/controlplane/endpoints/fleet_test.go
@@ -0,0 +1,402 @@
+package endpoints
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"robincart/internal/resources/limits"
+)
+
+// outage is what a whole fleet recovers from.
+type outage struct {
+	name         string
+	fault        fault         // for 8 s; noFault: all watches are reset instead
+	loadTime     time.Duration // that discovery needs for as many polls as there are nodes
+	queueTimeout time.Duration
+	servesClosed bool
+}
+
+// recovery is how a fleet recovered.
+type recovery struct {
+	pollsDuringOutage, pollsAfter int
+	updated                       int           // nodes
+	half, last                    time.Duration // until half of the nodes, and all of them, were updated
+}
+
+// A fleet whose discovery was away, or whose watches all ended, recovers together.
+func TestFleet_Recovers(t *testing.T) {
+	for _, nodes := range []int{20, 300} {
+		for _, x := range []outage{
+			{"down, quick", down, 500 * time.Millisecond, 2 * time.Second, false},
+			{"down", down, 3 * time.Second, 2 * time.Second, false},
+			{"down, slow", down, 4500 * time.Millisecond, 2 * time.Second, false},
+			{"down, patient and blind", down, 4500 * time.Millisecond, 10 * time.Second, true},
+			{"down, overloaded", down, 15 * time.Second, 2 * time.Second, false},
+			{"unreachable, patient and blind", unreachable, 4500 * time.Millisecond, 10 * time.Second, true},
+			{"rejecting", rejecting, 3 * time.Second, 2 * time.Second, false},
+			{"watches reset", noFault, 3 * time.Second, 2 * time.Second, false},
+			{"watches reset, patient and blind", noFault, 4500 * time.Millisecond, 10 * time.Second, true},
+			{"watches reset, overloaded", noFault, 15 * time.Second, 2 * time.Second, false},
+		} {
+			t.Run(fmt.Sprint(nodes, " ", x.name), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					got := recoverFleet(t, nodes, x)
+					assert.Equal(t, nodes, got.updated, "all have the list again")
+					// Pauses of 0.25 s and twice as long each time, up to two thirds of what the bound allows: six polls
+					// in 8 s. A discovery that could update them all in time gets half as many polls again for that at
+					// most; one that can't times the others out over and over, and a poll in its queue starts no other.
+					assert.LessOrEqual(t, got.pollsDuringOutage, 6*nodes)
+					if x.loadTime < maxUpdateDelay {
+						assert.LessOrEqual(t, got.last, maxUpdateDelay)
+						assert.LessOrEqual(t, got.pollsAfter, 3*nodes/2)
+					} else {
+						assert.LessOrEqual(t, got.last, x.loadTime+maxUpdateDelay)
+						assert.LessOrEqual(t, got.pollsAfter, 4*nodes)
+					}
+				})
+			})
+		}
+	}
+}
+
+func recoverFleet(t *testing.T, nodes int, x outage) recovery {
+	t.Helper()
+	s := newSimulation(t)
+	d := s.startDiscovery(time.Millisecond)
+	fleet := s.startFleet(d, nodes, 1)
+	time.Sleep(30 * time.Second)
+	d.mu.Lock()
+	d.polls = 0
+	d.mu.Unlock()
+	d.setFault(x.fault)
+	if x.fault == noFault {
+		d.dropWatches(false)
+	} else {
+		time.Sleep(8 * time.Second)
+	}
+	d.mu.Lock()
+	d.serviceTime, d.queueTimeout, d.servesClosed = x.loadTime/time.Duration(nodes), x.queueTimeout, x.servesClosed
+	got := recovery{pollsDuringOutage: d.polls}
+	d.polls, d.timedOut, d.wasted, d.maxQueue = 0, 0, 0, 0
+	d.mu.Unlock()
+	recovered := time.Now()
+	d.setFault(noFault)
+	for n := 0; got.updated < nodes && n < 3000; n++ {
+		time.Sleep(checkInterval)
+		got.updated = 0
+		for _, m := range fleet {
+			if m.updatedSince(recovered) {
+				got.updated++
+			}
+		}
+		got.last = time.Since(recovered)
+		if got.half == 0 && 2*got.updated >= nodes {
+			got.half = got.last
+		}
+	}
+	time.Sleep(10 * time.Second)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	got.pollsAfter = d.polls
+	t.Logf("polls during the outage %4d, after %4d, timed out %4d, wasted %4d, queue %3d, "+
+		"half updated %5.2f s, last %5.2f s", got.pollsDuringOutage, got.pollsAfter, d.timedOut, d.wasted, d.maxQueue,
+		got.half.Seconds(), got.last.Seconds())
+	return got
+}
+
+// A discovery that can just update the whole fleet in time, but rejects polls at once that would have to wait, must
+// neither idle while the last nodes wait out long pauses nor be kept busy with rejections. The watches fall silent
+// together, as on the operators' days on which this failed: a third of a second for a poll, 18 nodes, and two thirds
+// of a second that a poll may wait.
+func TestFleet_BusyDiscoveryRejects(t *testing.T) {
+	const runs = 20
+	for _, x := range []struct {
+		name                       string
+		nodes                      int
+		serviceTime, rejectionTime time.Duration
+		maxMeanLast                time.Duration // from the silence to the last node's update
+		maxMeanPolls               float64       // of a node
+	}{
+		{"slower than the bound", 18, 444 * time.Millisecond, 28 * time.Millisecond, 10500 * time.Millisecond, 3},
+		{"just able", 18, 340 * time.Millisecond, 20 * time.Millisecond, 7800 * time.Millisecond, 2.3},
+		{"with some to spare", 18, 250 * time.Millisecond, 20 * time.Millisecond, 5900 * time.Millisecond, 1.7},
+		{"large fleet", 300, 18 * time.Millisecond, time.Millisecond, 7150 * time.Millisecond, 1.9},
+		{"rejections cost a third of a poll", 18, 250 * time.Millisecond, 80 * time.Millisecond, 7300 * time.Millisecond, 2.2},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			total, worst, polls := time.Duration(0), time.Duration(0), 0
+			for run := range runs {
+				synctest.Test(t, func(t *testing.T) {
+					s := newSimulation(t)
+					d := s.startDiscovery(time.Millisecond)
+					fleet := s.startFleet(d, x.nodes, int64(1000*run))
+					time.Sleep(30 * time.Second)
+					d.mu.Lock()
+					d.serviceTime, d.rejectionTime, d.maxWait = x.serviceTime, x.rejectionTime, 650*time.Millisecond
+					d.polls = 0
+					d.mu.Unlock()
+					silent := time.Now()
+					d.dropWatches(true)
+					for _, n := range fleet {
+						n.awaitUpdate(silent, time.Minute)
+					}
+					took := time.Since(silent)
+					total += took
+					worst = max(worst, took)
+					d.mu.Lock()
+					polls += d.polls
+					d.mu.Unlock()
+				})
+			}
+			mean, meanPolls := total/runs, float64(polls)/float64(runs*x.nodes)
+			t.Logf("the last node %.2f s after the silence in the mean, %.2f s at most; %.2f polls a node",
+				mean.Seconds(), worst.Seconds(), meanPolls)
+			assert.LessOrEqual(t, mean, x.maxMeanLast)
+			assert.LessOrEqual(t, meanPolls, x.maxMeanPolls)
+		})
+	}
+}
+
+// Where all nodes move to another discovery, which rejects many of them, the node with the oldest list gets ahead.
+func TestFleet_OldestListGoesFirst(t *testing.T) {
+	const nodes, runs = 18, 100
+	var oldest, others time.Duration
+	for run := range runs {
+		synctest.Test(t, func(t *testing.T) {
+			s := newSimulation(t)
+			working := s.startDiscovery(time.Millisecond)
+			full := s.startDiscovery(0)
+			full.setFault(rejecting)
+			next := s.startDiscovery(370 * time.Millisecond)
+			next.mu.Lock()
+			next.maxWait, next.rejectionTime = 630*time.Millisecond, 20*time.Millisecond
+			next.mu.Unlock()
+			var fleet []*testNode
+			for i := range nodes {
+				first := working
+				if i == 0 {
+					first = full
+				}
+				fleet = append(fleet, s.startNode(nodeOptions{
+					dial: dialByAddress(next, first), seed: int64(1000*run + i), instances: nodes,
+				}))
+			}
+			time.Sleep(13 * time.Second)
+			moved := make([]time.Time, nodes)
+			for _, i := range rand.New(rand.NewSource(int64(run))).Perm(nodes) {
+				moved[i] = time.Now()
+				fleet[i].watcher.SetAddress(nextAddress)
+				time.Sleep(100 * time.Millisecond)
+			}
+			// The lists of the first discoveries were received before the move, so a later one is of the next.
+			for i, n := range fleet {
+				n.awaitUpdate(moved[i].Add(time.Millisecond), time.Minute)
+				took := n.updatedAt().Sub(moved[i])
+				if i == 0 {
+					oldest += took
+				} else {
+					others += took
+				}
+			}
+		})
+	}
+	oldest, others = oldest/runs, others/(runs*(nodes-1))
+	t.Logf("the oldest list is renewed %.2f s after the move in the mean, the others %.2f s",
+		oldest.Seconds(), others.Seconds())
+	assert.Less(t, oldest, others*7/10)
+}
+
+// disturbance is what happened to a node before a change that has to arrive in time.
+type disturbance struct {
+	name string
+	// begin runs for the duration, with a node that was started 40 s before.
+	begin func(d *fakeDiscovery, n *testNode, r *rand.Rand, duration time.Duration)
+}
+
+// faultsInTurn is a disturbance of faults that share the duration.
+func faultsInTurn(name string, faults ...fault) disturbance {
+	return disturbance{name, func(d *fakeDiscovery, _ *testNode, _ *rand.Rand, duration time.Duration) {
+		for _, x := range faults {
+			d.setFault(x)
+			d.dropWatches(x == unreachable || x == mute)
+			time.Sleep(duration / time.Duration(len(faults)))
+		}
+	}}
+}
+
+// randomPart is a part of a duration, up to the end of a disturbance.
+func randomPart(r *rand.Rand, longest time.Duration, end time.Time) time.Duration {
+	return min(time.Until(end), time.Duration(r.Float64()*float64(longest)))
+}
+
+func randomFault(r *rand.Rand) fault { return fault(1 + r.Intn(int(endingWatches))) }
+
+func randomFaults(d *fakeDiscovery, _ *testNode, r *rand.Rand, duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
+		d.setFault(randomFault(r))
+		time.Sleep(randomPart(r, 3*time.Second, end))
+	}
+}
+
+func moves(d *fakeDiscovery, n *testNode, r *rand.Rand, duration time.Duration) {
+	d.setFault(randomFault(r))
+	end := time.Now().Add(duration)
+	for i := 2; time.Now().Before(end); i++ {
+		n.watcher.SetAddress(fmt.Sprintf("127.0.0.1:%d", i))
+		time.Sleep(randomPart(r, 5*time.Second, end))
+	}
+}
+
+// changeRuns is how often each disturbance is played, each time for longer.
+const changeRuns = 40
+
+// disturbanceOf is the duration of a run's disturbance, and the random numbers that it uses.
+func disturbanceOf(run int) (time.Duration, *rand.Rand) {
+	return time.Duration(run) * 397 * time.Millisecond, rand.New(rand.NewSource(int64(run)))
+}
+
+// Whatever came before, a change arrives in time.
+func TestFleet_ChangeArrivesInTime(t *testing.T) {
+	for _, x := range []disturbance{
+		faultsInTurn("down", down),
+		faultsInTurn("unreachable", unreachable),
+		faultsInTurn("mute", mute),
+		faultsInTurn("rejecting", rejecting),
+		faultsInTurn("resetting", resetting),
+		faultsInTurn("half a message", truncating),
+		faultsInTurn("ending watches", endingWatches),
+		faultsInTurn("down, then mute", down, mute),
+		faultsInTurn("rejecting, then unreachable", rejecting, unreachable),
+		{"fallen silent", func(d *fakeDiscovery, _ *testNode, _ *rand.Rand, duration time.Duration) {
+			time.Sleep(duration)
+			d.dropWatches(true)
+		}},
+		{"one after another", randomFaults},
+		{"moves", moves},
+		{"no descriptor to spare", func(d *fakeDiscovery, n *testNode, _ *rand.Rand, duration time.Duration) {
+			assert.True(t, n.budget.Acquire())
+			d.dropWatches(false)
+			synctest.Wait()
+			assert.False(t, n.budget.Acquire(), "the watcher keeps its own")
+			time.Sleep(duration)
+			n.budget.Release()
+		}},
+		{"one descriptor", func(d *fakeDiscovery, n *testNode, _ *rand.Rand, duration time.Duration) {
+			assert.True(t, n.budget.Acquire())
+			d.setFault(mute)
+			time.Sleep(duration)
+		}},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			checkChangesArrive(t, func(s *simulation, d *fakeDiscovery, run int) *testNode {
+				n := s.startNode(nodeOptions{dial: d.dial, seed: int64(run), instances: 300})
+				time.Sleep(40 * time.Second)
+				duration, r := disturbanceOf(run)
+				x.begin(d, n, r, duration)
+				return n
+			})
+		})
+	}
+	t.Run("a new process", func(t *testing.T) {
+		checkChangesArrive(t, func(s *simulation, d *fakeDiscovery, run int) *testNode {
+			x := fault(run % int(endingWatches+1))
+			d.setFault(x)
+			n := s.startNode(nodeOptions{dial: d.dial, seed: int64(run), instances: 300})
+			if x != noFault {
+				duration, _ := disturbanceOf(run)
+				time.Sleep(duration)
+			}
+			return n
+		})
+	})
+	t.Run("a new process without a descriptor", func(t *testing.T) {
+		checkChangesArrive(t, func(s *simulation, d *fakeDiscovery, run int) *testNode {
+			budget := limits.NewBudget(2, 0, nil)
+			assert.True(t, budget.Acquire())
+			assert.True(t, budget.Acquire())
+			n := s.startNode(nodeOptions{dial: d.dial, seed: int64(run), instances: 300, budget: budget})
+			duration, _ := disturbanceOf(run)
+			time.Sleep(duration)
+			budget.Release()
+			budget.Release()
+			return n
+		})
+	})
+}
+
+// checkChangesArrive publishes a change after each run of a disturbance, which ends with it.
+func checkChangesArrive(t *testing.T, disturb func(s *simulation, d *fakeDiscovery, run int) *testNode) {
+	t.Helper()
+	worst, late := time.Duration(0), 0
+	for run := range changeRuns {
+		synctest.Test(t, func(t *testing.T) {
+			s := newSimulation(t)
+			d := s.startDiscovery(pollTime)
+			n := disturb(s, d, run)
+			published := time.Now()
+			d.setFault(noFault)
+			d.publishChange()
+			took := n.awaitUpdate(published, 30*time.Second)
+			worst = max(worst, took)
+			if took > maxUpdateDelay {
+				late++
+			}
+		})
+	}
+	t.Logf("late %2d of %d, the longest %5.2f s", late, changeRuns, worst.Seconds())
+	assert.LessOrEqual(t, worst, maxUpdateDelay)
+}
+
+// A watch may end instead of bringing a change, which has to arrive soon after its end, however often polls had failed
+// before it and however short it was.
+func TestFleet_WatchEndsInsteadOfChange(t *testing.T) {
+	const maxDelay, serviceTime = 2 * time.Second, 300 * time.Millisecond
+	worst := time.Duration(0)
+	for run := range 40 {
+		synctest.Test(t, func(t *testing.T) {
+			s := newSimulation(t)
+			d := s.startDiscovery(serviceTime)
+			d.setFault(rejecting)
+			n := s.startFleet(d, 1, int64(run))[0]
+			time.Sleep(10 * time.Second) // the pauses have grown
+			recovered := time.Now()
+			d.setFault(noFault)
+			n.awaitUpdate(recovered, time.Hour)
+			time.Sleep(time.Duration(run) * 97 * time.Millisecond)
+			ended := time.Now()
+			d.dropWatches(false)
+			d.publishChange()
+			worst = max(worst, n.awaitUpdate(ended, time.Hour))
+		})
+	}
+	t.Logf("the longest %.2f s", worst.Seconds())
+	assert.Less(t, worst, maxDelay)
+}
+
+// A discovery that ends each watch right behind its snapshot is polled no oftener than one that fails: by pauses that
+// grow up to what the bound allows, of which the shortest is a third.
+func TestFleet_EndingWatchesKeepBackoff(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := newSimulation(t)
+		d := s.startDiscovery(time.Millisecond)
+		d.setFault(endingWatches)
+		n := s.startFleet(d, 1, 1)[0]
+		time.Sleep(10 * time.Second)
+		d.mu.Lock()
+		d.polls = 0
+		d.mu.Unlock()
+		time.Sleep(time.Minute)
+		l := n.watcher.limits
+		assert.True(t, n.updatedSince(time.Now().Add(-l.MaxCallInterval)), "each snapshot is taken")
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		t.Logf("%d polls in a minute", d.polls)
+		assert.LessOrEqual(t, d.polls, int(time.Minute/(l.MaxReconnectDelay/2)))
+		assert.GreaterOrEqual(t, d.polls, int(time.Minute/l.MaxCallInterval))
+	})
+}
--- a/internal/controlplane/endpoints/list_test.go
+++ b/internal/controlplane/endpoints/list_test.go
@@ -1,9 +1,12 @@
 package endpoints
 
 import (
+	"bytes"
+	"encoding/json"
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
@@ -11,38 +14,23 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"robincart/internal/resources/limits"
+	"robincart/decide"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/settings"
 )
 
-func snapshotOf(n int, entry func(i int) string) []byte {
-	all := make([]string, n)
-	for i := range all {
-		all[i] = entry(i)
-	}
-	return []byte(`{"revision":9,"complete":true,"members":[` + strings.Join(all, ",") + `]}`)
-}
-
-func TestAListThatClaimsMoreServersThanThereMayBeIsRefused(t *testing.T) {
+func TestParse_MaxMembers(t *testing.T) {
 	_, err := Parse(snapshotOf(MaxMembers+1, func(int) string { return "7" }))
 	assert.ErrorContains(t, err, "20001 entries, 20000 at most")
-	l, err := Parse(snapshotOf(10*440, func(i int) string { return memberJSON(fmt.Sprint("a", i), "ready") })) // ten times the target
+	const tenTimesTheTarget = 10 * 440
+	l, err := Parse(snapshotOf(tenTimesTheTarget, func(i int) string { return memberJSON(fmt.Sprint("a", i), "ready") }))
 	require.NoError(t, err)
-	assert.Len(t, l.Entries(nil, zap.NewNop()), 4400)
+	assert.Len(t, l.Entries(nil, zap.NewNop()), tenTimesTheTarget)
 }
 
-func TestBadEntriesOfAListDoNotFillTheLog(t *testing.T) {
-	l, err := Parse(snapshotOf(5000, func(i int) string { return `"` + strings.Repeat("x", 2000) + `"` }))
-	require.NoError(t, err)
-	core, logs := observer.New(zapcore.WarnLevel)
-	assert.Empty(t, l.Entries(nil, zap.New(core)))
-	require.Len(t, logs.All(), maxSkippedLogged+1)
-	assert.Len(t, logs.All()[0].ContextMap()["entry"], 1000)
-	assert.EqualValues(t, 5000, logs.All()[maxSkippedLogged].ContextMap()["skipped"])
-}
-
-// One name in two phases is no list that can be acted on; changes may name a server as often as it changed.
-func TestAWholeListThatNamesAServerInTwoPhasesIsRefused(t *testing.T) {
-	twice := func(complete bool, phases ...string) error {
+// A server in two phases makes a snapshot useless; a delta may name a server as often as it changed.
+func TestParse_ServerInTwoPhases(t *testing.T) {
+	parse := func(complete bool, phases ...string) error {
 		entries := []string{memberJSON("a", "ready")}
 		for _, phase := range phases {
 			entries = append(entries, memberJSON("b", phase))
@@ -51,43 +39,133 @@
 		return err
 	}
 	var conflict *ConflictError
-	require.ErrorAs(t, twice(true, "ready", "draining"), &conflict)
+	require.ErrorAs(t, parse(true, "ready", "draining"), &conflict)
 	assert.Equal(t, ConflictError{ID: "b", FirstPhase: "ready", SecondPhase: "draining"}, *conflict)
 	assert.ErrorContains(t, conflict, "take one out")
-	assert.NoError(t, twice(true, "draining", "draining"))
-	assert.NoError(t, twice(false, "draining", "gone", "ready"))
-	var limit *EntryLimitError
-	_, err := Parse(snapshotOf(100_000, func(int) string { return "{}" }))
-	require.ErrorAs(t, err, &limit)
-	assert.Equal(t, 100_000, limit.Entries)
-	var message *MalformedError
-	_, err = Parse([]byte(`{"revision":-1}`))
-	require.ErrorAs(t, err, &message)
-	_, err = Parse([]byte(`[`))
-	require.ErrorAs(t, err, &message)
-	assert.Error(t, message.Unwrap())
+	assert.NoError(t, parse(true, "draining", "draining"))
+	assert.NoError(t, parse(false, "draining", "gone", "ready"))
 }
 
-// Changes can't bring more servers than a list may have: then the whole list is asked for.
-func TestChangesWithoutEndAskForTheWholeList(t *testing.T) {
-	w := New("", nil, limits.Limits{}, limits.NewBudget(1, 0, nil), zap.NewNop())
-	w.revision = 50
-	ready, err := Parse(snapshotOf(1000, func(i int) string { return memberJSON(fmt.Sprint("a", i), "ready") }))
+func TestParse_TypedErrors(t *testing.T) {
+	t.Run("too many entries", func(t *testing.T) {
+		_, err := Parse(snapshotOf(100_000, func(int) string { return "{}" }))
+		var limit *EntryLimitError
+		require.ErrorAs(t, err, &limit)
+		assert.Equal(t, 100_000, limit.Entries)
+	})
+	for name, text := range map[string]string{"negative revision": `{"revision":-1}`, "no JSON": `[`} {
+		t.Run(name, func(t *testing.T) {
+			_, err := Parse([]byte(text))
+			var malformed *MalformedError
+			require.ErrorAs(t, err, &malformed)
+			assert.Error(t, malformed.Unwrap())
+		})
+	}
+}
+
+func TestEntries_MalformedEntries(t *testing.T) {
+	l, err := Parse([]byte(`{"revision":1,"complete":true,"members":[` + strings.Join([]string{
+		memberJSON("good", "ready"),
+		memberJSON("phase", "resting"),
+		memberJSON("", "ready"),
+		`{"id":"address","host_port":"example.org:80","phase":"ready"}`,
+		`{"id":"port","host_port":"127.0.0.1:99999","phase":"ready"}`,
+		`{"id":"type","host_port":"127.0.0.1:80","phase":"ready","cell":"three"}`,
+		`7`,
+		`{"id":"left","phase":"gone"}`,
+		`{"id":"bare","host_port":"[::1]:80","phase":"ready","size":-1,"up_since_ms":-1}`,
+	}, ",") + `]}`))
 	require.NoError(t, err)
-	gone, err := Parse(snapshotOf(1000, func(i int) string { return memberJSON(fmt.Sprint("a", i), "gone") }))
+	got := l.Entries([]string{"south"}, zap.NewNop())
+	assert.Len(t, got, 3)
+	assert.Equal(t, "good", got[0].ID)
+	assert.Equal(t, node.Endpoint{ID: "left", State: decide.Gone, Zone: -1, Weight: 1, Revision: 1}, got[1])
+	assert.Equal(t, node.Endpoint{ID: "bare", Addr: "[::1]:80", Zone: -1, Weight: 1, Revision: 1}, got[2])
+}
+
+func TestEntries_SkippedEntriesDoNotFillTheLog(t *testing.T) {
+	l, err := Parse(snapshotOf(5000, func(int) string { return `"` + strings.Repeat("x", 2000) + `"` }))
 	require.NoError(t, err)
-	require.NoError(t, w.checkTurnover(ready))
-	ready.Complete, gone.Complete = false, false
-	for range 100 {
-		require.NoError(t, w.checkTurnover(gone), "what leaves takes no room")
-	}
-	n := 0
-	for err = w.checkTurnover(ready); err == nil; err = w.checkTurnover(ready) {
-		n++
+	core, logs := observer.New(zapcore.WarnLevel)
+	assert.Empty(t, l.Entries(nil, zap.New(core)))
+	require.Len(t, logs.All(), maxSkippedLogged+1)
+	assert.Len(t, logs.All()[0].ContextMap()["entry"], 1000)
+	assert.EqualValues(t, 5000, logs.All()[maxSkippedLogged].ContextMap()["skipped"])
+}
+
+func FuzzParse(f *testing.F) {
+	f.Add([]byte(emptySnapshot))
+	f.Add([]byte(`{"revision":1,"members":[` + memberJSON("a", "ready") + `,null,{}]}`))
+	f.Add([]byte(`{"revision":-1,"members":null}`))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		l, err := Parse(text)
+		if err != nil {
+			return
+		}
+		for _, e := range l.Entries([]string{"a"}, zap.NewNop()) {
+			if e.ID == "" || !(e.Weight > 0) || e.State != decide.Gone && checkAddress(e.Addr) != nil {
+				t.Fatalf("accepted %+v", e)
+			}
+		}
+	})
+}
+
+// frozenClock is a clock that does not advance.
+type frozenClock struct{}
+
+func (frozenClock) Now() time.Duration              { return 0 }
+func (frozenClock) AfterFunc(time.Duration, func()) {}
+
+func frozenCore(t testing.TB) *node.Core {
+	t.Helper()
+	s, err := settings.Parse([]byte(`{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],` +
+		`"RegistryMode":"subscribe"}`))
+	require.NoError(t, err)
+	return node.New(s, 1, frozenClock{}, time.Now(), func() {})
+}
+
+// indentedSnapshot is a snapshot as discovery may write it, over many lines.
+func indentedSnapshot(t testing.TB, servers int, phase string) []byte {
+	t.Helper()
+	var out bytes.Buffer
+	compact := snapshotOf(servers, func(i int) string { return memberJSON(fmt.Sprint("server-", i), phase) })
+	require.NoError(t, json.Indent(&out, compact, "", "    "))
+	return out.Bytes()
+}
+
+// Neither a message nor a service is capped below the size of the operators' fleets.
+func TestParse_ThousandServers(t *testing.T) {
+	const servers = 1024
+	core := frozenCore(t)
+	list, err := Parse(indentedSnapshot(t, servers, "ready"))
+	require.NoError(t, err)
+	core.UpdateEndpoints(list.Entries(nil, zap.NewNop()), list.Complete)
+	assert.Len(t, core.Endpoints(), servers)
+	assert.GreaterOrEqual(t, MaxMembers, servers)
+	size := len(strings.TrimSpace(string(indentedSnapshot(t, servers, "ready"))))
+	assert.Less(t, size, 4<<20, "an indented snapshot of them fits into limits.ListBytes")
+}
+
+// BenchmarkDelivery is what lies between the last byte of a snapshot and the moment from which no attempt begins at a
+// server that it removes: cutting the message out of its stream, decoding it, and the core's step under its lock.
+func BenchmarkDelivery(b *testing.B) {
+	for _, servers := range []int{1, 30, 300, 1024, 20_000} {
+		b.Run(fmt.Sprint(servers), func(b *testing.B) {
+			core := frozenCore(b)
+			text := indentedSnapshot(b, servers, "ready")
+			for b.Loop() {
+				messages := messageReader{
+					source:     bytes.NewReader(text),
+					maxMessage: 64 << 20,
+					buffer:     make([]byte, 2<<10),
+					onAlive:    func() {},
+				}
+				message, err := messages.next()
+				require.NoError(b, err)
+				list, err := Parse(message)
+				require.NoError(b, err)
+				core.UpdateEndpoints(list.Entries(nil, zap.NewNop()), list.Complete)
+			}
+		})
 	}
-	var turnover *IncompleteTurnoverError
-	assert.ErrorAs(t, err, &turnover)
-	assert.Equal(t, MaxMembers/1000-1, n)
-	assert.Zero(t, w.revision, "the next watch is told all of it")
-	require.NoError(t, w.checkTurnover(ready), "and begins to count anew")
 }
--- a/internal/controlplane/endpoints/poll.go
+++ b/internal/controlplane/endpoints/poll.go
@@ -14,7 +14,7 @@
 	"robincart/internal/system/socket"
 )
 
-// pollState is what the Watcher makes of a poll. Whether its goroutine has ended is told by poll.done, in any state.
+// pollState is what the Watcher makes of a poll. Whether its goroutine has ended is shown by poll.done.
 type pollState int
 
 const (
