--- a/internal/core/node/node_test.go
+++ b/internal/core/node/node_test.go
@@ -17,20 +17,20 @@
 // fakeClock rings when it is moved.
 type fakeClock struct {
 	now    time.Duration
-	timers []ring
+	timers []fakeTimer
 }
 
-type ring struct {
+type fakeTimer struct {
 	at time.Duration
 	f  func()
 }
 
 func (k *fakeClock) Now() time.Duration { return k.now }
 func (k *fakeClock) AfterFunc(d time.Duration, f func()) {
-	k.timers = append(k.timers, ring{k.now + d, f})
+	k.timers = append(k.timers, fakeTimer{k.now + d, f})
 }
 
-func (k *fakeClock) until(t time.Duration) {
+func (k *fakeClock) advanceTo(t time.Duration) {
 	for {
 		sort.SliceStable(k.timers, func(i, j int) bool { return k.timers[i].at < k.timers[j].at })
 		if len(k.timers) == 0 || k.timers[0].at > t {
@@ -44,19 +44,19 @@
 	}
 }
 
-type breaker struct{ broken bool }
+type fakeCanceler struct{ canceled bool }
 
-func (b *breaker) Cancel() { b.broken = true }
+func (f *fakeCanceler) Cancel() { f.canceled = true }
 
-// nothingHeld is a core without RPCs, picks or their timers.
-func (s *story) nothingHeld(t *testing.T) {
+// assertNothingInFlight is a core without RPCs, picks or their timers.
+func (s *testCore) assertNothingInFlight(t *testing.T) {
 	t.Helper()
-	assert.Zero(t, s.open)
-	assert.Empty(t, s.picks)
+	assert.Zero(t, s.openRPCs)
+	assert.Empty(t, s.attempts)
 	assert.LessOrEqual(t, s.timers.Len(), 1, "only the module's first asking for the list")
 }
 
-var wall = time.UnixMilli(1_800_000_000_000)
+var testWallTime = time.UnixMilli(1_800_000_000_000)
 
 const (
 	find   = iota // idempotent
@@ -64,13 +64,13 @@
 	charge        // non-idempotent
 )
 
-type story struct {
+type testCore struct {
 	*Core
-	clock   *fakeClock
-	watches int
+	clock         *fakeClock
+	watchRequests int
 }
 
-func begin(t *testing.T, edit func(*settings.Instance)) *story {
+func newTestCore(t *testing.T, edit func(*settings.Instance)) *testCore {
 	k := decide.Method{LatencyObjective: 2, Deadline: 5, PriorityWeight: 1}
 	s := &settings.Instance{Settings: decide.Settings{Methods: []decide.Method{k, k, k}, Instances: 1, MaxAttempts: 3,
 		MayCancel: true, Hedging: true, MaxRetryAfter: 1, MustSubscribe: true, MaxPollInterval: 1,
@@ -80,29 +80,29 @@
 	if edit != nil {
 		edit(s)
 	}
-	st := &story{clock: &fakeClock{now: time.Second}}
-	st.Core = New(s, 1, st.clock, wall, func() { st.watches++ })
+	st := &testCore{clock: &fakeClock{now: time.Second}}
+	st.Core = New(s, 1, st.clock, testWallTime, func() { st.watchRequests++ })
 	return st
 }
 
-func entry(id string, state decide.State) Endpoint {
+func testEndpoint(id string, state decide.State) Endpoint {
 	return Endpoint{ID: id, Addr: id + ":80", State: state, Weight: 1}
 }
 
-func (s *story) list(ids ...string) {
+func (s *testCore) listReady(ids ...string) {
 	var all []Endpoint
 	for _, id := range ids {
-		all = append(all, entry(id, decide.Ready))
+		all = append(all, testEndpoint(id, decide.Ready))
 	}
 	s.UpdateEndpoints(all, true)
 }
 
-func (s *story) arrive(method int) *RPC {
+func (s *testCore) arrive(method int) *RPC {
 	return s.Arrived(Arrival{Method: method, Deadline: s.clock.now + 4*time.Second})
 }
 
-// next is the order that waits for an RPC's frontend.
-func next(t *testing.T, r *RPC) Order {
+// nextOrder is the order that waits for an RPC's frontend.
+func nextOrder(t *testing.T, r *RPC) Order {
 	t.Helper()
 	select {
 	case o := <-r.Orders:
@@ -115,8 +115,8 @@
 
 func TestHintsOfWorkCountWhereTheSettingsAskForThem(t *testing.T) {
 	for _, on := range []bool{false, true} {
-		s := begin(t, func(n *settings.Instance) { n.WorkHints = on })
-		s.list("a")
+		s := newTestCore(t, func(n *settings.Instance) { n.WorkHints = on })
+		s.listReady("a")
 		same := s.settings
 		go func() { // SIGHUP may come at any time
 			for range 50 {
@@ -124,117 +124,117 @@
 			}
 		}()
 		for range 50 {
-			assert.Equal(t, on, s.Arrived(Arrival{Method: find, Deadline: time.Minute, WorkHint: 7}).obj.WorkHint == 7)
+			assert.Equal(t, on, s.Arrived(Arrival{Method: find, Deadline: time.Minute, WorkHint: 7}).decideRPC.WorkHint == 7)
 		}
 	}
 }
 
 func TestAnOkIsPassedOnOnce(t *testing.T) {
-	s := begin(t, nil)
-	s.list("a", "b")
+	s := newTestCore(t, nil)
+	s.listReady("a", "b")
 	r := s.arrive(find)
-	p := next(t, r).Attempt
+	p := nextOrder(t, r).Attempt
 	assert.True(t, s.Begin(p, nil))
 	answer := &Response{Body: []byte("x")}
 	s.AttemptDone(p, decide.OK, answer)
-	o := next(t, r)
+	o := nextOrder(t, r)
 	assert.Equal(t, OrderServed, o.Kind)
 	assert.Same(t, answer, o.Response)
 	s.AttemptDone(p, decide.OK, answer)
 	s.ClientGone(r)
-	s.clock.until(10 * time.Second)
+	s.clock.advanceTo(10 * time.Second)
 	assert.Empty(t, r.Orders)
-	s.nothingHeld(t)
+	s.assertNothingInFlight(t)
 }
 
 func TestAnRPCGivenUpOnIsAnsweredAtOnceAndItsPicksWriteNothing(t *testing.T) {
-	s := begin(t, nil)
-	s.list("a")
+	s := newTestCore(t, nil)
+	s.listReady("a")
 	r := s.arrive(book)
-	p := next(t, r).Attempt
-	b := &breaker{}
+	p := nextOrder(t, r).Attempt
+	b := &fakeCanceler{}
 	assert.True(t, s.Begin(p, b))
-	s.clock.until(s.clock.now + 2*time.Second + grain)
-	assert.Equal(t, OrderPushBack, next(t, r).Kind, "all servers drop a repeat: asking again is harmless")
-	assert.True(t, b.broken, "the exchange has to close its connection")
+	s.clock.advanceTo(s.clock.now + 2*time.Second + timerResolution)
+	assert.Equal(t, OrderPushBack, nextOrder(t, r).Kind, "all servers drop a repeat: asking again is harmless")
+	assert.True(t, b.canceled, "the exchange has to close its connection")
 	assert.False(t, s.Begin(p, b), "a slow connect came up after the answer")
 	assert.Equal(t, 0, s.InFlight())
 	s.AttemptDone(p, decide.ConnectFailed, nil)
-	s.nothingHeld(t)
+	s.assertNothingInFlight(t)
 }
 
 func TestANonIdempotentRPCThatMayHaveRunIsAborted(t *testing.T) {
-	s := begin(t, nil)
-	s.list("a", "b")
+	s := newTestCore(t, nil)
+	s.listReady("a", "b")
 	r := s.arrive(charge)
-	p := next(t, r).Attempt
+	p := nextOrder(t, r).Attempt
 	s.AttemptDone(p, decide.ConnectFailed, nil)
-	p = next(t, r).Attempt
+	p = nextOrder(t, r).Attempt
 	s.AttemptDone(p, decide.Reset, nil)
-	assert.Equal(t, OrderAbort, next(t, r).Kind)
+	assert.Equal(t, OrderAbort, nextOrder(t, r).Kind)
 	assert.Empty(t, r.Orders)
 }
 
 func TestAPickOutlivesItsRPCWhereCancelsAreNotAllowed(t *testing.T) {
-	s := begin(t, func(n *settings.Instance) { n.MayCancel = false })
-	s.list("a")
+	s := newTestCore(t, func(n *settings.Instance) { n.MayCancel = false })
+	s.listReady("a")
 	r := s.arrive(find)
-	p := next(t, r).Attempt
-	b := &breaker{}
+	p := nextOrder(t, r).Attempt
+	b := &fakeCanceler{}
 	s.Bind(p, b)
 	s.ClientGone(r)
-	assert.False(t, b.broken)
+	assert.False(t, b.canceled)
 	assert.False(t, s.Begin(p, b), "not yet written: the caller has gone")
 	s.AttemptDone(p, decide.OK, &Response{})
 	assert.Empty(t, r.Orders, "nobody is left to be answered")
-	s.nothingHeld(t)
+	s.assertNothingInFlight(t)
 }
 
 func TestACallerThatLeavesCancelsItsPicks(t *testing.T) {
-	s := begin(t, nil)
-	s.list("a")
+	s := newTestCore(t, nil)
+	s.listReady("a")
 	r := s.arrive(find)
-	p := next(t, r).Attempt
-	b := &breaker{}
+	p := nextOrder(t, r).Attempt
+	b := &fakeCanceler{}
 	s.Begin(p, b)
 	s.ClientGone(r)
 	s.ClientGone(r)
-	assert.True(t, b.broken)
+	assert.True(t, b.canceled)
 	assert.False(t, s.Bind(p, b), "one that comes late is told")
 	s.AttemptDone(p, decide.Reset, nil)
 	assert.Empty(t, r.Orders)
-	s.nothingHeld(t)
+	s.assertNothingInFlight(t)
 }
 
 func TestAServerThatDrainsBetweenConnectAndWriteGetsNothing(t *testing.T) {
-	for _, how := range []func(*story, string){
-		func(s *story, id string) { s.UpdateEndpoints([]Endpoint{entry(id, decide.Draining)}, false) },
-		func(s *story, id string) { s.UpdateEndpoints([]Endpoint{entry(id, decide.Gone)}, false) },
-		func(s *story, id string) { s.UpdateEndpoints([]Endpoint{entry("c", decide.Ready)}, true) },
+	for _, how := range []func(*testCore, string){
+		func(s *testCore, id string) { s.UpdateEndpoints([]Endpoint{testEndpoint(id, decide.Draining)}, false) },
+		func(s *testCore, id string) { s.UpdateEndpoints([]Endpoint{testEndpoint(id, decide.Gone)}, false) },
+		func(s *testCore, id string) { s.UpdateEndpoints([]Endpoint{testEndpoint("c", decide.Ready)}, true) },
 	} {
-		s := begin(t, nil)
-		s.list("a", "b", "c")
+		s := newTestCore(t, nil)
+		s.listReady("a", "b", "c")
 		var r *RPC
 		var p *Attempt
 		for r, p = s.arrive(find), nil; ; r = s.arrive(find) {
-			if p = next(t, r).Attempt; p.Server.id != "c" {
+			if p = nextOrder(t, r).Attempt; p.Server.id != "c" {
 				break
 			}
 		}
 		how(s, p.Server.id)
 		assert.False(t, s.Begin(p, nil))
 		s.AttemptDone(p, decide.NotSent, nil)
-		o := next(t, r)
+		o := nextOrder(t, r)
 		assert.Equal(t, OrderSend, o.Kind, "the RPC goes elsewhere")
 		assert.NotSame(t, p.Server, o.Attempt.Server)
 	}
 }
 
 func TestAServerThatMovesIsFollowed(t *testing.T) {
-	s := begin(t, nil)
-	s.list("a")
-	p := next(t, s.arrive(find)).Attempt
-	e := entry("a", decide.Ready)
+	s := newTestCore(t, nil)
+	s.listReady("a")
+	p := nextOrder(t, s.arrive(find)).Attempt
+	e := testEndpoint("a", decide.Ready)
 	e.Addr = "elsewhere:80"
 	s.UpdateEndpoints([]Endpoint{e}, false)
 	addr, ready := s.Address(p.Server)
@@ -248,22 +248,22 @@
 // over.
 func TestAServerThatStartedJustBeforeThisNodeIsCold(t *testing.T) {
 	sent := func(started time.Time) int {
-		s := begin(t, func(n *settings.Instance) { n.MaxAttempts = 1 })
-		warm, other := entry("warm", decide.Ready), entry("other", decide.Ready)
+		s := newTestCore(t, func(n *settings.Instance) { n.MaxAttempts = 1 })
+		warm, other := testEndpoint("warm", decide.Ready), testEndpoint("other", decide.Ready)
 		other.StartedAt = started
 		s.UpdateEndpoints([]Endpoint{warm, other}, true)
 		n := 0
 		for range 200 {
 			r := s.arrive(find)
 			for len(r.Orders) > 0 {
-				o := next(t, r)
+				o := nextOrder(t, r)
 				if o.Kind != OrderSend {
 					continue
 				}
 				if o.Attempt.Server.id == "other" {
 					n++
 				}
-				s.clock.until(s.clock.now + 20*time.Millisecond)
+				s.clock.advanceTo(s.clock.now + 20*time.Millisecond)
 				s.AttemptDone(o.Attempt, decide.OK, &Response{})
 			}
 		}
@@ -271,75 +271,75 @@
 	}
 	long := sent(time.Time{})
 	assert.Greater(t, long, 50)
-	assert.Less(t, sent(wall.Add(-time.Second)), long/2)
-	assert.Greater(t, sent(wall.Add(-time.Minute)), 50)
+	assert.Less(t, sent(testWallTime.Add(-time.Second)), long/2)
+	assert.Greater(t, sent(testWallTime.Add(-time.Minute)), 50)
 	assert.Greater(t, sent(time.UnixMilli(1)), 50, "a time before the module's clock began is long ago")
 }
 
 func TestTheListIsAskedForAgainAfterEachFailure(t *testing.T) {
-	s := begin(t, nil)
-	s.list("a")
-	assert.Equal(t, 0, s.watches)
-	s.clock.until(2 * time.Second)
-	assert.Equal(t, 1, s.watches)
+	s := newTestCore(t, nil)
+	s.listReady("a")
+	assert.Equal(t, 0, s.watchRequests)
+	s.clock.advanceTo(2 * time.Second)
+	assert.Equal(t, 1, s.watchRequests)
 	for range 3 {
-		n := s.watches
+		n := s.watchRequests
 		s.EndpointWatchFailed(WatchFailure{MaxPause: time.Hour})
-		s.clock.until(s.clock.now + 7*time.Second)
-		assert.Equal(t, n+1, s.watches)
+		s.clock.advanceTo(s.clock.now + 7*time.Second)
+		assert.Equal(t, n+1, s.watchRequests)
 	}
-	assert.Equal(t, 1, begin(t, func(n *settings.Instance) { n.MustSubscribe = false }).watches,
+	assert.Equal(t, 1, newTestCore(t, func(n *settings.Instance) { n.MustSubscribe = false }).watchRequests,
 		"where the module expects news unasked, the node asks by itself")
 }
 
 func TestAfterTheEndNothingIsSent(t *testing.T) {
-	s := begin(t, nil)
-	s.list("a")
+	s := newTestCore(t, nil)
+	s.listReady("a")
 	r := s.arrive(find)
-	p := next(t, r).Attempt
-	b := &breaker{}
+	p := nextOrder(t, r).Attempt
+	b := &fakeCanceler{}
 	assert.True(t, s.Begin(p, b))
 	s.Close()
 	assert.False(t, s.Begin(p, b))
-	assert.True(t, b.broken)
-	s.clock.until(time.Minute)
+	assert.True(t, b.canceled)
+	s.clock.advanceTo(time.Minute)
 	assert.Empty(t, r.Orders)
 }
 
 func TestAPickLastsNoLongerThanItsCallerWaits(t *testing.T) {
-	s := begin(t, nil)
-	s.list("a")
-	p := next(t, s.arrive(find)).Attempt
+	s := newTestCore(t, nil)
+	s.listReady("a")
+	p := nextOrder(t, s.arrive(find)).Attempt
 	assert.Equal(t, 4*time.Second, s.TimeLeft(p))
-	b := &breaker{}
+	b := &fakeCanceler{}
 	assert.True(t, s.Begin(p, b))
 	s.clock.now += 4 * time.Second
 	assert.False(t, s.Begin(p, b))
-	s.clock.until(s.clock.now + grain)
-	assert.True(t, b.broken, "and what waits for its answer returns")
+	s.clock.advanceTo(s.clock.now + timerResolution)
+	assert.True(t, b.canceled, "and what waits for its answer returns")
 	s.AttemptDone(p, decide.Reset, nil)
 }
 
 func TestServersThatHaveLeftAreForgotten(t *testing.T) {
-	s := begin(t, nil)
+	s := newTestCore(t, nil)
 	for i := range 500 {
-		s.list(fmt.Sprint("a", i), fmt.Sprint("b", i))
+		s.listReady(fmt.Sprint("a", i), fmt.Sprint("b", i))
 		r := s.arrive(find)
-		p := next(t, r).Attempt
-		s.list(fmt.Sprint("a", i+1), fmt.Sprint("b", i+1))
+		p := nextOrder(t, r).Attempt
+		s.listReady(fmt.Sprint("a", i+1), fmt.Sprint("b", i+1))
 		_, ready := s.Address(p.Server)
 		assert.False(t, ready)
-		s.clock.until(s.clock.now + 100*time.Millisecond)
+		s.clock.advanceTo(s.clock.now + 100*time.Millisecond)
 		s.AttemptDone(p, decide.OK, &Response{})
 		assert.LessOrEqual(t, len(s.servers), 3)
 	}
-	s.UpdateEndpoints([]Endpoint{entry("a500", decide.Gone), entry("never seen", decide.Gone)}, false)
+	s.UpdateEndpoints([]Endpoint{testEndpoint("a500", decide.Gone), testEndpoint("never seen", decide.Gone)}, false)
 	assert.Len(t, s.servers, 1)
 }
 
 func TestAnOperatorsWordLiesOverTheList(t *testing.T) {
-	s := begin(t, nil)
-	s.list("a", "b")
+	s := newTestCore(t, nil)
+	s.listReady("a", "b")
 	assert.False(t, s.Detach("c"))
 	assert.False(t, s.Attach("c"))
 	var gone []string
@@ -349,7 +349,7 @@
 		}
 	})
 	r := s.arrive(find)
-	p := next(t, r).Attempt
+	p := nextOrder(t, r).Attempt
 	out := p.Server.id
 	assert.True(t, s.Detach(out))
 	assert.True(t, s.Detach(out), "the call may be repeated")
@@ -357,47 +357,47 @@
 	assert.False(t, s.Begin(p, nil), "a connect that took longer than the grace")
 	s.AttemptDone(p, decide.NotSent, nil)
 	for range 50 {
-		s.list("a", "b")
-		p := next(t, s.arrive(find)).Attempt
+		s.listReady("a", "b")
+		p := nextOrder(t, s.arrive(find)).Attempt
 		assert.NotEqual(t, out, p.Server.id)
 		s.AttemptDone(p, decide.OK, &Response{})
 	}
-	s.list("c")
-	s.list("a", "b", "c")
+	s.listReady("c")
+	s.listReady("a", "b", "c")
 	for range 50 {
-		p := next(t, s.arrive(find)).Attempt
+		p := nextOrder(t, s.arrive(find)).Attempt
 		assert.NotEqual(t, out, p.Server.id, "also after it had left the list")
 		s.AttemptDone(p, decide.OK, &Response{})
 	}
 	assert.Contains(t, s.ExclusionReason(out), "operator")
-	s.list("c")
+	s.listReady("c")
 	assert.True(t, s.Attach(out))
 	assert.Contains(t, s.ExclusionReason(out), "does not have it")
 	s.UpdateEndpoints([]Endpoint{{ID: out, Addr: "x:80", State: decide.Draining, Weight: 1}}, false)
 	assert.Contains(t, s.ExclusionReason(out), "draining")
 	assert.True(t, s.Detach(out))
-	s.list("a", "b", "c")
+	s.listReady("a", "b", "c")
 	assert.True(t, s.Attach(out))
 	assert.True(t, s.Attach(out))
 	assert.Empty(t, s.ExclusionReason(out)+s.ExclusionReason("never"))
-	assert.Positive(t, s.listing(s.servers[out]).StartedAt, "it was restarted: cold, though the list does not say so")
+	assert.Positive(t, s.endpointUpdate(s.servers[out]).StartedAt, "it was restarted: cold, though the list does not say so")
 	s.clock.now += time.Minute
-	s.UpdateEndpoints([]Endpoint{{ID: out, Addr: "x:80", State: decide.Ready, Weight: 1, StartedAt: s.wall()}}, false)
-	assert.InDelta(t, s.Now(), s.listing(s.servers[out]).StartedAt, 0.1, "what the list says of its start goes before")
+	s.UpdateEndpoints([]Endpoint{{ID: out, Addr: "x:80", State: decide.Ready, Weight: 1, StartedAt: s.wallNow()}}, false)
+	assert.InDelta(t, s.Now(), s.endpointUpdate(s.servers[out]).StartedAt, 0.1, "what the list says of its start goes before")
 	assert.True(t, s.Ready(s.servers[out]))
 }
 
 func TestOpenRPCsKeepTheRulesTheyCameUnder(t *testing.T) {
 	names := func(s *settings.Instance) { s.MethodNames = []string{"find", "book", "charge"} }
-	s := begin(t, names)
-	s.list("a", "b", "c")
+	s := newTestCore(t, names)
+	s.listReady("a", "b", "c")
 	r := s.arrive(find) // idempotent, three picks
-	first := next(t, r).Attempt
+	first := nextOrder(t, r).Attempt
 	once := s.arrive(charge)
-	paid := next(t, once).Attempt
+	paid := nextOrder(t, once).Attempt
 	for range 40 { // what is learned of a server has to outlive the change
 		x := s.arrive(book)
-		p := next(t, x).Attempt
+		p := nextOrder(t, x).Attempt
 		s.clock.now += time.Millisecond
 		s.AttemptDone(p, decide.OK, &Response{})
 	}
@@ -409,52 +409,52 @@
 	is := s.UpdateSettings(fresh)
 	assert.Equal(t, []string{"find", "", "charge", "pay"}, is.MethodNames, "a slot that was just left is not used again")
 	s.AttemptDone(first, decide.Failed, nil)
-	second := next(t, r)
+	second := nextOrder(t, r)
 	require.Equal(t, OrderSend, second.Kind, "it may still be repeated")
 	s.AttemptDone(second.Attempt, decide.Failed, nil)
-	third := next(t, r)
+	third := nextOrder(t, r)
 	require.Equal(t, OrderSend, third.Kind, "and has the picks that it came with")
 	s.AttemptDone(third.Attempt, decide.Failed, nil)
-	assert.Equal(t, OrderPushBack, next(t, r).Kind)
+	assert.Equal(t, OrderPushBack, nextOrder(t, r).Kind)
 	s.AttemptDone(paid, decide.Failed, nil)
-	assert.Equal(t, OrderAbort, next(t, once).Kind, "it was not to be repeated when it came")
+	assert.Equal(t, OrderAbort, nextOrder(t, once).Kind, "it was not to be repeated when it came")
 	r = s.arrive(find)
-	s.AttemptDone(next(t, r).Attempt, decide.Failed, nil)
-	assert.Equal(t, OrderAbort, next(t, r).Kind, "those that come now are under the new rules")
+	s.AttemptDone(nextOrder(t, r).Attempt, decide.Failed, nil)
+	assert.Equal(t, OrderAbort, nextOrder(t, r).Kind, "those that come now are under the new rules")
 	r = s.arrive(3)
-	s.AttemptDone(next(t, r).Attempt, decide.Failed, nil)
-	s.AttemptDone(next(t, r).Attempt, decide.Failed, nil)
-	assert.Equal(t, OrderPushBack, next(t, r).Kind, "two picks at most")
-	s.clock.until(s.clock.now + 2*slotRest)
+	s.AttemptDone(nextOrder(t, r).Attempt, decide.Failed, nil)
+	s.AttemptDone(nextOrder(t, r).Attempt, decide.Failed, nil)
+	assert.Equal(t, OrderPushBack, nextOrder(t, r).Kind, "two picks at most")
+	s.clock.advanceTo(s.clock.now + 2*slotQuarantine)
 	fresh.MethodNames = []string{"charge", "tip", "find"}
 	assert.Equal(t, []string{"find", "tip", "charge", ""}, s.UpdateSettings(fresh).MethodNames)
-	s.nothingHeld(t)
+	s.assertNothingInFlight(t)
 	for i := range s.methods {
-		assert.Zero(t, s.methods[i].held)
+		assert.Zero(t, s.methods[i].inFlight)
 	}
 }
 
 func TestTheTimeOfABodyThatComesLateBeginsWithItsEnd(t *testing.T) {
-	s := begin(t, nil)
-	s.list("a", "b")
+	s := newTestCore(t, nil)
+	s.listReady("a", "b")
 	r := s.Arrived(Arrival{Method: charge, Deadline: s.clock.now + 4*time.Second, BodyPending: true})
-	p := next(t, r).Attempt
+	p := nextOrder(t, r).Attempt
 	assert.True(t, s.Begin(p, nil))
-	s.clock.until(s.clock.now + time.Minute) // far beyond its target and its deadline
+	s.clock.advanceTo(s.clock.now + time.Minute) // far beyond its target and its deadline
 	assert.Empty(t, r.Orders)
 	assert.True(t, s.Begin(p, nil))
 	s.BodyReceived(p, 4*time.Second)
 	assert.Equal(t, s.clock.now+4*time.Second, r.Deadline)
-	b := &breaker{}
+	b := &fakeCanceler{}
 	s.Begin(p, b)
-	s.clock.until(s.clock.now + 3*time.Second)
-	assert.Equal(t, OrderAbort, next(t, r).Kind, "it may have run by then")
-	assert.True(t, b.broken)
+	s.clock.advanceTo(s.clock.now + 3*time.Second)
+	assert.Equal(t, OrderAbort, nextOrder(t, r).Kind, "it may have run by then")
+	assert.True(t, b.canceled)
 	s.AttemptDone(p, decide.Reset, nil)
 	// Broken before its end it never ran; what was sent is gone, so no other server can have it.
 	r = s.Arrived(Arrival{Method: charge, Deadline: s.clock.now + 4*time.Second, BodyPending: true})
-	s.AttemptDone(next(t, r).Attempt, decide.ConnectFailed, nil)
-	for o := next(t, r); ; o = next(t, r) {
+	s.AttemptDone(nextOrder(t, r).Attempt, decide.ConnectFailed, nil)
+	for o := nextOrder(t, r); ; o = nextOrder(t, r) {
 		if o.Kind == OrderPushBack {
 			break
 		}
@@ -463,38 +463,38 @@
 	}
 	// A caller that leaves meanwhile.
 	r = s.Arrived(Arrival{Method: charge, Deadline: s.clock.now + 4*time.Second, BodyPending: true})
-	p = next(t, r).Attempt
+	p = nextOrder(t, r).Attempt
 	s.ClientGone(r)
 	s.BodyReceived(p, time.Second)
 	s.AttemptDone(p, decide.Reset, nil)
-	s.clock.until(s.clock.now + time.Minute)
-	s.nothingHeld(t)
+	s.clock.advanceTo(s.clock.now + time.Minute)
+	s.assertNothingInFlight(t)
 }
 
 // A server that was restarted while it was out is cold, and unknown: it must neither be pushed over nor left lying, and who
 // sent most there before has to find out first how it is.
 func TestAServerThatIsCalledBackIsUsedSoonAndGently(t *testing.T) {
-	s := begin(t, func(s *settings.Instance) { s.Instances = 9 })
+	s := newTestCore(t, func(s *settings.Instance) { s.Instances = 9 })
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
-	s.list(ids...)
+	s.listReady(ids...)
 	to := map[string][]time.Duration{}
 	work := func(d time.Duration) {
 		for end := s.clock.now + d; s.clock.now < end; {
-			p := next(t, s.arrive(find)).Attempt
+			p := nextOrder(t, s.arrive(find)).Attempt
 			to[p.Server.id] = append(to[p.Server.id], s.clock.now)
-			s.clock.until(s.clock.now + 20*time.Millisecond)
+			s.clock.advanceTo(s.clock.now + 20*time.Millisecond)
 			s.AttemptDone(p, decide.OK, &Response{})
-			s.clock.until(s.clock.now + 80*time.Millisecond)
+			s.clock.advanceTo(s.clock.now + 80*time.Millisecond)
 		}
 	}
 	work(20 * time.Second)
 	busiest := slices.MaxFunc(ids, func(a, b string) int { return len(to[a]) - len(to[b]) })
 	assert.True(t, s.Detach(busiest))
 	before := len(to[busiest])
-	s.list(slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return id == busiest })...)
+	s.listReady(slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return id == busiest })...)
 	work(3 * time.Second)
-	back := entry(busiest, decide.Ready)
-	back.StartedAt = s.wall()
+	back := testEndpoint(busiest, decide.Ready)
+	back.StartedAt = s.wallNow()
 	s.UpdateEndpoints([]Endpoint{back}, false)
 	work(3 * time.Second)
 	assert.Len(t, to[busiest], before)
@@ -504,7 +504,7 @@
 	assert.Positive(t, used)
 	assert.Less(t, used, 12, "of 50, while it can do a tenth to a third of what it could")
 	s.Detach(busiest)
-	s.list()
+	s.listReady()
 	assert.NotNil(t, s.servers[busiest])
 	s.Attach(busiest)
 	assert.Nil(t, s.servers[busiest], "it has gone meanwhile, and is forgotten")
@@ -513,14 +513,14 @@
 // Settings may allow any number of attempts, and fewer after a change: an RPC's orders find room without the memory for all of them.
 func TestOrdersHaveRoomWhateverTheSettingsAllow(t *testing.T) {
 	for _, most := range []int{1, 5, 1 << 40} {
-		s := begin(t, func(n *settings.Instance) { n.MaxAttempts = most })
-		s.list("a")
+		s := newTestCore(t, func(n *settings.Instance) { n.MaxAttempts = most })
+		s.listReady("a")
 		r := s.arrive(find)
-		assert.LessOrEqual(t, cap(r.Orders), maxQueued+endOrders)
-		assert.GreaterOrEqual(t, cap(r.Orders), min(most, maxQueued)+endOrders)
+		assert.LessOrEqual(t, cap(r.Orders), maxBufferedAttempts+finalOrders)
+		assert.GreaterOrEqual(t, cap(r.Orders), min(most, maxBufferedAttempts)+finalOrders)
 		fewer := &settings.Instance{Settings: s.settings.Settings, MethodNames: []string{"find"}}
 		fewer.MaxAttempts = 1
 		s.UpdateSettings(fewer)
-		assert.GreaterOrEqual(t, cap(s.arrive(find).Orders), min(most, maxQueued)+endOrders, "a class that has left keeps its attempts")
+		assert.GreaterOrEqual(t, cap(s.arrive(find).Orders), min(most, maxBufferedAttempts)+finalOrders, "a class that has left keeps its attempts")
 	}
 }
