--- a/internal/core/node/attempt.go
+++ b/internal/core/node/attempt.go
@@ -35,17 +35,16 @@
 	// Under the core's mutex.
 	decideAttempt *decide.Attempt
 	rpc           *RPC
-	canceler      Canceler // nil: not bound yet
-	state         attemptState
+	canceler      Canceler      // nil: not bound yet
 	index         int           // in Core.attempts
 	orderedAt     time.Duration // or when the request's body was received
+	begunAt       time.Duration
 	timer         timingwheel.Timer
 	deadlineTimer timingwheel.Timer
-
-	begun    bool // its first byte was let through
-	begunAt  time.Duration
-	neverRan bool             // its result proves so
-	result   telemetry.Reason // once it is done
+	state         attemptState
+	begun         bool             // its first byte was let through
+	neverRan      bool             // its result proves so
+	result        telemetry.Reason // once it is done
 }
 
 // Send orders an attempt. It lasts until its timeout or, with none, until its RPC's deadline. It is part of
--- a/internal/core/node/core.go
+++ b/internal/core/node/core.go
@@ -3,7 +3,7 @@
 //
 // A Core does no I/O and knows no real clock. It is called by the frontends (Arrived, ClientGone), by the upstream
 // connections (Bind, Begin, BodyReceived, AttemptDone), by the endpoint watcher (UpdateEndpoints,
-// EndpointWatchFailed) and by its timers; it tells the Balancer, and implements decide.Host, by which the Balancer
+// EndpointWatchFailed) and by its timers; it notifies the Balancer, and implements decide.Host, by which the Balancer
 // acts. One mutex guards the Balancer and the ledger, and nothing that may block happens while it is held: what the
 // Balancer orders for an RPC is put into the RPC's channel of orders, and carried out by whoever serves that RPC.
 //
