--- a/internal/protocol/settings/golden_test.go
+++ b/internal/protocol/settings/golden_test.go
@@ -104,7 +104,7 @@
 // of the golden file, letter for letter: decoding alone takes "aimms" for "AimMs".
 func TestGolden_TheObjectHasExactlyTheseNames(t *testing.T) {
 	whole := golden(t, "settings.json")
-	settings := &object{}
+	settings := &document{}
 	decoder := json.NewDecoder(strings.NewReader(whole))
 	decoder.DisallowUnknownFields()
 	require.NoError(t, decoder.Decode(settings))
