--- a/internal/core/routes/canonical.go
+++ b/internal/core/routes/canonical.go
@@ -5,78 +5,102 @@
 	"strings"
 )
 
-// What can't be brought to one form is refused: two readers of it could disagree, and a route would be passed by.
+// What can't be brought to one canonical form is rejected: two readers of it could disagree, and a route could be
+// bypassed.
 var (
 	ErrHost = errors.New("not a host name")
 	ErrPath = errors.New("ambiguous or malformed path")
 )
 
-const mostHost = 253
+const (
+	maxHostLength  = 253
+	maxLabelLength = 63
+	maxPort        = 65535
 
-// Host brings a Host header to its one form: lower case, without port and without a trailing dot. Addresses stay as
-// they are, those of IPv6 in brackets.
+	hexDigits = "0123456789ABCDEF"
+)
+
+// Host brings a Host header to its canonical form: lower case, without port and without a trailing dot. Addresses stay
+// as they are, those of IPv6 in brackets.
 func Host(s string) (string, error) {
 	if strings.HasPrefix(s, "[") {
-		end := strings.IndexByte(s, ']')
-		if end < 0 || !port(s[end+1:]) {
-			return "", ErrHost
-		}
-		for _, c := range []byte(s[1:end]) {
-			if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F' || c == ':' || c == '.') {
-				return "", ErrHost
-			}
-		}
-		return lower(s[:end+1]), nil
+		return hostIPv6(s)
 	}
+	name := s
 	if i := strings.IndexByte(s, ':'); i >= 0 {
-		if !port(s[i:]) {
+		if !isPortSuffix(s[i:]) {
 			return "", ErrHost
 		}
-		s = s[:i]
+		name = s[:i]
 	}
-	s = strings.TrimSuffix(s, ".")
-	if s == "" || len(s) > mostHost {
+	name = strings.TrimSuffix(name, ".")
+	if name == "" || len(name) > maxHostLength {
 		return "", ErrHost
 	}
-	label := 0
-	for i, c := range []byte(s) {
-		switch {
-		case c == '.':
-			if label == 0 || s[i-1] == '-' {
-				return "", ErrHost
-			}
-			label = 0
-			continue
-		case c == '-' && label == 0, label == 63:
-			return "", ErrHost
-		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9', c == '-', c == '_':
-		default:
+	for label := range strings.SplitSeq(name, ".") {
+		if !isHostLabel(label) {
 			return "", ErrHost
 		}
-		label++
 	}
-	if label == 0 || s[len(s)-1] == '-' {
+	return toLower(name), nil
+}
+
+// hostIPv6 is Host for an address in brackets.
+func hostIPv6(s string) (string, error) {
+	end := strings.IndexByte(s, ']')
+	if end < 0 || !isPortSuffix(s[end+1:]) {
 		return "", ErrHost
 	}
-	return lower(s), nil
+	for _, c := range []byte(s[1:end]) {
+		if hexValue(c) < 0 && c != ':' && c != '.' {
+			return "", ErrHost
+		}
+	}
+	return toLower(s[:end+1]), nil
 }
 
-// port tells whether what follows a name is nothing, or a colon and a port.
-func port(s string) bool {
+func isHostLabel(label string) bool {
+	if label == "" || len(label) > maxLabelLength {
+		return false
+	}
+	if label[0] == '-' || label[len(label)-1] == '-' {
+		return false
+	}
+	for _, c := range []byte(label) {
+		if !isAlphanumeric(c) && c != '-' && c != '_' {
+			return false
+		}
+	}
+	return true
+}
+
+// isPortSuffix returns whether what follows a name is nothing, or a colon and a port.
+func isPortSuffix(s string) bool {
 	if s == "" {
 		return true
 	}
-	n := 0
+	if s[0] != ':' || len(s) == 1 {
+		return false
+	}
+	port := 0
 	for _, c := range []byte(s[1:]) {
-		if c < '0' || c > '9' || n > 6553 {
+		if c < '0' || c > '9' {
+			return false
+		}
+		port = 10*port + int(c-'0')
+		if port > maxPort {
 			return false
 		}
-		n = n*10 + int(c-'0')
 	}
-	return s[0] == ':' && len(s) > 1 && n > 0 && n <= 65535
+	return port > 0
 }
 
-func lower(s string) string {
+func isAlphanumeric(c byte) bool {
+	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+}
+
+// toLower allocates only where something changes.
+func toLower(s string) string {
 	for _, c := range []byte(s) {
 		if c >= 'A' && c <= 'Z' {
 			return strings.ToLower(s)
@@ -85,62 +109,86 @@
 	return s
 }
 
-// Path brings a target's path to its one form: escapes of what needs none are taken out, those that stay are in upper
-// case. Refused are dot segments and empty ones, plain or escaped, escaped slashes, backslashes and controls, and
-// whatever is no escape: servers read those in different ways. A trailing slash stays and makes no segment.
+// Path brings a target's path to its canonical form: escapes of what needs none are decoded, those that stay are in
+// upper case. It rejects what servers read in different ways: dot segments and empty ones, plain or escaped, escaped
+// slashes, backslashes and controls, and whatever is no escape. A trailing slash stays and makes no segment.
 func Path(s string) (string, error) {
 	if s == "" || s[0] != '/' {
 		return "", ErrPath
 	}
-	plain := true
-	for i := 0; i < len(s); i++ {
-		switch c := s[i]; {
-		case c == '%':
-			plain = false
-		case c <= ' ' || c >= 0x7f || c == '\\' || c == '?' || c == '#' || c == '"' || c == '<' || c == '>' || c == '^' || c == '`' ||
-			c == '{' || c == '|' || c == '}':
+	escaped := false
+	for i := range len(s) {
+		if s[i] == '%' {
+			escaped = true
+		} else if !isPathByte(s[i]) {
 			return "", ErrPath
 		}
 	}
-	if !plain {
-		b := make([]byte, 0, len(s))
-		for i := 0; i < len(s); i++ {
-			if s[i] != '%' {
-				b = append(b, s[i])
-				continue
-			}
-			if i+2 >= len(s) {
-				return "", ErrPath
-			}
-			hi, lo := unhex(s[i+1]), unhex(s[i+2])
-			if hi < 0 || lo < 0 {
-				return "", ErrPath
-			}
-			switch c := byte(hi<<4 | lo); {
-			case c == '/' || c == '\\' || c < ' ' || c == 0x7f:
-				return "", ErrPath
-			case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9', strings.IndexByte("-._~", c) >= 0:
-				b = append(b, c)
-			default:
-				b = append(b, '%', "0123456789ABCDEF"[hi], "0123456789ABCDEF"[lo])
-			}
-			i += 2
+	if escaped {
+		var err error
+		s, err = normalizeEscapes(s)
+		if err != nil {
+			return "", err
 		}
-		s = string(b)
 	}
-	for rest := s[1:]; ; {
-		part, tail, more := strings.Cut(rest, "/")
-		if part == "." || part == ".." || part == "" && more {
+	if !hasPlainSegments(s) {
+		return "", ErrPath
+	}
+	return s, nil
+}
+
+// isPathByte returns whether a byte may be part of a path without being escaped.
+func isPathByte(c byte) bool {
+	switch c {
+	case '\\', '?', '#', '"', '<', '>', '^', '`', '{', '|', '}':
+		return false
+	}
+	return c > ' ' && c < 0x7f
+}
+
+// normalizeEscapes decodes the escapes of what needs none, and writes the others in upper case.
+func normalizeEscapes(s string) (string, error) {
+	out := make([]byte, 0, len(s))
+	for i := 0; i < len(s); i++ {
+		if s[i] != '%' {
+			out = append(out, s[i])
+			continue
+		}
+		if i+2 >= len(s) {
+			return "", ErrPath
+		}
+		high, low := hexValue(s[i+1]), hexValue(s[i+2])
+		if high < 0 || low < 0 {
 			return "", ErrPath
 		}
-		if !more {
-			return s, nil
+		i += 2
+		switch c := byte(high<<4 | low); {
+		case c == '/' || c == '\\' || c < ' ' || c == 0x7f:
+			return "", ErrPath
+		case isAlphanumeric(c), c == '-', c == '.', c == '_', c == '~':
+			out = append(out, c)
+		default:
+			out = append(out, '%', hexDigits[high], hexDigits[low])
+		}
+	}
+	return string(out), nil
+}
+
+// hasPlainSegments returns whether no segment of a path is a dot segment, and none but the last is empty.
+func hasPlainSegments(path string) bool {
+	rest, more := path[1:], true
+	for more {
+		var segment string
+		segment, rest, more = strings.Cut(rest, "/")
+		if segment == "." || segment == ".." || segment == "" && more {
+			return false
 		}
-		rest = tail
 	}
+	return true
 }
 
-func unhex(c byte) int {
+// hexValue is the value of a hexadecimal digit; below 0 for other bytes.
+func hexValue(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
 		return int(c - '0')
