--- a/internal/system/timingwheel/timingwheel.go
+++ b/internal/system/timingwheel/timingwheel.go
@@ -1,7 +1,8 @@
-// Package timingwheel is a hashed timing wheel: setting and taking back a timer cost the same however many there are, and a
-// timer is a record inside the thing it belongs to, not a runtime timer of its own. It knows no clock: who owns a wheel
-// moves it on, and says how many timers at most may end in one go, so that a second in which all of them end does not stop
-// what else is going on.
+// Package timingwheel is a hashed timing wheel: adding and removing a timer cost the same however many there are, and a
+// timer is a record inside the thing it belongs to, not a runtime timer of its own.
+//
+// A Wheel knows no clock and starts no goroutine: its owner advances it to a time, and says how many timers at most may
+// end in one go, so that a moment in which very many end does not hold up everything else.
 package timingwheel
 
 import (
@@ -10,145 +11,168 @@
 	"time"
 )
 
-// Timer is set in one wheel at a time. It is embedded in what it belongs to.
+// Timer can be in one wheel at a time. It is embedded in what it belongs to; Payload leads back there.
 type Timer struct {
-	next, prev *Timer
-	tick       int64
+	next, prev *Timer // of its ring; nil: it is in no wheel
+	tick       int64  // at which it ends
 	Payload    any
 }
 
-// Set tells whether the timer is in a wheel.
+// Set returns whether the timer is in a wheel.
 func (t *Timer) Set() bool { return t.next != nil }
 
-// Wheel holds timers. It is not safe for concurrent use.
+// makeRing makes a timer the sentinel of an empty ring.
+func (t *Timer) makeRing() { t.next, t.prev = t, t }
+
+func (t *Timer) ringIsEmpty() bool { return t.next == t }
+
+// appendTo puts a timer at the end of a ring.
+func (t *Timer) appendTo(sentinel *Timer) {
+	t.prev, t.next = sentinel.prev, sentinel
+	t.prev.next, sentinel.prev = t, t
+}
+
+// unlink takes a timer out of its ring.
+func (t *Timer) unlink() {
+	t.prev.next, t.next.prev = t.next, t.prev
+	t.next, t.prev = nil, nil
+}
+
+// bitsPerWord is how many slots one word of Wheel.occupied stands for.
+const bitsPerWord = 64
+
+// Wheel holds timers. Time is counted in ticks; a timer is in the slot of its tick, modulo the number of slots, so that
+// one further away than a turn of the wheel is looked at once a turn. A Wheel is not safe for concurrent use.
 type Wheel struct {
-	grain time.Duration
-	now   int64    // all ticks up to here have been looked at
-	n     int      // timers set
-	full  []uint64 // a bit for each slot that holds timers
-	heads []*Timer // of rings; the sentinels are made as they are needed
-	due   Timer    // the ring of those that have ended and were not called yet
+	resolution time.Duration // of a tick
+	now        int64         // the tick up to which all slots were looked at
+	count      int           // of the timers in the wheel, those that are due included
+	slots      []*Timer      // sentinels of rings, created as they are needed
+	occupied   []uint64      // a bit for each slot with timers
+	due        Timer         // sentinel of the ring of those that have ended and were not called yet
 }
 
-// New makes a wheel with times in steps of grain, which stands at a time. A timer further away than all the slots, a power
-// of two and 64 at least, is looked at once a turn.
-func New(grain, now time.Duration, slots int) *Wheel {
-	if slots < 64 || slots&(slots-1) != 0 {
-		panic("wheel: slots must be a power of two, and 64 at least")
+// New creates a wheel that is at a time. The number of slots has to be a power of two, and 64 at least.
+func New(resolution, now time.Duration, slots int) *Wheel {
+	if slots < bitsPerWord || slots&(slots-1) != 0 {
+		panic("timingwheel: the number of slots must be a power of two, and 64 at least")
+	}
+	w := &Wheel{
+		resolution: resolution,
+		now:        int64(now / resolution),
+		slots:      make([]*Timer, slots),
+		occupied:   make([]uint64, slots/bitsPerWord),
 	}
-	w := &Wheel{grain: grain, now: int64(now / grain), full: make([]uint64, slots/64), heads: make([]*Timer, slots)}
-	w.due.next, w.due.prev = &w.due, &w.due
+	w.due.makeRing()
 	return w
 }
 
-// Len is how many timers are set.
-func (w *Wheel) Len() int { return w.n }
+// Len is the number of timers in the wheel.
+func (w *Wheel) Len() int { return w.count }
 
-// Add sets a timer for a time: it ends at the first step not before that, or at the next one if that has passed. One that
-// is set already is moved.
+// Add puts a timer into the wheel. It ends at the first tick that is not before the time, or at the next tick if that
+// has passed. A timer that is in the wheel already is moved.
 func (w *Wheel) Add(t *Timer, at time.Duration) {
 	w.Remove(t)
-	t.tick = max(int64((at+w.grain-1)/w.grain), w.now+1)
-	slot := t.tick & int64(len(w.heads)-1)
-	head := w.heads[slot]
-	if head == nil {
-		head = &Timer{}
-		head.next, head.prev = head, head
-		w.heads[slot] = head
+	t.tick = max(int64((at+w.resolution-1)/w.resolution), w.now+1)
+	slot := w.slotOf(t.tick)
+	ring := w.slots[slot]
+	if ring == nil {
+		ring = &Timer{}
+		ring.makeRing()
+		w.slots[slot] = ring
 	}
-	t.before(head)
-	w.full[slot/64] |= 1 << (slot % 64)
-	w.n++
+	t.appendTo(ring)
+	w.occupied[slot/bitsPerWord] |= 1 << (slot % bitsPerWord)
+	w.count++
 }
 
-func (t *Timer) before(head *Timer) {
-	t.prev, t.next = head.prev, head
-	t.prev.next, head.prev = t, t
-}
-
-func (t *Timer) unlink() {
-	t.prev.next, t.next.prev = t.next, t.prev
-	t.next, t.prev = nil, nil
-}
-
-// Remove takes a timer back; one that is not set stays so.
+// Remove takes a timer out of the wheel, if it is in it.
 func (w *Wheel) Remove(t *Timer) {
-	if t.next == nil {
+	if !t.Set() {
 		return
 	}
 	t.unlink()
-	w.n--
-	w.clear(t.tick & int64(len(w.heads)-1))
+	w.count--
+	w.updateOccupied(w.slotOf(t.tick))
 }
 
-func (w *Wheel) clear(slot int64) {
-	if head := w.heads[slot]; head.next == head {
-		w.full[slot/64] &^= 1 << (slot % 64)
-	}
-}
-
-// Advance moves the wheel to a time and calls end for each timer that has ended, in the order of their ticks and, within
-// one, in the order they were set. After most of them it stops, and the rest waits for the next call; it tells whether
-// there is a rest. What end sets is called in a later go.
-func (w *Wheel) Advance(now time.Duration, most int, end func(*Timer)) (rest bool) {
-	to := int64(now / w.grain)
-	// All of them first: what end sets must find the wheel at its new time.
-	for w.now < to {
-		next := w.after(w.now)
-		if next > to {
-			w.now = to
-			break
-		}
-		w.now = next
-		slot := next & int64(len(w.heads)-1)
-		head := w.heads[slot]
-		for t := head.next; t != head; {
-			this := t
-			if t = t.next; this.tick <= next { // else of a later turn
-				this.unlink()
-				this.before(&w.due)
-			}
-		}
-		w.clear(slot)
-	}
-	for ; w.due.next != &w.due; most-- {
-		if most <= 0 {
+// Advance moves the wheel to a time and calls end for the timers that have ended, limit of them at most, in the order
+// of their ticks and, within one, in the order in which they were added. It returns whether there are more, which the
+// next call goes on with. Timers that end adds are not called in the same call.
+func (w *Wheel) Advance(now time.Duration, limit int, end func(*Timer)) bool {
+	// The wheel has to be at its new time before end adds any.
+	w.advanceTo(int64(now / w.resolution))
+	for called := 0; !w.due.ringIsEmpty(); called++ {
+		if called >= limit {
 			return true
 		}
 		t := w.due.next
 		t.unlink()
-		w.n--
+		w.count--
 		end(t)
 	}
 	return false
 }
 
-// after is the first tick behind one whose slot holds timers, perhaps of a later turn; far away if there are none.
-func (w *Wheel) after(tick int64) int64 {
-	slots, words := int64(len(w.heads)), int64(len(w.full))
-	from := (tick + 1) & (slots - 1)
-	for i := range words + 1 {
-		word := (from/64 + i) % words
-		b := w.full[word]
-		if i == 0 {
-			b &= ^uint64(0) << (from % 64)
+// advanceTo moves the timers whose tick has come into the ring of those that are due.
+func (w *Wheel) advanceTo(tick int64) {
+	for w.now < tick {
+		next := w.nextOccupied(w.now)
+		if next > tick {
+			w.now = tick
+			return
 		}
-		if b != 0 {
-			slot := word*64 + int64(bits.TrailingZeros64(b))
-			return tick + 1 + (slot-from)&(slots-1)
+		w.now = next
+		slot := w.slotOf(next)
+		ring := w.slots[slot]
+		for t := ring.next; t != ring; {
+			this := t
+			t = t.next
+			if this.tick <= next { // otherwise it is of a later turn
+				this.unlink()
+				this.appendTo(&w.due)
+			}
 		}
+		w.updateOccupied(slot)
 	}
-	return math.MaxInt64
 }
 
-// Next is the earliest time at which a timer may end; it may turn out to be one of a later turn. With no timer set it is
-// false.
+// Next is the earliest time at which a timer may end; it may turn out to be of a later turn. It returns false if the
+// wheel is empty.
 func (w *Wheel) Next() (time.Duration, bool) {
 	switch {
-	case w.n == 0:
+	case w.count == 0:
 		return 0, false
-	case w.due.next != &w.due:
-		return time.Duration(w.now) * w.grain, true
+	case !w.due.ringIsEmpty():
+		return time.Duration(w.now) * w.resolution, true
 	}
-	return time.Duration(w.after(w.now)) * w.grain, true
+	return time.Duration(w.nextOccupied(w.now)) * w.resolution, true
+}
+
+func (w *Wheel) slotOf(tick int64) int64 { return tick & int64(len(w.slots)-1) }
+
+// updateOccupied clears the bit of a slot whose ring has become empty.
+func (w *Wheel) updateOccupied(slot int64) {
+	if w.slots[slot].ringIsEmpty() {
+		w.occupied[slot/bitsPerWord] &^= 1 << (slot % bitsPerWord)
+	}
+}
+
+// nextOccupied is the first tick behind one whose slot has timers, perhaps of a later turn; math.MaxInt64 if none has.
+func (w *Wheel) nextOccupied(tick int64) int64 {
+	words := int64(len(w.occupied))
+	first := w.slotOf(tick + 1)
+	for i := range words + 1 { // the first word again at the end, for its lower bits
+		word := (first/bitsPerWord + i) % words
+		timers := w.occupied[word]
+		if i == 0 {
+			timers &= ^uint64(0) << (first % bitsPerWord)
+		}
+		if timers != 0 {
+			slot := word*bitsPerWord + int64(bits.TrailingZeros64(timers))
+			return tick + 1 + w.slotOf(slot-first)
+		}
+	}
+	return math.MaxInt64
 }
