--- a/cmd/robincart/descriptors_test.go
+++ b/cmd/robincart/descriptors_test.go
@@ -219,7 +219,7 @@
 			} else {
 				d.Gone(true)
 				require.Eventually(t, func() bool {
-					return strings.Contains(p.Log(), "no watch of the server list")
+					return strings.Contains(p.Log(), "endpoint watch lost")
 				}, 20*time.Second, time.Millisecond)
 			}
 			for _, x := range callers[:requests] {
--- /dev/null
+++ b/internal/controlplane/endpoints/address_test.go
@@ -0,0 +1,109 @@
+package endpoints
+
+import (
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
+	"robincart/internal/testutil"
+)
+
+// manualClock advances when a test steps it.
+type manualClock struct {
+	mu     sync.Mutex
+	now    time.Duration
+	timers []manualTimer
+}
+
+type manualTimer struct {
+	at time.Duration
+	f  func()
+}
+
+func (m *manualClock) Now() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.now
+}
+
+func (m *manualClock) AfterFunc(d time.Duration, f func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.timers = append(m.timers, manualTimer{m.now + d, f})
+}
+
+func (m *manualClock) step() {
+	for _, f := range m.advance(time.Millisecond) {
+		f()
+	}
+}
+
+// advance moves the clock and returns the functions that are due.
+func (m *manualClock) advance(d time.Duration) []func() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.now += d
+	var due []func()
+	var pending []manualTimer
+	for _, t := range m.timers {
+		if t.at <= m.now {
+			due = append(due, t.f)
+		} else {
+			pending = append(pending, t)
+		}
+	}
+	m.timers = pending
+	return due
+}
+
+// failureRecorder is a real core that tells a test of each failed poll whether it resets the backoff.
+type failureRecorder struct {
+	*node.Core
+	resets chan bool
+}
+
+func (f failureRecorder) EndpointWatchFailed(failure node.WatchFailure) {
+	f.Core.EndpointWatchFailed(failure)
+	f.resets <- failure.ResetBackoff
+}
+
+// The Watcher reports the failure at each new address; the core still requests one poll, not one for each.
+func TestWatcher_MovesWhileDownCauseOnePoll(t *testing.T) {
+	s, err := settings.Parse([]byte(`{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],` +
+		`"RegistryMode":"subscribe","Rules":{"MustAskInMs":1}}`))
+	require.NoError(t, err)
+	clock := &manualClock{}
+	var requests atomic.Int64
+	core := failureRecorder{
+		Core:   node.New(s, 1, clock, time.Now(), func() { requests.Add(1) }),
+		resets: make(chan bool, 9),
+	}
+	t.Cleanup(core.Close)
+	w := New(freeAddress(t), nil, limits.Limits{
+		DiscoveryConnectTimeout: time.Second,
+		FirstUpdateTimeout:      time.Second,
+		MaxUpdateDelay:          time.Second,
+		MaxCallInterval:         time.Hour,
+		WatchSilenceTimeout:     time.Hour,
+	}, limits.NewBudget(1, 0, nil), zap.NewNop())
+	w.SetReceiver(core)
+	runWatcher(t, w)
+	w.RequestWatch()
+	assert.False(t, testutil.Receive(t, core.resets))
+	for range 3 {
+		w.SetAddress(freeAddress(t))
+		assert.True(t, testutil.Receive(t, core.resets))
+	}
+	for range 10_000 {
+		clock.step()
+	}
+	assert.EqualValues(t, 1, requests.Load())
+}
--- a/internal/system/keys/keys_test.go
+++ b/internal/system/keys/keys_test.go
@@ -218,7 +218,7 @@
 
 // A node watches a controller's list over TLS, and goes on with new keys on both sides.
 func TestRing_EndpointWatch(t *testing.T) {
-	const watchFailed = "no watch"
+	const watchFailed = "endpoint watch lost"
 	dir := makeKeys(t, time.Hour)
 	controller := openRing(t, filesOf(dir, "controller"))
 	nodeRing := openRing(t, filesOf(dir, "node"))
@@ -232,7 +232,7 @@
 	runUntilCleanup(t, func(ctx context.Context) { list.Serve(ctx, tls.NewListener(listener, controller.Server())) })
 	core, logs := observer.New(zap.InfoLevel)
 	log := zap.New(core)
-	failures := func() int { return logs.FilterMessageSnippet(watchFailed).Len() }
+	failures := func() int { return logs.FilterMessage(watchFailed).Len() }
 
 	assert.Equal(t, "a", watchList(t, address, nodeRing.Client, log).receive(t)[0].ID)
 	stranger := openRing(t, filesOf(makeKeys(t, time.Hour), "node"))
