--- a/cmd/robincart/helpers_test.go
+++ b/cmd/robincart/helpers_test.go
@@ -243,7 +243,7 @@
 
 func (t *testNode) waitExit(within time.Duration) {
 	t.t.Helper()
-	err, ended := t.Wait(within)
+	ended, err := t.Wait(within)
 	if assert.True(t.t, ended, "the program is still there") {
 		assert.NoError(t.t, err, t.Log())
 	}
--- a/cmd/robinlab/shim.go
+++ b/cmd/robinlab/shim.go
@@ -13,7 +13,7 @@
 func shimCommand() *cobra.Command {
 	var plan, journal string
 	c := &cobra.Command{Use: "shim --plan FILE PROGRAM [ARG...]", Short: "Run a program whose system calls fail by a plan", Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(_ *cobra.Command, args []string) error {
 			p, err := shim.ReadPlan(plan)
 			if err != nil {
 				return err
@@ -44,7 +44,7 @@
 // shimExecCommand is what the shim starts: it becomes the program.
 func shimExecCommand() *cobra.Command {
 	c := &cobra.Command{Use: "shim-exec CALLS PROGRAM [ARG...]", Hidden: true, Args: cobra.MinimumNArgs(2),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(_ *cobra.Command, args []string) error {
 			var calls []string
 			if args[0] != "" {
 				calls = strings.Split(args[0], ",")
--- a/internal/lab/apiserver/apiserver.go
+++ b/internal/lab/apiserver/apiserver.go
@@ -265,9 +265,11 @@
 	}
 }
 
-// Limit answers the next requests with 429, Fail with 500.
+// Limit answers the next requests with 429.
 func (s *Server) Limit(n int) { s.mu.Lock(); s.limited = n; s.mu.Unlock() }
-func (s *Server) Fail(n int)  { s.mu.Lock(); s.broken = n; s.mu.Unlock() }
+
+// Fail answers the next requests with 500.
+func (s *Server) Fail(n int) { s.mu.Lock(); s.broken = n; s.mu.Unlock() }
 
 // Late tells a kind's events only after a while, so that events of several kinds come out of order.
 func (s *Server) Late(resource string, by time.Duration) {
--- a/internal/lab/chaos/pairs.go
+++ b/internal/lab/chaos/pairs.go
@@ -51,9 +51,11 @@
 	repeats, late int
 }
 
-// Repeats is how often a mark came again, Late how often after its window.
+// Repeats is how often an idempotency key came again within its window.
 func (p *Pair) Repeats() int { return p.repeats }
-func (p *Pair) Late() int    { return p.late }
+
+// Late is how often an idempotency key came again after its window.
+func (p *Pair) Late() int { return p.late }
 
 const pairWindow = 10 * time.Second
 
--- a/internal/lab/cost/chain.go
+++ b/internal/lab/cost/chain.go
@@ -274,8 +274,10 @@
 	Tiers               []int64 // requests that reached each, from the front
 }
 
-// First and LastTier are attempts a call.
-func (a Attempts) First() float64    { return float64(a.Tiers[0]) / float64(a.Calls) }
+// First is how many requests a call reached the first tier.
+func (a Attempts) First() float64 { return float64(a.Tiers[0]) / float64(a.Calls) }
+
+// LastTier is how many requests a call reached the last tier.
 func (a Attempts) LastTier() float64 { return float64(a.Tiers[len(a.Tiers)-1]) / float64(a.Calls) }
 
 // Count makes calls at the first node of a fresh chain, from so many callers that ask one call after another, and counts.
--- a/internal/lab/fleet/cluster.go
+++ b/internal/lab/fleet/cluster.go
@@ -1,3 +1,6 @@
+// Package fleet plays fleets of nodes without traffic (hollow nodes) with real controllers, a store and a cluster
+// manager's API, spread over regions whose links have latency and can be cut, and measures how long configuration
+// changes take to be in force everywhere and what that costs.
 package fleet
 
 import (
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -183,7 +183,7 @@
 // Nodes is a Hollow by calls.
 type Nodes struct{ h *Hollow }
 
-// Known of a server, for a call.
+// Count is a number by the name of what was counted, for a call.
 type Count struct{ By map[string]int }
 
 // Numbers of nodes.
@@ -233,5 +233,5 @@
 // Stall keeps all statements waiting.
 func (s *Store) Stall(on bool, _ *None) error { s.s.Stall(on); return nil }
 
-// Statements tells how many commits there were.
+// Commits tells how many commits there were.
 func (s *Store) Commits(_ None, to *int) error { *to = s.s.Commits; return nil }
--- a/internal/lab/fleet/run.go
+++ b/internal/lab/fleet/run.go
@@ -28,7 +28,7 @@
 	Notes      func(format string, args ...any)
 }
 
-// Part of a result: what one role used in one step.
+// Role is a part of a result: what one role used in one step.
 type Role struct {
 	Name     string  `json:"Name"`
 	Count    int     `json:"Count"`
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -15,7 +15,7 @@
 	case "rest", "wait":
 		r.wait(ctx, s.For.Std())
 	case "settings":
-		r.paced(ctx, s, func(i int) { r.setting() })
+		r.paced(ctx, s, func(int) { r.setting() })
 	case "replace":
 		r.replace(ctx, s)
 	case "start":
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -13,6 +13,7 @@
 // Repeat says what may happen to a method's request once it may have run.
 type Repeat uint8
 
+// The effects of methods.
 const (
 	Idempotent Repeat = iota
 	Deduplicated
@@ -240,7 +241,7 @@
 			v.breach(StalledKept, "node %d, stopped at %v, ended %v later", s.Node, s.Stopped, s.Ended-s.Stopped)
 		}
 	}
-	v.schedule(rules, tries)
+	v.schedule(tries)
 	for s, list := range perSecond {
 		slices.Sort(list)
 		if n := len(list); n > 0 {
@@ -487,7 +488,7 @@
 }
 
 // schedule compares when calls were planned with when the generator dealt with them.
-func (v *Verdict) schedule(rules Rules, tries []Try) {
+func (v *Verdict) schedule(tries []Try) {
 	const window = 100 * time.Millisecond
 	errs, planned, handed := Hist(), map[int]int{}, map[int]int{}
 	type moment struct{ planned, handed time.Duration }
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -18,7 +18,7 @@
 	Tenants: []string{"acme"}, Grace: 400 * ms, Slack: 50 * ms, Wire: 100 * ms, Length: 10 * time.Second}
 
 // clean is a history that breaks nothing: one call, one pick, one effect, an answer in time.
-func clean(l *Log, call uint32, method uint16, planned time.Duration) (Try, Pick) {
+func clean(_ *Log, call uint32, method uint16, planned time.Duration) (Try, Pick) {
 	t := Try{ID: ID{Call: call}, Method: method, Node: int32(call % 3), Planned: planned, Handed: planned + ms/10, Sent: planned + ms/5,
 		Until: planned + time.Second, Answered: planned + 50*ms}
 	p := Pick{ID: t.ID, Server: int32(call % 5), First: planned + ms, Start: planned + 2*ms, End: planned + 40*ms, Ran: true, Effect: true,
--- a/internal/lab/judge/log.go
+++ b/internal/lab/judge/log.go
@@ -11,6 +11,7 @@
 // End is how a try ended for its caller.
 type End uint8
 
+// The ends of tries.
 const (
 	OK         End = iota
 	PushedBack     // 429 or 503: trying again is harmless
@@ -63,6 +64,7 @@
 // State is what discovery says of a server.
 type State uint8
 
+// The states that discovery knows.
 const (
 	Ready State = iota
 	Draining
--- a/internal/lab/pgstand/pgstand.go
+++ b/internal/lab/pgstand/pgstand.go
@@ -22,6 +22,7 @@
 // CommitFault is what becomes of the next commit.
 type CommitFault int
 
+// What can become of a commit.
 const (
 	CommitWell     CommitFault = iota
 	CommitThenCut              // done, and the connection ends before the answer
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -145,8 +145,8 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	real := strings.HasPrefix(name, "robincart")
-	f, err := NewFleet(ctx, e, begin, log, dir, real, name != "robincart-unshared", o.Notes)
+	withNodes := strings.HasPrefix(name, "robincart")
+	f, err := NewFleet(ctx, e, begin, log, dir, withNodes, name != "robincart-unshared", o.Notes)
 	if err != nil {
 		return nil, err
 	}
@@ -154,7 +154,7 @@
 	var target load.Target = f.Front
 	c := config(e)
 	c.Slack += o.Patience
-	if !real {
+	if !withNodes {
 		straight := straightCallers(e, name, f.Discovery())
 		defer straight.Close()
 		target = straight
@@ -220,7 +220,7 @@
 	rules.Slack, rules.Wire = rules.Slack+o.Patience, rules.Wire+o.Patience
 	log.Shift(ahead)
 	v := judge.Judge(rules, log)
-	arm := report(e, v, spans, played)
+	arm := report(v, spans)
 	evenness(e, log, servers, played, arm.Metrics)
 	arm.Name = name
 	arm.Metrics["crashes"] = float64(len(crashes))
@@ -237,7 +237,7 @@
 		arm.Metrics["violations"] += float64(n)
 	}
 	arm.Violations, arm.Notes = broken, append(arm.Notes, examples...)
-	if real && slices.ContainsFunc(e.Fault, experiment.Fault.Shimmed) {
+	if withNodes && slices.ContainsFunc(e.Fault, experiment.Fault.Shimmed) {
 		n := f.injected()
 		if arm.Metrics["injected"] = float64(n); n == 0 {
 			r.Invalid = append(r.Invalid, fmt.Sprintf("arm %s: no system call was made to fail", name))
@@ -298,7 +298,7 @@
 }
 
 // report turns a verdict into figures.
-func report(e *experiment.Experiment, v *judge.Verdict, spans []Span, played time.Duration) *Arm {
+func report(v *judge.Verdict, spans []Span) *Arm {
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	a := &Arm{Broken: map[string]judge.Breach{}, Ends: v.Ends, Methods: v.Methods, Tenants: v.Tenants,
 		Windows: v.Schedule.Windows}
--- a/internal/lab/standin/bound.go
+++ b/internal/lab/standin/bound.go
@@ -9,6 +9,7 @@
 // Watch is how discovery tells of changes.
 type Watch int
 
+// The ways of a discovery to tell of changes.
 const (
 	WatchStreams      Watch = iota // a watch tells of each change until its connection ends
 	WatchWaits                     // a watch ends with the first change that it tells after its list, or after a time without one
--- a/internal/lab/standin/fastcgi.go
+++ b/internal/lab/standin/fastcgi.go
@@ -60,8 +60,10 @@
 // Addr is where it listens.
 func (s *Application) Addr() string { return s.ln.Addr().String() }
 
-// Conns is how many connections came, Aborted how many requests were given up.
-func (s *Application) Conns() int   { s.mu.Lock(); defer s.mu.Unlock(); return s.conns }
+// Conns is how many connections came.
+func (s *Application) Conns() int { s.mu.Lock(); defer s.mu.Unlock(); return s.conns }
+
+// Aborted is how many requests were given up.
 func (s *Application) Aborted() int { s.mu.Lock(); defer s.mu.Unlock(); return s.aborted }
 
 // Stop ends it.
--- a/internal/lab/standin/front.go
+++ b/internal/lab/standin/front.go
@@ -40,7 +40,7 @@
 }
 
 // Choose deals nodes out in turn.
-func (f *Front) Choose(_ *plan.Arrival, tried []int32) (load.Dest, bool) {
+func (f *Front) Choose(_ *plan.Arrival, _ []int32) (load.Dest, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	start := int(f.next.Add(1))
--- a/internal/lab/standin/node.go
+++ b/internal/lab/standin/node.go
@@ -346,20 +346,20 @@
 }
 
 // Wait waits for the process's end and returns how it ended.
-func (n *Node) Wait(most time.Duration) (err error, ended bool) {
+func (n *Node) Wait(most time.Duration) (ended bool, err error) {
 	n.mu.Lock()
 	end := n.ended
 	n.mu.Unlock()
 	if end == nil {
-		return nil, true
+		return true, nil
 	}
 	select {
 	case <-end:
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return n.err, true
+		return true, n.err
 	case <-time.After(most):
-		return nil, false
+		return false, nil
 	}
 }
 
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -115,6 +115,7 @@
 // Fault is what a server does wrong.
 type Fault int32
 
+// The faults of a server.
 const (
 	NoFault     Fault = iota
 	Silent            // takes requests and answers none
@@ -394,7 +395,7 @@
 		reset(c)
 		return false
 	}
-	if !s.work(c, q, &p, work, wait, came) {
+	if !s.work(c, q, &p, work, wait) {
 		log()
 		if p.Ran {
 			return false // the caller has gone
@@ -442,7 +443,7 @@
 
 // work waits for a core and does the work by sleeping on it: cores here are time, not cycles, so that many servers fit
 // on one machine. It returns false for what was turned away (Ran is false) or dropped for a caller that has gone.
-func (s *Server) work(c net.Conn, q *wire.Request, p *judge.Pick, work, wait float64, came time.Time) bool {
+func (s *Server) work(c net.Conn, q *wire.Request, p *judge.Pick, work, wait float64) bool {
 	if work <= 0 && wait <= 0 {
 		p.Ran, p.Effect = true, s.effect(q)
 		return true
