--- a/internal/dataplane/upstream/fastcgi.go
+++ b/internal/dataplane/upstream/fastcgi.go
@@ -5,8 +5,6 @@
 	"fmt"
 	"io"
 	"net"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -14,237 +12,131 @@
 	"robincart/internal/protocol/httpwire"
 )
 
-// UseFastCGI has the pool's servers spoken to in it, before the first pick. The params go with each request, beside those that a request
-// itself makes.
-func (p *Pool) UseFastCGI(params map[string]string) {
-	p.fastcgi = &params
-}
-
 const (
-	cgiHead   = 16 << 10
-	stderrMax = 1 << 20               // of one answer; whoever says more has lost its way
-	farewell  = 20 * time.Millisecond // that writing an ABORT may take
+	recordBufferSize = 4 << 10
+	maxIdleText      = 4 << 10               // the largest buffer of a translated response that is left for the next one
+	abortTimeout     = 20 * time.Millisecond // for writing an ABORT record
 )
 
-// application is what a connection has beside it where its server speaks FastCGI. What the server answers is read through it as
-// HTTP/1.1 would have it, so that sizes, times, the budget of bytes and what passes in pieces are those of any other answer. A request has
-// the connection to itself: the server can't make one wait for another's bytes.
-type application struct {
-	raw     net.Conn
-	params  *map[string]string
-	records fcgi.Reader
-	buf     *[]byte // while an answer is read
-	ids     fcgi.Gateway
-	id      uint16 // of the request that is out; 0: none
-
-	begun  bool   // its answer has
-	bare   bool   // its status goes without a body
-	head   []byte // of it, until whole
-	headed bool
-	length int64 // of its body, as told; -1: not
-	took   int64 // of it
-	said   int
-	pend   []byte // not read yet
-	at     int
+var recordBuffers = sync.Pool{New: func() any {
+	buffer := make([]byte, recordBufferSize)
+	return &buffer
+}}
+
+// fastCGIConn is the protocol's part of a connection whose server speaks FastCGI. It writes requests as records, and is
+// the reader of their responses as HTTP/1.1 messages, so that the limits of sizes, times and memory and the streaming
+// of large responses are those of any other response. A request has the connection to itself: the server can't make
+// one request wait for another's bytes.
+type fastCGIConn struct {
+	conn      net.Conn
+	params    map[string]string // sent with each request
+	records   fcgi.Reader
+	buffer    *[]byte // of records, while the connection is in use
+	gateway   fcgi.Gateway
+	requestID uint16 // of the request in flight; 0: none
+
+	response cgiResponse
 }
 
-var recordBuffers = sync.Pool{New: func() any { b := make([]byte, 4096); return &b }}
-
-// begin writes a request's head; what it has of a body, and its end, follow as records of the same id.
-func (a *application) begin(to []byte, q *httpwire.Request, host string, left time.Duration) []byte {
-	if a.buf == nil {
-		a.buf = recordBuffers.Get().(*[]byte)
-		a.records.Init(a.raw, *a.buf)
-	}
-	a.id, _ = a.ids.Begin() // one at a time: there is always one left
-	a.begun, a.bare, a.headed, a.head, a.length, a.took, a.said = false, false, false, a.head[:0], -1, 0, 0
-	var pairs [2048]byte
-	list := pairs[:0]
-	put := func(name, value string) {
-		if value != "" {
-			list = fcgi.AppendPair(list, name, value)
-		}
-	}
-	path, query, _ := strings.Cut(q.Target, "?")
-	if q.Host != "" {
-		host = q.Host
-	}
-	put("GATEWAY_INTERFACE", "CGI/1.1")
-	put("SERVER_PROTOCOL", "HTTP/1.1")
-	put("REQUEST_METHOD", q.Verb)
-	put("REQUEST_URI", q.Target)
-	put("SCRIPT_NAME", path)
-	list = fcgi.AppendPair(list, "QUERY_STRING", query) // CGI wants it, if only empty
-	put("CONTENT_TYPE", q.ContentType)
-	switch {
-	case q.BodyStream == nil && (q.Verb != "GET" || len(q.Body) > 0):
-		put("CONTENT_LENGTH", strconv.Itoa(len(q.Body)))
-	case q.BodyStream != nil && q.BodyStream.Remaining() >= 0:
-		put("CONTENT_LENGTH", strconv.FormatInt(int64(len(q.Body))+q.BodyStream.Remaining(), 10))
-	}
-	put("HTTP_HOST", host)
-	put(paramTrace, q.TraceID)
-	put(paramKey, q.IdempotencyKey)
-	put(paramMethod, q.Method)
-	put(paramTenant, q.Tenant)
-	put(paramLeft, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	for name, value := range *a.params {
-		put(name, value)
+// start begins a request.
+func (f *fastCGIConn) start() {
+	if f.buffer == nil {
+		f.buffer = recordBuffers.Get().(*[]byte)
+		f.records.Init(f.conn, *f.buffer)
 	}
-	to = fcgi.AppendBegin(to, a.id, true)
-	to = fcgi.AppendStream(to, fcgi.TypeParams, a.id, list)
-	return fcgi.AppendStreamEnd(to, fcgi.TypeParams, a.id)
+	f.requestID, _ = f.gateway.Begin() // of which there is one at a time, so that an ID is always left
+	f.response.reset()
 }
 
-// param is what CGI makes of a header's name.
-func param(header string) string {
-	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(header, "-", "_"))
-}
-
-var (
-	paramTrace  = param(httpwire.HeaderTraceID)
-	paramKey    = param(httpwire.HeaderIdempotencyKey)
-	paramMethod = param(httpwire.HeaderMethod)
-	paramTenant = param(httpwire.HeaderTenant)
-	paramLeft   = param(httpwire.HeaderTimeLeft)
-)
-
-// frame makes records of a part of the body.
-func (a *application) frame(p []byte) net.Buffers { return fcgi.Records(fcgi.TypeStdin, a.id, p) }
-
-func (a *application) end(to []byte) []byte { return fcgi.AppendStreamEnd(to, fcgi.TypeStdin, a.id) }
-
-// Read gives the answer as HTTP/1.1: as much as has come, so that a whole one needs no second look.
-func (a *application) Read(to []byte) (int, error) {
-	if a.at == len(a.pend) {
-		a.pend, a.at = a.pend[:0], 0
-		if a.id == 0 || a.buf == nil {
-			return 0, fmt.Errorf("%w: more than was asked for", httpwire.ErrMalformed)
-		}
-		for len(a.pend) == 0 || a.id != 0 && len(a.pend) < len(to) && a.records.Buffered() {
-			p, err := a.records.Next()
-			if err == nil {
-				err = a.take(p)
-			}
-			switch {
-			case errors.Is(err, fcgi.ErrFraming) || errors.Is(err, fcgi.ErrHead):
-				return 0, fmt.Errorf("%w: %w", httpwire.ErrMalformed, err)
-			case errors.Is(err, io.EOF):
-				return 0, io.ErrUnexpectedEOF
-			case err != nil:
-				return 0, err
-			}
+// Read reads the response as HTTP/1.1. It returns as much as has been received, so that a complete response needs no
+// second read.
+func (f *fastCGIConn) Read(to []byte) (int, error) {
+	if !f.response.hasUnread() {
+		if err := f.fill(len(to)); err != nil {
+			return 0, err
 		}
 	}
-	n := copy(to, a.pend[a.at:])
-	a.at += n
-	return n, nil
-}
-
-func spoilt(format string, args ...any) error {
-	return fmt.Errorf("%w: "+format, append([]any{fcgi.ErrFraming}, args...)...)
+	return f.response.readInto(to), nil
 }
 
-// take takes a record's piece.
-func (a *application) take(p fcgi.Piece) error {
-	e, err := a.ids.Take(p)
-	if err != nil {
-		return err
+// fill translates at least one byte, and as many more as were received, up to about a limit.
+func (f *fastCGIConn) fill(limit int) error {
+	f.response.discardRead()
+	if f.requestID == 0 || f.buffer == nil {
+		return fmt.Errorf("%w: data without a request", httpwire.ErrMalformed)
 	}
-	switch e.Kind {
-	case fcgi.EventStderr: // for the server's own people: nobody here reads it
-		if a.said += len(e.Data); a.said > stderrMax {
-			return spoilt("more than %d bytes beside an answer", stderrMax)
+	for f.needsRecord(limit) {
+		piece, err := f.records.Next()
+		if err == nil {
+			err = f.handle(piece)
 		}
-	case fcgi.EventStdout:
-		if !a.begun { // from here on it is due soon
-			a.begun = true
-			a.pend = append(a.pend, "HTTP/1.1 "...)
+		if err != nil {
+			return readError(err)
 		}
-		if !a.headed {
-			a.head = append(a.head, e.Data...)
-			h, body, whole, err := fcgi.ReadCGI(a.head, cgiHead)
-			if !whole || err != nil {
-				return err
-			}
-			a.answers(h)
-			return a.body(body)
-		}
-		return a.body(e.Data)
-	case fcgi.EventEnd:
-		a.id = 0
-		return a.over(e)
 	}
 	return nil
 }
 
-// answers writes an answer's head.
-func (a *application) answers(h fcgi.CGI) {
-	a.headed, a.length = true, h.Length
-	a.bare = h.Status == 204 || h.Status == 304
-	a.pend = append(strconv.AppendInt(a.pend, int64(h.Status), 10), " \r\n"...)
-	if h.Type != "" {
-		a.pend = append(append(append(a.pend, "Content-Type: "...), h.Type...), "\r\n"...)
+// needsRecord reports whether to translate another record: one that is waited for, or one that has been received.
+func (f *fastCGIConn) needsRecord(limit int) bool {
+	unread := len(f.response.text)
+	if unread == 0 {
+		return true
 	}
-	for _, v := range h.Fields["x-never-ran"] { // as often as it stands there: twice is refused
-		a.pend = append(append(append(a.pend, httpwire.HeaderNeverRan+": "...), v...), "\r\n"...)
-	}
-	if !a.bare {
-		a.pend = append(a.pend, "Transfer-Encoding: chunked\r\n"...)
-	}
-	a.pend = append(a.pend, "\r\n"...)
+	return f.requestID != 0 && unread < limit && f.records.Buffered()
 }
 
-func (a *application) body(p []byte) error {
-	if len(p) == 0 {
-		return nil
-	}
-	if a.took += int64(len(p)); a.bare || a.length >= 0 && a.took > a.length {
-		return spoilt("a longer body than its head told")
+// readError returns a failure to read a response as that of an HTTP connection.
+func readError(err error) error {
+	switch {
+	case errors.Is(err, fcgi.ErrFraming) || errors.Is(err, fcgi.ErrHead):
+		return fmt.Errorf("%w: %w", httpwire.ErrMalformed, err)
+	case errors.Is(err, io.EOF):
+		return io.ErrUnexpectedEOF
 	}
-	a.pend = append(strconv.AppendInt(a.pend, int64(len(p)), 16), "\r\n"...)
-	a.pend = append(append(a.pend, p...), "\r\n"...)
-	return nil
+	return err
 }
 
-// over is the application's last word. Only with it an answer is whole: a script that dies writes what it has, and ends with a number.
-func (a *application) over(e fcgi.Event) error {
-	refused := e.Status == fcgi.StatusOverloaded || e.Status == fcgi.StatusCantMultiplex
-	switch {
-	case refused && !a.begun: // by the protocol's own word nothing has run
-		a.pend = append(a.pend, "HTTP/1.1 503 \r\n"+httpwire.HeaderNeverRan+": 1\r\nContent-Length: 0\r\n\r\n"...)
-	case !a.headed || e.Status != fcgi.StatusComplete || e.AppStatus != 0:
-		return spoilt("a request ended with status %d and number %d", e.Status, e.AppStatus)
-	case a.length >= 0 && a.took < a.length:
-		return spoilt("a shorter body than its head told")
-	case !a.bare:
-		a.pend = append(a.pend, "0\r\n\r\n"...)
+func (f *fastCGIConn) handle(piece fcgi.Piece) error {
+	event, err := f.gateway.Take(piece)
+	if err != nil {
+		return err
+	}
+	switch event.Kind {
+	case fcgi.EventStderr:
+		return f.response.countStderr(len(event.Data))
+	case fcgi.EventStdout:
+		return f.response.write(event.Data)
+	case fcgi.EventEnd:
+		f.requestID = 0
+		return f.response.end(event)
 	}
 	return nil
 }
 
-// Beyond tells whether something has come, or is to come, that belongs to no answer.
-func (a *application) Beyond() bool {
-	return a.id != 0 || a.at < len(a.pend) || a.buf != nil && a.records.HasBuffered()
+// hasUnreadData reports whether bytes were received, or are still to come, that belong to no response.
+func (f *fastCGIConn) hasUnreadData() bool {
+	if f.requestID != 0 || f.response.hasUnread() {
+		return true
+	}
+	return f.buffer != nil && f.records.HasBuffered()
 }
 
-// rest gives the buffers up between two requests.
-func (a *application) rest() {
-	if a.buf != nil {
-		recordBuffers.Put(a.buf)
-		a.buf = nil
-	}
-	if a.pend, a.at = a.pend[:0], 0; cap(a.pend) > 4096 {
-		a.pend = nil
+// releaseBuffers returns the buffers between two requests.
+func (f *fastCGIConn) releaseBuffers() {
+	if f.buffer != nil {
+		recordBuffers.Put(f.buffer)
+		f.buffer = nil
 	}
-	a.head = nil
+	f.response.releaseBuffers()
 }
 
-// abort tells a server that nobody waits for its answer any more: one that is at work notices a closed connection only when it
-// writes. The close that follows waits for nothing, since no other request is on the connection.
-func (a *application) abort() {
-	if a.id != 0 {
-		a.raw.SetWriteDeadline(time.Now().Add(farewell))
-		a.raw.Write(fcgi.AppendAbort(nil, a.id))
+// abort notifies a server that its response is not wanted any more: one that is at work notices a closed connection
+// only when it writes. The close that follows waits for nothing, since no other request is on the connection.
+func (f *fastCGIConn) abort() {
+	if f.requestID == 0 {
+		return
 	}
+	f.conn.SetWriteDeadline(time.Now().Add(abortTimeout))
+	f.conn.Write(fcgi.AppendAbort(nil, f.requestID))
 }
--- /dev/null
+++ b/internal/dataplane/upstream/idle.go
@@ -0,0 +1,66 @@
+package upstream
+
+import (
+	"time"
+
+	"robincart/internal/core/node"
+)
+
+// idleConns are the idle connections of a pool, in two orders: those to each server, the one used last first, and all
+// of them by the time at which they became idle. The pool's mutex guards it.
+type idleConns struct {
+	byServer map[*node.Server]*conn // the first of each server's list
+	byAge    conn                   // the head of the circular list of all: newer is the oldest, older the newest
+}
+
+func (i *idleConns) init() {
+	i.byServer = map[*node.Server]*conn{}
+	i.byAge.older = &i.byAge
+	i.byAge.newer = &i.byAge
+}
+
+// oldest returns the connection that has been idle longest, or nil.
+func (i *idleConns) oldest() *conn {
+	if i.byAge.newer == &i.byAge {
+		return nil
+	}
+	return i.byAge.newer
+}
+
+// latest returns the connection to a server that was used last, or nil.
+func (i *idleConns) latest(server *node.Server) *conn { return i.byServer[server] }
+
+func (i *idleConns) add(server *node.Server, c *conn, now time.Time) {
+	c.state = connIdle
+	c.server = server
+	c.idleSince = now
+	c.nextToServer = i.byServer[server]
+	if c.nextToServer != nil {
+		c.nextToServer.prevToServer = c
+	}
+	i.byServer[server] = c
+	c.older = i.byAge.older
+	c.newer = &i.byAge
+	c.older.newer = c
+	i.byAge.older = c
+}
+
+func (i *idleConns) remove(c *conn) {
+	switch {
+	case c.prevToServer != nil:
+		c.prevToServer.nextToServer = c.nextToServer
+	case c.nextToServer != nil:
+		i.byServer[c.server] = c.nextToServer
+	default:
+		delete(i.byServer, c.server)
+	}
+	if c.nextToServer != nil {
+		c.nextToServer.prevToServer = c.prevToServer
+	}
+	c.older.newer = c.newer
+	c.newer.older = c.older
+	c.state = connInUse
+	c.server = nil
+	c.nextToServer, c.prevToServer = nil, nil
+	c.older, c.newer = nil, nil
+}
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -1,4 +1,9 @@
-// Package upstream keeps the connections to servers and carries out picks on them, one exchange a pick.
+// Package upstream keeps the connections to servers and carries out attempts on them, one exchange per attempt.
+//
+// A Pool owns the idle connections to the servers of one core; a connection in use belongs to its exchange. An exchange
+// takes an idle connection or opens one, asks the core whether the attempt may still begin, writes the request, reads
+// the response, and reports one result to the core. It never sends a request twice: whether there is another attempt,
+// and at which server, is decided by the core. Servers speak HTTP/1.1 or FastCGI.
 package upstream
 
 import (
@@ -6,7 +11,6 @@
 	"net"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"robincart/decide"
@@ -19,285 +23,241 @@
 	"robincart/internal/system/workerpool"
 )
 
-// Core is what an exchange asks and tells the node's core.
+// Core is the part of a node.Core that a Pool uses.
 type Core interface {
+	// Address returns a server's current address, and whether it accepts new attempts.
 	Address(*node.Server) (addr string, ready bool)
+	// Ready reports whether a server accepts new attempts. It never waits for the core.
 	Ready(*node.Server) bool
+	// Bind sets what cancels an attempt while its server is being connected to. It returns false if the attempt is over.
 	Bind(*node.Attempt, node.Canceler) bool
+	// Begin sets what cancels an attempt, and returns false if its first byte must not be written any more.
 	Begin(*node.Attempt, node.Canceler) bool
+	// TimeLeft returns the time to an attempt's deadline.
 	TimeLeft(*node.Attempt) time.Duration
+	// BodyReceived reports that the last byte of an attempt's streamed body was written.
 	BodyReceived(*node.Attempt, time.Duration)
+	// AttemptDone reports an attempt's result, once, and returns whether its response is the request's.
 	AttemptDone(*node.Attempt, decide.Result, *node.Response) (served bool)
+	// OnServersUnavailable sets what is called with servers that accept nothing new any more or have moved.
 	OnServersUnavailable(func([]*node.Server))
 }
 
-// Budget counts descriptors; limits.Budget is one.
+// Budget counts the descriptors of connections to servers; limits.Budget is one.
 type Budget interface {
+	// Acquire reserves a descriptor, and returns false if none is left.
 	Acquire() bool
+	// Release returns a descriptor.
 	Release()
-	// SetEvictor names what gives one back when none is left.
+	// SetEvictor sets what closes an idle connection when no descriptor is left.
 	SetEvictor(func() bool)
+	// Memory returns the budget of memory for responses.
 	Memory() *limits.MemoryBudget
 }
 
-// slowStep is how many bytes of an answer put its deadline off.
-const slowStep = 8 << 10
+// maxClosedPerSweep bounds the connections that one sweep closes: a moment in which all expire must not hold up those
+// in use.
+const maxClosedPerSweep = 256
 
-// sweepMost is how many connections one sweep closes: a second in which all grow old must not stop the active.
-const sweepMost = 256
+// timeouts are the limits that new settings change while a pool works.
+type timeouts struct {
+	connect time.Duration
+	idle    time.Duration // after which an idle connection is closed
+}
 
-// Pool holds the idle connections to servers. It owns them; one in use belongs to its exchange.
+// Pool keeps the idle connections to servers and runs the exchanges. It is safe for concurrent use.
 type Pool struct {
-	core   Core
-	limits limits.Limits
-	// Of the limits, what settings change while the pool works.
-	connect, idleMost atomic.Int64
-	budget            Budget
-	bytes             limits.MemoryPool // for answers
-	poller            *poller.Poller    // tells of servers that close; nil: they are found closed when they are to be used
-	dialer            net.Dialer
-	workers           workerpool.Pool     // of exchanges
-	fastcgi           *map[string]string  // params, where the servers speak FastCGI
-	telemetry         *telemetry.Recorder // may be nil
+	core      Core
+	limits    limits.Limits
+	timeouts  atomic.Pointer[timeouts]
+	budget    Budget
+	memory    limits.MemoryPool // for responses
+	poller    *poller.Poller    // reports closed idle connections; nil: they are found when they are to be reused
+	dialer    net.Dialer
+	exchanges workerpool.Pool
+	fastCGI   bool                // the servers speak FastCGI, else HTTP
+	params    map[string]string   // sent with each FastCGI request
+	telemetry *telemetry.Recorder // may be nil
 
 	mu     sync.Mutex
-	idle   map[*node.Server]*conn // the one used last
-	oldest conn                   // the ring of all idle ones, in the order they fell idle
+	idle   idleConns
 	closed bool
 }
 
-// conn is one connection to a server. While it is idle it is this record, and nothing waits on it.
-type conn struct {
-	net.Conn
-	pool   *Pool
-	raw    syscall.RawConn
-	reader httpwire.Reader
-	app    *application // nil: its server speaks HTTP
-	addr   string
-	place  poller.Registration
-	by     *exchange // in talk
-	timed  bool      // a read deadline is set
-	// Of an answer: when its first byte came, the bytes that its deadline goes by, and whether it is being passed on.
-	first   time.Time
-	counted int
-	streams bool
-
-	// Guarded by the pool's mutex, while it is idle:
-	server       *node.Server // nil while in use
-	since        time.Time
-	next, prev   *conn // of the server, the one used last first
-	older, newer *conn // of all
-}
-
-// NewPool starts with no connection. The poller may be nil.
+// NewPool returns a pool without connections. The poller may be nil.
 func NewPool(core Core, l limits.Limits, budget Budget, t *poller.Poller) *Pool {
-	p := &Pool{core: core, limits: l, budget: budget, bytes: budget.Memory().ForResponses(), poller: t, idle: map[*node.Server]*conn{}, dialer: net.Dialer{KeepAlive: -1, Control: socket.NoDelay}}
-	p.oldest.older, p.oldest.newer = &p.oldest, &p.oldest
+	p := &Pool{
+		core:   core,
+		limits: l,
+		budget: budget,
+		memory: budget.Memory().ForResponses(),
+		poller: t,
+		dialer: net.Dialer{KeepAlive: -1, Control: socket.NoDelay},
+	}
+	p.idle.init()
 	p.SetTimeouts(l)
 	budget.SetEvictor(p.EvictIdle)
-	core.OnServersUnavailable(p.left)
+	core.OnServersUnavailable(p.closeUnavailable)
 	return p
 }
 
-// SetRecorder has events recorded. It is called before anything is sent.
+// SetRecorder sets the recorder of telemetry events. It is called before the first attempt.
 func (p *Pool) SetRecorder(r *telemetry.Recorder) { p.telemetry = r }
 
-// SetTimeouts takes a service's own times towards its servers over.
+// SetTimeouts takes over a service's timeouts towards its servers.
 func (p *Pool) SetTimeouts(l limits.Limits) {
-	p.connect.Store(int64(l.ConnectTimeout))
-	p.idleMost.Store(int64(l.ServerIdleTimeout))
+	p.timeouts.Store(&timeouts{connect: l.ConnectTimeout, idle: l.ServerIdleTimeout})
 }
 
-func (p *Pool) newConn(raw net.Conn, addr string) *conn {
-	c := &conn{Conn: raw, pool: p, addr: addr}
-	if p.fastcgi != nil {
-		c.app = &application{raw: raw, params: p.fastcgi}
-		c.reader.Init(c.app, &p.limits.Wire)
-	} else {
-		c.reader.Init(socket.ShortageConn{Conn: raw}, &p.limits.Wire)
-	}
-	c.reader.OnProgress, c.reader.Memory = c, p.bytes
-	if sc, ok := raw.(syscall.Conn); ok {
-		c.raw, _ = sc.SyscallConn()
-	}
-	if p.poller != nil && c.raw != nil {
-		c.place, _ = p.poller.Add(c.raw, c, false) // not watched, it is found closed when it is to be used
-	}
-	return c
+// UseFastCGI makes the pool speak FastCGI. The params are sent with each request, beside those that follow from the
+// request. It is called before the first attempt.
+func (p *Pool) UseFastCGI(params map[string]string) {
+	p.fastCGI = true
+	p.params = params
 }
 
-// Run closes idle connections in time, until the context ends; then it closes the pool.
+// Start carries out an attempt in a goroutine of the pool.
+func (p *Pool) Start(attempt *node.Attempt, request *httpwire.Request) {
+	p.exchanges.Do(&exchange{pool: p, attempt: attempt, request: request})
+}
+
+// Exchange carries out an attempt, and returns after its result was reported to the core.
+func (p *Pool) Exchange(attempt *node.Attempt, request *httpwire.Request) {
+	(&exchange{pool: p, attempt: attempt, request: request}).Run()
+}
+
+// Run closes expired connections periodically, and the pool when the context ends.
 func (p *Pool) Run(ctx context.Context) {
-	tick := time.NewTicker(p.limits.SweepInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(p.limits.SweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			p.Close()
 			return
-		case now := <-tick.C:
+		case now := <-ticker.C:
 			p.CloseExpired(now)
 		}
 	}
 }
 
-// CloseExpired closes the connections that have been idle for too long, and ends goroutines that were not needed of late. Who has
-// many pools calls it instead of Run.
+// CloseExpired closes the connections whose idle timeout is over, and ends goroutines that were not needed lately. An
+// owner of many pools calls it instead of Run.
 func (p *Pool) CloseExpired(now time.Time) {
-	p.workers.Trim()
-	for range sweepMost {
-		p.mu.Lock()
-		c := p.oldest.newer
-		if c == &p.oldest || now.Sub(c.since) < time.Duration(p.idleMost.Load()) {
-			p.mu.Unlock()
+	p.exchanges.Trim()
+	for range maxClosedPerSweep {
+		c := p.takeExpired(now)
+		if c == nil {
 			return
 		}
-		p.take(c)
-		p.mu.Unlock()
-		p.close(c, telemetry.IdleTimeout)
+		p.closeConn(c, telemetry.IdleTimeout)
 	}
 }
 
-// Close waits for the exchanges, whose picks the core has given up by then, and closes all.
+func (p *Pool) takeExpired(now time.Time) *conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c := p.idle.oldest()
+	if c == nil || now.Sub(c.idleSince) < p.timeouts.Load().idle {
+		return nil
+	}
+	p.idle.remove(c)
+	return c
+}
+
+// Close waits for the exchanges, which the core has canceled by then, and closes all connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.workers.Close()
-	for p.evict(telemetry.PoolClosed) {
+	p.exchanges.Close()
+	for p.closeOldest(telemetry.PoolClosed) {
 	}
 }
 
-// left closes what is idle towards servers that take nothing more, or not there.
-func (p *Pool) left(servers []*node.Server) {
-	for _, s := range servers {
-		p.closeIdle(s, telemetry.ServerUnavailable)
-	}
-}
+// EvictIdle closes the connection that has been idle longest. It returns false if none is idle.
+func (p *Pool) EvictIdle() bool { return p.closeOldest(telemetry.Evicted) }
 
-func (p *Pool) closeIdle(s *node.Server, why telemetry.Reason) {
-	for {
-		p.mu.Lock()
-		c := p.idle[s]
-		if c != nil {
-			p.take(c)
-		}
-		p.mu.Unlock()
-		if c == nil {
-			return
-		}
-		p.close(c, why)
-	}
-}
-
-// OnEvent tells that a server has closed a connection.
-func (c *conn) OnEvent(poller.Event) {
-	p := c.pool
+func (p *Pool) closeOldest(reason telemetry.Reason) bool {
 	p.mu.Lock()
-	idle := c.server != nil
-	if idle {
-		p.take(c)
+	c := p.idle.oldest()
+	if c != nil {
+		p.idle.remove(c)
 	}
 	p.mu.Unlock()
-	if idle { // else its exchange finds out
-		p.close(c, telemetry.PeerClosed)
-	}
-}
-
-func (p *Pool) close(c *conn, why telemetry.Reason) {
-	p.telemetry.Record(telemetry.Event{Kind: telemetry.ServerConnectionClosed, Reason: why, Server: c.addr})
-	if p.poller != nil {
-		p.poller.Remove(&c.place)
-	}
-	if c.app != nil {
-		c.app.abort()
+	if c == nil {
+		return false
 	}
-	c.Close()
-	p.budget.Release()
+	p.closeConn(c, reason)
+	return true
 }
 
-// take takes an idle connection out of the lists.
-func (p *Pool) take(c *conn) {
-	if c.prev != nil {
-		c.prev.next = c.next
-	} else if c.next != nil {
-		p.idle[c.server] = c.next
-	} else {
-		delete(p.idle, c.server)
-	}
-	if c.next != nil {
-		c.next.prev = c.prev
+func (p *Pool) closeUnavailable(servers []*node.Server) {
+	for _, server := range servers {
+		p.closeIdleTo(server, telemetry.ServerUnavailable)
 	}
-	c.older.newer, c.newer.older = c.newer, c.older
-	c.server, c.next, c.prev, c.older, c.newer = nil, nil, nil, nil, nil
 }
 
-// EvictIdle closes the connection that has been idle longest.
-func (p *Pool) EvictIdle() bool { return p.evict(telemetry.Evicted) }
-
-func (p *Pool) evict(why telemetry.Reason) bool {
-	p.mu.Lock()
-	c := p.oldest.newer
-	if c == &p.oldest {
+func (p *Pool) closeIdleTo(server *node.Server, reason telemetry.Reason) {
+	for {
+		p.mu.Lock()
+		c := p.idle.latest(server)
+		if c != nil {
+			p.idle.remove(c)
+		}
 		p.mu.Unlock()
-		return false
+		if c == nil {
+			return
+		}
+		p.closeConn(c, reason)
 	}
-	p.take(c)
-	p.mu.Unlock()
-	p.close(c, why)
-	return true
 }
 
-// reuse takes the connection to a server that was used last: the others may then grow old and be closed. One whose answer has
-// only just come is left to rest: what its server writes behind an answer by mistake may be on its way still, and would be read
-// as the next request's.
-func (p *Pool) reuse(s *node.Server, addr string) *conn {
+// getIdle takes the idle connection to a server that was used last, so that the others expire if they are not needed.
+// It returns nil if none can be used.
+func (p *Pool) getIdle(server *node.Server, address string) *conn {
 	for {
 		p.mu.Lock()
-		c := p.idle[s]
-		for c != nil && c.app == nil && time.Since(c.since) < p.limits.ResponseSettleTime {
-			c = c.next
+		c := p.idle.latest(server)
+		for c != nil && c.settling() {
+			c = c.nextToServer
 		}
 		if c == nil {
 			p.mu.Unlock()
 			return nil
 		}
-		p.take(c)
+		p.idle.remove(c)
 		p.mu.Unlock()
-		if c.addr == addr && time.Since(c.since) < time.Duration(p.idleMost.Load()) && !c.stale() {
+		if c.address == address && time.Since(c.idleSince) < p.timeouts.Load().idle && !c.stale() {
 			return c
 		}
-		p.close(c, telemetry.StaleConnection)
+		p.closeConn(c, telemetry.StaleConnection)
 	}
 }
 
-func (p *Pool) keep(s *node.Server, c *conn) {
-	c.reader.ReleaseBuffer()
-	if c.app != nil {
-		c.app.rest()
-	}
+// putIdle makes a connection idle, or closes it where its server accepts nothing new.
+func (p *Pool) putIdle(server *node.Server, c *conn) {
+	c.releaseBuffers()
 	p.mu.Lock()
-	ok := !p.closed && p.core.Ready(s)
-	if ok {
-		c.server, c.since = s, time.Now()
-		if c.next = p.idle[s]; c.next != nil {
-			c.next.prev = c
-		}
-		p.idle[s] = c
-		c.older, c.newer = p.oldest.older, &p.oldest
-		c.older.newer, p.oldest.older = c, c
+	usable := !p.closed && p.core.Ready(server)
+	if usable {
+		p.idle.add(server, c, time.Now())
 	}
 	p.mu.Unlock()
-	if !ok {
-		p.close(c, telemetry.ServerUnavailable)
+	if !usable {
+		p.closeConn(c, telemetry.ServerUnavailable)
 	}
 }
 
-// beyond tells whether something has come that no answer has taken.
-func (c *conn) beyond() bool { return c.reader.HasBuffered() || c.app != nil && c.app.Beyond() }
-
-// stale looks, without waiting, whether the server has closed an idle connection or written to it unasked. A
-// request written to a closed one would end as a reset, which may have run.
-func (c *conn) stale() bool {
-	return c.beyond() || c.raw != nil && socket.StateOfRaw(c.raw) != socket.StateQuiet
+// closeConn closes a connection that is not idle.
+func (p *Pool) closeConn(c *conn, reason telemetry.Reason) {
+	p.telemetry.Record(telemetry.Event{Kind: telemetry.ServerConnectionClosed, Reason: reason, Server: c.address})
+	if p.poller != nil {
+		p.poller.Remove(&c.registration)
+	}
+	if c.fastCGI != nil {
+		c.fastCGI.abort()
+	}
+	c.Close()
+	p.budget.Release()
 }
--- /dev/null
+++ b/internal/dataplane/upstream/request.go
@@ -0,0 +1,157 @@
+package upstream
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"robincart/decide"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/system/socket"
+)
+
+// requestBufferSize is what the head of nearly any request fits in, with a small body behind it.
+const requestBufferSize = 1 << 10
+
+// chunkHeadSize is room for the size line of a chunk.
+const chunkHeadSize = 16
+
+var requestBuffers = sync.Pool{New: func() any {
+	buffer := make([]byte, 0, requestBufferSize)
+	return &buffer
+}}
+
+var (
+	// errClientBody wraps a failure to read a streamed body from its client. The server is not to blame.
+	errClientBody = errors.New("the request's body was not received")
+	// errCanceled ends the writing of a request whose attempt was canceled.
+	errCanceled = errors.New("the attempt was canceled")
+)
+
+// sendResult returns the result of an attempt whose request could not be written completely, so that it never ran.
+func sendResult(err error) decide.Result {
+	if errors.Is(err, errClientBody) {
+		return decide.NotSent
+	}
+	return decide.ConnectFailed
+}
+
+// send writes the request. After an error its last byte has not been written.
+func (e *exchange) send(c *conn) error {
+	buffer := requestBuffers.Get().(*[]byte)
+	defer requestBuffers.Put(buffer)
+	if e.request.BodyStream != nil {
+		*buffer = c.appendHead((*buffer)[:0], e.request, e.request.TimeLeft)
+		return e.upload(c, *buffer)
+	}
+	*buffer = c.appendHead((*buffer)[:0], e.request, e.pool.core.TimeLeft(e.attempt))
+	return c.writeMessage(buffer, e.request.Body)
+}
+
+// appendHead appends a request's head, which tells the server how much time is left.
+func (c *conn) appendHead(to []byte, request *httpwire.Request, timeLeft time.Duration) []byte {
+	if c.fastCGI != nil {
+		return c.fastCGI.appendHead(to, request, c.address, timeLeft)
+	}
+	return request.AppendHead(to, c.address, timeLeft)
+}
+
+// writeMessage writes a head and a complete body in one call, appending the body to the head where it has room.
+func (c *conn) writeMessage(head *[]byte, body []byte) error {
+	room := cap(*head) - len(*head)
+	switch {
+	case c.fastCGI == nil && room >= len(body):
+		*head = append(*head, body...)
+	case c.fastCGI == nil:
+		return socket.WriteBuffers(c.Conn, &net.Buffers{*head, body})
+	case room >= len(body)+stdinOverhead:
+		*head = c.fastCGI.appendBody(*head, body)
+	default:
+		parts := append(net.Buffers{*head}, c.fastCGI.bodyRecords(body)...)
+		parts = append(parts, c.fastCGI.appendBodyEnd(nil))
+		return socket.WriteBuffers(c.Conn, &parts)
+	}
+	return socket.Write(c.Conn, *head)
+}
+
+// bodyFraming is how a streamed body is written.
+type bodyFraming struct {
+	frame func(piece []byte) net.Buffers
+	end   []byte // follows the last piece; nil: nothing does
+}
+
+// bodyFraming returns the framing of a body, which is one of unknown length or not.
+func (c *conn) bodyFraming(unknownLength bool) bodyFraming {
+	if c.fastCGI != nil {
+		return bodyFraming{frame: c.fastCGI.bodyRecords, end: c.fastCGI.appendBodyEnd(nil)}
+	}
+	chunkHead := make([]byte, 0, chunkHeadSize)
+	framing := bodyFraming{frame: func(piece []byte) net.Buffers {
+		return httpwire.FrameChunk(piece, unknownLength, chunkHead)
+	}}
+	if unknownLength {
+		framing.end = httpwire.LastChunk
+	}
+	return framing
+}
+
+// upload writes a request whose body is still being received, piece by piece. Until its last byte is written the
+// server has begun nothing, whatever fails.
+func (e *exchange) upload(c *conn, head []byte) error {
+	body := e.request.BodyStream
+	defer body.Release()
+	framing := c.bodyFraming(body.Remaining() < 0)
+	if err := e.write(c, net.Buffers{head}); err != nil {
+		return err
+	}
+	if len(e.request.Body) > 0 {
+		if err := e.write(c, framing.frame(e.request.Body)); err != nil {
+			return err
+		}
+	}
+	if err := e.copyBody(c, framing); err != nil {
+		return err
+	}
+	if framing.end != nil {
+		if err := e.write(c, net.Buffers{framing.end}); err != nil {
+			return err
+		}
+	}
+	c.SetWriteDeadline(time.Time{})
+	e.pool.core.BodyReceived(e.attempt, e.request.TimeLeft)
+	if e.canceled() {
+		c.SetDeadline(aLongTimeAgo)
+	}
+	return nil
+}
+
+func (e *exchange) copyBody(c *conn, framing bodyFraming) error {
+	body := e.request.BodyStream
+	buffer := httpwire.BorrowBuffer()
+	defer httpwire.ReturnBuffer(buffer)
+	for !body.Complete() {
+		n, err := body.Read(*buffer)
+		if err != nil && !errors.Is(err, io.EOF) {
+			return fmt.Errorf("%w: %w", errClientBody, err)
+		}
+		if n == 0 {
+			continue
+		}
+		if err := e.write(c, framing.frame((*buffer)[:n])); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// write writes to a server that may stall, but not for ever.
+func (e *exchange) write(c *conn, parts net.Buffers) error {
+	c.SetWriteDeadline(time.Now().Add(e.pool.limits.RequestStallTimeout))
+	if e.canceled() { // the new deadline may have overwritten the cancellation's
+		return errCanceled
+	}
+	return socket.WriteBuffers(c.Conn, &parts)
+}
--- a/internal/dataplane/upstream/upstream_test.go
+++ b/internal/dataplane/upstream/upstream_test.go
@@ -285,7 +285,8 @@
 		whole: decide.Reset} {
 		raw := &brokenPipe{takes: takes}
 		s.core.left = time.Second
-		got, _, again := (&exchange{pool: s.Pool, pick: &node.Attempt{}, q: s.q}).talk(s.newConn(raw, ""))
+		o := (&exchange{pool: s.Pool, attempt: &node.Attempt{}, request: s.q}).roundTrip(s.newConn(raw, ""))
+		got, again := o.result, o.reusable
 		assert.Equal(t, want, got, "broken after %d of %d bytes", takes, whole)
 		assert.False(t, again)
 	}
@@ -338,7 +339,7 @@
 	s := begin(server.Addr().String(), 1)
 	s.core.left = time.Hour
 	for range 50 {
-		x := &exchange{pool: s.Pool, pick: &node.Attempt{Server: s.server}, q: s.q}
+		x := &exchange{pool: s.Pool, attempt: &node.Attempt{Server: s.server}, request: s.q}
 		x.Run()
 		x.Cancel()
 	}
@@ -373,11 +374,11 @@
 	at.Wait()
 	before, _ := server.count()
 	s.mu.Lock()
-	last := s.idle[s.server]
+	last := s.idle.latest(s.server)
 	s.mu.Unlock()
 	for range 10 {
 		assert.Equal(t, decide.OK, s.pick())
-		assert.Same(t, last, s.idle[s.server])
+		assert.Same(t, last, s.idle.latest(s.server))
 	}
 	after, _ := server.count()
 	assert.Equal(t, before, after)
@@ -456,10 +457,10 @@
 	s.core.mu.Lock()
 	s.core.gone = true
 	s.core.mu.Unlock()
-	last := s.reuse(s.server, s.core.addr)
-	s.keep(s.server, last)
+	last := s.getIdle(s.server, s.core.addr)
+	s.putIdle(s.server, last)
 	assert.True(t, testutil.Receive(t, closed))
-	assert.Empty(t, s.idle)
+	assert.Empty(t, s.idle.byServer)
 }
 
 func TestAnIdleConnectionThatTheServerClosesGoesAtOnce(t *testing.T) {
@@ -474,7 +475,7 @@
 	require.Eventually(t, func() bool { return s.budget.Acquire() }, 20*time.Second, time.Millisecond, "its descriptor is free without a look")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	assert.Empty(t, s.idle)
+	assert.Empty(t, s.idle.byServer)
 }
 
 func TestPastTheBudgetIdleConnectionsGoFirst(t *testing.T) {
@@ -483,7 +484,7 @@
 	assert.Equal(t, decide.OK, s.pick())
 	s.server, s.core.addr = &node.Server{}, b.Addr().String()
 	assert.Equal(t, decide.OK, s.pick(), "the idle connection to the first server made room")
-	assert.Len(t, s.idle, 1)
+	assert.Len(t, s.idle.byServer, 1)
 
 	// With none idle the pick has not been sent, and no server is to blame.
 	assert.True(t, s.EvictIdle())
@@ -598,6 +599,6 @@
 	s := begin(serve(t, answers(okText)).Addr().String(), 5)
 	require.Equal(t, decide.OK, s.pick())
 	on := 0
-	s.idle[s.server].raw.Control(func(fd uintptr) { on, _ = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY) })
+	s.idle.latest(s.server).raw.Control(func(fd uintptr) { on, _ = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY) })
 	assert.Equal(t, 1, on)
 }
