--- /dev/null
+++ b/internal/dataplane/upstream/exchange_test.go
@@ -0,0 +1,325 @@
+package upstream
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"robincart/decide"
+	"robincart/internal/core/node"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/testutil"
+)
+
+func TestExchange_Outcomes(t *testing.T) {
+	const emptyBody = "Content-Length: 0\r\n\r\n"
+	for response, want := range map[string]decide.Result{
+		okResponse:                        decide.OK,
+		"HTTP/1.1 500 No\r\n" + emptyBody: decide.Failed,
+		"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n" + emptyBody: decide.Rejected,
+		"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\n" + emptyBody: decide.Rejected,
+		// Without the header it may have run, whatever the status seems to say.
+		"HTTP/1.1 503 No\r\n" + emptyBody:                   decide.Failed,
+		"HTTP/1.1 503 No\r\nX-Never-Ran: 0\r\n" + emptyBody: decide.Failed,
+		"HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\n" + emptyBody: decide.Failed,
+		"HTTP/1.1 302 No\r\n" + emptyBody:                   decide.Failed,
+		"nonsense\r\n\r\n":                                  decide.Failed,
+		"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n":  decide.Failed,
+		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi":    decide.Failed,
+		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n":      decide.Failed,
+		"HTTP/1.1 200 OK\r\nContent-Le":                     decide.Failed,
+	} {
+		t.Run(strconv.Quote(response), func(t *testing.T) {
+			f := newFixture(t, startServer(t, respond(response)).address, 5)
+			assert.Equal(t, want, f.attempt())
+			if want == decide.OK {
+				assert.Equal(t, &node.Response{ContentType: "text/x", Body: []byte("hi")}, f.core.response)
+			} else {
+				assert.Nil(t, f.core.response)
+			}
+		})
+	}
+}
+
+func TestExchange_ServerMovesDuringConnect(t *testing.T) {
+	before, after := startServer(t, respond(okResponse)), startServer(t, respond(okResponse))
+	f := newFixture(t, before.address, 5)
+	f.core.onBind = func() { f.core.setAddress(after.address) }
+	assert.Equal(t, decide.NotSent, f.attempt())
+	assert.Zero(t, before.requestCount())
+	assert.Equal(t, 5, f.budget.Available())
+	assert.Equal(t, decide.OK, f.attempt())
+	assert.Equal(t, 1, after.requestCount())
+}
+
+func TestExchange_InformationalResponseSetsNoDeadline(t *testing.T) {
+	beyondReadTimeout := testLimits().ResponseReadTimeout * 5 / 2
+	server := startServer(t, func(s *testServer, _ int, c *net.TCPConn) {
+		for s.read(c) {
+			io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+			time.Sleep(beyondReadTimeout)
+			io.WriteString(c, okResponse)
+		}
+		c.Close()
+	})
+	f := newFixture(t, server.address, 5)
+	for range 3 {
+		assert.Equal(t, decide.OK, f.attempt())
+		time.Sleep(testLimits().ResponseReadTimeout * 3 / 2) // a deadline that was left set would be over
+	}
+	assert.Equal(t, 1, server.connCount())
+}
+
+// A connection that breaks after the request's last byte is a reset, and nothing is sent again.
+func TestExchange_ResetAfterLastByte(t *testing.T) {
+	for name, end := range map[string]func(*net.TCPConn){
+		"reset": closeWithReset,
+		"end":   closeOrderly,
+		"half a response": func(c *net.TCPConn) {
+			io.WriteString(c, okResponse[:len(okResponse)-1])
+			c.Close()
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := startServer(t, func(s *testServer, _ int, c *net.TCPConn) {
+				s.read(c)
+				end(c)
+			})
+			f := newFixture(t, server.address, 5)
+			assert.Equal(t, decide.Reset, f.attempt())
+			assert.Equal(t, 1, server.requestCount())
+		})
+	}
+}
+
+// breakingConn breaks once it has written some bytes.
+type breakingConn struct {
+	net.Conn
+	writable int
+}
+
+func (b *breakingConn) Write(p []byte) (int, error) {
+	n := min(len(p), b.writable)
+	b.writable -= n
+	if n < len(p) {
+		return n, io.ErrClosedPipe
+	}
+	return n, nil
+}
+
+func (b *breakingConn) Read([]byte) (int, error) { return 0, io.EOF }
+
+// A request whose last byte was not written never ran.
+func TestExchange_WriteFails(t *testing.T) {
+	f := newFixture(t, "", 5)
+	f.request.Verb = "POST"
+	f.request.Body = []byte("0123456789")
+	f.core.timeLeft = time.Second
+	size := len(f.request.AppendHead(nil, "", time.Second)) + len(f.request.Body)
+	for writable, want := range map[int]decide.Result{
+		0:        decide.ConnectFailed,
+		size - 1: decide.ConnectFailed,
+		size:     decide.Reset,
+	} {
+		t.Run(fmt.Sprintf("after %d of %d bytes", writable, size), func(t *testing.T) {
+			got := f.newExchange().roundTrip(f.newConn(&breakingConn{writable: writable}, ""))
+			assert.Equal(t, want, got.result)
+			assert.False(t, got.reusable)
+		})
+	}
+}
+
+func TestExchange_ConnectRefused(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	listener.Close()
+	assert.Equal(t, decide.ConnectFailed, newFixture(t, listener.Addr().String(), 5).attempt())
+}
+
+// The process has no descriptor left, whatever the budget says: the server is not to blame.
+func TestExchange_ConnectWithoutDescriptor(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE} {
+		shortage := os.NewSyscallError("socket", errno)
+		t.Run(fmt.Sprintf("%s that lasts", errno), func(t *testing.T) {
+			f := newFixture(t, "127.0.0.1:1", 5)
+			f.dialer.Control = func(string, string, syscall.RawConn) error { return shortage }
+			assert.Equal(t, decide.NotSent, f.attempt())
+			assert.Equal(t, 5, f.budget.Available())
+		})
+		t.Run(fmt.Sprintf("%s that passes", errno), func(t *testing.T) {
+			f := newFixture(t, startServer(t, respond(okResponse)).address, 5)
+			failures := 3
+			f.dialer.Control = func(string, string, syscall.RawConn) error {
+				if failures == 0 {
+					return nil
+				}
+				failures--
+				return shortage
+			}
+			assert.Equal(t, decide.OK, f.attempt(), "others may give way meanwhile")
+		})
+	}
+}
+
+func TestExchange_Canceled(t *testing.T) {
+	closed := make(chan bool, 1)
+	server := startServer(t, func(s *testServer, _ int, c *net.TCPConn) {
+		s.read(c)
+		closed <- !s.read(c)
+	})
+	f := newFixture(t, server.address, 1)
+	f.core.timeLeft = 50 * time.Millisecond
+	start := time.Now()
+	assert.Equal(t, decide.Reset, f.attempt(), "the core knows why")
+	assert.Less(t, time.Since(start), 10*time.Second)
+	assert.True(t, testutil.Receive(t, closed))
+	assert.Equal(t, 1, server.connCount())
+	assert.True(t, f.budget.Acquire(), "its descriptor was released")
+}
+
+// An attempt can be canceled when its connection already serves another.
+func TestExchange_LateCancel(t *testing.T) {
+	server := startServer(t, respond(okResponse))
+	f := newFixture(t, server.address, 1)
+	f.core.timeLeft = time.Hour
+	for range 50 {
+		e := f.newExchange()
+		e.Run()
+		e.Cancel()
+	}
+	for _, result := range f.core.results {
+		assert.Equal(t, decide.OK, result)
+	}
+	assert.Equal(t, 1, server.connCount())
+}
+
+func TestExchange_RefusedByCore(t *testing.T) {
+	server := startServer(t, respond(okResponse))
+	f := newFixture(t, server.address, 5)
+	f.core.refuses = true
+	assert.Equal(t, decide.NotSent, f.attempt())
+	f.core.refuses = false
+	assert.Equal(t, decide.OK, f.attempt())
+	assert.Equal(t, 1, server.connCount(), "the connection became idle")
+	assert.Equal(t, 1, server.requestCount())
+	f.core.setGone(true)
+	assert.Equal(t, decide.NotSent, f.attempt(), "a server that has gone is not even connected to")
+}
+
+func TestExchange_LargeBody(t *testing.T) {
+	received := make(chan string, 1)
+	server := startServer(t, func(_ *testServer, _ int, c *net.TCPConn) {
+		request, err := httpwire.NewReader(c, testLimits().Wire).ReadRequest()
+		if assert.NoError(t, err) {
+			received <- string(request.Body)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(request.Body), request.Body)
+		}
+	})
+	f := newFixture(t, server.address, 5)
+	body := strings.Repeat("0123456789abcdef", 4096)
+	f.request.Verb = "POST"
+	f.request.Body = []byte(body)
+	assert.Equal(t, decide.OK, f.attempt())
+	assert.Equal(t, body, testutil.Receive(t, received))
+	assert.Equal(t, body, string(f.core.response.Body))
+}
+
+// Bytes arrive and the response does not end: its attempt ends all the same, in time for another.
+func TestExchange_EndlessResponse(t *testing.T) {
+	const writeInterval = 5 * time.Millisecond
+	for name, parts := range map[string]struct{ first, repeated string }{
+		"headers":       {"HTTP/1.1 200 OK\r\n", "A: b\r\n"},
+		"one header":    {"HTTP/1.1 200 OK\r\nA: ", "b"},
+		"chunks":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n"},
+		"no length":     {"HTTP/1.1 200 OK\r\n\r\n", "x"},
+		"length":        {"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n", "x"},
+		"informational": {"", "HTTP/1.1 100 Continue\r\n\r\n"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := startServer(t, func(s *testServer, _ int, c *net.TCPConn) {
+				s.read(c)
+				io.WriteString(c, parts.first)
+				for {
+					if _, err := io.WriteString(c, parts.repeated); err != nil {
+						return
+					}
+					time.Sleep(writeInterval)
+				}
+			})
+			f := newFixture(t, server.address, 1)
+			result := make(chan decide.Result, 1)
+			go func() { result <- f.attempt() }()
+			assert.Equal(t, decide.Failed, testutil.Receive(t, result))
+			assert.Equal(t, 1, f.budget.Available())
+		})
+	}
+}
+
+// A body without a length, where its head says so, ends with its connection: it is complete at an end and cut at a
+// reset, however much of it had arrived. Large ones are passed on while they arrive.
+func TestExchange_ResponseWithoutLength(t *testing.T) {
+	for _, head := range []string{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n"} {
+		for _, size := range []int{0, 2, 40_000, 200_000} {
+			for name, reset := range map[string]bool{"end": false, "reset": true} {
+				t.Run(fmt.Sprintf("%q %d %s", head, size, name), func(t *testing.T) {
+					testResponseWithoutLength(t, head, size, reset)
+				})
+			}
+		}
+	}
+}
+
+func testResponseWithoutLength(t *testing.T, head string, size int, reset bool) {
+	const maxBuffered = 1 << 16
+	sent := make(chan struct{}) // closed when the response may end
+	server := startServer(t, func(s *testServer, _ int, c *net.TCPConn) {
+		s.read(c)
+		io.WriteString(c, head+strings.Repeat("x", size))
+		<-sent
+		if reset {
+			closeWithReset(c)
+		} else {
+			closeOrderly(c)
+		}
+	})
+	f := newFixture(t, server.address, 5)
+	f.limits.Wire.MaxStream = 1 << 20
+	f.limits.Wire.StreamPrefix = 4 << 10
+	f.limits.ResponseReadTimeout = eventTimeout
+	f.limits.ResponseStallTimeout = eventTimeout
+	f.limits.ClientStallTimeout = eventTimeout
+	f.core.timeLeft = eventTimeout
+	result := make(chan decide.Result, 1)
+	go func() { result <- f.attempt() }()
+
+	if size < maxBuffered {
+		close(sent)
+		want := decide.OK
+		if reset {
+			want = decide.Reset
+		}
+		assert.Equal(t, want, testutil.Receive(t, result))
+		return
+	}
+	eventually(t, func() bool { return f.core.lastResponse() != nil })
+	close(sent)
+	response := f.core.lastResponse()
+	rest, err := io.Copy(io.Discard, response.BodyStream)
+	if reset {
+		assert.Error(t, err)
+	} else {
+		assert.NoError(t, err)
+		assert.EqualValues(t, size, len(response.Body)+int(rest))
+	}
+	response.BodyStream.Close(!reset)
+	testutil.Receive(t, result)
+}
