--- /dev/null
+++ b/internal/dataplane/services/apply.go
@@ -0,0 +1,86 @@
+package services
+
+import (
+	"slices"
+
+	"go.uber.org/zap"
+
+	"robincart/internal/config/nodeconfig"
+	"robincart/internal/dataplane/frontend"
+)
+
+// maxLoggedNames is how many services are logged by their names. Of more, the numbers are logged.
+const maxLoggedNames = 30
+
+// transition is what a configuration does to the services, by their names.
+type transition struct {
+	updated []string // in place: their cores keep what they have learned
+	started []string
+	retired []string
+}
+
+// Apply puts a configuration in force as one step, and returns the table to serve.
+func (m *Manager) Apply(config *nodeconfig.Config) *frontend.Table {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.quotas.configure(config.Quota)
+	// Guarantees that shrink do so first: those that grow then find what they need.
+	for i := range config.Pools {
+		pool := &config.Pools[i]
+		if s := m.services[pool.Name]; s != nil && s.quota != nil {
+			s.quota.lowerGuarantee(pool.Guarantee, pool.Weight)
+		}
+	}
+	var t transition
+	services := map[string]*service{}
+	for name, s := range m.services {
+		if s.canServe(config) {
+			services[name] = s
+			continue
+		}
+		m.retire(s)
+		t.retired = append(t.retired, name)
+	}
+	var inOrder []*frontend.Service
+	for _, pool := range config.Pools {
+		s := services[pool.Name]
+		if s != nil {
+			s.update(pool)
+			t.updated = append(t.updated, pool.Name)
+		} else {
+			s = m.start(config, pool, m.services[pool.Name])
+			services[pool.Name] = s
+			t.started = append(t.started, pool.Name)
+		}
+		inOrder = append(inOrder, s.frontend)
+	}
+	m.config = config
+	m.services = services
+	m.logApplied(&t, len(config.Table.Rules()))
+	return &frontend.Table{Find: finder(config.Table, inOrder)}
+}
+
+func (m *Manager) logApplied(t *transition, routes int) {
+	field := func(key string, names []string) zap.Field {
+		if len(t.updated)+len(t.started) >= maxLoggedNames {
+			return zap.Int(key, len(names))
+		}
+		return zap.Strings(key, names)
+	}
+	slices.Sort(t.retired)
+	m.log.Info("services in force", field("updated", t.updated), field("started", t.started),
+		field("retired", t.retired), zap.Int("routes", routes))
+}
+
+// canServe reports whether the service can serve a configuration by an update in place. The settings of a core are
+// fixed when it starts.
+func (s *service) canServe(config *nodeconfig.Config) bool {
+	i := slices.IndexFunc(config.Pools, func(pool nodeconfig.Pool) bool { return pool.Name == s.config.Name })
+	if i < 0 {
+		return false
+	}
+	next := &config.Pools[i]
+	sameDiscovery := (s.config.Discovery == "") == (next.Discovery == "")
+	sameQuota := (s.quota == nil) == config.Sharing.Off
+	return s.config.Fingerprint == next.Fingerprint && sameDiscovery && sameQuota
+}
--- /dev/null
+++ b/internal/dataplane/services/manager.go
@@ -0,0 +1,129 @@
+// Package services runs the services of one process. A service has a core of its own, an endpoint watcher or a static
+// list of servers, connections to them, and a quota of what all services share. A Manager puts configurations in force:
+// each one is applied as one step, which starts, updates in place and retires services, and returns the table by which
+// the front end finds them.
+//
+// The package owns the services' goroutines, and one that measures the CPU, revokes borrowed quota and closes expired
+// connections. It does not read configurations, listen for clients or choose servers.
+package services
+
+import (
+	"context"
+	"math/rand"
+	"slices"
+	"sync"
+
+	"go.uber.org/zap"
+
+	"robincart/internal/config/nodeconfig"
+	"robincart/internal/controlplane/endpoints"
+	"robincart/internal/controlplane/recordcache"
+	"robincart/internal/core/node"
+	"robincart/internal/resources/limits"
+	"robincart/internal/resources/quota"
+	"robincart/internal/system/keys"
+	"robincart/internal/system/poller"
+	"robincart/internal/system/telemetry"
+)
+
+// Manager runs the services of a process. It is safe for concurrent use. Its exported fields are set before the first
+// Apply, or not at all.
+type Manager struct {
+	// RecordCache merges the services' endpoint lists with the record.
+	RecordCache *recordcache.Cache
+	// OnServiceStart is called with each service's core before the core learns of its servers.
+	OnServiceStart func(*node.Core)
+	// Keys authenticate this process to discovery, and discovery to it.
+	Keys *keys.Ring
+	// Dial connects to discovery in place of the machine's own network.
+	Dial endpoints.DialFunc
+	// Telemetry records what the services do.
+	Telemetry *telemetry.Recorder
+	// WrapReceiver returns what receives the endpoint list of a service in place of its core.
+	WrapReceiver func(service string, core endpoints.Receiver) endpoints.Receiver
+
+	poller *poller.Poller
+	clock  node.Clock
+	budget *limits.Budget // of the process's descriptors
+	log    *zap.Logger
+	quotas *sharedQuotas
+
+	ctx        context.Context // ends with Close
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+
+	mu       sync.Mutex
+	config   *nodeconfig.Config // nil before the first Apply
+	services map[string]*service
+	retiring []*service // until their last request has ended
+}
+
+// New returns a manager without services. Close ends it.
+func New(
+	config *nodeconfig.Config, clock node.Clock, budget *limits.Budget, log *zap.Logger, p *poller.Poller,
+) *Manager {
+	m := &Manager{
+		poller:   p,
+		clock:    clock,
+		budget:   budget,
+		log:      log,
+		services: map[string]*service{},
+		quotas: &sharedQuotas{
+			tree:       quota.New(config.Quota),
+			retryAfter: config.Limits.OverloadRetryAfter,
+			random:     rand.New(rand.NewSource(config.SeedOf(""))),
+		},
+	}
+	m.ctx, m.cancel = context.WithCancel(context.Background())
+	budget.SetEvictor(func() bool { return m.evictIdle(nil) })
+	m.goroutines.Go(m.maintain)
+	return m
+}
+
+// Go runs a function in a goroutine of the manager. Its context ends with Close, which waits for it.
+func (m *Manager) Go(f func(context.Context)) { m.goroutines.Go(func() { f(m.ctx) }) }
+
+// Close ends all services, whatever is in flight, and waits for the goroutines.
+func (m *Manager) Close() {
+	all := m.all()
+	for _, s := range all {
+		s.core.Close()
+	}
+	m.cancel()
+	m.goroutines.Wait()
+	for _, s := range all {
+		s.stop()
+	}
+}
+
+// Cores returns the cores of all services.
+func (m *Manager) Cores() []*node.Core {
+	var cores []*node.Core
+	for _, s := range m.all() {
+		cores = append(cores, s.core)
+	}
+	return cores
+}
+
+// InFlight returns the number of requests in flight in all services.
+func (m *Manager) InFlight() int {
+	inFlight := 0
+	for _, s := range m.all() {
+		inFlight += s.core.InFlight()
+	}
+	return inFlight
+}
+
+// Usage returns what each service uses of its quota.
+func (m *Manager) Usage() []quota.Usage { return m.quotas.usage() }
+
+// all returns the services in force and those that are retiring.
+func (m *Manager) all() []*service {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	all := slices.Clone(m.retiring)
+	for _, s := range m.services {
+		all = append(all, s)
+	}
+	return all
+}
--- /dev/null
+++ b/internal/dataplane/services/service.go
@@ -0,0 +1,173 @@
+package services
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"robincart/internal/config/nodeconfig"
+	"robincart/internal/controlplane/endpoints"
+	"robincart/internal/controlplane/recordcache"
+	"robincart/internal/core/node"
+	"robincart/internal/dataplane/frontend"
+	"robincart/internal/dataplane/upstream"
+)
+
+// protocolFastCGI is the configured protocol of servers that speak FastCGI.
+const protocolFastCGI = "fastcgi"
+
+// service is one service: it is started, updated in place any number of times, and retired.
+type service struct {
+	config       nodeconfig.Pool
+	frontend     *frontend.Service
+	core         *node.Core
+	watcher      *endpoints.Watcher        // nil with a static list
+	subscription *recordcache.Subscription // between the list and the core; nil without a record
+	connections  *upstream.Pool
+	quota        *serviceQuota // nil without quotas
+
+	cancel     context.CancelFunc // ends the watcher
+	goroutines sync.WaitGroup
+}
+
+// start starts a service. One that replaces another begins with the servers that the other knew.
+func (m *Manager) start(config *nodeconfig.Config, pool nodeconfig.Pool, replaced *service) *service {
+	s := &service{config: pool}
+	budget := m.startQuota(s, config)
+	requestWatch := func() {}
+	if pool.Discovery != "" {
+		s.watcher = m.newWatcher(&pool)
+		requestWatch = s.watcher.RequestWatch
+	}
+	s.core = node.New(pool.Settings, config.SeedOf(pool.Name), m.clock, time.Now(), requestWatch)
+	s.core.SetRecorder(m.Telemetry)
+	if replaced != nil {
+		s.core.AdoptListClock(replaced.core.ListClock())
+	}
+	if m.OnServiceStart != nil {
+		m.OnServiceStart(s.core)
+	}
+	m.startEndpoints(s, replaced)
+	s.connections = upstream.NewPool(s.core, pool.Limits, budget, m.poller)
+	s.connections.SetRecorder(m.Telemetry)
+	if pool.Protocol == protocolFastCGI {
+		s.connections.UseFastCGI(pool.Params)
+	}
+	var frontendQuota frontend.Quota // which has to be nil, not an interface that holds nil
+	if s.quota != nil {
+		frontendQuota = s.quota
+	}
+	s.frontend = frontend.NewService(pool.Name, pool.Settings, s.core, s.connections, frontendQuota)
+	return s
+}
+
+// startQuota adds the service to the quotas, unless they are off, and returns the budget of its connections.
+func (m *Manager) startQuota(s *service, config *nodeconfig.Config) upstream.Budget {
+	if config.Sharing.Off {
+		return processBudget{m.budget}
+	}
+	maxRetryAfter := time.Duration(s.config.MaxRetryAfter)
+	if s.config.NoRetryAfter {
+		maxRetryAfter = 0
+	}
+	s.quota = m.quotas.add(s.config.QuotaSpec, maxRetryAfter)
+	return &connectionBudget{quota: s.quota, process: m.budget, evictOther: m.evictIdle}
+}
+
+func (m *Manager) newWatcher(pool *nodeconfig.Pool) *endpoints.Watcher {
+	log := m.log.With(zap.String("service", pool.Name))
+	watcher := endpoints.New(pool.Discovery, pool.Settings.ZoneNames, pool.Limits, m.budget, log)
+	if m.Keys != nil {
+		watcher.SetTLS(m.Keys.Client)
+	}
+	if m.Dial != nil {
+		watcher.SetDialer(m.Dial)
+	}
+	return watcher
+}
+
+// startEndpoints gives the core its servers: the static list, or the one that the replaced service knew until the
+// watcher has another.
+func (m *Manager) startEndpoints(s *service, replaced *service) {
+	var receiver endpoints.Receiver = s.core
+	if m.WrapReceiver != nil {
+		receiver = m.WrapReceiver(s.config.Name, receiver)
+	}
+	if m.RecordCache != nil {
+		s.subscription = m.RecordCache.Subscribe(s.config.Name, receiver)
+		receiver = s.subscription
+	}
+	ctx, cancel := context.WithCancel(m.ctx)
+	s.cancel = cancel
+	if s.watcher == nil {
+		receiver.UpdateEndpoints(s.config.StaticEndpoints, true)
+		return
+	}
+	s.watcher.SetReceiver(receiver)
+	if replaced != nil && replaced.watchesSameList(s) {
+		receiver.UpdateEndpoints(replaced.core.Endpoints(), true)
+	}
+	// At once, since nothing is known: the core's own first request is spread for fleets that start together.
+	s.watcher.RequestWatch()
+	s.goroutines.Go(func() { s.watcher.Run(ctx) })
+}
+
+// watchesSameList reports whether two services have the same list with the same numbers of zones.
+func (s *service) watchesSameList(other *service) bool {
+	return s.config.Discovery == other.config.Discovery && slices.Equal(s.config.Zones, other.config.Zones)
+}
+
+// update takes over what can change in place.
+func (s *service) update(next nodeconfig.Pool) {
+	if s.quota != nil {
+		s.quota.update(next.Guarantee, next.Weight)
+	}
+	switch {
+	case s.watcher != nil:
+		s.watcher.SetAddress(next.Discovery)
+	case !slices.Equal(s.config.Servers, next.Servers):
+		s.updateStaticEndpoints(next.StaticEndpoints)
+	}
+	s.config = next
+}
+
+func (s *service) updateStaticEndpoints(list []node.Endpoint) {
+	if s.subscription != nil {
+		s.subscription.UpdateEndpoints(list, true)
+		return
+	}
+	s.core.UpdateEndpoints(list, true)
+}
+
+// retire takes a service out of force: it accepts no new request, and is stopped when its last one has ended.
+func (m *Manager) retire(s *service) {
+	m.retiring = append(m.retiring, s)
+	if s.subscription != nil {
+		m.RecordCache.Unsubscribe(s.subscription)
+	}
+	empty := s.frontend.Close()
+	if s.quota != nil {
+		s.quota.remove()
+	}
+	m.goroutines.Go(func() {
+		select {
+		case <-empty:
+		case <-m.ctx.Done():
+		}
+		s.stop()
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.retiring = slices.DeleteFunc(m.retiring, func(other *service) bool { return other == s })
+	})
+}
+
+// stop ends a service, whatever is in flight, and waits for its goroutines. A second call does nothing.
+func (s *service) stop() {
+	s.core.Close()
+	s.cancel()
+	s.goroutines.Wait()
+	s.connections.Close()
+}
