--- a/internal/resources/limits/budget.go
+++ b/internal/resources/limits/budget.go
@@ -2,61 +2,47 @@
 
 import "sync"
 
-// Budget counts the descriptors of callers, servers and discovery, so that no call for one fails for want of
-// them.
+// Budget counts the descriptors of connections to clients, servers and discovery, so that no call for one fails for
+// want of them. It is safe for concurrent use.
 type Budget struct {
-	bytes *MemoryBudget
-
-	mu      sync.Mutex
-	left    int
-	spare   int
-	callers int // descriptors that callers hold
-	most    int // that they hold at most; 0: no bound
-	evict   func() bool
+	memory *MemoryBudget
+
+	// Set before the first Acquire:
+	maxClients int         // descriptors that clients hold at most; 0: no limit
+	evict      func() bool // may be nil
+
+	mu            sync.Mutex
+	available     int
+	clientReserve int // of available, for clients alone
+	clients       int // descriptors that clients hold
 }
 
-// NewBudget starts with n descriptors free. The last few, spare, are for callers alone: one who finds the
-// node full has to be told so, and that takes a connection.
-func NewBudget(n, spare int, bytes *MemoryBudget) *Budget {
-	return &Budget{left: n, spare: spare, bytes: bytes}
+// NewBudget returns a budget with n descriptors. The last few, clientReserve, are for clients alone: one that finds the
+// node full has to be told so, which takes a connection.
+func NewBudget(n, clientReserve int, memory *MemoryBudget) *Budget {
+	return &Budget{available: n, clientReserve: clientReserve, memory: memory}
 }
 
-// SetMaxClients says how many descriptors callers hold at most. The fewer they can still take, the fewer are spare: with all of theirs
-// taken, by idle ones as well, the rest is for servers and discovery to the last.
-func (b *Budget) SetMaxClients(most int) { b.most = most }
+// SetMaxClients sets how many descriptors clients hold at most. The fewer they can still acquire, the smaller is their
+// reserve: with all of theirs held, by idle connections as well, the rest is for servers and discovery.
+func (b *Budget) SetMaxClients(n int) { b.maxClients = n }
 
-// Memory is the process's budget of memory.
-func (b *Budget) Memory() *MemoryBudget { return b.bytes }
+// Memory returns the process's budget of memory.
+func (b *Budget) Memory() *MemoryBudget { return b.memory }
 
-// SetEvictor names what gives one descriptor back when none is left: it closes an idle server connection. It is
-// set before the first Take.
+// SetEvictor sets what is called when no descriptor is left. It returns whether it has released one, by closing an idle
+// connection to a server.
 func (b *Budget) SetEvictor(f func() bool) { b.evict = f }
 
-// Acquire asks for a descriptor for a server or for discovery.
-func (b *Budget) Acquire() bool { return b.take(false) }
+// Acquire acquires a descriptor for a server or for discovery. Release returns it.
+func (b *Budget) Acquire() bool { return b.acquireOrEvict(b.tryAcquire) }
 
-// AcquireForClient asks for a caller's descriptor, one of the spare ones included. It comes back with GiveLast.
-func (b *Budget) AcquireForClient() bool { return b.take(true) }
+// AcquireForClient acquires a descriptor for a client, also of the reserve. ReleaseForClient returns it.
+func (b *Budget) AcquireForClient() bool { return b.acquireOrEvict(b.tryAcquireForClient) }
 
-func (b *Budget) take(caller bool) bool {
+func (b *Budget) acquireOrEvict(try func() bool) bool {
 	for {
-		b.mu.Lock()
-		keep := 0
-		if !caller {
-			keep = b.spare
-			if b.most > 0 {
-				keep = max(0, min(keep, b.most-b.callers))
-			}
-		}
-		ok := b.left > keep
-		if ok {
-			b.left--
-			if caller {
-				b.callers++
-			}
-		}
-		b.mu.Unlock()
-		if ok {
+		if try() {
 			return true
 		}
 		if b.evict == nil || !b.evict() {
@@ -65,34 +51,59 @@
 	}
 }
 
-// Available is how many are free.
+func (b *Budget) tryAcquire() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	reserve := b.clientReserve
+	if b.maxClients > 0 {
+		reserve = max(0, min(reserve, b.maxClients-b.clients))
+	}
+	if b.available <= reserve {
+		return false
+	}
+	b.available--
+	return true
+}
+
+func (b *Budget) tryAcquireForClient() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.available <= 0 {
+		return false
+	}
+	b.available--
+	b.clients++
+	return true
+}
+
+// Available returns how many descriptors are left.
 func (b *Budget) Available() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left
+	return b.available
 }
 
-// Lend takes up to n away at once, for another process that counts against the same limit, and leaves a quarter of what is
-// free. Each comes back with Give.
+// Lend acquires up to n descriptors at once for another process that counts against the same limit, and leaves a
+// quarter of what is available. It returns how many; Release returns each.
 func (b *Budget) Lend(n int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n = max(0, min(n, b.left-b.left/4))
-	b.left -= n
-	return n
+	lent := max(0, min(n, b.available-b.available/4))
+	b.available -= lent
+	return lent
 }
 
-// Release returns one.
+// Release returns a descriptor.
 func (b *Budget) Release() {
 	b.mu.Lock()
-	b.left++
-	b.mu.Unlock()
+	defer b.mu.Unlock()
+	b.available++
 }
 
-// ReleaseForClient returns a caller's.
+// ReleaseForClient returns a client's descriptor.
 func (b *Budget) ReleaseForClient() {
 	b.mu.Lock()
-	b.left++
-	b.callers--
-	b.mu.Unlock()
+	defer b.mu.Unlock()
+	b.available++
+	b.clients--
 }
