--- a/internal/dataplane/upstream/conn.go
+++ b/internal/dataplane/upstream/conn.go
@@ -14,15 +14,15 @@
 
 // connState says who owns a connection. The pool's mutex guards it.
 //
-//	from    event                                        to
-//	(none)  connected                                    in use
-//	in use  attempt over, connection reusable            idle
-//	idle    taken for an attempt                         in use
-//	idle    taken to be closed: expired, evicted, stale, in use, then closed
-//	        closed by the server, server unavailable
-//	in use  attempt over, connection not reusable        closed
+//	from    event                                                     to
+//	(none)  connected                                                 in use
+//	in use  the attempt is over, and the connection is reusable       idle
+//	idle    taken for an attempt                                      in use
+//	idle    expired, evicted, stale, closed by the server, or the     in use,
+//	        server is unavailable                                     then closed
+//	in use  the attempt is over, and the connection is not reusable   closed
 //
-// A closed connection stays in use: nobody refers to it.
+// A closed connection has no state of its own: nothing refers to it.
 type connState uint8
 
 const (
--- a/internal/dataplane/upstream/connect.go
+++ b/internal/dataplane/upstream/connect.go
@@ -15,7 +15,7 @@
 // for which accepting pauses once it has made clients give way.
 const connectRetryDelay = 2 * time.Millisecond
 
-// These errors tell why there is no connection although its server is not to blame.
+// Errors of a missing connection whose server is not to blame.
 var (
 	errNoDescriptor = errors.New("no descriptor is left for a connection to a server")
 	errServerMoved  = errors.New("the server moved while it was connected to")
@@ -49,7 +49,7 @@
 	}
 	c := p.newConn(raw, address)
 	if current, _ := p.core.Address(server); current != address {
-		// The server has come back elsewhere under its name. Whoever has the old address now is another.
+		// The server has come back under its name at another address. The old one may be another server's now.
 		p.closeConn(c, telemetry.StaleConnection)
 		return nil, errServerMoved
 	}
