--- a/cmd/robincart/commands_test.go
+++ b/cmd/robincart/commands_test.go
@@ -17,7 +17,7 @@
 func startWithAdmin(t *testing.T, servers ...*server) (p *testNode, d *discovery, admin string) {
 	d = newDiscovery(t)
 	for i, s := range servers {
-		d.Tell(newMember(fmt.Sprint("s", i), s.addr(), "ready"))
+		d.Update(newMember(fmt.Sprint("s", i), s.addr(), "ready"))
 	}
 	c := newConfig(t, d, d.members()...)
 	admin = freeAddress(t)
@@ -55,8 +55,8 @@
 	}
 	quiet("right after the yes")
 	watches := d.watchesStarted()
-	d.Tell(newMember("s0", a.addr(), "gone"))
-	d.Tell(newMember("s0", a.addr(), "ready"))
+	d.Update(newMember("s0", a.addr(), "gone"))
+	d.Update(newMember("s0", a.addr(), "ready"))
 	require.Eventually(t, func() bool {
 		return p.send("find", "").status == 200 && d.watchesStarted() >= watches
 	}, 5*time.Second, 10*time.Millisecond)
--- a/cmd/robincart/descriptors_test.go
+++ b/cmd/robincart/descriptors_test.go
@@ -195,7 +195,7 @@
 			var servers []*holdingServer
 			for i := range 4 {
 				servers = append(servers, newHoldingServer(t))
-				d.Tell(newMember(fmt.Sprint("s", i), servers[i].addr(), "ready"))
+				d.Update(newMember(fmt.Sprint("s", i), servers[i].addr(), "ready"))
 			}
 			between := newDiscoveryRelay(t, d.addr())
 			c := newConfig(t, d, d.members()...)
@@ -217,7 +217,7 @@
 					return between.muteCallCount() > 0
 				}, 20*time.Second, time.Millisecond)
 			} else {
-				d.Gone(true)
+				d.SetDown(true)
 				require.Eventually(t, func() bool {
 					return strings.Contains(p.Log(), "endpoint watch lost")
 				}, 20*time.Second, time.Millisecond)
@@ -234,7 +234,7 @@
 			if down == "mute" {
 				between.setMute(false)
 			} else {
-				d.Gone(false)
+				d.SetDown(false)
 			}
 			assert.Eventually(t, func() bool {
 				return d.watchesStarted() > before
@@ -277,15 +277,15 @@
 	}
 	assert.Equal(t, 404, callAdmin(t, admin, "/_servers/detach", `{"host":"never"}`))
 	before := d.watchesStarted()
-	d.Gone(true)
+	d.SetDown(true)
 	time.Sleep(300 * time.Millisecond)
-	d.Gone(false)
+	d.SetDown(false)
 	assert.Eventually(t, func() bool {
 		return d.watchesStarted() > before
 	}, 20*time.Second, 10*time.Millisecond, "the watch comes back")
 	there := newDiscovery(t)
-	there.Number(9)
-	there.Tell(d.members()...)
+	there.SetRevision(9)
+	there.Update(d.members()...)
 	config["discovery"] = there.addr()
 	text, err := json.Marshal(config)
 	require.NoError(t, err)
--- a/cmd/robincart/fastcgi_test.go
+++ b/cmd/robincart/fastcgi_test.go
@@ -40,7 +40,7 @@
   deadline = "3s"
 `
 
-func startApplications(t *testing.T, n int, serve func(c net.Conn, q *standin.Asked) bool) *testNode {
+func startApplications(t *testing.T, n int, serve func(c net.Conn, q *standin.ApplicationRequest) bool) *testNode {
 	var addrs []string
 	for range n {
 		s := &standin.Application{Serve: serve}
@@ -52,38 +52,38 @@
 }
 
 // failures are the ways in which an application ends a request that it has run.
-var failures = map[string]func(c net.Conn, q *standin.Asked) bool{
-	"before the answer": func(net.Conn, *standin.Asked) bool { return false },
-	"in a record's head": func(c net.Conn, q *standin.Asked) bool {
+var failures = map[string]func(c net.Conn, q *standin.ApplicationRequest) bool{
+	"before the answer": func(net.Conn, *standin.ApplicationRequest) bool { return false },
+	"in a record's head": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		return writePart(c, q.Answered("Status: 200", "x"), 5)
 	},
-	"in the CGI head": func(c net.Conn, q *standin.Asked) bool {
+	"in the CGI head": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		return writePart(c, q.Answered("Status: 200", "x"), 14)
 	},
-	"in the body": func(c net.Conn, q *standin.Asked) bool {
+	"in the body": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		return writePart(c, q.Answered("Status: 200", "xxxxxxxxx"), 30)
 	},
-	"in the END": func(c net.Conn, q *standin.Asked) bool {
+	"in the END": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		a := q.Answered("Status: 200", "x")
 		return writePart(c, a, len(a)-3)
 	},
-	"END without STDOUT": func(c net.Conn, q *standin.Asked) bool {
+	"END without STDOUT": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		return writePart(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete), 0)
 	},
-	"STDOUT after END": func(c net.Conn, q *standin.Asked) bool {
+	"STDOUT after END": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		end := fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete)
 		return writePart(c, append(end, q.Answered("Status: 200", "another's")...), 0)
 	},
-	"another's id": func(c net.Conn, q *standin.Asked) bool {
+	"another's id": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		other := *q
 		other.ID++
 		return writePart(c, other.Answered("Status: 200", "another's"), 0)
 	},
-	"a number": func(c net.Conn, q *standin.Asked) bool {
+	"a number": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		stdout := fcgi.AppendStream(nil, fcgi.TypeStdout, q.ID, []byte("Status: 200\n\nx"))
 		return writePart(c, fcgi.AppendEnd(stdout, q.ID, 9, fcgi.StatusComplete), 0)
 	},
-	"words only": func(c net.Conn, q *standin.Asked) bool {
+	"words only": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		return writePart(c, fcgi.AppendStream(nil, fcgi.TypeStderr, q.ID, make([]byte, 100_000)), 0) && false
 	},
 }
@@ -106,7 +106,7 @@
 	for name := range failures {
 		names = append(names, name)
 	}
-	p := startApplications(t, 4, func(c net.Conn, q *standin.Asked) bool {
+	p := startApplications(t, 4, func(c net.Conn, q *standin.ApplicationRequest) bool {
 		body := "for " + q.Params["HTTP_X_TRACE_ID"]
 		mu.Lock()
 		what := ""
@@ -186,7 +186,7 @@
 		names = append(names, name)
 	}
 	var n atomic.Int64
-	p := startApplications(t, 3, func(c net.Conn, q *standin.Asked) bool {
+	p := startApplications(t, 3, func(c net.Conn, q *standin.ApplicationRequest) bool {
 		mu.Lock()
 		ran[q.Params["HTTP_X_TRACE_ID"]]++
 		mu.Unlock()
@@ -235,7 +235,7 @@
 // 4 MB each way, in as many records as that takes; a response that breaks off is an error for the client.
 func TestFastCGI_LargeBodies(t *testing.T) {
 	large := bytes.Repeat([]byte("0123456789abcdef"), 1<<18)
-	p := startApplications(t, 1, func(c net.Conn, q *standin.Asked) bool {
+	p := startApplications(t, 1, func(c net.Conn, q *standin.ApplicationRequest) bool {
 		c.SetWriteDeadline(time.Now().Add(20 * time.Second))
 		if len(q.Body) != len(large) {
 			return writePart(c, q.Answered("Status: 500", ""), 0)
--- a/cmd/robincart/gateway_test.go
+++ b/cmd/robincart/gateway_test.go
@@ -307,7 +307,7 @@
 func TestGateway_FastCGIOnBothSides(t *testing.T) {
 	large := strings.Repeat("0123456789abcdef", 1<<17)
 	addr := freeAddress(t)
-	app := &standin.Application{Serve: func(c net.Conn, q *standin.Asked) bool {
+	app := &standin.Application{Serve: func(c net.Conn, q *standin.ApplicationRequest) bool {
 		c.SetWriteDeadline(time.Now().Add(20 * time.Second))
 		answer := q.Answered("Content-Type: a/b", q.Params["HTTP_HOST"]+string(q.Body))
 		if q.Params["HTTP_X_QOS"] == "book" {
--- a/cmd/robincart/helpers_test.go
+++ b/cmd/robincart/helpers_test.go
@@ -45,17 +45,17 @@
 // discovery is the lab's stand-in, with one address.
 type discovery struct {
 	*standin.Discovery
-	address *standin.Door
+	address *standin.DiscoveryListener
 }
 
 func newDiscovery(t *testing.T, members ...standin.Member) *discovery {
 	d := &discovery{Discovery: standin.NewDiscovery(nil, time.Now())}
 	d.Every = 500 * time.Millisecond
 	if len(members) > 0 {
-		d.Tell(members...)
+		d.Update(members...)
 	}
 	var err error
-	d.address, err = d.Door(0, "127.0.0.1:0")
+	d.address, err = d.Listen(0, "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(d.Stop)
 	return d
--- a/cmd/robincart/mixedfleet_test.go
+++ b/cmd/robincart/mixedfleet_test.go
@@ -91,7 +91,7 @@
 		if !up.IsZero() {
 			member.UpSince = up.UnixMilli()
 		}
-		d.Tell(member)
+		d.Update(member)
 	}
 	for i := range 6 {
 		add(fmt.Sprint("s", i), time.Time{})
@@ -128,7 +128,7 @@
 	time.Sleep(700 * time.Millisecond)
 	leaving := d.members()[0]
 	leaving.Phase = "draining"
-	d.Tell(leaving)
+	d.Update(leaving)
 	mu.Lock()
 	drained = time.Now().Add(time.Second) // the grace of the rules, and room for a slow machine
 	mu.Unlock()
--- a/cmd/robincart/platformconfig_test.go
+++ b/cmd/robincart/platformconfig_test.go
@@ -154,8 +154,8 @@
 func TestReload_MovesWatchUnderTraffic(t *testing.T) {
 	old, fresh := newServer(t, respond(200, "old")), newServer(t, respond(200, "fresh"))
 	here, there := newDiscovery(t, newMember("s0", old.addr(), "ready")), newDiscovery(t)
-	there.Number(2)
-	there.Tell(newMember("s1", fresh.addr(), "ready"))
+	there.SetRevision(2)
+	there.Update(newMember("s1", fresh.addr(), "ready"))
 	config := newConfig(t, here, here.members()...)
 	p := startTestNode(t, config)
 	require.Eventually(t, func() bool { return here.watchesStarted() == 1 }, 5*time.Second, 10*time.Millisecond)
--- a/cmd/robincart/start_test.go
+++ b/cmd/robincart/start_test.go
@@ -105,12 +105,12 @@
 	for range b.N {
 		d := standin.NewDiscovery(nil, time.Now())
 		d.Every = 500 * time.Millisecond
-		d.Tell(newMember("s0", "127.0.0.1:1", "ready"))
-		door, err := d.Door(0, "127.0.0.1:0")
+		d.Update(newMember("s0", "127.0.0.1:1", "ready"))
+		door, err := d.Listen(0, "127.0.0.1:0")
 		require.NoError(b, err)
 		_, known := d.List()
-		d.Gone(true)
-		d.Late(time.Second) // with its heartbeats: twice that would be a silent watch
+		d.SetDown(true)
+		d.SetDelay(time.Second) // with its heartbeats: twice that would be a silent watch
 		began := time.Now()
 		took := make([]float64, nodes)
 		var all sync.WaitGroup
@@ -145,7 +145,7 @@
 		}
 		all.Wait()
 		time.Sleep(time.Until(began.Add(down)))
-		d.Gone(false)
+		d.SetDown(false)
 		back := time.Now()
 		for last := 0; last < nodes && time.Since(began) < most; time.Sleep(10 * time.Millisecond) {
 			_, last = door.Watches()
--- a/cmd/robincart/succession_test.go
+++ b/cmd/robincart/succession_test.go
@@ -45,7 +45,7 @@
 func newNodeSite(t *testing.T, servers ...*server) (*nodeSite, *discovery) {
 	d := newDiscovery(t)
 	for i, s := range servers {
-		d.Tell(newMember(fmt.Sprint("s", i), s.addr(), "ready"))
+		d.Update(newMember(fmt.Sprint("s", i), s.addr(), "ready"))
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/cmd/robinlab/chain.go
+++ b/cmd/robinlab/chain.go
@@ -23,8 +23,8 @@
 	c := &cobra.Command{Use: "chain", Short: "Real nodes in a row, each server calling the next tier: latency added by depth, or (--attempts) what a failing share multiplies to",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) (err error) {
 			switch {
-			case len(k.Depths) == 0 || slices.ContainsFunc(k.Depths, func(d int) bool { return d < 1 || d > cost.MostDepth }):
-				return fmt.Errorf("--depth must be between 1 and %d, each of them", cost.MostDepth)
+			case len(k.Depths) == 0 || slices.ContainsFunc(k.Depths, func(d int) bool { return d < 1 || d > cost.MaxDepth }):
+				return fmt.Errorf("--depth must be between 1 and %d, each of them", cost.MaxDepth)
 			case k.Servers < 1 || k.Servers > 100 || callers < 1 || callers > 100 || k.Picks < 1 || k.Picks > 10:
 				return fmt.Errorf("--servers and --callers must be between 1 and 100, --picks between 1 and 10")
 			case attempts < 0 || attempts > 100_000 || k.Deadline < time.Second || k.Deadline > time.Minute:
--- a/cmd/robinlab/folders_test.go
+++ b/cmd/robinlab/folders_test.go
@@ -31,7 +31,7 @@
 	planned shim.Plan
 	plan    string // its file
 	lists   *standin.Discovery
-	door    *standin.Door
+	door    *standin.DiscoveryListener
 	servers []*standin.Server
 	asked   int
 }
@@ -50,9 +50,9 @@
 		require.NoError(t, s.Start("127.0.0.1:0"))
 		t.Cleanup(s.Stop)
 		b.servers = append(b.servers, s)
-		discovery.Tell(standin.Member{ID: body, Addr: s.Addr(), Zone: "a", Flavor: "m", Phase: "ready", Size: 1})
+		discovery.Update(standin.Member{ID: body, Addr: s.Addr(), Zone: "a", Flavor: "m", Phase: "ready", Size: 1})
 	}
-	door, err := discovery.Door(0, "127.0.0.1:0")
+	door, err := discovery.Listen(0, "127.0.0.1:0")
 	require.NoError(t, err)
 	b.lists, b.door = discovery, door
 	addr, err := standin.FreeAddress("127.0.0.1")
@@ -260,7 +260,7 @@
 			t.Parallel()
 			b := newBannedNode(t)
 			b.injectIn(b.node.Dir, call)
-			moved, err := b.lists.Door(0, "127.0.0.1:0")
+			moved, err := b.lists.Listen(0, "127.0.0.1:0")
 			require.NoError(t, err)
 			b.node.Configure(func(config map[string]any) { config["discovery"] = moved.Addr() })
 			require.NoError(t, b.node.Write())
@@ -272,7 +272,7 @@
 			_, members := b.lists.List()
 			for _, m := range members[:2] {
 				m.Phase = "draining"
-				b.lists.Tell(m)
+				b.lists.Update(m)
 			}
 			time.Sleep(4 * time.Second) // from SIGHUP what discovery has binds
 			b.quiet("the node has followed discovery")
--- a/cmd/robinlab/hunt_test.go
+++ b/cmd/robinlab/hunt_test.go
@@ -192,11 +192,11 @@
 
 // Some seeds of the soak, small and short: what it draws at full size is for `robinlab soak`.
 func TestTheSoakInSmallBreaksNothing(t *testing.T) {
-	size := soak.Size{Nodes: 6, Servers: 6, Rate: 80, Lasts: 12 * time.Second}
+	size := soak.Size{Nodes: 6, Servers: 6, Rate: 80, Duration: 12 * time.Second}
 	for seed := range uint64(3) {
 		t.Run(strconv.FormatUint(seed+1, 10), func(t *testing.T) {
 			t.Parallel()
-			kept(t, playFleet(t, soak.Text(seed+1, size)))
+			kept(t, playFleet(t, soak.ExperimentText(seed+1, size)))
 		})
 	}
 }
--- a/cmd/robinlab/main.go
+++ b/cmd/robinlab/main.go
@@ -151,7 +151,7 @@
 				if err != nil {
 					return err
 				}
-				run.Text(c.OutOrStdout(), r)
+				run.WriteText(c.OutOrStdout(), r)
 				fmt.Fprintf(c.OutOrStdout(), "kept in %s\n\n", o.Dir)
 				failed = failed || !r.Passed
 				if r.Cut {
@@ -190,7 +190,7 @@
 				return e.Encode(runs)
 			}
 			for _, r := range runs {
-				run.Text(c.OutOrStdout(), r)
+				run.WriteText(c.OutOrStdout(), r)
 			}
 			if out == "" {
 				return nil
--- a/cmd/robinlab/soak.go
+++ b/cmd/robinlab/soak.go
@@ -20,7 +20,7 @@
 	var node, out string
 	var patience time.Duration
 	var events bool
-	size := soak.Default
+	size := soak.DefaultSize
 	c := &cobra.Command{Use: "soak", Short: "Real nodes under troubles that overlap, drawn from seeds; exits 1 if a rule or an invariant was broken", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			program, err := run.FindProgram(node)
@@ -32,7 +32,7 @@
 			}
 			failed := 0
 			for seed := first; seed < first+uint64(seeds) && c.Context().Err() == nil; seed++ {
-				text := soak.Text(seed, size)
+				text := soak.ExperimentText(seed, size)
 				e, err := experiment.Parse([]byte(text), ".")
 				if err != nil {
 					return fmt.Errorf("seed %d: %w", seed, err)
@@ -68,7 +68,7 @@
 	c.Flags().IntVar(&size.Nodes, "nodes", size.Nodes, "nodes")
 	c.Flags().IntVar(&size.Servers, "servers", size.Servers, "servers")
 	c.Flags().IntVar(&size.Rate, "rate", size.Rate, "calls a second")
-	c.Flags().DurationVar(&size.Lasts, "for", size.Lasts, "how long a seed lasts")
+	c.Flags().DurationVar(&size.Duration, "for", size.Duration, "how long a seed lasts")
 	return c
 }
 
--- a/internal/dataplane/upstream/benchmark_test.go
+++ b/internal/dataplane/upstream/benchmark_test.go
@@ -20,7 +20,7 @@
 	})
 	b.Run("fastcgi", func(b *testing.B) {
 		f := newFixture(b, startBenchmarkServer(b, func(request []byte) []byte {
-			asked := standin.Asked{ID: uint16(request[2])<<8 | uint16(request[3])}
+			asked := standin.ApplicationRequest{ID: uint16(request[2])<<8 | uint16(request[3])}
 			return asked.Answered("Content-Type: text/x", "hi")
 		}), 5)
 		f.UseFastCGI(nil)
--- a/internal/dataplane/upstream/fastcgi_test.go
+++ b/internal/dataplane/upstream/fastcgi_test.go
@@ -16,7 +16,7 @@
 )
 
 func newFastCGIFixture(
-	t *testing.T, serve func(c net.Conn, request *standin.Asked) bool,
+	t *testing.T, serve func(c net.Conn, request *standin.ApplicationRequest) bool,
 ) (*fixture, *standin.Application) {
 	application := &standin.Application{Serve: serve}
 	require.NoError(t, application.Start("127.0.0.1:0"))
@@ -79,7 +79,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, _ := newFastCGIFixture(t, func(conn net.Conn, request *standin.Asked) bool {
+			f, _ := newFastCGIFixture(t, func(conn net.Conn, request *standin.ApplicationRequest) bool {
 				assert.Equal(t, uint16(1), request.ID)
 				conn.Write([]byte(c.text))
 				return !c.close
@@ -96,8 +96,8 @@
 }
 
 func TestFastCGI_ReuseAndAbort(t *testing.T) {
-	requests := make(chan *standin.Asked, 9)
-	f, application := newFastCGIFixture(t, func(c net.Conn, request *standin.Asked) bool {
+	requests := make(chan *standin.ApplicationRequest, 9)
+	f, application := newFastCGIFixture(t, func(c net.Conn, request *standin.ApplicationRequest) bool {
 		requests <- request
 		if request.Params["HTTP_X_TRACE_ID"] == "t3" {
 			request.Open = true
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -121,14 +121,14 @@
 	if _, err := s.Init(ctx, false); err != nil {
 		return err
 	}
-	r.disc = standin.NewDiscovery(&judge.Log{}, r.begin)
+	r.disc = standin.NewDiscovery(&judge.Ledger{}, r.begin)
 	defer r.disc.Stop()
 	_, port, _ := net.SplitHostPort(r.ln.Addr().String())
 	for i := range r.Servers {
 		x := &server{id: fmt.Sprintf("s%d", i), addr: fmt.Sprintf("127.9.0.%d:%s", i+1, port), start: 1000, known: map[int]time.Time{}}
 		x.member = standin.Member{ID: x.id, Addr: x.addr, Zone: "a", Phase: "ready", Size: 1, UpSince: x.start}
 		r.servers = append(r.servers, x)
-		r.disc.Tell(x.member)
+		r.disc.Update(x.member)
 	}
 	for i := range r.Nodes {
 		if err := r.addNode(ctx, i); err != nil {
@@ -176,7 +176,7 @@
 }
 
 func (r *Record) addNode(ctx context.Context, i int) error {
-	door, err := r.disc.Door(int32(i), "127.0.0.1:0")
+	door, err := r.disc.Listen(int32(i), "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
@@ -383,7 +383,7 @@
 			x.member.Phase, x.member.UpSince = "ready", x.start
 			m := x.member
 			r.mu.Unlock()
-			r.disc.Tell(m)
+			r.disc.Update(m)
 			r.count("new processes")
 			continue
 		}
@@ -394,10 +394,10 @@
 			m := x.member
 			r.mu.Unlock()
 			m.Phase = "draining"
-			r.disc.Tell(m)
+			r.disc.Update(m)
 			time.Sleep(time.Duration(rng.Intn(300)) * time.Millisecond)
 			m.Phase = "ready" // discovery has forgotten it
-			r.disc.Tell(m)
+			r.disc.Update(m)
 			r.count("drains by discovery, forgotten by it")
 			continue
 		}
--- a/internal/lab/chaos/golden_test.go
+++ b/internal/lab/chaos/golden_test.go
@@ -58,7 +58,7 @@
 // The file of a node whose record is kept. The program ends at once, and its file is what is looked at.
 func TestAddNode_GoldenOperatorFile(t *testing.T) {
 	r := &Record{Program: "/bin/false", Nodes: 2, dir: t.TempDir(), addr: "sqlite:/golden/record.db",
-		disc: standin.NewDiscovery(&judge.Log{}, time.Now())}
+		disc: standin.NewDiscovery(&judge.Ledger{}, time.Now())}
 	t.Cleanup(r.disc.Stop)
 	require.ErrorContains(t, r.addNode(context.Background(), 0), "ended at its start")
 	n := r.nodes[0]
--- a/internal/lab/chaos/pairs.go
+++ b/internal/lab/chaos/pairs.go
@@ -115,9 +115,9 @@
 	if p.In == "fastcgi" {
 		addr = gateway
 	}
-	cpu, _ := n.Use()
+	cpu, _ := n.Usage()
 	r.ask(ctx, p, addr, r.Calm, "c")
-	after, _ := n.Use()
+	after, _ := n.Usage()
 	p.CPU = (after - cpu) / time.Duration(max(1, r.Calm))
 	r.mu.Lock()
 	p.dies, p.Answers = true, map[int]int{}
@@ -191,7 +191,7 @@
 		return err == nil
 	}
 	if p.Out == "fastcgi" {
-		s := &standin.Application{Serve: func(c net.Conn, q *standin.Asked) bool {
+		s := &standin.Application{Serve: func(c net.Conn, q *standin.ApplicationRequest) bool {
 			answer := q.Answered("Content-Type: text/plain", body)
 			cut := r.done(p, q.Params["HTTP_X_QOS"], q.Params["HTTP_X_TRACE_ID"], q.Params["HTTP_IDEMPOTENCY_KEY"], len(answer))
 			return write(c, cut, answer, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusOverloaded))
--- a/internal/lab/cost/chain.go
+++ b/internal/lab/cost/chain.go
@@ -18,8 +18,8 @@
 	"robincart/internal/lab/standin"
 )
 
-// MostDepth bounds a chain.
-const MostDepth = 32
+// MaxDepth bounds a chain.
+const MaxDepth = 32
 
 // mostAttempts bounds what reaches the servers of a chain in one case: tries of tries can grow by a power of the depth.
 const mostAttempts = 3_000_000
@@ -91,13 +91,13 @@
 		if t.in, err = newServers(t.answer); err != nil {
 			return k, err
 		}
-		t.disc = standin.NewDiscovery(&judge.Log{}, time.Now())
+		t.disc = standin.NewDiscovery(&judge.Ledger{}, time.Now())
 		var members []standin.Member
 		for i := range s.Servers {
 			members = append(members, standin.Member{ID: fmt.Sprintf("s%d-%d", n, i), Addr: t.in.addr(i), Zone: "z1", Phase: "ready", Size: 1})
 		}
-		t.disc.Tell(members...)
-		door, err := t.disc.Door(0, "127.0.0.1:0")
+		t.disc.Update(members...)
+		door, err := t.disc.Listen(0, "127.0.0.1:0")
 		if err != nil {
 			return k, err
 		}
@@ -347,8 +347,8 @@
 		for i := range c.Depths {
 			depth := c.Depths[(i+round)%len(c.Depths)]
 			t := k.tiers[deepest-depth]
-			ways := []*way{{name: Straight, method: straightPath, dests: []load.Dest{{Node: -1, Addr: t.in.addr(0)}}},
-				{name: "node", dests: []load.Dest{{Node: 0, Addr: t.node.Addr}}}}
+			ways := []*way{{name: Straight, method: straightPath, dests: []load.Destination{{Node: -1, Addr: t.in.addr(0)}}},
+				{name: "node", dests: []load.Destination{{Node: 0, Addr: t.node.Addr}}}}
 			for w := range ways {
 				w := ways[(w+round)%2]
 				s := Sample{Way: w.name, Rate: depth, Round: round}
--- a/internal/lab/cost/cpu.go
+++ b/internal/lab/cost/cpu.go
@@ -76,9 +76,9 @@
 		})
 	}
 	time.Sleep(time.Until(warm))
-	cpu, _ := rig.node.Use()
+	cpu, _ := rig.node.Usage()
 	time.Sleep(time.Until(end))
-	after, peak := rig.node.Use()
+	after, peak := rig.node.Usage()
 	l.Busy, _ = memory(rig.node.Pid())
 	l.Max = peak
 	all.Wait()
--- a/internal/lab/cost/idle.go
+++ b/internal/lab/cost/idle.go
@@ -244,7 +244,7 @@
 		wave.Wait()
 		l.WaveOK, l.WavePushed, l.WaveOther = int(ok.Load()), int(pushed.Load()), int(other.Load())
 	}))
-	_, l.Most = rig.node.Use()
+	_, l.Most = rig.node.Usage()
 
 	if l.Expire > 0 {
 		rest := idle[len(tenth):]
--- a/internal/lab/cost/rate.go
+++ b/internal/lab/cost/rate.go
@@ -62,18 +62,18 @@
 type way struct {
 	name   string
 	method string // as callers write it in the path; "": the usual
-	dests  []load.Dest
+	dests  []load.Destination
 	pid    int
 	next   atomic.Uint32
 }
 
 // Choose takes the way's addresses in turn.
-func (w *way) Choose(*plan.Arrival, []int32) (load.Dest, bool) {
+func (w *way) Choose(*plan.Arrival, []int32) (load.Destination, bool) {
 	return w.dests[int(w.next.Add(1)-1)%len(w.dests)], true
 }
 
-func (w *way) Ended(load.Dest, judge.End)            {}
-func (w *way) Excused(load.Dest, time.Duration) bool { return false }
+func (w *way) Done(load.Destination, judge.Outcome)         {}
+func (w *way) Excused(load.Destination, time.Duration) bool { return false }
 
 // series numbers calls over all plays, since a node knows ids for a while.
 type series struct {
@@ -145,20 +145,20 @@
 		if rig == nil {
 			rig = next
 		}
-		ways = append(ways, &way{name: r.Names[i], pid: next.node.Pid(), dests: []load.Dest{{Node: 0, Addr: next.node.Addr}}})
+		ways = append(ways, &way{name: r.Names[i], pid: next.node.Pid(), dests: []load.Destination{{Node: 0, Addr: next.node.Addr}}})
 	}
 	var to []string
 	straight := &way{name: Straight}
 	for i := range r.Servers {
 		to = append(to, rig.servers.addr(i))
-		straight.dests = append(straight.dests, load.Dest{ID: int32(i), Node: -1, Addr: to[i]})
+		straight.dests = append(straight.dests, load.Destination{ID: int32(i), Node: -1, Addr: to[i]})
 	}
 	relay, err := startRelay(r.Self, to, r.Cores)
 	if err != nil {
 		return nil, end, err
 	}
 	ends = append(ends, relay.end)
-	through := &way{name: ThroughRelay, pid: relay.cmd.Process.Pid, dests: []load.Dest{{Node: 0, Addr: relay.addr}}}
+	through := &way{name: ThroughRelay, pid: relay.cmd.Process.Pid, dests: []load.Destination{{Node: 0, Addr: relay.addr}}}
 	return append([]*way{straight, through}, ways...), end, nil
 }
 
@@ -167,18 +167,18 @@
 
 func (r *Rate) plan(rate, round int) ([]plan.Arrival, error) {
 	shape := plan.Shape{Kind: "constant", Rate: float64(rate)}
-	return plan.Make(r.Seed+uint64(round)*1009, r.before()+r.For, []plan.Load{{Shape: shape}},
+	return plan.Generate(r.Seed+uint64(round)*1009, r.before()+r.For, []plan.Load{{Shape: shape}},
 		plan.Mix{Methods: []plan.Kind{{Share: 1}}, Tenants: []float64{1}})
 }
 
 // open plays a plan.
 func (s *Sample) open(ctx context.Context, w *way, r *Rate, arrivals []plan.Arrival, number *series) error {
-	tries := &judge.Log{}
+	tries := &judge.Ledger{}
 	start := time.Now().Add(20 * time.Millisecond)
 	e := load.New(load.Config{Methods: []load.Method{{Name: cmp.Or(w.method, method), Repeat: judge.Idempotent, Deadline: 5 * time.Second, Host: "a"}}, Lanes: 1,
 		Connections: 1000, Waiting: 100_000, Warm: 1, WarmTo: w.dests, Slack: 50 * time.Millisecond, Seed: r.Seed, First: number.call}, arrivals, w, tries, start)
 	number.call += uint32(len(arrivals))
-	e.Warm()
+	e.WarmUp()
 	var from, to Usage
 	var fault error
 	var readings sync.WaitGroup
@@ -199,12 +199,12 @@
 	}
 	s.Use, s.Took = to.Less(from), r.For
 	var times, sent, late []time.Duration
-	tries.Tries(func(t judge.Try) {
+	tries.EachAttempt(func(t judge.ClientAttempt) {
 		if t.Planned < r.before() {
 			return
 		}
 		s.Calls++
-		if t.End == judge.OK {
+		if t.Outcome == judge.OK {
 			s.OK++
 			times, sent, late = append(times, t.Answered-t.Planned), append(sent, t.Answered-t.Sent), append(late, t.Handed-t.Planned)
 		}
--- a/internal/lab/cost/rig.go
+++ b/internal/lab/cost/rig.go
@@ -155,12 +155,12 @@
 		}
 		r.owned = true
 	}
-	r.disc = standin.NewDiscovery(&judge.Log{}, time.Now())
+	r.disc = standin.NewDiscovery(&judge.Ledger{}, time.Now())
 	for i := range s.Servers {
 		r.members = append(r.members, standin.Member{ID: fmt.Sprintf("s%d", i), Addr: r.servers.addr(i), Zone: "z1", Phase: "ready", Size: 1})
 	}
-	r.disc.Tell(r.members...)
-	door, err := r.disc.Door(0, "127.0.0.1:0")
+	r.disc.Update(r.members...)
+	door, err := r.disc.Listen(0, "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
@@ -218,7 +218,7 @@
 		old := *m
 		old.Phase = "gone"
 		m.ID = fmt.Sprintf("%s+", m.ID)
-		r.disc.Tell(old, *m)
+		r.disc.Update(old, *m)
 	}
 }
 
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -31,7 +31,7 @@
 	}
 	bad(e.Fleet.Nodes < 1 || e.Fleet.Nodes > MostNodes, "fleet.nodes: %d is not in 1 to %d", e.Fleet.Nodes, MostNodes)
 	d := e.Fleet.Discovery
-	_, known := Watches[d.Watch]
+	_, known := WatchModes[d.Watch]
 	bad(!known, "fleet.discovery.watch: %q is none of streams, waits, ends-with-list", d.Watch)
 	bad(d.Wait <= 0 || d.CallWork < 0 || d.CallMost <= 0 || d.Bound <= 0, "fleet.discovery: a time is not above 0")
 	bad(len(e.Fleet.Tier) == 0 || len(e.Fleet.Tier) > 4, "fleet.tier: %d tiers, 1 to 4 are wanted", len(e.Fleet.Tier))
@@ -101,7 +101,7 @@
 		_, err := l.shape().Curve(max(e.Duration.Std(), time.Second))
 		bad(err != nil, "%s: %v", at, err)
 	}
-	c := e.Callers
+	c := e.Clients
 	bad(outside(c.Share, 0, 1) || outside(c.Honour, 0, 1), "callers: share and honour lie in 0 to 1")
 	bad(c.Tries < 0 || c.Tries > 20 || c.Backoff < 0, "callers: tries in 0 to 20, backoff not below 0")
 	bad(c.Connections < 1 || c.Connections > 15000 || c.Waiting < 0 || c.Warm < 0 || c.Warm > 1000, "callers: connections in 1 to 15000, warm in 0 to 1000, waiting not below 0")
@@ -111,7 +111,7 @@
 		bad(!known, "%s.kind: %q is not known", at, f.Kind)
 		bad(f.At < 0 || f.For < 0 || f.At > e.Duration, "%s: at and for lie inside the run", at)
 		bad(outside(f.Share, 0, 1) || outside(f.Factor, 0.01, 1000), "%s: share in 0 to 1, factor in 0.01 to 1000", at)
-		if f.Shimmed() {
+		if f.UsesShim() {
 			bad(f.Kind == "clock" && (f.By == 0 || f.By.Std()%time.Second != 0), "%s.by: by how many whole seconds is the clock stepped?", at)
 			bad(len(f.Errors) == 0 && f.Kind == "errno", "%s.errors: which?", at)
 			bad(f.Folder != "" && f.Folder != StateFolder && f.Folder != ConfigurationFolder, "%s.folder: %q is neither %q nor %q", at, f.Folder, StateFolder, ConfigurationFolder)
@@ -124,12 +124,12 @@
 		}
 		bad(f.Kind == "trickle" && f.By <= 0, "%s.by: how long between two pieces?", at)
 		bad(f.Answers && f.Kind != "drain", "%s.answers: only a drain has it", at)
-		bad(f.Kind == "pause" && slices.ContainsFunc(e.Fault, Fault.Shimmed), "%s: a process under a shim can't be paused: leave errno, short, stall and clock out", at)
+		bad(f.Kind == "pause" && slices.ContainsFunc(e.Fault, Fault.UsesShim), "%s: a process under a shim can't be paused: leave errno, short, stall and clock out", at)
 		bad(f.Kind == "pause" && (f.By <= 0 || f.By.Std() > time.Second), "%s.by: for how long is the process held up each time? Up to a second", at)
 		bad(f.Kind == "late" && f.By <= 0, "%s.by: how late?", at)
 		bad(f.Kind == "busy" && f.By <= 0, "%s.by: how long for a call?", at)
 		if known {
-			s, err := ParseOn(f.On)
+			s, err := ParseFaultTarget(f.On)
 			switch {
 			case err != nil:
 				bad(true, "%s.on: %v", at, err)
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -29,7 +29,7 @@
 	Method   []Method         `toml:"method"`
 	Tenant   []Tenant         `toml:"tenant"`
 	Load     []Load           `toml:"load"`
-	Callers  Callers          `toml:"callers"`
+	Clients  Clients          `toml:"callers"`
 	Fault    []Fault          `toml:"fault"`
 	Expect   map[string]Bound `toml:"expect"`
 	Short    Short            `toml:"short"`
@@ -128,8 +128,8 @@
 	Pace   float64      `toml:"pace"`  // of the trace
 }
 
-// Callers says how they behave.
-type Callers struct {
+// Clients says how they behave.
+type Clients struct {
 	Share       float64  `toml:"share"`
 	Tries       int      `toml:"tries"`
 	Backoff     Duration `toml:"backoff"`
@@ -187,8 +187,8 @@
 	"roll": "server", "kill": "node", "stop": "node", "reload": "node", "reconfigure": "node", "replace": "node", "pause": "node", "ban": "node", "gone": "discovery", "late": "discovery", "replay": "discovery", "silence": "discovery", "reset-watches": "discovery",
 	"busy": "discovery", "mute": "server", "cut": "server", "trickle": "server", "rude": "node", "errno": "node", "short": "node", "stall": "node", "clock": "node"}
 
-// Shimmed tells whether a fault is made by a node's shim.
-func (f Fault) Shimmed() bool {
+// UsesShim tells whether a fault is made by a node's shim.
+func (f Fault) UsesShim() bool {
 	return f.Kind == "errno" || f.Kind == "short" || f.Kind == "stall" || f.Kind == "clock"
 }
 
@@ -210,28 +210,28 @@
 	return i
 }
 
-// Replaces tells whether any fault replaces processes of nodes, which then share their callers' listener.
-func (e *Experiment) Replaces() bool {
+// ReplacesNodes tells whether any fault replaces processes of nodes, which then share their callers' listener.
+func (e *Experiment) ReplacesNodes() bool {
 	return slices.ContainsFunc(e.Fault, func(f Fault) bool { return f.Kind == "replace" })
 }
 
-// Operated tells whether nodes have an operators' address and a folder that lasts: for replacements, and for calls.
-func (e *Experiment) Operated() bool {
-	return e.Replaces() || slices.ContainsFunc(e.Fault, func(f Fault) bool { return f.Kind == "ban" || f.Folder == StateFolder })
+// NeedsAdminAddress tells whether nodes have an operators' address and a folder that lasts: for replacements, and for calls.
+func (e *Experiment) NeedsAdminAddress() bool {
+	return e.ReplacesNodes() || slices.ContainsFunc(e.Fault, func(f Fault) bool { return f.Kind == "ban" || f.Folder == StateFolder })
 }
 
-// Proxied tells whether a fault is made by a proxy before a server.
-func (f Fault) Proxied() bool { return f.Kind == "mute" || f.Kind == "cut" || f.Kind == "trickle" }
+// UsesProxy tells whether a fault is made by a proxy before a server.
+func (f Fault) UsesProxy() bool { return f.Kind == "mute" || f.Kind == "cut" || f.Kind == "trickle" }
 
-// Watches are the ways in which discovery tells of changes.
-var Watches = map[string]standin.Watch{"streams": standin.WatchStreams, "waits": standin.WatchWaits,
+// WatchModes are the ways in which discovery tells of changes.
+var WatchModes = map[string]standin.Watch{"streams": standin.WatchStreams, "waits": standin.WatchWaits,
 	"ends-with-list": standin.WatchEndsWithList}
 
-var repeats = map[string]judge.Repeat{"idempotent": judge.Idempotent, "deduplicated": judge.Deduplicated,
+var repeats = map[string]judge.Idempotency{"idempotent": judge.Idempotent, "deduplicated": judge.Deduplicated,
 	"non-idempotent": judge.NonIdempotent}
 
-// RepeatOf reads a method's word.
-func (m Method) RepeatOf() judge.Repeat { return repeats[m.Repeat] }
+// Idempotency reads a method's word.
+func (m Method) Idempotency() judge.Idempotency { return repeats[m.Repeat] }
 
 // Read reads and checks a file. The error holds every mistake, a line each.
 func Read(path string) (*Experiment, error) {
@@ -306,10 +306,10 @@
 		tomlfile.Default(&m.Repeat, "idempotent")
 		tomlfile.Default(&m.Spread, "fixed")
 	}
-	tomlfile.Default(&e.Callers.Connections, 4000)
-	tomlfile.Default(&e.Callers.Waiting, 200_000)
-	tomlfile.Default(&e.Callers.Warm, 8)
-	tomlfile.Default(&e.Callers.Backoff, Duration(200*time.Millisecond))
+	tomlfile.Default(&e.Clients.Connections, 4000)
+	tomlfile.Default(&e.Clients.Waiting, 200_000)
+	tomlfile.Default(&e.Clients.Warm, 8)
+	tomlfile.Default(&e.Clients.Backoff, Duration(200*time.Millisecond))
 	tomlfile.Default(&e.Short.Duration, Duration(min(e.Duration.Std(), 8*time.Second)))
 	tomlfile.Default(&e.Short.Rate, 1)
 	if len(e.Short.Arms) == 0 {
@@ -429,7 +429,7 @@
 	r := judge.Rules{Tenants: e.TenantNames(), Grace: 400 * time.Millisecond, Slack: 50 * time.Millisecond,
 		Wire: 250 * time.Millisecond, Length: e.Duration.Std()}
 	for _, m := range e.Method {
-		r.Methods = append(r.Methods, judge.Method{Name: m.Name, Repeat: m.RepeatOf(), Target: m.Target.Std(), Deadline: m.Deadline.Std(),
+		r.Methods = append(r.Methods, judge.Method{Name: m.Name, Idempotency: m.Idempotency(), Target: m.Target.Std(), Deadline: m.Deadline.Std(),
 			Window: m.Window.Std(), Utility: m.Utility, LateUtility: m.LateUtility})
 	}
 	return r
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -104,7 +104,7 @@
 			},
 			{Shape: "shape-751"},
 		},
-		Callers: Callers{
+		Clients: Clients{
 			Share:       801.5,
 			Tries:       802,
 			Backoff:     milliseconds(803),
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -15,8 +15,8 @@
 func (e *Experiment) Plan() ([]plan.Arrival, error) {
 	mix := plan.Mix{}
 	for _, m := range e.Method {
-		mix.Methods = append(mix.Methods, plan.Kind{Share: m.Share, Work: plan.Dist{Kind: m.Spread, Mean: m.WorkMS, CV: m.CV},
-			Wait: plan.Dist{Kind: m.Spread, Mean: m.WaitMS, CV: m.CV}, Body: m.Body})
+		mix.Methods = append(mix.Methods, plan.Kind{Share: m.Share, Work: plan.Distribution{Kind: m.Spread, Mean: m.WorkMS, CV: m.CV},
+			Wait: plan.Distribution{Kind: m.Spread, Mean: m.WaitMS, CV: m.CV}, Body: m.Body})
 	}
 	for _, t := range e.Tenant {
 		mix.Tenants = append(mix.Tenants, t.Share)
@@ -42,16 +42,16 @@
 		if err != nil {
 			return nil, fmt.Errorf("load[%d].trace: %s: %w", i+1, l.Trace, err)
 		}
-		plan.Pace(rows, l.Pace)
+		plan.Accelerate(rows, l.Pace)
 		traced = append(traced, rows...)
 	}
-	all, err := plan.Make(e.Seed, e.Duration.Std(), loads, mix)
+	all, err := plan.Generate(e.Seed, e.Duration.Std(), loads, mix)
 	if err != nil {
 		return nil, err
 	}
 	all = append(all, traced...)
-	if len(all) > plan.MostArrivals {
-		return nil, fmt.Errorf("%d requests are planned, %d is the most", len(all), plan.MostArrivals)
+	if len(all) > plan.MaxArrivals {
+		return nil, fmt.Errorf("%d requests are planned, %d is the most", len(all), plan.MaxArrivals)
 	}
 	slices.SortStableFunc(all, func(a, b plan.Arrival) int { return int(a.At - b.At) })
 	for len(all) > 0 && all[len(all)-1].At > e.Duration.Std() {
--- a/internal/lab/experiment/target.go
+++ b/internal/lab/experiment/target.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// On says what a fault is on.
-type On struct {
+// FaultTarget says what a fault is on.
+type FaultTarget struct {
 	What  string // server, node or discovery
 	Tier  int    // of servers, from 0
 	Index int    // -1: not one alone
@@ -17,10 +17,10 @@
 	Zone  string
 }
 
-// ParseOn reads "server:3", "servers:0.1", "zone:b", "all", each with "tier:2/" before it for another tier than the
+// ParseFaultTarget reads "server:3", "servers:0.1", "zone:b", "all", each with "tier:2/" before it for another tier than the
 // first; "node:1", "nodes", "nodes:0.3", "discovery".
-func ParseOn(text string) (On, error) {
-	s := On{What: "server", Index: -1, Part: 1}
+func ParseFaultTarget(text string) (FaultTarget, error) {
+	s := FaultTarget{What: "server", Index: -1, Part: 1}
 	rest := text
 	if tier, r, ok := strings.Cut(rest, "/"); ok {
 		n, err := strconv.Atoi(strings.TrimPrefix(tier, "tier:"))
@@ -63,7 +63,7 @@
 	return s, nil
 }
 
-func (e *Experiment) there(s On) bool {
+func (e *Experiment) there(s FaultTarget) bool {
 	switch {
 	case s.Tier >= len(e.Fleet.Tier):
 		return false
--- a/internal/lab/judge/golden_test.go
+++ b/internal/lab/judge/golden_test.go
@@ -16,14 +16,14 @@
 
 // verdictForms are the parts of a verdict that a result keeps as they are.
 type verdictForms struct {
-	Breach Breach `json:"breach"`
-	Part   Part   `json:"part"`
+	Breach Violation `json:"breach"`
+	Part   Tally     `json:"part"`
 }
 
 func TestVerdict_Golden(t *testing.T) {
 	want := verdictForms{
-		Breach: Breach{Count: 101, Examples: []string{"case 102", "case 103"}},
-		Part:   Part{Name: "part-201", Calls: 202, InTime: 203, OK: 204, Asked: 205.5, Earned: 206.25},
+		Breach: Violation{Count: 101, Examples: []string{"case 102", "case 103"}},
+		Part:   Tally{Name: "part-201", Calls: 202, InTime: 203, OK: 204, Asked: 205.5, Earned: 206.25},
 	}
 	labtest.RequireEveryFieldSet(t, "json", want)
 	var read verdictForms
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -10,12 +10,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Repeat says what may happen to a method's request once it may have run.
-type Repeat uint8
+// Idempotency says what may happen to a method's request once it may have run.
+type Idempotency uint8
 
 // The effects of methods.
 const (
-	Idempotent Repeat = iota
+	Idempotent Idempotency = iota
 	Deduplicated
 	NonIdempotent
 )
@@ -23,7 +23,7 @@
 // Method is what the judge has to know of one.
 type Method struct {
 	Name                     string
-	Repeat                   Repeat
+	Idempotency              Idempotency
 	Target, Deadline, Window time.Duration
 	Utility, LateUtility     float64
 }
@@ -58,19 +58,19 @@
 var RuleNames = []string{NoAnswer, LateAnswer, SecondAnswer, ForeignOK, SentAfter, EffectTwice, FalsePromise, PastWindow,
 	ToDrained, PushedOver, ToldTooMuch, StalledKept}
 
-// StalledMost is how long a client that stops in the middle of a request and stays may wait for its error or close.
-const StalledMost = 3 * time.Second
+// MaxStalled is how long a client that stops in the middle of a request and stays may wait for its error or close.
+const MaxStalled = 3 * time.Second
 
 const mostExamples = 5
 
-// Breach counts how often a rule was broken, with the first few cases.
-type Breach struct {
+// Violation counts how often a rule was broken, with the first few cases.
+type Violation struct {
 	Count    int      `json:"count"`
 	Examples []string `json:"examples,omitempty"`
 }
 
-// Part is what one method, tenant or second asked for and got.
-type Part struct {
+// Tally is what one method, tenant or second asked for and got.
+type Tally struct {
 	Name   string  `json:"name"`
 	Calls  int     `json:"calls"`
 	InTime int     `json:"in_time"`
@@ -80,7 +80,7 @@
 }
 
 // Goodput is the utility in time over the utility asked for.
-func (p Part) Goodput() float64 {
+func (p Tally) Goodput() float64 {
 	if p.Asked == 0 {
 		return 1
 	}
@@ -89,7 +89,7 @@
 
 // Second is one second of the run, by when its calls were planned.
 type Second struct {
-	Part
+	Tally
 	P50, P99 time.Duration // of the calls that ended ok, from the planned moment
 	Open     int           // calls due and not ended, at the second's end
 }
@@ -104,11 +104,11 @@
 
 // Verdict is what the judge found.
 type Verdict struct {
-	Broken    map[string]*Breach
-	All       Part
-	Methods   []Part
+	Broken    map[string]*Violation
+	All       Tally
+	Methods   []Tally
 	ByMethod  []*hdrhistogram.Histogram // as Latency
-	Tenants   []Part
+	Tenants   []Tally
 	Seconds   []Second
 	Ends      map[string]int // of tries
 	Tries     int
@@ -124,8 +124,8 @@
 	WordCalls *hdrhistogram.Histogram // from word of a drain to each later pick there
 }
 
-// Breaches is the number of broken rules, counted by case.
-func (v *Verdict) Breaches() int {
+// Violations is the number of broken rules, counted by case.
+func (v *Verdict) Violations() int {
 	n := 0
 	for _, b := range v.Broken {
 		n += b.Count
@@ -136,7 +136,7 @@
 func (v *Verdict) breach(rule, format string, args ...any) {
 	b := v.Broken[rule]
 	if b == nil {
-		b = &Breach{}
+		b = &Violation{}
 		v.Broken[rule] = b
 	}
 	if b.Count++; len(b.Examples) < mostExamples {
@@ -161,34 +161,34 @@
 	return fmt.Sprintf("call %d try %d", i.Call, i.N)
 }
 
-// Hist makes a histogram of µs.
-func Hist() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
+// NewHistogram makes a histogram of µs.
+func NewHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	h.RecordValue(min(max(d.Microseconds(), 0), 600_000_000))
 }
 
-// At reads a percentile.
-func At(h *hdrhistogram.Histogram, q float64) time.Duration {
+// Percentile reads a percentile.
+func Percentile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtPercentile(q)) * time.Microsecond
 }
 
 // Judge goes through the ledger once all writers have ended.
-func Judge(rules Rules, l *Log) *Verdict {
-	v := &Verdict{Broken: map[string]*Breach{}, Ends: map[string]int{}, Latency: Hist(), Service: Hist(), Waited: Hist(),
-		WordCalls: Hist(), All: Part{Name: "all"}}
+func Judge(rules Rules, l *Ledger) *Verdict {
+	v := &Verdict{Broken: map[string]*Violation{}, Ends: map[string]int{}, Latency: NewHistogram(), Service: NewHistogram(), Waited: NewHistogram(),
+		WordCalls: NewHistogram(), All: Tally{Name: "all"}}
 	for _, m := range rules.Methods {
-		v.Methods = append(v.Methods, Part{Name: m.Name})
-		v.ByMethod = append(v.ByMethod, Hist())
+		v.Methods = append(v.Methods, Tally{Name: m.Name})
+		v.ByMethod = append(v.ByMethod, NewHistogram())
 	}
 	for _, t := range rules.Tenants {
-		v.Tenants = append(v.Tenants, Part{Name: t})
+		v.Tenants = append(v.Tenants, Tally{Name: t})
 	}
 	for s := range int((rules.Length + time.Second - 1) / time.Second) {
-		v.Seconds = append(v.Seconds, Second{Part: Part{Name: fmt.Sprint(s)}})
+		v.Seconds = append(v.Seconds, Second{Tally: Tally{Name: fmt.Sprint(s)}})
 	}
-	var tries []Try
-	var picks []Pick
+	var tries []ClientAttempt
+	var picks []ServerRequest
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock() // a stand-in that was slow to end may still note something
@@ -199,8 +199,8 @@
 	l.mu.Lock()
 	words, falls, stalls, bans := slices.Clone(l.words), slices.Clone(l.falls), slices.Clone(l.stalls), slices.Clone(l.bans)
 	l.mu.Unlock()
-	slices.SortFunc(tries, func(a, b Try) int { return cmp.Or(a.ID.compare(b.ID), cmp.Compare(a.Sent, b.Sent)) })
-	slices.SortFunc(picks, func(a, b Pick) int { return cmp.Or(a.ID.compare(b.ID), cmp.Compare(a.First, b.First)) })
+	slices.SortFunc(tries, func(a, b ClientAttempt) int { return cmp.Or(a.ID.compare(b.ID), cmp.Compare(a.Sent, b.Sent)) })
+	slices.SortFunc(picks, func(a, b ServerRequest) int { return cmp.Or(a.ID.compare(b.ID), cmp.Compare(a.First, b.First)) })
 	v.Tries, v.Picks = len(tries), len(picks)
 	drains := news(words)
 	perSecond := make([][]time.Duration, len(v.Seconds))
@@ -223,7 +223,7 @@
 		v.banned(rules, tries[i:end], picks[first:at], bans)
 		for _, t := range tries[i:end] {
 			// A close that crosses a request is no loss, unless the node had read it and sent it on.
-			sentOn := slices.ContainsFunc(picks[first:at], func(p Pick) bool { return p.N == t.N })
+			sentOn := slices.ContainsFunc(picks[first:at], func(p ServerRequest) bool { return p.N == t.N })
 			v.answer(rules, t, sentOn)
 		}
 		if !call.Inner {
@@ -237,7 +237,7 @@
 		}
 	}
 	for _, s := range stalls {
-		if s.Ended-s.Stopped > StalledMost+rules.Wire {
+		if s.Ended-s.Stopped > MaxStalled+rules.Wire {
 			v.breach(StalledKept, "node %d, stopped at %v, ended %v later", s.Node, s.Stopped, s.Ended-s.Stopped)
 		}
 	}
@@ -254,25 +254,25 @@
 func before(a, b ID) bool { return a.Inner == b.Inner && a.Call < b.Call || !a.Inner && b.Inner }
 
 // answer judges one try by what its caller saw.
-func (v *Verdict) answer(rules Rules, t Try, sentOn bool) {
-	v.Ends[t.End.String()]++
+func (v *Verdict) answer(rules Rules, t ClientAttempt, sentOn bool) {
+	v.Ends[t.Outcome.String()]++
 	if t.N > 0 {
 		v.Retries++
 	}
-	if t.End == Unsent || t.End == Unreached {
+	if t.Outcome == NotSent || t.Outcome == NotConnected {
 		return
 	}
 	record(v.Waited, t.Sent-t.Handed)
-	if t.End == OK {
+	if t.Outcome == OK {
 		record(v.Service, t.Answered-t.Sent)
 	}
 	if t.Node < 0 {
 		return // straight to a server: no node owes an answer
 	}
 	switch {
-	case t.End == Lost || t.End == Crossed && sentOn:
+	case t.Outcome == Lost || t.Outcome == Crossed && sentOn:
 		v.breach(NoAnswer, "%v through node %d, sent at %v", t.ID, t.Node, t.Sent)
-	case t.End <= Aborted && t.Answered > t.Until+rules.Slack:
+	case t.Outcome <= Aborted && t.Answered > t.Until+rules.Slack:
 		v.breach(LateAnswer, "%v through node %d, %v late", t.ID, t.Node, t.Answered-t.Until)
 	}
 	if t.Extra > 0 {
@@ -284,7 +284,7 @@
 }
 
 // effects judges one call's picks.
-func (v *Verdict) effects(rules Rules, tries []Try, picks []Pick, drains map[link][]Word) {
+func (v *Verdict) effects(rules Rules, tries []ClientAttempt, picks []ServerRequest, drains map[link][]Notification) {
 	m := rules.Methods[tries[0].Method]
 	effects := v.count(m, tries, picks)
 	for i, p := range picks {
@@ -299,7 +299,7 @@
 		if t.Node < 0 {
 			continue
 		}
-		if t.End != Crossed && p.First > t.Answered+rules.Wire {
+		if t.Outcome != Crossed && p.First > t.Answered+rules.Wire {
 			v.breach(SentAfter, "%v at server %d, %v after", p.ID, p.Server, p.First-t.Answered)
 		}
 		if over := p.Until - t.Until; p.Until > 0 && over > deadlineSlack+rules.Wire {
@@ -311,20 +311,20 @@
 				v.breach(ToDrained, "%v at server %d through node %d, %v after word", p.ID, p.Server, t.Node, p.First-told)
 			}
 		}
-		if t.End == PushedBack && p.Effect && m.Repeat == NonIdempotent {
+		if t.Outcome == PushedBack && p.Effect && m.Idempotency == NonIdempotent {
 			v.breach(FalsePromise, "%v at server %d", p.ID, p.Server)
 		}
-		if m.Repeat == Deduplicated && i > 0 && picks[0].N == p.N && picks[0].Ran && p.First > picks[0].First+m.Window+rules.Wire {
+		if m.Idempotency == Deduplicated && i > 0 && picks[0].N == p.N && picks[0].Ran && p.First > picks[0].First+m.Window+rules.Wire {
 			v.breach(PastWindow, "%v at server %d, %v after its first pick", p.ID, p.Server, p.First-picks[0].First)
 		}
 	}
-	if effects > 1 && m.Repeat != Idempotent && tries[0].Node >= 0 {
+	if effects > 1 && m.Idempotency != Idempotent && tries[0].Node >= 0 {
 		v.breach(EffectTwice, "call %d of %s: %d effects", tries[0].Call, m.Name, effects)
 	}
 }
 
 // banned finds attempts at servers that operators had taken out.
-func (v *Verdict) banned(rules Rules, tries []Try, picks []Pick, bans []Ban) {
+func (v *Verdict) banned(rules Rules, tries []ClientAttempt, picks []ServerRequest, bans []Ban) {
 	for _, p := range picks {
 		t := find(tries, p.ID)
 		if t == nil {
@@ -342,15 +342,15 @@
 const deadlineSlack = 150 * time.Millisecond
 
 // count counts the effects of a call that are its nodes' doing: all but those that servers had to take for new ones though nodes kept the rule.
-func (v *Verdict) count(m Method, tries []Try, picks []Pick) (effects int) {
-	var had []Pick
+func (v *Verdict) count(m Method, tries []ClientAttempt, picks []ServerRequest) (effects int) {
+	var had []ServerRequest
 	for _, p := range picks {
 		if p.Effect {
 			had = append(had, p)
 		}
 	}
 	v.Effects += len(had)
-	slices.SortStableFunc(had, func(a, b Pick) int { return cmp.Compare(a.Start, b.Start) })
+	slices.SortStableFunc(had, func(a, b ServerRequest) int { return cmp.Compare(a.Start, b.Start) })
 	for i, p := range had {
 		if i == 0 || !forgotten(m, tries, had[i-1], p) {
 			effects++
@@ -362,8 +362,8 @@
 // forgotten tells whether a second effect of a deduplicated call is no node's doing. The servers had forgotten the first one when it came, and
 // either it was sent within the window of the other's sending ("within Classes[].WindowMs of its send"; a server stood still meanwhile), or
 // its caller, who had been promised nothing, sent the call once more past that: a node passes on what it is sent, and can't know that it was.
-func forgotten(m Method, tries []Try, before, p Pick) bool {
-	if m.Repeat != Deduplicated || p.Start <= before.Start+m.Window {
+func forgotten(m Method, tries []ClientAttempt, before, p ServerRequest) bool {
+	if m.Idempotency != Deduplicated || p.Start <= before.Start+m.Window {
 		return false
 	}
 	first, then := before, p
@@ -374,10 +374,10 @@
 		return true
 	}
 	t := find(tries, first.ID)
-	return first.N != then.N && t != nil && t.End != PushedBack
+	return first.N != then.N && t != nil && t.Outcome != PushedBack
 }
 
-func find(tries []Try, id ID) *Try {
+func find(tries []ClientAttempt, id ID) *ClientAttempt {
 	for i := range tries {
 		if tries[i].N == id.N {
 			return &tries[i]
@@ -388,8 +388,8 @@
 
 type link struct{ node, server int32 }
 
-func news(words []Word) map[link][]Word {
-	m := map[link][]Word{}
+func news(words []Notification) map[link][]Notification {
+	m := map[link][]Notification{}
 	for _, w := range words {
 		k := link{w.Node, w.Server}
 		m[k] = append(m[k], w)
@@ -401,18 +401,18 @@
 }
 
 // told is the share of what pushed a server over that came through nodes which had been told of its start.
-func told(f Fall, tries []Try, picks []Pick, words map[link][]Word) float64 {
+func told(f Overload, tries []ClientAttempt, picks []ServerRequest, words map[link][]Notification) float64 {
 	all, knew := 0, 0
 	for _, p := range picks {
 		if p.Server != f.Server || p.First > f.At || p.First < f.At-f.Window {
 			continue
 		}
-		i, found := slices.BinarySearchFunc(tries, p.ID, func(t Try, id ID) int { return t.ID.compare(id) })
+		i, found := slices.BinarySearchFunc(tries, p.ID, func(t ClientAttempt, id ID) int { return t.ID.compare(id) })
 		if !found || tries[i].Node < 0 {
 			continue
 		}
 		all++
-		if slices.ContainsFunc(words[link{tries[i].Node, f.Server}], func(w Word) bool {
+		if slices.ContainsFunc(words[link{tries[i].Node, f.Server}], func(w Notification) bool {
 			return w.State == Ready && w.At >= f.Up && w.At <= p.First
 		}) {
 			knew++
@@ -425,7 +425,7 @@
 }
 
 // drained tells since when a node has known at that moment that a server drains or is gone.
-func drained(words []Word, at time.Duration) (since time.Duration, is bool) {
+func drained(words []Notification, at time.Duration) (since time.Duration, is bool) {
 	for _, w := range words {
 		switch {
 		case w.At > at:
@@ -440,13 +440,13 @@
 }
 
 // worth counts what a call brought: its first ok counts, from the moment that the call was planned.
-func (v *Verdict) worth(rules Rules, tries []Try, perSecond [][]time.Duration) {
+func (v *Verdict) worth(rules Rules, tries []ClientAttempt, perSecond [][]time.Duration) {
 	m := rules.Methods[tries[0].Method]
 	planned, ended := tries[0].Planned, time.Duration(0)
 	best := time.Duration(-1)
 	for _, t := range tries {
 		ended = max(ended, t.Answered)
-		if t.End == OK && !t.Foreign && (best < 0 || t.Answered-planned < best) {
+		if t.Outcome == OK && !t.Foreign && (best < 0 || t.Answered-planned < best) {
 			best = t.Answered - planned
 		}
 	}
@@ -462,7 +462,7 @@
 			earned = m.Utility * m.LateUtility
 		}
 	}
-	add := func(p *Part) {
+	add := func(p *Tally) {
 		p.Calls++
 		p.Asked += m.Utility
 		p.Earned += earned
@@ -478,7 +478,7 @@
 	if s >= len(v.Seconds) {
 		return
 	}
-	add(&v.Seconds[s].Part)
+	add(&v.Seconds[s].Tally)
 	if best >= 0 {
 		perSecond[s] = append(perSecond[s], best)
 	}
@@ -488,9 +488,9 @@
 }
 
 // schedule compares when calls were planned with when the generator dealt with them.
-func (v *Verdict) schedule(tries []Try) {
+func (v *Verdict) schedule(tries []ClientAttempt) {
 	const window = 100 * time.Millisecond
-	errs, planned, handed := Hist(), map[int]int{}, map[int]int{}
+	errs, planned, handed := NewHistogram(), map[int]int{}, map[int]int{}
 	type moment struct{ planned, handed time.Duration }
 	var moments []moment
 	for _, t := range tries {
@@ -498,14 +498,14 @@
 			continue
 		}
 		planned[int(t.Planned/window)]++
-		if t.End == Unsent && t.Handed == 0 {
+		if t.Outcome == NotSent && t.Handed == 0 {
 			continue
 		}
 		record(errs, t.Handed-t.Planned)
 		handed[int(t.Handed/window)]++
 		moments = append(moments, moment{t.Planned, t.Handed})
 	}
-	v.Schedule = Schedule{P50: At(errs, 50), P99: At(errs, 99), Max: time.Duration(errs.Max()) * time.Microsecond}
+	v.Schedule = Schedule{P50: Percentile(errs, 50), P99: Percentile(errs, 99), Max: time.Duration(errs.Max()) * time.Microsecond}
 	last := 0
 	for w := range planned {
 		last = max(last, w)
@@ -519,10 +519,10 @@
 		}
 	}
 	slices.SortFunc(moments, func(a, b moment) int { return cmp.Compare(a.planned, b.planned) })
-	gaps := Hist()
+	gaps := NewHistogram()
 	for i := 1; i < len(moments); i++ {
 		off := (moments[i].handed - moments[i-1].handed) - (moments[i].planned - moments[i-1].planned)
 		record(gaps, max(off, -off))
 	}
-	v.Schedule.GapP50 = At(gaps, 50)
+	v.Schedule.GapP50 = Percentile(gaps, 50)
 }
--- a/internal/lab/judge/log.go
+++ b/internal/lab/judge/log.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// End is how a try ended for its caller.
-type End uint8
+// Outcome is how a try ended for its caller.
+type Outcome uint8
 
 // The ends of tries.
 const (
-	OK         End = iota
-	PushedBack     // 429 or 503: trying again is harmless
-	Aborted        // any other whole answer
-	Lost           // no whole answer, on a connection that had taken the request
-	Excused        // no whole answer, and its node was killed by the run's own order
-	Crossed        // the node closed the connection between requests as this one was on its way; sent once more
-	Unreached      // no connection to be had
-	Left           // the caller gave up on purpose
-	Unsent         // planned, and never written: the generator's cap was reached or its time was up
+	OK           Outcome = iota
+	PushedBack           // 429 or 503: trying again is harmless
+	Aborted              // any other whole answer
+	Lost                 // no whole answer, on a connection that had taken the request
+	Excused              // no whole answer, and its node was killed by the run's own order
+	Crossed              // the node closed the connection between requests as this one was on its way; sent once more
+	NotConnected         // no connection to be had
+	ClientLeft           // the caller gave up on purpose
+	NotSent              // planned, and never written: the generator's cap was reached or its time was up
 )
 
 var endNames = [...]string{"ok", "pushed back", "aborted", "lost", "excused", "crossed", "unreached", "left", "unsent"}
 
-func (e End) String() string { return endNames[e] }
+func (e Outcome) String() string { return endNames[e] }
 
 // ID names a try: which call, which of its tries, and whether a server made it on behalf of another.
 type ID struct {
@@ -35,8 +35,8 @@
 	N     uint8
 }
 
-// Try is one request as its caller saw it.
-type Try struct {
+// ClientAttempt is one request as its caller saw it.
+type ClientAttempt struct {
 	ID
 	Method, Tenant uint16
 	Node           int32         // -1: straight to a server
@@ -45,13 +45,13 @@
 	Sent           time.Duration // when it was written
 	Until          time.Duration // when the caller gives up
 	Answered       time.Duration // last byte of the answer, or when the try ended otherwise
-	End            End
+	Outcome        Outcome
 	Extra          uint8 // answers beyond the first
 	Foreign        bool  // an ok that no server made for it
 }
 
-// Pick is one request as a server saw it.
-type Pick struct {
+// ServerRequest is one request as a server saw it.
+type ServerRequest struct {
 	ID
 	Server     int32
 	First      time.Duration // its first byte
@@ -71,15 +71,15 @@
 	Gone
 )
 
-// Word is news of a server, written to a node.
-type Word struct {
+// Notification is news of a server, written to a node.
+type Notification struct {
 	Node, Server int32
 	State        State
 	At           time.Duration
 }
 
-// Fall is a cold server that was pushed over by what reached it in the window before.
-type Fall struct {
+// Overload is a cold server that was pushed over by what reached it in the window before.
+type Overload struct {
 	Server         int32
 	Up, At, Window time.Duration
 }
@@ -87,45 +87,45 @@
 // shard is a part of the ledger with a lock of its own.
 type shard struct {
 	mu    sync.Mutex
-	tries []Try
-	picks []Pick
+	tries []ClientAttempt
+	picks []ServerRequest
 	_     [64]byte
 }
 
-// Stall is a client that stopped in the middle of a request and stayed until it had an error or its connection was closed.
-type Stall struct {
+// StalledClient is a client that stopped in the middle of a request and stayed until it had an error or its connection was closed.
+type StalledClient struct {
 	Node           int32
 	Stopped, Ended time.Duration
 }
 
-// Log is the ledger. Many may write at once.
-type Log struct {
+// Ledger is the ledger. Many may write at once.
+type Ledger struct {
 	shards [32]shard
 	mu     sync.Mutex
-	words  []Word
-	falls  []Fall
-	stalls []Stall
+	words  []Notification
+	falls  []Overload
+	stalls []StalledClient
 	bans   []Ban
 }
 
-// Try notes a try that has ended.
-func (l *Log) Try(t Try) {
+// AddAttempt notes a try that has ended.
+func (l *Ledger) AddAttempt(t ClientAttempt) {
 	s := &l.shards[t.Call%32]
 	s.mu.Lock()
 	s.tries = append(s.tries, t)
 	s.mu.Unlock()
 }
 
-// Pick notes a pick that a server has dealt with.
-func (l *Log) Pick(p Pick) {
+// AddServerRequest notes a pick that a server has dealt with.
+func (l *Ledger) AddServerRequest(p ServerRequest) {
 	s := &l.shards[p.Call%32]
 	s.mu.Lock()
 	s.picks = append(s.picks, p)
 	s.mu.Unlock()
 }
 
-// Word notes news written to a node.
-func (l *Log) Word(w Word) {
+// AddNotification notes news written to a node.
+func (l *Ledger) AddNotification(w Notification) {
 	l.mu.Lock()
 	l.words = append(l.words, w)
 	l.mu.Unlock()
@@ -137,29 +137,29 @@
 	From, To     time.Duration
 }
 
-// Ban notes one.
-func (l *Log) Ban(b Ban) {
+// AddBan notes one.
+func (l *Ledger) AddBan(b Ban) {
 	l.mu.Lock()
 	l.bans = append(l.bans, b)
 	l.mu.Unlock()
 }
 
-// Stall notes a client that had stopped in the middle of a request.
-func (l *Log) Stall(s Stall) {
+// AddStalledClient notes a client that had stopped in the middle of a request.
+func (l *Ledger) AddStalledClient(s StalledClient) {
 	l.mu.Lock()
 	l.stalls = append(l.stalls, s)
 	l.mu.Unlock()
 }
 
-// Fall notes a server pushed over.
-func (l *Log) Fall(f Fall) {
+// AddOverload notes a server pushed over.
+func (l *Ledger) AddOverload(f Overload) {
 	l.mu.Lock()
 	l.falls = append(l.falls, f)
 	l.mu.Unlock()
 }
 
 // Shift moves the ledger's start, so that the load begins at 0.
-func (l *Log) Shift(by time.Duration) {
+func (l *Ledger) Shift(by time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.shards {
@@ -195,8 +195,8 @@
 	}
 }
 
-// Tries goes through all tries.
-func (l *Log) Tries(f func(Try)) {
+// EachAttempt goes through all tries.
+func (l *Ledger) EachAttempt(f func(ClientAttempt)) {
 	l.eachShard(func(s *shard) {
 		for _, t := range s.tries {
 			f(t)
@@ -205,7 +205,7 @@
 }
 
 // eachShard goes through the shards, each under its lock.
-func (l *Log) eachShard(f func(*shard)) {
+func (l *Ledger) eachShard(f func(*shard)) {
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
@@ -214,8 +214,8 @@
 	}
 }
 
-// Picks hands over all picks, in no order.
-func (l *Log) Picks(f func(Pick)) {
+// EachServerRequest hands over all picks, in no order.
+func (l *Ledger) EachServerRequest(f func(ServerRequest)) {
 	l.eachShard(func(s *shard) {
 		for _, p := range s.picks {
 			f(p)
@@ -223,8 +223,8 @@
 	})
 }
 
-// Words are the news noted so far.
-func (l *Log) Words() []Word {
+// Notifications are the news noted so far.
+func (l *Ledger) Notifications() []Notification {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.words)
--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -17,12 +17,12 @@
 type conn struct {
 	net.Conn
 	lane *lane
-	dest Dest
+	dest Destination
 	key
 
 	mu   sync.Mutex
 	cur  *flight
-	prev *judge.Try // ended here last; noted once nothing more can come for it
+	prev *judge.ClientAttempt // ended here last; noted once nothing more can come for it
 	dead bool
 
 	writing sync.Mutex // an answer can be here before the write that asked for it has returned
@@ -57,7 +57,7 @@
 // note hands the last try to the ledger, under the connection's lock.
 func (c *conn) note() {
 	if c.prev != nil {
-		c.lane.e.log.Try(*c.prev)
+		c.lane.e.log.AddAttempt(*c.prev)
 		c.prev = nil
 	}
 }
@@ -95,7 +95,7 @@
 	}
 	to = append(to, "\r\n"+wire.Left+": "...)
 	to = strconv.AppendInt(to, max(1, (f.Until-e.now()).Milliseconds()), 10)
-	if f.N > 0 && e.Callers.Marks {
+	if f.N > 0 && e.Clients.Marks {
 		to = append(to, "\r\n"+wire.SecondTry+": 1"...)
 	}
 	if m.Repeat == judge.Deduplicated {
@@ -225,8 +225,8 @@
 	case 429, 503:
 		end = judge.PushedBack
 	}
-	f.End = end
-	t := f.Try
+	f.Outcome = end
+	t := f.ClientAttempt
 	c.prev = &t
 	if more {
 		c.prev.Extra++ // nothing else was asked on this connection
@@ -269,7 +269,7 @@
 	end := judge.Lost
 	switch {
 	case e.closed.Load():
-		end = judge.Left
+		end = judge.ClientLeft
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.Answered = f.Until
 		if e.target.Excused(f.dest, f.Sent) {
@@ -282,8 +282,8 @@
 		// ledger tells whether it had sent this one on.
 		end = judge.Crossed
 	}
-	f.End = end
-	e.log.Try(f.Try)
+	f.Outcome = end
+	e.log.AddAttempt(f.ClientAttempt)
 	f.finish(end)
 }
 
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -21,8 +21,8 @@
 	"robincart/internal/lab/plan"
 )
 
-// Dest is where a try goes.
-type Dest struct {
+// Destination is where a try goes.
+type Destination struct {
 	ID   int32 // of the node or the server, one connection pool each
 	Node int32 // -1: straight to a server
 	Via  int32 // which of several straight callers
@@ -31,23 +31,23 @@
 
 // Target chooses where tries go, and hears how they ended. It is called from many goroutines.
 type Target interface {
-	Choose(a *plan.Arrival, tried []int32) (Dest, bool)
-	Ended(d Dest, end judge.End)
+	Choose(a *plan.Arrival, tried []int32) (Destination, bool)
+	Done(d Destination, end judge.Outcome)
 	// Excused tells whether a node was killed or unable by the run's own order since that moment.
-	Excused(d Dest, since time.Duration) bool
+	Excused(d Destination, since time.Duration) bool
 }
 
 // Method is what a caller knows of one.
 type Method struct {
 	Name     string
-	Repeat   judge.Repeat
+	Repeat   judge.Idempotency
 	Deadline time.Duration
 	Window   time.Duration
 	Host     string
 }
 
-// Callers says how callers try again.
-type Callers struct {
+// Clients says how callers try again.
+type Clients struct {
 	Share   float64 // of the calls whose callers try again
 	Most    int     // tries after the first
 	Backoff time.Duration
@@ -60,12 +60,12 @@
 type Config struct {
 	Methods     []Method
 	Tenants     []string
-	Callers     Callers
+	Clients     Clients
 	Lanes       int // threads that keep the schedule; 0: by the plan's rate
 	Connections int // at most; what comes when all are busy waits for one
 	Waiting     int // at most; what comes beyond is unsent
 	Warm        int // connections to each of these before the start
-	WarmTo      []Dest
+	WarmTo      []Destination
 	Slack       time.Duration // that a caller waits past its deadline, to see a late answer
 	Seed        uint64
 	First       uint32 // number of the first call: plays before the same nodes must not repeat their ids
@@ -79,7 +79,7 @@
 	Config
 	plan   []plan.Arrival
 	target Target
-	log    *judge.Log
+	log    *judge.Ledger
 	start  time.Time
 	lanes  []*lane
 	out    sync.WaitGroup // calls not ended
@@ -95,7 +95,7 @@
 }
 
 // New prepares an engine; the run's clock starts at start.
-func New(c Config, p []plan.Arrival, target Target, log *judge.Log, start time.Time) *Engine {
+func New(c Config, p []plan.Arrival, target Target, log *judge.Ledger, start time.Time) *Engine {
 	if c.Lanes == 0 {
 		// One thread writes some 20,000 small requests a second before it lags.
 		c.Lanes = 1 + int(peak(p)/12_000)
@@ -153,8 +153,8 @@
 	e.mu.Unlock()
 }
 
-// Warm opens connections ahead, so that the first requests don't pay for them.
-func (e *Engine) Warm() {
+// WarmUp opens connections ahead, so that the first requests don't pay for them.
+func (e *Engine) WarmUp() {
 	var all sync.WaitGroup
 	for i := range e.Config.Warm {
 		for _, d := range e.WarmTo {
@@ -212,7 +212,7 @@
 			stopped = nil
 		}
 	}
-	time.Sleep(LastExtra)
+	time.Sleep(ExtraResponseWait)
 	e.closed.Store(true)
 	for _, l := range e.lanes {
 		l.end()
@@ -220,8 +220,8 @@
 	e.reads.Wait()
 }
 
-// LastExtra is how long the last answers' connections stay open, for a second answer.
-const LastExtra = 50 * time.Millisecond
+// ExtraResponseWait is how long the last answers' connections stay open, for a second answer.
+const ExtraResponseWait = 50 * time.Millisecond
 
 // key tells connections apart: whose callers they belong to, and where they go. Callers of different hosts share none.
 type key struct {
@@ -231,10 +231,10 @@
 
 // flight is one try on its way.
 type flight struct {
-	judge.Try
+	judge.ClientAttempt
 	a       *plan.Arrival
 	lane    *lane
-	dest    Dest
+	dest    Destination
 	tried   []int32
 	crossed int
 	wait    time.Duration // what the answer advised
@@ -298,15 +298,15 @@
 func (l *lane) dispatch(f *flight) {
 	dest, ok := l.e.target.Choose(f.a, f.tried)
 	if !ok {
-		f.Node, f.dest = -1, Dest{ID: -1, Node: -1}
-		f.finish(judge.Unreached)
+		f.Node, f.dest = -1, Destination{ID: -1, Node: -1}
+		f.finish(judge.NotConnected)
 		return
 	}
 	f.dest, f.Node = dest, dest.Node
 	l.mu.Lock()
 	if l.ended {
 		l.mu.Unlock()
-		f.finish(judge.Unsent)
+		f.finish(judge.NotSent)
 		return
 	}
 	k := key{dest.ID, f.host()}
@@ -330,7 +330,7 @@
 		}
 		l.mu.Unlock()
 		if !room {
-			f.finish(judge.Unsent)
+			f.finish(judge.NotSent)
 		}
 		return
 	}
@@ -354,7 +354,7 @@
 
 func (f *flight) host() string { return f.lane.e.Methods[f.Method].Host }
 
-func (l *lane) dial(d Dest, host string) (*conn, error) {
+func (l *lane) dial(d Destination, host string) (*conn, error) {
 	dialer := net.Dialer{Timeout: time.Second, KeepAlive: -1}
 	raw, err := dialer.Dial("tcp", d.Addr)
 	if err != nil {
@@ -377,7 +377,7 @@
 	if err != nil {
 		l.e.fault(err)
 		l.e.open.Add(-1)
-		f.finish(judge.Unreached)
+		f.finish(judge.NotConnected)
 		l.next()
 		return
 	}
@@ -422,7 +422,7 @@
 		if l.e.now() < f.Until {
 			return f
 		}
-		go f.finish(judge.Unsent)
+		go f.finish(judge.NotSent)
 	}
 	return nil
 }
@@ -455,7 +455,7 @@
 	l.mu.Unlock()
 	for _, f := range queue {
 		l.e.waiting.Add(-1)
-		f.finish(judge.Unsent)
+		f.finish(judge.NotSent)
 	}
 	for c := range all {
 		c.kill()
@@ -463,13 +463,13 @@
 }
 
 // finish notes how a try ended and lets its caller try again, if it is one that does.
-func (f *flight) finish(end judge.End) {
+func (f *flight) finish(end judge.Outcome) {
 	e := f.lane.e
-	if f.End = end; f.Answered == 0 {
+	if f.Outcome = end; f.Answered == 0 {
 		f.Answered = max(e.now(), f.Planned)
 	}
-	if end == judge.Unsent || end == judge.Unreached {
-		e.log.Try(f.Try) // no connection will
+	if end == judge.NotSent || end == judge.NotConnected {
+		e.log.AddAttempt(f.ClientAttempt) // no connection will
 	}
 	switch end {
 	case judge.OK:
@@ -480,11 +480,11 @@
 		e.failed.Add(1)
 	}
 	if f.dest.ID >= 0 {
-		e.target.Ended(f.dest, end)
+		e.target.Done(f.dest, end)
 	}
 	if again, pause := f.again(end); again {
 		next := &flight{a: f.a, lane: f.lane, crossed: f.crossed, tried: append(f.tried[:len(f.tried):len(f.tried)], f.dest.ID)}
-		next.Try = judge.Try{ID: judge.ID{Call: f.Call, N: f.N + 1}, Method: f.Method, Tenant: f.Tenant, Planned: f.Planned, Until: f.Until}
+		next.ClientAttempt = judge.ClientAttempt{ID: judge.ID{Call: f.Call, N: f.N + 1}, Method: f.Method, Tenant: f.Tenant, Planned: f.Planned, Until: f.Until}
 		time.AfterFunc(pause, func() {
 			next.Handed = e.now()
 			next.lane.dispatch(next)
@@ -495,14 +495,14 @@
 }
 
 // again decides whether the caller tries again, by its own lights: what it may repeat, how often, how long it waits.
-func (f *flight) again(end judge.End) (bool, time.Duration) {
-	e, m, c := f.lane.e, &f.lane.e.Methods[f.Method], &f.lane.e.Callers
-	if e.closed.Load() || f.N > 200 || end == judge.Unsent || end == judge.OK {
+func (f *flight) again(end judge.Outcome) (bool, time.Duration) {
+	e, m, c := f.lane.e, &f.lane.e.Methods[f.Method], &f.lane.e.Clients
+	if e.closed.Load() || f.N > 200 || end == judge.NotSent || end == judge.OK {
 		return false, 0
 	}
 	now := e.now()
 	until := f.Until
-	promised := end == judge.PushedBack || end == judge.Unreached
+	promised := end == judge.PushedBack || end == judge.NotConnected
 	if m.Repeat == judge.Deduplicated && !promised {
 		until = min(until, f.Planned+m.Window) // by then the servers have forgotten its mark
 	}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -18,13 +18,13 @@
 
 // to sends everything to one server.
 type to struct {
-	dest  load.Dest
+	dest  load.Destination
 	ended atomic.Int64
 }
 
-func (t *to) Choose(*plan.Arrival, []int32) (load.Dest, bool) { return t.dest, true }
-func (t *to) Ended(load.Dest, judge.End)                      { t.ended.Add(1) }
-func (t *to) Excused(load.Dest, time.Duration) bool           { return false }
+func (t *to) Choose(*plan.Arrival, []int32) (load.Destination, bool) { return t.dest, true }
+func (t *to) Done(load.Destination, judge.Outcome)                   { t.ended.Add(1) }
+func (t *to) Excused(load.Destination, time.Duration) bool           { return false }
 
 var methods = []load.Method{{Name: "find-table", Deadline: 5 * time.Second}}
 
@@ -34,20 +34,20 @@
 // play runs a plan against one server and judges it.
 func play(t testing.TB, arrivals []plan.Arrival, c load.Config, fault func(*standin.Server)) *judge.Verdict {
 	begin := time.Now()
-	log := &judge.Log{}
+	log := &judge.Ledger{}
 	s := &standin.Server{Kind: standin.Kind{Cores: 64, Queue: 1 << 20}, Log: log, Begin: begin}
 	require.NoError(t, s.Start("127.0.0.1:0"))
 	defer s.Stop()
 	if fault != nil {
 		go fault(s)
 	}
-	target := &to{dest: load.Dest{ID: 1, Node: 1, Addr: s.Addr()}}
+	target := &to{dest: load.Destination{ID: 1, Node: 1, Addr: s.Addr()}}
 	if c.Methods == nil {
 		c.Methods = methods
 	}
-	c.WarmTo = []load.Dest{target.dest}
+	c.WarmTo = []load.Destination{target.dest}
 	e := load.New(c, arrivals, target, log, begin)
-	e.Warm()
+	e.WarmUp()
 	for i, ahead := 0, time.Since(begin)+50*time.Millisecond; i < len(arrivals); i++ { // the plan begins once all is warm
 		arrivals[i].At += ahead
 	}
@@ -80,10 +80,10 @@
 		})
 	assert.Equal(t, map[string]int{"ok": 6000}, v.Ends, "nothing planned is skipped")
 	assert.Empty(t, v.Broken)
-	planned, service := judge.At(v.Latency, 99), judge.At(v.Service, 99)
+	planned, service := judge.Percentile(v.Latency, 99), judge.Percentile(v.Service, 99)
 	assert.Greater(t, planned, 1800*time.Millisecond)
 	assert.Less(t, service, planned/4, "the same run by service time")
-	assert.Greater(t, judge.At(v.Latency, 60), 500*time.Millisecond)
+	assert.Greater(t, judge.Percentile(v.Latency, 60), 500*time.Millisecond)
 }
 
 // Past the cap requests are counted as unsent. None is dropped silently.
@@ -110,21 +110,21 @@
 
 func TestCallersTryAgainByWhatTheyMayRepeat(t *testing.T) {
 	t.Parallel()
-	repeats := []judge.Repeat{judge.Idempotent, judge.Deduplicated, judge.NonIdempotent}
-	c := load.Config{Connections: 99, Waiting: 99, Callers: load.Callers{Share: 1, Most: 2, Backoff: time.Millisecond, Marks: true}}
+	repeats := []judge.Idempotency{judge.Idempotent, judge.Deduplicated, judge.NonIdempotent}
+	c := load.Config{Connections: 99, Waiting: 99, Clients: load.Clients{Share: 1, Most: 2, Backoff: time.Millisecond, Marks: true}}
 	three := []plan.Arrival{{Method: 0}, {Method: 1, Body: 9000}, {Method: 2}}
 	rules := rules
 	rules.Methods = nil
 	for i, r := range repeats {
 		c.Methods = append(c.Methods, load.Method{Name: fmt.Sprint("m", i), Repeat: r, Deadline: time.Second, Window: time.Minute})
-		rules.Methods = append(rules.Methods, judge.Method{Repeat: r})
+		rules.Methods = append(rules.Methods, judge.Method{Idempotency: r})
 	}
 	for fault, tries := range map[standin.Fault]int{standin.Fail: 3 + 3 + 1, standin.DieMid: 3 + 3 + 1, standin.NoFault: 3} {
-		log := &judge.Log{}
-		s := &standin.Server{Log: log, Begin: time.Now(), Marks: map[string]*standin.Marks{"m1": {Window: time.Minute}}}
+		log := &judge.Ledger{}
+		s := &standin.Server{Log: log, Begin: time.Now(), Marks: map[string]*standin.IdempotencyKeys{"m1": {Window: time.Minute}}}
 		require.NoError(t, s.Start("127.0.0.1:0"))
 		s.Fault(fault, 1)
-		e := load.New(c, three, &to{dest: load.Dest{ID: 1, Node: -1, Addr: s.Addr()}}, log, s.Begin)
+		e := load.New(c, three, &to{dest: load.Destination{ID: 1, Node: -1, Addr: s.Addr()}}, log, s.Begin)
 		e.Run(context.Background())
 		s.Stop()
 		v := judge.Judge(rules, log)
@@ -138,16 +138,16 @@
 // The pause counts: a caller that waited past the window would have its effect twice, and nodes would be blamed for it.
 func TestADeduplicatedCallIsNotSentAgainPastItsWindow(t *testing.T) {
 	t.Parallel()
-	c := load.Config{Connections: 9, Waiting: 9, Callers: load.Callers{Share: 1, Most: 2, Backoff: 10 * time.Minute},
+	c := load.Config{Connections: 9, Waiting: 9, Clients: load.Clients{Share: 1, Most: 2, Backoff: 10 * time.Minute},
 		Methods: []load.Method{{Name: "m1", Repeat: judge.Deduplicated, Deadline: time.Hour, Window: time.Minute}}}
-	log := &judge.Log{}
+	log := &judge.Ledger{}
 	s := &standin.Server{Log: log, Begin: time.Now()}
 	require.NoError(t, s.Start("127.0.0.1:0"))
 	defer s.Stop()
 	s.Fault(standin.Fail, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	load.New(c, []plan.Arrival{{}}, &to{dest: load.Dest{ID: 1, Node: -1, Addr: s.Addr()}}, log, s.Begin).Run(ctx)
+	load.New(c, []plan.Arrival{{}}, &to{dest: load.Destination{ID: 1, Node: -1, Addr: s.Addr()}}, log, s.Begin).Run(ctx)
 	require.NoError(t, ctx.Err(), "the caller waits to send once more")
 }
 
@@ -161,7 +161,7 @@
 				b.ReportMetric(float64(v.Schedule.P50.Microseconds()), "p50-error-µs")
 				b.ReportMetric(float64(v.Schedule.P99.Microseconds()), "p99-error-µs")
 				b.ReportMetric(100*v.Schedule.Worst, "worst-100ms-%")
-				b.ReportMetric(float64(judge.At(v.Latency, 50).Microseconds()), "p50-latency-µs")
+				b.ReportMetric(float64(judge.Percentile(v.Latency, 50).Microseconds()), "p50-latency-µs")
 				b.ReportMetric(float64(v.Ends["ok"])/2, "ok/s")
 			}
 		})
--- a/internal/lab/plan/golden_test.go
+++ b/internal/lab/plan/golden_test.go
@@ -16,8 +16,8 @@
 func TestMake_GoldenSchedule(t *testing.T) {
 	goldenMix := Mix{
 		Methods: []Kind{
-			{Share: 2, Work: Dist{Kind: "lognormal", Mean: 10, CV: 0.5}, Wait: Dist{Kind: "exponential", Mean: 3}},
-			{Share: 1, Work: Dist{Kind: "fixed", Mean: 4}, Body: 9},
+			{Share: 2, Work: Distribution{Kind: "lognormal", Mean: 10, CV: 0.5}, Wait: Distribution{Kind: "exponential", Mean: 3}},
+			{Share: 1, Work: Distribution{Kind: "fixed", Mean: 4}, Body: 9},
 		},
 		Tenants: []float64{1, 3}, Keys: 100, Skew: 1.2,
 	}
@@ -26,7 +26,7 @@
 		{Shape: Shape{Kind: "spike", To: 20, At: 200 * time.Millisecond, For: 500 * time.Millisecond}, Even: true,
 			Method: 1},
 	}
-	arrivals, err := Make(11, time.Second, loads, goldenMix)
+	arrivals, err := Generate(11, time.Second, loads, goldenMix)
 	require.NoError(t, err)
 	var text bytes.Buffer
 	fmt.Fprintln(&text, "at method tenant key body work wait")
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// MostArrivals bounds a plan, so that a slip in a file costs a message and not the machine's memory.
-const MostArrivals = 5_000_000
+// MaxArrivals bounds a plan, so that a slip in a file costs a message and not the machine's memory.
+const MaxArrivals = 5_000_000
 
 // Arrival is one planned request. Indices count in the order of the Mix.
 type Arrival struct {
@@ -153,15 +153,15 @@
 	}
 }
 
-// Dist is a distribution of amounts with a mean: fixed, exponential, or lognormal with a coefficient of variation.
-type Dist struct {
+// Distribution is a distribution of amounts with a mean: fixed, exponential, or lognormal with a coefficient of variation.
+type Distribution struct {
 	Kind string
 	Mean float64
 	CV   float64
 }
 
 // Draw takes one amount.
-func (d Dist) Draw(r *rand.Rand) float64 {
+func (d Distribution) Draw(r *rand.Rand) float64 {
 	switch d.Kind {
 	case "exponential":
 		return d.Mean * r.ExpFloat64()
@@ -175,8 +175,8 @@
 // Kind is one method of the mix.
 type Kind struct {
 	Share float64
-	Work  Dist
-	Wait  Dist
+	Work  Distribution
+	Wait  Distribution
 	Body  int
 }
 
@@ -196,25 +196,25 @@
 	Method int  // likewise
 }
 
-// Source is the seeded source of one part of a run: parts with names of their own do not move when another draws more.
-func Source(seed uint64, part string) *rand.Rand {
+// NewSource is the seeded source of one part of a run: parts with names of their own do not move when another draws more.
+func NewSource(seed uint64, part string) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d/%s", seed, part)
 	return rand.New(rand.NewSource(int64(h.Sum64())))
 }
 
-// Make plans all loads together, in order of time.
-func Make(seed uint64, length time.Duration, loads []Load, mix Mix) ([]Arrival, error) {
+// Generate plans all loads together, in order of time.
+func Generate(seed uint64, length time.Duration, loads []Load, mix Mix) ([]Arrival, error) {
 	var out []Arrival
 	for i, l := range loads {
 		c, err := l.Shape.Curve(length)
 		if err != nil {
 			return nil, fmt.Errorf("load %d: %w", i+1, err)
 		}
-		if n := float64(len(out)) + c.Total(); n > MostArrivals {
-			return nil, fmt.Errorf("load %d: %.0f requests are planned, %d is the most", i+1, n, MostArrivals)
+		if n := float64(len(out)) + c.Total(); n > MaxArrivals {
+			return nil, fmt.Errorf("load %d: %.0f requests are planned, %d is the most", i+1, n, MaxArrivals)
 		}
-		r := Source(seed, fmt.Sprint("load", i))
+		r := NewSource(seed, fmt.Sprint("load", i))
 		next := r.ExpFloat64
 		if l.Even {
 			first := true
@@ -226,7 +226,7 @@
 				return 1
 			}
 		}
-		draw := mix.drawer(Source(seed, fmt.Sprint("mix", i)))
+		draw := mix.drawer(NewSource(seed, fmt.Sprint("mix", i)))
 		c.times(next, func(at float64) {
 			a := draw(l)
 			a.At = time.Duration(at * float64(time.Second))
@@ -278,8 +278,8 @@
 	return max(0, len(shares)-1)
 }
 
-// Pace plays a plan faster (above 1) or slower.
-func Pace(plan []Arrival, factor float64) {
+// Accelerate plays a plan faster (above 1) or slower.
+func Accelerate(plan []Arrival, factor float64) {
 	for i := range plan {
 		plan[i].At = time.Duration(float64(plan[i].At) / factor)
 	}
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/plan/plan_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-var mix = Mix{Methods: []Kind{{Share: 2, Work: Dist{Kind: "lognormal", Mean: 10, CV: 0.5}}, {Share: 1, Body: 9}},
+var mix = Mix{Methods: []Kind{{Share: 2, Work: Distribution{Kind: "lognormal", Mean: 10, CV: 0.5}}, {Share: 1, Body: 9}},
 	Tenants: []float64{1, 3}, Keys: 100, Skew: 1.2}
 
 // Whatever the curve: as many arrivals as lie under it, in order, inside the run, and in each part of it as many as
@@ -27,7 +27,7 @@
 		c, err := s.Curve(length)
 		require.NoError(t, err)
 		even := rapid.Bool().Draw(t, "even")
-		plan, err := Make(rapid.Uint64().Draw(t, "seed"), length, []Load{{Shape: s, Even: even, Method: -1, Tenant: 1}}, mix)
+		plan, err := Generate(rapid.Uint64().Draw(t, "seed"), length, []Load{{Shape: s, Even: even, Method: -1, Tenant: 1}}, mix)
 		require.NoError(t, err)
 		bound := 1.0
 		if !even {
@@ -48,14 +48,14 @@
 func TestPlansRepeatBySeedAndKeepToTheMix(t *testing.T) {
 	loads := []Load{{Shape: Shape{Kind: "valentine", Rate: 10, To: 2000}, Method: -1, Tenant: -1},
 		{Shape: Shape{Kind: "spike", Rate: 0, To: 500, At: time.Second, For: time.Second}, Method: 1, Tenant: 0}}
-	a, err := Make(7, 10*time.Second, loads, mix)
+	a, err := Generate(7, 10*time.Second, loads, mix)
 	require.NoError(t, err)
-	b, _ := Make(7, 10*time.Second, loads, mix)
+	b, _ := Generate(7, 10*time.Second, loads, mix)
 	assert.Equal(t, a, b)
-	other, _ := Make(8, 10*time.Second, loads, mix)
+	other, _ := Generate(8, 10*time.Second, loads, mix)
 	assert.NotEqual(t, a, other)
 	counts, spike, work := map[uint16]float64{}, 0, 0.0
-	alone, _ := Make(7, 10*time.Second, loads[:1], mix)
+	alone, _ := Generate(7, 10*time.Second, loads[:1], mix)
 	for _, x := range alone {
 		counts[x.Method]++
 		counts[100+x.Tenant]++
@@ -78,9 +78,9 @@
 func TestBadShapesAreRefused(t *testing.T) {
 	for _, s := range []Shape{{Kind: "square", Rate: 1}, {Kind: "constant", Rate: -1}, {Kind: "constant", Rate: math.NaN()},
 		{Kind: "points", Points: []Point{{0, 1}}}, {Kind: "points", Points: []Point{{2, 1}, {1, 1}}}} {
-		_, err := Make(1, time.Second, []Load{{Shape: s}}, mix)
+		_, err := Generate(1, time.Second, []Load{{Shape: s}}, mix)
 		assert.Error(t, err, "%+v", s)
 	}
-	_, err := Make(1, time.Hour, []Load{{Shape: Shape{Kind: "constant", Rate: 1e6}}}, mix)
+	_, err := Generate(1, time.Hour, []Load{{Shape: Shape{Kind: "constant", Rate: 1e6}}}, mix)
 	assert.ErrorContains(t, err, "is the most")
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -82,7 +82,7 @@
 	for _, m := range metrics {
 		r := row{Name: m}
 		for _, l := range lines {
-			r.Cells = append(r.Cells, run.Number(l.arm.Metrics[m]))
+			r.Cells = append(r.Cells, run.FormatNumber(l.arm.Metrics[m]))
 		}
 		p.Rows = append(p.Rows, r)
 	}
@@ -313,9 +313,9 @@
 func number(v any) string {
 	switch x := v.(type) {
 	case float64:
-		return run.Number(x)
+		return run.FormatNumber(x)
 	case *float64:
-		return run.Number(*x)
+		return run.FormatNumber(*x)
 	}
 	return fmt.Sprint(v)
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -18,7 +18,7 @@
 	r := &run.Result{Name: "x", About: "a <claim>", Seconds: 2, Faults: []run.Span{{Name: "freeze server:3", From: time.Second, To: 2 * time.Second}},
 		Checks: []run.Check{{Metric: "goodput", Value: 0.5, Min: &floor}}, Invalid: []string{"too slow"},
 		Arms: []*run.Arm{{Name: "robincart", Metrics: map[string]float64{"goodput": 0.5}, Windows: [][2]int{{5, 5}, {5, 4}},
-			Broken:  map[string]judge.Breach{judge.EffectTwice: {Count: 7}},
+			Broken:  map[string]judge.Violation{judge.EffectTwice: {Count: 7}},
 			Seconds: []run.Second{{Calls: 5, Goodput: 1, P99: 20, Open: 1}, {Goodput: 0.5, P99: 2000, Open: 9}},
 			Quants:  []run.Quantile{{Q: 50, Planned: 1, Service: 1}, {Q: 99, Planned: 0, Service: 3}, {Q: 100, Planned: 9, Service: 3}}}}}
 	var one, two bytes.Buffer
--- a/internal/lab/run/demo.go
+++ b/internal/lab/run/demo.go
@@ -34,7 +34,7 @@
 	}
 	defer os.RemoveAll(dir)
 	RaiseDescriptors()
-	begin, log := time.Now(), &judge.Log{}
+	begin, log := time.Now(), &judge.Ledger{}
 	f, err := NewFleet(ctx, e, begin, log, dir, true, true, func(format string, args ...any) { fmt.Fprintf(w, "  ! "+format+"\n", args...) })
 	if err != nil {
 		return err
@@ -57,13 +57,13 @@
 	c.WarmTo = f.dests
 	eng := load.New(c, arrivals, f.Front, log, begin)
 	go func() {
-		draw := plan.Source(uint64(time.Now().UnixNano()), "demo")
+		draw := plan.NewSource(uint64(time.Now().UnixNano()), "demo")
 		for sleep(ctx, time.Duration(4+draw.Intn(4))*time.Second) {
 			x := troubles[draw.Intn(len(troubles))]
 			if x.On == "" {
 				x.On = fmt.Sprint("server:", draw.Intn(len(f.tiers[0])))
 			}
-			on, err := experiment.ParseOn(x.On)
+			on, err := experiment.ParseFaultTarget(x.On)
 			if err != nil {
 				return
 			}
--- a/internal/lab/run/evenness.go
+++ b/internal/lab/run/evenness.go
@@ -21,9 +21,9 @@
 func straightCallers(e *experiment.Experiment, arm string, d *standin.Discovery) straightTarget {
 	policy, perNode := strings.CutSuffix(arm, experiment.PerNode)
 	if perNode {
-		return standin.NewStraightFleet(policy, d, e.Seed, e.Fleet.Nodes)
+		return standin.NewDirectClients(policy, d, e.Seed, e.Fleet.Nodes)
 	}
-	return standin.NewStraight(policy, d, e.Seed)
+	return standin.NewDirectClient(policy, d, e.Seed)
 }
 
 // firstTier are the numbers of the servers that nodes at the front send to.
@@ -44,11 +44,11 @@
 const settling = 2 * time.Second
 
 // evenness measures how evenly the first tier's servers were reached.
-func evenness(e *experiment.Experiment, log *judge.Log, servers []int32, played time.Duration, metrics map[string]float64) {
+func evenness(e *experiment.Experiment, log *judge.Ledger, servers []int32, played time.Duration, metrics map[string]float64) {
 	nodeOf := map[judge.ID]int32{}
-	log.Tries(func(t judge.Try) { nodeOf[t.ID] = t.Node })
+	log.EachAttempt(func(t judge.ClientAttempt) { nodeOf[t.ID] = t.Node })
 	var arrivals []spread.Arrival
-	log.Picks(func(p judge.Pick) {
+	log.EachServerRequest(func(p judge.ServerRequest) {
 		node, known := nodeOf[p.ID]
 		if !known {
 			node = -1
--- a/internal/lab/run/faults.go
+++ b/internal/lab/run/faults.go
@@ -23,7 +23,7 @@
 	var all sync.WaitGroup
 	spans := make([]Span, len(f.e.Fault))
 	for i, x := range f.e.Fault {
-		on, err := experiment.ParseOn(x.On)
+		on, err := experiment.ParseFaultTarget(x.On)
 		if err != nil {
 			continue // checked with the file
 		}
@@ -52,7 +52,7 @@
 }
 
 // fault is the life of one fault.
-func (f *Fleet) fault(ctx context.Context, x experiment.Fault, on experiment.On) {
+func (f *Fleet) fault(ctx context.Context, x experiment.Fault, on experiment.FaultTarget) {
 	lasts := time.Duration(x.For)
 	switch on.What {
 	case "discovery":
@@ -63,7 +63,7 @@
 		for _, i := range f.nodesOn(on) {
 			all.Go(func() {
 				switch {
-				case x.Shimmed():
+				case x.UsesShim():
 					f.shimmed(ctx, x, i)
 				case x.Kind == "rude":
 					f.rudely(ctx, x, i)
@@ -84,7 +84,7 @@
 		return
 	}
 	places := f.on(on)
-	if x.Proxied() {
+	if x.UsesProxy() {
 		f.network(ctx, x, places)
 		return
 	}
@@ -166,21 +166,21 @@
 func (f *Fleet) discovery(ctx context.Context, x experiment.Fault, d *standin.Discovery) {
 	switch x.Kind {
 	case "gone":
-		d.Gone(true)
+		d.SetDown(true)
 		sleep(ctx, time.Duration(x.For))
-		d.Gone(false)
+		d.SetDown(false)
 	case "silence":
-		d.Silence()
+		d.MuteWatches()
 	case "reset-watches":
-		d.EndWatches()
+		d.ResetWatches()
 	case "busy":
-		d.Queue(x.By.Std(), f.e.Fleet.Discovery.CallMost.Std())
+		d.SetWorkQueue(x.By.Std(), f.e.Fleet.Discovery.CallMost.Std())
 		sleep(ctx, time.Duration(x.For))
-		d.Queue(f.e.Fleet.Discovery.CallWork.Std(), f.e.Fleet.Discovery.CallMost.Std())
+		d.SetWorkQueue(f.e.Fleet.Discovery.CallWork.Std(), f.e.Fleet.Discovery.CallMost.Std())
 	case "late":
-		d.Late(time.Duration(x.By))
+		d.SetDelay(time.Duration(x.By))
 		sleep(ctx, time.Duration(x.For))
-		d.Late(0)
+		d.SetDelay(0)
 	case "replay":
 		for end := time.Now().Add(time.Duration(x.For)); ctx.Err() == nil; {
 			d.Replay()
@@ -192,7 +192,7 @@
 }
 
 // node ends a node and starts it again, or has it read its configuration again.
-func (f *Fleet) node(ctx context.Context, x experiment.Fault, n *standin.Node, front *standin.Front, id int32) {
+func (f *Fleet) node(ctx context.Context, x experiment.Fault, n *standin.Node, front *standin.ClientBalancer, id int32) {
 	switch x.Kind {
 	case "reload":
 		if !n.Reloads() {
@@ -222,7 +222,7 @@
 // restart starts a node that was ended, and reports whether it became ready. A start that the end of the run cuts short
 // is no crash.
 func (f *Fleet) restart(ctx context.Context, n *standin.Node) bool {
-	n.Knows(f.Discovery().Known())
+	n.SetKnownServers(f.Discovery().LastKnown())
 	err := n.Start(ctx)
 	if err != nil && ctx.Err() == nil {
 		f.crash(err)
--- a/internal/lab/run/fleet.go
+++ b/internal/lab/run/fleet.go
@@ -34,7 +34,7 @@
 	member standin.Member
 	server *standin.Server
 	node   *standin.Node // its own, to call the tier behind
-	caller *standin.Caller
+	caller *standin.InnerClient
 	ended  []time.Duration // when it was ended by order, with its node
 	proxy  *standin.Proxy  // between nodes and it; nil: none
 	away   bool            // it has been ended and not begun again
@@ -45,19 +45,19 @@
 	e      *experiment.Experiment
 	shared bool // services keep to their parts
 	begin  time.Time
-	log    *judge.Log
+	log    *judge.Ledger
 	dir    string
 
 	tiers  [][]*place
 	disc   []*standin.Discovery
 	nodes  []*standin.Node
-	dests  []load.Dest
-	doors  map[int32][]*standin.Door // by node: where each asks now, for each of its services
-	Front  *standin.Front
+	dests  []load.Destination
+	doors  map[int32][]*standin.DiscoveryListener // by node: where each asks now, for each of its services
+	Front  *standin.ClientBalancer
 	index  atomic.Int32 // of servers, one a process
 	inner  atomic.Uint32
 	nodeNo int32
-	marks  []map[string]*standin.Marks
+	marks  []map[string]*standin.IdempotencyKeys
 	shims  []*nodeShim // of the front nodes, by number; nil: none
 	rude   atomic.Uint32
 	notes  func(string, ...any)
@@ -68,23 +68,23 @@
 }
 
 // NewFleet starts servers, discovery and, if nodes are wanted, nodes.
-func NewFleet(ctx context.Context, e *experiment.Experiment, begin time.Time, log *judge.Log, dir string, nodes, shared bool,
+func NewFleet(ctx context.Context, e *experiment.Experiment, begin time.Time, log *judge.Ledger, dir string, nodes, shared bool,
 	notes func(string, ...any)) (f *Fleet, err error) {
-	f = &Fleet{e: e, shared: shared, begin: begin, log: log, dir: dir, notes: notes, doors: map[int32][]*standin.Door{}, banning: map[int]bool{}}
+	f = &Fleet{e: e, shared: shared, begin: begin, log: log, dir: dir, notes: notes, doors: map[int32][]*standin.DiscoveryListener{}, banning: map[int]bool{}}
 	defer func() {
 		if err != nil {
 			f.Stop()
 		}
 	}()
-	draw := plan.Source(e.Seed, "fleet")
+	draw := plan.NewSource(e.Seed, "fleet")
 	for range e.Fleet.Tier {
 		d := standin.NewDiscovery(log, begin)
-		d.Watch, d.Wait, d.Bound = experiment.Watches[e.Fleet.Discovery.Watch], e.Fleet.Discovery.Wait.Std(), e.Fleet.Discovery.Bound.Std()
+		d.Watch, d.Wait, d.Bound = experiment.WatchModes[e.Fleet.Discovery.Watch], e.Fleet.Discovery.Wait.Std(), e.Fleet.Discovery.Bound.Std()
 		f.disc = append(f.disc, d)
-		marks := map[string]*standin.Marks{}
+		marks := map[string]*standin.IdempotencyKeys{}
 		for _, m := range e.Method {
-			if m.RepeatOf() == judge.Deduplicated {
-				marks[m.Name] = &standin.Marks{Window: time.Duration(m.Window)}
+			if m.Idempotency() == judge.Deduplicated {
+				marks[m.Name] = &standin.IdempotencyKeys{Window: time.Duration(m.Window)}
 			}
 		}
 		f.marks = append(f.marks, marks)
@@ -109,7 +109,7 @@
 			if err := f.launch(p, e.Fleet.Host+":0", 0); err != nil {
 				return f, err
 			}
-			f.disc[t].Tell(p.member)
+			f.disc[t].Update(p.member)
 		}
 	}
 	if err := start(ctx, f.all()); err != nil {
@@ -127,9 +127,9 @@
 		if err := f.wrap(n, i); err != nil {
 			return f, err
 		}
-		f.dests = append(f.dests, load.Dest{ID: f.nodeNo - 1, Node: f.nodeNo - 1, Addr: n.Addr})
+		f.dests = append(f.dests, load.Destination{ID: f.nodeNo - 1, Node: f.nodeNo - 1, Addr: n.Addr})
 	}
-	f.Front = standin.NewFront(begin, time.Duration(e.Fleet.Notice), f.dests)
+	f.Front = standin.NewClientBalancer(begin, time.Duration(e.Fleet.Notice), f.dests)
 	return f, start(ctx, f.nodes)
 }
 
@@ -195,12 +195,12 @@
 	if p.node, err = f.newNode(p.tier+1, p.zone); err != nil {
 		return err
 	}
-	methods, repeats := map[string]uint16{}, []judge.Repeat{}
+	methods, repeats := map[string]uint16{}, []judge.Idempotency{}
 	for i, m := range f.e.Method {
 		methods[m.Name] = uint16(i)
-		repeats = append(repeats, m.RepeatOf())
+		repeats = append(repeats, m.Idempotency())
 	}
-	p.caller = &standin.Caller{Node: f.nodeNo - 1, Addr: p.node.Addr, Log: f.log, Begin: f.begin, Methods: methods, Repeats: repeats,
+	p.caller = &standin.InnerClient{Node: f.nodeNo - 1, Addr: p.node.Addr, Log: f.log, Begin: f.begin, Methods: methods, Repeats: repeats,
 		Number: &f.inner, Slack: 50 * time.Millisecond, Excused: func(since time.Duration) bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -219,9 +219,9 @@
 			tiers = append(tiers, t)
 		}
 	}
-	var doors []*standin.Door
+	var doors []*standin.DiscoveryListener
 	for _, t := range tiers {
-		door, err := f.disc[t].Door(f.nodeNo, e.Fleet.Host+":0")
+		door, err := f.disc[t].Listen(f.nodeNo, e.Fleet.Host+":0")
 		if err != nil {
 			return nil, err
 		}
@@ -245,7 +245,7 @@
 	}
 	f.doors[f.nodeNo] = doors
 	f.nodeNo++
-	if e.Operated() && tier == 0 {
+	if e.NeedsAdminAddress() && tier == 0 {
 		err = f.operate(n)
 	}
 	return n, err
@@ -266,7 +266,7 @@
 	n.Admin = true
 	folder := f.stateFolder(n)
 	n.Env = append(n.Env, "TMPDIR="+folder)
-	if err := os.MkdirAll(folder, 0o700); err != nil || !f.e.Replaces() {
+	if err := os.MkdirAll(folder, 0o700); err != nil || !f.e.ReplacesNodes() {
 		return err
 	}
 	ln, err := net.Listen("tcp", n.Addr)
@@ -274,12 +274,12 @@
 		return err
 	}
 	defer ln.Close()
-	n.Held, err = ln.(*net.TCPListener).File()
+	n.Listener, err = ln.(*net.TCPListener).File()
 	return err
 }
 
 // operatorFile is a node's configuration where the fleet has services.
-func (f *Fleet) operatorFile(n *standin.Node, doors []*standin.Door) string {
+func (f *Fleet) operatorFile(n *standin.Node, doors []*standin.DiscoveryListener) string {
 	e := f.e
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = %q\nlisten = [%q]\nseed = \"%x\"\n[machine]\ncores = %v\nmemory_mb = %d\nsockets = %d\n[sharing]\noff = %v\n", n.Name, n.Addr, e.Seed,
@@ -310,11 +310,11 @@
 func (f *Fleet) settings(tier int, zone string) map[string]any {
 	e := f.e
 	ms := func(d experiment.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	words := map[judge.Repeat]string{judge.Idempotent: "repeatable", judge.Deduplicated: "by_key", judge.NonIdempotent: "once"}
+	words := map[judge.Idempotency]string{judge.Idempotent: "repeatable", judge.Deduplicated: "by_key", judge.NonIdempotent: "once"}
 	var classes, tenants []map[string]any
 	for _, m := range e.Method {
 		classes = append(classes, map[string]any{"Name": m.Name, "AimMs": ms(m.Target), "DeadlineMs": ms(m.Deadline), "Credit": m.Utility,
-			"LateWorth": m.LateUtility, "WindowMs": ms(m.Window), "Repeat": words[m.RepeatOf()], "DedupScope": "all"})
+			"LateWorth": m.LateUtility, "WindowMs": ms(m.Window), "Repeat": words[m.Idempotency()], "DedupScope": "all"})
 	}
 	for _, t := range e.Tenant {
 		tenants = append(tenants, map[string]any{"Name": t.Name, "QuotaPerS": t.Quota})
@@ -336,7 +336,7 @@
 func (f *Fleet) Discovery() *standin.Discovery { return f.disc[0] }
 
 // on finds the servers that a fault meets. A share is the same servers for the same seed.
-func (f *Fleet) on(s experiment.On) []*place {
+func (f *Fleet) on(s experiment.FaultTarget) []*place {
 	list := f.tiers[s.Tier]
 	switch {
 	case s.Index >= 0:
@@ -346,7 +346,7 @@
 	case s.Part < 1:
 		n := max(1, int(s.Part*float64(len(list))+0.5))
 		var out []*place
-		for _, i := range plan.Source(f.e.Seed, "faults").Perm(len(list))[:n] {
+		for _, i := range plan.NewSource(f.e.Seed, "faults").Perm(len(list))[:n] {
 			out = append(out, list[i])
 		}
 		return out
@@ -355,12 +355,12 @@
 }
 
 // nodesOn finds the front nodes that a fault meets, by number. A share is the same nodes for the same seed.
-func (f *Fleet) nodesOn(s experiment.On) []int {
+func (f *Fleet) nodesOn(s experiment.FaultTarget) []int {
 	return f.nodesOfFleet(s)
 }
 
 func (f *Fleet) partOfNodes(part float64, of int) []int {
-	all := plan.Source(f.e.Seed, "node faults").Perm(of)
+	all := plan.NewSource(f.e.Seed, "node faults").Perm(of)
 	return all[:max(1, int(part*float64(of)+0.5))]
 }
 
@@ -376,7 +376,7 @@
 	p.member.Phase = phase
 	m := p.member
 	p.mu.Unlock()
-	f.disc[p.tier].Tell(m)
+	f.disc[p.tier].Update(m)
 }
 
 // down ends a server's process, its node's too.
@@ -466,10 +466,10 @@
 	return out
 }
 
-// Use is the CPU time of the front nodes together and the most memory of any node.
-func (f *Fleet) Use() (cpu time.Duration, rss int64) {
+// Usage is the CPU time of the front nodes together and the most memory of any node.
+func (f *Fleet) Usage() (cpu time.Duration, rss int64) {
 	for _, n := range f.nodes {
-		c, r := n.Use()
+		c, r := n.Usage()
 		cpu, rss = cpu+c, max(rss, r)
 	}
 	return cpu, rss
--- a/internal/lab/run/golden_test.go
+++ b/internal/lab/run/golden_test.go
@@ -37,13 +37,13 @@
 		Arms: []*Arm{{
 			Name:       "robincart",
 			Metrics:    map[string]float64{"goodput": 0.25, "p99_ms": 201.5},
-			Broken:     map[string]judge.Breach{judge.EffectTwice: {Count: 202, Examples: []string{"case 203"}}},
+			Broken:     map[string]judge.Violation{judge.EffectTwice: {Count: 202, Examples: []string{"case 203"}}},
 			Ends:       map[string]int{judge.OK.String(): 204, judge.PushedBack.String(): 205},
 			Violations: map[string]int{"rule-206": 207},
 			Seconds:    []Second{{Calls: 208, Goodput: 0.5, P50: 209.5, P99: 210.5, Open: 211}},
 			Quants:     []Quantile{{Q: 99.9, Planned: 212.5, Service: 213.5}},
-			Methods:    []judge.Part{{Name: "find", Calls: 214, InTime: 215, OK: 216, Asked: 217.5, Earned: 218.5}},
-			Tenants:    []judge.Part{{Name: "acme", Calls: 219, InTime: 220, OK: 221, Asked: 222.5, Earned: 223.5}},
+			Methods:    []judge.Tally{{Name: "find", Calls: 214, InTime: 215, OK: 216, Asked: 217.5, Earned: 218.5}},
+			Tenants:    []judge.Tally{{Name: "acme", Calls: 219, InTime: 220, OK: 221, Asked: 222.5, Earned: 223.5}},
 			Windows:    [][2]int{{224, 225}, {226, 227}},
 			Notes:      []string{"note-228"},
 		}},
@@ -85,11 +85,11 @@
 func goldenFleet(t *testing.T, file string) *Fleet {
 	e, err := experiment.Read(labtest.GoldenPath(file))
 	require.NoError(t, err)
-	f := &Fleet{e: e, shared: true, dir: t.TempDir(), doors: map[int32][]*standin.Door{}}
+	f := &Fleet{e: e, shared: true, dir: t.TempDir(), doors: map[int32][]*standin.DiscoveryListener{}}
 	for range e.Fleet.Tier {
-		d := standin.NewDiscovery(&judge.Log{}, time.Now())
+		d := standin.NewDiscovery(&judge.Ledger{}, time.Now())
 		t.Cleanup(d.Stop)
-		d.Tell(standin.Member{ID: "s0-0", Addr: "127.0.0.1:501", Zone: "zone-a", Flavor: "lab", Cell: 502,
+		d.Update(standin.Member{ID: "s0-0", Addr: "127.0.0.1:501", Zone: "zone-a", Flavor: "lab", Cell: 502,
 			Phase: "ready", Size: 1, UpSince: 503})
 		f.disc = append(f.disc, d)
 	}
--- a/internal/lab/run/processes.go
+++ b/internal/lab/run/processes.go
@@ -36,7 +36,7 @@
 			sleep(ctx, every)
 			continue
 		}
-		door, err := f.Discovery().Door(id, f.e.Fleet.Host+":0")
+		door, err := f.Discovery().Listen(id, f.e.Fleet.Host+":0")
 		if err != nil {
 			f.crash(err)
 			return
@@ -55,7 +55,7 @@
 		n.Signal(syscall.SIGHUP)
 		f.mu.Lock()
 		before := f.doors[id]
-		f.doors[id] = []*standin.Door{door}
+		f.doors[id] = []*standin.DiscoveryListener{door}
 		f.mu.Unlock()
 		for _, b := range before {
 			b.Close(movedCloses)
@@ -67,7 +67,7 @@
 // replace has another process take a node's callers over under load.
 func (f *Fleet) replace(ctx context.Context, number int) {
 	n := f.nodes[number]
-	n.Knows(f.Discovery().Known())
+	n.SetKnownServers(f.Discovery().LastKnown())
 	if err := n.Replace(ctx); err != nil && ctx.Err() == nil {
 		f.crash(err)
 	}
@@ -149,7 +149,7 @@
 	sleep(ctx, time.Duration(x.For))
 	for _, o := range all {
 		to := time.Since(f.begin) // the node may send again from when it has the call
-		f.log.Ban(judge.Ban{Node: id, Server: o.server, From: o.from, To: to})
+		f.log.AddBan(judge.Ban{Node: id, Server: o.server, From: o.from, To: to})
 		for end := time.Now().Add(callBackWithin); ctx.Err() == nil && time.Now().Before(end); sleep(ctx, banAgain) {
 			if status := n.Call(attachPath, o.name); status == http.StatusOK || status == http.StatusNotFound {
 				break
--- a/internal/lab/run/restart_test.go
+++ b/internal/lab/run/restart_test.go
@@ -32,7 +32,7 @@
 			require.NoError(t, err)
 			n := &standin.Node{Name: "n0", Addr: addr, Program: "n0", Wrap: []string{"/bin/sh", "-c", c.script}, Config: map[string]any{}, Dir: t.TempDir()}
 			t.Cleanup(n.Kill)
-			log := &judge.Log{}
+			log := &judge.Ledger{}
 			f := &Fleet{disc: []*standin.Discovery{standin.NewDiscovery(log, time.Now())}, notes: t.Logf}
 			assert.False(t, f.restart(c.ctx, n))
 			assert.Len(t, f.crashes, c.crashes)
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -43,16 +43,16 @@
 
 // Arm is one way that the load went.
 type Arm struct {
-	Name    string                  `json:"name"`
-	Metrics map[string]float64      `json:"metrics"`
-	Broken  map[string]judge.Breach `json:"broken"`
-	Ends    map[string]int          `json:"ends"`
+	Name    string                     `json:"name"`
+	Metrics map[string]float64         `json:"metrics"`
+	Broken  map[string]judge.Violation `json:"broken"`
+	Ends    map[string]int             `json:"ends"`
 	// Violations are the invariants that the nodes found broken themselves.
 	Violations map[string]int `json:"violations,omitempty"`
 	Seconds    []Second       `json:"seconds"`
 	Quants     []Quantile     `json:"quantiles"`
-	Methods    []judge.Part   `json:"methods"`
-	Tenants    []judge.Part   `json:"tenants"`
+	Methods    []judge.Tally  `json:"methods"`
+	Tenants    []judge.Tally  `json:"tenants"`
 	Windows    [][2]int       `json:"planned_and_sent_per_100ms"`
 	Notes      []string       `json:"notes,omitempty"`
 }
@@ -140,7 +140,7 @@
 func playArm(ctx context.Context, e *experiment.Experiment, o Options, name string, first bool, arrivals []plan.Arrival,
 	r *Result) (*Arm, error) {
 	begin := time.Now()
-	log := &judge.Log{}
+	log := &judge.Ledger{}
 	dir := filepath.Join(o.Dir, name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -158,19 +158,19 @@
 		straight := straightCallers(e, name, f.Discovery())
 		defer straight.Close()
 		target = straight
-		c.Callers.AtOnce = 2
+		c.Clients.AtOnce = 2
 		_, members := f.Discovery().List()
 		for _, m := range members {
-			c.WarmTo = append(c.WarmTo, load.Dest{ID: m.Index, Node: -1, Addr: m.Addr})
+			c.WarmTo = append(c.WarmTo, load.Destination{ID: m.Index, Node: -1, Addr: m.Addr})
 		}
-		c.Warm = max(1, e.Callers.Warm*e.Fleet.Nodes/len(members))
+		c.Warm = max(1, e.Clients.Warm*e.Fleet.Nodes/len(members))
 	} else {
 		c.WarmTo = f.dests
 	}
 	// The watches are to stand before the load begins: that a fresh node may act on an old list is another experiment.
 	f.settle(ctx)
 	for _, d := range f.disc {
-		d.Queue(e.Fleet.Discovery.CallWork.Std(), e.Fleet.Discovery.CallMost.Std())
+		d.SetWorkQueue(e.Fleet.Discovery.CallWork.Std(), e.Fleet.Discovery.CallMost.Std())
 	}
 	servers := f.firstTier()
 	ahead := time.Since(begin) + 300*time.Millisecond
@@ -182,7 +182,7 @@
 		moved[i].At += ahead
 	}
 	eng := load.New(c, moved, target, log, begin)
-	eng.Warm()
+	eng.WarmUp()
 	o.Notes("arm %s: %s, %s", name, f.Describe(), eng)
 
 	life, end := context.WithCancel(ctx)
@@ -204,9 +204,9 @@
 			}
 		}
 	}()
-	cpu0, _ := f.Use()
+	cpu0, _ := f.Usage()
 	eng.Run(ctx)
-	cpu1, rss := f.Use()
+	cpu1, rss := f.Usage()
 	played := min(time.Since(begin)-ahead, time.Duration(e.Duration))
 	end()
 	spans := <-done
@@ -237,14 +237,14 @@
 		arm.Metrics["violations"] += float64(n)
 	}
 	arm.Violations, arm.Notes = broken, append(arm.Notes, examples...)
-	if withNodes && slices.ContainsFunc(e.Fault, experiment.Fault.Shimmed) {
+	if withNodes && slices.ContainsFunc(e.Fault, experiment.Fault.UsesShim) {
 		n := f.injected()
 		if arm.Metrics["injected"] = float64(n); n == 0 {
 			r.Invalid = append(r.Invalid, fmt.Sprintf("arm %s: no system call was made to fail", name))
 		}
 	}
 	for _, d := range f.disc {
-		arm.Metrics["list_calls_refused"] += float64(d.Refused())
+		arm.Metrics["list_calls_refused"] += float64(d.RejectedCalls())
 	}
 	for what, n := range eng.Faults() {
 		r.Invalid = append(r.Invalid, fmt.Sprintf("arm %s: the generator was %s %d times", name, what, n))
@@ -287,11 +287,11 @@
 }
 
 func config(e *experiment.Experiment) load.Config {
-	c := load.Config{Tenants: e.TenantNames(), Connections: e.Callers.Connections, Waiting: e.Callers.Waiting, Warm: e.Callers.Warm,
-		Slack: 250 * time.Millisecond, Seed: e.Seed, Callers: load.Callers{Share: e.Callers.Share, Most: e.Callers.Tries,
-			Backoff: time.Duration(e.Callers.Backoff), Honour: e.Callers.Honour, Marks: e.Callers.Marks}}
+	c := load.Config{Tenants: e.TenantNames(), Connections: e.Clients.Connections, Waiting: e.Clients.Waiting, Warm: e.Clients.Warm,
+		Slack: 250 * time.Millisecond, Seed: e.Seed, Clients: load.Clients{Share: e.Clients.Share, Most: e.Clients.Tries,
+			Backoff: time.Duration(e.Clients.Backoff), Honour: e.Clients.Honour, Marks: e.Clients.Marks}}
 	for _, m := range e.Method {
-		c.Methods = append(c.Methods, load.Method{Name: m.Name, Repeat: m.RepeatOf(), Deadline: time.Duration(m.Deadline),
+		c.Methods = append(c.Methods, load.Method{Name: m.Name, Repeat: m.Idempotency(), Deadline: time.Duration(m.Deadline),
 			Window: time.Duration(m.Window), Host: e.Host(m.Service)})
 	}
 	return c
@@ -300,12 +300,12 @@
 // report turns a verdict into figures.
 func report(v *judge.Verdict, spans []Span) *Arm {
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	a := &Arm{Broken: map[string]judge.Breach{}, Ends: v.Ends, Methods: v.Methods, Tenants: v.Tenants,
+	a := &Arm{Broken: map[string]judge.Violation{}, Ends: v.Ends, Methods: v.Methods, Tenants: v.Tenants,
 		Windows: v.Schedule.Windows}
 	for name, b := range v.Broken {
 		a.Broken[name] = *b
 	}
-	var calm, faulty, after judge.Part
+	var calm, faulty, after judge.Tally
 	lastEnd := time.Duration(0)
 	for _, s := range spans {
 		lastEnd = max(lastEnd, s.To)
@@ -330,7 +330,7 @@
 		}
 	}
 	for _, q := range []float64{1, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100} {
-		a.Quants = append(a.Quants, Quantile{q, ms(judge.At(v.Latency, q)), ms(judge.At(v.Service, q))})
+		a.Quants = append(a.Quants, Quantile{q, ms(judge.Percentile(v.Latency, q)), ms(judge.Percentile(v.Service, q))})
 	}
 	share := func(x, y float64) float64 {
 		if y == 0 {
@@ -340,17 +340,17 @@
 	}
 	a.Metrics = map[string]float64{"goodput": v.All.Goodput(), "goodput_calm": calm.Goodput(), "goodput_faults": faulty.Goodput(),
 		"goodput_after": after.Goodput(), "worst_second": worst, "ok_share": share(float64(v.All.OK), float64(v.All.Calls)),
-		"p50_ms": ms(judge.At(v.Latency, 50)), "p99_ms": ms(judge.At(v.Latency, 99)), "p999_ms": ms(judge.At(v.Latency, 99.9)),
-		"service_p50_ms": ms(judge.At(v.Service, 50)), "service_p99_ms": ms(judge.At(v.Service, 99)),
+		"p50_ms": ms(judge.Percentile(v.Latency, 50)), "p99_ms": ms(judge.Percentile(v.Latency, 99)), "p999_ms": ms(judge.Percentile(v.Latency, 99.9)),
+		"service_p50_ms": ms(judge.Percentile(v.Service, 50)), "service_p99_ms": ms(judge.Percentile(v.Service, 99)),
 		"schedule_p99_us": float64(v.Schedule.P99.Microseconds()), "schedule_worst": v.Schedule.Worst,
-		"unsent": float64(v.Ends[judge.Unsent.String()]), "rules_broken": float64(v.Breaches()), "retries": float64(v.Retries),
+		"unsent": float64(v.Ends[judge.NotSent.String()]), "rules_broken": float64(v.Violations()), "retries": float64(v.Retries),
 		"picks_per_call": share(float64(v.Picks), float64(v.All.Calls)), "late_work_share": share(v.LateWork.Seconds(), v.AllWork.Seconds()),
 		"effects": float64(v.Effects), "calls": float64(v.All.Calls), "drain_last_ms": float64(v.WordCalls.Max()) / 1000,
-		"drain_p999_ms": ms(judge.At(v.WordCalls, 99.9))}
+		"drain_p999_ms": ms(judge.Percentile(v.WordCalls, 99.9))}
 	for i, p := range v.Methods {
 		a.Metrics["method."+p.Name+".goodput"] = p.Goodput()
-		a.Metrics["method."+p.Name+".p50_ms"] = ms(judge.At(v.ByMethod[i], 50))
-		a.Metrics["method."+p.Name+".p99_ms"] = ms(judge.At(v.ByMethod[i], 99))
+		a.Metrics["method."+p.Name+".p50_ms"] = ms(judge.Percentile(v.ByMethod[i], 50))
+		a.Metrics["method."+p.Name+".p99_ms"] = ms(judge.Percentile(v.ByMethod[i], 99))
 	}
 	for _, p := range v.Tenants {
 		a.Metrics["tenant."+p.Name+".goodput"] = p.Goodput()
@@ -422,7 +422,7 @@
 }
 
 // export writes the first arm as a trace.
-func export(path string, e *experiment.Experiment, arrivals []plan.Arrival, ahead time.Duration, log *judge.Log) error {
+func export(path string, e *experiment.Experiment, arrivals []plan.Arrival, ahead time.Duration, log *judge.Ledger) error {
 	form := "jsonl"
 	if strings.HasSuffix(path, ".csv") {
 		form = "csv"
@@ -434,12 +434,12 @@
 		rows[i] = trace.Row{AtUS: us(a.At - ahead), Method: methods[a.Method], Tenant: tenants[a.Tenant], Key: a.Key, Body: a.Body,
 			WorkMS: float64(a.Work), WaitMS: float64(a.Wait)}
 	}
-	log.Tries(func(t judge.Try) {
+	log.EachAttempt(func(t judge.ClientAttempt) {
 		if t.Inner || int(t.Call) >= len(rows) {
 			return
 		}
 		if row := &rows[t.Call]; row.Outcome != "ok" {
-			row.Outcome, row.SentUS, row.LatencyUS = t.End.String(), us(t.Sent), us(t.Answered-t.Planned)
+			row.Outcome, row.SentUS, row.LatencyUS = t.Outcome.String(), us(t.Sent), us(t.Answered-t.Planned)
 		}
 	})
 	f, err := os.Create(path)
--- a/internal/lab/run/selfcheck.go
+++ b/internal/lab/run/selfcheck.go
@@ -118,24 +118,24 @@
 	if err != nil {
 		return found, err
 	}
-	begin, log := time.Now(), &judge.Log{}
+	begin, log := time.Now(), &judge.Ledger{}
 	f, err := NewFleet(ctx, e, begin, log, "", false, true, func(string, ...any) {})
 	if err != nil {
 		return found, err
 	}
 	defer f.Stop()
-	door, err := f.Discovery().Door(0, "127.0.0.1:0")
+	door, err := f.Discovery().Listen(0, "127.0.0.1:0")
 	if err != nil {
 		return found, err
 	}
-	rogue := &standin.Rogue{Crime: crime, Every: 5, Discovery: f.Discovery(), Door: door}
+	rogue := &standin.BypassingNode{Crime: crime, Every: 5, Discovery: f.Discovery(), Door: door}
 	addr, err := rogue.Start("127.0.0.1:0")
 	if err != nil {
 		return found, err
 	}
 	defer rogue.Stop()
-	dests := []load.Dest{{ID: 0, Node: 0, Addr: addr}}
-	front := standin.NewFront(begin, time.Second, dests)
+	dests := []load.Destination{{ID: 0, Node: 0, Addr: addr}}
+	front := standin.NewClientBalancer(begin, time.Second, dests)
 	c := config(e)
 	c.WarmTo, c.Slack = dests, 3*time.Second
 	ahead := time.Since(begin) + 300*time.Millisecond
@@ -143,10 +143,10 @@
 		arrivals[i].At += ahead
 	}
 	eng := load.New(c, arrivals, front, log, begin)
-	eng.Warm()
+	eng.WarmUp()
 	done := make(chan struct{})
 	go func() { f.faults(ctx, begin.Add(ahead)); close(done) }()
-	stalled := stall(ctx, &standin.RudeClients{Begin: begin, Dest: dests[0], Log: log, Name: e.Method[0].Name, Host: e.Host(""), Tenant: e.Tenant[0].Name, Calls: &f.rude})
+	stalled := stall(ctx, &standin.MisbehavingClients{Begin: begin, Dest: dests[0], Log: log, Name: e.Method[0].Name, Host: e.Host(""), Tenant: e.Tenant[0].Name, Calls: &f.rude})
 	eng.Run(ctx)
 	<-done
 	time.Sleep(1700 * time.Millisecond) // the rogue's last sins
@@ -175,7 +175,7 @@
 const stalledClients = 6
 
 // stall begins them.
-func stall(ctx context.Context, clients *standin.RudeClients) *sync.WaitGroup {
+func stall(ctx context.Context, clients *standin.MisbehavingClients) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for range stalledClients {
 		all.Go(func() { clients.Stall(ctx) })
--- a/internal/lab/run/text.go
+++ b/internal/lab/run/text.go
@@ -14,8 +14,8 @@
 var columns = []string{"goodput", "goodput_faults", "worst_second", "ok_share", "p50_ms", "p99_ms", "p999_ms", "service_p99_ms", "retries",
 	"picks_per_call", "late_work_share", "unsent", "rules_broken", "schedule_p99_us", "schedule_worst"}
 
-// Text writes a result for people.
-func Text(w io.Writer, r *Result) {
+// WriteText writes a result for people.
+func WriteText(w io.Writer, r *Result) {
 	fmt.Fprintf(w, "%s: %s\n%.0f s, seed %d, %s", r.Name, r.About, r.Seconds, r.Seed, r.Machine)
 	if r.Short {
 		fmt.Fprint(w, ", short form")
@@ -30,7 +30,7 @@
 	for _, m := range columns {
 		fmt.Fprintf(t, "%s\t", m)
 		for _, a := range r.Arms {
-			fmt.Fprintf(t, "%s\t", Number(a.Metrics[m]))
+			fmt.Fprintf(t, "%s\t", FormatNumber(a.Metrics[m]))
 		}
 		fmt.Fprintln(t)
 	}
@@ -59,16 +59,16 @@
 	for _, c := range r.Checks {
 		bounds := []string{}
 		if c.Min != nil {
-			bounds = append(bounds, "at least "+Number(*c.Min))
+			bounds = append(bounds, "at least "+FormatNumber(*c.Min))
 		}
 		if c.Max != nil {
-			bounds = append(bounds, "at most "+Number(*c.Max))
+			bounds = append(bounds, "at most "+FormatNumber(*c.Max))
 		}
 		word := "ok    "
 		if !c.OK {
 			word = "FAILED"
 		}
-		fmt.Fprintf(w, "%s %s = %s, expected %s\n", word, c.Metric, Number(c.Value), strings.Join(bounds, " and "))
+		fmt.Fprintf(w, "%s %s = %s, expected %s\n", word, c.Metric, FormatNumber(c.Value), strings.Join(bounds, " and "))
 	}
 	for _, why := range r.Invalid {
 		fmt.Fprintf(w, "INVALID: %s\n", why)
@@ -80,8 +80,8 @@
 	fmt.Fprintln(w, word)
 }
 
-// Number writes a figure for people.
-func Number(v float64) string {
+// FormatNumber writes a figure for people.
+func FormatNumber(v float64) string {
 	switch {
 	case v == float64(int64(v)) && v < 1e9 && v > -1e9:
 		return fmt.Sprintf("%d", int64(v))
--- a/internal/lab/run/trouble.go
+++ b/internal/lab/run/trouble.go
@@ -34,8 +34,8 @@
 	s.plan.Seed = f.e.Seed + uint64(number)
 	met := false
 	for _, x := range f.e.Fault {
-		on, err := experiment.ParseOn(x.On)
-		if err != nil || !x.Shimmed() || !slices.Contains(f.nodesOfFleet(on), number) {
+		on, err := experiment.ParseFaultTarget(x.On)
+		if err != nil || !x.UsesShim() || !slices.Contains(f.nodesOfFleet(on), number) {
 			continue
 		}
 		met = true
@@ -60,7 +60,7 @@
 }
 
 // nodesOfFleet is nodesOn for a fleet whose nodes are still being made.
-func (f *Fleet) nodesOfFleet(s experiment.On) []int {
+func (f *Fleet) nodesOfFleet(s experiment.FaultTarget) []int {
 	if s.Index >= 0 {
 		return []int{s.Index}
 	}
@@ -139,7 +139,7 @@
 
 // proxied puts a proxy before a server that has none yet, where faults are made by one, and has discovery tell its address.
 func (f *Fleet) proxied(p *place) error {
-	if !slices.ContainsFunc(f.e.Fault, experiment.Fault.Proxied) {
+	if !slices.ContainsFunc(f.e.Fault, experiment.Fault.UsesProxy) {
 		return nil
 	}
 	if p.proxy == nil {
@@ -180,12 +180,12 @@
 
 // rudely has rude clients at a node for a while.
 func (f *Fleet) rudely(ctx context.Context, x experiment.Fault, number int) {
-	method := slices.IndexFunc(f.e.Method, func(m experiment.Method) bool { return m.RepeatOf() == judge.Idempotent })
+	method := slices.IndexFunc(f.e.Method, func(m experiment.Method) bool { return m.Idempotency() == judge.Idempotent })
 	if method < 0 {
 		return
 	}
 	m, d := f.e.Method[method], f.dests[number]
-	r := &standin.RudeClients{Begin: f.begin, Dest: d, Log: f.log, Method: uint16(method), Name: m.Name, Host: f.e.Host(m.Service), Tenant: f.e.Tenant[0].Name,
+	r := &standin.MisbehavingClients{Begin: f.begin, Dest: d, Log: f.log, Method: uint16(method), Name: m.Name, Host: f.e.Host(m.Service), Tenant: f.e.Tenant[0].Name,
 		Calls: &f.rude, Excused: func(since time.Duration) bool { return f.Front.Excused(d, since) }, Lasting: time.Second}
 	within, cancel := context.WithTimeout(ctx, time.Duration(x.For))
 	defer cancel()
--- a/internal/lab/soak/golden_test.go
+++ b/internal/lab/soak/golden_test.go
@@ -18,7 +18,7 @@
 		t.Run(golden, func(t *testing.T) {
 			_, err := experiment.Read(labtest.GoldenPath(golden))
 			require.NoError(t, err)
-			labtest.RequireGolden(t, golden, []byte(Text(seed, Default)))
+			labtest.RequireGolden(t, golden, []byte(ExperimentText(seed, DefaultSize)))
 		})
 	}
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -14,11 +14,11 @@
 type Size struct {
 	Nodes, Servers int
 	Rate           int // calls a second
-	Lasts          time.Duration
+	Duration       time.Duration
 }
 
-// Default is a few dozen processes.
-var Default = Size{Nodes: 24, Servers: 16, Rate: 240, Lasts: 20 * time.Second}
+// DefaultSize is a few dozen processes.
+var DefaultSize = Size{Nodes: 24, Servers: 16, Rate: 240, Duration: 20 * time.Second}
 
 // trouble is a fault that may be drawn.
 type trouble struct {
@@ -119,8 +119,8 @@
 // moments is how often troubles come together.
 const moments = 3
 
-// Text is the experiment of a seed.
-func Text(seed uint64, s Size) string {
+// ExperimentText is the experiment of a seed.
+func ExperimentText(seed uint64, s Size) string {
 	r := rand.New(rand.NewPCG(seed, 45))
 	var b strings.Builder
 	window := []string{"1200ms", "2s", "3s"}[r.IntN(3)]
@@ -177,12 +177,12 @@
 tries = 2
 honour = 0.5
 marks = true
-`, seed, s.Lasts, s.Nodes, 2+r.IntN(4), r.IntN(3) == 0, []string{"streams", "waits", "ends-with-list"}[r.IntN(3)], s.Servers, window, s.Rate)
+`, seed, s.Duration, s.Nodes, 2+r.IntN(4), r.IntN(3) == 0, []string{"streams", "waits", "ends-with-list"}[r.IntN(3)], s.Servers, window, s.Rate)
 	// Drawn apart, so that what else a seed draws stays what it was before there were these.
 	own := rand.New(rand.NewPCG(seed, 46))
 	process := processes[own.IntN(len(processes))]
 	for m := range moments {
-		at := s.Lasts * time.Duration(1+2*m) / (2*moments + 1)
+		at := s.Duration * time.Duration(1+2*m) / (2*moments + 1)
 		for _, kind := range [][]trouble{servers, servers, nodes, lists, calls, calls} {
 			if r.IntN(4) > 0 { // three to five of the six
 				text := fault(r, s, kind, at)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -13,8 +13,8 @@
 func TestEverySeedIsAnExperimentAndTheSameOneAgain(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range uint64(200) {
-		text := Text(seed+1, Default)
-		assert.Equal(t, text, Text(seed+1, Default))
+		text := ExperimentText(seed+1, DefaultSize)
+		assert.Equal(t, text, ExperimentText(seed+1, DefaultSize))
 		e, err := experiment.Parse([]byte(text), ".")
 		require.NoError(t, err, "%s", text)
 		overlaps := 0
@@ -33,5 +33,5 @@
 			assert.Positive(t, kinds[k.kind], k.kind)
 		}
 	}
-	assert.NotEqual(t, strings.Replace(Text(1, Default), "seed = 1", "", 1), strings.Replace(Text(2, Default), "seed = 2", "", 1))
+	assert.NotEqual(t, strings.Replace(ExperimentText(1, DefaultSize), "seed = 1", "", 1), strings.Replace(ExperimentText(2, DefaultSize), "seed = 2", "", 1))
 }
--- a/internal/lab/standin/bound.go
+++ b/internal/lab/standin/bound.go
@@ -48,7 +48,7 @@
 		}
 		delete(d.binding, m.ID)
 		for _, o := range d.doors {
-			d.Log.Word(judge.Word{Node: o.node, Server: m.Index, State: states[m.Phase], At: since.Add(d.Bound).Sub(d.Begin)})
+			d.Log.AddNotification(judge.Notification{Node: o.node, Server: m.Index, State: states[m.Phase], At: since.Add(d.Bound).Sub(d.Begin)})
 		}
 	}
 	due = time.AfterFunc(d.Bound, look)
--- a/internal/lab/standin/straight.go
+++ b/internal/lab/standin/directclient.go
@@ -15,10 +15,10 @@
 // Policies of straight callers, the baselines.
 var Policies = []string{"random", "round-robin", "least-outstanding", "two-choices"}
 
-// Straight is a caller's own balancer: it follows the server list and knows what it has out itself, no more.
-type Straight struct {
+// DirectClient is a caller's own balancer: it follows the server list and knows what it has out itself, no more.
+type DirectClient struct {
 	policy string
-	list   atomic.Pointer[[]load.Dest]
+	list   atomic.Pointer[[]load.Destination]
 	next   atomic.Uint32
 	out    sync.Map // server index → *atomic.Int64
 	mu     sync.Mutex
@@ -26,9 +26,9 @@
 	stop   chan struct{}
 }
 
-// NewStraight follows discovery's list until it is closed.
-func NewStraight(policy string, d *Discovery, seed uint64) *Straight {
-	s := &Straight{policy: policy, rand: plan.Source(seed, "straight"), stop: make(chan struct{})}
+// NewDirectClient follows discovery's list until it is closed.
+func NewDirectClient(policy string, d *Discovery, seed uint64) *DirectClient {
+	s := &DirectClient{policy: policy, rand: plan.NewSource(seed, "straight"), stop: make(chan struct{})}
 	s.next.Store(s.rand.Uint32()) // many that begin at the same server would go on in step
 	s.follow(d)
 	go func() {
@@ -47,9 +47,9 @@
 }
 
 // Close ends the following.
-func (s *Straight) Close() { close(s.stop) }
+func (s *DirectClient) Close() { close(s.stop) }
 
-func (s *Straight) follow(d *Discovery) {
+func (s *DirectClient) follow(d *Discovery) {
 	d.mu.Lock()
 	gone := d.gone
 	_, members := d.list()
@@ -57,16 +57,16 @@
 	if gone && s.list.Load() != nil {
 		return // nobody tells: the list stays
 	}
-	ready := []load.Dest{}
+	ready := []load.Destination{}
 	for _, m := range members {
 		if m.Phase == "ready" {
-			ready = append(ready, load.Dest{ID: m.Index, Node: -1, Addr: m.Addr})
+			ready = append(ready, load.Destination{ID: m.Index, Node: -1, Addr: m.Addr})
 		}
 	}
 	s.list.Store(&ready)
 }
 
-func (s *Straight) outstanding(id int32) *atomic.Int64 {
+func (s *DirectClient) outstanding(id int32) *atomic.Int64 {
 	n, ok := s.out.Load(id)
 	if !ok {
 		n, _ = s.out.LoadOrStore(id, &atomic.Int64{})
@@ -75,15 +75,15 @@
 }
 
 // Choose picks a server that this call has not tried, if there is one.
-func (s *Straight) Choose(_ *plan.Arrival, tried []int32) (load.Dest, bool) {
+func (s *DirectClient) Choose(_ *plan.Arrival, tried []int32) (load.Destination, bool) {
 	list := *s.list.Load()
 	if len(tried) > 0 {
-		if rest := slices.DeleteFunc(slices.Clone(list), func(d load.Dest) bool { return slices.Contains(tried, d.ID) }); len(rest) > 0 {
+		if rest := slices.DeleteFunc(slices.Clone(list), func(d load.Destination) bool { return slices.Contains(tried, d.ID) }); len(rest) > 0 {
 			list = rest
 		}
 	}
 	if len(list) == 0 {
-		return load.Dest{}, false
+		return load.Destination{}, false
 	}
 	s.mu.Lock()
 	i, j := s.rand.Intn(len(list)), s.rand.Intn(len(list))
@@ -111,44 +111,44 @@
 	return list[i], true
 }
 
-// Ended counts a try out.
-func (s *Straight) Ended(d load.Dest, _ judge.End) { s.outstanding(d.ID).Add(-1) }
+// Done counts a try out.
+func (s *DirectClient) Done(d load.Destination, _ judge.Outcome) { s.outstanding(d.ID).Add(-1) }
 
 // Excused is never asked for: a straight caller has no node.
-func (s *Straight) Excused(load.Dest, time.Duration) bool { return false }
+func (s *DirectClient) Excused(load.Destination, time.Duration) bool { return false }
 
-// StraightFleet is many straight callers, each with a view of its own, among which calls are dealt out in turn as a front does.
-type StraightFleet struct {
-	callers []*Straight
+// DirectClients is many straight callers, each with a view of its own, among which calls are dealt out in turn as a front does.
+type DirectClients struct {
+	callers []*DirectClient
 	next    atomic.Uint32
 }
 
-// NewStraightFleet starts so many.
-func NewStraightFleet(policy string, d *Discovery, seed uint64, callers int) *StraightFleet {
-	f := &StraightFleet{}
+// NewDirectClients starts so many.
+func NewDirectClients(policy string, d *Discovery, seed uint64, callers int) *DirectClients {
+	f := &DirectClients{}
 	for i := range callers {
-		f.callers = append(f.callers, NewStraight(policy, d, seed+uint64(i)*7919))
+		f.callers = append(f.callers, NewDirectClient(policy, d, seed+uint64(i)*7919))
 	}
 	return f
 }
 
 // Close ends the following of all.
-func (f *StraightFleet) Close() {
+func (f *DirectClients) Close() {
 	for _, s := range f.callers {
 		s.Close()
 	}
 }
 
 // Choose has the next caller choose.
-func (f *StraightFleet) Choose(a *plan.Arrival, tried []int32) (load.Dest, bool) {
+func (f *DirectClients) Choose(a *plan.Arrival, tried []int32) (load.Destination, bool) {
 	via := int(f.next.Add(1)) % len(f.callers)
 	d, ok := f.callers[via].Choose(a, tried)
 	d.Via = int32(via)
 	return d, ok
 }
 
-// Ended tells the caller that chose.
-func (f *StraightFleet) Ended(d load.Dest, end judge.End) { f.callers[d.Via].Ended(d, end) }
+// Done tells the caller that chose.
+func (f *DirectClients) Done(d load.Destination, end judge.Outcome) { f.callers[d.Via].Done(d, end) }
 
 // Excused is never asked for: a straight caller has no node.
-func (f *StraightFleet) Excused(load.Dest, time.Duration) bool { return false }
+func (f *DirectClients) Excused(load.Destination, time.Duration) bool { return false }
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -32,7 +32,7 @@
 // Discovery keeps the list of one tier and tells its changes. Each node has a door of its own, so that the ledger
 // knows which node was told what, and when.
 type Discovery struct {
-	Log   *judge.Log
+	Log   *judge.Ledger
 	Begin time.Time
 	Every time.Duration // between empty lines
 	Watch Watch         // how it tells of changes
@@ -48,7 +48,7 @@
 	delay    time.Duration
 	gone     bool
 	queue    callQueue
-	doors    []*Door
+	doors    []*DiscoveryListener
 	back     time.Time              // when it last became reachable
 	known    []Member               // the list as it was when it last could be reached
 	binding  map[string]*time.Timer // by member: when its last change counts as told to all
@@ -57,20 +57,20 @@
 }
 
 // NewDiscovery starts with an empty list at a revision.
-func NewDiscovery(log *judge.Log, begin time.Time) *Discovery {
+func NewDiscovery(log *judge.Ledger, begin time.Time) *Discovery {
 	return &Discovery{Log: log, Begin: begin, Every: 2 * time.Second, revision: 41, members: map[string]Member{},
 		wake: make(chan struct{}), binding: map[string]*time.Timer{}, back: begin}
 }
 
-// Number sets the revision that the list stands at, and forgets what changed before.
-func (d *Discovery) Number(revision int64) {
+// SetRevision sets the revision that the list stands at, and forgets what changed before.
+func (d *Discovery) SetRevision(revision int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision, d.changes = revision, nil
 }
 
-// Tell changes the list.
-func (d *Discovery) Tell(members ...Member) {
+// Update changes the list.
+func (d *Discovery) Update(members ...Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -119,15 +119,15 @@
 	return d.revision, out
 }
 
-// Late makes every word wait that long before it is written.
-func (d *Discovery) Late(by time.Duration) {
+// SetDelay makes every word wait that long before it is written.
+func (d *Discovery) SetDelay(by time.Duration) {
 	d.mu.Lock()
 	d.delay = by
 	d.mu.Unlock()
 }
 
-// Gone ends all watches and refuses new ones, or comes back.
-func (d *Discovery) Gone(gone bool) {
+// SetDown ends all watches and refuses new ones, or comes back.
+func (d *Discovery) SetDown(gone bool) {
 	d.mu.Lock()
 	if gone && !d.gone {
 		_, d.known = d.list()
@@ -167,8 +167,8 @@
 	}
 }
 
-// Silence makes the watches that stand say nothing any more, as a path that is cut does. Calls are answered as before.
-func (d *Discovery) Silence() {
+// MuteWatches makes the watches that stand say nothing any more, as a path that is cut does. Calls are answered as before.
+func (d *Discovery) MuteWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, o := range d.doors {
@@ -181,8 +181,8 @@
 	d.stir()
 }
 
-// EndWatches resets the watches that stand.
-func (d *Discovery) EndWatches() {
+// ResetWatches resets the watches that stand.
+func (d *Discovery) ResetWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, o := range d.doors {
@@ -194,22 +194,22 @@
 	}
 }
 
-// Queue has it work through calls in turn; work 0 ends that.
-func (d *Discovery) Queue(work, most time.Duration) {
+// SetWorkQueue has it work through calls in turn; work 0 ends that.
+func (d *Discovery) SetWorkQueue(work, most time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.queue = callQueue{work: work, most: most}
 }
 
-// Refused counts the calls that it refused since the last Queue.
-func (d *Discovery) Refused() int {
+// RejectedCalls counts the calls that it refused since the last Queue.
+func (d *Discovery) RejectedCalls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.queue.refused
 }
 
-// Known is the list as a node that starts now has it from before: of now, or of when discovery was last reached.
-func (d *Discovery) Known() []Member {
+// LastKnown is the list as a node that starts now has it from before: of now, or of when discovery was last reached.
+func (d *Discovery) LastKnown() []Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.gone {
@@ -221,7 +221,7 @@
 
 // Stop ends all of it.
 func (d *Discovery) Stop() {
-	d.Gone(true)
+	d.SetDown(true)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopped = true
--- a/internal/lab/standin/discovery_test.go
+++ b/internal/lab/standin/discovery_test.go
@@ -17,7 +17,7 @@
 )
 
 // watch opens a watch at a door and returns the lines that it brings.
-func watch(t *testing.T, door *Door, since int64) (lines *bufio.Scanner, c net.Conn) {
+func watch(t *testing.T, door *DiscoveryListener, since int64) (lines *bufio.Scanner, c net.Conn) {
 	c, err := net.Dial("tcp", door.Addr())
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
@@ -36,11 +36,11 @@
 	return ""
 }
 
-func listening(t *testing.T, watches Watch) (*Discovery, *Door) {
-	d := NewDiscovery(&judge.Log{}, time.Now())
+func listening(t *testing.T, watches Watch) (*Discovery, *DiscoveryListener) {
+	d := NewDiscovery(&judge.Ledger{}, time.Now())
 	d.Every, d.Watch, d.Wait = 20*time.Millisecond, watches, 200*time.Millisecond
-	d.Tell(Member{ID: "a", Addr: "127.0.0.1:1", Phase: "ready", Index: 1})
-	door, err := d.Door(3, "127.0.0.1:0")
+	d.Update(Member{ID: "a", Addr: "127.0.0.1:1", Phase: "ready", Index: 1})
+	door, err := d.Listen(3, "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(d.Stop)
 	return d, door
@@ -52,7 +52,7 @@
 		lines, c := watch(t, door, 0)
 		require.Contains(t, next(lines), `"complete":true`)
 		for n := 1; n < messages; n++ {
-			d.Tell(Member{ID: "a", Addr: "127.0.0.1:1", Phase: "draining", Index: 1})
+			d.Update(Member{ID: "a", Addr: "127.0.0.1:1", Phase: "draining", Index: 1})
 			assert.Contains(t, next(lines), "draining")
 		}
 		if watches == WatchStreams {
@@ -70,8 +70,8 @@
 	d, door := listening(t, WatchStreams)
 	lines, c := watch(t, door, 0)
 	require.NotEmpty(t, next(lines))
-	d.Silence()
-	d.Tell(Member{ID: "a", Addr: "127.0.0.1:1", Phase: "draining", Index: 1})
+	d.MuteWatches()
+	d.Update(Member{ID: "a", Addr: "127.0.0.1:1", Phase: "draining", Index: 1})
 	c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 	assert.Empty(t, next(lines))
 	_, err := c.Write([]byte("x"))
@@ -82,7 +82,7 @@
 
 func TestABusyDiscoveryRefusesWhoWouldWaitTooLong(t *testing.T) {
 	d, door := listening(t, WatchStreams)
-	d.Queue(time.Hour, time.Minute)
+	d.SetWorkQueue(time.Hour, time.Minute)
 	c, err := net.Dial("tcp", door.Addr())
 	require.NoError(t, err)
 	defer c.Close()
@@ -90,7 +90,7 @@
 	answer, err := wire.ReadResponse(bufio.NewReader(c))
 	require.NoError(t, err)
 	assert.Equal(t, 503, answer.Status)
-	assert.Equal(t, 1, d.Refused())
+	assert.Equal(t, 1, d.RejectedCalls())
 }
 
 func TestCallsAreWorkedThroughInTurn(t *testing.T) {
@@ -118,41 +118,41 @@
 		play func(d *Discovery)
 		due  time.Duration // 0: it never binds
 	}{
-		"reachable": {func(d *Discovery) { d.Tell(draining) }, 6 * time.Second},
+		"reachable": {func(d *Discovery) { d.Update(draining) }, 6 * time.Second},
 		"down": {func(d *Discovery) {
-			d.Gone(true)
-			d.Tell(draining)
+			d.SetDown(true)
+			d.Update(draining)
 			time.Sleep(9 * time.Second)
-			d.Gone(false)
+			d.SetDown(false)
 		}, 15 * time.Second},
 		"down meanwhile": {func(d *Discovery) {
-			d.Tell(draining)
+			d.Update(draining)
 			time.Sleep(2 * time.Second)
-			d.Gone(true)
+			d.SetDown(true)
 			time.Sleep(time.Second)
-			d.Gone(false)
+			d.SetDown(false)
 		}, 9 * time.Second},
 		"ready again": {func(d *Discovery) {
-			d.Tell(draining)
+			d.Update(draining)
 			time.Sleep(5 * time.Second)
-			d.Tell(Member{ID: "a", Phase: "ready", Index: 1})
+			d.Update(Member{ID: "a", Phase: "ready", Index: 1})
 		}, 0},
 		"replaced": {func(d *Discovery) {
-			d.Tell(draining)
+			d.Update(draining)
 			time.Sleep(5 * time.Second)
-			d.Tell(Member{ID: "a", Phase: "gone", Index: 1})
+			d.Update(Member{ID: "a", Phase: "gone", Index: 1})
 		}, 11 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				begin := time.Now()
-				log := &judge.Log{}
+				log := &judge.Ledger{}
 				d := NewDiscovery(log, begin)
 				d.Bound = 6 * time.Second
-				d.doors = []*Door{{d: d, node: 3}, {d: d, node: 4}}
+				d.doors = []*DiscoveryListener{{d: d, node: 3}, {d: d, node: 4}}
 				x.play(d)
 				time.Sleep(time.Minute)
-				words := log.Words()
+				words := log.Notifications()
 				if x.due == 0 {
 					assert.Empty(t, words)
 					return
--- a/internal/lab/standin/door.go
+++ b/internal/lab/standin/door.go
@@ -13,8 +13,8 @@
 	"robincart/internal/lab/wire"
 )
 
-// Door is where one node asks.
-type Door struct {
+// DiscoveryListener is where one node asks.
+type DiscoveryListener struct {
 	d       *Discovery
 	node    int32
 	addr    string
@@ -32,9 +32,9 @@
 	silent             // a watch that tells nothing any more and stays open
 )
 
-// Door opens one for a node.
-func (d *Discovery) Door(node int32, addr string) (*Door, error) {
-	door := &Door{d: d, node: node, addr: addr, conns: map[net.Conn]connState{}}
+// Listen opens one for a node.
+func (d *Discovery) Listen(node int32, addr string) (*DiscoveryListener, error) {
+	door := &DiscoveryListener{d: d, node: node, addr: addr, conns: map[net.Conn]connState{}}
 	if err := door.open(); err != nil {
 		return nil, err
 	}
@@ -45,10 +45,10 @@
 }
 
 // Addr is where the door is.
-func (o *Door) Addr() string { return o.addr }
+func (o *DiscoveryListener) Addr() string { return o.addr }
 
 // Watches counts the watches that were begun here, and those that last.
-func (o *Door) Watches() (begun, last int) {
+func (o *DiscoveryListener) Watches() (begun, last int) {
 	o.d.mu.Lock()
 	defer o.d.mu.Unlock()
 	for _, state := range o.conns {
@@ -60,7 +60,7 @@
 }
 
 // Close takes no new call from now on, and ends those that are open after a while: discovery has moved.
-func (o *Door) Close(after time.Duration) {
+func (o *DiscoveryListener) Close(after time.Duration) {
 	o.d.mu.Lock()
 	o.ln.Close()
 	o.d.mu.Unlock()
@@ -73,7 +73,7 @@
 	})
 }
 
-func (o *Door) open() error {
+func (o *DiscoveryListener) open() error {
 	ln, err := net.Listen("tcp", o.addr)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 	return err
 }
 
-func (o *Door) serve(c net.Conn) {
+func (o *DiscoveryListener) serve(c net.Conn) {
 	d := o.d
 	defer func() {
 		c.Close()
@@ -136,7 +136,7 @@
 }
 
 // admitted reads a call and has it wait for its turn. It is nil where the call ends here.
-func (o *Door) admitted(c net.Conn) *wire.Request {
+func (o *DiscoveryListener) admitted(c net.Conn) *wire.Request {
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	q, err := wire.ReadRequest(bufio.NewReader(c))
 	if err != nil {
@@ -159,7 +159,7 @@
 	return q
 }
 
-func (o *Door) answerList(c net.Conn) {
+func (o *DiscoveryListener) answerList(c net.Conn) {
 	o.d.mu.Lock()
 	revision, members := o.d.list()
 	o.told(members, true)
@@ -168,7 +168,7 @@
 }
 
 // watch tells of the list and its changes until the connection ends, or for as long as this discovery's watches last.
-func (o *Door) watch(c net.Conn, since int64) {
+func (o *DiscoveryListener) watch(c net.Conn, since int64) {
 	d := o.d
 	fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
 	left := make(chan struct{})
@@ -228,7 +228,7 @@
 
 // tell writes what has changed since a revision, or the whole list where that is not known any more, and returns the revision told.
 // It writes under the lock, so that the ledger's order is that of the socket.
-func (o *Door) tell(c net.Conn, since int64) (int64, error) {
+func (o *DiscoveryListener) tell(c net.Conn, since int64) (int64, error) {
 	d := o.d
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -251,21 +251,21 @@
 }
 
 // told notes in the ledger what a node has been told, under the lock. A server that a whole list lacks is gone.
-func (o *Door) told(members []Member, whole bool) {
+func (o *DiscoveryListener) told(members []Member, whole bool) {
 	d := o.d
 	if d.Log == nil {
 		return
 	}
 	at := time.Since(d.Begin)
 	for _, m := range members {
-		d.Log.Word(judge.Word{Node: o.node, Server: m.Index, State: states[m.Phase], At: at})
+		d.Log.AddNotification(judge.Notification{Node: o.node, Server: m.Index, State: states[m.Phase], At: at})
 	}
 	if !whole {
 		return
 	}
 	for _, ch := range d.changes {
 		if _, listed := d.members[ch.member.ID]; !listed {
-			d.Log.Word(judge.Word{Node: o.node, Server: ch.member.Index, State: judge.Gone, At: at})
+			d.Log.AddNotification(judge.Notification{Node: o.node, Server: ch.member.Index, State: judge.Gone, At: at})
 		}
 	}
 }
--- a/internal/lab/standin/fastcgi.go
+++ b/internal/lab/standin/fastcgi.go
@@ -7,8 +7,8 @@
 	"robincart/internal/protocol/fcgi"
 )
 
-// Asked is a request as an application gets it.
-type Asked struct {
+// ApplicationRequest is a request as an application gets it.
+type ApplicationRequest struct {
 	ID     uint16
 	Keep   bool
 	Params map[string]string
@@ -19,7 +19,7 @@
 // Application is a server that speaks FastCGI. What it writes is its handler's own, byte by byte, so that any fault can be made.
 type Application struct {
 	// Serve answers one request; false ends its connection.
-	Serve func(c net.Conn, q *Asked) bool
+	Serve func(c net.Conn, q *ApplicationRequest) bool
 
 	ln      net.Listener
 	mu      sync.Mutex
@@ -80,7 +80,7 @@
 func (s *Application) life(c net.Conn) {
 	r, a := &fcgi.Reader{}, &fcgi.Application{Limits: fcgi.Limits{MaxRequests: 16, MaxParams: 64 << 10}}
 	r.Init(c, make([]byte, 4096))
-	open := map[uint16]*Asked{}
+	open := map[uint16]*ApplicationRequest{}
 	for {
 		p, err := r.Next()
 		if err != nil {
@@ -92,7 +92,7 @@
 		}
 		switch e.Kind {
 		case fcgi.EventParams:
-			q := &Asked{ID: e.ID, Keep: e.Keep, Params: map[string]string{}}
+			q := &ApplicationRequest{ID: e.ID, Keep: e.Keep, Params: map[string]string{}}
 			for list := e.Params; len(list) > 0; {
 				var name, value []byte
 				name, value, list, _ = fcgi.Pair(list)
@@ -125,7 +125,7 @@
 }
 
 // Answered is a whole answer of an application.
-func (a *Asked) Answered(head, body string) []byte {
+func (a *ApplicationRequest) Answered(head, body string) []byte {
 	out := fcgi.AppendStream(nil, fcgi.TypeStdout, a.ID, []byte(head+"\r\n\r\n"+body))
 	return fcgi.AppendEnd(fcgi.AppendStreamEnd(out, fcgi.TypeStdout, a.ID), a.ID, 0, fcgi.StatusComplete)
 }
--- a/internal/lab/standin/front.go
+++ b/internal/lab/standin/front.go
@@ -11,9 +11,9 @@
 	"robincart/internal/lab/plan"
 )
 
-// Front deals out connections among the nodes that it believes in: it notices only after a while that one has died,
+// ClientBalancer deals out connections among the nodes that it believes in: it notices only after a while that one has died,
 // and takes it in again once it says that it is ready.
-type Front struct {
+type ClientBalancer struct {
 	Begin  time.Time
 	Notice time.Duration
 
@@ -23,16 +23,16 @@
 }
 
 type frontNode struct {
-	Dest    load.Dest
+	Dest    load.Destination
 	out     bool
 	excused []span // when it was killed or away by order
 }
 
 type span struct{ from, to time.Duration }
 
-// NewFront deals out connections to these.
-func NewFront(begin time.Time, notice time.Duration, nodes []load.Dest) *Front {
-	f := &Front{Begin: begin, Notice: notice}
+// NewClientBalancer deals out connections to these.
+func NewClientBalancer(begin time.Time, notice time.Duration, nodes []load.Destination) *ClientBalancer {
+	f := &ClientBalancer{Begin: begin, Notice: notice}
 	for _, d := range nodes {
 		f.nodes = append(f.nodes, frontNode{Dest: d})
 	}
@@ -40,7 +40,7 @@
 }
 
 // Choose deals nodes out in turn.
-func (f *Front) Choose(_ *plan.Arrival, _ []int32) (load.Dest, bool) {
+func (f *ClientBalancer) Choose(_ *plan.Arrival, _ []int32) (load.Destination, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	start := int(f.next.Add(1))
@@ -50,16 +50,16 @@
 		}
 	}
 	if len(f.nodes) == 0 {
-		return load.Dest{}, false
+		return load.Destination{}, false
 	}
 	return f.nodes[start%len(f.nodes)].Dest, true // nobody is left: a front deals them out all the same
 }
 
-// Ended is of no use to a front.
-func (f *Front) Ended(load.Dest, judge.End) {}
+// Done is of no use to a front.
+func (f *ClientBalancer) Done(load.Destination, judge.Outcome) {}
 
 // Killed notes that a node has been killed by order; the front learns of it later.
-func (f *Front) Killed(id int32) {
+func (f *ClientBalancer) Killed(id int32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.nodes {
@@ -77,7 +77,7 @@
 }
 
 // Leaving notes that a node is told to stop: the front goes on for a moment, then leaves it out.
-func (f *Front) Leaving(id int32) {
+func (f *ClientBalancer) Leaving(id int32) {
 	time.AfterFunc(300*time.Millisecond, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -90,7 +90,7 @@
 }
 
 // Back takes a node in again.
-func (f *Front) Back(id int32) {
+func (f *ClientBalancer) Back(id int32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.nodes {
@@ -104,7 +104,7 @@
 }
 
 // Excused tells whether a node was killed by order after that moment.
-func (f *Front) Excused(d load.Dest, since time.Duration) bool {
+func (f *ClientBalancer) Excused(d load.Destination, since time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.nodes {
--- a/internal/lab/standin/golden_test.go
+++ b/internal/lab/standin/golden_test.go
@@ -64,7 +64,7 @@
 		"settings":  map[string]any{"Stage": 1},
 	}
 	n := &Node{Name: "n7", Addr: "127.0.0.1:401", Dir: t.TempDir(), Config: config}
-	n.Knows(goldenMembers())
+	n.SetKnownServers(goldenMembers())
 	n.Configure(func(config map[string]any) { config["admin_addr"] = "127.0.0.1:403" })
 	require.NoError(t, n.Write())
 	written, err := os.ReadFile(filepath.Join(n.Dir, "n7.json"))
@@ -102,7 +102,7 @@
 // What servers answer: to a request, to one that they turn away, to one that no caller of the lab sent, and their
 // report.
 func TestServer_GoldenAnswers(t *testing.T) {
-	s := &Server{Kind: Kind{Cores: 1}, Index: 501, Log: &judge.Log{}, Begin: time.Now()}
+	s := &Server{Kind: Kind{Cores: 1}, Index: 501, Log: &judge.Ledger{}, Begin: time.Now()}
 	require.NoError(t, s.Start("127.0.0.1:0"))
 	defer s.Stop()
 	ask := func(request string) []byte {
--- a/internal/lab/standin/inner.go
+++ b/internal/lab/standin/inner.go
@@ -13,14 +13,14 @@
 	"robincart/internal/lab/wire"
 )
 
-// Caller is a server as the only client of its own node: to answer a request it calls the tier behind through it.
-type Caller struct {
+// InnerClient is a server as the only client of its own node: to answer a request it calls the tier behind through it.
+type InnerClient struct {
 	Node    int32
 	Addr    string
-	Log     *judge.Log
+	Log     *judge.Ledger
 	Begin   time.Time
 	Methods map[string]uint16
-	Repeats []judge.Repeat
+	Repeats []judge.Idempotency
 	Number  *atomic.Uint32 // of inner calls, one series a run
 	Slack   time.Duration
 	Excused func(since time.Duration) bool // the node was ended together with its server
@@ -36,9 +36,9 @@
 
 // Call makes one call and returns whether it ended ok. The call is a new request with a new id and what is left of
 // the time; its mark follows from the caller's, so that a repeat of the outer request repeats the inner ones.
-func (k *Caller) Call(q *wire.Request, n int, until time.Time) bool {
+func (k *InnerClient) Call(q *wire.Request, n int, until time.Time) bool {
 	method := q.Header.Get(wire.Method)
-	t := judge.Try{ID: judge.ID{Call: k.Number.Add(1), Inner: true}, Method: k.Methods[method], Node: k.Node}
+	t := judge.ClientAttempt{ID: judge.ID{Call: k.Number.Add(1), Inner: true}, Method: k.Methods[method], Node: k.Node}
 	t.Planned = time.Since(k.Begin)
 	t.Handed, t.Until = t.Planned, until.Sub(k.Begin)
 	left := time.Until(until)
@@ -47,8 +47,8 @@
 	}
 	c, err := k.take()
 	if err != nil {
-		t.Answered, t.End = time.Since(k.Begin), judge.Unreached
-		k.Log.Try(t)
+		t.Answered, t.Outcome = time.Since(k.Begin), judge.NotConnected
+		k.Log.AddAttempt(t)
 		return false
 	}
 	var b strings.Builder
@@ -75,22 +75,22 @@
 	t.Answered = time.Since(k.Begin)
 	switch {
 	case err != nil && k.Excused(t.Sent):
-		t.End = judge.Excused
+		t.Outcome = judge.Excused
 	case err != nil && time.Now().Before(until):
-		t.End = judge.Crossed
+		t.Outcome = judge.Crossed
 	case err != nil:
-		t.End, t.Answered = judge.Lost, t.Until
+		t.Outcome, t.Answered = judge.Lost, t.Until
 	case p.Status == 200:
-		t.End, t.Foreign = judge.OK, !strings.Contains(string(p.Body), id.String())
+		t.Outcome, t.Foreign = judge.OK, !strings.Contains(string(p.Body), id.String())
 	case p.Status == 503 || p.Status == 429:
-		t.End = judge.PushedBack
+		t.Outcome = judge.PushedBack
 	default:
-		t.End = judge.Aborted
+		t.Outcome = judge.Aborted
 	}
 	if err == nil && c.r.Buffered() > 0 {
 		t.Extra = 1
 	}
-	k.Log.Try(t)
+	k.Log.AddAttempt(t)
 	if err != nil || p.Close || t.Extra > 0 {
 		c.Close()
 	} else {
@@ -98,10 +98,10 @@
 		k.idle = append(k.idle, c)
 		k.mu.Unlock()
 	}
-	return t.End == judge.OK
+	return t.Outcome == judge.OK
 }
 
-func (k *Caller) take() (*innerConn, error) {
+func (k *InnerClient) take() (*innerConn, error) {
 	for {
 		k.mu.Lock()
 		n := len(k.idle)
@@ -126,7 +126,7 @@
 }
 
 // Close ends its connections.
-func (k *Caller) Close() {
+func (k *InnerClient) Close() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, c := range k.idle {
--- a/internal/lab/standin/rude.go
+++ b/internal/lab/standin/misbehaving.go
@@ -18,12 +18,12 @@
 	"robincart/internal/lab/wire"
 )
 
-// RudeClients misbehave at one node: they stop in the middle of a request and stay, connect and say nothing, send much at once and go, leave
+// MisbehavingClients misbehave at one node: they stop in the middle of a request and stay, connect and say nothing, send much at once and go, leave
 // early, ask several things at once on one connection, and ask with hardly any time left. What they ask is in the ledger like any other caller's.
-type RudeClients struct {
+type MisbehavingClients struct {
 	Begin   time.Time
-	Dest    load.Dest
-	Log     *judge.Log
+	Dest    load.Destination
+	Log     *judge.Ledger
 	Method  uint16 // idempotent
 	Name    string // the method's
 	Host    string
@@ -40,7 +40,7 @@
 const rudePause = 120 * time.Millisecond
 
 // Run goes on until the context ends, and waits for answers that are due.
-func (r *RudeClients) Run(ctx context.Context) {
+func (r *MisbehavingClients) Run(ctx context.Context) {
 	ways := []func(context.Context){r.Stall, r.mute, r.flood, r.leave, r.pipeline, r.hasty}
 	var all sync.WaitGroup
 	for _, way := range ways {
@@ -59,7 +59,7 @@
 	all.Wait()
 }
 
-func (r *RudeClients) dial() net.Conn {
+func (r *MisbehavingClients) dial() net.Conn {
 	c, err := net.DialTimeout("tcp", r.Dest.Addr, time.Second)
 	if err != nil {
 		return nil
@@ -67,19 +67,19 @@
 	return c
 }
 
-func (r *RudeClients) now() time.Duration { return time.Since(r.Begin) }
+func (r *MisbehavingClients) now() time.Duration { return time.Since(r.Begin) }
 
 // request is one, and its entry in the ledger.
-func (r *RudeClients) request(lasts, work time.Duration) (string, judge.Try) {
+func (r *MisbehavingClients) request(lasts, work time.Duration) (string, judge.ClientAttempt) {
 	id := judge.ID{Call: rudeCalls + r.Calls.Add(1)}
 	now := r.now()
-	t := judge.Try{ID: id, Method: r.Method, Node: r.Dest.Node, Planned: now, Handed: now, Sent: now, Until: now + lasts}
+	t := judge.ClientAttempt{ID: id, Method: r.Method, Node: r.Dest.Node, Planned: now, Handed: now, Sent: now, Until: now + lasts}
 	return fmt.Sprintf("GET /%s/rude?w=%.1f HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\n\r\n", r.Name, float64(work)/float64(time.Millisecond), r.Host,
 		wire.Trace, wire.ID{Call: id.Call}.String(), wire.Method, r.Name, wire.Tenant, r.Tenant, wire.Left, lasts.Milliseconds()), t
 }
 
 // Stall sends a part of a request and stays: it stops in the head, or in a body of up to half a megabyte.
-func (r *RudeClients) Stall(ctx context.Context) {
+func (r *MisbehavingClients) Stall(ctx context.Context) {
 	c := r.dial()
 	if c == nil {
 		return
@@ -96,12 +96,12 @@
 	stopped := r.now()
 	r.stay(ctx, c)
 	if ctx.Err() == nil {
-		r.Log.Stall(judge.Stall{Node: r.Dest.Node, Stopped: stopped, Ended: r.now()})
+		r.Log.AddStalledClient(judge.StalledClient{Node: r.Dest.Node, Stopped: stopped, Ended: r.now()})
 	}
 }
 
 // mute says nothing.
-func (r *RudeClients) mute(ctx context.Context) {
+func (r *MisbehavingClients) mute(ctx context.Context) {
 	if c := r.dial(); c != nil {
 		defer c.Close()
 		r.stay(ctx, c)
@@ -112,14 +112,14 @@
 const stayMost = 5 * time.Second
 
 // stay waits until something comes, or the connection ends.
-func (r *RudeClients) stay(ctx context.Context, c net.Conn) {
+func (r *MisbehavingClients) stay(ctx context.Context, c net.Conn) {
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	c.SetReadDeadline(time.Now().Add(stayMost))
 	c.Read(make([]byte, 512))
 }
 
 // flood sends much that is no request, and goes.
-func (r *RudeClients) flood(context.Context) {
+func (r *MisbehavingClients) flood(context.Context) {
 	c := r.dial()
 	if c == nil {
 		return
@@ -130,7 +130,7 @@
 }
 
 // leave asks and goes, sometimes at once, by an end or a reset.
-func (r *RudeClients) leave(context.Context) {
+func (r *MisbehavingClients) leave(context.Context) {
 	c := r.dial()
 	if c == nil {
 		return
@@ -143,21 +143,21 @@
 	} else {
 		c.Close()
 	}
-	t.End, t.Answered = judge.Left, r.now()
-	r.Log.Try(t)
+	t.Outcome, t.Answered = judge.ClientLeft, r.now()
+	r.Log.AddAttempt(t)
 }
 
 // pipelined is how many requests are sent at once on one connection.
 const pipelined = 4
 
 // pipeline sends several requests at once, each with little time, and reads the answers.
-func (r *RudeClients) pipeline(context.Context) {
+func (r *MisbehavingClients) pipeline(context.Context) {
 	c := r.dial()
 	if c == nil {
 		return
 	}
 	defer c.Close()
-	text, tries := "", []judge.Try{}
+	text, tries := "", []judge.ClientAttempt{}
 	for i := range pipelined {
 		one, t := r.request(time.Duration(500+400*i)*time.Millisecond, 200*time.Millisecond)
 		text += one
@@ -171,29 +171,29 @@
 	closed, broke := false, false
 	for i := range tries {
 		t := &tries[i]
-		t.End = judge.Crossed // the node may close behind an answer; whoever sent it on all the same owed an answer
+		t.Outcome = judge.Crossed // the node may close behind an answer; whoever sent it on all the same owed an answer
 		if !closed && !broke {
 			c.SetReadDeadline(r.Begin.Add(t.Until + r.Lasting))
 			p, err := wire.ReadResponse(in)
 			if broke = err != nil; broke {
-				if t.End = judge.Lost; i > 0 || r.metListenerClose(err, dialed) {
-					t.End = judge.Crossed
+				if t.Outcome = judge.Lost; i > 0 || r.metListenerClose(err, dialed) {
+					t.Outcome = judge.Crossed
 				}
 			} else {
 				closed = p.Close
-				t.End = rudeEnd(p.Status)
+				t.Outcome = rudeEnd(p.Status)
 			}
 		}
 		t.Answered = r.now()
-		if t.End >= judge.Lost && r.Excused(t.Sent) {
-			t.End = judge.Excused
+		if t.Outcome >= judge.Lost && r.Excused(t.Sent) {
+			t.Outcome = judge.Excused
 		}
-		r.Log.Try(*t)
+		r.Log.AddAttempt(*t)
 	}
 }
 
 // hasty asks with hardly any time left.
-func (r *RudeClients) hasty(context.Context) {
+func (r *MisbehavingClients) hasty(context.Context) {
 	c := r.dial()
 	if c == nil {
 		return
@@ -209,18 +209,18 @@
 	t.Answered = r.now()
 	switch {
 	case err == nil:
-		t.End = rudeEnd(p.Status)
+		t.Outcome = rudeEnd(p.Status)
 	case r.Excused(t.Sent):
-		t.End = judge.Excused
+		t.Outcome = judge.Excused
 	case r.metListenerClose(err, dialed):
-		t.End = judge.Crossed
+		t.Outcome = judge.Crossed
 	default:
-		t.End = judge.Lost
+		t.Outcome = judge.Lost
 	}
-	r.Log.Try(t)
+	r.Log.AddAttempt(t)
 }
 
-func rudeEnd(status int) judge.End {
+func rudeEnd(status int) judge.Outcome {
 	switch status {
 	case 200:
 		return judge.OK
@@ -237,7 +237,7 @@
 // queue. A node takes what is queued before it closes, but no system call does both at once: what the kernel queues in
 // between is reset unread, and a request that was never read is not lost by the operators' terms. The judge still counts
 // it as lost if a server got it.
-func (r *RudeClients) metListenerClose(err error, dialed time.Time) bool {
+func (r *MisbehavingClients) metListenerClose(err error, dialed time.Time) bool {
 	if !errors.Is(err, syscall.ECONNRESET) || time.Since(dialed) > listenerCloseWindow {
 		return false
 	}
--- a/internal/lab/standin/rude_test.go
+++ b/internal/lab/standin/misbehaving_test.go
@@ -24,18 +24,18 @@
 	for _, c := range []struct {
 		name string
 		node func(net.Listener)
-		end  judge.End
+		end  judge.Outcome
 	}{
 		{"listener closed with the connection in its queue", closeListener, judge.Crossed},
 		{"connection closed while the listener stays", acceptAndReset(false, 0), judge.Lost},
 		{"connection closed long after its connect, and the listener too", acceptAndReset(true, 2*listenerCloseWindow), judge.Lost},
 	} {
-		for kind, play := range map[string]func(*RudeClients, context.Context){"hasty": (*RudeClients).hasty, "pipeline": (*RudeClients).pipeline} {
+		for kind, play := range map[string]func(*MisbehavingClients, context.Context){"hasty": (*MisbehavingClients).hasty, "pipeline": (*MisbehavingClients).pipeline} {
 			t.Run(c.name+"/"+kind, func(t *testing.T) {
 				t.Parallel()
 				ln := listenDeferred(t)
-				log := &judge.Log{}
-				r := &RudeClients{Begin: time.Now(), Dest: load.Dest{Addr: ln.Addr().String()}, Log: log, Calls: &atomic.Uint32{},
+				log := &judge.Ledger{}
+				r := &MisbehavingClients{Begin: time.Now(), Dest: load.Destination{Addr: ln.Addr().String()}, Log: log, Calls: &atomic.Uint32{},
 					Excused: func(time.Duration) bool { return false }, Lasting: 5 * time.Second}
 				done := make(chan struct{})
 				go func() {
@@ -45,8 +45,8 @@
 				awaitQueued(t, ln)
 				c.node(ln)
 				<-done
-				ends := map[judge.ID]judge.End{}
-				log.Tries(func(try judge.Try) { ends[try.ID] = try.End })
+				ends := map[judge.ID]judge.Outcome{}
+				log.EachAttempt(func(try judge.ClientAttempt) { ends[try.ID] = try.Outcome })
 				require.Contains(t, ends, judge.ID{Call: rudeCalls + 1})
 				assert.Equal(t, c.end, ends[judge.ID{Call: rudeCalls + 1}], "its first request")
 			})
--- a/internal/lab/standin/node.go
+++ b/internal/lab/standin/node.go
@@ -24,16 +24,16 @@
 
 // Node is a real node as a process of its own.
 type Node struct {
-	Name    string
-	Addr    string
-	Program string
-	Wrap    []string       // a command that runs the program, with what it is started with behind
-	Env     []string       // beside this process's own
-	Config  map[string]any // of the platform's form; listen and name are set here
-	Text    string         // instead of it: an operator's file
-	Dir     string         // its configuration and its log
-	Held    *os.File       // its callers' listener, which all its processes share; nil: each has its own
-	Admin   bool           // it has an operators' address, a new one with each process
+	Name     string
+	Addr     string
+	Program  string
+	Wrap     []string       // a command that runs the program, with what it is started with behind
+	Env      []string       // beside this process's own
+	Config   map[string]any // of the platform's form; listen and name are set here
+	Text     string         // instead of it: an operator's file
+	Dir      string         // its configuration and its log
+	Listener *os.File       // its callers' listener, which all its processes share; nil: each has its own
+	Admin    bool           // it has an operators' address, a new one with each process
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
@@ -83,8 +83,8 @@
 	return 0
 }
 
-// Knows sets the servers that the next process has from before its start.
-func (n *Node) Knows(members []Member) {
+// SetKnownServers sets the servers that the next process has from before its start.
+func (n *Node) SetKnownServers(members []Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.Text == "" {
@@ -264,8 +264,8 @@
 	if n.Text != "" {
 		cmd.Args = append(cmd.Args, "--config", filepath.Join(n.Dir, n.Name+".toml"))
 	}
-	if n.Held != nil {
-		cmd.ExtraFiles = []*os.File{n.Held}
+	if n.Listener != nil {
+		cmd.ExtraFiles = []*os.File{n.Listener}
 		cmd.Env = append(cmd.Env, "EDGE_ACCEPT_FD=3")
 	}
 	cmd.Stdout, cmd.Stderr = log, log
@@ -401,8 +401,8 @@
 	return nil
 }
 
-// Use is the CPU time that the node's processes have taken and the most memory that one held, both so far.
-func (n *Node) Use() (cpu time.Duration, rss int64) {
+// Usage is the CPU time that the node's processes have taken and the most memory that one held, both so far.
+func (n *Node) Usage() (cpu time.Duration, rss int64) {
 	n.mu.Lock()
 	cmd, cpu, rss := n.cmd, n.cpu, n.rss
 	n.mu.Unlock()
--- a/internal/lab/standin/rogue.go
+++ b/internal/lab/standin/rogue.go
@@ -12,14 +12,14 @@
 	"robincart/internal/lab/wire"
 )
 
-// Rogue is a node made wrong on purpose, one rule at a time, so that the judge can be shown to find it. Without a crime
+// BypassingNode is a node made wrong on purpose, one rule at a time, so that the judge can be shown to find it. Without a crime
 // it is the simplest node that keeps the rules: one pick at a server of the list, one answer.
-type Rogue struct {
+type BypassingNode struct {
 	Crime string // a rule of the judge; "" for none
 	Every int    // it sins at every so manieth request
 
 	Discovery *Discovery
-	Door      *Door
+	Door      *DiscoveryListener
 	Grace     time.Duration
 
 	mu    sync.Mutex
@@ -32,7 +32,7 @@
 }
 
 // Start serves at a loopback address and watches discovery, whatever it makes of it.
-func (r *Rogue) Start(addr string) (string, error) {
+func (r *BypassingNode) Start(addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
@@ -67,7 +67,7 @@
 }
 
 // Stop ends it.
-func (r *Rogue) Stop() {
+func (r *BypassingNode) Stop() {
 	r.ln.Close()
 	r.watch.Close()
 	r.mu.Lock()
@@ -77,7 +77,7 @@
 	}
 }
 
-func (r *Rogue) serve(c net.Conn) {
+func (r *BypassingNode) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -102,7 +102,7 @@
 const requestMost = 2 * time.Second
 
 // choose takes the servers in turn; sinner tells whether this request is one to sin at.
-func (r *Rogue) choose(cold bool) (m Member, sinner bool) {
+func (r *BypassingNode) choose(cold bool) (m Member, sinner bool) {
 	_, list := r.Discovery.List()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +139,7 @@
 const toldMore = 5 * time.Second
 
 // forward makes one pick, for as long as a caller waits.
-func (r *Rogue) forward(m Member, q *wire.Request, until time.Time) (*wire.Response, error) {
+func (r *BypassingNode) forward(m Member, q *wire.Request, until time.Time) (*wire.Response, error) {
 	c, err := net.DialTimeout("tcp", m.Addr, time.Second)
 	if err != nil {
 		return nil, err
@@ -161,7 +161,7 @@
 	return wire.ReadResponse(bufio.NewReader(c))
 }
 
-func (r *Rogue) request(c net.Conn, q *wire.Request) bool {
+func (r *BypassingNode) request(c net.Conn, q *wire.Request) bool {
 	came := time.Now()
 	if strings.HasPrefix(q.Path, "/health/") {
 		c.Write(wire.Answer(nil, 200, "", nil))
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -35,8 +35,8 @@
 	Cancels      bool // work of a caller that has gone is dropped; else it is done all the same
 }
 
-// Marks drops repeats: which deduplicated calls have had their effect, and when. Servers of one group share it.
-type Marks struct {
+// IdempotencyKeys drops repeats: which deduplicated calls have had their effect, and when. Servers of one group share it.
+type IdempotencyKeys struct {
 	Window time.Duration
 	mu     sync.Mutex
 	seen   map[string]time.Time
@@ -44,7 +44,7 @@
 }
 
 // First tells whether a mark is new within the window, and notes it.
-func (m *Marks) First(mark string) bool {
+func (m *IdempotencyKeys) First(mark string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -73,8 +73,8 @@
 type Server struct {
 	Kind
 	Index     int32
-	Marks     map[string]*Marks // by method; a method without one runs each request
-	Log       *judge.Log
+	Marks     map[string]*IdempotencyKeys // by method; a method without one runs each request
+	Log       *judge.Ledger
 	Begin     time.Time // the run's start
 	Calls     int       // to the tier behind, one after another
 	Behind    Next
@@ -348,7 +348,7 @@
 		return true
 	}
 	came := time.Now()
-	p := judge.Pick{ID: judge.ID{Call: id.Call, Inner: id.Inner, N: id.Try}, Server: s.Index, First: first.Sub(s.Begin)}
+	p := judge.ServerRequest{ID: judge.ID{Call: id.Call, Inner: id.Inner, N: id.Try}, Server: s.Index, First: first.Sub(s.Begin)}
 	p.Start = came.Sub(s.Begin)
 	p.End = p.Start
 	if q.Header.Get(wire.Left) != "" {
@@ -356,7 +356,7 @@
 	}
 	log := func() {
 		if s.Log != nil && known {
-			s.Log.Pick(p)
+			s.Log.AddServerRequest(p)
 		}
 	}
 	work, _ := strconv.ParseFloat(q.Query("w"), 64)
@@ -443,7 +443,7 @@
 
 // work waits for a core and does the work by sleeping on it: cores here are time, not cycles, so that many servers fit
 // on one machine. It returns false for what was turned away (Ran is false) or dropped for a caller that has gone.
-func (s *Server) work(c net.Conn, q *wire.Request, p *judge.Pick, work, wait float64) bool {
+func (s *Server) work(c net.Conn, q *wire.Request, p *judge.ServerRequest, work, wait float64) bool {
 	if work <= 0 && wait <= 0 {
 		p.Ran, p.Effect = true, s.effect(q)
 		return true
@@ -528,7 +528,7 @@
 	s.mu.Unlock()
 	if over {
 		if s.Log != nil {
-			s.Log.Fall(judge.Fall{Server: s.Index, Up: up.Sub(s.Begin), At: now.Sub(s.Begin), Window: s.FallFor})
+			s.Log.AddOverload(judge.Overload{Server: s.Index, Up: up.Sub(s.Begin), At: now.Sub(s.Begin), Window: s.FallFor})
 		}
 		s.Refuse()
 	}
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -56,7 +56,7 @@
 	lines.Buffer(make([]byte, 4096), mostLine)
 	var head []string
 	var out []plan.Arrival
-	draw := plan.Source(names.Seed, "trace")
+	draw := plan.NewSource(names.Seed, "trace")
 	for n := 1; lines.Scan(); n++ {
 		text := bytes.TrimSpace(lines.Bytes())
 		if len(text) == 0 {
@@ -95,8 +95,8 @@
 				a.Wait = float32(k[a.Method].Wait.Draw(draw))
 			}
 		}
-		if out = append(out, a); len(out) > plan.MostArrivals {
-			return nil, fmt.Errorf("line %d: more than %d requests", n, plan.MostArrivals)
+		if out = append(out, a); len(out) > plan.MaxArrivals {
+			return nil, fmt.Errorf("line %d: more than %d requests", n, plan.MaxArrivals)
 		}
 	}
 	if err := lines.Err(); err != nil {
