--- a/decide/choice_test.go
+++ b/decide/choice_test.go
@@ -21,46 +21,46 @@
 			s := servers[rapid.IntRange(0, n-1).Draw(t, "server")]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				h.b.UpdateEndpoints([]EndpointUpdate{{Server: s, State: State(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1 + float64(len(s.pending)), StartedAt: h.now}}, false)
+				h.b.UpdateEndpoints([]EndpointUpdate{{Server: s, State: State(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1 + float64(len(s.inFlight)), StartedAt: h.now}}, false)
 			case 1, 2, 3:
 				h.arrive(rapid.IntRange(0, 3).Draw(t, "method"))
 			default:
 				if len(h.sent) > 0 {
-					if p := h.sent[rapid.IntRange(0, len(h.sent)-1).Draw(t, "pick")]; p.out {
+					if p := h.sent[rapid.IntRange(0, len(h.sent)-1).Draw(t, "pick")]; p.inFlight {
 						h.done(p, rapid.SampledFrom([]Result{OK, OK, OK, Failed, Rejected, Reset, ConnectFailed, TimedOut}).Draw(t, "result"))
 					}
 				}
 			}
 			near := map[*Server]bool{}
-			for _, s := range h.b.near {
-				assert.True(t, s.near && s.state == Ready && !near[s])
+			for _, s := range h.b.subset {
+				assert.True(t, s.inSubset && s.state == Ready && !near[s])
 				assert.Contains(t, h.b.servers, s)
 				near[s] = true
 			}
 			for _, s := range h.b.servers {
-				assert.Equal(t, near[s], s.near)
+				assert.Equal(t, near[s], s.inSubset)
 			}
 			assert.LessOrEqual(t, len(near), n)
 			r := &RPC{Method: rapid.IntRange(0, 3).Draw(t, "asked"), Deadline: h.now + 6}
 			if open := rapid.IntRange(0, 3).Draw(t, "again"); open == 0 && len(h.sent) > 0 {
 				r = h.last().RPC
 			} else {
-				r.rules = h.b.methods[r.Method].rules
-				r.early = 1
-				h.b.begin(r, h.now)
+				r.rules = h.b.methods[r.Method].methodRules
+				r.admissionShare = 1
+				h.b.startClock(r, h.now)
 			}
-			s = h.b.choose(r, h.now)
+			s = h.b.chooseServer(r, h.now)
 			if s == nil {
 				continue
 			}
 			picks++
 			assert.Equal(t, Ready, s.state)
-			assert.False(t, r.met(s, true))
-			assert.True(t, r.ran == nil || r.rules.within(s, r.ran.Server))
-			for _, o := range h.b.near {
-				sound := h.now >= o.ejected && o.strikes < ejectAfter && !r.met(o, false) && h.b.cold(o, h.now) == 1
-				if sound && (r.ran == nil || r.rules.within(o, r.ran.Server)) {
-					assert.GreaterOrEqual(t, h.now, s.ejected, "an ejected one while a neighbour is sound")
+			assert.False(t, r.attempted(s, true))
+			assert.True(t, r.firstMayHaveRun == nil || r.rules.inDedupScope(s, r.firstMayHaveRun.Server))
+			for _, o := range h.b.subset {
+				sound := h.now >= o.ejectedUntil && o.failuresInRow < ejectAfter && !r.attempted(o, false) && h.b.warmFraction(o, h.now) == 1
+				if sound && (r.firstMayHaveRun == nil || r.rules.inDedupScope(o, r.firstMayHaveRun.Server)) {
+					assert.GreaterOrEqual(t, h.now, s.ejectedUntil, "an ejected one while a neighbour is sound")
 				}
 			}
 		}
@@ -90,12 +90,12 @@
 	}
 	assert.Greater(t, n, 900)
 	for _, s := range servers[3:] { // all but three cannot be used
-		s.ejected = h.now + 1000
+		s.ejectedUntil = h.now + 1000
 	}
 	for range 50 {
 		r := h.arrive(lookup)
 		assert.Contains(t, servers[:3], h.last().Server)
-		h.done(r.picks[0], OK)
+		h.done(r.attempts[0], OK)
 	}
 }
 
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -109,7 +109,7 @@
 		return
 	}
 	p.HostData = true
-	f.b.AttemptDone(p, res, res == OK || !p.RPC.open, f.f.now-p.sent, nil)
+	f.b.AttemptDone(p, res, res == OK || !p.RPC.open, f.f.now-p.sentAt, nil)
 }
 
 func (f *fleet) start(seed int64) *fleetNode {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -70,8 +70,8 @@
 	assert.Len(t, h.sent, n)
 	assert.Len(t, h.pushed, 1)
 	assert.Empty(t, h.aborted)
-	assert.Zero(t, h.b.open)
-	assert.Zero(t, h.b.out)
+	assert.Zero(t, h.b.openRPCs)
+	assert.Zero(t, h.b.attemptsInFlight)
 }
 
 func TestDrainingServerGetsNothingNew(t *testing.T) {
@@ -161,14 +161,14 @@
 		h.arrive(lookup)
 		h.until(h.now + 0.1)
 		for _, p := range h.sent {
-			if p.out && p.Server != s[0] {
+			if p.inFlight && p.Server != s[0] {
 				h.done(p, OK)
 			}
 		}
 	}
 	stuck := 0
 	for _, p := range h.sent {
-		if p.out {
+		if p.inFlight {
 			stuck++
 		}
 	}
@@ -181,7 +181,7 @@
 	end := f.now + seconds
 	for f.now < end {
 		for _, p := range f.sent {
-			if d := took(p.Server); p.out && d >= 0 && f.now-p.sent >= d {
+			if d := took(p.Server); p.inFlight && d >= 0 && f.now-p.sentAt >= d {
 				f.done(p, OK)
 			}
 		}
@@ -192,7 +192,7 @@
 		}
 		f.until(f.now + gap)
 		for _, p := range f.cancels {
-			if p.out {
+			if p.inFlight {
 				f.done(p, Canceled)
 			}
 		}
@@ -232,8 +232,8 @@
 		h.arrive(lookup)
 		h.until(h.now + 2.6)
 	}
-	assert.Positive(t, s[0].strikes+s[1].strikes)
-	assert.Greater(t, max(s[0].ejected, s[1].ejected), 0.0)
+	assert.Positive(t, s[0].failuresInRow+s[1].failuresInRow)
+	assert.Greater(t, max(s[0].ejectedUntil, s[1].ejectedUntil), 0.0)
 }
 
 func TestBurstIsPushedBackBeforeTheFirstLateAnswer(t *testing.T) {
@@ -247,9 +247,9 @@
 func TestSlowdownOfAllServersDoesNotIdleThem(t *testing.T) {
 	h, _ := story(4, nil)
 	h.load(20, 0.05, always(0.5))
-	usual := h.b.usual
+	usual := h.b.usualHeld
 	h.load(20, 0.05, always(2.2))
-	assert.GreaterOrEqual(t, h.b.room, usual*0.2)
+	assert.GreaterOrEqual(t, h.b.concurrencyLimit, usual*0.2)
 	assert.NotEmpty(t, h.pushed)
 }
 
@@ -267,7 +267,7 @@
 		}
 		h.until(h.now + 0.02)
 		for _, p := range h.sent {
-			if p.out && h.now-p.sent >= 1.2 {
+			if p.inFlight && h.now-p.sentAt >= 1.2 {
 				h.done(p, OK)
 			}
 		}
@@ -290,9 +290,9 @@
 		h.arrive(i % 3)
 		h.until(h.now + 0.01)
 		for _, p := range h.sent {
-			if p.out && p.Server == s[0] {
+			if p.inFlight && p.Server == s[0] {
 				h.done(p, Failed)
-			} else if p.out {
+			} else if p.inFlight {
 				h.done(p, OK)
 			}
 		}
@@ -350,7 +350,7 @@
 		h, _ := seeded(seed, n/4, func(s *Settings) { s.Instances, s.Tenants = n, []Tenant{{Quota: float64(n)}} })
 		h.now += float64(seed%10) * gap / 10
 		more, back := h.load(seconds, gap, took)
-		taken, pushed, held = taken+more, pushed+back, held+h.b.open
+		taken, pushed, held = taken+more, pushed+back, held+h.b.openRPCs
 	}
 	return held, pushed, taken
 }
@@ -372,7 +372,7 @@
 			}
 			h.until(h.now + 0.05)
 			for _, p := range h.sent {
-				if p.out && h.now-p.sent >= 0.9 {
+				if p.inFlight && h.now-p.sentAt >= 0.9 {
 					h.done(p, OK)
 				}
 			}
@@ -384,11 +384,11 @@
 
 func TestOneRPCOfASmallTenantIsNotBeyondItsQuota(t *testing.T) {
 	h, _ := story(4, func(s *Settings) { s.Instances, s.OverQuotaWeight, s.Tenants = 300, 0.1, []Tenant{{Quota: 15}} })
-	assert.Equal(t, 1.0, h.arrive(lookup).early)
+	assert.Equal(t, 1.0, h.arrive(lookup).admissionShare)
 	for range 5 {
 		h.arrive(lookup)
 	}
-	assert.Less(t, h.arrive(lookup).early, 1.0)
+	assert.Less(t, h.arrive(lookup).admissionShare, 1.0)
 }
 
 func TestServerNotKnownIsNoBetterThanOneKnownGood(t *testing.T) {
@@ -413,15 +413,15 @@
 		h.arrive(lookup)
 		h.until(h.now + 2.6)
 	}
-	assert.Greater(t, h.b.waited(h.now), goal)
+	assert.Greater(t, h.b.meanWait(h.now), waitGoal)
 }
 
 func TestColdServerKeepsItsPartWhileWarmOnesJam(t *testing.T) {
 	h, _ := story(3, nil)
 	h.warmUp(400, always(0.1))
-	calm := h.b.unit(h.now)
+	calm := h.b.warmServerRate(h.now)
 	h.until(h.now + 8)
-	assert.Greater(t, h.b.unit(h.now), calm*0.8, "the jammed ones' rate would leave it idle beside them")
+	assert.Greater(t, h.b.warmServerRate(h.now), calm*0.8, "the jammed ones' rate would leave it idle beside them")
 }
 
 func TestAnsweringServersPickGetsNoCopy(t *testing.T) {
@@ -432,9 +432,9 @@
 	before := len(h.sent)
 	for range 10 {
 		h.until(h.now + 0.1)
-		s[0].heard, s[1].heard = h.now, h.now
+		s[0].lastAnswerAt, s[1].lastAnswerAt = h.now, h.now
 	}
-	assert.True(t, slow.out)
+	assert.True(t, slow.inFlight)
 	assert.Len(t, h.sent, before, "the copy would only double the work of a long RPC")
 }
 
@@ -456,10 +456,10 @@
 	h.b.UpdateEndpoints(nil, false)
 	assert.ElementsMatch(t, s, h.b.servers)
 	kept := 0
-	for _, r := range h.b.rows {
-		kept += r.n
+	for _, r := range h.b.qRows {
+		kept += r.count
 	}
-	assert.LessOrEqual(t, kept, len(s)*len(h.b.rows), "nor do their entries count in the means")
+	assert.LessOrEqual(t, kept, len(s)*len(h.b.qRows), "nor do their entries count in the means")
 	h.b.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Gone, Weight: 1}}, false)
 	h.b.UpdateEndpoints([]EndpointUpdate{ready(s[0], 0)}, false)
 	assert.Len(t, h.b.servers, 2, "one that comes back starts anew")
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -3,51 +3,51 @@
 // Outlier ejection: failures in a row, servers that fall silent, idle connections that are not to be trusted.
 
 const (
-	ejectAfter = 3   // failures in a row that eject a server
-	ejectMin   = 1.0 // first ejection, in seconds; doubles while trials fail
-	ejectMax   = 8.0
-	idleHalf   = 10.0 // seconds in which an idle time that was too long is tried twice as long
-	idleSafety = 0.7  // of an idle time that was too long
+	ejectAfter      = 3   // failures in a row that eject a server
+	minEjectionTime = 1.0 // first ejection, in seconds; doubles while trials fail
+	maxEjectionTime = 8.0
+	idleHalfLife    = 10.0 // seconds in which an idle time that was too long is tried twice as long
+	idleSafety      = 0.7  // of an idle time that was too long
 )
 
-// fault counts a failure against its server and ejects one that only fails. The entries alone would send
+// recordFailure counts a failure against its server and ejects one that only fails. The entries alone would send
 // each method and tenant into the same fault once more.
-func (b *Balancer) fault(p *Attempt, now float64) {
+func (b *Balancer) recordFailure(p *Attempt, now float64) {
 	s := p.Server
-	b.pay(p, paceCap*p.due, now)
+	b.recordPace(p, maxPaceSample*p.expectedLatency, now)
 	b.learn(p, p.RPC.rules.Deadline, true, now)
-	if s.strikes++; s.strikes >= ejectAfter && now >= s.ejected {
-		s.backoff = min(max(ejectMin, 2*s.backoff), ejectMax)
-		s.ejected = now + s.backoff
+	if s.failuresInRow++; s.failuresInRow >= ejectAfter && now >= s.ejectedUntil {
+		s.ejectionTime = min(max(minEjectionTime, 2*s.ejectionTime), maxEjectionTime)
+		s.ejectedUntil = now + s.ejectionTime
 	}
 }
 
-// silence is a fault of a pick's server. Where idle connections are dropped unseen, no word since it was sent
+// recordSilence is a fault of a pick's server. Where idle connections are dropped unseen, no word since it was sent
 // says nothing of the server: two servers mute after an idle time tell how long is too long.
-func (b *Balancer) silence(p *Attempt, now float64) {
+func (b *Balancer) recordSilence(p *Attempt, now float64) {
 	s := p.Server
-	b.fault(p, now)
-	if s.heard >= p.sent || p.idle <= b.idleOK.read(now, idleHalf) {
+	b.recordFailure(p, now)
+	if s.lastAnswerAt >= p.sentAt || p.connectionIdle <= b.longestGoodIdle.read(now, idleHalfLife) {
 		return
 	}
-	s.dead, s.linked = true, false
-	if b.mute != nil && b.mute != s && now < b.muteAt+othersHalf {
-		b.idleMost = max(idleSafety*p.idle, b.idleOK.sum)
-		b.idleAt = now
+	s.idleConnBroken, s.connected = true, false
+	if b.lastSilentServer != nil && b.lastSilentServer != s && now < b.lastSilentAt+fleetPaceHalfLife {
+		b.maxIdle = max(idleSafety*p.connectionIdle, b.longestGoodIdle.sum)
+		b.maxIdleAt = now
 	}
-	b.mute, b.muteAt = s, now
+	b.lastSilentServer, b.lastSilentAt = s, now
 }
 
-// overtake counts a late pick before its end, by its age, or as a failure if its server is silent since.
-func (b *Balancer) overtake(p *Attempt, now float64) {
-	if p.charged || p.RPC.BodyPending || now-p.sent < p.late*0.99 {
+// recordLateness counts a late pick before its end, by its age, or as a failure if its server is silent since.
+func (b *Balancer) recordLateness(p *Attempt, now float64) {
+	if p.countedLate || p.RPC.BodyPending || now-p.sentAt < p.lateAfter*0.99 {
 		return
 	}
-	p.charged = true
-	if p.Server.heard < p.sent {
-		b.silence(p, now)
+	p.countedLate = true
+	if p.Server.lastAnswerAt < p.sentAt {
+		b.recordSilence(p, now)
 		return
 	}
-	b.pay(p, min(now-p.sent, paceCap*p.due), now)
-	b.learn(p, now-p.sent, false, now)
+	b.recordPace(p, min(now-p.sentAt, maxPaceSample*p.expectedLatency), now)
+	b.learn(p, now-p.sentAt, false, now)
 }
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -56,7 +56,7 @@
 
 // done ends a pick; an ok or an earlier end closes its RPC, as on the wire.
 func (f *fakeHost) done(p *Attempt, res Result) {
-	f.b.AttemptDone(p, res, res == OK || !p.RPC.open, f.now-p.sent, nil)
+	f.b.AttemptDone(p, res, res == OK || !p.RPC.open, f.now-p.sentAt, nil)
 }
 
 func ready(s *Server, zone int) EndpointUpdate {
@@ -103,11 +103,11 @@
 		p := f.last()
 		got[p.Server]++
 		f.until(f.now + took(p.Server))
-		if p.out {
+		if p.inFlight {
 			f.done(p, OK)
 		}
 		for _, c := range f.cancels { // a copy of it
-			if c.out {
+			if c.inFlight {
 				f.done(c, Canceled)
 			}
 		}
--- a/decide/host.go
+++ b/decide/host.go
@@ -130,7 +130,7 @@
 // Server is one server of the tier below. One that has gone and has no pick out is forgotten.
 type Server struct {
 	HostData any // the host's own
-	server
+	serverState
 }
 
 // RPC is one request that the instance has taken and owes an answer.
@@ -142,7 +142,7 @@
 	Retry       bool    // the client says that it has asked before
 	BodyPending bool    // its body is still on its way, through its pick: its time begins with Balancer.Came
 	HostData    any     // the host's own
-	rpc
+	rpcState
 }
 
 // Attempt is one attempt of an RPC at a server.
@@ -150,5 +150,5 @@
 	RPC      *RPC
 	Server   *Server
 	HostData any // the host's own
-	pick
+	attemptState
 }
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -7,49 +7,49 @@
 	"slices"
 )
 
-type watchAgain struct{ turn int }
+type watchTimer struct{ id int }
 
 // UpdateEndpoints takes news of the servers; a full list also tells which have left.
 func (b *Balancer) UpdateEndpoints(list []EndpointUpdate, full bool) {
 	now := b.host.Now()
-	b.list++
+	b.listVersion++
 	for _, l := range list {
 		s := l.Server
 		if s.entries == nil {
-			s.entries = make([]entry, len(b.rows))
+			s.entries = make([]qEntry, len(b.qRows))
 			b.servers = append(b.servers, s)
 			b.restart(s, now)
-		} else if l.StartedAt > s.cameUp {
+		} else if l.StartedAt > s.startedAt {
 			b.restart(s, now)
 		}
-		s.state, s.zone, s.cell, s.weight, s.cameUp = l.State, l.Zone, l.Cell, max(l.Weight, 0.01), l.StartedAt
-		s.seen = b.list
+		s.state, s.zone, s.cell, s.weight, s.startedAt = l.State, l.Zone, l.Cell, max(l.Weight, 0.01), l.StartedAt
+		s.listVersion = b.listVersion
 	}
-	b.near = slices.DeleteFunc(b.near, func(s *Server) bool {
-		s.near = s.state == Ready && (!full || s.seen == b.list)
-		return !s.near
+	b.subset = slices.DeleteFunc(b.subset, func(s *Server) bool {
+		s.inSubset = s.state == Ready && (!full || s.listVersion == b.listVersion)
+		return !s.inSubset
 	})
-	b.ready, b.weight = 0, 0
+	b.readyServers, b.meanWeight = 0, 0
 	b.servers = slices.DeleteFunc(b.servers, func(s *Server) bool {
-		if full && s.seen != b.list {
+		if full && s.listVersion != b.listVersion {
 			s.state = Gone
 		}
 		if s.state == Ready {
-			b.ready++
-			b.weight += s.weight
+			b.readyServers++
+			b.meanWeight += s.weight
 		}
 		// What has left and has nothing out is forgotten, else a day of deploys would fill the memory.
-		left := s.state == Gone && len(s.pending) == 0
+		left := s.state == Gone && len(s.inFlight) == 0
 		if left {
 			b.restart(s, now)
 			s.entries = nil
 		}
 		return left
 	})
-	b.weight /= float64(max(1, b.ready))
-	if b.room == 0 {
-		b.room, b.base, b.baseAt = 5*b.roomFloor(), goal, b.host.Now()
-		b.usual = b.room / maxRoom
+	b.meanWeight /= float64(max(1, b.readyServers))
+	if b.concurrencyLimit == 0 {
+		b.concurrencyLimit, b.baseWait, b.baseWaitAt = 5*b.minConcurrencyLimit(), waitGoal, b.host.Now()
+		b.usualHeld = b.concurrencyLimit / maxLimitFactor
 	}
 }
 
@@ -58,7 +58,7 @@
 	for i := range s.entries {
 		b.forget(s, i)
 	}
-	s.cost, s.due, s.strikes, s.ejected, s.backoff, s.othersAt = decaying{}, decaying{}, 0, 0, 0, math.Inf(-1)
+	s.observedLatency, s.expectedLatency, s.failuresInRow, s.ejectedUntil, s.ejectionTime, s.reportedAt = decayingSum{}, decayingSum{}, 0, 0, 0, math.Inf(-1)
 	// All nodes hear of the start at once: a random part of a token keeps their first picks apart.
 	s.tokens, s.tokensAt = b.rng.Float64(), now
 }
@@ -71,6 +71,6 @@
 		b.watchBackoff = 0
 	}
 	b.watchBackoff = min(max(0.25, b.watchBackoff*2), 4)
-	b.watchTurn++
-	b.host.StartTimer(min(max(1.5*b.watchBackoff, least), most)*(1+2*b.rng.Float64())/3, watchAgain{b.watchTurn})
+	b.watchTimerID++
+	b.host.StartTimer(min(max(1.5*b.watchBackoff, least), most)*(1+2*b.rng.Float64())/3, watchTimer{b.watchTimerID})
 }
--- a/decide/neighbours_test.go
+++ b/decide/neighbours_test.go
@@ -18,19 +18,19 @@
 		}
 	}
 	assert.Greater(t, few, 300, "most picks go to servers met often: %d met", len(got))
-	assert.LessOrEqual(t, len(h.b.near), 8)
+	assert.LessOrEqual(t, len(h.b.subset), 8)
 	// An ejected one leaves first, however low its estimate. The tidied join had looked at estimates alone.
-	ill, r := h.b.near[0], &RPC{}
-	ill.ejected, r.rules = h.now+5, h.b.methods[lookup].rules
+	ill, r := h.b.subset[0], &RPC{}
+	ill.ejectedUntil, r.rules = h.now+5, h.b.methods[lookup].methodRules
 	for range 6 {
-		h.b.join(r, s[slices.IndexFunc(s, func(x *Server) bool { return !x.near })], 0.1, h.now)
+		h.b.addToSubset(r, s[slices.IndexFunc(s, func(x *Server) bool { return !x.inSubset })], 0.1, h.now)
 	}
-	assert.False(t, ill.near)
+	assert.False(t, ill.inSubset)
 	// What drains makes room at once.
-	first := h.b.near[0]
+	first := h.b.subset[0]
 	h.b.UpdateEndpoints([]EndpointUpdate{{Server: first, State: Draining, Weight: 1}}, false)
-	assert.NotContains(t, h.b.near, first)
-	assert.Contains(t, s, h.b.near[0])
+	assert.NotContains(t, h.b.subset, first)
+	assert.Contains(t, s, h.b.subset[0])
 }
 
 func TestWhatAServerReportsOfOthersCountsWhileItIsFresh(t *testing.T) {
@@ -40,12 +40,12 @@
 		h, servers := seeded(seed, 2, func(s *Settings) { s.Hedging = false })
 		say := func(s *Server, held float64) {
 			r := &RPC{Method: lookup, Deadline: h.now + 6}
-			r.open, r.rules = true, h.b.methods[lookup].rules
-			h.b.open++
-			h.b.begin(r, h.now)
+			r.open, r.rules = true, h.b.methods[lookup].methodRules
+			h.b.openRPCs++
+			h.b.startClock(r, h.now)
 			h.b.send(r, s, h.now)
 			h.until(h.now + 0.1)
-			h.b.AttemptDone(r.picks[0], OK, true, 0.1, &LoadReport{InFlight: held})
+			h.b.AttemptDone(r.attempts[0], OK, true, 0.1, &LoadReport{InFlight: held})
 		}
 		h.warmUp(40, always(0.1))
 		for range 3 {
@@ -54,15 +54,15 @@
 		}
 		busy := servers[1]
 		say(busy, 6)
-		typical := h.b.typical(lookup, h.now)
-		assert.InDelta(t, 5, h.b.theirs(busy, typical, h.now), 0.01, "itself not counted")
+		typical := h.b.methodLatency(lookup, h.now)
+		assert.InDelta(t, 5, h.b.othersInFlight(busy, typical, h.now), 0.01, "itself not counted")
 		r := h.arrive(lookup)
 		if h.last().Server == busy {
 			there++
 		}
-		h.done(r.picks[0], OK)
+		h.done(r.attempts[0], OK)
 		h.until(h.now + 5)
-		assert.InDelta(t, h.b.theirs(h.last().Server, typical, h.now), h.b.theirs(busy, typical, h.now), 0.01, "an old report says nothing")
+		assert.InDelta(t, h.b.othersInFlight(h.last().Server, typical, h.now), h.b.othersInFlight(busy, typical, h.now), 0.01, "an old report says nothing")
 	}
 	assert.LessOrEqual(t, there, seeds/20, "one in a hundred picks explores")
 }
@@ -73,9 +73,9 @@
 	h.warmUp(60, always(0.5))
 	for range 20 { // both jam: answers take four times the target
 		for _, x := range s {
-			p := &Attempt{RPC: &RPC{}, Server: x, pick: pick{sent: h.now - 10, due: 10, row: h.b.blocks[lookup][0]}}
-			p.RPC.rules = h.b.methods[lookup].rules
-			h.b.ok(p, 10, h.now)
+			p := &Attempt{RPC: &RPC{}, Server: x, attemptState: attemptState{sentAt: h.now - 10, expectedLatency: 10, row: h.b.firstRows[lookup][0]}}
+			p.RPC.rules = h.b.methods[lookup].methodRules
+			h.b.recordSuccess(p, 10, h.now)
 		}
 	}
 	pushed := 0
@@ -108,9 +108,9 @@
 	for seed := range int64(50) {
 		h, s := seeded(seed, 4, func(s *Settings) { s.Tenants = []Tenant{{Quota: 1000}, {Quota: 1000}} })
 		h.warmUp(200, always(0.1)) // of the first tenant
-		p := &Attempt{RPC: &RPC{}, Server: s[0], pick: pick{sent: h.now - 5, due: 0.1, row: h.b.blocks[lookup][1]}}
-		p.RPC.rules = h.b.methods[lookup].rules
-		h.b.ok(p, 5, h.now)
+		p := &Attempt{RPC: &RPC{}, Server: s[0], attemptState: attemptState{sentAt: h.now - 5, expectedLatency: 0.1, row: h.b.firstRows[lookup][1]}}
+		p.RPC.rules = h.b.methods[lookup].methodRules
+		h.b.recordSuccess(p, 5, h.now)
 		r := &RPC{Method: lookup, Tenant: 1, Deadline: h.now + 6}
 		h.b.Arrived(r)
 		assert.NotContains(t, h.pushed, r)
@@ -134,7 +134,7 @@
 		}
 		mute[p.Server] = true
 		h.until(h.now + 2.6)
-		if p.out {
+		if p.inFlight {
 			h.done(p, Canceled)
 		}
 	}
@@ -150,8 +150,8 @@
 func TestAColdNeighboursPartIsOfWhatTheNeighboursAnswer(t *testing.T) {
 	h, _ := story(200, func(s *Settings) { s.Instances = 100 })
 	h.warmUp(400, always(0.1)) // ten a second
-	assert.Greater(t, h.b.unit(h.now), 10.0/float64(2*len(h.b.near)))
-	assert.Less(t, h.b.unit(h.now), 10.0)
+	assert.Greater(t, h.b.warmServerRate(h.now), 10.0/float64(2*len(h.b.subset)))
+	assert.Less(t, h.b.warmServerRate(h.now), 10.0)
 }
 
 // A half-life stretched to a node's round of all servers outlived its use when a node began to send to a few of them.
@@ -159,14 +159,14 @@
 	for _, n := range []int{8, 200} {
 		h, _ := story(n, func(s *Settings) { s.Instances = 100 })
 		h.warmUp(100, always(0.1))
-		s, r, typical := h.b.near[0], &RPC{}, h.b.typical(lookup, h.now)
+		s, r, typical := h.b.subset[0], &RPC{}, h.b.methodLatency(lookup, h.now)
 		above := func() float64 {
 			q, _ := h.b.estimate(r, s, typical, h.now)
-			return q - h.b.mean(h.b.row(r, s, h.now), typical)*h.b.pace(s, typical, h.now)
+			return q - h.b.rowMean(h.b.row(r, s, h.now), typical)*h.b.pace(s, typical, h.now)
 		}
-		h.b.learn(&Attempt{RPC: r, Server: s, pick: pick{row: h.b.row(r, s, h.now), due: 0.1}}, 1.5, false, h.now)
+		h.b.learn(&Attempt{RPC: r, Server: s, attemptState: attemptState{row: h.b.row(r, s, h.now), expectedLatency: 0.1}}, 1.5, false, h.now)
 		first := above()
-		h.until(h.now + fade*typical)
+		h.until(h.now + entryHalfLife*typical)
 		assert.InDelta(t, first/2, above(), first/50, "%d servers", n)
 	}
 }
@@ -182,12 +182,12 @@
 	for range 60 {
 		ask(1, 0.1)
 	}
-	calm := h.b.typical(lookup, h.now)
+	calm := h.b.methodLatency(lookup, h.now)
 	for range 5 {
 		ask(5, 0.4) // five times the work, about as much longer
 	}
-	assert.Less(t, h.b.typical(lookup, h.now), 1.5*calm)
+	assert.Less(t, h.b.methodLatency(lookup, h.now), 1.5*calm)
 	r := &RPC{WorkHint: 1e9, Deadline: h.now + 6}
 	h.b.Arrived(r)
-	assert.False(t, r.size > 5, "a hint is rough: no more than five times the mean is believed")
+	assert.False(t, r.extraWork > 5, "a hint is rough: no more than five times the mean is believed")
 }
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -8,60 +8,60 @@
 )
 
 const (
-	margin = 0.01 // seconds before the deadline by which an answer must be on its way
+	deadlineMargin = 0.01 // seconds before the deadline by which an answer must be on its way
 )
 
 // Arrived takes a new RPC.
 func (b *Balancer) Arrived(r *RPC) {
 	now := b.host.Now()
 	m := &b.methods[r.Method]
-	b.open++
-	r.open, r.rules = true, m.rules
-	b.begin(r, now)
-	value := m.value
+	b.openRPCs++
+	r.open, r.rules = true, m.methodRules
+	b.startClock(r, now)
+	value := m.relativeWeight
 	if r.WorkHint > 0 {
-		m.work.add(r.WorkHint, now, othersHalf)
-		r.size = min(max(r.WorkHint/m.work.read(now, othersHalf, r.WorkHint, 1), 0.2), 5) - 1
+		m.workHint.add(r.WorkHint, now, fleetPaceHalfLife)
+		r.extraWork = min(max(r.WorkHint/m.workHint.read(now, fleetPaceHalfLife, r.WorkHint, 1), 0.2), 5) - 1
 	}
-	if r.Tenant < len(b.tenants) && !b.inner {
+	if r.Tenant < len(b.tenants) && !b.innerTier {
 		t := &b.tenants[r.Tenant]
-		t.asked.add(1, now, shareHalf)
+		t.arrivals.add(1, now, quotaHalfLife)
 		// A node's part of a small quota is less than one RPC, and clients come by chance: one more and a root.
-		due := t.quota * shareHalf / math.Ln2
-		if t.quota > 0 && t.asked.sum > 1+due+math.Sqrt(due) {
-			value *= b.overShare
+		due := t.rate * quotaHalfLife / math.Ln2
+		if t.rate > 0 && t.arrivals.sum > 1+due+math.Sqrt(due) {
+			value *= b.overQuotaWeight
 		}
 	}
-	r.early = roomForFree + (1-roomForFree)*math.Cbrt(value)
+	r.admissionShare = zeroWeightShare + (1-zeroWeightShare)*math.Cbrt(value)
 	if !b.admit(r, now) {
 		b.giveUp(r)
 		return
 	}
 	if !r.BodyPending {
-		b.host.StartTimer(r.useful-now, r)
+		b.host.StartTimer(r.usefulUntil-now, r)
 	}
-	b.pickOr(r, now)
+	b.sendOrGiveUp(r, now)
 }
 
-// begin starts an RPC's time.
-func (b *Balancer) begin(r *RPC, now float64) {
-	r.came, r.useful = now, now+r.rules.LatencyObjective
+// startClock starts an RPC's time.
+func (b *Balancer) startClock(r *RPC, now float64) {
+	r.clockStart, r.usefulUntil = now, now+r.rules.LatencyObjective
 	if r.rules.LateWeight > 0 {
-		r.useful = r.Deadline
+		r.usefulUntil = r.Deadline
 	}
-	r.useful = min(r.useful, r.Deadline-margin)
+	r.usefulUntil = min(r.usefulUntil, r.Deadline-deadlineMargin)
 }
 
 // BodyReceived is the end of a body that came while its pick was out: only now can its server begin.
 func (b *Balancer) BodyReceived(r *RPC) {
 	now := b.host.Now()
 	r.BodyPending = false
-	b.begin(r, now)
-	b.host.StartTimer(r.useful-now, r)
-	for _, p := range r.picks {
-		if p.out {
-			p.sent = now
-			b.host.StartTimer(b.lateAfter(p, now), p)
+	b.startClock(r, now)
+	b.host.StartTimer(r.usefulUntil-now, r)
+	for _, p := range r.attempts {
+		if p.inFlight {
+			p.sentAt = now
+			b.host.StartTimer(b.recheckDelay(p, now), p)
 		}
 	}
 }
@@ -70,34 +70,34 @@
 func (b *Balancer) TimerFired(what any) {
 	now := b.host.Now()
 	switch w := what.(type) {
-	case watchAgain:
-		if w.turn == b.watchTurn {
+	case watchTimer:
+		if w.id == b.watchTimerID {
 			b.host.WatchEndpoints()
 		}
 	case *RPC:
-		if w.open && !w.started {
-			b.ended(w, now)
-			for _, p := range w.picks {
+		if w.open && !w.streaming {
+			b.recordWait(w, now)
+			for _, p := range w.attempts {
 				// The wait is over before the pick is late by its own measure: for its server that is a
 				// time-out. Cancelled without a word, a jammed server would be sent the next RPC as before.
-				if p.out && !p.charged && now-p.sent > patience*p.due {
-					p.charged = true
-					b.silence(p, now)
+				if p.inFlight && !p.countedLate && now-p.sentAt > fairChance*p.expectedLatency {
+					p.countedLate = true
+					b.recordSilence(p, now)
 				}
 			}
 			b.giveUp(w)
 		}
 	case *Attempt:
-		if w.out && w.RPC.open && !w.RPC.started {
-			b.late(w, now)
+		if w.inFlight && w.RPC.open && !w.RPC.streaming {
+			b.attemptLate(w, now)
 		}
 	}
 }
 
-// Started is a streamed answer that has begun: the client owns the pick.
-func (b *Balancer) Started(p *Attempt) {
-	p.RPC.started = true
-	for _, o := range p.RPC.picks {
+// ResponseStarted is a streamed answer that has begun: the client owns the pick.
+func (b *Balancer) ResponseStarted(p *Attempt) {
+	p.RPC.streaming = true
+	for _, o := range p.RPC.attempts {
 		if o != p {
 			b.cancel(o)
 		}
@@ -108,65 +108,65 @@
 func (b *Balancer) AttemptDone(p *Attempt, res Result, last bool, took float64, load *LoadReport) {
 	now := b.host.Now()
 	s, r := p.Server, p.RPC
-	p.out = false
-	r.out--
-	b.out--
-	s.pending = slices.DeleteFunc(s.pending, func(o *Attempt) bool { return o == p })
+	p.inFlight = false
+	r.inFlight--
+	b.attemptsInFlight--
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(o *Attempt) bool { return o == p })
 	if load != nil && load.InFlight >= 0 {
-		s.others, s.othersAt = max(0, load.InFlight-float64(len(s.pending))-1), now
-		if p.blind {
-			b.heldThere.add(s.others, now, doneHalf)
+		s.reportedOthers, s.reportedAt = max(0, load.InFlight-float64(len(s.inFlight))-1), now
+		if p.withoutReport {
+			b.meanReportedOthers.add(s.reportedOthers, now, slowHalfLife)
 		}
 	}
 	if res.NeverRan() {
-		b.unrun(r, p)
+		b.markNeverRan(r, p)
 	}
-	if p.opens && (res == OK || res == ConnectFailed) {
-		b.setup.add(max(0, took-p.due), now, othersHalf)
+	if p.opensConnection && (res == OK || res == ConnectFailed) {
+		b.connectionSetup.add(max(0, took-p.expectedLatency), now, fleetPaceHalfLife)
 	}
-	s.linked = res != ConnectFailed && (s.linked || res == OK)
+	s.connected = res != ConnectFailed && (s.connected || res == OK)
 	switch res {
 	case OK:
-		b.ok(p, took, now)
+		b.recordSuccess(p, took, now)
 	case Canceled:
 		// A cancel teaches nothing, unless the pick was late by then: a server that swallows picks, each
 		// cancelled when its copy wins, would keep its low entry and draw the next one.
-		b.overtake(p, now)
+		b.recordLateness(p, now)
 	case NotSent:
 	case TimedOut:
-		if !p.charged && s.heard < p.sent {
-			b.silence(p, now)
+		if !p.countedLate && s.lastAnswerAt < p.sentAt {
+			b.recordSilence(p, now)
 		}
 	case Rejected:
-		s.heard = now
-		b.fault(p, now)
+		s.lastAnswerAt = now
+		b.recordFailure(p, now)
 	default:
-		b.fault(p, now)
+		b.recordFailure(p, now)
 	}
 	if last {
 		if r.open && res == OK {
-			b.ended(r, now)
+			b.recordWait(r, now)
 		}
 		b.close(r)
-	} else if r.open && r.out == 0 {
-		b.pickOr(r, now)
+	} else if r.open && r.inFlight == 0 {
+		b.sendOrGiveUp(r, now)
 	}
 }
 
-func (b *Balancer) ok(p *Attempt, took, now float64) {
+func (b *Balancer) recordSuccess(p *Attempt, took, now float64) {
 	s, m := p.Server, &b.methods[p.RPC.Method]
-	s.heard, s.strikes, s.backoff = now, 0, 0
-	s.used = now
-	b.idleOK.sum = max(b.idleOK.read(now, idleHalf), p.idle)
-	took = max(took-p.extra, 0.2*took)
-	m.took.add(took, now, doneHalf)
+	s.lastAnswerAt, s.failuresInRow, s.ejectionTime = now, 0, 0
+	s.lastUsedAt = now
+	b.longestGoodIdle.sum = max(b.longestGoodIdle.read(now, idleHalfLife), p.connectionIdle)
+	took = max(took-p.extraLatency, 0.2*took)
+	m.latency.add(took, now, slowHalfLife)
 	// Each answer counts by the servers of then: servers just replaced would else seem to have given all of them.
 	sum := 0.0
-	for _, o := range b.near {
-		sum += b.cold(o, now)
+	for _, o := range b.subset {
+		sum += b.warmFraction(o, now)
 	}
-	b.done.add(1/max(sum, 1), now, unitHalf)
-	b.pay(p, min(took, paceCap*p.due), now)
+	b.answersPerWarmServer.add(1/max(sum, 1), now, warmRateHalfLife)
+	b.recordPace(p, min(took, maxPaceSample*p.expectedLatency), now)
 	b.learn(p, took, false, now)
 }
 
@@ -176,50 +176,50 @@
 func (b *Balancer) close(r *RPC) {
 	if r.open {
 		r.open = false
-		b.open--
+		b.openRPCs--
 	}
-	for _, p := range r.picks {
+	for _, p := range r.attempts {
 		b.cancel(p)
 	}
 }
 
 func (b *Balancer) cancel(p *Attempt) {
-	if p.out && b.cancels {
+	if p.inFlight && b.mayCancel {
 		b.host.Cancel(p)
 	}
 }
 
 func (b *Balancer) send(r *RPC, s *Server, now float64) {
-	i, typical := b.row(r, s, now), b.typical(r.Method, now)
-	p := &Attempt{RPC: r, Server: s, pick: pick{sent: now, row: i, out: true, due: b.mean(i, typical)}}
-	seen := b.fresh(s, typical, now)
-	p.blind = seen < 0.5
-	b.blinds.add(1-seen, now, doneHalf)
-	b.join(r, s, typical, now)
-	p.extra = typical * r.size
+	i, typical := b.row(r, s, now), b.methodLatency(r.Method, now)
+	p := &Attempt{RPC: r, Server: s, attemptState: attemptState{sentAt: now, row: i, inFlight: true, expectedLatency: b.rowMean(i, typical)}}
+	seen := b.reportFreshness(s, typical, now)
+	p.withoutReport = seen < 0.5
+	b.withoutReport.add(1-seen, now, slowHalfLife)
+	b.addToSubset(r, s, typical, now)
+	p.extraLatency = typical * r.extraWork
 	// Where answers take a hair's breadth, the node's own hiccups would else pass for hung servers.
-	p.late = max(lateFactor*(p.due+max(p.extra, 0)), negligibleWait*r.rules.LatencyObjective)
-	if b.cold(s, now) < 1 {
+	p.lateAfter = max(lateLatencyFactor*(p.expectedLatency+max(p.extraLatency, 0)), negligibleWait*r.rules.LatencyObjective)
+	if b.warmFraction(s, now) < 1 {
 		s.tokens--
 	}
-	if r.ran == nil {
-		r.ran = p // until its result proves that it did not
-	}
-	r.picks = append(r.picks, p)
-	r.out++
-	b.out++
-	b.sent.add(1, now, extraHalf)
-	s.pending = append(s.pending, p)
-	if p.idle = now - s.used; s.used == 0 || len(s.pending) > 1 {
-		p.idle = 0
-	} else if s.dead || b.idleMost > 0 && p.idle > b.idleMost*math.Exp2((now-b.idleAt)/idleHalf) {
+	if r.firstMayHaveRun == nil {
+		r.firstMayHaveRun = p // until its result proves that it did not
+	}
+	r.attempts = append(r.attempts, p)
+	r.inFlight++
+	b.attemptsInFlight++
+	b.attemptsSent.add(1, now, attemptRateHalfLife)
+	s.inFlight = append(s.inFlight, p)
+	if p.connectionIdle = now - s.lastUsedAt; s.lastUsedAt == 0 || len(s.inFlight) > 1 {
+		p.connectionIdle = 0
+	} else if s.idleConnBroken || b.maxIdle > 0 && p.connectionIdle > b.maxIdle*math.Exp2((now-b.maxIdleAt)/idleHalfLife) {
 		b.host.CloseIdleConnections(s)
-		p.idle, s.dead, s.linked = 0, false, false
+		p.connectionIdle, s.idleConnBroken, s.connected = 0, false, false
 	}
-	p.opens = !s.linked
-	s.used = now
+	p.opensConnection = !s.connected
+	s.lastUsedAt = now
 	b.host.Send(p, 0)
-	if wait := b.lateAfter(p, now); now+wait < r.useful && !r.BodyPending {
+	if wait := b.recheckDelay(p, now); now+wait < r.usefulUntil && !r.BodyPending {
 		b.host.StartTimer(wait, p)
 	}
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -8,53 +8,53 @@
 	retryAfterShare = 0.1 // of the latency target: when a client pushed back may ask again
 )
 
-// pickOr sends the RPC's next pick or, if there is nowhere to send it, ends it.
-func (b *Balancer) pickOr(r *RPC, now float64) {
-	if (r.BodyPending || now < r.useful) && b.mayRepeat(r, now) {
-		if s := b.choose(r, now); s != nil {
+// sendOrGiveUp sends the RPC's next pick or, if there is nowhere to send it, ends it.
+func (b *Balancer) sendOrGiveUp(r *RPC, now float64) {
+	if (r.BodyPending || now < r.usefulUntil) && b.mayRetry(r, now) {
+		if s := b.chooseServer(r, now); s != nil {
 			b.send(r, s, now)
 			return
 		}
 	}
-	if r.out == 0 {
+	if r.inFlight == 0 {
 		b.giveUp(r)
 	}
 }
 
-// mayRepeat guards the rule that no effect happens twice.
-func (b *Balancer) mayRepeat(r *RPC, now float64) bool {
-	if r.out > 0 && !b.copies || len(r.picks) >= r.rules.picks {
+// mayRetry guards the rule that no effect happens twice.
+func (b *Balancer) mayRetry(r *RPC, now float64) bool {
+	if r.inFlight > 0 && !b.hedging || len(r.attempts) >= r.rules.maxAttempts {
 		return false
 	}
 	m := r.rules
-	return r.ran == nil || m.Idempotency == Idempotent || m.Idempotency == Deduplicated && now < r.ran.sent+m.DedupWindow-margin
+	return r.firstMayHaveRun == nil || m.Idempotency == Idempotent || m.Idempotency == Deduplicated && now < r.firstMayHaveRun.sentAt+m.DedupWindow-deadlineMargin
 }
 
-// within tells whether a server drops repeats of what first may have run.
-func (r *rules) within(s, first *Server) bool {
-	if r.Idempotency == Idempotent || r.DedupScope == ScopeAll {
+// inDedupScope tells whether a server drops repeats of what first may have run.
+func (m *methodRules) inDedupScope(s, first *Server) bool {
+	if m.Idempotency == Idempotent || m.DedupScope == ScopeAll {
 		return true
 	}
-	return s.zone == first.zone && (r.DedupScope == ScopeZone || s.cell == first.cell)
+	return s.zone == first.zone && (m.DedupScope == ScopeZone || s.cell == first.cell)
 }
 
-// unrun finds the first pick that may have run, now that p is known not to have.
-func (b *Balancer) unrun(r *RPC, p *Attempt) {
-	p.unran, r.ran = true, nil
-	if i := slices.IndexFunc(r.picks, func(o *Attempt) bool { return !o.unran }); i >= 0 {
-		r.ran = r.picks[i]
+// markNeverRan finds the first pick that may have run, now that p is known not to have.
+func (b *Balancer) markNeverRan(r *RPC, p *Attempt) {
+	p.neverRan, r.firstMayHaveRun = true, nil
+	if i := slices.IndexFunc(r.attempts, func(o *Attempt) bool { return !o.neverRan }); i >= 0 {
+		r.firstMayHaveRun = r.attempts[i]
 	}
 }
 
-// harmless tells whether the RPC's client may ask again for as long as it waits, with no second effect: a deduplicated one that may have
+// retryIsHarmless tells whether the RPC's client may ask again for as long as it waits, with no second effect: a deduplicated one that may have
 // run only where all servers drop repeats until then.
-func (r *RPC) harmless() bool {
+func (r *RPC) retryIsHarmless() bool {
 	m := r.rules
 	switch {
-	case r.ran == nil || m.Idempotency == Idempotent:
+	case r.firstMayHaveRun == nil || m.Idempotency == Idempotent:
 		return true
 	case m.Idempotency == Deduplicated && m.DedupScope == ScopeAll:
-		return r.Deadline <= r.ran.sent+m.DedupWindow
+		return r.Deadline <= r.firstMayHaveRun.sentAt+m.DedupWindow
 	default:
 		return false
 	}
@@ -62,13 +62,13 @@
 
 // giveUp ends an RPC at once: with a pushback where retrying is harmless, else with an abort.
 func (b *Balancer) giveUp(r *RPC) {
-	if r.harmless() {
+	if r.retryIsHarmless() {
 		// Soon enough that the next try can still be in time; a later one would take room from RPCs that can.
 		wait := retryAfterShare * r.rules.LatencyObjective
-		if b.host.Now()-r.came > wait {
-			wait = b.maxWait
+		if b.host.Now()-r.clockStart > wait {
+			wait = b.maxRetryAfter
 		}
-		b.host.PushBack(r, min(wait, b.maxWait))
+		b.host.PushBack(r, min(wait, b.maxRetryAfter))
 	} else {
 		b.host.Abort(r)
 	}
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -8,110 +8,110 @@
 )
 
 const (
-	explore             = 0.01 // chance of a random server that is no neighbour
-	nearTie             = 1.1  // entries within a tenth of the lowest are tied
-	neighborLimit       = 128  // neighbours at most
-	minNeighbors        = 4    // neighbours at least: one may be ill, and a retry needs another
-	neighborsPerAttempt = 2.5  // and as many for each pick that is out on average
-	exploreCandidates   = 4    // others looked at for a pick
-	newNeighborShare    = 0.1  // of the picks may bring a new neighbour in place of another
-	lateMargin          = 1.2  // times what is left: what is expected to take longer is turned away; times scatter
-	sendLateShare       = 0.02 // of those are sent all the same: without picks nothing would be learnt of a recovery
+	explorationRate   = 0.01 // chance of a random server that is no neighbour
+	tieFactor         = 1.1  // entries within a tenth of the lowest are tied
+	subsetLimit       = 128  // neighbours at most
+	minSubsetSize     = 4    // neighbours at least: one may be ill, and a retry needs another
+	subsetPerAttempt  = 2.5  // and as many for each pick that is out on average
+	outsideCandidates = 4    // others looked at for a pick
+	replacementShare  = 0.1  // of the picks may bring a new neighbour in place of another
+	lateTolerance     = 1.2  // times what is left: what is expected to take longer is turned away; times scatter
+	sendLateChance    = 0.02 // of those are sent all the same: without picks nothing would be learnt of a recovery
 )
 
-// choose is the Q-router: the lowest time-to-go at the present load, near-ties and exploration at random.
-func (b *Balancer) choose(r *RPC, now float64) *Server {
-	unit, typical := b.unit(now), b.typical(r.Method, now)
-	few := paceDoubt * typical
-	b.others = unknownPace * max(1, (b.cost.read(now, othersHalf)+few)/(b.due.read(now, othersHalf)+few))
+// chooseServer is the Q-router: the lowest time-to-go at the present load, near-ties and exploration at random.
+func (b *Balancer) chooseServer(r *RPC, now float64) *Server {
+	unit, typical := b.warmServerRate(now), b.methodLatency(r.Method, now)
+	few := priorSamples * typical
+	b.unknownServerPace = unknownPaceFactor * max(1, (b.observedLatency.read(now, fleetPaceHalfLife)+few)/(b.expectedLatency.read(now, fleetPaceHalfLife)+few))
 	best, due := math.Inf(1), 0.0
 	look := func(s *Server, pass int) {
-		if s.state != Ready || r.ran != nil && !r.rules.within(s, r.ran.Server) || !b.warm(s, unit, now) {
+		if s.state != Ready || r.firstMayHaveRun != nil && !r.rules.inDedupScope(s, r.firstMayHaveRun.Server) || !b.slowStartAllows(s, unit, now) {
 			return
 		}
 		// The second pass takes what is left when all sound servers have been tried: an ejected one is
 		// better than none, and where all fail the fault lies elsewhere.
-		ill := now < s.ejected || s.strikes >= ejectAfter && len(s.pending) > 0
-		if pass == 0 && (ill || r.met(s, false)) || r.met(s, true) {
+		ill := now < s.ejectedUntil || s.failuresInRow >= ejectAfter && len(s.inFlight) > 0
+		if pass == 0 && (ill || r.attempted(s, false)) || r.attempted(s, true) {
 			return
 		}
 		e, d := b.estimate(r, s, typical, now)
 		if e < best {
 			best, due = e, d
 		}
-		b.cands, b.ests = append(b.cands, s), append(b.ests, e)
+		b.candidates, b.estimates = append(b.candidates, s), append(b.estimates, e)
 	}
-	b.cands, b.ests = b.cands[:0], b.ests[:0]
-	exploring := b.rng.Float64() < explore
-	for i := 0; i < len(b.near) && !exploring; i++ {
-		look(b.near[i], 0)
+	b.candidates, b.estimates = b.candidates[:0], b.estimates[:0]
+	exploring := b.rng.Float64() < explorationRate
+	for i := 0; i < len(b.subset) && !exploring; i++ {
+		look(b.subset[i], 0)
 	}
-	spent := b.moved.read(now, extraHalf) + b.rng.Float64()
-	open := exploring || len(b.near) < b.maxNeighbors(now) || spent < newNeighborShare*b.sent.read(now, extraHalf)
-	for i := 0; i < exploreCandidates && open && len(b.near) < len(b.servers); i++ {
-		if s := b.servers[b.rng.Intn(len(b.servers))]; !s.near {
+	spent := b.subsetReplacements.read(now, attemptRateHalfLife) + b.rng.Float64()
+	open := exploring || len(b.subset) < b.maxSubsetSize(now) || spent < replacementShare*b.attemptsSent.read(now, attemptRateHalfLife)
+	for i := 0; i < outsideCandidates && open && len(b.subset) < len(b.servers); i++ {
+		if s := b.servers[b.rng.Intn(len(b.servers))]; !s.inSubset {
 			look(s, 0)
 		}
 	}
-	for pass := 0; pass < 2 && len(b.cands) == 0; pass++ {
+	for pass := 0; pass < 2 && len(b.candidates) == 0; pass++ {
 		for _, s := range b.servers {
 			look(s, pass)
 		}
 	}
-	if len(b.cands) == 0 {
+	if len(b.candidates) == 0 {
 		return nil
 	}
 	// What would be late anyway only keeps others waiting.
-	if !b.inner && !exploring && due > lateMargin*(r.useful-now)*r.early && b.rng.Float64() >= sendLateShare {
+	if !b.innerTier && !exploring && due > lateTolerance*(r.usefulUntil-now)*r.admissionShare && b.rng.Float64() >= sendLateChance {
 		return nil
 	}
 	n := 0
-	for i, s := range b.cands {
-		if exploring || b.ests[i] <= max(best, best*nearTie) {
-			b.cands[n] = s
+	for i, s := range b.candidates {
+		if exploring || b.estimates[i] <= max(best, best*tieFactor) {
+			b.candidates[n] = s
 			n++
 		}
 	}
-	return b.cands[b.rng.Intn(n)]
+	return b.candidates[b.rng.Intn(n)]
 }
 
-// maxNeighbors is how many neighbours the node's picks need.
-func (b *Balancer) maxNeighbors(now float64) int {
-	return min(minNeighbors+int(neighborsPerAttempt*b.outs.read(now, doneHalf, 0, 0)), neighborLimit)
+// maxSubsetSize is how many neighbours the node's picks need.
+func (b *Balancer) maxSubsetSize(now float64) int {
+	return min(minSubsetSize+int(subsetPerAttempt*b.meanInFlight.read(now, slowHalfLife, 0, 0)), subsetLimit)
 }
 
-// join makes a server a neighbour. The paper's router knows its neighbours only: a node that sends to all
+// addToSubset makes a server a neighbour. The paper's router knows its neighbours only: a node that sends to all
 // servers by turns hears too seldom from each. As many are kept as picks need; the worst leaves for the new.
-func (b *Balancer) join(r *RPC, s *Server, typical, now float64) {
-	b.outs.add(float64(b.out+1), now, doneHalf)
-	if s.near || r.out+len(r.picks) > 0 {
+func (b *Balancer) addToSubset(r *RPC, s *Server, typical, now float64) {
+	b.meanInFlight.add(float64(b.attemptsInFlight+1), now, slowHalfLife)
+	if s.inSubset || r.inFlight+len(r.attempts) > 0 {
 		return
 	}
-	if len(b.near) >= b.maxNeighbors(now) {
-		b.moved.add(1, now, extraHalf)
+	if len(b.subset) >= b.maxSubsetSize(now) {
+		b.subsetReplacements.add(1, now, attemptRateHalfLife)
 	}
-	for len(b.near) >= b.maxNeighbors(now) {
+	for len(b.subset) >= b.maxSubsetSize(now) {
 		worst, high := 0, -1.0
-		for i, o := range b.near {
+		for i, o := range b.subset {
 			e, _ := b.estimate(r, o, typical, now)
-			if now < o.ejected {
+			if now < o.ejectedUntil {
 				e = math.Inf(1)
 			}
 			if e > high {
 				worst, high = i, e
 			}
 		}
-		b.near[worst].near = false
-		for i := range b.near[worst].entries {
-			b.forget(b.near[worst], i)
+		b.subset[worst].inSubset = false
+		for i := range b.subset[worst].entries {
+			b.forget(b.subset[worst], i)
 		}
-		b.near = slices.Delete(b.near, worst, worst+1)
+		b.subset = slices.Delete(b.subset, worst, worst+1)
 	}
-	s.near = true
-	b.near = append(b.near, s)
+	s.inSubset = true
+	b.subset = append(b.subset, s)
 }
 
-// met tells whether a server has had a pick of the RPC, or has one out.
-func (r *RPC) met(s *Server, out bool) bool {
-	return slices.ContainsFunc(r.picks, func(p *Attempt) bool { return p.Server == s && (p.out || !out) })
+// attempted tells whether a server has had a pick of the RPC, or has one out.
+func (r *RPC) attempted(s *Server, out bool) bool {
+	return slices.ContainsFunc(r.attempts, func(p *Attempt) bool { return p.Server == s && (p.inFlight || !out) })
 }
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -83,7 +83,7 @@
 			return err
 		}
 		if r := in.rpcs[id]; r != nil && n >= 0 && n < len(r.picks) {
-			in.balancer.Started(r.picks[n])
+			in.balancer.ResponseStarted(r.picks[n])
 		}
 		return nil
 	case "CHECK_RESULT":
