--- a/decide/admission.go
+++ b/decide/admission.go
@@ -17,7 +17,6 @@
 	zeroWeightShare    = 0.65 // of the room is open to an RPC of no utility: the rest is kept for dearer ones
 	minWaits           = 6.0  // fewer waits than that say little; below it older ones stand in
 	recentWaitHalfLife = 0.7  // of waits
-	quotaHalfLife      = 3.0  // of a tenant's rate: short enough for a burst, long enough for chance
 )
 
 // admit takes an RPC only if there is room; the less it is worth, the earlier it gives way. That keeps crowds
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -19,26 +19,19 @@
 	latency, workHint decayingMean
 }
 
-type tenantQuota struct {
-	rate     float64 // this node's part
-	arrivals decayingSum
-}
-
 type serverState struct {
 	state                            State
 	zone, cell, listVersion          int
 	weight, startedAt                float64
 	entries                          []qEntry
 	inFlight                         []*Attempt // oldest first
-	observedLatency, expectedLatency decayingSum
+	observedLatency, expectedLatency decayingValue
 	lastAnswerAt                     float64
-	failuresInRow                    int
-	ejectedUntil, ejectionTime       float64 // until then; for how long the last time
+	outlier                          outlierState
 	tokens, tokensAt                 float64
 	reportedOthers, reportedAt       float64 // RPCs that it held for others when it last reported
 	inSubset                         bool    // a neighbour
-	lastUsedAt                       float64 // when its connections last carried something
-	connected, idleConnBroken        bool    // a connection to it is open; an idle one has swallowed a pick
+	connections                      serverConnections
 }
 
 type rpcState struct {
@@ -84,8 +77,7 @@
 	overloadWindow                       float64 // the time in which a cold server falls
 	slowStartMultiple                    float64 // times its part that a cold server may be sent
 	minWarmRate                          float64 // picks a second to a warm server when nothing is known
-	watchBackoff                         float64
-	watchTimerID                         int // of the timers that ask again, the last one counts
+	watch                                watchBackoff
 
 	openRPCs, attemptsInFlight, readyServers int          // RPCs held; picks out; servers
 	concurrencyLimit                         float64      // RPCs to hold at most
@@ -94,18 +86,14 @@
 	baseWait, baseWaitAt                     float64      // the lowest mean wait of late
 	usualHeld                                float64      // RPCs held at most while waits were near the base
 	meanWeight                               float64      // mean over ready servers
-	answersPerWarmServer, attemptsSent       decayingSum
-	hedges, subsetReplacements               decayingSum  // second copies; neighbours taken for others
-	bestWarmRate, bestWarmRateAt             float64      // rate of one warm server
-	observedLatency, expectedLatency         decayingSum  // of all servers
-	unknownServerPace                        float64      // what a server not known is taken for
-	meanInFlight, withoutReport              decayingMean // picks out when others were sent; those that did not know what their servers held
-	meanReportedOthers                       decayingMean // RPCs of others that servers reported
-	connectionSetup                          decayingMean // how much longer picks took that opened a connection
-	maxIdle, maxIdleAt                       float64      // connections idle for longer are not trusted; 0: all are
-	longestGoodIdle                          decayingSum  // the longest idle times after which a connection still worked
-	lastSilentServer                         *Server      // whose idle connection last swallowed a pick, and when
-	lastSilentAt                             float64
+	answersPerWarmServer, attemptsSent       decayingValue
+	hedges, subsetReplacements               decayingValue // second copies; neighbours taken for others
+	bestWarmRate, bestWarmRateAt             float64       // rate of one warm server
+	observedLatency, expectedLatency         decayingValue // of all servers
+	unknownServerPace                        float64       // what a server not known is taken for
+	meanInFlight, withoutReport              decayingMean  // picks out when others were sent; those that did not know what their servers held
+	meanReportedOthers                       decayingMean  // RPCs of others that servers reported
+	idleConnections                          idleConnections
 	candidates                               []*Server
 	estimates                                []float64
 }
--- a/decide/choice_test.go
+++ b/decide/choice_test.go
@@ -58,9 +58,9 @@
 			assert.False(t, r.attempted(s, true))
 			assert.True(t, r.firstMayHaveRun == nil || r.rules.inDedupScope(s, r.firstMayHaveRun.Server))
 			for _, o := range h.b.subset {
-				sound := h.now >= o.ejectedUntil && o.failuresInRow < ejectAfter && !r.attempted(o, false) && h.b.warmFraction(o, h.now) == 1
+				sound := h.now >= o.outlier.ejectedUntil && o.outlier.failuresInRow < ejectAfter && !r.attempted(o, false) && h.b.warmFraction(o, h.now) == 1
 				if sound && (r.firstMayHaveRun == nil || r.rules.inDedupScope(o, r.firstMayHaveRun.Server)) {
-					assert.GreaterOrEqual(t, h.now, s.ejectedUntil, "an ejected one while a neighbour is sound")
+					assert.GreaterOrEqual(t, h.now, s.outlier.ejectedUntil, "an ejected one while a neighbour is sound")
 				}
 			}
 		}
@@ -90,7 +90,7 @@
 	}
 	assert.Greater(t, n, 900)
 	for _, s := range servers[3:] { // all but three cannot be used
-		s.ejectedUntil = h.now + 1000
+		s.outlier.ejectedUntil = h.now + 1000
 	}
 	for range 50 {
 		r := h.arrive(lookup)
--- /dev/null
+++ b/decide/connections.go
@@ -0,0 +1,76 @@
+package decide
+
+import "math"
+
+const (
+	idleHalfLife       = 10.0 // seconds in which the longest idle time doubles again after it was cut
+	idleSafety         = 0.7  // the part of an idle time that was too long which is trusted from then on
+	silentServerWindow = 20.0 // seconds within which two servers must fall silent to make idle times the cause
+	setupHalfLife      = 20.0 // seconds; of what opening a connection costs
+)
+
+// serverConnections is what the node knows of its connections to one server.
+type serverConnections struct {
+	open       bool    // there is one
+	idleBroken bool    // an idle one has swallowed an attempt
+	lastUsedAt float64 // seconds; when one last carried something; 0: never
+}
+
+// idleConnections decides how long an idle connection is trusted. Where idle connections are dropped unseen, what is
+// sent on one gets no answer, and that says nothing of the server.
+type idleConnections struct {
+	setup        decayingMean  // seconds that attempts took longer which opened a connection
+	maxIdle      float64       // seconds at maxIdleAt, doubles in each idleHalfLife; 0: all are trusted
+	maxIdleAt    float64       // seconds
+	longestGood  decayingValue // seconds; the longest idle time after which a connection still worked
+	lastSilent   *Server       // the server whose idle connection last swallowed an attempt
+	lastSilentAt float64       // seconds
+}
+
+// setupTime is what a new connection adds to an answer, in seconds.
+func (c *idleConnections) setupTime(now float64) float64 {
+	return c.setup.read(now, setupHalfLife, 0, 1)
+}
+
+// opened notes what an attempt that opened a connection took longer than expected, in seconds.
+func (c *idleConnections) opened(extra, now float64) { c.setup.add(max(0, extra), now, setupHalfLife) }
+
+// worked notes that a connection which had been idle has carried an answer.
+func (c *idleConnections) worked(idle, now float64) { c.longestGood.raiseTo(idle, now, idleHalfLife) }
+
+// isTooLong tells whether a connection idle for so many seconds is not to be trusted.
+func (c *idleConnections) isTooLong(idle, now float64) bool {
+	return c.maxIdle > 0 && idle > c.maxIdle*math.Exp2((now-c.maxIdleAt)/idleHalfLife)
+}
+
+// fellSilent notes an attempt that got no answer after its connection had been idle, and tells whether the connection
+// may be the cause. Two servers within a short time tell how long is too long.
+func (c *idleConnections) fellSilent(s *Server, idle, now float64) bool {
+	longestGood := c.longestGood.read(now, idleHalfLife)
+	if idle <= longestGood {
+		return false
+	}
+	if c.lastSilent != nil && c.lastSilent != s && now < c.lastSilentAt+silentServerWindow {
+		c.maxIdle = max(idleSafety*idle, longestGood)
+		c.maxIdleAt = now
+	}
+	c.lastSilent, c.lastSilentAt = s, now
+	return true
+}
+
+// prepareConnection closes a server's idle connections where they are not to be trusted with the attempt, which is
+// already in flight.
+func (b *Balancer) prepareConnection(a *Attempt, now float64) {
+	s := a.Server
+	c := &s.connections
+	if c.lastUsedAt != 0 && len(s.inFlight) == 1 {
+		a.connectionIdle = now - c.lastUsedAt
+		if c.idleBroken || b.idleConnections.isTooLong(a.connectionIdle, now) {
+			b.host.CloseIdleConnections(s)
+			a.connectionIdle = 0
+			c.idleBroken, c.open = false, false
+		}
+	}
+	a.opensConnection = !c.open
+	c.lastUsedAt = now
+}
--- a/decide/decaying.go
+++ b/decide/decaying.go
@@ -1,30 +1,48 @@
 package decide
 
-// Sums and means that fade with time.
-
 import "math"
 
-// decayingSum is a sum that halves every half seconds, brought up to date when read.
-type decayingSum struct{ sum, updatedAt float64 }
+// decayingValue halves with each half-life. It is brought up to date when it is read. All calls on one value take the
+// same half-life, in seconds. The zero value is 0.
+type decayingValue struct {
+	value     float64
+	updatedAt float64 // seconds
+}
 
-func (d *decayingSum) read(now, half float64) float64 {
+// read is the value now.
+func (d *decayingValue) read(now, halfLife float64) float64 {
 	if now > d.updatedAt {
-		d.sum *= math.Exp2((d.updatedAt - now) / half)
+		d.value *= math.Exp2((d.updatedAt - now) / halfLife)
 		d.updatedAt = now
 	}
-	return d.sum
+	return d.value
+}
+
+// peek is the value now, as read has it, without bringing it up to date.
+func (d *decayingValue) peek(now, halfLife float64) float64 {
+	return d.value * math.Exp2((d.updatedAt-now)/halfLife)
 }
 
-func (d *decayingSum) add(x, now, half float64) { d.sum = d.read(now, half) + x }
+// add makes the value a decaying sum.
+func (d *decayingValue) add(x, now, halfLife float64) { d.value = d.read(now, halfLife) + x }
+
+// raiseTo makes the value a decaying maximum.
+func (d *decayingValue) raiseTo(x, now, halfLife float64) { d.value = max(d.read(now, halfLife), x) }
 
-// decayingMean is a decaying mean, held to a guess by some samples' worth of doubt.
-type decayingMean struct{ sum, weight decayingSum }
+// decayingMean is a mean of samples whose weights halve with each half-life. The zero value has no samples.
+type decayingMean struct {
+	sum    decayingValue
+	weight decayingValue // of all samples; a new one has a weight of one
+}
 
-func (a *decayingMean) add(x, now, half float64) {
-	a.sum.add(x, now, half)
-	a.weight.add(1, now, half)
+// add takes a sample.
+func (m *decayingMean) add(x, now, halfLife float64) {
+	m.sum.add(x, now, halfLife)
+	m.weight.add(1, now, halfLife)
 }
 
-func (a *decayingMean) read(now, half, guess, doubt float64) float64 {
-	return (a.sum.read(now, half) + guess*doubt) / max(a.weight.read(now, half)+doubt, 1e-9)
+// read is the mean, in which a prior counts as much as priorWeight new samples.
+func (m *decayingMean) read(now, halfLife, prior, priorWeight float64) float64 {
+	const minWeight = 1e-9 // with neither samples nor prior the mean is 0
+	return (m.sum.read(now, halfLife) + prior*priorWeight) / max(m.weight.read(now, halfLife)+priorWeight, minWeight)
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -232,8 +232,8 @@
 		h.arrive(lookup)
 		h.until(h.now + 2.6)
 	}
-	assert.Positive(t, s[0].failuresInRow+s[1].failuresInRow)
-	assert.Greater(t, max(s[0].ejectedUntil, s[1].ejectedUntil), 0.0)
+	assert.Positive(t, s[0].outlier.failuresInRow+s[1].outlier.failuresInRow)
+	assert.Greater(t, max(s[0].outlier.ejectedUntil, s[1].outlier.ejectedUntil), 0.0)
 }
 
 func TestBurstIsPushedBackBeforeTheFirstLateAnswer(t *testing.T) {
--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -55,8 +55,8 @@
 	q += more
 	due = known + more
 	q += 2 * typical * float64(len(s.inFlight)) * b.meanWeight / s.weight
-	if !s.connected {
-		q += b.connectionSetup.read(now, fleetPaceHalfLife, 0, 1)
+	if !s.connections.open {
+		q += b.idleConnections.setupTime(now)
 	}
 	// A hung server looks sound until its time-outs land: a late pick counts before it ends.
 	if len(s.inFlight) > 0 {
--- /dev/null
+++ b/decide/feedback.go
@@ -0,0 +1,59 @@
+package decide
+
+const minLatencyShare = 0.2 // of what an attempt took that is left when its work hint is taken off
+
+// recordSuccess learns from an answer that took so many seconds.
+func (b *Balancer) recordSuccess(a *Attempt, took, now float64) {
+	s, m := a.Server, &b.methods[a.RPC.Method]
+	s.lastAnswerAt = now
+	s.outlier.succeeded()
+	s.connections.lastUsedAt = now
+	b.idleConnections.worked(a.connectionIdle, now)
+	took = max(took-a.extraLatency, minLatencyShare*took)
+	m.latency.add(took, now, slowHalfLife)
+	// Each answer counts by the servers of then: servers just replaced would else seem to have given all of them.
+	sum := 0.0
+	for _, o := range b.subset {
+		sum += b.warmFraction(o, now)
+	}
+	b.answersPerWarmServer.add(1/max(sum, 1), now, warmRateHalfLife)
+	b.recordPace(a, min(took, maxPaceSample*a.expectedLatency), now)
+	b.learn(a, took, false, now)
+}
+
+// recordFailure counts a failure against its server. Ejection goes by the server alone: the Q-table would send each
+// method and tenant into the same fault once more.
+func (b *Balancer) recordFailure(a *Attempt, now float64) {
+	b.recordPace(a, maxPaceSample*a.expectedLatency, now)
+	b.learn(a, a.RPC.rules.Deadline, true, now)
+	a.Server.outlier.failed(now)
+}
+
+// recordSilence counts an attempt that got no answer as a failure of its server. Where the server has answered nothing
+// since, its idle connection may be the cause.
+func (b *Balancer) recordSilence(a *Attempt, now float64) {
+	b.recordFailure(a, now)
+	s := a.Server
+	if s.lastAnswerAt >= a.sentAt {
+		return
+	}
+	if b.idleConnections.fellSilent(s, a.connectionIdle, now) {
+		s.connections.idleBroken, s.connections.open = true, false
+	}
+}
+
+// recordLateness counts a late attempt before its end: by its age, or as a failure where its server has answered
+// nothing since. A hung server would look sound until its time-outs land.
+func (b *Balancer) recordLateness(a *Attempt, now float64) {
+	const timerTolerance = 0.99 // of the age from which it is late: timers are rounded
+	if a.countedLate || a.RPC.BodyPending || now-a.sentAt < a.lateAfter*timerTolerance {
+		return
+	}
+	a.countedLate = true
+	if a.Server.lastAnswerAt < a.sentAt {
+		b.recordSilence(a, now)
+		return
+	}
+	b.recordPace(a, min(now-a.sentAt, maxPaceSample*a.expectedLatency), now)
+	b.learn(a, now-a.sentAt, false, now)
+}
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -7,8 +7,6 @@
 	"slices"
 )
 
-type watchTimer struct{ id int }
-
 // UpdateEndpoints takes news of the servers; a full list also tells which have left.
 func (b *Balancer) UpdateEndpoints(list []EndpointUpdate, full bool) {
 	now := b.host.Now()
@@ -58,19 +56,21 @@
 	for i := range s.entries {
 		b.forget(s, i)
 	}
-	s.observedLatency, s.expectedLatency, s.failuresInRow, s.ejectedUntil, s.ejectionTime, s.reportedAt = decayingSum{}, decayingSum{}, 0, 0, 0, math.Inf(-1)
+	s.observedLatency, s.expectedLatency = decayingValue{}, decayingValue{}
+	s.outlier = outlierState{}
+	s.reportedAt = math.Inf(-1)
 	// All nodes hear of the start at once: a random part of a token keeps their first picks apart.
 	s.tokens, s.tokensAt = b.rng.Float64(), now
 }
 
-// EndpointWatchFailed asks again, later each time while failures say that the list is overrun. Anew says that this
-// one does not: there had been news for a while, or discovery had no call that it could fail. What discovery
-// had meanwhile binds in time: no pause is over most. Least keeps a fleet from asking a busy one too soon.
-func (b *Balancer) EndpointWatchFailed(anew bool, least, most float64) {
-	if anew {
-		b.watchBackoff = 0
+// EndpointWatchFailed watches the list again after a wait that grows while failures say that discovery is overloaded.
+// With resetBackoff set this one does not: there had been watch events for a while, or there was no call that could
+// fail. The longest wait that may be drawn is at least minWait, which keeps a fleet from polling a busy discovery too
+// soon, and at most maxWait, since what discovery had meanwhile binds in time.
+func (b *Balancer) EndpointWatchFailed(resetBackoff bool, minWait, maxWait float64) {
+	if resetBackoff {
+		b.watch.reset()
 	}
-	b.watchBackoff = min(max(0.25, b.watchBackoff*2), 4)
-	b.watchTimerID++
-	b.host.StartTimer(min(max(1.5*b.watchBackoff, least), most)*(1+2*b.rng.Float64())/3, watchTimer{b.watchTimerID})
+	wait, timer := b.watch.next(minWait, maxWait, b.rng.Float64())
+	b.host.StartTimer(wait, timer)
 }
--- a/decide/neighbours_test.go
+++ b/decide/neighbours_test.go
@@ -21,7 +21,7 @@
 	assert.LessOrEqual(t, len(h.b.subset), 8)
 	// An ejected one leaves first, however low its estimate. The tidied join had looked at estimates alone.
 	ill, r := h.b.subset[0], &RPC{}
-	ill.ejectedUntil, r.rules = h.now+5, h.b.methods[lookup].methodRules
+	ill.outlier.ejectedUntil, r.rules = h.now+5, h.b.methods[lookup].methodRules
 	for range 6 {
 		h.b.addToSubset(r, s[slices.IndexFunc(s, func(x *Server) bool { return !x.inSubset })], 0.1, h.now)
 	}
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -24,11 +24,7 @@
 		r.extraWork = min(max(r.WorkHint/m.workHint.read(now, fleetPaceHalfLife, r.WorkHint, 1), 0.2), 5) - 1
 	}
 	if r.Tenant < len(b.tenants) && !b.innerTier {
-		t := &b.tenants[r.Tenant]
-		t.arrivals.add(1, now, quotaHalfLife)
-		// A node's part of a small quota is less than one RPC, and clients come by chance: one more and a root.
-		due := t.rate * quotaHalfLife / math.Ln2
-		if t.rate > 0 && t.arrivals.sum > 1+due+math.Sqrt(due) {
+		if b.tenants[r.Tenant].arrive(now) {
 			value *= b.overQuotaWeight
 		}
 	}
@@ -71,7 +67,7 @@
 	now := b.host.Now()
 	switch w := what.(type) {
 	case watchTimer:
-		if w.id == b.watchTimerID {
+		if b.watch.isCurrent(w) {
 			b.host.WatchEndpoints()
 		}
 	case *RPC:
@@ -122,9 +118,9 @@
 		b.markNeverRan(r, p)
 	}
 	if p.opensConnection && (res == OK || res == ConnectFailed) {
-		b.connectionSetup.add(max(0, took-p.expectedLatency), now, fleetPaceHalfLife)
+		b.idleConnections.opened(took-p.expectedLatency, now)
 	}
-	s.connected = res != ConnectFailed && (s.connected || res == OK)
+	s.connections.open = res != ConnectFailed && (s.connections.open || res == OK)
 	switch res {
 	case OK:
 		b.recordSuccess(p, took, now)
@@ -153,23 +149,6 @@
 	}
 }
 
-func (b *Balancer) recordSuccess(p *Attempt, took, now float64) {
-	s, m := p.Server, &b.methods[p.RPC.Method]
-	s.lastAnswerAt, s.failuresInRow, s.ejectionTime = now, 0, 0
-	s.lastUsedAt = now
-	b.longestGoodIdle.sum = max(b.longestGoodIdle.read(now, idleHalfLife), p.connectionIdle)
-	took = max(took-p.extraLatency, 0.2*took)
-	m.latency.add(took, now, slowHalfLife)
-	// Each answer counts by the servers of then: servers just replaced would else seem to have given all of them.
-	sum := 0.0
-	for _, o := range b.subset {
-		sum += b.warmFraction(o, now)
-	}
-	b.answersPerWarmServer.add(1/max(sum, 1), now, warmRateHalfLife)
-	b.recordPace(p, min(took, maxPaceSample*p.expectedLatency), now)
-	b.learn(p, took, false, now)
-}
-
 // ClientGone is a client that has left.
 func (b *Balancer) ClientGone(r *RPC) { b.close(r) }
 
@@ -210,14 +189,7 @@
 	b.attemptsInFlight++
 	b.attemptsSent.add(1, now, attemptRateHalfLife)
 	s.inFlight = append(s.inFlight, p)
-	if p.connectionIdle = now - s.lastUsedAt; s.lastUsedAt == 0 || len(s.inFlight) > 1 {
-		p.connectionIdle = 0
-	} else if s.idleConnBroken || b.maxIdle > 0 && p.connectionIdle > b.maxIdle*math.Exp2((now-b.maxIdleAt)/idleHalfLife) {
-		b.host.CloseIdleConnections(s)
-		p.connectionIdle, s.idleConnBroken, s.connected = 0, false, false
-	}
-	p.opensConnection = !s.connected
-	s.lastUsedAt = now
+	b.prepareConnection(p, now)
 	b.host.Send(p, 0)
 	if wait := b.recheckDelay(p, now); now+wait < r.usefulUntil && !r.BodyPending {
 		b.host.StartTimer(wait, p)
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -31,7 +31,7 @@
 		}
 		// The second pass takes what is left when all sound servers have been tried: an ejected one is
 		// better than none, and where all fail the fault lies elsewhere.
-		ill := now < s.ejectedUntil || s.failuresInRow >= ejectAfter && len(s.inFlight) > 0
+		ill := !s.outlier.isHealthy(len(s.inFlight), now)
 		if pass == 0 && (ill || r.attempted(s, false)) || r.attempted(s, true) {
 			return
 		}
@@ -94,7 +94,7 @@
 		worst, high := 0, -1.0
 		for i, o := range b.subset {
 			e, _ := b.estimate(r, o, typical, now)
-			if now < o.ejectedUntil {
+			if o.outlier.isEjected(now) {
 				e = math.Inf(1)
 			}
 			if e > high {
