--- a/decide/admission.go
+++ b/decide/admission.go
@@ -16,6 +16,7 @@
 	limitDecrease      = 0.3  // and shrinks somewhat faster, since a crowd costs more than an idle server
 	zeroWeightShare    = 0.65 // of the room is open to an RPC of no utility: the rest is kept for dearer ones
 	minWaits           = 6.0  // fewer waits than that say little; below it older ones stand in
+	longWaitHalfLife   = 5.0  // seconds
 	recentWaitHalfLife = 0.7  // of waits
 )
 
@@ -28,22 +29,22 @@
 	waited := b.meanWait(now)
 	room := b.concurrencyLimit * r.admissionShare
 	// The room stands in for what is not known of the servers: where they report, the estimates turn RPCs away.
-	room /= max(0.05, b.withoutReport.read(now, slowHalfLife, 1, 1))
+	room /= max(0.05, b.loadReports.unreportedShare(now))
 	// Waits far below the goal say that it is not full: what a few RPCs held exceed their usual by is chance.
 	room *= math.Sqrt(max(1, waitGoal/waited))
 	n := float64(b.openRPCs - 1)
-	b.heldOnArrival.add(n, now, slowHalfLife)
+	b.heldOnArrival.add(n, now, longWaitHalfLife)
 	// Chance moves the number held by its root. Of one held that is none or two, and over hundreds of such nodes
 	// one more at each is a crowd.
 	// A lone one goes unless the last were late: room below one would else refuse all, and nothing would be learnt.
-	return n == 0 && waited < waitGoal || n <= room+math.Sqrt(b.heldOnArrival.read(now, slowHalfLife, 0, 0))-1
+	return n == 0 && waited < waitGoal || n <= room+math.Sqrt(b.heldOnArrival.read(now, longWaitHalfLife, 0, 0))-1
 }
 
 // meanWait is what the last RPCs waited, as a part of their latency targets. Where few are recent, older ones
 // stand in, and a guess for those: at an RPC a second a guess alone would hide that all are late.
 func (b *Balancer) meanWait(now float64) float64 {
 	lack := max(0, minWaits-b.recentWaits.weight.read(now, recentWaitHalfLife))
-	return b.recentWaits.read(now, recentWaitHalfLife, b.longWaits.read(now, slowHalfLife, waitGoal/2, 1), lack)
+	return b.recentWaits.read(now, recentWaitHalfLife, b.longWaits.read(now, longWaitHalfLife, waitGoal/2, 1), lack)
 }
 
 // minConcurrencyLimit keeps this node's part of the servers at work: a slowdown of all is not answered by idling them.
@@ -59,15 +60,15 @@
 	}
 	wait := (now - r.clockStart) / r.rules.LatencyObjective
 	b.recentWaits.add(wait, now, recentWaitHalfLife)
-	b.longWaits.add(wait, now, slowHalfLife)
+	b.longWaits.add(wait, now, longWaitHalfLife)
 	w := b.meanWait(now)
 	// The lowest of a few waits is chance, and a base found by chance lies under what any room can keep to.
-	long := b.longWaits.read(now, slowHalfLife, waitGoal/2, 2)
+	long := b.longWaits.read(now, longWaitHalfLife, waitGoal/2, 2)
 	b.baseWait = max(negligibleWait, min(b.baseWait*math.Exp2((now-b.baseWaitAt)/baselineHalfLife), long))
 	b.usualHeld *= math.Exp2((b.baseWaitAt - now) / baselineHalfLife)
 	b.baseWaitAt = now
 	if long < 1.3*b.baseWait {
-		b.usualHeld = max(b.usualHeld, b.heldOnArrival.read(now, slowHalfLife, 0, 0))
+		b.usualHeld = max(b.usualHeld, b.heldOnArrival.read(now, longWaitHalfLife, 0, 0))
 	}
 	switch {
 	case w > waitGoal:
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -14,24 +14,19 @@
 	maxAttempts    int     // picks an RPC may have, by its utility
 }
 
-type methodState struct {
-	*methodRules
-	latency, workHint decayingMean
-}
-
 type serverState struct {
-	state                            State
-	zone, cell, listVersion          int
-	weight, startedAt                float64
-	entries                          []qEntry
-	inFlight                         []*Attempt // oldest first
-	observedLatency, expectedLatency decayingValue
-	lastAnswerAt                     float64
-	outlier                          outlierState
-	tokens, tokensAt                 float64
-	reportedOthers, reportedAt       float64 // RPCs that it held for others when it last reported
-	inSubset                         bool    // a neighbour
-	connections                      serverConnections
+	state                   State
+	zone, cell, listVersion int
+	weight, startedAt       float64
+	entries                 []qEntry
+	inFlight                []*Attempt // oldest first
+	pace                    pace
+	lastAnswerAt            float64
+	outlier                 outlierState
+	tokens, tokensAt        float64
+	load                    serverLoad
+	inSubset                bool // a neighbour
+	connections             serverConnections
 }
 
 type rpcState struct {
@@ -66,9 +61,8 @@
 	tenants           []tenantQuota
 	servers           []*Server
 	subset            []*Server // the neighbours
-	qRows             []qRow
-	firstRows         [][]int // where the rows of each method and tenant begin
-	listVersion, zone int     // lists seen; this node's zone
+	qTable            qTable
+	listVersion, zone int // lists seen; this node's zone
 
 	innerTier, hedging, mayCancel        bool
 	overQuotaWeight, crossZoneCost       float64
@@ -89,10 +83,10 @@
 	answersPerWarmServer, attemptsSent       decayingValue
 	hedges, subsetReplacements               decayingValue // second copies; neighbours taken for others
 	bestWarmRate, bestWarmRateAt             float64       // rate of one warm server
-	observedLatency, expectedLatency         decayingValue // of all servers
+	fleetPace                                pace          // of all servers
 	unknownServerPace                        float64       // what a server not known is taken for
-	meanInFlight, withoutReport              decayingMean  // picks out when others were sent; those that did not know what their servers held
-	meanReportedOthers                       decayingMean  // RPCs of others that servers reported
+	meanInFlight                             decayingMean  // picks out when others were sent
+	loadReports                              loadReports
 	idleConnections                          idleConnections
 	candidates                               []*Server
 	estimates                                []float64
@@ -133,7 +127,8 @@
 		}
 		k.maxAttempts = 1 + int(math.Ceil(float64(s.MaxAttempts-1)*math.Cbrt(k.relativeWeight)))
 		if i == len(b.methods) {
-			b.methods, b.firstRows = append(b.methods, methodState{methodRules: k}), append(b.firstRows, nil)
+			b.methods = append(b.methods, methodState{methodRules: k})
+			b.qTable.addMethod()
 		} else if m != (Method{}) {
 			b.methods[i].methodRules = k
 		}
@@ -142,19 +137,14 @@
 	for i, t := range s.Tenants {
 		b.tenants[i].rate = t.Quota * b.nodeShare
 	}
-	for i := range b.firstRows {
-		for len(b.firstRows[i]) < max(1, len(b.tenants)) {
-			b.firstRows[i] = append(b.firstRows[i], len(b.qRows))
-			b.qRows = append(b.qRows, make([]qRow, loadLevels)...)
-		}
-	}
+	b.qTable.addTenants(max(1, len(b.tenants)))
 }
 
 // UpdateSettings takes other settings. What was learnt stays; RPCs that are open keep the rules that they came under.
 func (b *Balancer) UpdateSettings(s Settings) {
 	b.applySettings(s)
 	for _, s := range b.servers {
-		s.entries = append(s.entries, make([]qEntry, len(b.qRows)-len(s.entries))...)
+		s.entries = b.qTable.grow(s.entries)
 	}
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -404,7 +404,7 @@
 	assert.Less(t, len(met), 30, "each node would try every jammed server once, and hundreds of nodes keep it jammed")
 	started := &Server{}
 	h.b.UpdateEndpoints([]EndpointUpdate{{Server: started, Weight: 1, StartedAt: h.now}}, false)
-	assert.Less(t, h.b.pace(started, 0.5, h.now), h.b.pace(s[99], 0.5, h.now), "one just started cannot have jammed")
+	assert.Less(t, h.b.rankingPace(started, 0.5, h.now), h.b.rankingPace(s[99], 0.5, h.now), "one just started cannot have jammed")
 }
 
 func TestJamOfAThinNodeIsNotHiddenByAGuess(t *testing.T) {
@@ -456,10 +456,10 @@
 	h.b.UpdateEndpoints(nil, false)
 	assert.ElementsMatch(t, s, h.b.servers)
 	kept := 0
-	for _, r := range h.b.qRows {
+	for _, r := range h.b.qTable.rows {
 		kept += r.count
 	}
-	assert.LessOrEqual(t, kept, len(s)*len(h.b.qRows), "nor do their entries count in the means")
+	assert.LessOrEqual(t, kept, len(s)*len(h.b.qTable.rows), "nor do their entries count in the means")
 	h.b.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Gone, Weight: 1}}, false)
 	h.b.UpdateEndpoints([]EndpointUpdate{ready(s[0], 0)}, false)
 	assert.Len(t, h.b.servers, 2, "one that comes back starts anew")
--- a/decide/feedback.go
+++ b/decide/feedback.go
@@ -10,7 +10,7 @@
 	s.connections.lastUsedAt = now
 	b.idleConnections.worked(a.connectionIdle, now)
 	took = max(took-a.extraLatency, minLatencyShare*took)
-	m.latency.add(took, now, slowHalfLife)
+	m.latency.add(took, now, latencyHalfLife)
 	// Each answer counts by the servers of then: servers just replaced would else seem to have given all of them.
 	sum := 0.0
 	for _, o := range b.subset {
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -3,7 +3,6 @@
 // The list of servers: what it tells of starts and ends, and when it is asked for again.
 
 import (
-	"math"
 	"slices"
 )
 
@@ -14,7 +13,7 @@
 	for _, l := range list {
 		s := l.Server
 		if s.entries == nil {
-			s.entries = make([]qEntry, len(b.qRows))
+			s.entries = b.qTable.newEntries()
 			b.servers = append(b.servers, s)
 			b.restart(s, now)
 		} else if l.StartedAt > s.startedAt {
@@ -54,11 +53,11 @@
 // restart forgets what was learnt of the process that ran before.
 func (b *Balancer) restart(s *Server, now float64) {
 	for i := range s.entries {
-		b.forget(s, i)
+		b.qTable.drop(s.entries, i)
 	}
-	s.observedLatency, s.expectedLatency = decayingValue{}, decayingValue{}
+	s.pace = pace{}
 	s.outlier = outlierState{}
-	s.reportedAt = math.Inf(-1)
+	s.load.forget()
 	// All nodes hear of the start at once: a random part of a token keeps their first picks apart.
 	s.tokens, s.tokensAt = b.rng.Float64(), now
 }
--- a/decide/neighbours_test.go
+++ b/decide/neighbours_test.go
@@ -54,15 +54,15 @@
 		}
 		busy := servers[1]
 		say(busy, 6)
-		typical := h.b.methodLatency(lookup, h.now)
-		assert.InDelta(t, 5, h.b.othersInFlight(busy, typical, h.now), 0.01, "itself not counted")
+		typical := h.b.methods[lookup].typicalLatency(h.now)
+		assert.InDelta(t, 5, h.b.loadReports.othersInFlight(&busy.load, typical, h.now), 0.01, "itself not counted")
 		r := h.arrive(lookup)
 		if h.last().Server == busy {
 			there++
 		}
 		h.done(r.attempts[0], OK)
 		h.until(h.now + 5)
-		assert.InDelta(t, h.b.othersInFlight(h.last().Server, typical, h.now), h.b.othersInFlight(busy, typical, h.now), 0.01, "an old report says nothing")
+		assert.InDelta(t, h.b.loadReports.othersInFlight(&h.last().Server.load, typical, h.now), h.b.loadReports.othersInFlight(&busy.load, typical, h.now), 0.01, "an old report says nothing")
 	}
 	assert.LessOrEqual(t, there, seeds/20, "one in a hundred picks explores")
 }
@@ -73,7 +73,7 @@
 	h.warmUp(60, always(0.5))
 	for range 20 { // both jam: answers take four times the target
 		for _, x := range s {
-			p := &Attempt{RPC: &RPC{}, Server: x, attemptState: attemptState{sentAt: h.now - 10, expectedLatency: 10, row: h.b.firstRows[lookup][0]}}
+			p := &Attempt{RPC: &RPC{}, Server: x, attemptState: attemptState{sentAt: h.now - 10, expectedLatency: 10, row: h.b.qTable.firstRows[lookup][0]}}
 			p.RPC.rules = h.b.methods[lookup].methodRules
 			h.b.recordSuccess(p, 10, h.now)
 		}
@@ -108,7 +108,7 @@
 	for seed := range int64(50) {
 		h, s := seeded(seed, 4, func(s *Settings) { s.Tenants = []Tenant{{Quota: 1000}, {Quota: 1000}} })
 		h.warmUp(200, always(0.1)) // of the first tenant
-		p := &Attempt{RPC: &RPC{}, Server: s[0], attemptState: attemptState{sentAt: h.now - 5, expectedLatency: 0.1, row: h.b.firstRows[lookup][1]}}
+		p := &Attempt{RPC: &RPC{}, Server: s[0], attemptState: attemptState{sentAt: h.now - 5, expectedLatency: 0.1, row: h.b.qTable.firstRows[lookup][1]}}
 		p.RPC.rules = h.b.methods[lookup].methodRules
 		h.b.recordSuccess(p, 5, h.now)
 		r := &RPC{Method: lookup, Tenant: 1, Deadline: h.now + 6}
@@ -159,12 +159,12 @@
 	for _, n := range []int{8, 200} {
 		h, _ := story(n, func(s *Settings) { s.Instances = 100 })
 		h.warmUp(100, always(0.1))
-		s, r, typical := h.b.subset[0], &RPC{}, h.b.methodLatency(lookup, h.now)
+		s, r, typical := h.b.subset[0], &RPC{}, h.b.methods[lookup].typicalLatency(h.now)
 		above := func() float64 {
 			q, _ := h.b.estimate(r, s, typical, h.now)
-			return q - h.b.rowMean(h.b.row(r, s, h.now), typical)*h.b.pace(s, typical, h.now)
+			return q - h.b.qTable.mean(h.b.qTable.row(r.Method, r.Tenant, len(s.inFlight)), typical)*h.b.rankingPace(s, typical, h.now)
 		}
-		h.b.learn(&Attempt{RPC: r, Server: s, attemptState: attemptState{row: h.b.row(r, s, h.now), expectedLatency: 0.1}}, 1.5, false, h.now)
+		h.b.learn(&Attempt{RPC: r, Server: s, attemptState: attemptState{row: h.b.qTable.row(r.Method, r.Tenant, len(s.inFlight)), expectedLatency: 0.1}}, 1.5, false, h.now)
 		first := above()
 		h.until(h.now + entryHalfLife*typical)
 		assert.InDelta(t, first/2, above(), first/50, "%d servers", n)
@@ -182,11 +182,11 @@
 	for range 60 {
 		ask(1, 0.1)
 	}
-	calm := h.b.methodLatency(lookup, h.now)
+	calm := h.b.methods[lookup].typicalLatency(h.now)
 	for range 5 {
 		ask(5, 0.4) // five times the work, about as much longer
 	}
-	assert.Less(t, h.b.methodLatency(lookup, h.now), 1.5*calm)
+	assert.Less(t, h.b.methods[lookup].typicalLatency(h.now), 1.5*calm)
 	r := &RPC{WorkHint: 1e9, Deadline: h.now + 6}
 	h.b.Arrived(r)
 	assert.False(t, r.extraWork > 5, "a hint is rough: no more than five times the mean is believed")
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -19,10 +19,7 @@
 	r.open, r.rules = true, m.methodRules
 	b.startClock(r, now)
 	value := m.relativeWeight
-	if r.WorkHint > 0 {
-		m.workHint.add(r.WorkHint, now, fleetPaceHalfLife)
-		r.extraWork = min(max(r.WorkHint/m.workHint.read(now, fleetPaceHalfLife, r.WorkHint, 1), 0.2), 5) - 1
-	}
+	r.extraWork = m.extraWork(r.WorkHint, now)
 	if r.Tenant < len(b.tenants) && !b.innerTier {
 		if b.tenants[r.Tenant].arrive(now) {
 			value *= b.overQuotaWeight
@@ -109,9 +106,9 @@
 	b.attemptsInFlight--
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(o *Attempt) bool { return o == p })
 	if load != nil && load.InFlight >= 0 {
-		s.reportedOthers, s.reportedAt = max(0, load.InFlight-float64(len(s.inFlight))-1), now
+		s.load.update(load.InFlight, len(s.inFlight), now)
 		if p.withoutReport {
-			b.meanReportedOthers.add(s.reportedOthers, now, slowHalfLife)
+			b.loadReports.received(&s.load, now)
 		}
 	}
 	if res.NeverRan() {
@@ -169,11 +166,9 @@
 }
 
 func (b *Balancer) send(r *RPC, s *Server, now float64) {
-	i, typical := b.row(r, s, now), b.methodLatency(r.Method, now)
-	p := &Attempt{RPC: r, Server: s, attemptState: attemptState{sentAt: now, row: i, inFlight: true, expectedLatency: b.rowMean(i, typical)}}
-	seen := b.reportFreshness(s, typical, now)
-	p.withoutReport = seen < 0.5
-	b.withoutReport.add(1-seen, now, slowHalfLife)
+	i, typical := b.qTable.row(r.Method, r.Tenant, len(s.inFlight)), b.methods[r.Method].typicalLatency(now)
+	p := &Attempt{RPC: r, Server: s, attemptState: attemptState{sentAt: now, row: i, inFlight: true, expectedLatency: b.qTable.mean(i, typical)}}
+	p.withoutReport = b.loadReports.sent(s.load.freshness(typical, now), now)
 	b.addToSubset(r, s, typical, now)
 	p.extraLatency = typical * r.extraWork
 	// Where answers take a hair's breadth, the node's own hiccups would else pass for hung servers.
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	explorationRate   = 0.01 // chance of a random server that is no neighbour
-	tieFactor         = 1.1  // entries within a tenth of the lowest are tied
-	subsetLimit       = 128  // neighbours at most
-	minSubsetSize     = 4    // neighbours at least: one may be ill, and a retry needs another
-	subsetPerAttempt  = 2.5  // and as many for each pick that is out on average
-	outsideCandidates = 4    // others looked at for a pick
-	replacementShare  = 0.1  // of the picks may bring a new neighbour in place of another
-	lateTolerance     = 1.2  // times what is left: what is expected to take longer is turned away; times scatter
-	sendLateChance    = 0.02 // of those are sent all the same: without picks nothing would be learnt of a recovery
+	explorationRate     = 0.01 // chance of a random server that is no neighbour
+	tieFactor           = 1.1  // entries within a tenth of the lowest are tied
+	subsetLimit         = 128  // neighbours at most
+	minSubsetSize       = 4    // neighbours at least: one may be ill, and a retry needs another
+	subsetPerAttempt    = 2.5  // and as many for each pick that is out on average
+	outsideCandidates   = 4    // others looked at for a pick
+	replacementShare    = 0.1  // of the picks may bring a new neighbour in place of another
+	concurrencyHalfLife = 5.0  // seconds
+	lateTolerance       = 1.2  // times what is left: what is expected to take longer is turned away; times scatter
+	sendLateChance      = 0.02 // of those are sent all the same: without picks nothing would be learnt of a recovery
 )
 
 // chooseServer is the Q-router: the lowest time-to-go at the present load, near-ties and exploration at random.
 func (b *Balancer) chooseServer(r *RPC, now float64) *Server {
-	unit, typical := b.warmServerRate(now), b.methodLatency(r.Method, now)
-	few := priorSamples * typical
-	b.unknownServerPace = unknownPaceFactor * max(1, (b.observedLatency.read(now, fleetPaceHalfLife)+few)/(b.expectedLatency.read(now, fleetPaceHalfLife)+few))
+	unit, typical := b.warmServerRate(now), b.methods[r.Method].typicalLatency(now)
+	b.unknownServerPace = b.paceOfUnknown(typical, now)
 	best, due := math.Inf(1), 0.0
 	look := func(s *Server, pass int) {
 		if s.state != Ready || r.firstMayHaveRun != nil && !r.rules.inDedupScope(s, r.firstMayHaveRun.Server) || !b.slowStartAllows(s, unit, now) {
@@ -77,13 +77,13 @@
 
 // maxSubsetSize is how many neighbours the node's picks need.
 func (b *Balancer) maxSubsetSize(now float64) int {
-	return min(minSubsetSize+int(subsetPerAttempt*b.meanInFlight.read(now, slowHalfLife, 0, 0)), subsetLimit)
+	return min(minSubsetSize+int(subsetPerAttempt*b.meanInFlight.read(now, concurrencyHalfLife, 0, 0)), subsetLimit)
 }
 
 // addToSubset makes a server a neighbour. The paper's router knows its neighbours only: a node that sends to all
 // servers by turns hears too seldom from each. As many are kept as picks need; the worst leaves for the new.
 func (b *Balancer) addToSubset(r *RPC, s *Server, typical, now float64) {
-	b.meanInFlight.add(float64(b.attemptsInFlight+1), now, slowHalfLife)
+	b.meanInFlight.add(float64(b.attemptsInFlight+1), now, concurrencyHalfLife)
 	if s.inSubset || r.inFlight+len(r.attempts) > 0 {
 		return
 	}
@@ -103,7 +103,7 @@
 		}
 		b.subset[worst].inSubset = false
 		for i := range b.subset[worst].entries {
-			b.forget(b.subset[worst], i)
+			b.qTable.drop(b.subset[worst].entries, i)
 		}
 		b.subset = slices.Delete(b.subset, worst, worst+1)
 	}
