--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -23,7 +23,7 @@
 	pace                    pace
 	lastAnswerAt            float64
 	outlier                 outlierState
-	tokens, tokensAt        float64
+	slowStart               slowStartBudget
 	load                    serverLoad
 	inSubset                bool // a neighbour
 	connections             serverConnections
@@ -64,28 +64,20 @@
 	qTable            qTable
 	listVersion, zone int // lists seen; this node's zone
 
-	innerTier, hedging, mayCancel        bool
-	overQuotaWeight, crossZoneCost       float64
-	maxRetryAfter, nodeShare             float64 // part: this node's of the tier's nodes
-	slowStartFraction, slowStartDuration float64
-	overloadWindow                       float64 // the time in which a cold server falls
-	slowStartMultiple                    float64 // times its part that a cold server may be sent
-	minWarmRate                          float64 // picks a second to a warm server when nothing is known
-	watch                                watchBackoff
+	innerTier, hedging, mayCancel  bool
+	overQuotaWeight, crossZoneCost float64
+	maxRetryAfter, nodeShare       float64 // part: this node's of the tier's nodes
+	watch                          watchBackoff
 
-	openRPCs, attemptsInFlight, readyServers int          // RPCs held; picks out; servers
-	concurrencyLimit                         float64      // RPCs to hold at most
-	recentWaits, longWaits                   decayingMean // of RPCs, given up or ok, and the same over a longer time
-	heldOnArrival                            decayingMean // RPCs held when others came
-	baseWait, baseWaitAt                     float64      // the lowest mean wait of late
-	usualHeld                                float64      // RPCs held at most while waits were near the base
-	meanWeight                               float64      // mean over ready servers
-	answersPerWarmServer, attemptsSent       decayingValue
+	openRPCs, attemptsInFlight, readyServers int // RPCs held; picks out; servers
+	admission                                admission
+	meanWeight                               float64 // mean over ready servers
+	attemptsSent                             decayingValue
 	hedges, subsetReplacements               decayingValue // second copies; neighbours taken for others
-	bestWarmRate, bestWarmRateAt             float64       // rate of one warm server
-	fleetPace                                pace          // of all servers
-	unknownServerPace                        float64       // what a server not known is taken for
-	meanInFlight                             decayingMean  // picks out when others were sent
+	slowStart                                slowStart
+	fleetPace                                pace         // of all servers
+	unknownServerPace                        float64      // what a server not known is taken for
+	meanInFlight                             decayingMean // picks out when others were sent
 	loadReports                              loadReports
 	idleConnections                          idleConnections
 	candidates                               []*Server
@@ -111,11 +103,9 @@
 func (b *Balancer) applySettings(s Settings) {
 	b.innerTier, b.hedging, b.mayCancel = s.Stage > 0, s.Hedging, s.MayCancel
 	b.overQuotaWeight, b.crossZoneCost, b.zone = s.OverQuotaWeight, s.CrossZoneCost, s.Zone
-	b.slowStartFraction, b.slowStartDuration, b.overloadWindow, b.nodeShare = s.SlowStartFraction, s.SlowStartDuration, s.OverloadWindow, 1/float64(max(1, s.Instances))
-	b.maxRetryAfter, b.slowStartMultiple = s.MaxRetryAfter, max(1, s.OverloadMultiple/2)
-	if b.minWarmRate = s.OverloadMultiple / s.OverloadWindow * b.nodeShare; s.OverloadWindow <= 0 || s.OverloadMultiple <= 0 {
-		b.slowStartDuration, b.minWarmRate = 0, 0 // nothing pushes a cold server over
-	}
+	b.nodeShare = 1 / float64(max(1, s.Instances))
+	b.maxRetryAfter = s.MaxRetryAfter
+	b.slowStart.configure(&s, b.nodeShare)
 	top := 0.0
 	for _, m := range s.Methods {
 		top = max(top, m.PriorityWeight)
--- a/decide/choice_test.go
+++ b/decide/choice_test.go
@@ -58,7 +58,7 @@
 			assert.False(t, r.attempted(s, true))
 			assert.True(t, r.firstMayHaveRun == nil || r.rules.inDedupScope(s, r.firstMayHaveRun.Server))
 			for _, o := range h.b.subset {
-				sound := h.now >= o.outlier.ejectedUntil && o.outlier.failuresInRow < ejectAfter && !r.attempted(o, false) && h.b.warmFraction(o, h.now) == 1
+				sound := h.now >= o.outlier.ejectedUntil && o.outlier.failuresInRow < ejectAfter && !r.attempted(o, false) && h.b.slowStart.capacityFraction(o.startedAt, h.now) == 1
 				if sound && (r.firstMayHaveRun == nil || r.rules.inDedupScope(o, r.firstMayHaveRun.Server)) {
 					assert.GreaterOrEqual(t, h.now, s.outlier.ejectedUntil, "an ejected one while a neighbour is sound")
 				}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -247,9 +247,9 @@
 func TestSlowdownOfAllServersDoesNotIdleThem(t *testing.T) {
 	h, _ := story(4, nil)
 	h.load(20, 0.05, always(0.5))
-	usual := h.b.usualHeld
+	usual := h.b.admission.usualHeld
 	h.load(20, 0.05, always(2.2))
-	assert.GreaterOrEqual(t, h.b.concurrencyLimit, usual*0.2)
+	assert.GreaterOrEqual(t, h.b.admission.limit, usual*0.2)
 	assert.NotEmpty(t, h.pushed)
 }
 
@@ -413,15 +413,15 @@
 		h.arrive(lookup)
 		h.until(h.now + 2.6)
 	}
-	assert.Greater(t, h.b.meanWait(h.now), waitGoal)
+	assert.Greater(t, h.b.admission.meanWait(h.now), waitGoal)
 }
 
 func TestColdServerKeepsItsPartWhileWarmOnesJam(t *testing.T) {
 	h, _ := story(3, nil)
 	h.warmUp(400, always(0.1))
-	calm := h.b.warmServerRate(h.now)
+	calm := h.b.slowStart.warmServerRate(h.now)
 	h.until(h.now + 8)
-	assert.Greater(t, h.b.warmServerRate(h.now), calm*0.8, "the jammed ones' rate would leave it idle beside them")
+	assert.Greater(t, h.b.slowStart.warmServerRate(h.now), calm*0.8, "the jammed ones' rate would leave it idle beside them")
 }
 
 func TestAnsweringServersPickGetsNoCopy(t *testing.T) {
--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -57,7 +57,7 @@
 // rankingPace is a server's pace, with more doubt of one that is not known.
 func (b *Balancer) rankingPace(s *Server, typical, now float64) float64 {
 	prior := b.unknownServerPace
-	if b.warmFraction(s, now) < 1 {
+	if !b.isWarm(s, now) {
 		prior = 1 // it has just started and cannot be in overload yet, and a deploy leaves no others
 	}
 	return s.pace.ratio(prior, typical, now, paceHalfLife)
--- a/decide/feedback.go
+++ b/decide/feedback.go
@@ -11,12 +11,11 @@
 	b.idleConnections.worked(a.connectionIdle, now)
 	took = max(took-a.extraLatency, minLatencyShare*took)
 	m.latency.add(took, now, latencyHalfLife)
-	// Each answer counts by the servers of then: servers just replaced would else seem to have given all of them.
-	sum := 0.0
+	fractions := 0.0
 	for _, o := range b.subset {
-		sum += b.warmFraction(o, now)
+		fractions += b.slowStart.capacityFraction(o.startedAt, now)
 	}
-	b.answersPerWarmServer.add(1/max(sum, 1), now, warmRateHalfLife)
+	b.slowStart.answered(fractions, now)
 	b.recordPace(a, min(took, maxPaceSample*a.expectedLatency), now)
 	b.learn(a, took, false, now)
 }
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -44,10 +44,7 @@
 		return left
 	})
 	b.meanWeight /= float64(max(1, b.readyServers))
-	if b.concurrencyLimit == 0 {
-		b.concurrencyLimit, b.baseWait, b.baseWaitAt = 5*b.minConcurrencyLimit(), waitGoal, b.host.Now()
-		b.usualHeld = b.concurrencyLimit / maxLimitFactor
-	}
+	b.admission.start(b.minConcurrencyLimit(), now)
 }
 
 // restart forgets what was learnt of the process that ran before.
@@ -59,7 +56,7 @@
 	s.outlier = outlierState{}
 	s.load.forget()
 	// All nodes hear of the start at once: a random part of a token keeps their first picks apart.
-	s.tokens, s.tokensAt = b.rng.Float64(), now
+	s.slowStart = slowStartBudget{tokens: b.rng.Float64(), updatedAt: now}
 }
 
 // EndpointWatchFailed watches the list again after a wait that grows while failures say that discovery is overloaded.
--- a/decide/neighbours_test.go
+++ b/decide/neighbours_test.go
@@ -150,8 +150,8 @@
 func TestAColdNeighboursPartIsOfWhatTheNeighboursAnswer(t *testing.T) {
 	h, _ := story(200, func(s *Settings) { s.Instances = 100 })
 	h.warmUp(400, always(0.1)) // ten a second
-	assert.Greater(t, h.b.warmServerRate(h.now), 10.0/float64(2*len(h.b.subset)))
-	assert.Less(t, h.b.warmServerRate(h.now), 10.0)
+	assert.Greater(t, h.b.slowStart.warmServerRate(h.now), 10.0/float64(2*len(h.b.subset)))
+	assert.Less(t, h.b.slowStart.warmServerRate(h.now), 10.0)
 }
 
 // A half-life stretched to a node's round of all servers outlived its use when a node began to send to a few of them.
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -3,7 +3,6 @@
 // The life of a request: it arrives, its attempts are sent and end, it ends.
 
 import (
-	"math"
 	"slices"
 )
 
@@ -25,7 +24,7 @@
 			value *= b.overQuotaWeight
 		}
 	}
-	r.admissionShare = zeroWeightShare + (1-zeroWeightShare)*math.Cbrt(value)
+	r.admissionShare = admissionShare(value)
 	if !b.admit(r, now) {
 		b.giveUp(r)
 		return
@@ -173,9 +172,7 @@
 	p.extraLatency = typical * r.extraWork
 	// Where answers take a hair's breadth, the node's own hiccups would else pass for hung servers.
 	p.lateAfter = max(lateLatencyFactor*(p.expectedLatency+max(p.extraLatency, 0)), negligibleWait*r.rules.LatencyObjective)
-	if b.warmFraction(s, now) < 1 {
-		s.tokens--
-	}
+	b.slowStart.sent(&s.slowStart, s.startedAt, now)
 	if r.firstMayHaveRun == nil {
 		r.firstMayHaveRun = p // until its result proves that it did not
 	}
--- a/decide/room_test.go
+++ b/decide/room_test.go
@@ -14,7 +14,7 @@
 		before := f.now
 		f.until(f.now + 40)
 		for _, o := range f.nodes {
-			if o.b.answersPerWarmServer.updatedAt <= before {
+			if o.b.slowStart.answers.updatedAt <= before {
 				n++
 			}
 		}
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -22,11 +22,11 @@
 
 // chooseServer is the Q-router: the lowest time-to-go at the present load, near-ties and exploration at random.
 func (b *Balancer) chooseServer(r *RPC, now float64) *Server {
-	unit, typical := b.warmServerRate(now), b.methods[r.Method].typicalLatency(now)
+	unit, typical := b.slowStart.warmServerRate(now), b.methods[r.Method].typicalLatency(now)
 	b.unknownServerPace = b.paceOfUnknown(typical, now)
 	best, due := math.Inf(1), 0.0
 	look := func(s *Server, pass int) {
-		if s.state != Ready || r.firstMayHaveRun != nil && !r.rules.inDedupScope(s, r.firstMayHaveRun.Server) || !b.slowStartAllows(s, unit, now) {
+		if s.state != Ready || r.firstMayHaveRun != nil && !r.rules.inDedupScope(s, r.firstMayHaveRun.Server) || !b.slowStart.allows(&s.slowStart, s.startedAt, unit, now) {
 			return
 		}
 		// The second pass takes what is left when all sound servers have been tried: an ejected one is
