--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -60,7 +60,7 @@
 	methods           []methodState
 	tenants           []tenantQuota
 	servers           []*Server
-	subset            []*Server // the neighbours
+	subset            subset
 	qTable            qTable
 	listVersion, zone int // lists seen; this node's zone
 
@@ -73,15 +73,13 @@
 	admission                                admission
 	meanWeight                               float64 // mean over ready servers
 	attemptsSent                             decayingValue
-	hedges, subsetReplacements               decayingValue // second copies; neighbours taken for others
+	hedgeBudget                              hedgeBudget
 	slowStart                                slowStart
-	fleetPace                                pace         // of all servers
-	unknownServerPace                        float64      // what a server not known is taken for
-	meanInFlight                             decayingMean // picks out when others were sent
+	fleetPace                                pace    // of all servers
+	unknownServerPace                        float64 // what a server not known is taken for
 	loadReports                              loadReports
 	idleConnections                          idleConnections
-	candidates                               []*Server
-	estimates                                []float64
+	candidates                               []candidate // of the last search, whose memory the next one uses again
 }
 
 // New starts an instance.
@@ -140,3 +138,18 @@
 
 // Method is the rules of a method that RPCs come under now, also of one that has left the settings.
 func (b *Balancer) Method(i int) Method { return b.methods[i].Method }
+
+// TimerFired is the end of a timer set with Host.StartTimer.
+func (b *Balancer) TimerFired(payload any) {
+	now := b.host.Now()
+	switch p := payload.(type) {
+	case watchTimer:
+		if b.watch.isCurrent(p) {
+			b.host.WatchEndpoints()
+		}
+	case *RPC:
+		b.expire(p, now)
+	case *Attempt:
+		b.recheck(p, now)
+	}
+}
--- a/decide/choice_test.go
+++ b/decide/choice_test.go
@@ -32,7 +32,7 @@
 				}
 			}
 			near := map[*Server]bool{}
-			for _, s := range h.b.subset {
+			for _, s := range h.b.subset.members {
 				assert.True(t, s.inSubset && s.state == Ready && !near[s])
 				assert.Contains(t, h.b.servers, s)
 				near[s] = true
@@ -47,7 +47,7 @@
 			} else {
 				r.rules = h.b.methods[r.Method].methodRules
 				r.admissionShare = 1
-				h.b.startClock(r, h.now)
+				r.startClock(h.now)
 			}
 			s = h.b.chooseServer(r, h.now)
 			if s == nil {
@@ -55,10 +55,10 @@
 			}
 			picks++
 			assert.Equal(t, Ready, s.state)
-			assert.False(t, r.attempted(s, true))
+			assert.False(t, r.hasInFlightAt(s))
 			assert.True(t, r.firstMayHaveRun == nil || r.rules.inDedupScope(s, r.firstMayHaveRun.Server))
-			for _, o := range h.b.subset {
-				sound := h.now >= o.outlier.ejectedUntil && o.outlier.failuresInRow < ejectAfter && !r.attempted(o, false) && h.b.slowStart.capacityFraction(o.startedAt, h.now) == 1
+			for _, o := range h.b.subset.members {
+				sound := h.now >= o.outlier.ejectedUntil && o.outlier.failuresInRow < ejectAfter && !r.hasAttempted(o) && h.b.slowStart.capacityFraction(o.startedAt, h.now) == 1
 				if sound && (r.firstMayHaveRun == nil || r.rules.inDedupScope(o, r.firstMayHaveRun.Server)) {
 					assert.GreaterOrEqual(t, h.now, s.outlier.ejectedUntil, "an ejected one while a neighbour is sound")
 				}
--- a/decide/connections.go
+++ b/decide/connections.go
@@ -16,6 +16,16 @@
 	lastUsedAt float64 // seconds; when one last carried something; 0: never
 }
 
+// ended notes an attempt's result: an answer leaves a connection that can be used again.
+func (c *serverConnections) ended(result Result) {
+	switch result {
+	case OK:
+		c.open = true
+	case ConnectFailed:
+		c.open = false
+	}
+}
+
 // idleConnections decides how long an idle connection is trusted. Where idle connections are dropped unseen, what is
 // sent on one gets no answer, and that says nothing of the server.
 type idleConnections struct {
--- a/decide/feedback.go
+++ b/decide/feedback.go
@@ -2,6 +2,48 @@
 
 const minLatencyShare = 0.2 // of what an attempt took that is left when its work hint is taken off
 
+// recordResult learns from an attempt's result.
+func (b *Balancer) recordResult(a *Attempt, result Result, took, now float64) {
+	switch result {
+	case OK:
+		b.recordSuccess(a, took, now)
+	case Canceled:
+		// A cancel teaches nothing, unless the attempt was late by then: a server that swallows attempts, each canceled
+		// when its hedged request is answered, would keep its low estimate and draw the next one.
+		b.recordLateness(a, now)
+	case NotSent:
+	case TimedOut:
+		if !a.countedLate && a.Server.lastAnswerAt < a.sentAt {
+			b.recordSilence(a, now)
+		}
+	case Rejected:
+		a.Server.lastAnswerAt = now
+		b.recordFailure(a, now)
+	default:
+		b.recordFailure(a, now)
+	}
+}
+
+// recordLoad takes the load report that came with an attempt's result, if it says anything.
+func (b *Balancer) recordLoad(a *Attempt, report *LoadReport, now float64) {
+	if report == nil || report.InFlight < 0 {
+		return
+	}
+	s := a.Server
+	s.load.update(report.InFlight, len(s.inFlight), now)
+	if a.withoutReport {
+		b.loadReports.received(&s.load, now)
+	}
+}
+
+// recordConnection learns what opening a connection costs, and whether the server has one.
+func (b *Balancer) recordConnection(a *Attempt, result Result, took, now float64) {
+	if a.opensConnection && (result == OK || result == ConnectFailed) {
+		b.idleConnections.opened(took-a.expectedLatency, now)
+	}
+	a.Server.connections.ended(result)
+}
+
 // recordSuccess learns from an answer that took so many seconds.
 func (b *Balancer) recordSuccess(a *Attempt, took, now float64) {
 	s, m := a.Server, &b.methods[a.RPC.Method]
@@ -12,7 +54,7 @@
 	took = max(took-a.extraLatency, minLatencyShare*took)
 	m.latency.add(took, now, latencyHalfLife)
 	fractions := 0.0
-	for _, o := range b.subset {
+	for _, o := range b.subset.members {
 		fractions += b.slowStart.capacityFraction(o.startedAt, now)
 	}
 	b.slowStart.answered(fractions, now)
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -1,37 +1,56 @@
 package decide
 
-// Second attempts beside a late one, and their budget.
-
 const (
-	lateLatencyFactor     = 2.5  // times the expected: a pick out for longer is late, above quiet
-	fairChance            = 1.2  // times the expected: by then a pick has had its chance
-	hedgeShare            = 0.02 // second copies as a share of picks: they must not carry a slowdown into overload
-	hedgesAtOncePerServer = 0.25 // and at once for each server, over all nodes: a quiet node would else have none
-	attemptRateHalfLife   = 5.0  // of the budget for second copies
+	lateLatencyFactor     = 2.5  // times the expected latency: an attempt that takes longer is late
+	patienceFactor        = 1.2  // times the expected latency: a younger attempt is not given up on
+	hedgeShare            = 0.02 // of the attempts: hedged requests must not carry a slowdown into overload
+	hedgesAtOncePerServer = 0.25 // over all nodes, beside that share: a quiet node would have none
+	hedgeHalfLife         = 5.0  // seconds
 )
 
-// recheckDelay is when to look at a pick again: when it is late, or when another could just still be in time.
-func (b *Balancer) recheckDelay(p *Attempt, now float64) float64 {
-	return max(min(p.lateAfter, p.RPC.usefulUntil-now-fairChance*p.expectedLatency), fairChance*p.expectedLatency)
+// hedgeBudget bounds the hedged requests.
+type hedgeBudget struct{ hedges decayingValue }
+
+// allows tells whether one more is within the limit, for a random number in [0, 1). A part of a hedged request is sent
+// by chance: one always allowed would be hundreds at once over hundreds of nodes.
+func (h *hedgeBudget) allows(limit, random, now float64) bool {
+	return h.hedges.read(now, hedgeHalfLife)+random <= limit
+}
+
+// sent counts a hedged request.
+func (h *hedgeBudget) sent(now float64) { h.hedges.add(1, now, hedgeHalfLife) }
+
+// hedgeLimit is how many hedged requests the node may have sent lately.
+func (b *Balancer) hedgeLimit(now float64) float64 {
+	atOnce := min(1, hedgesAtOncePerServer*float64(b.readyServers)*b.nodeShare)
+	return hedgeShare*b.attemptsSent.read(now, attemptRateHalfLife) + atOnce
 }
 
-// attemptLate is a pick that should have been answered by now. If the server has answered nothing since, it may
-// hang, and its time-outs would come too late: that counts as a failure at once.
-func (b *Balancer) attemptLate(p *Attempt, now float64) {
-	s, r := p.Server, p.RPC
-	silent := s.lastAnswerAt < p.sentAt
-	b.recordLateness(p, now)
-	// A server that answers others will most likely answer this one, too.
+// recheckDelay is the age in seconds at which to look at an attempt again: when it is late, or when another could just
+// still be in time.
+func (b *Balancer) recheckDelay(a *Attempt, now float64) float64 {
+	patience := patienceFactor * a.expectedLatency
+	return max(min(a.lateAfter, a.RPC.usefulUntil-now-patience), patience)
+}
+
+// recheck looks at an attempt that should have been answered by now. If its server has answered nothing since, a hedged
+// request is sent elsewhere; a server that answers others will most likely answer this one, too.
+func (b *Balancer) recheck(a *Attempt, now float64) {
+	r := a.RPC
+	if !a.inFlight || !r.open || r.streaming {
+		return
+	}
+	silent := a.Server.lastAnswerAt < a.sentAt
+	b.recordLateness(a, now)
 	if !silent || !b.hedging {
 		return
 	}
-	// A part of a copy is sent by chance: one always allowed would be hundreds at once over hundreds of nodes.
-	most := hedgeShare*b.attemptsSent.read(now, attemptRateHalfLife) + min(1, hedgesAtOncePerServer*float64(b.readyServers)*b.nodeShare)
-	if !b.mayRetry(r, now) || b.hedges.read(now, attemptRateHalfLife)+b.rng.Float64() > most {
+	limit := b.hedgeLimit(now)
+	if !b.mayRetry(r, now) || !b.hedgeBudget.allows(limit, b.rng.Float64(), now) {
 		return
 	}
 	if other := b.chooseServer(r, now); other != nil {
-		b.hedges.add(1, now, attemptRateHalfLife)
+		b.hedgeBudget.sent(now)
 		b.send(r, other, now)
 	}
 }
--- a/decide/neighbours_test.go
+++ b/decide/neighbours_test.go
@@ -18,19 +18,19 @@
 		}
 	}
 	assert.Greater(t, few, 300, "most picks go to servers met often: %d met", len(got))
-	assert.LessOrEqual(t, len(h.b.subset), 8)
+	assert.LessOrEqual(t, len(h.b.subset.members), 8)
 	// An ejected one leaves first, however low its estimate. The tidied join had looked at estimates alone.
-	ill, r := h.b.subset[0], &RPC{}
+	ill, r := h.b.subset.members[0], &RPC{}
 	ill.outlier.ejectedUntil, r.rules = h.now+5, h.b.methods[lookup].methodRules
 	for range 6 {
 		h.b.addToSubset(r, s[slices.IndexFunc(s, func(x *Server) bool { return !x.inSubset })], 0.1, h.now)
 	}
 	assert.False(t, ill.inSubset)
 	// What drains makes room at once.
-	first := h.b.subset[0]
+	first := h.b.subset.members[0]
 	h.b.UpdateEndpoints([]EndpointUpdate{{Server: first, State: Draining, Weight: 1}}, false)
-	assert.NotContains(t, h.b.subset, first)
-	assert.Contains(t, s, h.b.subset[0])
+	assert.NotContains(t, h.b.subset.members, first)
+	assert.Contains(t, s, h.b.subset.members[0])
 }
 
 func TestWhatAServerReportsOfOthersCountsWhileItIsFresh(t *testing.T) {
@@ -42,7 +42,7 @@
 			r := &RPC{Method: lookup, Deadline: h.now + 6}
 			r.open, r.rules = true, h.b.methods[lookup].methodRules
 			h.b.openRPCs++
-			h.b.startClock(r, h.now)
+			r.startClock(h.now)
 			h.b.send(r, s, h.now)
 			h.until(h.now + 0.1)
 			h.b.AttemptDone(r.attempts[0], OK, true, 0.1, &LoadReport{InFlight: held})
@@ -150,7 +150,7 @@
 func TestAColdNeighboursPartIsOfWhatTheNeighboursAnswer(t *testing.T) {
 	h, _ := story(200, func(s *Settings) { s.Instances = 100 })
 	h.warmUp(400, always(0.1)) // ten a second
-	assert.Greater(t, h.b.slowStart.warmServerRate(h.now), 10.0/float64(2*len(h.b.subset)))
+	assert.Greater(t, h.b.slowStart.warmServerRate(h.now), 10.0/float64(2*len(h.b.subset.members)))
 	assert.Less(t, h.b.slowStart.warmServerRate(h.now), 10.0)
 }
 
@@ -159,7 +159,7 @@
 	for _, n := range []int{8, 200} {
 		h, _ := story(n, func(s *Settings) { s.Instances = 100 })
 		h.warmUp(100, always(0.1))
-		s, r, typical := h.b.subset[0], &RPC{}, h.b.methods[lookup].typicalLatency(h.now)
+		s, r, typical := h.b.subset.members[0], &RPC{}, h.b.methods[lookup].typicalLatency(h.now)
 		above := func() float64 {
 			q, _ := h.b.estimate(r, s, typical, h.now)
 			return q - h.b.qTable.mean(h.b.qTable.row(r.Method, r.Tenant, len(s.inFlight)), typical)*h.b.rankingPace(s, typical, h.now)
