--- a/decide/admission.go
+++ b/decide/admission.go
@@ -136,8 +136,8 @@
 	return zeroWeightShare + (1-zeroWeightShare)*math.Cbrt(relativeWeight)
 }
 
-// admit decides whether an RPC that has arrived is admitted. Inner tiers admit all that can still be in time: a pushback
-// there wastes the work of the tiers above.
+// admit decides whether an RPC that has arrived is admitted. Inner tiers admit all that can still be in time: a
+// pushback there wastes the work of the tiers above.
 func (b *Balancer) admit(r *RPC, now float64) bool {
 	if r.usefulUntil <= now {
 		return false
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -1,145 +1,64 @@
 package decide
 
-// The Balancer composes the decisions: this file has its state, how it begins and how it takes settings.
+import "math/rand"
 
-import (
-	"math"
-	"math/rand"
-)
+// Balancer decides for one instance. It composes the decisions: each has its state and its rules in a type of its own.
+// Its methods must not be called concurrently.
+type Balancer struct {
+	host Host
+	rng  *rand.Rand
 
-// methodRules are a method's. An RPC keeps those that it came under.
-type methodRules struct {
-	Method
-	relativeWeight float64 // utility as a part of the dearest method's
-	maxAttempts    int     // picks an RPC may have, by its utility
-}
+	// Settings, by the slots of methods and tenants.
+	zone            int
+	innerTier       bool    // other nodes send to this one, not clients
+	nodeShare       float64 // this node's part of its tier's nodes
+	hedging         bool
+	mayCancel       bool
+	maxRetryAfter   float64 // seconds
+	overQuotaWeight float64 // times its weight, for an RPC beyond its tenant's quota
+	crossZoneCost   float64
+	methods         []methodState
+	tenants         []tenantQuota
 
-type serverState struct {
-	state                   State
-	zone, cell, listVersion int
-	weight, startedAt       float64
-	entries                 []qEntry
-	inFlight                []*Attempt // oldest first
-	pace                    pace
-	lastAnswerAt            float64
-	outlier                 outlierState
-	slowStart               slowStartBudget
-	load                    serverLoad
-	inSubset                bool // a neighbour
-	connections             serverConnections
-}
-
-type rpcState struct {
-	rules                   *methodRules
-	clockStart, usefulUntil float64 // after useful an answer earns nothing
-	attempts                []*Attempt
-	inFlight                int
-	firstMayHaveRun         *Attempt // the first pick that may have run
-	open, streaming         bool
-	admissionShare          float64 // the part of the room, or of the time left, that it may use: the cheaper, the less
-	extraWork               float64 // its work over its method's mean, less one
-}
+	// RPCs and attempts.
+	admission        admission
+	openRPCs         int
+	attemptsInFlight int
+	attemptsSent     decayingValue
+	hedgeBudget      hedgeBudget
 
-type attemptState struct {
-	sentAt, expectedLatency float64
-	extraLatency            float64 // what it takes longer than its method's mean, by its hint
-	lateAfter               float64 // the age from which it is late
-	row                     int
-	inFlight                bool
-	countedLate             bool    // already counted as late
-	neverRan                bool    // known not to have run
-	connectionIdle          float64 // how long its connection had been idle; 0: it was not, or was new
-	opensConnection         bool    // it opens a connection
-	withoutReport           bool    // sent without knowing what its server held
-}
+	// The endpoint list.
+	watch        watchBackoff
+	listVersion  int // counts watch events
+	servers      []*Server
+	readyServers int
+	meanWeight   float64 // of the ready servers
 
-// Balancer decides for one instance.
-type Balancer struct {
-	host              Host
-	rng               *rand.Rand
-	methods           []methodState
-	tenants           []tenantQuota
-	servers           []*Server
-	subset            subset
+	// What is expected of servers.
 	qTable            qTable
-	listVersion, zone int // lists seen; this node's zone
-
-	innerTier, hedging, mayCancel  bool
-	overQuotaWeight, crossZoneCost float64
-	maxRetryAfter, nodeShare       float64 // part: this node's of the tier's nodes
-	watch                          watchBackoff
+	fleetPace         pace    // of all servers tried
+	unknownServerPace float64 // as of the last search
+	loadReports       loadReports
+	idleConnections   idleConnections
+	slowStart         slowStart
 
-	openRPCs, attemptsInFlight, readyServers int // RPCs held; picks out; servers
-	admission                                admission
-	meanWeight                               float64 // mean over ready servers
-	attemptsSent                             decayingValue
-	hedgeBudget                              hedgeBudget
-	slowStart                                slowStart
-	fleetPace                                pace    // of all servers
-	unknownServerPace                        float64 // what a server not known is taken for
-	loadReports                              loadReports
-	idleConnections                          idleConnections
-	candidates                               []candidate // of the last search, whose memory the next one uses again
+	// The choice of a server.
+	subset     subset
+	candidates []candidate // of the last search; the next one uses their memory again
 }
 
-// New starts an instance.
-func New(h Host, s Settings, seed int64) *Balancer {
-	b := &Balancer{host: h, rng: rand.New(rand.NewSource(seed))}
-	b.applySettings(s)
-	if s.MustSubscribe {
-		// All nodes start together and the list is one slow service: each waits a random part of the time.
-		wait := min(s.MaxPollInterval/4, 0.1*float64(s.Instances))
-		if s.MaxFirstPollDelay > 0 {
-			wait = min(wait, s.MaxFirstPollDelay) // else what was told before the start binds first
-		}
-		h.StartTimer(b.rng.Float64()*wait, watchTimer{})
+// New starts an instance. All its random choices follow from the seed.
+func New(host Host, settings Settings, seed int64) *Balancer {
+	b := &Balancer{host: host, rng: rand.New(rand.NewSource(seed))}
+	b.applySettings(&settings)
+	if settings.MustSubscribe {
+		delay := b.rng.Float64() * maxFirstWatchDelay(&settings)
+		host.StartTimer(delay, watchTimer{})
 	}
 	return b
 }
 
-// applySettings takes the settings over. A method that is empty has left: its slot keeps what its last RPCs need.
-func (b *Balancer) applySettings(s Settings) {
-	b.innerTier, b.hedging, b.mayCancel = s.Stage > 0, s.Hedging, s.MayCancel
-	b.overQuotaWeight, b.crossZoneCost, b.zone = s.OverQuotaWeight, s.CrossZoneCost, s.Zone
-	b.nodeShare = 1 / float64(max(1, s.Instances))
-	b.maxRetryAfter = s.MaxRetryAfter
-	b.slowStart.configure(&s, b.nodeShare)
-	top := 0.0
-	for _, m := range s.Methods {
-		top = max(top, m.PriorityWeight)
-	}
-	for i, m := range s.Methods {
-		k := &methodRules{Method: m, relativeWeight: 1}
-		if top > 0 {
-			k.relativeWeight = m.PriorityWeight / top
-		}
-		k.maxAttempts = 1 + int(math.Ceil(float64(s.MaxAttempts-1)*math.Cbrt(k.relativeWeight)))
-		if i == len(b.methods) {
-			b.methods = append(b.methods, methodState{methodRules: k})
-			b.qTable.addMethod()
-		} else if m != (Method{}) {
-			b.methods[i].methodRules = k
-		}
-	}
-	b.tenants = append(b.tenants, make([]tenantQuota, max(0, len(s.Tenants)-len(b.tenants)))...)
-	for i, t := range s.Tenants {
-		b.tenants[i].rate = t.Quota * b.nodeShare
-	}
-	b.qTable.addTenants(max(1, len(b.tenants)))
-}
-
-// UpdateSettings takes other settings. What was learnt stays; RPCs that are open keep the rules that they came under.
-func (b *Balancer) UpdateSettings(s Settings) {
-	b.applySettings(s)
-	for _, s := range b.servers {
-		s.entries = b.qTable.grow(s.entries)
-	}
-}
-
-// Method is the rules of a method that RPCs come under now, also of one that has left the settings.
-func (b *Balancer) Method(i int) Method { return b.methods[i].Method }
-
-// TimerFired is the end of a timer set with Host.StartTimer.
+// TimerFired is the end of a timer that was set with Host.StartTimer.
 func (b *Balancer) TimerFired(payload any) {
 	now := b.host.Now()
 	switch p := payload.(type) {
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -22,8 +22,8 @@
 	b.sendOrGiveUp(r, now)
 }
 
-// effectiveWeight is an RPC's weight relative to the highest, which is less for what is beyond its tenant's quota. Quotas
-// are counted at the tier that clients reach.
+// effectiveWeight is an RPC's weight relative to the highest, which is less for what is beyond its tenant's quota.
+// Quotas are counted at the tier that clients reach.
 func (b *Balancer) effectiveWeight(r *RPC, now float64) float64 {
 	weight := r.rules.relativeWeight
 	if b.innerTier || r.Tenant >= len(b.tenants) {
--- a/decide/watch.go
+++ b/decide/watch.go
@@ -4,8 +4,21 @@
 	firstWatchPause  = 0.25 // seconds, after the first failure; doubles with each further one
 	maxWatchPause    = 4.0  // seconds
 	longestWatchWait = 1.5  // times the pause: waits are spread at random over a third to the whole of it
+
+	firstWatchDelayPerNode = 0.1  // seconds; nodes that start together spread their first calls over their number
+	firstWatchDelayShare   = 0.25 // of the longest time between two calls, at most
 )
 
+// maxFirstWatchDelay is how long a node may wait at most, in seconds, before it first watches the endpoint list. All
+// nodes of a fleet may start together, and discovery is one slow service: each waits a random part of that time.
+func maxFirstWatchDelay(settings *Settings) float64 {
+	delay := min(settings.MaxPollInterval*firstWatchDelayShare, firstWatchDelayPerNode*float64(settings.Instances))
+	if settings.MaxFirstPollDelay > 0 {
+		delay = min(delay, settings.MaxFirstPollDelay) // what discovery had before the start binds in time, too
+	}
+	return delay
+}
+
 // watchTimer is the payload of the timer after which the endpoint list is watched again.
 type watchTimer struct{ id int }
 
