--- a/decide/admission.go
+++ b/decide/admission.go
@@ -4,34 +4,34 @@
 
 // Waits are measured in latency objectives of the RPC's method.
 const (
-	waitGoal           = 0.6  // a mean wait above it leaves too many RPCs late, and is where servers begin to overload
+	waitGoal           = 0.6  // a higher mean wait leaves too many RPCs late, and servers begin to overload there
 	crowdedWait        = 1.4  // times the base wait: more RPCs held would only queue
 	calmWait           = 1.3  // times the base wait: what is held below it is held while all is well
 	negligibleWait     = 0.02 // a wait below it hurts nobody, however many times the base wait it is
-	baselineHalfLife   = 60.0 // seconds in which the base wait doubles and the usual number held halves without news
+	baselineHalfLife   = 60.0 // seconds in which the base wait may double and the usual number halve
 	longWaitHalfLife   = 5.0  // seconds
 	recentWaitHalfLife = 0.7  // seconds
-	minWaits           = 6.0  // fewer recent waits say little: older ones stand in for the missing ones
-	longWaitPrior      = 2.0  // waits' worth of doubt in the base wait: the lowest of a few waits is chance
+	minWaits           = 6.0  // fewer recent waits are no evidence: older ones fill in for those missing
+	longWaitPrior      = 2.0  // samples that the prior of the base wait counts for: the lowest of a few waits is chance
 )
 
 // The limit is in RPCs held, its factors are parts of it or of the number usually held.
 const (
-	firstLimitFactor   = 5.0  // times the least limit: the first one
-	maxLimitFactor     = 1.1  // a burst fills a larger limit before the first late answer shows it
-	minLimitFactor     = 0.5  // below it servers in overload have recovered anyway
-	chanceHalfAt       = 4.0  // RPCs usually held at which half of the allowance for chance counts
-	limitIncrease      = 0.2  // a server's answer admits a part of the next RPC: a fifth more for each round of answers
-	limitDecrease      = 0.3  // somewhat faster, since a crowd costs more than an idle server
+	firstLimitFactor   = 5.0  // times the minimal limit: the limit at the start
+	maxLimitFactor     = 1.1  // a burst would fill a larger limit before the first late answer
+	minLimitFactor     = 0.5  // servers in overload recover with that few RPCs anyway
+	chanceHalfAt       = 4.0  // RPCs usually held at which half of the allowance for random variation counts
+	limitIncrease      = 0.2  // an answer raises it by a part of one RPC: by a fifth for each round of answers
+	limitDecrease      = 0.3  // somewhat faster, since overload costs more than an idle server
 	maxOverloadCut     = 0.5  // at most, where waits are beyond the goal
 	limitUsed          = 0.6  // the limit grows only while more than this part of it is used
 	minStepCount       = 4.0  // RPCs held that a change of the limit is spread over at least
-	minUnreportedShare = 0.05 // bounds what load reports may widen the limit by
-	zeroWeightShare    = 0.65 // the part of the limit open to an RPC of no weight: the rest is kept for others
+	minUnreportedShare = 0.05 // bounds by how much load reports may raise the limit
+	zeroWeightShare    = 0.65 // the part of the limit open to an RPC of no weight: the rest is reserved for others
 )
 
-// admission limits the RPCs that the node holds, so that their waits stay near the goal. A crowd above the limit would
-// be late to the last one, and overload servers.
+// admission is an adaptive concurrency limit: the node holds only as many RPCs as keep their waits near the goal. More
+// would all be late, and overload the servers.
 type admission struct {
 	limit         float64 // RPCs held at most; 0: not started
 	usualHeld     float64 // RPCs held at most while waits were near the base wait
@@ -52,27 +52,29 @@
 	a.baseWait, a.baselineAt = waitGoal, now
 }
 
-// admits tells whether one more RPC is admitted beside those held. Its share is the part of the limit that is open to
-// it. The limit stands in for what is not known of the servers' load: where they report it, the estimates reject RPCs.
+// admits reports whether one more RPC is admitted beside those held. Its share is the part of the limit that is open to
+// it. The limit makes up for what is not known of the servers' load: where servers report it, the estimates of
+// rejectLate do most of the work, and the limit is raised.
 func (a *admission) admits(held int, share, unreportedShare, now float64) bool {
 	wait := a.meanWait(now)
 	limit := a.limit * share
 	limit /= max(minUnreportedShare, unreportedShare)
-	// Waits far below the goal say that servers have capacity left: what a few RPCs held exceed the usual by is chance.
+	// With waits far below the goal servers have capacity left, and a few RPCs above the usual are random variation.
 	limit *= math.Sqrt(max(1, waitGoal/wait))
 	count := float64(held)
 	a.heldOnArrival.add(count, now, longWaitHalfLife)
-	// A lone RPC is sent unless the last ones were late: a limit below one would reject all, and nothing be learnt.
+	// A limit below one would reject everything, and nothing would be learnt from then on. So an RPC that would be the
+	// only one is admitted unless the last ones were late.
 	if held == 0 && wait < waitGoal {
 		return true
 	}
-	// Chance moves the number held by its root. Of one held that is none or two, and over hundreds of such nodes one
-	// more at each is a crowd.
+	// The number held varies at random by about its square root. The root counts less one: at a node that holds a
+	// single RPC it would double the load, and hundreds of such nodes add up.
 	return count <= limit+math.Sqrt(a.meanHeld(now))-1
 }
 
-// finished takes the wait of an RPC that found a server, and moves the limit. The RPCs held include this one; minLimit
-// keeps the node's part of the servers at work.
+// finished notes the wait of an RPC that found a server, and moves the limit. The RPCs held include this one; minLimit
+// is the lowest limit that keeps the node's part of the servers busy.
 func (a *admission) finished(wait float64, held int, minLimit, now float64) {
 	a.recentWaits.add(wait, now, recentWaitHalfLife)
 	a.longWaits.add(wait, now, longWaitHalfLife)
@@ -112,13 +114,13 @@
 func (a *admission) boundLimit(longWait, minLimit float64) {
 	chance := 2 * math.Sqrt(a.usualHeld) * a.usualHeld / (a.usualHeld + chanceHalfAt)
 	highest := maxLimitFactor*a.usualHeld + chance
-	// Where waits are next to nothing, so many more may come as would still wait little.
+	// Where waits are negligible, the limit may rise until they no longer are.
 	a.limit = min(a.limit, highest*max(1, negligibleWait/longWait))
 	a.limit = max(a.limit, minLimit, minLimitFactor*a.usualHeld)
 }
 
-// meanWait is the mean of the last waits. Where few are recent, older ones stand in, and a prior for those: at an RPC a
-// second the prior alone would hide that all are late.
+// meanWait is the mean of the recent waits. Where there are few, older ones fill in: at one RPC a second a constant
+// prior alone would hide that all are late.
 func (a *admission) meanWait(now float64) float64 {
 	missing := max(0, minWaits-a.recentWaits.weight.read(now, recentWaitHalfLife))
 	older := a.longWaits.read(now, longWaitHalfLife, waitGoal/2, 1)
@@ -145,7 +147,7 @@
 	return b.innerTier || b.admission.admits(b.openRPCs-1, r.admissionShare, b.loadReports.unreportedShare(now), now)
 }
 
-// minConcurrencyLimit is the least limit: a slowdown of all servers is not answered by idling them.
+// minConcurrencyLimit is the lowest limit: a slowdown of all servers must not lead to idle servers.
 func (b *Balancer) minConcurrencyLimit() float64 {
 	return 2 * max(1, float64(b.readyServers)) * b.nodeShare
 }
--- a/decide/connections.go
+++ b/decide/connections.go
@@ -27,7 +27,7 @@
 }
 
 // idleConnections decides how long an idle connection is trusted. Where idle connections are dropped unseen, what is
-// sent on one gets no answer, and that says nothing of the server.
+// sent on one gets no answer, whatever the state of the server.
 type idleConnections struct {
 	setup        decayingMean  // seconds that attempts took longer which opened a connection
 	maxIdle      float64       // seconds at maxIdleAt, doubles in each idleHalfLife; 0: all are trusted
@@ -48,13 +48,14 @@
 // worked notes that a connection which had been idle has carried an answer.
 func (c *idleConnections) worked(idle, now float64) { c.longestGood.raiseTo(idle, now, idleHalfLife) }
 
-// isTooLong tells whether a connection idle for so many seconds is not to be trusted.
+// isTooLong reports whether a connection idle for so many seconds is not to be trusted.
 func (c *idleConnections) isTooLong(idle, now float64) bool {
 	return c.maxIdle > 0 && idle > c.maxIdle*math.Exp2((now-c.maxIdleAt)/idleHalfLife)
 }
 
-// fellSilent notes an attempt that got no answer after its connection had been idle, and tells whether the connection
-// may be the cause. Two servers within a short time tell how long is too long.
+// fellSilent notes an attempt that got no answer after its connection had been idle, and reports whether the connection
+// may be the cause. Where that happens with two servers within a short time, idle connections of that age are no longer
+// trusted.
 func (c *idleConnections) fellSilent(s *Server, idle, now float64) bool {
 	longestGood := c.longestGood.read(now, idleHalfLife)
 	if idle <= longestGood {
--- a/decide/decaying.go
+++ b/decide/decaying.go
@@ -35,7 +35,7 @@
 	weight decayingValue // of all samples; a new one has a weight of one
 }
 
-// add takes a sample.
+// add adds a sample.
 func (m *decayingMean) add(x, now, halfLife float64) {
 	m.sum.add(x, now, halfLife)
 	m.weight.add(1, now, halfLife)
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -25,7 +25,7 @@
 //
 //	admission.go    how many RPCs are held, and which are rejected?
 //	quota.go        what is beyond a tenant's quota?
-//	retry.go        may an RPC be attempted again, and what is its client told at its end?
+//	retry.go        may an RPC be attempted again, and how does it end for its client?
 //	hedging.go      when is a late attempt given a hedged request?
 //	slowstart.go    what may a server be sent that has just started?
 //	ejection.go     which servers are outliers?
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -26,10 +26,10 @@
 	o.ejectedUntil = now + o.ejectionTime
 }
 
-// isEjected tells whether the server is to get nothing for now.
+// isEjected reports whether the server is to get nothing for now.
 func (o *outlierState) isEjected(now float64) bool { return now < o.ejectedUntil }
 
-// isHealthy tells whether the server may get one more attempt: after an ejection a single attempt at a time finds out
+// isHealthy reports whether the server may get one more attempt: after an ejection a single attempt at a time finds out
 // whether it still fails.
 func (o *outlierState) isHealthy(inFlight int, now float64) bool {
 	onTrial := o.failuresInRow >= ejectAfter
--- a/decide/feedback.go
+++ b/decide/feedback.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// recordLoad takes the load report that came with an attempt's result, if it says anything.
+// recordLoad notes the load report that came with an attempt's result, if there was one.
 func (b *Balancer) recordLoad(a *Attempt, report *LoadReport, now float64) {
 	if report == nil || report.InFlight < 0 {
 		return
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -1,7 +1,7 @@
 package decide
 
 const (
-	lateLatencyFactor     = 2.5  // times the expected latency: an attempt that takes longer is late
+	lateLatencyFactor     = 2.5  // times the expected latency: an attempt that has lasted longer is late
 	patienceFactor        = 1.2  // times the expected latency: a younger attempt is not given up on
 	hedgeShare            = 0.02 // of the attempts: hedged requests must not carry a slowdown into overload
 	hedgesAtOncePerServer = 0.25 // over all nodes, beside that share: a quiet node would have none
@@ -11,8 +11,8 @@
 // hedgeBudget bounds the hedged requests.
 type hedgeBudget struct{ hedges decayingValue }
 
-// allows tells whether one more is within the limit, for a random number in [0, 1). A part of a hedged request is sent
-// by chance: one always allowed would be hundreds at once over hundreds of nodes.
+// allows reports whether one more is within the limit, for a random number in [0, 1). A part of a hedged request is
+// sent by chance: one always allowed would be hundreds at once over hundreds of nodes.
 func (h *hedgeBudget) allows(limit, random, now float64) bool {
 	return h.hedges.read(now, hedgeHalfLife)+random <= limit
 }
--- a/decide/host.go
+++ b/decide/host.go
@@ -58,12 +58,12 @@
 	NotSent                     // never begun
 )
 
-// NeverRan tells the results that prove that an attempt had no effect.
+// NeverRan reports whether the result proves that the attempt had no effect.
 func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
 // LoadReport is what a server reports of its load with an answer.
 type LoadReport struct {
 	// InFlight is the number of RPCs that the server held, the one answered and those of other nodes included; negative
-	// if it did not say.
+	// if unknown.
 	InFlight float64
 }
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -42,7 +42,7 @@
 	expected decayingValue // seconds
 }
 
-// add takes an attempt's observed and expected latency.
+// add adds an attempt's observed and expected latency.
 func (p *pace) add(observed, expected, now, halfLife float64) {
 	p.observed.add(observed, now, halfLife)
 	p.expected.add(expected, now, halfLife)
--- a/decide/loadreports.go
+++ b/decide/loadreports.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	reportHalfLife       = 2.5 // typical latencies in which half of what a load report says is past
+	reportHalfLife       = 2.5 // typical latencies after which half of a load report still counts
 	reportedMeanHalfLife = 5.0 // seconds; of means over all attempts
-	freshReport          = 0.5 // a report that still says as much of its server counts as known
+	freshReport          = 0.5 // a server counts as known while so much of its report holds
 )
 
 // serverLoad is what a server last reported of other nodes' RPCs.
@@ -14,11 +14,11 @@
 	reportedAt float64 // seconds
 }
 
-// forget makes the report say nothing.
+// forget discards the report.
 func (l *serverLoad) forget() { l.reportedAt = math.Inf(-1) }
 
-// update takes a new report. One of the RPCs that the server had in flight is the one that it answered, ownInFlight are
-// other attempts of this node.
+// update notes a new report. Of the RPCs that the server had in flight, one is the one that it answered and ownInFlight
+// are other attempts of this node.
 func (l *serverLoad) update(inFlight float64, ownInFlight int, now float64) {
 	l.others = max(0, inFlight-float64(ownInFlight)-1)
 	l.reportedAt = now
@@ -35,7 +35,8 @@
 	unreported decayingMean // the part of what attempts should have known of their servers' load and did not
 }
 
-// sent notes an attempt to a server with a report of that freshness, and tells whether it counts as chosen without one.
+// sent notes an attempt to a server with a report of that freshness, and reports whether it counts as chosen without
+// one.
 func (l *loadReports) sent(freshness, now float64) (withoutReport bool) {
 	l.unreported.add(1-freshness, now, reportedMeanHalfLife)
 	return freshness < freshReport
@@ -46,8 +47,8 @@
 	l.others.add(load.others, now, reportedMeanHalfLife)
 }
 
-// othersInFlight is how many RPCs a server has in flight for other nodes. Old reports say no more than the mean of the
-// servers that were chosen without a report, so nodes do not herd by them.
+// othersInFlight is how many RPCs a server has in flight for other nodes. An old report fades to the mean of the
+// servers that were chosen without a report, so that nodes do not herd by old reports.
 func (l *loadReports) othersInFlight(load *serverLoad, typical, now float64) float64 {
 	mean := l.others.read(now, reportedMeanHalfLife, 0, 0)
 	return mean + (load.others-mean)*load.freshness(typical, now)
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -4,7 +4,7 @@
 
 const minWeight = 0.01 // a server's weight divides what own attempts in flight add to its estimate
 
-// UpdateEndpoints takes a watch event: a delta, or with full set a snapshot, which also tells which servers have gone.
+// UpdateEndpoints applies a watch event: a delta, or with full set a snapshot, without the servers that have gone.
 func (b *Balancer) UpdateEndpoints(list []EndpointUpdate, full bool) {
 	now := b.host.Now()
 	b.listVersion++
@@ -17,7 +17,7 @@
 	b.admission.start(b.minConcurrencyLimit(), now)
 }
 
-// updateServer takes one entry of a watch event.
+// updateServer applies one entry of a watch event.
 func (b *Balancer) updateServer(update *EndpointUpdate, now float64) {
 	s := update.Server
 	if s.entries == nil {
@@ -33,7 +33,7 @@
 	s.listVersion = b.listVersion
 }
 
-// isListed tells whether a server is in the list after the last watch event.
+// isListed reports whether a server is in the list after the last watch event.
 func (b *Balancer) isListed(s *Server, full bool) bool {
 	return !full || s.listVersion == b.listVersion
 }
@@ -53,7 +53,7 @@
 	})
 }
 
-// countReady counts the ready servers and takes the mean of their weights.
+// countReady counts the ready servers and averages their weights.
 func (b *Balancer) countReady() {
 	b.readyServers, b.meanWeight = 0, 0
 	for _, s := range b.servers {
--- a/decide/qtable.go
+++ b/decide/qtable.go
@@ -9,7 +9,7 @@
 	alpha            = 0.7  // the paper's learning rate
 	loadLevels       = 5    // by own attempts in flight at the server: 0, 1-2, 3-6, 7-14, 15 and more
 	entryLifetime    = 60.0 // seconds after which an entry that was not updated is dropped
-	entryHalfLife    = 8.0  // typical latencies in which half of what an entry says beyond its row's mean is past
+	entryHalfLife    = 8.0  // typical latencies after which half of an entry's difference from its row's mean still counts
 	maxEntryHalfLife = 4.0  // seconds: a slow server may have recovered by then
 	rowPriorSamples  = 2.0  // samples of the typical latency that count in each row's mean
 	firstUpdate      = 1e-9 // seconds; the earliest time of an update, since 0 stands for none
@@ -103,10 +103,10 @@
 	*entry = qEntry{}
 }
 
-// isLearnt tells whether the entry has been updated since it was dropped.
+// isLearnt reports whether the entry has been updated since it was last dropped.
 func (e *qEntry) isLearnt() bool { return e.updatedAt > 0 }
 
-// isExpired tells whether the entry is too old to say anything.
+// isExpired reports whether the entry is too old to be used.
 func (e *qEntry) isExpired(now float64) bool { return now-e.updatedAt > entryLifetime }
 
 // weight is the part of the entry's difference from its row's mean that still holds. One sample makes up most of an
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -11,8 +11,8 @@
 	arrivals decayingValue
 }
 
-// arrive counts an RPC and tells whether it is beyond the quota. A node's share of a small quota is less than one RPC,
-// and clients come by chance: what passes the share by one RPC and its root is still within.
+// arrive counts an RPC and reports whether it is beyond the quota. A node's share of a small quota is less than one
+// RPC, and clients come by chance: what passes the share by one RPC and its root is still within.
 func (t *tenantQuota) arrive(now float64) (overQuota bool) {
 	t.arrivals.add(1, now, quotaHalfLife)
 	expected := t.rate * quotaHalfLife / math.Ln2
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -45,8 +45,8 @@
 	r.usefulUntil = min(r.usefulUntil, r.Deadline-deadlineMargin)
 }
 
-// BodyReceived is the end of a body that came while its attempt was in flight: only now can its server begin, so all
-// times of the RPC start anew.
+// BodyReceived is the end of a body that was streamed while the attempt was in flight. Only now can the server begin,
+// so all times of the RPC start anew.
 func (b *Balancer) BodyReceived(r *RPC) {
 	now := b.host.Now()
 	r.BodyPending = false
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// mayRetry tells whether the RPC may have one more attempt. It guards the rule that no effect happens twice.
+// mayRetry reports whether the RPC may have one more attempt. It guards the rule that no effect happens twice.
 func (b *Balancer) mayRetry(r *RPC, now float64) bool {
 	if r.inFlight > 0 && !b.hedging {
 		return false
@@ -41,12 +41,12 @@
 	}
 }
 
-// mayRunAt tells whether an attempt at a server has no second effect: it drops repeats of what may have run already.
+// mayRunAt reports whether an attempt at a server has no second effect: it drops repeats of what may have run already.
 func (r *RPC) mayRunAt(s *Server) bool {
 	return r.firstMayHaveRun == nil || r.rules.inDedupScope(s, r.firstMayHaveRun.Server)
 }
 
-// inDedupScope tells whether a server drops repeats of what may have run at the first one.
+// inDedupScope reports whether a server drops repeats of what may have run at the first one.
 func (m *methodRules) inDedupScope(s, first *Server) bool {
 	if m.Idempotency == Idempotent || m.DedupScope == ScopeAll {
 		return true
@@ -67,18 +67,18 @@
 	}
 }
 
-// hasAttempted tells whether a server has had an attempt of the RPC.
+// hasAttempted reports whether a server has had an attempt of the RPC.
 func (r *RPC) hasAttempted(s *Server) bool {
 	return slices.ContainsFunc(r.attempts, func(a *Attempt) bool { return a.Server == s })
 }
 
-// hasInFlightAt tells whether a server has an attempt of the RPC in flight.
+// hasInFlightAt reports whether a server has an attempt of the RPC in flight.
 func (r *RPC) hasInFlightAt(s *Server) bool {
 	return slices.ContainsFunc(r.attempts, func(a *Attempt) bool { return a.Server == s && a.inFlight })
 }
 
-// retryIsHarmless tells whether the RPC's client may retry until its deadline with no second effect. A deduplicated RPC
-// that may have run needs servers that all drop repeats until then.
+// retryIsHarmless reports whether the RPC's client may retry until its deadline with no second effect. A deduplicated
+// RPC that may have run needs servers that all drop repeats until then.
 func (r *RPC) retryIsHarmless() bool {
 	first := r.firstMayHaveRun
 	if first == nil || r.rules.Idempotency == Idempotent {
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -107,8 +107,8 @@
 	search.candidates = append(search.candidates, candidate{server: s, timeToGo: timeToGo})
 }
 
-// rejectLate tells whether the attempt is not sent because even the best server known would answer late: it would only
-// keep others waiting. Inner tiers send it, since a pushback wastes the work of the tiers above.
+// rejectLate reports whether the attempt is not sent because even the best server known would answer late: it would
+// only keep others waiting. Inner tiers send it, since a pushback wastes the work of the tiers above.
 func (b *Balancer) rejectLate(search *serverSearch) bool {
 	if b.innerTier || search.exploring {
 		return false
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -41,7 +41,7 @@
 	Methods []Method
 	Tenants []Tenant
 	Zone    int
-	Stage   int // the tier that this instance sends from; 0 is the one that clients reach
+	Stage   int // 0: clients send to this instance; else nodes of the stage before do
 
 	Instances         int     // nodes of the tier
 	MaxAttempts       int     // of an RPC
@@ -50,9 +50,9 @@
 	MaxRetryAfter     float64 // the longest wait that a pushback may advise; 0: it advises none
 	OverQuotaWeight   float64 // the part of its weight that is left to traffic beyond a tenant's quota
 	CrossZoneCost     float64 // of an attempt in another zone
-	MustSubscribe     bool    // the endpoint list has to be asked for
-	MaxPollInterval   float64 // how old the list may become
-	MaxFirstPollDelay float64 // the longest wait before the list is first asked for; 0: no bound
+	MustSubscribe     bool    // there are watch events only after Host.WatchEndpoints
+	MaxPollInterval   float64 // without a subscription, the endpoint list has to be polled for within it
+	MaxFirstPollDelay float64 // before the first poll, at most; 0: no bound
 
 	SlowStartFraction float64 // of its capacity that a server has when it starts
 	SlowStartDuration float64 // until it has all of it
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -5,7 +5,7 @@
 const (
 	warmRateHalfLife = 10.0 // seconds: a warm server's best rate must not be chance at a node with an RPC a second
 	bestRateHalfLife = 60.0 // seconds: the traffic of a day changes in minutes
-	unusedTokenLife  = 0.25 // seconds' worth of tokens that are kept where they are more than one
+	unusedTokenLife  = 0.25 // seconds; tokens of that time stay in the bucket, beside the one that may be spent
 )
 
 // slowStart limits what servers that have just started are sent. It binds over all nodes: each node sends a starting
@@ -29,7 +29,7 @@
 	updatedAt float64 // seconds
 }
 
-// configure takes the settings. The node's share is its part of the tier's nodes.
+// configure applies the settings. The node's share is its part of the tier's nodes.
 func (s *slowStart) configure(settings *Settings, nodeShare float64) {
 	s.initialFraction, s.duration = settings.SlowStartFraction, settings.SlowStartDuration
 	s.overloadWindow = settings.OverloadWindow
@@ -67,7 +67,7 @@
 	return max(s.bestRate.read(now, bestRateHalfLife), s.minRate)
 }
 
-// allows tells whether a server started at a time may get one more attempt.
+// allows reports whether a server started at a time may get one more attempt.
 func (s *slowStart) allows(budget *slowStartBudget, startedAt, warmServerRate, now float64) bool {
 	fraction := s.capacityFraction(startedAt, now)
 	if fraction >= 1 {
@@ -78,8 +78,8 @@
 	budget.updatedAt = now
 	// A token that is not used lapses after half the overload window, else all nodes of an idle fleet could spend one
 	// at once. Of nodes due less than one in that time only so large a part holds one.
-	kept := max(rate*unusedTokenLife, min(1, rate*s.overloadWindow/2))
-	budget.tokens -= max(0, math.Ceil(budget.tokens-1-kept))
+	spare := max(rate*unusedTokenLife, min(1, rate*s.overloadWindow/2))
+	budget.tokens -= max(0, math.Ceil(budget.tokens-1-spare))
 	return budget.tokens >= 1
 }
 
@@ -103,7 +103,7 @@
 	return max(best, start.currentRate(now), start.minRate) * fraction, true
 }
 
-// isWarm tells whether a server is not in slow start, or no longer.
+// isWarm reports whether a server has all of its capacity: it is not in slow start, or no longer.
 func (b *Balancer) isWarm(s *Server, now float64) bool {
 	return b.slowStart.capacityFraction(s.startedAt, now) >= 1
 }
--- a/decide/state.go
+++ b/decide/state.go
@@ -30,8 +30,8 @@
 	Tenant      int // slot of Settings.Tenants
 	Deadline    float64
 	WorkHint    float64 // a rough hint of its cost in any unit; 0: none
-	Retry       bool    // the client says that this is a retry
-	BodyPending bool    // its body still comes, through its attempt: its time begins with Balancer.BodyReceived
+	Retry       bool    // the client marked it as a retry
+	BodyPending bool    // its body is still being received and streamed to its server: see Balancer.BodyReceived
 	HostData    any     // the host's own
 	rpcState
 }
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -28,7 +28,7 @@
 	return min(minSubsetSize+int(subsetPerAttempt*mean), maxSubsetSize)
 }
 
-// isFull tells whether a new member replaces another.
+// isFull reports whether a new member replaces another.
 func (s *subset) isFull(now float64) bool { return len(s.members) >= s.limit(now) }
 
 // sent counts an attempt with which so many are in flight.
--- a/decide/watch.go
+++ b/decide/watch.go
@@ -3,7 +3,7 @@
 const (
 	firstWatchPause  = 0.25 // seconds, after the first failure; doubles with each further one
 	maxWatchPause    = 4.0  // seconds
-	longestWatchWait = 1.5  // times the pause: waits are spread at random over a third to the whole of it
+	longestWatchWait = 1.5  // times the pause: waits are drawn at random from a third to the whole of it
 
 	firstWatchDelayPerNode = 0.1  // seconds; nodes that start together spread their first calls over their number
 	firstWatchDelayShare   = 0.25 // of the longest time between two calls, at most
@@ -40,5 +40,5 @@
 	return longest * (1 + 2*random) / 3, watchTimer{w.timerID}
 }
 
-// isCurrent tells whether a timer is the last one that was set.
+// isCurrent reports whether a timer is the last one that was set.
 func (w *watchBackoff) isCurrent(t watchTimer) bool { return t.id == w.timerID }
