--- a/decide/ejection_test.go
+++ b/decide/ejection_test.go
@@ -12,11 +12,11 @@
 	for i := range 120 {
 		h.arrive(i % 3)
 		h.advanceTo(h.now + 0.01)
-		for _, p := range h.sent {
-			if p.inFlight && p.Server == s[0] {
-				h.finish(p, Failed)
-			} else if p.inFlight {
-				h.finish(p, OK)
+		for _, a := range h.sent {
+			if a.inFlight && a.Server == s[0] {
+				h.finish(a, Failed)
+			} else if a.inFlight {
+				h.finish(a, OK)
 			}
 		}
 	}
@@ -25,7 +25,37 @@
 		h.arrive(i % 4)
 		h.finish(h.lastSent(), OK)
 	}
-	for _, p := range h.sent[before:] {
-		assert.NotSame(t, s[0], p.Server)
+	for _, a := range h.sent[before:] {
+		assert.NotSame(t, s[0], a.Server)
 	}
 }
+
+func TestOutlierState(t *testing.T) {
+	const now = 100.0
+	var o outlierState
+	for range ejectAfter - 1 {
+		o.failed(now)
+		assert.True(t, o.isHealthy(1, now))
+	}
+	o.failed(now)
+	assert.True(t, o.isEjected(now))
+	o.failed(now + minEjectionTime/2)
+	assert.Equal(t, now+minEjectionTime, o.ejectedUntil, "a failure while it is ejected changes nothing")
+
+	trial := now + minEjectionTime
+	assert.True(t, o.isHealthy(0, trial), "a single attempt at a time")
+	assert.False(t, o.isHealthy(1, trial))
+	o.failed(trial)
+	assert.Equal(t, trial+2*minEjectionTime, o.ejectedUntil, "the time doubles")
+	for range 5 {
+		o.failed(o.ejectedUntil)
+	}
+	assert.Equal(t, maxEjectionTime, o.ejectionTime)
+
+	o.succeeded()
+	assert.True(t, o.isHealthy(1, o.ejectedUntil))
+	for range ejectAfter {
+		o.failed(o.ejectedUntil)
+	}
+	assert.Equal(t, minEjectionTime, o.ejectionTime, "an answer starts the times anew")
+}
--- a/decide/fakehost_test.go
+++ b/decide/fakehost_test.go
@@ -1,35 +1,19 @@
 package decide
 
-import (
-	"sort"
+import "sort"
+
+// The methods of a test's Balancer. All have a latency objective of 2.5 s and a deadline of 6 s.
+const (
+	lookup = iota // idempotent
+	book          // deduplicated by all servers for 10 s
+	commit        // deduplicated inside a zone for 1 s
+	charge        // non-idempotent
 )
 
-// offerLoad keeps arrivals coming every gap seconds; each server answers after what took says, or never if negative.
-func (f *fakeHost) offerLoad(seconds, gap float64, took func(*Server) float64) (taken, pushed int) {
-	end := f.now + seconds
-	for f.now < end {
-		for _, p := range f.sent {
-			if d := took(p.Server); p.inFlight && d >= 0 && f.now-p.sentAt >= d {
-				f.finish(p, OK)
-			}
-		}
-		if _, back := f.pushedBack[f.arrive(lookup)]; back {
-			pushed++
-		} else {
-			taken++
-		}
-		f.advanceTo(f.now + gap)
-		for _, p := range f.canceled {
-			if p.inFlight {
-				f.finish(p, Canceled)
-			}
-		}
-		f.canceled = nil
-	}
-	return taken, pushed
-}
+// testDeadline is the time in seconds that each RPC of a test has.
+const testDeadline = 6
 
-// fakeHost carries nothing: it notes what the balancer does and rings its timers when told to.
+// fakeHost carries nothing: it records what the balancer does and fires its timers as its clock is advanced.
 type fakeHost struct {
 	balancer   *Balancer
 	now        float64
@@ -42,6 +26,7 @@
 	timers     []fakeTimer
 }
 
+// fakeTimer is a timer that has not fired.
 type fakeTimer struct {
 	at      float64
 	payload any
@@ -49,23 +34,23 @@
 
 func (f *fakeHost) Now() float64 { return f.now }
 
-func (f *fakeHost) Send(p *Attempt, timeout float64) { f.sent = append(f.sent, p) }
+func (f *fakeHost) Send(a *Attempt, _ float64) { f.sent = append(f.sent, a) }
 
-func (f *fakeHost) Cancel(p *Attempt) { f.canceled = append(f.canceled, p) }
+func (f *fakeHost) Cancel(a *Attempt) { f.canceled = append(f.canceled, a) }
 
 func (f *fakeHost) CloseIdleConnections(s *Server) { f.closedIdle = append(f.closedIdle, s) }
 
-func (f *fakeHost) PushBack(r *RPC, wait float64) { f.pushedBack[r] = wait }
+func (f *fakeHost) PushBack(r *RPC, retryAfter float64) { f.pushedBack[r] = retryAfter }
 
 func (f *fakeHost) Abort(r *RPC) { f.aborted[r] = true }
 
 func (f *fakeHost) WatchEndpoints() { f.watches++ }
 
-func (f *fakeHost) StartTimer(delay float64, what any) {
-	f.timers = append(f.timers, fakeTimer{f.now + delay, what})
+func (f *fakeHost) StartTimer(delay float64, payload any) {
+	f.timers = append(f.timers, fakeTimer{f.now + delay, payload})
 }
 
-// advanceTo moves the clock, ringing what comes due.
+// advanceTo moves the clock and fires the timers that are due.
 func (f *fakeHost) advanceTo(t float64) {
 	for {
 		sort.SliceStable(f.timers, func(i, j int) bool { return f.timers[i].at < f.timers[j].at })
@@ -80,47 +65,111 @@
 	f.now = t
 }
 
+// arrive takes a new RPC.
 func (f *fakeHost) arrive(method int) *RPC {
-	r := &RPC{Method: method, Deadline: f.now + 6}
+	r := &RPC{Method: method, Deadline: f.now + testDeadline}
 	f.balancer.Arrived(r)
 	return r
 }
 
+// lastSent is the attempt that was sent last.
 func (f *fakeHost) lastSent() *Attempt { return f.sent[len(f.sent)-1] }
 
-// finish ends a pick; an ok or an earlier end closes its RPC, as on the wire.
-func (f *fakeHost) finish(p *Attempt, res Result) {
-	f.balancer.AttemptDone(p, res, res == OK || !p.RPC.open, f.now-p.sentAt, nil)
+// isPushedBack reports whether an RPC was pushed back.
+func (f *fakeHost) isPushedBack(r *RPC) bool {
+	_, is := f.pushedBack[r]
+	return is
 }
 
+// finish ends an attempt. An answer ends its RPC, as on the wire.
+func (f *fakeHost) finish(a *Attempt, result Result) {
+	f.balancer.AttemptDone(a, result, result == OK || !a.RPC.open, f.now-a.sentAt, nil)
+}
+
+// finishCanceled ends the attempts that the balancer has canceled.
+func (f *fakeHost) finishCanceled() {
+	for _, a := range f.canceled {
+		if a.inFlight {
+			f.finish(a, Canceled)
+		}
+	}
+	f.canceled = nil
+}
+
+// answerAfter answers the attempts in flight that are as old as their servers' latency. A negative latency stands for a
+// server that never answers.
+func (f *fakeHost) answerAfter(latency func(*Server) float64) {
+	for _, a := range f.sent {
+		if d := latency(a.Server); a.inFlight && d >= 0 && f.now-a.sentAt >= d {
+			f.finish(a, OK)
+		}
+	}
+}
+
+// answerOneByOne plays n RPCs one after another, each answered in its server's latency, and counts them by server.
+func (f *fakeHost) answerOneByOne(n int, latency func(*Server) float64) map[*Server]int {
+	answered := map[*Server]int{}
+	for range n {
+		f.arrive(lookup)
+		a := f.lastSent()
+		answered[a.Server]++
+		f.advanceTo(f.now + latency(a.Server))
+		if a.inFlight {
+			f.finish(a, OK)
+		}
+		f.finishCanceled() // a hedged request
+	}
+	return answered
+}
+
+// offerLoad plays some seconds in which an RPC arrives in every interval, whatever was answered before.
+func (f *fakeHost) offerLoad(seconds, interval float64, latency func(*Server) float64) (admitted, pushedBack int) {
+	end := f.now + seconds
+	for f.now < end {
+		f.answerAfter(latency)
+		if f.isPushedBack(f.arrive(lookup)) {
+			pushedBack++
+		} else {
+			admitted++
+		}
+		f.advanceTo(f.now + interval)
+		f.finishCanceled()
+	}
+	return admitted, pushedBack
+}
+
+// recordAnswer teaches the balancer an answer to a lookup of a tenant, with what was expected and what it took.
+func (f *fakeHost) recordAnswer(s *Server, tenant int, expected, took float64) {
+	b := f.balancer
+	r := &RPC{}
+	r.rules = b.methods[lookup].methodRules
+	state := attemptState{sentAt: f.now - took, expectedLatency: expected, row: b.qTable.row(lookup, tenant, 0)}
+	b.recordSuccess(&Attempt{RPC: r, Server: s, attemptState: state}, took, f.now)
+}
+
+// constantLatency is the same latency for all servers.
+func constantLatency(seconds float64) func(*Server) float64 {
+	return func(*Server) float64 { return seconds }
+}
+
+// readyUpdate is the entry of a ready server in a watch event.
 func readyUpdate(s *Server, zone int) EndpointUpdate {
 	return EndpointUpdate{Server: s, Weight: 1, Zone: zone}
 }
 
-const (
-	lookup = iota // idempotent
-	book          // deduplicated by all
-	commit        // deduplicated inside a zone
-	charge        // non-idempotent
-)
-
-// newTestBalancer starts a balancer over n servers, which alternate between two zones.
+// newTestBalancer starts a balancer over n servers, which alternate between two zones. edit may change its settings.
 func newTestBalancer(n int, edit func(*Settings)) (*fakeHost, []*Server) {
 	return newSeededBalancer(1, n, edit)
 }
 
+// newSeededBalancer is newTestBalancer with another seed.
 func newSeededBalancer(seed int64, n int, edit func(*Settings)) (*fakeHost, []*Server) {
-	s := Settings{Instances: 1, MaxAttempts: 5, MayCancel: true, Hedging: true, MaxRetryAfter: 2,
-		SlowStartFraction: 0.2, SlowStartDuration: 20, OverloadMultiple: 3, OverloadWindow: 3, Methods: []Method{
-			{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10},
-			{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10, Idempotency: Deduplicated, DedupWindow: 10},
-			{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10, Idempotency: Deduplicated, DedupScope: ScopeZone, DedupWindow: 1},
-			{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10, Idempotency: NonIdempotent}}}
+	settings := testSettings()
 	if edit != nil {
-		edit(&s)
+		edit(&settings)
 	}
 	h := &fakeHost{now: 100, pushedBack: map[*RPC]float64{}, aborted: map[*RPC]bool{}}
-	h.balancer = New(h, s, seed)
+	h.balancer = New(h, settings, seed)
 	var servers []*Server
 	var list []EndpointUpdate
 	for i := range n {
@@ -131,25 +180,16 @@
 	return h, servers
 }
 
-// answerOneByOne answers RPCs one after another in the time that each server takes.
-func (f *fakeHost) answerOneByOne(n int, took func(*Server) float64) map[*Server]int {
-	got := map[*Server]int{}
-	for range n {
-		f.arrive(lookup)
-		p := f.lastSent()
-		got[p.Server]++
-		f.advanceTo(f.now + took(p.Server))
-		if p.inFlight {
-			f.finish(p, OK)
-		}
-		for _, c := range f.canceled { // a copy of it
-			if c.inFlight {
-				f.finish(c, Canceled)
-			}
-		}
-		f.canceled = nil
+// testSettings are the settings of a test's Balancer.
+func testSettings() Settings {
+	method := Method{LatencyObjective: 2.5, Deadline: testDeadline, PriorityWeight: 10}
+	methods := []Method{lookup: method, book: method, commit: method, charge: method}
+	methods[book].Idempotency, methods[book].DedupWindow = Deduplicated, 10
+	methods[commit].Idempotency, methods[commit].DedupWindow = Deduplicated, 1
+	methods[commit].DedupScope = ScopeZone
+	methods[charge].Idempotency = NonIdempotent
+	return Settings{
+		Methods: methods, Instances: 1, MaxAttempts: 5, MayCancel: true, Hedging: true, MaxRetryAfter: 2,
+		SlowStartFraction: 0.2, SlowStartDuration: 20, OverloadMultiple: 3, OverloadWindow: 3,
 	}
-	return got
 }
-
-func constantLatency(t float64) func(*Server) float64 { return func(*Server) float64 { return t } }
--- a/decide/feedback_test.go
+++ b/decide/feedback_test.go
@@ -6,52 +6,53 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// A hung server is left before its time-outs land.
 func TestBalancer_HungServer(t *testing.T) {
 	h, s := newTestBalancer(4, nil)
 	h.answerOneByOne(100, constantLatency(0.1))
 	for range 60 {
 		h.arrive(lookup)
 		h.advanceTo(h.now + 0.1)
-		for _, p := range h.sent {
-			if p.inFlight && p.Server != s[0] {
-				h.finish(p, OK)
+		for _, a := range h.sent {
+			if a.inFlight && a.Server != s[0] {
+				h.finish(a, OK)
 			}
 		}
 	}
-	stuck := 0
-	for _, p := range h.sent {
-		if p.inFlight {
-			stuck++
+	inFlight := 0
+	for _, a := range h.sent {
+		if a.inFlight {
+			inFlight++
 		}
 	}
-	assert.Less(t, stuck, 8)
-	assert.LessOrEqual(t, len(h.pushedBack), 3, "the few that found no budget for a copy")
+	assert.Less(t, inFlight, 8)
+	assert.LessOrEqual(t, len(h.pushedBack), 3, "the few for which the hedge budget was spent")
 }
 
+// A server in overload whose late attempts are all canceled loses its low estimate.
 func TestBalancer_LateCanceledAttempts(t *testing.T) {
-	h, s := newTestBalancer(4, nil)
-	h.answerOneByOne(100, func(x *Server) float64 {
-		if x == s[0] {
-			return 0.1
+	h, servers := newTestBalancer(4, nil)
+	latency := func(first float64) func(*Server) float64 {
+		return func(s *Server) float64 {
+			if s == servers[0] {
+				return first
+			}
+			return 0.2
 		}
-		return 0.2
-	})
+	}
+	h.answerOneByOne(100, latency(0.1))
 	before := len(h.sent)
-	h.offerLoad(10, 0.2, func(x *Server) float64 {
-		if x == s[0] {
-			return 3
-		}
-		return 0.2
-	})
-	got := 0
-	for _, p := range h.sent[before:] {
-		if p.Server == s[0] {
-			got++
+	h.offerLoad(10, 0.2, latency(3))
+	sentToFirst := 0
+	for _, a := range h.sent[before:] {
+		if a.Server == servers[0] {
+			sentToFirst++
 		}
 	}
-	assert.Less(t, got, len(h.sent[before:])/5)
+	assert.Less(t, sentToFirst, len(h.sent[before:])/5)
 }
 
+// An RPC that expires counts as a time-out of its server.
 func TestBalancer_ExpiryCountsAsTimeout(t *testing.T) {
 	h, s := newTestBalancer(2, func(s *Settings) { s.Hedging = false })
 	h.answerOneByOne(20, constantLatency(1.5))
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -6,49 +6,56 @@
 	"math/rand"
 )
 
-// A fleet is many balancers in one virtual time, all before the same servers. It counts what reaches the cold ones.
+// The slow start of a fleet's servers.
+const (
+	overloadMultiple  = 2.5
+	overloadWindow    = 3.0 // seconds
+	slowStartFraction = 0.14
+	slowStartDuration = 24.0 // seconds
+)
+
+// fleet is many balancers in one virtual time, all before the same servers. It records when the servers in slow start
+// are sent attempts.
 type fleet struct {
 	now           float64
 	events        eventQueue
-	eventID       int
+	lastEventID   int
 	rng           *rand.Rand
 	shape         fleetShape
 	nodes         []*fleetNode
-	trafficShares []float64 // of the traffic, by node
-	demand        func(node int, t float64) float64
-	startedAt     []float64 // by server; 0: long ago
-	received      [][]float64
-	newServers    bool // what starts is another server, in place of one that has left
+	trafficShares []float64                           // by node
+	demand        func(node int, now float64) float64 // times the usual traffic; nil: 1
+	startedAt     []float64                           // by server; 0: long ago
+	received      [][]float64                         // by server; when it was sent attempts by nodes that knew of its start
+	newServers    bool                                // what starts is another server, in place of one that has gone
 }
 
-// fleetShape is a fleet's shape. Rates are a second, times seconds.
+// fleetShape is the size of a fleet. Rates are a second, times in seconds.
 type fleetShape struct {
 	nodes, servers int
 	capacity       float64 // of one warm server
-	load           float64 // what the callers ask of all warm servers
+	load           float64 // the part of the warm servers' capacity that clients ask for
 	seed           int64
-	latency        float64
+	latency        float64 // mean
 }
 
-const (
-	overloadMultiple  = 2.5
-	overloadWindow    = 3.0
-	slowStartFraction = 0.14
-	slowStartDuration = 24.0
-)
-
+// fleetEvent is something that happens later.
 type fleetEvent struct {
-	at float64
-	id int
-	do func()
+	at  float64
+	id  int // of two events at the same time the one with the lower id comes first
+	run func()
 }
 
+// eventQueue is a heap of events.
 type eventQueue []fleetEvent
 
 func (e eventQueue) Len() int { return len(e) }
 
 func (e eventQueue) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].id < e[j].id
+	if e[i].at != e[j].at {
+		return e[i].at < e[j].at
+	}
+	return e[i].id < e[j].id
 }
 
 func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
@@ -56,206 +63,170 @@
 func (e *eventQueue) Push(x any) { *e = append(*e, x.(fleetEvent)) }
 
 func (e *eventQueue) Pop() any {
-	x := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
-	return x
+	last := len(*e) - 1
+	event := (*e)[last]
+	*e = (*e)[:last]
+	return event
+}
+
+// newFleet starts a fleet whose servers have all been up for long.
+func newFleet(shape fleetShape) *fleet {
+	f := &fleet{
+		now:       100,
+		rng:       rand.New(rand.NewSource(shape.seed)),
+		shape:     shape,
+		startedAt: make([]float64, shape.servers),
+		received:  make([][]float64, shape.servers),
+	}
+	sum := 0.0
+	for i := range shape.nodes {
+		f.nodes = append(f.nodes, f.startNode(shape.seed*1000+int64(i)))
+		weight := 1.0
+		if i%5 == 0 {
+			weight = 4 // uneven: some get several times the mean
+		}
+		f.trafficShares = append(f.trafficShares, weight)
+		sum += weight
+	}
+	for i := range f.trafficShares {
+		f.trafficShares[i] /= sum
+		f.runClients(i)
+	}
+	return f
 }
 
-func (f *fleet) after(d float64, do func()) {
-	f.eventID++
-	heap.Push(&f.events, fleetEvent{f.now + d, f.eventID, do})
+// after runs something after a delay in seconds.
+func (f *fleet) after(delay float64, run func()) {
+	f.lastEventID++
+	heap.Push(&f.events, fleetEvent{f.now + delay, f.lastEventID, run})
 }
 
+// advanceTo moves the clock and runs the events that are due.
 func (f *fleet) advanceTo(t float64) {
 	for len(f.events) > 0 && f.events[0].at <= t {
-		e := heap.Pop(&f.events).(fleetEvent)
-		f.now = e.at
-		e.do()
+		event := heap.Pop(&f.events).(fleetEvent)
+		f.now = event.at
+		event.run()
 	}
 	f.now = t
 }
 
-// fleetNode is one node's host.
-type fleetNode struct {
-	fleet     *fleet
-	balancer  *Balancer
-	servers   []*Server
-	startedAt []float64 // CameUp by server, as this node was told
-	ended     bool      // its process has ended
-}
-
-func (f *fleetNode) Now() float64 { return f.fleet.now }
-
-func (f *fleetNode) CloseIdleConnections(s *Server) {}
-
-func (f *fleetNode) WatchEndpoints() {}
-
-func (f *fleetNode) Abort(r *RPC) {}
-
-func (f *fleetNode) PushBack(r *RPC, _ float64) {}
-
-func (f *fleetNode) StartTimer(delay float64, what any) {
-	f.fleet.after(delay, func() {
-		if !f.ended {
-			f.balancer.TimerFired(what)
+// runClients is a Poisson process of a node's arrivals, thinned by the demand.
+func (f *fleet) runClients(node int) {
+	const maxDemand = 3
+	rate := maxDemand * f.trafficShares[node] * f.shape.load * f.shape.capacity * float64(f.shape.servers)
+	f.after(f.rng.ExpFloat64()/rate, func() {
+		demand := 1.0
+		if f.demand != nil {
+			demand = f.demand(node, f.now)
 		}
+		if f.rng.Float64()*maxDemand < demand {
+			f.arrive(node)
+		}
+		f.runClients(node)
 	})
 }
 
-func (f *fleetNode) Cancel(p *Attempt) { f.fleet.after(0, func() { f.finish(p, Canceled) }) }
-
-func (f *fleetNode) Send(p *Attempt, _ float64) {
-	i := p.Server.HostData.(int)
-	if f.fleet.startedAt[i] > 0 && f.startedAt[i] == f.fleet.startedAt[i] {
-		f.fleet.received[i] = append(f.fleet.received[i], f.fleet.now)
-	}
-	f.fleet.after(f.fleet.shape.latency*(0.5+0.5*f.fleet.rng.ExpFloat64()), func() { f.finish(p, OK) })
+// arrive sends a node an RPC.
+func (f *fleet) arrive(node int) {
+	f.nodes[node].balancer.Arrived(&RPC{Deadline: f.now + testDeadline})
 }
 
-func (f *fleetNode) finish(p *Attempt, res Result) {
-	if p.HostData != nil || f.ended {
-		return
+// restartServer starts a server anew. The nodes are notified within so many seconds, each at a time of its own.
+func (f *fleet) restartServer(server int, notifiedWithin float64) {
+	f.startedAt[server] = f.now
+	if f.newServers {
+		for _, n := range f.nodes {
+			n.servers[server] = &Server{HostData: server}
+		}
+	}
+	for i := range f.nodes {
+		f.after(notifiedWithin*f.rng.Float64(), func() { f.nodes[i].notify(f.startedAt) })
 	}
-	p.HostData = true
-	f.balancer.AttemptDone(p, res, res == OK || !p.RPC.open, f.fleet.now-p.sentAt, nil)
 }
 
-func (f *fleet) start(seed int64) *fleetNode {
-	n := &fleetNode{fleet: f, startedAt: make([]float64, f.shape.servers)}
-	n.balancer = New(n, Settings{Instances: f.shape.nodes, MaxAttempts: 5, MayCancel: true, Hedging: true, MaxRetryAfter: 2,
-		SlowStartFraction: slowStartFraction, SlowStartDuration: slowStartDuration, OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow,
-		Methods: []Method{{LatencyObjective: 2.5, Deadline: 6, PriorityWeight: 10}}}, seed)
+// restartAll starts all servers anew and plays their slow start.
+func (f *fleet) restartAll() {
 	for i := range f.shape.servers {
-		n.servers = append(n.servers, &Server{HostData: i})
+		f.restartServer(i, 0)
 	}
-	n.notify(f.startedAt)
-	return n
+	f.playSlowStart()
 }
 
-func (f *fleetNode) notify(cameUp []float64) {
-	var list []EndpointUpdate
-	copy(f.startedAt, cameUp)
-	for i, s := range f.servers {
-		list = append(list, EndpointUpdate{Server: s, Weight: 1, StartedAt: cameUp[i]})
-	}
-	f.balancer.UpdateEndpoints(list, true)
-}
+// playSlowStart plays the whole slow start of a server that starts now.
+func (f *fleet) playSlowStart() { f.advanceTo(f.now + slowStartDuration) }
 
-func newFleet(sp fleetShape) *fleet {
-	f := &fleet{now: 100, rng: rand.New(rand.NewSource(sp.seed)), shape: sp,
-		startedAt: make([]float64, sp.servers), received: make([][]float64, sp.servers)}
-	sum := 0.0
-	for i := range sp.nodes {
-		f.nodes = append(f.nodes, f.start(sp.seed*1000+int64(i)))
-		w := 1.0
-		if i%5 == 0 {
-			w = 4 // uneven: some get several times the mean
+// playBurst starts a server in an idle fleet in which each node is then sent some RPCs in one moment.
+func (f *fleet) playBurst(rpcs int) {
+	const idle = 16 // seconds
+	end := f.now + slowStartDuration
+	busyAt := f.now + idle
+	f.demand = func(_ int, now float64) float64 {
+		if now < busyAt {
+			return 0
 		}
-		f.trafficShares = append(f.trafficShares, w)
-		sum += w
-	}
-	for i := range f.trafficShares {
-		f.trafficShares[i] /= sum
-		f.runClient(i)
+		return 1
 	}
-	return f
-}
-
-// runClient is a Poisson process, thinned by calls where that is set.
-func (f *fleet) runClient(i int) {
-	const most = 3
-	f.after(f.rng.ExpFloat64()/(most*f.trafficShares[i]*f.shape.load*f.shape.capacity*float64(f.shape.servers)), func() {
-		part := 1.0
-		if f.demand != nil {
-			part = f.demand(i, f.now)
-		}
-		if f.rng.Float64()*most < part {
+	f.restartServer(0, 0)
+	f.advanceTo(busyAt)
+	for range rpcs {
+		for i := range f.nodes {
 			f.arrive(i)
 		}
-		f.runClient(i)
-	})
-}
-
-func (f *fleet) arrive(i int) {
-	f.nodes[i].balancer.Arrived(&RPC{Deadline: f.now + 6})
-}
-
-// restartServer starts a server anew, and tells the nodes within apart seconds.
-func (f *fleet) restartServer(server int, apart float64) {
-	f.startedAt[server] = f.now
-	if f.newServers {
-		for _, n := range f.nodes {
-			n.servers[server] = &Server{HostData: server}
-		}
-	}
-	for i := range f.nodes {
-		f.after(apart*f.rng.Float64(), func() { f.nodes[i].notify(f.startedAt) })
 	}
+	f.advanceTo(end)
 }
 
+// capacityFraction is what the settings say of a server of an age.
 func capacityFraction(age float64) float64 {
 	return min(1, slowStartFraction+(1-slowStartFraction)*age/slowStartDuration)
 }
 
-// budget is what the settings allow from one age to another.
+// budget is how many attempts the settings allow a server from one age to another.
 func (s fleetShape) budget(from, to float64) float64 {
-	n, steps := 0.0, 30
+	const steps = 30
+	sum := 0.0
 	for i := range steps {
-		n += capacityFraction(from + (to-from)*(float64(i)+0.5)/float64(steps))
+		sum += capacityFraction(from + (to-from)*(float64(i)+0.5)/steps)
 	}
-	return overloadMultiple * s.capacity * n / float64(steps) * (to - from)
+	return overloadMultiple * s.capacity * sum / steps * (to - from)
 }
 
-// worstWindow is the window of fallFor within the ramp that lies highest beside its limit.
-func (f *fleet) worstWindow(server int) (excess, got, n, at float64, total, all float64) {
-	excess = math.Inf(-1)
-	var ages []float64
-	for _, t := range f.received[server] {
-		if a := t - f.startedAt[server]; a <= slowStartDuration {
-			ages = append(ages, a)
-		}
-	}
-	j := 0
-	for i, a := range ages {
-		for ages[j] < a-overloadWindow {
-			j++
-		}
-		n0 := f.shape.budget(max(0, a-overloadWindow), max(0, a-overloadWindow)+overloadWindow)
-		limit := n0 + 2*math.Sqrt(n0) + 2
-		if e := float64(i-j+1) - limit; e > excess {
-			excess, got, n, at = e, float64(i-j+1), n0, a
-		}
-	}
-	return excess, got, n, at, float64(len(ages)), f.shape.budget(0, slowStartDuration)
+// slowStartWindow is what a server in slow start was sent in a window that ends at an age.
+type slowStartWindow struct {
+	age      float64
+	received float64
+	budget   float64
+	excess   float64 // over the budget and what is allowed by chance
 }
 
-// playSlowStart plays a cold server's whole ramp from now.
-func (f *fleet) playSlowStart(less float64) { f.advanceTo(f.now + slowStartDuration - less) }
-
-// replaceAll starts all servers anew.
-func (f *fleet) replaceAll() {
-	for i := range f.shape.servers {
-		f.restartServer(i, 0)
+// receivedInSlowStart is the ages at which a server in slow start was sent attempts.
+func (f *fleet) receivedInSlowStart(server int) []float64 {
+	var ages []float64
+	for _, at := range f.received[server] {
+		if age := at - f.startedAt[server]; age <= slowStartDuration {
+			ages = append(ages, age)
+		}
 	}
-	f.playSlowStart(0)
+	return ages
 }
 
-// burst is an idle fleet in which every node is asked some calls in one moment.
-func (f *fleet) burst(calls int) {
-	const idle = 16
-	back := f.now + idle
-	f.demand = func(_ int, t float64) float64 {
-		if t < back {
-			return 0
+// worstWindow is the overload window of a server's slow start with the highest excess.
+func (f *fleet) worstWindow(server int) slowStartWindow {
+	worst := slowStartWindow{excess: math.Inf(-1)}
+	ages := f.receivedInSlowStart(server)
+	first := 0
+	for i, age := range ages {
+		for ages[first] < age-overloadWindow {
+			first++
 		}
-		return 1
-	}
-	f.restartServer(0, 0)
-	f.advanceTo(back)
-	for range calls {
-		for i := range f.nodes {
-			f.arrive(i)
+		from := max(0, age-overloadWindow)
+		budget := f.shape.budget(from, from+overloadWindow)
+		received := float64(i - first + 1)
+		excess := received - (budget + 2*math.Sqrt(budget) + 2)
+		if excess > worst.excess {
+			worst = slowStartWindow{age: age, received: received, budget: budget, excess: excess}
 		}
 	}
-	f.playSlowStart(idle)
+	return worst
 }
--- a/decide/membership_test.go
+++ b/decide/membership_test.go
@@ -11,34 +11,36 @@
 	h.balancer.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Draining, Weight: 1}}, false)
 	h.balancer.UpdateEndpoints([]EndpointUpdate{readyUpdate(s[0], 0), readyUpdate(s[1], 1)}, true)
 	h.balancer.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Gone, Weight: 1}}, false)
-	got := h.answerOneByOne(50, constantLatency(0.1))
-	assert.Equal(t, 50, got[s[1]])
+	answered := h.answerOneByOne(50, constantLatency(0.1))
+	assert.Equal(t, 50, answered[s[1]])
 }
 
-// Under deploys all day the servers that have left must cost neither memory nor a walk over them.
+// Under deploys all day the servers that have gone must cost neither memory nor a walk over them.
 func TestBalancer_GoneServersForgotten(t *testing.T) {
 	h, s := newTestBalancer(2, nil)
+	b := h.balancer
 	for range 200 {
 		h.arrive(lookup)
-		out := h.lastSent()
+		inFlight := h.lastSent()
 		next := []*Server{{}, {}}
-		h.balancer.UpdateEndpoints([]EndpointUpdate{readyUpdate(next[0], 0), readyUpdate(next[1], 1)}, true)
-		assert.Contains(t, h.balancer.servers, out.Server, "its pick is still out")
-		assert.LessOrEqual(t, len(h.balancer.servers), 4)
+		b.UpdateEndpoints([]EndpointUpdate{readyUpdate(next[0], 0), readyUpdate(next[1], 1)}, true)
+		assert.Contains(t, b.servers, inFlight.Server, "it has an attempt in flight")
+		assert.LessOrEqual(t, len(b.servers), 4)
 		h.advanceTo(h.now + 0.3)
-		h.finish(out, OK)
+		h.finish(inFlight, OK)
 		h.answerOneByOne(4, constantLatency(0.3))
 		s = next
 	}
-	h.balancer.UpdateEndpoints(nil, false)
-	assert.ElementsMatch(t, s, h.balancer.servers)
-	kept := 0
-	for _, r := range h.balancer.qTable.rows {
-		kept += r.count
+	b.UpdateEndpoints(nil, false)
+	assert.ElementsMatch(t, s, b.servers)
+	entries := 0
+	for _, row := range b.qTable.rows {
+		entries += row.count
 	}
-	assert.LessOrEqual(t, kept, len(s)*len(h.balancer.qTable.rows), "nor do their entries count in the means")
-	h.balancer.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Gone, Weight: 1}}, false)
-	h.balancer.UpdateEndpoints([]EndpointUpdate{readyUpdate(s[0], 0)}, false)
-	assert.Len(t, h.balancer.servers, 2, "one that comes back starts anew")
+	assert.LessOrEqual(t, entries, len(s)*len(b.qTable.rows), "their entries do not count in the rows' means")
+
+	b.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Gone, Weight: 1}}, false)
+	b.UpdateEndpoints([]EndpointUpdate{readyUpdate(s[0], 0)}, false)
+	assert.Len(t, b.servers, 2, "one that comes back starts anew")
 	h.answerOneByOne(9, constantLatency(0.3))
 }
--- /dev/null
+++ b/decide/requests_test.go
@@ -0,0 +1,25 @@
+package decide
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// An RPC has one answer, also where its time-out, its attempts' results and its client's departure cross.
+func TestBalancer_OneAnswer(t *testing.T) {
+	h, _ := newTestBalancer(3, nil)
+	r := h.arrive(book)
+	h.advanceTo(h.now + testDeadline)
+	assert.Len(t, h.pushedBack, 1)
+	sent := len(h.sent)
+	for _, a := range h.sent {
+		h.finish(a, TimedOut)
+	}
+	h.balancer.ClientGone(r)
+	assert.Len(t, h.sent, sent)
+	assert.Len(t, h.pushedBack, 1)
+	assert.Empty(t, h.aborted)
+	assert.Zero(t, h.balancer.openRPCs)
+	assert.Zero(t, h.balancer.attemptsInFlight)
+}
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -10,7 +11,7 @@
 	h, _ := newTestBalancer(3, nil)
 	r := h.arrive(charge)
 	h.finish(h.lastSent(), Rejected)
-	assert.Len(t, h.sent, 2, "a pick that never ran may be followed by another")
+	assert.Len(t, h.sent, 2, "an attempt that never ran may be followed by another")
 	h.finish(h.lastSent(), Reset)
 	assert.Len(t, h.sent, 2)
 	assert.True(t, h.aborted[r])
@@ -26,19 +27,21 @@
 	assert.Equal(t, first.Server.zone, h.lastSent().Server.zone)
 	h.now += 1.2
 	h.finish(h.lastSent(), Failed)
-	assert.Len(t, h.sent, 2, "the group remembers only for a second")
+	assert.Len(t, h.sent, 2, "the zone drops repeats only for a second")
 	assert.True(t, h.aborted[r])
 }
 
-// A pushback says that asking again is harmless: not where servers forget before the client stops waiting.
+// A pushback promises that a retry is harmless: not where servers forget before the client's deadline.
 func TestBalancer_PushbackWithinDedupWindow(t *testing.T) {
-	for window, pushed := range map[float64]bool{1: false, 5.9: false, 6: true, 10: true} {
-		h, _ := newTestBalancer(2, func(s *Settings) { s.Methods[book].DedupWindow = window })
-		r := h.arrive(book)
-		for h.pushedBack[r] == 0 && !h.aborted[r] {
-			h.finish(h.lastSent(), Failed)
-		}
-		assert.Equal(t, pushed, !h.aborted[r], "a window of %v s and a deadline of 6 s", window)
+	for window, pushedBack := range map[float64]bool{1: false, 5.9: false, testDeadline: true, 10: true} {
+		t.Run(fmt.Sprintf("%g s", window), func(t *testing.T) {
+			h, _ := newTestBalancer(2, func(s *Settings) { s.Methods[book].DedupWindow = window })
+			r := h.arrive(book)
+			for h.pushedBack[r] == 0 && !h.aborted[r] {
+				h.finish(h.lastSent(), Failed)
+			}
+			assert.Equal(t, pushedBack, !h.aborted[r])
+		})
 	}
 }
 
@@ -46,22 +49,5 @@
 	h, _ := newTestBalancer(0, nil)
 	r := h.arrive(charge)
 	assert.Contains(t, h.pushedBack, r)
-	assert.InDelta(t, 0.25, h.pushedBack[r], 1e-9, "the next try can still be in time")
-}
-
-func TestBalancer_OneAnswer(t *testing.T) {
-	h, _ := newTestBalancer(3, nil)
-	r := h.arrive(book)
-	h.advanceTo(h.now + 6)
-	assert.Len(t, h.pushedBack, 1)
-	n := len(h.sent)
-	for _, p := range h.sent {
-		h.finish(p, TimedOut)
-	}
-	h.balancer.ClientGone(r)
-	assert.Len(t, h.sent, n)
-	assert.Len(t, h.pushedBack, 1)
-	assert.Empty(t, h.aborted)
-	assert.Zero(t, h.balancer.openRPCs)
-	assert.Zero(t, h.balancer.attemptsInFlight)
+	assert.InDelta(t, 0.25, h.pushedBack[r], 1e-9, "the next attempt can still be in time")
 }
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -1,95 +1,122 @@
 package decide
 
 import (
+	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 )
 
-// After any history of answers, failures, ejections, cold starts and changes of the list the choice keeps to what it may
-// choose from: ready servers, sound ones as long as there are any, the group of an RPC that may have run. The neighbours
-// are ready servers of the list, each once, and no more than the node's picks need.
+// After any history of answers, failures, ejections, starts and watch events the choice keeps to what it may choose from:
+// ready servers, healthy ones as long as there are any, the dedup scope of an RPC that may have run.
 func TestBalancer_ChooseServerInvariants(t *testing.T) {
-	picks := 0
+	chosen := 0
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "servers")
 		seed := rapid.Int64().Draw(t, "seed")
-		h, servers := newSeededBalancer(seed, n, func(s *Settings) { s.CrossZoneCost = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "cross") })
+		h, servers := newSeededBalancer(seed, n, func(s *Settings) {
+			s.CrossZoneCost = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "cross-zone cost")
+		})
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			h.advanceTo(h.now + float64(rapid.IntRange(0, 400).Draw(t, "ms"))/1000)
-			s := servers[rapid.IntRange(0, n-1).Draw(t, "server")]
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0:
-				h.balancer.UpdateEndpoints([]EndpointUpdate{{Server: s, State: State(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1 + float64(len(s.inFlight)), StartedAt: h.now}}, false)
-			case 1, 2, 3:
-				h.arrive(rapid.IntRange(0, 3).Draw(t, "method"))
-			default:
-				if len(h.sent) > 0 {
-					if p := h.sent[rapid.IntRange(0, len(h.sent)-1).Draw(t, "pick")]; p.inFlight {
-						h.finish(p, rapid.SampledFrom([]Result{OK, OK, OK, Failed, Rejected, Reset, ConnectFailed, TimedOut}).Draw(t, "result"))
-					}
-				}
-			}
-			near := map[*Server]bool{}
-			for _, s := range h.balancer.subset.members {
-				assert.True(t, s.inSubset && s.state == Ready && !near[s])
-				assert.Contains(t, h.balancer.servers, s)
-				near[s] = true
-			}
-			for _, s := range h.balancer.servers {
-				assert.Equal(t, near[s], s.inSubset)
-			}
-			assert.LessOrEqual(t, len(near), n)
-			r := &RPC{Method: rapid.IntRange(0, 3).Draw(t, "asked"), Deadline: h.now + 6}
-			if open := rapid.IntRange(0, 3).Draw(t, "again"); open == 0 && len(h.sent) > 0 {
-				r = h.lastSent().RPC
-			} else {
-				r.rules = h.balancer.methods[r.Method].methodRules
-				r.admissionShare = 1
-				r.startClock(h.now)
-			}
-			s = h.balancer.chooseServer(r, h.now)
-			if s == nil {
-				continue
-			}
-			picks++
-			assert.Equal(t, Ready, s.state)
-			assert.False(t, r.hasInFlightAt(s))
-			assert.True(t, r.firstMayHaveRun == nil || r.rules.inDedupScope(s, r.firstMayHaveRun.Server))
-			for _, o := range h.balancer.subset.members {
-				sound := h.now >= o.outlier.ejectedUntil && o.outlier.failuresInRow < ejectAfter && !r.hasAttempted(o) && h.balancer.slowStart.capacityFraction(o.startedAt, h.now) == 1
-				if sound && (r.firstMayHaveRun == nil || r.rules.inDedupScope(o, r.firstMayHaveRun.Server)) {
-					assert.GreaterOrEqual(t, h.now, s.outlier.ejectedUntil, "an ejected one while a neighbour is sound")
-				}
+			playRandomEvent(t, h, servers[rapid.IntRange(0, n-1).Draw(t, "server")])
+			checkSubset(t, h.balancer)
+			assert.LessOrEqual(t, len(h.balancer.subset.members), n)
+			r := drawRPC(t, h)
+			if s := h.balancer.chooseServer(r, h.now); s != nil {
+				chosen++
+				checkChoice(t, h, r, s)
 			}
 		}
 	})
-	assert.Greater(t, picks, 1000)
+	assert.Greater(t, chosen, 1000)
+}
+
+// playRandomEvent plays a watch event about a server, an arrival or a result.
+func playRandomEvent(t *rapid.T, h *fakeHost, s *Server) {
+	switch rapid.IntRange(0, 9).Draw(t, "event") {
+	case 0:
+		state := State(rapid.IntRange(0, 2).Draw(t, "state"))
+		update := EndpointUpdate{Server: s, State: state, Weight: 1 + float64(len(s.inFlight)), StartedAt: h.now}
+		h.balancer.UpdateEndpoints([]EndpointUpdate{update}, false)
+	case 1, 2, 3:
+		h.arrive(rapid.IntRange(0, 3).Draw(t, "method"))
+	default:
+		if len(h.sent) == 0 {
+			return
+		}
+		a := h.sent[rapid.IntRange(0, len(h.sent)-1).Draw(t, "attempt")]
+		if !a.inFlight {
+			return
+		}
+		results := []Result{OK, OK, OK, Failed, Rejected, Reset, ConnectFailed, TimedOut}
+		h.finish(a, rapid.SampledFrom(results).Draw(t, "result"))
+	}
+}
+
+// checkSubset checks that the members are ready servers of the list, each once, and marked as members.
+func checkSubset(t *rapid.T, b *Balancer) {
+	members := map[*Server]bool{}
+	for _, s := range b.subset.members {
+		assert.True(t, s.inSubset && s.state == Ready && !members[s])
+		assert.Contains(t, b.servers, s)
+		members[s] = true
+	}
+	for _, s := range b.servers {
+		assert.Equal(t, members[s], s.inSubset)
+	}
+}
+
+// drawRPC draws a new RPC, or that of the last attempt.
+func drawRPC(t *rapid.T, h *fakeHost) *RPC {
+	r := &RPC{Method: rapid.IntRange(0, 3).Draw(t, "method of the choice"), Deadline: h.now + testDeadline}
+	if again := rapid.IntRange(0, 3).Draw(t, "again"); again == 0 && len(h.sent) > 0 {
+		return h.lastSent().RPC
+	}
+	r.rules = h.balancer.methods[r.Method].methodRules
+	r.admissionShare = 1
+	r.startClock(h.now)
+	return r
+}
+
+// checkChoice checks that an RPC may be sent to the server that was chosen for it.
+func checkChoice(t *rapid.T, h *fakeHost, r *RPC, chosen *Server) {
+	assert.Equal(t, Ready, chosen.state)
+	assert.False(t, r.hasInFlightAt(chosen))
+	assert.True(t, r.firstMayHaveRun == nil || r.rules.inDedupScope(chosen, r.firstMayHaveRun.Server))
+	for _, s := range h.balancer.subset.members {
+		healthy := h.now >= s.outlier.ejectedUntil && s.outlier.failuresInRow < ejectAfter
+		warm := h.balancer.slowStart.capacityFraction(s.startedAt, h.now) == 1
+		inScope := r.firstMayHaveRun == nil || r.rules.inDedupScope(s, r.firstMayHaveRun.Server)
+		if healthy && warm && inScope && !r.hasAttempted(s) {
+			assert.GreaterOrEqual(t, h.now, chosen.outlier.ejectedUntil, "ejected while a member is healthy")
+		}
+	}
 }
 
-// Among thousands the choice must find the sound ones, however few, and keep off the slow.
+// Among thousands the choice must find the usable servers, however few, and keep off the slow ones.
 func TestBalancer_ChooseServerAmongThousands(t *testing.T) {
 	h, servers := newTestBalancer(3000, nil)
 	fast := map[*Server]bool{}
 	for i, s := range servers {
 		fast[s] = i%10 == 0
 	}
-	took := func(s *Server) float64 {
+	latency := func(s *Server) float64 {
 		if fast[s] {
 			return 0.02
 		}
 		return 0.2
 	}
-	h.answerOneByOne(6000, took)
-	n := 0
-	for s, k := range h.answerOneByOne(1000, took) {
+	h.answerOneByOne(6000, latency)
+	answeredByFast := 0
+	for s, n := range h.answerOneByOne(1000, latency) {
 		if fast[s] {
-			n += k
+			answeredByFast += n
 		}
 	}
-	assert.Greater(t, n, 900)
-	for _, s := range servers[3:] { // all but three cannot be used
+	assert.Greater(t, answeredByFast, 900)
+	for _, s := range servers[3:] {
 		s.outlier.ejectedUntil = h.now + 1000
 	}
 	for range 50 {
@@ -101,43 +128,42 @@
 
 func TestBalancer_FasterServersGetMore(t *testing.T) {
 	h, s := newTestBalancer(4, nil)
-	took := func(x *Server) float64 {
-		if x == s[0] {
+	latency := func(server *Server) float64 {
+		if server == s[0] {
 			return 0.1
 		}
 		return 0.3
 	}
-	h.answerOneByOne(600, took) // one pick in a hundred explores
-	got := h.answerOneByOne(200, took)
-	assert.Greater(t, got[s[0]], got[s[1]]+got[s[2]]+got[s[3]])
+	h.answerOneByOne(600, latency) // one attempt in a hundred explores
+	answered := h.answerOneByOne(200, latency)
+	assert.Greater(t, answered[s[0]], answered[s[1]]+answered[s[2]]+answered[s[3]])
 }
 
-// On big-1 of portail-rimouski servers that could not answer in time were sent all the same, and ran on for nobody.
+// On big-1 of portail-rimouski servers that could not answer in time were sent to all the same, and worked for nobody.
 func TestBalancer_LateRPCsRejected(t *testing.T) {
-	h, s := newTestBalancer(2, func(s *Settings) { s.MayCancel = false })
+	h, servers := newTestBalancer(2, func(s *Settings) { s.MayCancel = false })
 	h.answerOneByOne(60, constantLatency(0.5))
-	for range 20 { // both jam: answers take four times the target
-		for _, x := range s {
-			p := &Attempt{RPC: &RPC{}, Server: x, attemptState: attemptState{sentAt: h.now - 10, expectedLatency: 10, row: h.balancer.qTable.firstRows[lookup][0]}}
-			p.RPC.rules = h.balancer.methods[lookup].methodRules
-			h.balancer.recordSuccess(p, 10, h.now)
+	for range 20 { // both are in overload: answers take four times the objective
+		for _, s := range servers {
+			h.recordAnswer(s, 0, 10, 10)
 		}
 	}
-	pushed := 0
+	pushedBack := 0
 	for range 50 {
 		before := len(h.sent)
 		r := h.arrive(lookup)
-		if _, back := h.pushedBack[r]; back {
+		if h.isPushedBack(r) {
 			assert.Len(t, h.sent, before, "nothing was sent")
-			assert.InDelta(t, 0.25, h.pushedBack[r], 1e-9, "and the client is told when to come back")
-			pushed++
+			assert.InDelta(t, 0.25, h.pushedBack[r], 1e-9, "and the client knows when to retry")
+			pushedBack++
 		}
 	}
-	assert.Greater(t, pushed, 40)
-	assert.Less(t, pushed, 51)
+	assert.Greater(t, pushedBack, 40)
+	assert.Less(t, pushedBack, 51)
 }
 
-// One failure is an entry of a whole deadline: with a single server it had turned away all that came next.
+// A failure costs a whole deadline in the Q-table: with a single server it had led to the rejection of all that came
+// next.
 func TestBalancer_OneFailureRejectsNothing(t *testing.T) {
 	h, _ := newTestBalancer(1, nil)
 	h.answerOneByOne(20, constantLatency(0.1))
@@ -147,16 +173,14 @@
 	assert.NotContains(t, h.pushedBack, r)
 }
 
-// Nodes that each see little have rows of one or two samples. One slow answer there had told each of them that no server could answer
-// in time: on a calm day 60 nodes turned away 80 to 140 of 7,100 RPCs, all for that.
+// Nodes with little traffic have rows of one or two samples. By one slow answer there each of them had expected that no
+// server could answer in time: in calm weather 60 nodes rejected 80 to 140 of 7,100 RPCs, all for that.
 func TestBalancer_OneSlowAnswerRejectsNothing(t *testing.T) {
 	for seed := range int64(50) {
 		h, s := newSeededBalancer(seed, 4, func(s *Settings) { s.Tenants = []Tenant{{Quota: 1000}, {Quota: 1000}} })
 		h.answerOneByOne(200, constantLatency(0.1)) // of the first tenant
-		p := &Attempt{RPC: &RPC{}, Server: s[0], attemptState: attemptState{sentAt: h.now - 5, expectedLatency: 0.1, row: h.balancer.qTable.firstRows[lookup][1]}}
-		p.RPC.rules = h.balancer.methods[lookup].methodRules
-		h.balancer.recordSuccess(p, 5, h.now)
-		r := &RPC{Method: lookup, Tenant: 1, Deadline: h.now + 6}
+		h.recordAnswer(s[0], 1, 0.1, 5)
+		r := &RPC{Method: lookup, Tenant: 1, Deadline: h.now + testDeadline}
 		h.balancer.Arrived(r)
 		assert.NotContains(t, h.pushedBack, r)
 	}
@@ -164,7 +188,7 @@
 
 func BenchmarkBalancer_Attempt(b *testing.B) {
 	for _, n := range []int{16, 100, 400, 5000} {
-		b.Run(map[int]string{16: "16", 100: "100", 400: "400", 5000: "5000"}[n]+" servers", func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d servers", n), func(b *testing.B) {
 			h, _ := newTestBalancer(n, nil)
 			h.answerOneByOne(2*n, constantLatency(0.01))
 			b.ReportAllocs()
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -7,28 +7,32 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// On portail-rimouski a node met 43 servers in 10 s with 90 picks: what it heard of each was old when it was used.
-func TestBalancer_SubsetSize(t *testing.T) {
-	h, s := newTestBalancer(200, func(s *Settings) { s.Instances = 100 })
-	got := h.answerOneByOne(400, func(x *Server) float64 { return 0.05 + 0.1*h.balancer.rng.Float64() })
-	few := 0
-	for _, n := range got {
+// On portail-rimouski a node sent to 43 servers in 10 s with 90 attempts: what it knew of each was old when it was used.
+func TestBalancer_Subset(t *testing.T) {
+	h, servers := newTestBalancer(200, func(s *Settings) { s.Instances = 100 })
+	b := h.balancer
+	answered := h.answerOneByOne(400, func(*Server) float64 { return 0.05 + 0.1*b.rng.Float64() })
+	byFew := 0
+	for _, n := range answered {
 		if n >= 10 {
-			few += n
+			byFew += n
 		}
 	}
-	assert.Greater(t, few, 300, "most picks go to servers met often: %d met", len(got))
-	assert.LessOrEqual(t, len(h.balancer.subset.members), 8)
-	// An ejected one leaves first, however low its estimate. The tidied join had looked at estimates alone.
-	ill, r := h.balancer.subset.members[0], &RPC{}
-	ill.outlier.ejectedUntil, r.rules = h.now+5, h.balancer.methods[lookup].methodRules
+	assert.Greater(t, byFew, 300, "most attempts go to servers used often: %d were used", len(answered))
+	assert.LessOrEqual(t, len(b.subset.members), 8)
+
+	// An ejected member leaves first, however low its estimate.
+	ejected, r := b.subset.members[0], &RPC{}
+	ejected.outlier.ejectedUntil, r.rules = h.now+5, b.methods[lookup].methodRules
 	for range 6 {
-		h.balancer.addToSubset(r, s[slices.IndexFunc(s, func(x *Server) bool { return !x.inSubset })], 0.1, h.now)
+		outside := slices.IndexFunc(servers, func(s *Server) bool { return !s.inSubset })
+		b.addToSubset(r, servers[outside], 0.1, h.now)
 	}
-	assert.False(t, ill.inSubset)
-	// What drains makes room at once.
-	first := h.balancer.subset.members[0]
-	h.balancer.UpdateEndpoints([]EndpointUpdate{{Server: first, State: Draining, Weight: 1}}, false)
-	assert.NotContains(t, h.balancer.subset.members, first)
-	assert.Contains(t, s, h.balancer.subset.members[0])
+	assert.False(t, ejected.inSubset)
+
+	// A draining member leaves at once.
+	draining := b.subset.members[0]
+	b.UpdateEndpoints([]EndpointUpdate{{Server: draining, State: Draining, Weight: 1}}, false)
+	assert.NotContains(t, b.subset.members, draining)
+	assert.Contains(t, servers, b.subset.members[0])
 }
--- a/decide/watch_test.go
+++ b/decide/watch_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"math"
 	"testing"
 
@@ -15,24 +16,24 @@
 	h.advanceTo(106)
 	assert.Equal(t, 2, h.watches)
 	for range 6 {
-		h.balancer.UpdateEndpoints(nil, false) // and lists that come in between change nothing
+		h.balancer.UpdateEndpoints(nil, false) // watch events in between change nothing
 		h.balancer.EndpointWatchFailed(false, 0, math.Inf(1))
 	}
 	h.advanceTo(107)
-	assert.Equal(t, 2, h.watches, "an overrun discovery is spared")
+	assert.Equal(t, 2, h.watches, "an overloaded discovery is spared")
 	h.balancer.EndpointWatchFailed(true, 0, math.Inf(1))
 	h.advanceTo(107.5)
-	assert.Equal(t, 3, h.watches, "a silent one, or one that has had no call yet, is not waited for")
+	assert.Equal(t, 3, h.watches, "one that was silent, or has had no call yet, is called soon")
 	h.advanceTo(130)
-	assert.Equal(t, 3, h.watches, "of several failures one call comes")
+	assert.Equal(t, 3, h.watches, "several failures lead to one call")
 }
 
-// What discovery tells binds in time, so no pause is over what the host allows; and a fleet must not ask in one moment for that.
+// What discovery has binds in time, so no wait is longer than the host allows; and a fleet must not call in one moment.
 func TestBalancer_WatchPauseBounds(t *testing.T) {
-	asked := func(seed int64, most float64) float64 {
+	waited := func(seed int64, maxWait float64) float64 {
 		h, _ := newSeededBalancer(seed, 1, nil)
 		for range 9 {
-			h.balancer.EndpointWatchFailed(false, 0, most)
+			h.balancer.EndpointWatchFailed(false, 0, maxWait)
 		}
 		from, next := h.now, h.watches+1
 		for h.watches < next {
@@ -40,16 +41,18 @@
 		}
 		return h.now - from
 	}
-	for _, most := range []float64{3, 0.6} {
-		low, high := math.Inf(1), 0.0
-		for seed := range int64(300) {
-			took := asked(seed, most)
-			low, high = min(low, took), max(high, took)
-		}
-		assert.LessOrEqual(t, high, most+0.002)
-		assert.Greater(t, high, 0.95*most)
-		assert.Less(t, low, 0.4*most)
-		assert.Greater(t, low, 0.3*most)
+	for _, maxWait := range []float64{3, 0.6} {
+		t.Run(fmt.Sprintf("%g s", maxWait), func(t *testing.T) {
+			shortest, longest := math.Inf(1), 0.0
+			for seed := range int64(300) {
+				wait := waited(seed, maxWait)
+				shortest, longest = min(shortest, wait), max(longest, wait)
+			}
+			assert.LessOrEqual(t, longest, maxWait+0.002)
+			assert.Greater(t, longest, 0.95*maxWait)
+			assert.Less(t, shortest, 0.4*maxWait)
+			assert.Greater(t, shortest, 0.3*maxWait)
+		})
 	}
 }
 
@@ -62,3 +65,16 @@
 		assert.Equal(t, 1, h.watches)
 	}
 }
+
+func TestWatchBackoff(t *testing.T) {
+	var w watchBackoff
+	for _, longest := range []float64{0.375, 0.75, 1.5, 3, 6, 6} {
+		shortest, timer := w.next(0, math.Inf(1), 0)
+		assert.InDelta(t, longest/3, shortest, 1e-9)
+		assert.True(t, w.isCurrent(timer))
+		assert.False(t, w.isCurrent(watchTimer{timer.id - 1}), "an earlier timer is void")
+	}
+	w.reset()
+	wait, _ := w.next(5, math.Inf(1), 0)
+	assert.InDelta(t, 5.0/3, wait, 1e-9, "at least what the host wants")
+}
