--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts balancer instances on the bench's wire, on standard input and output.
+// Command adapter hosts balancer instances on the text wire of the bench's simulator, on standard input and output.
 package main
 
 import (
@@ -9,9 +9,12 @@
 	"robincart/internal/simwire"
 )
 
+// gcPercent makes garbage collections rare: instances have little CPU to spare and use little memory, and pauses would
+// count as their time.
+const gcPercent = 800
+
 func main() {
-	// Instances have little CPU to spare and little memory: collecting rarely keeps pauses out of their seconds.
-	debug.SetGCPercent(800)
+	debug.SetGCPercent(gcPercent)
 	if err := simwire.NewHub(os.Stdin, os.Stdout).Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
