--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -20,7 +20,7 @@
 func TestBalancer_AdmissionSlowdown(t *testing.T) {
 	h, _ := newTestBalancer(4, nil)
 	h.offerLoad(20, 0.05, constantLatency(0.5))
-	usual := h.balancer.admission.usualHeld
+	usual := h.balancer.admission.usualOpen
 	h.offerLoad(20, 0.05, constantLatency(2.2))
 	assert.GreaterOrEqual(t, h.balancer.admission.limit, usual*0.2)
 	assert.NotEmpty(t, h.pushedBack)
@@ -37,16 +37,16 @@
 // Hundreds of nodes before servers that never answer do not hold two RPCs each.
 func TestBalancer_AdmissionOverload(t *testing.T) {
 	const nodes, interval = 200, 0.8
-	held := 0
+	open := 0
 	for seed := range int64(nodes) {
 		h, _ := newSeededBalancer(seed, nodes/4, func(s *Settings) {
 			s.Instances, s.Tenants = nodes, []Tenant{{Quota: nodes}}
 		})
 		h.now += float64(seed%10) * interval / 10
 		h.offerLoad(40, interval, constantLatency(-1))
-		held += h.balancer.openRPCs
+		open += h.balancer.openRPCs
 	}
-	assert.Less(t, held, 300, "a minimum at each node adds up to an overload that never ends")
+	assert.Less(t, open, 300, "a minimum at each node adds up to an overload that never ends")
 }
 
 func TestBalancer_AdmissionLowRate(t *testing.T) {
@@ -64,7 +64,7 @@
 		}
 		pushedBack += len(h.pushedBack)
 	}
-	assert.Less(t, pushedBack, arrived/40, "one or two held by chance are no overload")
+	assert.Less(t, pushedBack, arrived/40, "one or two open by chance are no overload")
 }
 
 // At a node with little traffic the prior of the mean wait does not hide that all RPCs are late.
--- a/decide/configure.go
+++ b/decide/configure.go
@@ -70,6 +70,6 @@
 	missing := max(0, len(tenants)-len(b.tenants))
 	b.tenants = append(b.tenants, make([]tenantQuota, missing)...)
 	for slot, t := range tenants {
-		b.tenants[slot].rate = t.Quota * b.nodeShare
+		b.tenants[slot].configure(t.Quota, b.nodeShare)
 	}
 }
--- a/decide/connections.go
+++ b/decide/connections.go
@@ -26,6 +26,24 @@
 	}
 }
 
+// used notes that a connection has just carried something.
+func (c *serverConnections) used(now float64) { c.lastUsedAt = now }
+
+// closed notes that the idle ones have been closed.
+func (c *serverConnections) closed() { c.idleBroken, c.open = false, false }
+
+// broke notes that an idle one has swallowed an attempt.
+func (c *serverConnections) broke() { c.idleBroken, c.open = true, false }
+
+// idleTime is how long the connection has been idle that an attempt would reuse. Reuse is possible where one has been
+// used before and there is no other attempt in flight.
+func (c *serverConnections) idleTime(othersInFlight int, now float64) (idle float64, reuse bool) {
+	if c.lastUsedAt == 0 || othersInFlight > 0 {
+		return 0, false
+	}
+	return now - c.lastUsedAt, true
+}
+
 // idleConnections decides how long an idle connection is trusted. Where idle connections are dropped unseen, what is
 // sent on one gets no answer, whatever the state of the server.
 type idleConnections struct {
@@ -73,15 +91,13 @@
 // already in flight.
 func (b *Balancer) prepareConnection(a *Attempt, now float64) {
 	s := a.Server
-	c := &s.connections
-	if c.lastUsedAt != 0 && len(s.inFlight) == 1 {
-		a.connectionIdle = now - c.lastUsedAt
-		if c.idleBroken || b.idleConnections.isTooLong(a.connectionIdle, now) {
-			b.host.CloseIdleConnections(s)
-			a.connectionIdle = 0
-			c.idleBroken, c.open = false, false
-		}
+	idle, reuse := s.connections.idleTime(len(s.inFlight)-1, now)
+	if reuse && (s.connections.idleBroken || b.idleConnections.isTooLong(idle, now)) {
+		b.host.CloseIdleConnections(s)
+		s.connections.closed()
+		idle = 0
 	}
-	a.opensConnection = !c.open
-	c.lastUsedAt = now
+	a.connectionIdle = idle
+	a.opensConnection = !s.connections.open
+	s.connections.used(now)
 }
--- a/decide/decaying.go
+++ b/decide/decaying.go
@@ -41,8 +41,11 @@
 	m.weight.add(1, now, halfLife)
 }
 
+// samples is the weight of all samples.
+func (m *decayingMean) samples(now, halfLife float64) float64 { return m.weight.read(now, halfLife) }
+
 // read is the mean, in which a prior counts as much as priorWeight new samples.
 func (m *decayingMean) read(now, halfLife, prior, priorWeight float64) float64 {
 	const minWeight = 1e-9 // with neither samples nor prior the mean is 0
-	return (m.sum.read(now, halfLife) + prior*priorWeight) / max(m.weight.read(now, halfLife)+priorWeight, minWeight)
+	return (m.sum.read(now, halfLife) + prior*priorWeight) / max(m.samples(now, halfLife)+priorWeight, minWeight)
 }
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -23,7 +23,7 @@
 //	latency.go      how long does a method take, and how fast is a server beside what was expected of it?
 //	loadreports.go  what do servers report of other nodes' RPCs?
 //
-//	admission.go    how many RPCs are held, and which are rejected?
+//	admission.go    how many RPCs may be open, and which are rejected?
 //	quota.go        what is beyond a tenant's quota?
 //	retry.go        may an RPC be attempted again, and how does it end for its client?
 //	hedging.go      when is a late attempt given a hedged request?
--- a/decide/feedback.go
+++ b/decide/feedback.go
@@ -49,7 +49,7 @@
 	s, m := a.Server, &b.methods[a.RPC.Method]
 	s.lastAnswerAt = now
 	s.outlier.succeeded()
-	s.connections.lastUsedAt = now
+	s.connections.used(now)
 	b.idleConnections.worked(a.connectionIdle, now)
 	took = max(took-a.extraLatency, minLatencyShare*took)
 	m.latency.add(took, now, latencyHalfLife)
@@ -79,7 +79,7 @@
 		return
 	}
 	if b.idleConnections.fellSilent(s, a.connectionIdle, now) {
-		s.connections.idleBroken, s.connections.open = true, false
+		s.connections.broke()
 	}
 }
 
--- a/decide/host.go
+++ b/decide/host.go
@@ -63,7 +63,7 @@
 
 // LoadReport is what a server reports of its load with an answer.
 type LoadReport struct {
-	// InFlight is the number of RPCs that the server held, the one answered and those of other nodes included; negative
-	// if unknown.
+	// InFlight is the number of RPCs that the server had in flight, the one answered and those of other nodes included;
+	// negative if unknown.
 	InFlight float64
 }
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -19,7 +19,7 @@
 	workHint decayingMean
 }
 
-// typicalLatency is what an RPC of the method takes on average, in seconds. It is the unit of many times here.
+// typicalLatency is what an RPC of the method takes on average, in seconds. Half-lives and other times are given in it.
 func (m *methodState) typicalLatency(now float64) float64 {
 	return m.latency.read(now, latencyHalfLife, firstLatency*m.LatencyObjective, 1)
 }
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -11,6 +11,9 @@
 	arrivals decayingValue
 }
 
+// configure gives the tenant a quota over all nodes, in RPCs a second.
+func (t *tenantQuota) configure(quota, nodeShare float64) { t.rate = quota * nodeShare }
+
 // arrive counts an RPC and reports whether it is beyond the quota. A node's share of a small quota is less than one
 // RPC, and clients come by chance: what passes the share by one RPC and its root is still within.
 func (t *tenantQuota) arrive(now float64) (overQuota bool) {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -101,7 +101,7 @@
 }
 
 // retryAfter is when a client that is pushed back may retry, in seconds: soon, or at the latest time that is allowed if
-// the RPC has been held for longer than that.
+// the RPC has been open for longer than that.
 func (b *Balancer) retryAfter(r *RPC) float64 {
 	wait := retryAfterShare * r.rules.LatencyObjective
 	if b.host.Now()-r.clockStart > wait {
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -67,6 +67,16 @@
 	return max(s.bestRate.read(now, bestRateHalfLife), s.minRate)
 }
 
+// rate is the rate that a server started at a time can take, if it is in slow start. It leaves the best rate as it is.
+func (s *slowStart) rate(startedAt, now float64) (rate float64, starting bool) {
+	fraction := s.capacityFraction(startedAt, now)
+	if fraction >= 1 {
+		return 0, false
+	}
+	best := s.bestRate.peek(now, bestRateHalfLife)
+	return max(best, s.currentRate(now), s.minRate) * fraction, true
+}
+
 // allows reports whether a server started at a time may get one more attempt.
 func (s *slowStart) allows(budget *slowStartBudget, startedAt, warmServerRate, now float64) bool {
 	fraction := s.capacityFraction(startedAt, now)
@@ -93,14 +103,7 @@
 // SlowStartRate is the rate that a server in slow start can take of this node, in attempts a second, as far as the node
 // knows: by what a warm server answers it. It decides nothing.
 func (b *Balancer) SlowStartRate(s *Server) (rate float64, starting bool) {
-	now := b.host.Now()
-	start := &b.slowStart
-	fraction := start.capacityFraction(s.startedAt, now)
-	if fraction >= 1 {
-		return 0, false
-	}
-	best := start.bestRate.peek(now, bestRateHalfLife)
-	return max(best, start.currentRate(now), start.minRate) * fraction, true
+	return b.slowStart.rate(s.startedAt, b.host.Now())
 }
 
 // isWarm reports whether a server has all of its capacity: it is not in slow start, or no longer.
