--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -14,18 +14,19 @@
 	mean := b.qTable.mean(row, typical)
 	pace := s.pace.ratio(1, typical, now, paceHalfLife)
 	timeToGo, latency = mean*b.rankingPace(s, typical, now), mean*pace
+	freshness := s.load.freshness(typical, now)
 	// An entry fades towards the mean of its row at the server's own pace, which is also where a new entry starts.
 	entry := &s.entries[row]
 	if entry.isLearnt() && entry.isExpired(now) {
 		b.qTable.drop(s.entries, row)
 	} else if entry.isLearnt() {
-		weight := entry.weight(typical, now) * (1 - s.load.freshness(typical, now))
+		weight := entry.weight(typical, now) * (1 - freshness)
 		timeToGo += (entry.q - timeToGo) * weight
 		if !entry.failed { // one failure is no reason to reject the next RPC
 			latency += (entry.q - latency) * weight
 		}
 	}
-	more := typical * (b.loadReports.othersInFlight(&s.load, typical, now) + r.extraWork*pace)
+	more := typical * (b.loadReports.othersInFlight(&s.load, freshness, now) + r.extraWork*pace)
 	more = max(more, -maxHintReduction*min(timeToGo, latency))
 	timeToGo += more
 	latency += more
--- a/decide/loadreports.go
+++ b/decide/loadreports.go
@@ -47,11 +47,11 @@
 	l.others.add(load.others, now, reportedMeanHalfLife)
 }
 
-// othersInFlight is how many RPCs a server has in flight for other nodes. An old report fades to the mean of the
-// servers that were chosen without a report, so that nodes do not herd by old reports.
-func (l *loadReports) othersInFlight(load *serverLoad, typical, now float64) float64 {
+// othersInFlight is how many RPCs a server has in flight for other nodes, by a report of that freshness. An old report
+// fades to the mean of the servers that were chosen without a report, so that nodes do not herd by old reports.
+func (l *loadReports) othersInFlight(load *serverLoad, freshness, now float64) float64 {
 	mean := l.others.read(now, reportedMeanHalfLife, 0, 0)
-	return mean + (load.others-mean)*load.freshness(typical, now)
+	return mean + (load.others-mean)*freshness
 }
 
 // unreportedShare is the part of the servers' load that attempts were sent without knowing.
--- a/decide/loadreports_test.go
+++ b/decide/loadreports_test.go
@@ -20,7 +20,7 @@
 		playReport(h, busy, 6)
 		typical := h.balancer.methods[lookup].typicalLatency(h.now)
 		othersAt := func(s *Server) float64 {
-			return h.balancer.loadReports.othersInFlight(&s.load, typical, h.now)
+			return h.balancer.loadReports.othersInFlight(&s.load, s.load.freshness(typical, h.now), h.now)
 		}
 		assert.InDelta(t, 5, othersAt(busy), 0.01, "without the one that was answered")
 		r := h.arrive(lookup)
