--- a/decide/admission.go
+++ b/decide/admission.go
@@ -1,85 +1,162 @@
 package decide
 
-// Admission control: how many requests are held, and what is turned away, by utility and by tenants' quotas.
-
 import "math"
 
+// Waits are measured in latency objectives of the RPC's method.
 const (
-	goal           = 0.6  // a mean wait above it leaves too many RPCs late, and is where servers begin to jam
-	crowdedWait    = 1.4  // times the base wait: more RPCs held would only queue
-	negligibleWait = 0.02 // a wait below it hurts nobody, however many times the lowest it is
-	baseHalf       = 60.0 // the base rises, and the usual falls, by half in that time: a day changes in minutes
-	maxRoom        = 1.1  // times the usual: a burst fills a larger room before the first late answer tells of it
-	minRoom        = 0.5  // of the usual: below that, servers that jammed rest anyway
-	countTrust     = 0.25 // weight of a count of one: a crowd doubles the RPCs held, chance moves them by their root
-	roomUp         = 0.2  // a server's answer makes room for a part of the next: a fifth more a turn
-	roomDown       = 0.3  // and shrinks somewhat faster, since a crowd costs more than an idle server
-	roomForFree    = 0.65 // of the room is open to an RPC of no utility: the rest is kept for dearer ones
-	fewWaits       = 6.0  // fewer waits than that say little; below it older ones stand in
-	recentHalf     = 0.7  // of waits
-	shareHalf      = 3.0  // of a tenant's rate: short enough for a burst, long enough for chance
+	waitGoal           = 0.6  // a higher mean wait leaves too many RPCs late, and servers begin to overload there
+	crowdedWait        = 1.4  // times the base wait: more open RPCs would only queue
+	calmWait           = 1.3  // times the base wait: the number of open RPCs is usual while waits are below it
+	negligibleWait     = 0.02 // a wait below it hurts nobody, however many times the base wait it is
+	baselineHalfLife   = 60.0 // seconds in which the base wait may double and the usual number of open RPCs halve
+	longWaitHalfLife   = 5.0  // seconds
+	recentWaitHalfLife = 0.7  // seconds
+	minWaits           = 6.0  // fewer recent waits are no evidence: older ones fill in for those missing
+	longWaitPrior      = 2.0  // samples that the prior of the base wait counts for: the lowest of a few waits is chance
 )
 
-// admit takes an RPC only if there is room; the less it is worth, the earlier it gives way. That keeps crowds
-// away of which all are late. Inner nodes take what can be in time: a pushback wastes the work above.
-func (b *Balancer) admit(r *RPC, now float64) bool {
-	if b.inner || r.useful <= now {
-		return r.useful > now
+// The limit is in open RPCs. Its factors are parts of the limit itself or of the number usually open.
+const (
+	firstLimitFactor   = 5.0  // times the minimal limit: the limit at the start
+	maxLimitFactor     = 1.1  // a burst would fill a larger limit before the first late answer
+	minLimitFactor     = 0.5  // servers in overload recover with that few RPCs anyway
+	chanceHalfAt       = 4.0  // RPCs usually open at which half of the allowance for random variation counts
+	limitIncrease      = 0.2  // an answer raises it by a part of one RPC: by a fifth for each round of answers
+	limitDecrease      = 0.3  // somewhat faster, since overload costs more than an idle server
+	maxOverloadCut     = 0.5  // at most, where waits are beyond the goal
+	limitUsed          = 0.6  // the limit grows only while more than this part of it is used
+	minStepCount       = 4.0  // open RPCs over which a change of the limit is spread at least
+	minUnreportedShare = 0.05 // bounds by how much load reports may raise the limit
+	zeroWeightShare    = 0.65 // the part of the limit open to an RPC of no weight: the rest is reserved for others
+)
+
+// admission is an adaptive concurrency limit: only so many RPCs are open at the node as keep their waits near the
+// goal. More would all be late, and overload the servers.
+type admission struct {
+	limit         float64 // open RPCs at most; 0: not started
+	usualOpen     float64 // open RPCs at most while waits were near the base wait
+	baseWait      float64 // the lowest mean wait of late
+	baselineAt    float64 // seconds; when usualHeld and baseWait were last updated
+	recentWaits   decayingMean
+	longWaits     decayingMean
+	openOnArrival decayingMean // open RPCs when others arrived
+}
+
+// start sets the first limit. It does nothing later.
+func (a *admission) start(minLimit, now float64) {
+	if a.limit != 0 {
+		return
 	}
-	waited := b.waited(now)
-	room := b.room * r.early
-	// The room stands in for what is not known of the servers: where they report, the estimates turn RPCs away.
-	room /= max(0.05, b.blinds.read(now, doneHalf, 1, 1))
-	// Waits far below the goal say that it is not full: what a few RPCs held exceed their usual by is chance.
-	room *= math.Sqrt(max(1, goal/waited))
-	n := float64(b.open - 1)
-	b.held.add(n, now, doneHalf)
-	// Chance moves the number held by its root. Of one held that is none or two, and over hundreds of such nodes
-	// one more at each is a crowd.
-	// A lone one goes unless the last were late: room below one would else refuse all, and nothing would be learnt.
-	return n == 0 && waited < goal || n <= room+math.Sqrt(b.held.read(now, doneHalf, 0, 0))-1
+	a.limit = firstLimitFactor * minLimit
+	a.usualOpen = a.limit / maxLimitFactor
+	a.baseWait, a.baselineAt = waitGoal, now
 }
 
-// waited is what the last RPCs waited, as a part of their latency targets. Where few are recent, older ones
-// stand in, and a guess for those: at an RPC a second a guess alone would hide that all are late.
-func (b *Balancer) waited(now float64) float64 {
-	lack := max(0, fewWaits-b.waits.n.read(now, recentHalf))
-	return b.waits.read(now, recentHalf, b.old.read(now, doneHalf, goal/2, 1), lack)
+// admits reports whether one more RPC is admitted beside those open. Its share is the part of the limit that is open to
+// it. The limit makes up for what is not known of the servers' load: where servers report it, the estimates of
+// rejectLate do most of the work, and the limit is raised.
+func (a *admission) admits(open int, share, unreportedShare, now float64) bool {
+	wait := a.meanWait(now)
+	limit := a.limit * share
+	limit /= max(minUnreportedShare, unreportedShare)
+	// With waits far below the goal servers have capacity left, and a few RPCs above the usual are random variation.
+	limit *= math.Sqrt(max(1, waitGoal/wait))
+	count := float64(open)
+	a.openOnArrival.add(count, now, longWaitHalfLife)
+	// A limit below one would reject everything, and nothing would be learnt from then on. So an RPC that would be the
+	// only one is admitted unless the last ones were late.
+	if open == 0 && wait < waitGoal {
+		return true
+	}
+	// The number of open RPCs varies at random by about its square root. The root counts less one: at a node with a
+	// single RPC it would double the load, and hundreds of such nodes add up.
+	return count <= limit+math.Sqrt(a.meanOpen(now))-1
 }
 
-// roomFloor keeps this node's part of the servers at work: a slowdown of all is not answered by idling them.
-func (b *Balancer) roomFloor() float64 { return 2 * max(1, float64(b.ready)) * b.part }
+// finished notes the wait of an RPC that found a server, and moves the limit. The open RPCs include this one; minLimit
+// is the lowest limit that keeps the node's part of the servers busy.
+func (a *admission) finished(wait float64, open int, minLimit, now float64) {
+	a.recentWaits.add(wait, now, recentWaitHalfLife)
+	a.longWaits.add(wait, now, longWaitHalfLife)
+	longWait := a.longWaits.read(now, longWaitHalfLife, waitGoal/2, longWaitPrior)
+	a.updateBaseline(longWait, now)
+	a.adjustLimit(a.meanWait(now), open)
+	a.boundLimit(longWait, minLimit)
+}
 
-// ended notes how long an RPC was held that found a server, and moves the room: RPCs are held only as many as
-// keep the waits near the goal. A crowd above that would be late to the last one, and tip servers over.
-func (b *Balancer) ended(r *RPC, now float64) {
-	if len(r.picks) == 0 || r.BodyPending {
-		return
-	}
-	wait := (now - r.came) / r.rules.LatencyObjective
-	b.waits.add(wait, now, recentHalf)
-	b.old.add(wait, now, doneHalf)
-	w := b.waited(now)
-	// The lowest of a few waits is chance, and a base found by chance lies under what any room can keep to.
-	long := b.old.read(now, doneHalf, goal/2, 2)
-	b.base = max(negligibleWait, min(b.base*math.Exp2((now-b.baseAt)/baseHalf), long))
-	b.usual *= math.Exp2((b.baseAt - now) / baseHalf)
-	b.baseAt = now
-	if long < 1.3*b.base {
-		b.usual = max(b.usual, b.held.read(now, doneHalf, 0, 0))
+// updateBaseline follows the lowest wait of late, and the number of RPCs open while waits are near it.
+func (a *admission) updateBaseline(longWait, now float64) {
+	grown := a.baseWait * math.Exp2((now-a.baselineAt)/baselineHalfLife)
+	a.baseWait = max(negligibleWait, min(grown, longWait))
+	a.usualOpen *= math.Exp2((a.baselineAt - now) / baselineHalfLife)
+	a.baselineAt = now
+	if longWait < calmWait*a.baseWait {
+		a.usualOpen = max(a.usualOpen, a.meanOpen(now))
 	}
+}
+
+// adjustLimit moves the limit a step by the mean wait.
+func (a *admission) adjustLimit(wait float64, open int) {
+	count := max(float64(open), minStepCount)
 	switch {
-	case w > goal:
-		b.room *= 1 + max(goal-w, -0.5)/max(float64(b.open), 4)
-	case w > crowdedWait*b.base:
-		// By Little's law a slowdown of all servers needs no more RPCs held than usual to keep them at work, and
-		// no fewer either.
-		b.room = max(b.room*(1-roomDown/max(float64(b.open), 4)), min(b.room, b.usual))
-	case float64(b.open-1) > 0.6*b.room:
-		b.room *= 1 + roomUp/max(float64(b.open), 4)
+	case wait > waitGoal:
+		a.limit *= 1 + max(waitGoal-wait, -maxOverloadCut)/count
+	case wait > crowdedWait*a.baseWait:
+		// By Little's law a slowdown of all servers needs no more open RPCs than usual to keep them at work, and no
+		// fewer either.
+		a.limit = max(a.limit*(1-limitDecrease/count), min(a.limit, a.usualOpen))
+	case float64(open-1) > limitUsed*a.limit:
+		a.limit *= 1 + limitIncrease/count
+	}
+}
+
+// boundLimit keeps the limit near the number usually open.
+func (a *admission) boundLimit(longWait, minLimit float64) {
+	chance := 2 * math.Sqrt(a.usualOpen) * a.usualOpen / (a.usualOpen + chanceHalfAt)
+	highest := maxLimitFactor*a.usualOpen + chance
+	// Where waits are negligible, the limit may rise until they no longer are.
+	a.limit = min(a.limit, highest*max(1, negligibleWait/longWait))
+	a.limit = max(a.limit, minLimit, minLimitFactor*a.usualOpen)
+}
+
+// meanWait is the mean of the recent waits. Where there are few, older ones fill in: at one RPC a second a constant
+// prior alone would hide that all are late.
+func (a *admission) meanWait(now float64) float64 {
+	missing := max(0, minWaits-a.recentWaits.samples(now, recentWaitHalfLife))
+	older := a.longWaits.read(now, longWaitHalfLife, waitGoal/2, 1)
+	return a.recentWaits.read(now, recentWaitHalfLife, older, missing)
+}
+
+// meanOpen is the mean number of RPCs that were open when others arrived.
+func (a *admission) meanOpen(now float64) float64 {
+	return a.openOnArrival.read(now, longWaitHalfLife, 0, 0)
+}
+
+// admissionShare is the part of the limit, and of the time left, that an RPC may use, by its weight relative to the
+// highest. The less it is worth, the earlier it is rejected.
+func admissionShare(relativeWeight float64) float64 {
+	return zeroWeightShare + (1-zeroWeightShare)*math.Cbrt(relativeWeight)
+}
+
+// admit decides whether an RPC that has arrived is admitted. Inner tiers admit all that can still be in time: a
+// pushback there wastes the work of the tiers above.
+func (b *Balancer) admit(r *RPC, now float64) bool {
+	if r.usefulUntil <= now {
+		return false
+	}
+	return b.innerTier || b.admission.admits(b.openRPCs-1, r.admissionShare, b.loadReports.unreportedShare(now), now)
+}
+
+// minConcurrencyLimit is the lowest limit: a slowdown of all servers must not lead to idle servers.
+func (b *Balancer) minConcurrencyLimit() float64 {
+	return 2 * max(1, float64(b.readyServers)) * b.nodeShare
+}
+
+// recordWait counts how long an RPC was open that is about to end, if it found a server.
+func (b *Balancer) recordWait(r *RPC, now float64) {
+	if len(r.attempts) == 0 || r.BodyPending {
+		return
 	}
-	most := maxRoom*b.usual + 2*math.Sqrt(b.usual)*b.usual/(b.usual+1/countTrust)
-	// Where waits are next to nothing, so many more may come as would still wait little.
-	b.room = min(b.room, most*max(1, negligibleWait/long))
-	b.room = max(b.room, b.roomFloor(), minRoom*b.usual)
+	wait := (now - r.clockStart) / r.rules.LatencyObjective
+	b.admission.finished(wait, b.openRPCs, b.minConcurrencyLimit(), now)
 }
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -1,76 +1,95 @@
 package decide
 
-// The list of servers: what it tells of starts and ends, and when it is asked for again.
+import "slices"
 
-import (
-	"math"
-	"slices"
-)
+const minWeight = 0.01 // a server's weight divides what own attempts in flight add to its estimate
 
-type watchAgain struct{ turn int }
-
-// UpdateEndpoints takes news of the servers; a full list also tells which have left.
+// UpdateEndpoints applies a watch event: a delta, or with full set a snapshot, without the servers that have gone.
 func (b *Balancer) UpdateEndpoints(list []EndpointUpdate, full bool) {
 	now := b.host.Now()
-	b.list++
-	for _, l := range list {
-		s := l.Server
-		if s.entries == nil {
-			s.entries = make([]entry, len(b.rows))
-			b.servers = append(b.servers, s)
-			b.restart(s, now)
-		} else if l.StartedAt > s.cameUp {
-			b.restart(s, now)
-		}
-		s.state, s.zone, s.cell, s.weight, s.cameUp = l.State, l.Zone, l.Cell, max(l.Weight, 0.01), l.StartedAt
-		s.seen = b.list
+	b.listVersion++
+	for i := range list {
+		b.updateServer(&list[i], now)
 	}
-	b.near = slices.DeleteFunc(b.near, func(s *Server) bool {
-		s.near = s.state == Ready && (!full || s.seen == b.list)
-		return !s.near
-	})
-	b.ready, b.weight = 0, 0
+	b.subset.retain(func(s *Server) bool { return s.state == Ready && b.isListed(s, full) })
+	b.removeGone(full, now)
+	b.countReady()
+	b.admission.start(b.minConcurrencyLimit(), now)
+}
+
+// updateServer applies one entry of a watch event.
+func (b *Balancer) updateServer(update *EndpointUpdate, now float64) {
+	s := update.Server
+	if s.entries == nil {
+		s.entries = b.qTable.newEntries()
+		b.servers = append(b.servers, s)
+		b.resetServer(s, now)
+	} else if update.StartedAt > s.startedAt {
+		b.resetServer(s, now)
+	}
+	s.state, s.startedAt = update.State, update.StartedAt
+	s.zone, s.cell = update.Zone, update.Cell
+	s.weight = max(update.Weight, minWeight)
+	s.listVersion = b.listVersion
+}
+
+// isListed reports whether a server is in the list after the last watch event.
+func (b *Balancer) isListed(s *Server, full bool) bool {
+	return !full || s.listVersion == b.listVersion
+}
+
+// removeGone forgets the servers that have gone and have nothing in flight: a day of deploys would fill the memory.
+func (b *Balancer) removeGone(full bool, now float64) {
 	b.servers = slices.DeleteFunc(b.servers, func(s *Server) bool {
-		if full && s.seen != b.list {
+		if !b.isListed(s, full) {
 			s.state = Gone
 		}
-		if s.state == Ready {
-			b.ready++
-			b.weight += s.weight
-		}
-		// What has left and has nothing out is forgotten, else a day of deploys would fill the memory.
-		left := s.state == Gone && len(s.pending) == 0
-		if left {
-			b.restart(s, now)
-			s.entries = nil
+		if s.state != Gone || len(s.inFlight) > 0 {
+			return false
 		}
-		return left
+		b.resetServer(s, now)
+		s.entries = nil
+		return true
 	})
-	b.weight /= float64(max(1, b.ready))
-	if b.room == 0 {
-		b.room, b.base, b.baseAt = 5*b.roomFloor(), goal, b.host.Now()
-		b.usual = b.room / maxRoom
+}
+
+// countReady counts the ready servers and averages their weights.
+func (b *Balancer) countReady() {
+	b.readyServers, b.meanWeight = 0, 0
+	for _, s := range b.servers {
+		if s.state == Ready {
+			b.readyServers++
+			b.meanWeight += s.weight
+		}
 	}
+	b.meanWeight /= float64(max(1, b.readyServers))
+}
+
+// resetServer forgets what was learnt of the process that ran before. All nodes are notified of a start at once: a
+// random part of a token keeps their first attempts apart.
+func (b *Balancer) resetServer(s *Server, now float64) {
+	b.dropEntries(s)
+	s.pace = pace{}
+	s.outlier = outlierState{}
+	s.load.forget()
+	s.slowStart = slowStartBudget{tokens: b.rng.Float64(), updatedAt: now}
 }
 
-// restart forgets what was learnt of the process that ran before.
-func (b *Balancer) restart(s *Server, now float64) {
-	for i := range s.entries {
-		b.forget(s, i)
+// dropEntries forgets what the Q-table has of a server.
+func (b *Balancer) dropEntries(s *Server) {
+	for row := range s.entries {
+		b.qTable.drop(s.entries, row)
 	}
-	s.cost, s.due, s.strikes, s.ejected, s.backoff, s.othersAt = decaying{}, decaying{}, 0, 0, 0, math.Inf(-1)
-	// All nodes hear of the start at once: a random part of a token keeps their first picks apart.
-	s.tokens, s.tokensAt = b.rng.Float64(), now
 }
 
-// EndpointWatchFailed asks again, later each time while failures say that the list is overrun. Anew says that this
-// one does not: there had been news for a while, or discovery had no call that it could fail. What discovery
-// had meanwhile binds in time: no pause is over most. Least keeps a fleet from asking a busy one too soon.
-func (b *Balancer) EndpointWatchFailed(anew bool, least, most float64) {
-	if anew {
-		b.watchBackoff = 0
+// EndpointWatchFailed watches the list again after a wait that grows while failures say that discovery is overloaded.
+// With resetBackoff set this one does not: there had been watch events for a while, or there was no call that could
+// fail. The longest wait that may be drawn is at least minWait, which keeps a fleet from polling a busy discovery too
+// soon, and at most maxWait, since what discovery had meanwhile binds in time.
+func (b *Balancer) EndpointWatchFailed(resetBackoff bool, minWait, maxWait float64) {
+	if resetBackoff {
+		b.watch.reset()
 	}
-	b.watchBackoff = min(max(0.25, b.watchBackoff*2), 4)
-	b.watchTurn++
-	b.host.StartTimer(min(max(1.5*b.watchBackoff, least), most)*(1+2*b.rng.Float64())/3, watchAgain{b.watchTurn})
+	wait, timer := b.watch.next(minWait, maxWait, b.rng.Float64())
+	b.host.StartTimer(wait, timer)
 }
--- /dev/null
+++ b/decide/subset_test.go
@@ -0,0 +1,38 @@
+package decide
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// On portail-rimouski a node sent to 43 servers in 10 s with 90 attempts: what it knew of each was old when it was used.
+func TestBalancer_Subset(t *testing.T) {
+	h, servers := newTestBalancer(200, func(s *Settings) { s.Instances = 100 })
+	b := h.balancer
+	answered := h.answerOneByOne(400, func(*Server) float64 { return 0.05 + 0.1*b.rng.Float64() })
+	byFew := 0
+	for _, n := range answered {
+		if n >= 10 {
+			byFew += n
+		}
+	}
+	assert.Greater(t, byFew, 300, "most attempts go to servers used often: %d were used", len(answered))
+	assert.LessOrEqual(t, len(b.subset.members), 8)
+
+	// An ejected member leaves first, however low its estimate.
+	ejected, r := b.subset.members[0], &RPC{}
+	ejected.outlier.ejectedUntil, r.rules = h.now+5, b.methods[lookup].methodRules
+	for range 6 {
+		outside := slices.IndexFunc(servers, func(s *Server) bool { return !s.inSubset })
+		b.addToSubset(r, servers[outside], 0.1, h.now)
+	}
+	assert.False(t, ejected.inSubset)
+
+	// A draining member leaves at once.
+	draining := b.subset.members[0]
+	b.UpdateEndpoints([]EndpointUpdate{{Server: draining, State: Draining, Weight: 1}}, false)
+	assert.NotContains(t, b.subset.members, draining)
+	assert.Contains(t, servers, b.subset.members[0])
+}
