--- a/cmd/robincart-controller/certs.go
+++ b/cmd/robincart-controller/certs.go
@@ -27,7 +27,8 @@
 				return err
 			}
 			until := time.Now().Add(life).UTC().Format(time.DateTime)
-			fmt.Fprintf(command.OutOrStdout(), "%s: ca.pem, and NAME.pem and NAME.key for %s, until %s. For tests only.\n",
+			fmt.Fprintf(command.OutOrStdout(),
+				"%s: ca.pem, and NAME.pem and NAME.key for %s, until %s. For tests only.\n",
 				dir, strings.Join(names, ", "), until)
 			return nil
 		},
@@ -35,7 +36,8 @@
 	flags := command.Flags()
 	flags.StringVar(&dir, "dir", ".", "the folder of the files")
 	flags.StringSliceVar(&names, "names", []string{"controller", "node"}, "names of the certificates")
-	flags.StringSliceVar(&hosts, "hosts", nil, "names and addresses beside loopback that the certificates are valid for")
+	flags.StringSliceVar(&hosts, "hosts", nil,
+		"names and addresses beside loopback that the certificates are valid for")
 	flags.DurationVar(&life, "for", defaultCertLife, "how long they are valid")
 	return command
 }
--- a/cmd/robincart/platformconfig.go
+++ b/cmd/robincart/platformconfig.go
@@ -153,8 +153,8 @@
 		inForce.Settings, inForce.node, inForce.limits = next.Settings, next.node, next.limits
 		applySettings(&inForce)
 	}
-	log.Info("configuration reloaded", zap.String("discovery", inForce.Discovery), zap.Bool("settings", settingsChanged),
-		zap.Strings("restart_required", p.keysNeedingRestart(next)))
+	log.Info("configuration reloaded", zap.String("discovery", inForce.Discovery),
+		zap.Bool("settings", settingsChanged), zap.Strings("restart_required", p.keysNeedingRestart(next)))
 	return &inForce, nil
 }
 
--- a/internal/config/nodeconfig/compile.go
+++ b/internal/config/nodeconfig/compile.go
@@ -123,7 +123,8 @@
 
 func (r *Route) compile(indices map[string]int, p *problems) routes.Rule {
 	rule := routes.Rule{
-		Name: r.Name, Host: r.Host, Path: r.Path, Class: r.Class, Header: r.Header, Value: r.Value, Any: r.Any, By: r.By,
+		Name: r.Name, Host: r.Host, Path: r.Path, Class: r.Class,
+		Header: r.Header, Value: r.Value, Any: r.Any, By: r.By,
 	}
 	p.reportIf(r.To != "" && len(r.Split) > 0, ": to and split exclude each other")
 	targets := r.Split
--- a/internal/config/nodeconfig/recordentries.go
+++ b/internal/config/nodeconfig/recordentries.go
@@ -99,9 +99,11 @@
 		parsed, err := parseEntry(entry)
 		switch {
 		case err != nil:
-			mistakes = append(mistakes, fmt.Errorf("%s %s, revision %d: %w", entry.Kind, entry.Name, entry.Revision, err))
+			mistake := fmt.Errorf("%s %s, revision %d: %w", entry.Kind, entry.Name, entry.Revision, err)
+			mistakes = append(mistakes, mistake)
 		case parsed.service != nil:
-			merged.Services = upsert(merged.Services, *parsed.service, func(s Service) bool { return s.Name == entry.Name })
+			sameName := func(s Service) bool { return s.Name == entry.Name }
+			merged.Services = upsert(merged.Services, *parsed.service, sameName)
 		case parsed.route != nil:
 			merged.Routes = upsert(merged.Routes, *parsed.route, func(r Route) bool { return r.Name == entry.Name })
 		case parsed.tenant != nil:
--- a/internal/config/nodeconfig/validate.go
+++ b/internal/config/nodeconfig/validate.go
@@ -62,7 +62,8 @@
 			"admin.listen: %s is an address for callers, too", c.Admin.Listen)
 	}
 	p.reportIf(c.Admin.Listen == "" && c.Admin.StateFile != "", "admin.kept: there is no admin.listen")
-	p.reportIf(!slices.Contains(logLevels, c.Log.Level), "log.level: %q is none of debug, info, warn, error", c.Log.Level)
+	p.reportIf(!slices.Contains(logLevels, c.Log.Level),
+		"log.level: %q is none of debug, info, warn, error", c.Log.Level)
 	p.reportIf(!slices.Contains(logFormats, c.Log.Format), "log.form: %q is neither json nor console", c.Log.Format)
 	if err := c.Record.validate(c.Keys.Enabled()); err != nil {
 		p.reportIf(true, "record.%w", err)
@@ -114,9 +115,12 @@
 	p.reportIf(len(c.Routes) > maxRoutes, "route: %d are more than %d", len(c.Routes), maxRoutes)
 	for i := range c.Services {
 		s := &c.Services[i]
-		p.reportIf(len(s.Servers) > maxServers, "service[%d].servers: %d are more than %d", i+1, len(s.Servers), maxServers)
-		p.reportIf(len(s.Methods) > maxMethods, "service[%d].method: %d are more than %d", i+1, len(s.Methods), maxMethods)
-		p.reportIf(len(s.Tenants) > maxTenants, "service[%d].tenant: %d are more than %d", i+1, len(s.Tenants), maxTenants)
+		p.reportIf(len(s.Servers) > maxServers,
+			"service[%d].servers: %d are more than %d", i+1, len(s.Servers), maxServers)
+		p.reportIf(len(s.Methods) > maxMethods,
+			"service[%d].method: %d are more than %d", i+1, len(s.Methods), maxMethods)
+		p.reportIf(len(s.Tenants) > maxTenants,
+			"service[%d].tenant: %d are more than %d", i+1, len(s.Tenants), maxTenants)
 	}
 	return len(p.all) == before
 }
--- a/internal/config/nodeconfig/validateservice.go
+++ b/internal/config/nodeconfig/validateservice.go
@@ -46,7 +46,8 @@
 		s.validateTenant(i, p)
 	}
 	p.prefix = key
-	p.reportIf(s.SlowStartFraction < 0 || s.SlowStartFraction > 1, ".cold_from: %v is not in 0 to 1", s.SlowStartFraction)
+	p.reportIf(s.SlowStartFraction < 0 || s.SlowStartFraction > 1,
+		".cold_from: %v is not in 0 to 1", s.SlowStartFraction)
 	p.reportIf(s.Nodes < 0 || s.MaxAttempts < 0 || s.Stage < 0, ": a negative number")
 	p.reportIf(s.hasNegativeTime() || s.OverloadMultiple < 0, ": a negative time or multiple")
 	return p.all
--- a/internal/controlplane/controller/config.go
+++ b/internal/controlplane/controller/config.go
@@ -46,7 +46,8 @@
 		return fmt.Errorf("membership: %w", err)
 	}
 	if c.RecordAddress != "" && c.Store == nil {
-		return errors.New("the record can't be served to nodes: there is no store; set one, or no address for the record")
+		return errors.New("the record can't be served to nodes: there is no store; " +
+			"set one, or no address for the record")
 	}
 	seen := make(map[string]bool, len(c.Services))
 	for _, service := range c.Services {
--- a/internal/core/node/bans.go
+++ b/internal/core/node/bans.go
@@ -62,8 +62,8 @@
 		return true
 	}
 	if !c.restartListed(s, b) {
-		// Whoever detached it has restarted it, which the list has not shown yet. If it were taken for warm, its part of
-		// the traffic would overload it.
+		// Whoever detached it has restarted it, which the list has not shown yet. If it were taken for warm, its
+		// part of the traffic would overload it.
 		s.attachedAt = c.Now()
 	}
 	c.refreshServer(s)
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -70,7 +70,8 @@
 func (h header) payloadSize() (int, error) {
 	size := binary.BigEndian.Uint32(h[payloadSizeStart:])
 	if size > maxPayloadBytes {
-		return 0, &ProtocolError{Kind: h[0], Reason: fmt.Sprintf("%d bytes, at most %d are accepted", size, maxPayloadBytes)}
+		reason := fmt.Sprintf("%d bytes, at most %d are accepted", size, maxPayloadBytes)
+		return 0, &ProtocolError{Kind: h[0], Reason: reason}
 	}
 	return int(size), nil
 }
--- a/internal/protocol/settings/transition.go
+++ b/internal/protocol/settings/transition.go
@@ -22,7 +22,8 @@
 // restrictRepeats has a method repeated only as it was before, too.
 func restrictRepeats(m *decide.Method, before decide.Method) {
 	if m.Idempotency != before.Idempotency {
-		// Requests of either form may arrive, with an idempotency key or without: what drops their repeats is not known.
+		// Requests of either form may arrive, with an idempotency key or without: what drops their repeats is not
+		// known.
 		m.Idempotency, m.DedupWindow, m.DedupScope = decide.NonIdempotent, 0, 0
 		return
 	}
--- a/internal/record/record/values.go
+++ b/internal/record/record/values.go
@@ -70,7 +70,7 @@
 	By         string `json:"by"`
 	Until      int64  `json:"until_ms,omitempty"` // 0: does not expire
 	Ended      bool   `json:"ended,omitempty"`    // by an operator
-	Supersedes int64  `json:"over,omitempty"`     // revision of the drain's entry that was known to whoever set this one
+	Supersedes int64  `json:"over,omitempty"`     // revision of the drain's entry that its writer knew
 }
 
 // lastStart returns the start of the latest process to which a drain applies.
--- a/internal/record/store/sqlstore/admin.go
+++ b/internal/record/store/sqlstore/admin.go
@@ -136,7 +136,8 @@
 	}
 	var wrong []string
 	if highest > meta.Revision {
-		wrong = append(wrong, fmt.Sprintf("a fact has revision %d, and the record stands at %d", highest, meta.Revision))
+		finding := fmt.Sprintf("a fact has revision %d, and the record stands at %d", highest, meta.Revision)
+		wrong = append(wrong, finding)
 	}
 	if distinct != count {
 		wrong = append(wrong, fmt.Sprintf("%d facts share %d revisions", count, distinct))
