--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -26,6 +26,7 @@
 	server  *Server
 	raw     syscall.RawConn
 	place   poller.Registration
+	state   atomicConnState
 	born    time.Duration
 	reader  *httpwire.Reader         // while it is served
 	gateway *gateway                 // nil: its caller speaks HTTP
@@ -63,13 +64,11 @@
 	since        time.Duration
 	list         *ring // it stands in
 	older, newer *conn
-	resting      bool // between requests
 	stirred      bool // something came while it was served
 	asked        bool // it has brought an RPC
 	turned       bool // its last RPC was pushed back, where services share the door
 	ending       bool // chosen to end
 	closed       bool
-	lingering    bool          // it rests after its last answer
 	stirredAt    time.Duration // when the first of what came while it was served did
 	taking       int           // bytes it may still send then
 }
--- a/internal/dataplane/frontend/frontend_test.go
+++ b/internal/dataplane/frontend/frontend_test.go
@@ -502,7 +502,7 @@
 	f.done.Add(1)
 	f.mu.Lock()
 	f.conns[chosen] = struct{}{}
-	f.rest(chosen, time.Hour)
+	f.rest(chosen, stateIdle, time.Hour)
 	f.mu.Unlock()
 	f.endRest([]*conn{chosen}, telemetry.Draining)
 	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderAbort}
@@ -574,7 +574,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
-			if c.resting && c.reader == nil {
+			if c.state.load() == stateIdle && c.reader == nil {
 				n++
 			}
 		}
--- a/internal/dataplane/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -46,10 +46,10 @@
 		c.tell()
 	}
 	f.mu.Lock()
-	lingers := c.lingering
-	switch {
-	case lingers:
-	case c.resting:
+	state := c.state.load()
+	switch state {
+	case stateLingering:
+	case stateIdle:
 		f.rouse(c)
 	default:
 		if !c.stirred {
@@ -60,7 +60,7 @@
 	if c.gateway != nil { // a gateway may give up what is out
 		c.tell()
 	}
-	if lingers && !f.discard(c) {
+	if state == stateLingering && !f.discard(c) {
 		f.close(c, telemetry.LastResponse)
 	}
 }
@@ -83,8 +83,8 @@
 	}
 	s.mu.Lock()
 	s.gate.Leave(&c.Member)
-	c.lingering, c.taking, c.reader = true, s.limits.MaxLingerBytes, nil
-	s.rest(c, s.limits.LingerTimeout)
+	c.taking, c.reader = s.limits.MaxLingerBytes, nil
+	s.rest(c, stateLingering, s.limits.LingerTimeout)
 	s.admit()
 	s.mu.Unlock()
 	// Also what has come by now, of which no event may tell again.
@@ -123,7 +123,7 @@
 // rouse asks for a place for a connection on which something has come. What follows is called with the mutex held.
 func (s *Server) rouse(c *conn) {
 	now := s.clock()
-	c.resting, c.stirred, c.tired = false, false, false
+	c.stirred, c.tired = false, false
 	if !c.first || now-c.born >= s.limits.FinalReadWindow { // else it may have lain in the socket while a place was looked for
 		c.arrived = now
 	}
@@ -134,8 +134,10 @@
 	}
 	switch s.gate.Arrive(&c.Member, regular, now) {
 	case admission.Serve:
+		c.state.set(stateReading)
 		s.workers.Do(c)
 	case admission.Wait:
+		c.state.set(stateWaiting)
 		s.ask()
 	}
 }
@@ -163,13 +165,15 @@
 		}
 		c := m.Owner.(*conn)
 		c.tired = verdict == admission.Reject
+		c.state.set(stateReading)
 		s.workers.Do(c)
 	}
 }
 
 // rest lets a connection stand, for so long at most.
-func (s *Server) rest(c *conn, most time.Duration) {
-	c.resting, c.since = true, s.clock()
+func (s *Server) rest(c *conn, state connState, most time.Duration) {
+	c.state.set(state)
+	c.since = s.clock()
 	if c.list == nil {
 		if c.turned {
 			s.flood.push(c)
@@ -250,7 +254,7 @@
 	if c.first { // it has said nothing yet
 		most = max(0, c.born+s.limits.ClientReadTimeout-s.clock())
 	}
-	s.rest(c, most)
+	s.rest(c, stateIdle, most)
 	s.admit()
 	s.tidy()
 }
@@ -266,7 +270,8 @@
 		s.mu.Unlock()
 		return
 	}
-	c.closed, c.resting = true, false
+	c.closed = true
+	c.state.set(stateClosed)
 	s.ends.Remove(&c.ring)
 	if c.list != nil {
 		c.list.drop(c)
--- a/internal/dataplane/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -275,7 +275,7 @@
 	if s.drained {
 		most = s.limits.EvictableAfter
 	}
-	s.rest(c, most)
+	s.rest(c, stateIdle, most)
 	s.mu.Unlock()
 	// What is told before the place is known finds the connection resting, and served it is removed only at its end.
 	place, err := s.poller.Add(c.raw, c, true)
@@ -333,7 +333,7 @@
 	var out []*conn
 	s.mu.Lock()
 	end := func(c *conn) {
-		if c.list.drop(c); c.resting {
+		if c.list.drop(c); c.state.load().closable() {
 			out = append(out, c)
 			return
 		}
@@ -364,11 +364,11 @@
 func (s *Server) endRest(all []*conn, why telemetry.Reason) {
 	for _, c := range all {
 		s.mu.Lock()
-		if c.resting && !c.lingering && socket.StateOfRaw(c.raw) == socket.StateReadable { // a request that crossed
+		if c.state.load() == stateIdle && socket.StateOfRaw(c.raw) == socket.StateReadable { // a request that crossed
 			c.last = true
 			s.rouse(c)
 		}
-		rests := c.resting
+		rests := c.state.load().closable()
 		s.mu.Unlock()
 		if rests {
 			s.close(c, why)
@@ -387,8 +387,8 @@
 	var idle []*conn
 	if pass != nil {
 		for _, c := range s.resting() {
-			if !c.lingering && !c.ending {
-				c.resting = false // so nobody else ends or serves it
+			if c.state.load() == stateIdle && !c.ending {
+				c.state.set(stateTransferring) // so nobody else ends or serves it
 				s.ends.Remove(&c.ring)
 				idle = append(idle, c)
 			}
@@ -467,7 +467,7 @@
 func (s *Server) resting() []*conn {
 	var idle []*conn
 	for c := range s.conns {
-		if c.resting {
+		if c.state.load().closable() {
 			idle = append(idle, c)
 		}
 	}
