--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -34,7 +34,6 @@
 	heard   atomic.Int64             // when the kernel was last asked whether it has ended, in nanoseconds of the server's clock
 	ended   atomic.Bool              // the caller has closed its side
 	cut     atomic.Bool              // what is being read is given up: its deadline must not be put off
-	owed    atomic.Bool              // a request was read and has had no answer
 
 	// Its own goroutine's; the small ones together, since thousands of records rest:
 	reads  uint32           // that gave something
@@ -68,7 +67,6 @@
 	asked        bool // it has brought an RPC
 	turned       bool // its last RPC was pushed back, where services share the door
 	ending       bool // chosen to end
-	closed       bool
 	stirredAt    time.Duration // when the first of what came while it was served did
 	taking       int           // bytes it may still send then
 }
@@ -112,7 +110,7 @@
 	if err != nil {
 		return c.unread(err)
 	}
-	c.owed.Store(true)
+	c.state.set(stateInFlight)
 	waited, read := c.waited(reads), f.now()
 	if q.ReservedBytes > 0 {
 		defer f.bodies.Release(q.ReservedBytes)
@@ -344,7 +342,7 @@
 // goes on.
 func (c *conn) abandoned(q *httpwire.Request) bool {
 	c.why = telemetry.PeerClosed
-	c.owed.Store(false)
+	c.state.set(stateReading)
 	if c.gateway == nil || !c.gateway.gone.Load() || q.BodyStream != nil && !q.BodyStream.Complete() {
 		return false
 	}
--- a/internal/dataplane/frontend/conn_write.go
+++ b/internal/dataplane/frontend/conn_write.go
@@ -24,13 +24,14 @@
 	if c.gateway != nil && q.BodyStream != nil { // an exchange may still read the body, and the records are its own until then
 		q.BodyStream.Stop(c.giveIn)
 	}
+	c.state.set(stateWriting)
 	written := false
 	if a.BodyStream != nil {
 		written = c.stream(a)
 	} else {
 		written = c.write(a, q.Verb == "HEAD")
 	}
-	c.owed.Store(false)
+	c.state.set(stateReading)
 	c.why = telemetry.LastResponse
 	if !written {
 		c.why = telemetry.WriteFailed
--- a/internal/dataplane/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -112,7 +112,7 @@
 		}
 		s.mu.Lock()
 		c.taking -= n
-		more := c.taking > 0 && !c.closed
+		more := c.taking > 0 && c.state.load() != stateClosed
 		s.mu.Unlock()
 		if !more {
 			return false
@@ -266,11 +266,11 @@
 func (s *Server) drop(c *conn, why telemetry.Reason) {
 	lives := why == telemetry.HandedOver
 	s.mu.Lock()
-	if c.closed {
+	last := c.state.load()
+	if last == stateClosed {
 		s.mu.Unlock()
 		return
 	}
-	c.closed = true
 	c.state.set(stateClosed)
 	s.ends.Remove(&c.ring)
 	if c.list != nil {
@@ -287,7 +287,7 @@
 	} else {
 		s.poller.Remove(&place)
 	}
-	s.records(c, why)
+	s.records(c, last, why)
 	c.Conn.Close()
 	s.budget.ReleaseForClient()
 	s.done.Done()
--- a/internal/dataplane/frontend/observe.go
+++ b/internal/dataplane/frontend/observe.go
@@ -56,9 +56,9 @@
 }
 
 // records notes that a connection ends, and looks whether a request on it has had its answer.
-func (s *Server) records(c *conn, why telemetry.Reason) {
+func (s *Server) records(c *conn, last connState, why telemetry.Reason) {
 	s.telemetry.Record(telemetry.Event{Kind: telemetry.ClientConnectionClosed, Reason: why})
-	if c.owed.Load() && !c.ended.Load() && why != telemetry.PeerClosed && why != telemetry.WriteFailed {
+	if last.responsePending() && !c.ended.Load() && why != telemetry.PeerClosed && why != telemetry.WriteFailed {
 		s.telemetry.Violation(telemetry.Violation{Rule: telemetry.ClosedUnanswered, Detail: why.String()})
 	}
 }
--- a/internal/dataplane/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -285,7 +285,7 @@
 	}
 	s.mu.Lock()
 	c.place = place
-	gone := c.closed
+	gone := c.state.load() == stateClosed
 	s.mu.Unlock()
 	switch {
 	case gone:
@@ -398,7 +398,7 @@
 	for _, c := range idle {
 		if !s.passes(c, pass) {
 			s.mu.Lock()
-			if !c.closed {
+			if c.state.load() != stateClosed {
 				s.rouse(c) // what has come meanwhile was told to nobody
 			}
 			s.mu.Unlock()
@@ -529,7 +529,7 @@
 // force closes what is still there, but for connections whose answer is on its way: on a core that others share the last answers may take long,
 // and who ends the process by force costs them no more than a close would. A caller that takes nothing has its answer's own time.
 func (s *Server) force(empty <-chan struct{}) {
-	s.closeAll(func(c *conn) bool { return !c.owed.Load() })
+	s.closeAll(func(c *conn) bool { return !c.state.load().responsePending() })
 	select {
 	case <-empty:
 	case <-time.After(s.limits.ClientWriteTimeout):
@@ -543,7 +543,7 @@
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		if which(c) {
-			s.records(c, telemetry.ForcedShutdown)
+			s.records(c, c.state.load(), telemetry.ForcedShutdown)
 			c.Close()
 		}
 	}
