--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -25,50 +25,50 @@
 	net.Conn
 	server  *Server
 	raw     syscall.RawConn
-	place   poller.Registration
+	registration   poller.Registration
 	state   atomicConnState
-	born    time.Duration
+	createdAt    time.Duration
 	reader  *httpwire.Reader         // while it is served
 	gateway *gateway                 // nil: its caller speaks HTTP
 	rpc     atomic.Pointer[node.RPC] // while one is out
-	heard   atomic.Int64             // when the kernel was last asked whether it has ended, in nanoseconds of the server's clock
-	ended   atomic.Bool              // the caller has closed its side
-	cut     atomic.Bool              // what is being read is given up: its deadline must not be put off
+	checkedAt   atomic.Int64             // when the kernel was last asked whether it has ended, in nanoseconds of the server's clock
+	clientClosed   atomic.Bool              // the caller has closed its side
+	readCanceled     atomic.Bool              // what is being read is given up: its deadline must not be put off
 
 	// Its own goroutine's; the small ones together, since thousands of records rest:
-	reads  uint32           // that gave something
-	first  bool             // its first request is still to come
-	last   bool             // its next answer is its last
-	try    bool             // the next read must not wait
-	timed  bool             // a read deadline is set
-	tired  bool             // it has waited for its place too long: it is told that the node is full
-	full   bool             // its request came too slowly for the places there are
-	linger bool             // what its caller still sends is to be taken in before the close
-	why    telemetry.Reason // that it ends for
-	counts int              // the bytes that its deadline goes by
-	paced  time.Duration    // when its read deadline was last set
-	begun  time.Duration    // of the request that is being read
-	read   time.Duration    // when the last bytes were read
+	readCount  uint32           // that gave something
+	firstRequest  bool             // its first request is still to come
+	lastResponse   bool             // its next answer is its last
+	nonblocking    bool             // the next read must not wait
+	deadlineSet  bool             // a read deadline is set
+	queueTimeout  bool             // it has waited for its place too long: it is told that the node is full
+	evictedAsSlow   bool             // its request came too slowly for the places there are
+	lingerOnClose bool             // what its caller still sends is to be taken in before the close
+	closeReason    telemetry.Reason // that it ends for
+	deadlineBytes int              // the bytes that its deadline goes by
+	deadlineSetAt  time.Duration    // when its read deadline was last set
+	requestStart  time.Duration    // of the request that is being read
+	lastReadAt   time.Duration    // when the last bytes were read
 	// When what is read next had come, as far as that is known: 0 is not. Set with the server's mutex held, while nobody serves it; of a
 	// connection that has only just come it is when that was accepted.
-	arrived time.Duration
+	arrivedAt time.Duration
 
 	// Who else may look at what a gateway has sent while its request is out; guarded by its own mutex.
 	look sync.Mutex
-	out  *httpwire.Request // nil: none
+	outstanding  *httpwire.Request // nil: none
 
 	// Guarded by the server's mutex:
 	admission.Member
-	ring         timingwheel.Timer // while resting
-	since        time.Duration
-	list         *ring // it stands in
+	timer         timingwheel.Timer // while resting
+	idleSince        time.Duration
+	list         *connList // it stands in
 	older, newer *conn
-	stirred      bool // something came while it was served
-	asked        bool // it has brought an RPC
-	turned       bool // its last RPC was pushed back, where services share the door
-	ending       bool // chosen to end
-	stirredAt    time.Duration // when the first of what came while it was served did
-	taking       int           // bytes it may still send then
+	readable      bool // something came while it was served
+	hasRequested        bool // it has brought an RPC
+	lastRejected       bool // its last RPC was pushed back, where services share the door
+	evicted       bool // chosen to end
+	readableAt    time.Duration // when the first of what came while it was served did
+	lingerBytes       int           // bytes it may still send then
 }
 
 var readers = sync.Pool{New: func() any { return &httpwire.Reader{} }}
@@ -78,18 +78,18 @@
 	f := c.server
 	r := readers.Get().(*httpwire.Reader)
 	r.Init(c, &f.limits.Wire)
-	r.KeepHeaders, r.OnProgress, r.OnExpectContinue, r.Memory = f.table.Load().Find != nil, c, c.goAhead, f.bodies
+	r.KeepHeaders, r.OnProgress, r.OnExpectContinue, r.Memory = f.table.Load().Find != nil, c, c.writeContinue, f.bodies
 	c.reader = r
-	for next := goOn; next == goOn; {
-		c.try = !r.HasBuffered()
+	for next := stepServe; next == stepServe; {
+		c.nonblocking = !r.HasBuffered()
 		switch {
-		case !c.request():
-			next = over
+		case !c.serveRequest():
+			next = stepClose
 		case !r.HasBuffered():
-			next = f.again(c)
+			next = f.afterResponse(c)
 		}
-		if next == over && !(c.linger && f.lingers(c)) {
-			f.close(c, c.why)
+		if next == stepClose && !(c.lingerOnClose && f.startLinger(c)) {
+			f.close(c, c.closeReason)
 		}
 	}
 	// The connection may be another goroutine's by now.
@@ -97,85 +97,85 @@
 	readers.Put(r)
 }
 
-// request is the life of one request: it is read, the module decides, what it orders is done, and the caller
+// serveRequest is the life of one request: it is read, the module decides, what it orders is done, and the caller
 // gets the one answer. It returns whether the connection can be used again.
-func (c *conn) request() bool {
+func (c *conn) serveRequest() bool {
 	f := c.server
-	c.begun = f.clock()
-	if c.first {
-		c.begun = c.born // one who says nothing, then half a request, has no more time than others
+	c.requestStart = f.clock()
+	if c.firstRequest {
+		c.requestStart = c.createdAt // one who says nothing, then half a request, has no more time than others
 	}
-	reads := c.reads
+	reads := c.readCount
 	q, err := c.reader.ReadRequest()
 	if err != nil {
-		return c.unread(err)
+		return c.handleReadError(err)
 	}
 	c.state.set(stateInFlight)
-	waited, read := c.waited(reads), f.now()
+	waited, read := c.queueingTime(reads), f.coreClock()
 	if q.ReservedBytes > 0 {
 		defer f.bodies.Release(q.ReservedBytes)
 	}
 	// The caller's time runs from its last byte on: it may take seconds to send, and what it has sent may have waited here.
 	came := read
-	if c.first = false; q.BodyStream == nil {
+	if c.firstRequest = false; q.BodyStream == nil {
 		came -= waited
-		c.whole()
+		c.requestComplete()
 	} else {
-		defer c.rest(q)
+		defer c.stopBody(q)
 	}
 	if q.Path == httpwire.PathReady {
-		return c.refuse(q, f.ready(q), telemetry.ReadinessProbe)
+		return c.reject(q, f.readiness(q), telemetry.ReadinessProbe)
 	}
-	service, bad := f.find(q)
+	service, bad := f.findService(q)
 	if bad != nil {
-		return c.refuse(q, bad, telemetry.Unroutable)
+		return c.reject(q, bad, telemetry.Unroutable)
 	}
-	defer service.leave()
+	defer service.release()
 	class, tenant, bad := service.check(q, &f.limits, came)
 	if bad != nil {
-		return c.refuse(q, bad, telemetry.Unroutable)
+		return c.reject(q, bad, telemetry.Unroutable)
 	}
-	if c.ended.Load() {
-		c.why = telemetry.PeerClosed
+	if c.clientClosed.Load() {
+		c.closeReason = telemetry.PeerClosed
 		return false // it left while it waited for its place or behind another request: nothing is sent for nobody
 	}
-	f.asks(c)
-	id, fresh := f.ids.begin(q.TraceID)
+	f.markRequested(c)
+	id, fresh := f.requestIDs.begin(q.TraceID)
 	if !fresh {
-		return c.refuse(q, &httpwire.ClientResponse{Status: 409, Close: true}, telemetry.DuplicateID)
+		return c.reject(q, &httpwire.ClientResponse{Status: 409, Close: true}, telemetry.DuplicateID)
 	}
-	defer func() { f.ids.end(id, f.now()) }()
-	if why := f.turnsAway(c); why != telemetry.NoReason {
-		return c.refuse(q, &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter, Close: true}, why)
+	defer func() { f.requestIDs.end(id, f.coreClock()) }()
+	if why := f.admitRequest(c); why != telemetry.NoReason {
+		return c.reject(q, &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter, Close: true}, why)
 	}
-	large := q.BodyStream != nil || class.large.Load()
+	large := q.BodyStream != nil || class.streamed.Load()
 	defer func() {
 		if large {
-			f.large.Add(-1)
+			f.streamedRequests.Add(-1)
 		}
 	}()
 	if large {
-		if f.large.Add(1) > int64(f.limits.MaxStreamedRequests) {
-			f.end()
-			return c.refuse(q, &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter}, telemetry.AtCapacity)
+		if f.streamedRequests.Add(1) > int64(f.limits.MaxStreamedRequests) {
+			f.endRequest()
+			return c.reject(q, &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter}, telemetry.AtCapacity)
 		}
 	}
 	var recalled <-chan struct{} // never, without a share
-	if service.share != nil {
-		lease, wait, ok := service.share.Acquire(tenant, len(q.Body))
-		if f.turns(c, !ok); !ok {
-			f.end()
-			return c.refuse(q, &httpwire.ClientResponse{Status: 503, RetryAfter: wait}, telemetry.QuotaExhausted)
+	if service.quota != nil {
+		lease, wait, ok := service.quota.Acquire(tenant, len(q.Body))
+		if f.markRejected(c, !ok); !ok {
+			f.endRequest()
+			return c.reject(q, &httpwire.ClientResponse{Status: 503, RetryAfter: wait}, telemetry.QuotaExhausted)
 		}
 		defer lease.Release()
 		recalled = lease.Revoked()
 	}
 
 	q.Client = c
-	c.shows(q)
+	c.setOutstanding(q)
 	rpc := service.core.Arrived(node.Arrival{RequestID: q.TraceID, Method: class.slot, Tenant: tenant, Deadline: came + q.TimeLeft, Retry: q.Retry,
 		BodyPending: q.BodyStream != nil, WorkHint: q.WorkHint})
-	c.watch(rpc)
+	c.watchClient(rpc)
 	var a *httpwire.ClientResponse
 	held := 0 // by the answer
 	givenUp, sent := false, false
@@ -185,7 +185,7 @@
 			select {
 			case <-recalled: // what it holds was borrowed, and its owner needs it
 				givenUp = true
-			case <-f.halt:
+			case <-f.abort:
 				givenUp = true
 			default:
 			}
@@ -199,7 +199,7 @@
 		default:
 			if givenUp {
 				a = &httpwire.ClientResponse{Status: 504}
-				if !sent || class.repeat == decide.Idempotent && len(class.former) == 0 {
+				if !sent || class.idempotency == decide.Idempotent && len(class.formerSemantics) == 0 {
 					a = &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter} // trying again is harmless
 				}
 				f.telemetry.Record(telemetry.Event{Kind: telemetry.RequestAnswered, Reason: telemetry.Draining, Request: q.TraceID, Status: a.Status})
@@ -209,7 +209,7 @@
 			case o = <-rpc.Orders:
 			case <-recalled:
 				continue
-			case <-f.halt:
+			case <-f.abort:
 				continue
 			}
 		}
@@ -223,52 +223,52 @@
 				c.checkDeadline(q, rpc, read-waited)
 			}
 			sent = true
-			service.picks.Start(o.Attempt, q)
+			service.attempts.Start(o.Attempt, q)
 		case node.OrderServed:
 			a = &httpwire.ClientResponse{Status: 200, ContentType: o.Response.ContentType, Body: o.Response.Body, HTTP10: q.HTTP10}
 			if o.Response.BodyStream != nil {
 				a.BodyStream = o.Response.BodyStream
 			}
-			if class.large.Load() != (a.BodyStream != nil) {
-				class.large.Store(a.BodyStream != nil)
+			if class.streamed.Load() != (a.BodyStream != nil) {
+				class.streamed.Store(a.BodyStream != nil)
 			}
 			if a.BodyStream != nil && !large { // who would have thought: it is passed on all the same
 				large = true
-				f.large.Add(1)
+				f.streamedRequests.Add(1)
 			}
 			held = o.Response.ReservedBytes
 		case node.OrderPushBack:
-			f.turns(c, service.share != nil)
+			f.markRejected(c, service.quota != nil)
 			a = &httpwire.ClientResponse{Status: 503, RetryAfter: o.RetryAfter}
 		case node.OrderAbort:
 			a = &httpwire.ClientResponse{Status: 504}
 		case node.OrderClientGone:
-			if c.stays(q, rpc) {
+			if c.stillWaitsThrough(q, rpc) {
 				continue
 			}
 			c.rpc.Store(nil)
-			c.shows(nil)
-			service.giveUp(rpc, f.answers)
-			f.end()
-			return c.abandoned(q)
+			c.setOutstanding(nil)
+			service.abandon(rpc, f.answers)
+			f.endRequest()
+			return c.finishAborted(q)
 		}
 	}
 	c.rpc.Store(nil)
-	c.shows(nil)
+	c.setOutstanding(nil)
 	if held > 0 {
 		defer f.answers.Release(held)
 	}
 	if a.BodyStream != nil { // its server's connection is in use until it has passed
-		defer f.end()
-		return c.answer(q, a)
+		defer f.endRequest()
+		return c.respond(q, a)
 	}
 	// Before the answer: its reader may ask again elsewhere at once, and would be turned away where places are few.
-	f.end()
-	return c.answer(q, a)
+	f.endRequest()
+	return c.respond(q, a)
 }
 
-// giveUp ends an RPC whose caller has left, and the picks that were ordered meanwhile: nobody sends them any more.
-func (s *Service) giveUp(rpc *node.RPC, answers limits.MemoryPool) {
+// abandon ends an RPC whose caller has left, and the picks that were ordered meanwhile: nobody sends them any more.
+func (s *Service) abandon(rpc *node.RPC, answers limits.MemoryPool) {
 	s.core.ClientGone(rpc)
 	for {
 		select {
@@ -288,27 +288,27 @@
 	}
 }
 
-// stays tells, when a caller seems to have left, whether it has only sent something. One that has ended its side has left,
+// stillWaitsThrough tells, when a caller seems to have left, whether it has only sent something. One that has ended its side has left,
 // whatever it sent before that: nothing is sent on for it, and what it had asked next nobody waits for.
-func (c *conn) stays(q *httpwire.Request, rpc *node.RPC) bool {
+func (c *conn) stillWaitsThrough(q *httpwire.Request, rpc *node.RPC) bool {
 	if c.gateway == nil {
 		return false
 	}
 	c.look.Lock()
-	stays := c.gateway.stays(q)
+	stays := c.gateway.stillWaitingOnInput(q)
 	c.look.Unlock()
 	if !stays {
 		return false
 	}
-	c.watch(rpc) // it is told of each thing that comes
+	c.watchClient(rpc) // it is told of each thing that comes
 	return true
 }
 
-// shows lets those who carry a gateway's request out look at what has come behind it, until it is shown no more.
-func (c *conn) shows(q *httpwire.Request) {
+// setOutstanding lets those who carry a gateway's request out look at what has come behind it, until it is shown no more.
+func (c *conn) setOutstanding(q *httpwire.Request) {
 	if c.gateway != nil {
 		c.look.Lock()
-		c.out = q
+		c.outstanding = q
 		c.look.Unlock()
 	}
 }
@@ -319,48 +319,48 @@
 	if c.gateway != nil {
 		c.look.Lock()
 		defer c.look.Unlock()
-		if c.out != q {
+		if c.outstanding != q {
 			return false // it has its answer: what is on the connection now is another's
 		}
 	}
 	now := c.server.clock()
-	fresh := now-time.Duration(c.heard.Load()) < c.server.limits.ClientCheckInterval
+	fresh := now-time.Duration(c.checkedAt.Load()) < c.server.limits.ClientCheckInterval
 	if !fresh && socket.PeerClosed(c.raw) {
-		c.ended.Store(true)
+		c.clientClosed.Store(true)
 	}
-	if c.ended.Load() || c.gateway != nil && !c.gateway.waits(fresh) {
-		c.tell()
+	if c.clientClosed.Load() || c.gateway != nil && !c.gateway.stillWaiting(fresh) {
+		c.notifyClientGone()
 		return false
 	}
 	if !fresh {
-		c.heard.Store(int64(now))
+		c.checkedAt.Store(int64(now))
 	}
 	return true
 }
 
-// abandoned ends a request whose caller has given it up, and tells whether its connection can be used again: a gateway has said so and
+// finishAborted ends a request whose caller has given it up, and tells whether its connection can be used again: a gateway has said so and
 // goes on.
-func (c *conn) abandoned(q *httpwire.Request) bool {
-	c.why = telemetry.PeerClosed
+func (c *conn) finishAborted(q *httpwire.Request) bool {
+	c.closeReason = telemetry.PeerClosed
 	c.state.set(stateReading)
-	if c.gateway == nil || !c.gateway.gone.Load() || q.BodyStream != nil && !q.BodyStream.Complete() {
+	if c.gateway == nil || !c.gateway.aborted.Load() || q.BodyStream != nil && !q.BodyStream.Complete() {
 		return false
 	}
-	keep := c.gateway.keep && !c.last && !c.server.closing()
+	keep := c.gateway.keepAlive && !c.lastResponse && !c.server.closesConns()
 	c.SetWriteDeadline(time.Now().Add(c.server.limits.ClientWriteTimeout))
-	return socket.Write(c.Conn, c.gateway.end(nil, 1, fcgi.StatusComplete)) == nil && keep
+	return socket.Write(c.Conn, c.gateway.appendResponseEnd(nil, 1, fcgi.StatusComplete)) == nil && keep
 }
 
-// watch lets the poller tell an RPC that its caller has left. It may have left already.
-func (c *conn) watch(rpc *node.RPC) {
+// watchClient lets the poller tell an RPC that its caller has left. It may have left already.
+func (c *conn) watchClient(rpc *node.RPC) {
 	c.rpc.Store(rpc)
-	if c.ended.Load() || c.gateway != nil && c.server.unstir(c) {
-		c.tell()
+	if c.clientClosed.Load() || c.gateway != nil && c.server.takeReadable(c) {
+		c.notifyClientGone()
 	}
 }
 
-// tell tells the RPC, once, whoever of the two finds out first.
-func (c *conn) tell() {
+// notifyClientGone tells the RPC, once, whoever of the two finds out first.
+func (c *conn) notifyClientGone() {
 	if rpc := c.rpc.Swap(nil); rpc != nil {
 		rpc.Orders <- node.Order{Kind: node.OrderClientGone}
 	}
--- a/internal/dataplane/frontend/conn_read.go
+++ b/internal/dataplane/frontend/conn_read.go
@@ -13,8 +13,8 @@
 
 // What follows is how a caller's connection is read: what it waits for, and how long.
 
-// errNothing is a read that found nothing: the event it went by was of bytes that had been read already.
-var errNothing = errors.New("nothing has come")
+// errNoInput is a read that found nothing: the event it went by was of bytes that had been read already.
+var errNoInput = errors.New("nothing has come")
 
 // Read is what requests are read by.
 func (c *conn) Read(to []byte) (int, error) {
@@ -28,12 +28,12 @@
 func (c *conn) readRaw(to []byte) (n int, err error) {
 	defer func() {
 		if n > 0 {
-			c.read = c.server.clock()
-			c.reads++
+			c.lastReadAt = c.server.clock()
+			c.readCount++
 		}
 	}()
 	n, err = c.readOnce(to)
-	if err == nil || err == errNothing || socket.Classify(err) != socket.Memory {
+	if err == nil || err == errNoInput || socket.Classify(err) != socket.Memory {
 		return n, err
 	}
 	err = socket.RetryShortage(func() error {
@@ -44,7 +44,7 @@
 }
 
 func (c *conn) readOnce(to []byte) (n int, err error) {
-	if !c.try {
+	if !c.nonblocking {
 		return c.Conn.Read(to)
 	}
 	outer := c.raw.Read(func(fd uintptr) bool {
@@ -57,100 +57,100 @@
 	case socket.Classify(err) == socket.Memory:
 		return 0, err // nothing is known of what has come
 	}
-	switch c.try = false; {
+	switch c.nonblocking = false; {
 	case err == syscall.EAGAIN:
-		return 0, errNothing
+		return 0, errNoInput
 	case err != nil:
 		return 0, err
 	case n == 0:
-		return 0, errClosed
+		return 0, errClientClosed
 	}
 	return n, nil
 }
 
-var errClosed = errors.New("the caller has closed")
+var errClientClosed = errors.New("the caller has closed")
 
-// slowStep is how many bytes of a request put its deadline off.
-const slowStep = 8 << 10
+// deadlineByteStep is how many bytes of a request put its deadline off.
+const deadlineByteStep = 8 << 10
 
-// paceStep is how long a read deadline may stand that should have been put off: where a request comes in small pieces most reads leave it.
-const paceStep = 100 * time.Millisecond
+// deadlineTimeStep is how long a read deadline may stand that should have been put off: where a request comes in small pieces most reads leave it.
+const deadlineTimeStep = 100 * time.Millisecond
 
 // Progress is told, before each further read, that a request does not come whole. Its rest has a time, more for what is large, and places
 // for such requests are few. Whatever has come gives a caller no more time once it has stopped sending: each wait has an end of its own.
 func (c *conn) Progress(bool) {
 	f := c.server
 	now := f.clock()
-	if c.timed && c.reader.BytesRead() < c.counts+slowStep && now < c.paced+paceStep {
+	if c.deadlineSet && c.reader.BytesRead() < c.deadlineBytes+deadlineByteStep && now < c.deadlineSetAt+deadlineTimeStep {
 		return
 	}
-	first := !c.timed
-	c.timed, c.paced, c.counts = true, now, c.reader.BytesRead()
-	whole := c.begun + f.limits.ClientReadTimeout + f.limits.TransferTime(c.counts)
+	first := !c.deadlineSet
+	c.deadlineSet, c.deadlineSetAt, c.deadlineBytes = true, now, c.reader.BytesRead()
+	whole := c.requestStart + f.limits.ClientReadTimeout + f.limits.TransferTime(c.deadlineBytes)
 	c.SetReadDeadline(f.started.Add(min(whole, now+f.limits.ClientReadTimeout)))
-	if c.cut.Load() { // given up just now
+	if c.readCanceled.Load() { // given up just now
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
 	if first {
-		f.slows(c)
+		f.markSlow(c)
 	}
 }
 
-// goAhead tells a caller that waits for it to send its body.
-func (c *conn) goAhead() {
+// writeContinue tells a caller that waits for it to send its body.
+func (c *conn) writeContinue() {
 	c.SetWriteDeadline(time.Now().Add(c.server.limits.ClientWriteTimeout))
 	socket.Write(c.Conn, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 }
 
-// rest ends a request whose body came while it was passed on: nobody reads from the connection any more.
-func (c *conn) rest(q *httpwire.Request) {
-	q.BodyStream.Stop(c.giveIn)
-	c.cut.Store(false)
-	c.whole()
-	if c.timed = false; !q.BodyStream.Complete() {
-		c.linger = true
+// stopBody ends a request whose body came while it was passed on: nobody reads from the connection any more.
+func (c *conn) stopBody(q *httpwire.Request) {
+	q.BodyStream.Stop(c.cancelRead)
+	c.readCanceled.Store(false)
+	c.requestComplete()
+	if c.deadlineSet = false; !q.BodyStream.Complete() {
+		c.lingerOnClose = true
 		c.SetReadDeadline(time.Time{})
 	}
 }
 
-// giveIn interrupts who reads from the connection.
-func (c *conn) giveIn() {
-	c.cut.Store(true)
+// cancelRead interrupts who reads from the connection.
+func (c *conn) cancelRead() {
+	c.readCanceled.Store(true)
 	c.SetReadDeadline(time.Unix(1, 0))
 }
 
-// whole ends what Progress began.
-func (c *conn) whole() {
-	if c.timed {
-		c.timed = false
-		c.server.isWhole(c)
-		c.cut.Store(false)
+// requestComplete ends what Progress began.
+func (c *conn) requestComplete() {
+	if c.deadlineSet {
+		c.deadlineSet = false
+		c.server.markComplete(c)
+		c.readCanceled.Store(false)
 		c.SetReadDeadline(time.Time{})
 	}
 }
 
-// unread answers what could not be read as a request. Its framing is lost, so the connection ends. Where nothing has come
+// handleReadError answers what could not be read as a request. Its framing is lost, so the connection ends. Where nothing has come
 // it rests on.
-func (c *conn) unread(err error) bool {
-	if err == errNothing {
+func (c *conn) handleReadError(err error) bool {
+	if err == errNoInput {
 		c.reader.ReleaseBuffer()
 		return true
 	}
 	a, ok := httpwire.ErrorResponse(err)
-	c.why = telemetry.PeerClosed
+	c.closeReason = telemetry.PeerClosed
 	if ok {
-		c.why = telemetry.Malformed
+		c.closeReason = telemetry.Malformed
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		a, ok, c.why = httpwire.ClientResponse{Status: 408, Close: true}, true, telemetry.RequestTimeout
-		if c.server.isFull(c) {
-			a.Status, a.RetryAfter, c.why = 503, c.server.limits.OverloadRetryAfter, telemetry.Evicted
+		a, ok, c.closeReason = httpwire.ClientResponse{Status: 408, Close: true}, true, telemetry.RequestTimeout
+		if c.server.wasEvictedAsSlow(c) {
+			a.Status, a.RetryAfter, c.closeReason = 503, c.server.limits.OverloadRetryAfter, telemetry.Evicted
 		}
 	}
 	if ok {
-		c.server.telemetry.Record(telemetry.Event{Kind: telemetry.RequestRejected, Reason: c.why, Status: a.Status})
-		c.write(&a, false)
-		c.linger = a.Status != 408 // else there is nothing to take in
+		c.server.telemetry.Record(telemetry.Event{Kind: telemetry.RequestRejected, Reason: c.closeReason, Status: a.Status})
+		c.writeResponse(&a, false)
+		c.lingerOnClose = a.Status != 408 // else there is nothing to take in
 	}
 	return false
 }
--- a/internal/dataplane/frontend/conn_write.go
+++ b/internal/dataplane/frontend/conn_write.go
@@ -15,33 +15,33 @@
 
 // What follows is how a caller's answer is written, whole or as it comes.
 
-// answer writes a request's one answer.
-func (c *conn) answer(q *httpwire.Request, a *httpwire.ClientResponse) bool {
-	a.Close = a.Close || q.Close || c.last || c.server.closing() || q.BodyStream != nil && !q.BodyStream.Complete() || c.gateway != nil && !c.gateway.keep
+// respond writes a request's one answer.
+func (c *conn) respond(q *httpwire.Request, a *httpwire.ClientResponse) bool {
+	a.Close = a.Close || q.Close || c.lastResponse || c.server.closesConns() || q.BodyStream != nil && !q.BodyStream.Complete() || c.gateway != nil && !c.gateway.keepAlive
 	if a.Close && (q.BodyStream == nil || q.BodyStream.Complete()) && (c.reader.HasBuffered() || socket.StateOfRaw(c.raw) == socket.StateReadable) {
-		c.linger = true // closed with bytes unread the connection would be reset, and the answer lost with it; rest sees to a body's
+		c.lingerOnClose = true // closed with bytes unread the connection would be reset, and the answer lost with it; rest sees to a body's
 	}
 	if c.gateway != nil && q.BodyStream != nil { // an exchange may still read the body, and the records are its own until then
-		q.BodyStream.Stop(c.giveIn)
+		q.BodyStream.Stop(c.cancelRead)
 	}
 	c.state.set(stateWriting)
 	written := false
 	if a.BodyStream != nil {
-		written = c.stream(a)
+		written = c.writeStreamed(a)
 	} else {
-		written = c.write(a, q.Verb == "HEAD")
+		written = c.writeResponse(a, q.Verb == "HEAD")
 	}
 	c.state.set(stateReading)
-	c.why = telemetry.LastResponse
+	c.closeReason = telemetry.LastResponse
 	if !written {
-		c.why = telemetry.WriteFailed
+		c.closeReason = telemetry.WriteFailed
 	}
 	return written && !a.Close
 }
 
-// stream passes an answer on while it comes, at its reader's pace. One that breaks off looks broken: the connection ends
+// writeStreamed passes an answer on while it comes, at its reader's pace. One that breaks off looks broken: the connection ends
 // short of the length, without the last chunk or, where neither can be told, by a reset.
-func (c *conn) stream(a *httpwire.ClientResponse) bool {
+func (c *conn) writeStreamed(a *httpwire.ClientResponse) bool {
 	piece, frame := httpwire.BorrowBuffer(), make([]byte, 0, 16)
 	defer httpwire.ReturnBuffer(piece)
 	chunked := a.Chunked()
@@ -66,7 +66,7 @@
 	head := a.AppendHead
 	if c.gateway != nil {
 		chunked = false
-		head, body = func(to []byte) []byte { return c.gateway.begin(to, a) }, func(p []byte) bool { return write(c.gateway.frame(p)) }
+		head, body = func(to []byte) []byte { return c.gateway.appendResponseHead(to, a) }, func(p []byte) bool { return write(c.gateway.frameBody(p)) }
 	}
 	ok := write(net.Buffers{head(nil)}) && (len(a.Body) == 0 || body(a.Body))
 	for ok {
@@ -83,7 +83,7 @@
 		ok = write(net.Buffers{httpwire.LastChunk})
 	}
 	if ok && c.gateway != nil { // else it looks broken: its request has no end
-		ok = write(net.Buffers{c.gateway.end(nil, 0, fcgi.StatusComplete)})
+		ok = write(net.Buffers{c.gateway.appendResponseEnd(nil, 0, fcgi.StatusComplete)})
 	}
 	a.BodyStream.Close(ok)
 	if t, is := c.Conn.(*net.TCPConn); is && !ok && a.HTTP10 && a.BodyStream.Remaining() < 0 {
@@ -92,23 +92,23 @@
 	return ok
 }
 
-// mostHead is the largest buffer that is kept: a gateway's answer has its body in it.
-const mostHead = 4 << 10
+// maxPooledBuffer is the largest buffer that is kept: a gateway's answer has its body in it.
+const maxPooledBuffer = 4 << 10
 
-// heads are buffers that answers are written from.
-var heads = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
+// responseBuffers are buffers that answers are written from.
+var responseBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
-// write writes an answer. Nearly always the kernel takes all of it, and no deadline is set.
-func (c *conn) write(a *httpwire.ClientResponse, headOnly bool) bool {
-	head := heads.Get().(*[]byte)
-	defer heads.Put(head)
+// writeResponse writes an answer. Nearly always the kernel takes all of it, and no deadline is set.
+func (c *conn) writeResponse(a *httpwire.ClientResponse, headOnly bool) bool {
+	head := responseBuffers.Get().(*[]byte)
+	defer responseBuffers.Put(head)
 	var msg, body []byte
 	if c.gateway != nil {
-		msg = c.gateway.answer((*head)[:0], a, headOnly)
+		msg = c.gateway.appendResponse((*head)[:0], a, headOnly)
 	} else {
 		msg, body = a.AppendHead((*head)[:0]), a.Body
 	}
-	if cap(msg) <= mostHead {
+	if cap(msg) <= maxPooledBuffer {
 		*head = msg
 	}
 	if headOnly {
--- a/internal/dataplane/frontend/endings_test.go
+++ b/internal/dataplane/frontend/endings_test.go
@@ -59,7 +59,7 @@
 		leave(c)
 		assert.Same(t, rpc, testutil.Receive(t, core.vanished), way)
 		rpc.Orders <- node.Order{Kind: node.OrderSend}
-		assert.Eventually(t, func() bool { return connections(f) == 0 && f.making.Load() == 0 }, 20*time.Second, time.Millisecond, way)
+		assert.Eventually(t, func() bool { return connections(f) == 0 && f.activeRequests.Load() == 0 }, 20*time.Second, time.Millisecond, way)
 		assert.Empty(t, core.started, way)
 		assert.Empty(t, core.came, "%s: and nobody waits for what it had asked next", way)
 	}
@@ -99,7 +99,7 @@
 		waits := func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return f.gate.WaitingCount() == 1
+			return f.admission.WaitingCount() == 1
 		}
 		require.Eventually(t, waits, 20*time.Second, time.Millisecond, way)
 		leave(gone)
@@ -107,7 +107,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for c := range f.conns {
-				if c.ended.Load() {
+				if c.clientClosed.Load() {
 					n++
 				}
 			}
@@ -130,7 +130,7 @@
 	cancel()
 	core.atArrived = func() {
 		go f.Drain(now)
-		<-f.halt
+		<-f.abort
 	}
 	return f, core, addr
 }
@@ -191,7 +191,7 @@
 	c.flood()
 	c.Close()
 	rpc.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}}
-	assert.Eventually(t, func() bool { return connections(f) == 0 && f.making.Load() == 0 }, 20*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return connections(f) == 0 && f.activeRequests.Load() == 0 }, 20*time.Second, time.Millisecond)
 	assert.Empty(t, core.came)
 	assert.Empty(t, core.started)
 }
--- a/internal/dataplane/frontend/frontend_test.go
+++ b/internal/dataplane/frontend/frontend_test.go
@@ -105,7 +105,7 @@
 	t.Cleanup(func() {
 		ln.Close()
 		select {
-		case <-f.halt:
+		case <-f.abort:
 		default:
 			ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 			defer cancel()
@@ -114,8 +114,8 @@
 		watch.Close()
 		goleak.VerifyNone(t, leaks)
 		assert.Equal(t, 9, f.budget.Available(), "each connection's descriptor has come back")
-		assert.Zero(t, f.making.Load())
-		assert.Zero(t, f.large.Load())
+		assert.Zero(t, f.activeRequests.Load())
+		assert.Zero(t, f.streamedRequests.Load())
 	})
 	return f, core, ln.Addr().String()
 }
@@ -168,7 +168,7 @@
 }
 
 func TestIDsAreForgottenInTimeAndInAFlood(t *testing.T) {
-	k := newIDs(time.Minute, 3)
+	k := newRequestIDs(time.Minute, 3)
 	for i := range 100 {
 		n, fresh := k.begin(fmt.Sprint("flood", i))
 		assert.True(t, fresh)
@@ -187,9 +187,9 @@
 	_, fresh = k.begin("open")
 	assert.False(t, fresh, "one that is open is never forgotten")
 	// Another process that takes them over knows them all, and under no other seed.
-	heir := newIDs(time.Minute, 3)
-	heir.seeded(k.seed)
-	heir.take(append(k.hand(), 1), time.Second)
+	heir := newRequestIDs(time.Minute, 3)
+	heir.setSeed(k.seed)
+	heir.importAll(append(k.export(), 1), time.Second)
 	_, fresh = heir.begin("open")
 	assert.False(t, fresh)
 	_, fresh = heir.begin("later8")
@@ -236,11 +236,11 @@
 			reading = err == nil
 		}
 	}
-	assert.Eventually(t, func() bool { return f.large.Load() == 0 }, 20*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return f.streamedRequests.Load() == 0 }, 20*time.Second, time.Millisecond)
 	for _, counts := range []int64{1, 0} { // until it is seen that they are small
 		next.ask()
 		small := testutil.Receive(t, core.came)
-		assert.Equal(t, counts, f.large.Load())
+		assert.Equal(t, counts, f.streamedRequests.Load())
 		small.Orders <- node.Order{Kind: node.OrderServed, Response: &node.Response{Body: []byte("well")}}
 		assert.Equal(t, 200, next.hears(t).StatusCode)
 	}
@@ -251,7 +251,7 @@
 	for name, ends := range map[string]func(f *Server){
 		"emptied": func(f *Server) {
 			f.SetLameDuck(true)
-			f.empty(f.lamed)()
+			f.drainLameDuck(f.lameDuckCount)()
 		},
 		"ended": func(f *Server) { go f.Drain(t.Context()) },
 	} {
@@ -262,7 +262,7 @@
 		count := func() (n int, drained bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return len(f.conns), f.drained || f.emptied
+			return len(f.conns), f.draining || f.lameDuckDraining
 		}
 		require.Eventually(t, func() bool { n, _ := count(); return n == 1 }, 20*time.Second, time.Millisecond)
 		ends(f)
@@ -306,7 +306,7 @@
 				again := service(next).KeepFormer(service(is).KeepFormer(service(was), now, until), now+1, until+1)
 				assert.Equal(t, 200, status(again, was, until-1), "%v to %v to %v", was, is, next)
 				assert.Equal(t, 200, status(again, is, until), "%v to %v to %v", was, is, next)
-				gone := service(next).KeepFormer((&Service{methods: map[string]class{}, tenants: map[string]tenant{}}).KeepFormer(service(was), now, until), now+1, until+1)
+				gone := service(next).KeepFormer((&Service{methods: map[string]method{}, tenants: map[string]tenant{}}).KeepFormer(service(was), now, until), now+1, until+1)
 				assert.Equal(t, 200, status(gone, was, until-1), "%v gone, then %v", was, next)
 			}
 		}
@@ -499,12 +499,12 @@
 	require.NotNil(t, chosen)
 	c.ask()
 	require.Eventually(t, func() bool { return socket.StateOf(raw) == socket.StateReadable }, 20*time.Second, time.Millisecond)
-	f.done.Add(1)
+	f.running.Add(1)
 	f.mu.Lock()
 	f.conns[chosen] = struct{}{}
-	f.rest(chosen, stateIdle, time.Hour)
+	f.park(chosen, stateIdle, time.Hour)
 	f.mu.Unlock()
-	f.endRest([]*conn{chosen}, telemetry.Draining)
+	f.closeConns([]*conn{chosen}, telemetry.Draining)
 	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderAbort}
 	r := c.hears(t)
 	assert.Equal(t, 504, r.StatusCode)
@@ -597,7 +597,7 @@
 	require.Eventually(t, func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return len(f.conns) == 0 && f.ends.Len() == 0
+		return len(f.conns) == 0 && f.timers.Len() == 0
 	}, 20*time.Second, time.Millisecond, "no record is left of those that closed while idle")
 	ln.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -621,7 +621,7 @@
 		require.Eventually(t, func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return f.gate.SlowCount() == i+1
+			return f.admission.SlowCount() == i+1
 		}, 20*time.Second, time.Millisecond)
 	}
 	time.Sleep(40 * time.Millisecond) // past CallerRest
@@ -698,7 +698,7 @@
 		n.Methods = []decide.Method{{Idempotency: x.repeat}}
 		f.SetTable(&Table{Only: NewService("only", n, core, core, nil)})
 		c := dial(t, addr)
-		io.WriteString(c, verb(x.repeat)+" /find HTTP/1.1\r\nX-Qos: find\r\nX-Trace-Id: t\r\nX-Expires-In-Ms: 1000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
+		io.WriteString(c, verbOf(x.repeat)+" /find HTTP/1.1\r\nX-Qos: find\r\nX-Trace-Id: t\r\nX-Expires-In-Ms: 1000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
 		r := testutil.Receive(t, core.came)
 		begun := func() bool {
 			core.mu.Lock()
--- a/internal/dataplane/frontend/gateway_test.go
+++ b/internal/dataplane/frontend/gateway_test.go
@@ -47,8 +47,8 @@
 	read := func(t *testing.T, text []byte) (n int) {
 		c := &conn{Conn: quiet{}, server: server}
 		c.gateway = newGateway(c, &Gateway{})
-		c.gateway.awake()
-		c.gateway.records.Init(iotest.HalfReader(bytes.NewReader(text)), *c.gateway.buf)
+		c.gateway.acquireBuffer()
+		c.gateway.records.Init(iotest.HalfReader(bytes.NewReader(text)), *c.gateway.buffer)
 		r := httpwire.NewReader(c, l.Wire)
 		r.KeepHeaders = true
 		for ; ; n++ {
@@ -61,10 +61,10 @@
 					return n
 				}
 			}
-			if r.HasBuffered() || !c.gateway.here || c.gateway.at != len(c.gateway.pend) {
+			if r.HasBuffered() || !c.gateway.complete || c.gateway.offset != len(c.gateway.pending) {
 				t.Fatalf("%q is not the whole request", q.Target)
 			}
-			c.gateway.end(nil, 0, fcgi.StatusComplete)
+			c.gateway.appendResponseEnd(nil, 0, fcgi.StatusComplete)
 		}
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -158,7 +158,7 @@
 				q := &httpwire.Request{Client: c}
 				if way != nil {
 					c.gateway = newGateway(c, way)
-					c.shows(q)
+					c.setOutstanding(q)
 				}
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/dataplane/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -14,23 +14,23 @@
 
 // What follows is the life of a connection between its requests.
 
-// ring holds connections in an order, linked through themselves.
-type ring struct{ head conn }
+// connList holds connections in an order, linked through themselves.
+type connList struct{ head conn }
 
-func (r *ring) init() { r.head.older, r.head.newer = &r.head, &r.head }
+func (r *connList) init() { r.head.older, r.head.newer = &r.head, &r.head }
 
-func (r *ring) push(c *conn) {
+func (r *connList) push(c *conn) {
 	c.list = r
 	c.older, c.newer = r.head.older, &r.head
 	c.older.newer, r.head.older = c, c
 }
 
-func (r *ring) drop(c *conn) {
+func (r *connList) drop(c *conn) {
 	c.older.newer, c.newer.older = c.newer, c.older
 	c.older, c.newer, c.list = nil, nil, nil
 }
 
-func (r *ring) first() *conn {
+func (r *connList) first() *conn {
 	if r.head.newer == &r.head {
 		return nil
 	}
@@ -40,64 +40,64 @@
 // OnEvent is the poller's word of what happened on a connection.
 func (c *conn) OnEvent(e poller.Event) {
 	f := c.server
-	c.heard.Store(int64(f.poller.EventTime().Sub(f.started)))
+	c.checkedAt.Store(int64(f.poller.EventTime().Sub(f.started)))
 	if e&poller.HungUp != 0 {
-		c.ended.Store(true)
-		c.tell()
+		c.clientClosed.Store(true)
+		c.notifyClientGone()
 	}
 	f.mu.Lock()
 	state := c.state.load()
 	switch state {
 	case stateLingering:
 	case stateIdle:
-		f.rouse(c)
+		f.wake(c)
 	default:
-		if !c.stirred {
-			c.stirred, c.stirredAt = true, f.clock()
+		if !c.readable {
+			c.readable, c.readableAt = true, f.clock()
 		}
 	}
 	f.mu.Unlock()
 	if c.gateway != nil { // a gateway may give up what is out
-		c.tell()
+		c.notifyClientGone()
 	}
-	if state == stateLingering && !f.discard(c) {
+	if state == stateLingering && !f.discardInput(c) {
 		f.close(c, telemetry.LastResponse)
 	}
 }
 
-// unstir tells whether something has come while a connection was served, and forgets that.
-func (s *Server) unstir(c *conn) bool {
+// takeReadable tells whether something has come while a connection was served, and forgets that.
+func (s *Server) takeReadable(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := c.stirred
-	c.stirred = false
+	was := c.readable
+	c.readable = false
 	return was
 }
 
-// lingers takes in what a caller is still sending after its last answer: closed with bytes unread, the connection would be
+// startLinger takes in what a caller is still sending after its last answer: closed with bytes unread, the connection would be
 // reset and the answer lost with it. It holds no place and no goroutine meanwhile.
-func (s *Server) lingers(c *conn) bool {
+func (s *Server) startLinger(c *conn) bool {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return false
 	}
 	s.mu.Lock()
-	s.gate.Leave(&c.Member)
-	c.taking, c.reader = s.limits.MaxLingerBytes, nil
-	s.rest(c, stateLingering, s.limits.LingerTimeout)
-	s.admit()
+	s.admission.Leave(&c.Member)
+	c.lingerBytes, c.reader = s.limits.MaxLingerBytes, nil
+	s.park(c, stateLingering, s.limits.LingerTimeout)
+	s.admitWaiting()
 	s.mu.Unlock()
 	// Also what has come by now, of which no event may tell again.
-	return s.discard(c)
+	return s.discardInput(c)
 }
 
-var scraps = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
+var discardBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
-// discard takes in what has come, and tells whether to wait for more. The bytes are bounded: a body without end, sent at
+// discardInput takes in what has come, and tells whether to wait for more. The bytes are bounded: a body without end, sent at
 // full speed, would take the core from all others.
-func (s *Server) discard(c *conn) bool {
-	b := scraps.Get().(*[]byte)
-	defer scraps.Put(b)
+func (s *Server) discardInput(c *conn) bool {
+	b := discardBuffers.Get().(*[]byte)
+	defer discardBuffers.Put(b)
 	for {
 		n, err := 0, error(nil)
 		outer := c.raw.Read(func(fd uintptr) bool {
@@ -111,8 +111,8 @@
 			return false
 		}
 		s.mu.Lock()
-		c.taking -= n
-		more := c.taking > 0 && c.state.load() != stateClosed
+		c.lingerBytes -= n
+		more := c.lingerBytes > 0 && c.state.load() != stateClosed
 		s.mu.Unlock()
 		if !more {
 			return false
@@ -120,143 +120,143 @@
 	}
 }
 
-// rouse asks for a place for a connection on which something has come. What follows is called with the mutex held.
-func (s *Server) rouse(c *conn) {
+// wake asks for a place for a connection on which something has come. What follows is called with the mutex held.
+func (s *Server) wake(c *conn) {
 	now := s.clock()
-	c.stirred, c.tired = false, false
-	if !c.first || now-c.born >= s.limits.FinalReadWindow { // else it may have lain in the socket while a place was looked for
-		c.arrived = now
+	c.readable, c.queueTimeout = false, false
+	if !c.firstRequest || now-c.createdAt >= s.limits.FinalReadWindow { // else it may have lain in the socket while a place was looked for
+		c.arrivedAt = now
 	}
-	s.ends.Remove(&c.ring)
-	regular := c.asked && now-c.since < s.limits.LongIdle
-	if c.list != nil && c.list != &s.fresh {
+	s.timers.Remove(&c.timer)
+	regular := c.hasRequested && now-c.idleSince < s.limits.LongIdle
+	if c.list != nil && c.list != &s.unproven {
 		c.list.drop(c)
 	}
-	switch s.gate.Arrive(&c.Member, regular, now) {
+	switch s.admission.Arrive(&c.Member, regular, now) {
 	case admission.Serve:
 		c.state.set(stateReading)
 		s.workers.Do(c)
 	case admission.Wait:
 		c.state.set(stateWaiting)
-		s.ask()
+		s.scheduleAdmit()
 	}
 }
 
-// ask has the gate asked in a while: who waits too long has to be told.
-func (s *Server) ask() {
-	if !s.asking {
-		s.asking = true
-		time.AfterFunc(askGate, func() {
+// scheduleAdmit has the gate asked in a while: who waits too long has to be told.
+func (s *Server) scheduleAdmit() {
+	if !s.admitScheduled {
+		s.admitScheduled = true
+		time.AfterFunc(admitInterval, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.asking = false
-			s.admit()
+			s.admitScheduled = false
+			s.admitWaiting()
 		})
 	}
 }
 
-// admit lets those in whose turn it is.
-func (s *Server) admit() {
-	for s.gate.WaitingCount() > 0 {
-		m, verdict := s.gate.Next(s.clock())
+// admitWaiting lets those in whose turn it is.
+func (s *Server) admitWaiting() {
+	for s.admission.WaitingCount() > 0 {
+		m, verdict := s.admission.Next(s.clock())
 		if m == nil {
-			s.ask()
+			s.scheduleAdmit()
 			return
 		}
 		c := m.Owner.(*conn)
-		c.tired = verdict == admission.Reject
+		c.queueTimeout = verdict == admission.Reject
 		c.state.set(stateReading)
 		s.workers.Do(c)
 	}
 }
 
-// rest lets a connection stand, for so long at most.
-func (s *Server) rest(c *conn, state connState, most time.Duration) {
+// park lets a connection stand, for so long at most.
+func (s *Server) park(c *conn, state connState, most time.Duration) {
 	c.state.set(state)
-	c.since = s.clock()
+	c.idleSince = s.clock()
 	if c.list == nil {
-		if c.turned {
-			s.flood.push(c)
+		if c.lastRejected {
+			s.rejected.push(c)
 		} else {
-			s.rested.push(c)
+			s.idle.push(c)
 		}
 	}
-	s.ends.Add(&c.ring, c.since+most)
-	s.arm()
+	s.timers.Add(&c.timer, c.idleSince+most)
+	s.armTimers()
 }
 
-// step is what comes next for a connection that has just been answered.
-type step uint8
+// nextStep is what comes next for a connection that has just been answered.
+type nextStep uint8
 
 const (
-	goOn  step = iota // something has come
-	stood             // it rests, and its goroutine has nothing more to do with it
-	over
+	stepServe  nextStep = iota // something has come
+	stepIdle             // it rests, and its goroutine has nothing more to do with it
+	stepClose
 )
 
-// again finds what comes next for a connection that has just been answered.
-func (s *Server) again(c *conn) step {
+// afterResponse finds what comes next for a connection that has just been answered.
+func (s *Server) afterResponse(c *conn) nextStep {
 	more := c.reader.FilledBuffer()
 	if c.gateway != nil {
-		if !c.gateway.rest() {
-			return goOn
+		if !c.gateway.releaseBuffers() {
+			return stepServe
 		}
-		more = c.gateway.more()
+		more = c.gateway.mayHaveMore()
 	}
 	for {
 		s.mu.Lock()
-		drains := s.drained || s.emptied
-		ends := c.ending || drains
-		if pass := s.pass; pass != nil && !c.ending && !c.last && c.gateway == nil {
+		drains := s.draining || s.lameDuckDraining
+		ends := c.evicted || drains
+		if pass := s.transfer; pass != nil && !c.evicted && !c.lastResponse && c.gateway == nil {
 			s.mu.Unlock()
-			if s.passes(c, pass) {
-				return stood
+			if s.transferConn(c, pass) {
+				return stepIdle
 			}
 			s.mu.Lock()
-			s.pass, more = nil, true // the other process has gone
+			s.transfer, more = nil, true // the other process has gone
 			s.mu.Unlock()
 			continue
 		}
-		if !c.stirred && !more && !ends {
+		if !c.readable && !more && !ends {
 			c.reader.ReleaseBuffer()
 			c.reader = nil
-			s.stand(c)
+			s.setIdle(c)
 			s.mu.Unlock()
-			return stood
+			return stepIdle
 		}
-		if c.arrived = 0; c.stirred {
-			c.arrived = c.stirredAt
+		if c.arrivedAt = 0; c.readable {
+			c.arrivedAt = c.readableAt
 		}
-		c.stirred, more = false, false
+		c.readable, more = false, false
 		s.mu.Unlock()
 		switch socket.StateOfRaw(c.raw) {
 		case socket.StateReadable:
-			c.last = c.last || ends
-			return goOn
+			c.lastResponse = c.lastResponse || ends
+			return stepServe
 		case socket.StateClosed:
-			c.why = telemetry.PeerClosed
-			return over
+			c.closeReason = telemetry.PeerClosed
+			return stepClose
 		}
 		if ends {
-			c.why = telemetry.Evicted
+			c.closeReason = telemetry.Evicted
 			if drains {
-				c.why = telemetry.Draining
+				c.closeReason = telemetry.Draining
 			}
-			return over
+			return stepClose
 		}
 	}
 }
 
-// stand lets a served connection rest. The mutex is held.
-func (s *Server) stand(c *conn) {
-	s.gate.Leave(&c.Member)
+// setIdle lets a served connection rest. The mutex is held.
+func (s *Server) setIdle(c *conn) {
+	s.admission.Leave(&c.Member)
 	most := s.limits.ClientIdleTimeout
-	if c.first { // it has said nothing yet
-		most = max(0, c.born+s.limits.ClientReadTimeout-s.clock())
+	if c.firstRequest { // it has said nothing yet
+		most = max(0, c.createdAt+s.limits.ClientReadTimeout-s.clock())
 	}
-	s.rest(c, stateIdle, most)
-	s.admit()
-	s.tidy()
+	s.park(c, stateIdle, most)
+	s.admitWaiting()
+	s.scheduleTrim()
 }
 
 // close ends a connection for good, once.
@@ -272,98 +272,98 @@
 		return
 	}
 	c.state.set(stateClosed)
-	s.ends.Remove(&c.ring)
+	s.timers.Remove(&c.timer)
 	if c.list != nil {
 		c.list.drop(c)
 	}
-	s.gate.Leave(&c.Member)
+	s.admission.Leave(&c.Member)
 	delete(s.conns, c)
-	place := c.place
-	s.admit()
-	s.tidy()
+	place := c.registration
+	s.admitWaiting()
+	s.scheduleTrim()
 	s.mu.Unlock()
 	if lives {
 		s.poller.Detach(c.raw, &place)
 	} else {
 		s.poller.Remove(&place)
 	}
-	s.records(c, last, why)
+	s.recordClose(c, last, why)
 	c.Conn.Close()
 	s.budget.ReleaseForClient()
-	s.done.Done()
+	s.running.Done()
 }
 
-// arm has the wheel looked at when the next resting connection may have to end.
-func (s *Server) arm() {
-	at, any := s.ends.Next()
-	if !any || s.paced || s.armed != 0 && s.armed <= at {
+// armTimers has the wheel looked at when the next resting connection may have to end.
+func (s *Server) armTimers() {
+	at, any := s.timers.Next()
+	if !any || s.timersPaused || s.timersDue != 0 && s.timersDue <= at {
 		return
 	}
-	s.armed = at
-	time.AfterFunc(max(0, at-s.clock()), func() { s.ringAt(at) })
+	s.timersDue = at
+	time.AfterFunc(max(0, at-s.clock()), func() { s.expireTimers(at) })
 }
 
-// ringAt ends the connections that have rested for too long, some at once: a second in which all of them end must not
+// expireTimers ends the connections that have rested for too long, some at once: a second in which all of them end must not
 // stop those at work.
-func (s *Server) ringAt(at time.Duration) {
+func (s *Server) expireTimers(at time.Duration) {
 	var out []*conn
 	s.mu.Lock()
-	if s.armed != at {
+	if s.timersDue != at {
 		s.mu.Unlock()
 		return
 	}
-	s.armed = 0
-	if s.ends.Advance(s.clock(), atOnce, func(t *timingwheel.Timer) { out = append(out, t.Payload.(*conn)) }) {
-		s.paced = true
-		time.AfterFunc(grain, func() {
+	s.timersDue = 0
+	if s.timers.Advance(s.clock(), maxTimersAtOnce, func(t *timingwheel.Timer) { out = append(out, t.Payload.(*conn)) }) {
+		s.timersPaused = true
+		time.AfterFunc(timerGranularity, func() {
 			s.mu.Lock()
-			s.paced = false
-			s.arm()
+			s.timersPaused = false
+			s.armTimers()
 			s.mu.Unlock()
 		})
 	}
-	s.arm()
+	s.armTimers()
 	s.mu.Unlock()
-	s.endRest(out, telemetry.IdleTimeout)
+	s.closeConns(out, telemetry.IdleTimeout)
 }
 
-// tidy has the worker pool's idle goroutines ended in a while.
-func (s *Server) tidy() {
-	if s.tidying {
+// scheduleTrim has the worker pool's idle goroutines ended in a while.
+func (s *Server) scheduleTrim() {
+	if s.trimScheduled {
 		return
 	}
-	s.tidying = true
-	time.AfterFunc(tidyIn, func() {
+	s.trimScheduled = true
+	time.AfterFunc(trimInterval, func() {
 		left := s.workers.Trim()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.tidying = false; left > 0 {
-			s.tidy()
+		if s.trimScheduled = false; left > 0 {
+			s.scheduleTrim()
 		}
 	})
 }
 
-// slows finds a place among the slow for a connection whose request comes in pieces.
-func (s *Server) slows(c *conn) {
+// markSlow finds a place among the slow for a connection whose request comes in pieces.
+func (s *Server) markSlow(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if out := s.gate.MarkSlow(&c.Member, s.clock()); out != nil {
+	if out := s.admission.MarkSlow(&c.Member, s.clock()); out != nil {
 		o := out.Owner.(*conn)
-		o.full = true
-		o.cut.Store(true)
+		o.evictedAsSlow = true
+		o.readCanceled.Store(true)
 		o.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-func (s *Server) isWhole(c *conn) {
+func (s *Server) markComplete(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gate.MarkComplete(&c.Member)
-	c.full = false
+	s.admission.MarkComplete(&c.Member)
+	c.evictedAsSlow = false
 }
 
-func (s *Server) isFull(c *conn) bool {
+func (s *Server) wasEvictedAsSlow(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.full
+	return c.evictedAsSlow
 }
--- a/internal/dataplane/frontend/ids.go
+++ b/internal/dataplane/frontend/ids.go
@@ -9,30 +9,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ids knows the requests that are open and those that ended lately. A caller gives each request a new id, so one
+// requestIDs knows the requests that are open and those that ended lately. A caller gives each request a new id, so one
 // that comes again is a copy by somebody else. Sent on, it would be turned away by one server after another, since
 // they know that id, and each time a sound server would be taken for a failing one.
-type ids struct {
-	most int // of them in either half: a flood must not fill the memory
+type requestIDs struct {
+	maxEnded int // of them in either half: a flood must not fill the memory
 
 	mu sync.Mutex
 	// A successor goes on with it. Who finds two ids of one hash can only turn himself away: to hit another's he has to know
 	// that one, and could copy it.
 	seed          uint64
-	life          time.Duration // that an ended one is known at least
+	ttl          time.Duration // that an ended one is known at least
 	open          map[uint64]struct{}
 	recent, older map[uint64]struct{} // ended; the older half is forgotten as the recent one takes its place
-	turned        time.Duration
+	rotatedAt        time.Duration
 }
 
-func newIDs(life time.Duration, most int) *ids {
-	return &ids{life: life, most: most, seed: rand.Uint64(), open: map[uint64]struct{}{},
+func newRequestIDs(life time.Duration, most int) *requestIDs {
+	return &requestIDs{ttl: life, maxEnded: most, seed: rand.Uint64(), open: map[uint64]struct{}{},
 		recent: map[uint64]struct{}{}}
 }
 
 // begin notes that a request with an id is open, and returns false if it is known already. Its end is due with
 // the number returned.
-func (i *ids) begin(id string) (uint64, bool) {
+func (i *requestIDs) begin(id string) (uint64, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	var d xxhash.Digest
@@ -49,24 +49,24 @@
 }
 
 // end notes at a time that a request is over.
-func (i *ids) end(n uint64, now time.Duration) {
+func (i *requestIDs) end(n uint64, now time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	delete(i.open, n)
-	if now >= i.turned+i.life || len(i.recent) >= i.most {
-		i.older, i.recent, i.turned = i.recent, map[uint64]struct{}{}, now
+	if now >= i.rotatedAt+i.ttl || len(i.recent) >= i.maxEnded {
+		i.older, i.recent, i.rotatedAt = i.recent, map[uint64]struct{}{}, now
 	}
 	i.recent[n] = struct{}{}
 }
 
-func (i *ids) keep(life time.Duration) {
+func (i *requestIDs) setTTL(life time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.life = life
+	i.ttl = life
 }
 
-// hand is what a successor has to know: all that are open or ended lately, eight bytes each.
-func (i *ids) hand() []byte {
+// export is what a successor has to know: all that are open or ended lately, eight bytes each.
+func (i *requestIDs) export() []byte {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	out := make([]byte, 0, 8*(len(i.open)+len(i.recent)+len(i.older)))
@@ -78,14 +78,14 @@
 	return out
 }
 
-// take knows what another process handed over, as ended now.
-func (i *ids) take(all []byte, now time.Duration) {
+// importAll knows what another process handed over, as ended now.
+func (i *requestIDs) importAll(all []byte, now time.Duration) {
 	for ; len(all) >= 8; all = all[8:] {
 		i.end(binary.BigEndian.Uint64(all), now)
 	}
 }
 
-func (i *ids) seeded(seed uint64) {
+func (i *requestIDs) setSeed(seed uint64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.seed = seed
--- a/internal/dataplane/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -32,24 +32,24 @@
 	Name string
 
 	core    Core
-	picks   AttemptStarter
-	share   Quota
-	methods map[string]class
+	attempts   AttemptStarter
+	quota   Quota
+	methods map[string]method
 	tenants map[string]tenant
 
 	mu     sync.Mutex
 	open   int
 	closed bool
-	empty  chan struct{} // closed when closed is set and nothing is open
+	drained  chan struct{} // closed when closed is set and nothing is open
 }
 
 // NewService makes one; the share may be nil.
 func NewService(name string, s *settings.Instance, core Core, picks AttemptStarter, share Quota) *Service {
-	v := &Service{Name: name, core: core, picks: picks, share: share, methods: map[string]class{}, tenants: map[string]tenant{},
-		empty: make(chan struct{})}
+	v := &Service{Name: name, core: core, attempts: picks, quota: share, methods: map[string]method{}, tenants: map[string]tenant{},
+		drained: make(chan struct{})}
 	for i, m := range s.MethodNames {
 		if m != "" { // else a slot that another class has left
-			v.methods[m] = class{slot: i, repeat: s.Methods[i].Idempotency, large: &atomic.Bool{}}
+			v.methods[m] = method{slot: i, idempotency: s.Methods[i].Idempotency, streamed: &atomic.Bool{}}
 		}
 	}
 	for i, t := range s.TenantNames {
@@ -60,29 +60,29 @@
 	return v
 }
 
-// class is a method as callers name it.
-type class struct {
+// method is a method as callers name it.
+type method struct {
 	slot   int
-	repeat decide.Idempotency
-	until  time.Duration // 0: for good
-	former []form        // its effect was another: a request may come in that one's form, too, for a while
-	large  *atomic.Bool  // its last answer was: its next one counts as large from the start
+	idempotency decide.Idempotency
+	validUntil  time.Duration // 0: for good
+	formerSemantics []formerIdempotency        // its effect was another: a request may come in that one's form, too, for a while
+	streamed  *atomic.Bool  // its last answer was: its next one counts as large from the start
 }
 
-type form struct {
-	repeat decide.Idempotency
-	until  time.Duration
+type formerIdempotency struct {
+	idempotency decide.Idempotency
+	validUntil  time.Duration
 }
 
 type tenant struct {
 	slot  int
-	until time.Duration // 0: for good
+	validUntil time.Duration // 0: for good
 }
 
-// misfit is the status of a request that does not have the form of an effect; 0: it has.
-func misfit(r decide.Idempotency, q *httpwire.Request) int {
+// statusOfMismatch is the status of a request that does not have the form of an effect; 0: it has.
+func statusOfMismatch(r decide.Idempotency, q *httpwire.Request) int {
 	switch {
-	case q.Verb != verb(r):
+	case q.Verb != verbOf(r):
 		return 405
 	case r == decide.Deduplicated && q.IdempotencyKey == "", r == decide.Idempotent && len(q.Body) > 0:
 		return 400
@@ -90,7 +90,7 @@
 	return 0
 }
 
-func verb(r decide.Idempotency) string {
+func verbOf(r decide.Idempotency) string {
 	if r == decide.Idempotent {
 		return "GET"
 	}
@@ -102,43 +102,43 @@
 // stays as long as it was to: settings may change again before callers have heard of the last.
 func (s *Service) KeepFormer(before *Service, now, until time.Duration) *Service {
 	for name, k := range before.methods {
-		if k.until > 0 && now > k.until {
+		if k.validUntil > 0 && now > k.validUntil {
 			continue // one that is over would else be handed on from settings to settings
 		}
 		last := until
-		if k.until > 0 {
-			last = k.until
+		if k.validUntil > 0 {
+			last = k.validUntil
 		}
 		is, stays := s.methods[name]
 		if !stays {
-			k.until = last
+			k.validUntil = last
 			s.methods[name] = k
 			continue
 		}
-		for _, f := range k.former {
-			if now < f.until {
-				is.former = append(is.former, f)
+		for _, f := range k.formerSemantics {
+			if now < f.validUntil {
+				is.formerSemantics = append(is.formerSemantics, f)
 			}
 		}
-		if k.repeat != is.repeat {
-			is.former = append(is.former, form{k.repeat, last})
+		if k.idempotency != is.idempotency {
+			is.formerSemantics = append(is.formerSemantics, formerIdempotency{k.idempotency, last})
 		}
 		s.methods[name] = is
 	}
 	for name, t := range before.tenants {
-		if _, stays := s.tenants[name]; stays || t.until > 0 && now > t.until {
+		if _, stays := s.tenants[name]; stays || t.validUntil > 0 && now > t.validUntil {
 			continue
 		}
-		if t.until == 0 {
-			t.until = until
+		if t.validUntil == 0 {
+			t.validUntil = until
 		}
 		s.tenants[name] = t
 	}
 	return s
 }
 
-// enter counts a request in. A service that has left takes none: who holds an old table has to look into the new one.
-func (s *Service) enter() bool {
+// acquire counts a request in. A service that has left takes none: who holds an old table has to look into the new one.
+func (s *Service) acquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -148,11 +148,11 @@
 	return true
 }
 
-func (s *Service) leave() {
+func (s *Service) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.open--; s.closed && s.open == 0 {
-		close(s.empty)
+		close(s.drained)
 	}
 }
 
@@ -162,10 +162,10 @@
 	defer s.mu.Unlock()
 	if !s.closed {
 		if s.closed = true; s.open == 0 {
-			close(s.empty)
+			close(s.drained)
 		}
 	}
-	return s.empty
+	return s.drained
 }
 
 // Table is one version of what is served.
@@ -175,8 +175,8 @@
 	Find func(*httpwire.Request) (*Service, *httpwire.ClientResponse)
 }
 
-// find counts a request into its service.
-func (s *Server) find(q *httpwire.Request) (*Service, *httpwire.ClientResponse) {
+// findService counts a request into its service.
+func (s *Server) findService(q *httpwire.Request) (*Service, *httpwire.ClientResponse) {
 	for {
 		t := s.table.Load()
 		v := t.Only
@@ -186,18 +186,18 @@
 				return nil, none
 			}
 		}
-		if v.enter() {
+		if v.acquire() {
 			return v, nil
 		}
 	}
 }
 
-// ready answers who asks whether the node is ready.
-func (s *Server) ready(q *httpwire.Request) *httpwire.ClientResponse {
+// readiness answers who asks whether the node is ready.
+func (s *Server) readiness(q *httpwire.Request) *httpwire.ClientResponse {
 	switch {
 	case q.Verb != "GET" && q.Verb != "HEAD":
 		return &httpwire.ClientResponse{Status: 405, Allow: "GET"}
-	case s.closing():
+	case s.closesConns():
 		return &httpwire.ClientResponse{Status: 503}
 	}
 	return &httpwire.ClientResponse{Status: 200}
@@ -205,21 +205,21 @@
 
 // check finds what a request asks for, or the answer to one that can't be taken. None of those answers is 429
 // or 503: they would promise that asking the same again helps.
-func (s *Service) check(q *httpwire.Request, l *limits.Limits, now time.Duration) (k class, tenant int, bad *httpwire.ClientResponse) {
+func (s *Service) check(q *httpwire.Request, l *limits.Limits, now time.Duration) (k method, tenant int, bad *httpwire.ClientResponse) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(q.Path, "/"), "/")
 	k, known := s.methods[first]
-	if !known || k.until > 0 && now > k.until {
+	if !known || k.validUntil > 0 && now > k.validUntil {
 		return k, 0, &httpwire.ClientResponse{Status: 404}
 	}
 	t, paying := s.tenants[q.Tenant]
-	paying = paying && (t.until == 0 || now <= t.until)
-	wrong := misfit(k.repeat, q)
-	if slices.ContainsFunc(k.former, func(f form) bool { return now < f.until && misfit(f.repeat, q) == 0 }) {
+	paying = paying && (t.validUntil == 0 || now <= t.validUntil)
+	wrong := statusOfMismatch(k.idempotency, q)
+	if slices.ContainsFunc(k.formerSemantics, func(f formerIdempotency) bool { return now < f.validUntil && statusOfMismatch(f.idempotency, q) == 0 }) {
 		wrong = 0
 	}
 	switch {
 	case wrong == 405:
-		return k, 0, &httpwire.ClientResponse{Status: 405, Allow: verb(k.repeat)}
+		return k, 0, &httpwire.ClientResponse{Status: 405, Allow: verbOf(k.idempotency)}
 	case wrong != 0, q.Method != first, q.TraceID == "", !q.HasTimeLeft, q.TimeLeft > l.MaxTimeLeft, len(s.tenants) > 0 && !paying:
 		return k, 0, &httpwire.ClientResponse{Status: 400}
 	}
