--- a/internal/dataplane/frontend/endings_test.go
+++ b/internal/dataplane/frontend/endings_test.go
@@ -107,7 +107,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for c := range f.conns {
-				if c.clientClosed.Load() {
+				if c.shared.clientClosed.Load() {
 					n++
 				}
 			}
--- a/internal/dataplane/frontend/frontend_test.go
+++ b/internal/dataplane/frontend/frontend_test.go
@@ -251,7 +251,7 @@
 	for name, ends := range map[string]func(f *Server){
 		"emptied": func(f *Server) {
 			f.SetLameDuck(true)
-			f.drainLameDuck(f.lameDuckCount)()
+			f.drainLameDuck(f.lameDuckCount)
 		},
 		"ended": func(f *Server) { go f.Drain(t.Context()) },
 	} {
@@ -502,7 +502,7 @@
 	f.running.Add(1)
 	f.mu.Lock()
 	f.conns[chosen] = struct{}{}
-	f.park(chosen, stateIdle, time.Hour)
+	f.suspend(chosen, stateIdle, time.Hour)
 	f.mu.Unlock()
 	f.closeConns([]*conn{chosen}, telemetry.Draining)
 	testutil.Receive(t, core.came).Orders <- node.Order{Kind: node.OrderAbort}
@@ -574,7 +574,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
-			if c.state.load() == stateIdle && c.reader == nil {
+			if c.state.load() == stateIdle && c.serving.reader == nil {
 				n++
 			}
 		}
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -1,11 +1,8 @@
 package frontend
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
-	"math/rand/v2"
-	"net"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -16,80 +13,111 @@
 	"robincart/internal/system/socket"
 )
 
-// Gateway says how gateways that speak FastCGI are listened to. What a gateway can't send has a param of its own choice, or is
-// given here.
+// Gateway configures a listener for gateways that speak FastCGI. What a gateway can't send as CGI makes it of the
+// protocol's headers, it sends as a param of its own choice, or it has a default.
 type Gateway struct {
-	Trace, Class, Tenant, Key, Left string // params; empty: as CGI makes them of the protocol's headers
-	DefaultTenant                   string // who sends none is this one
-	DefaultTimeLeft                 time.Duration
-	Overloaded                      bool // a pushback is END_REQUEST with OVERLOADED, for gateways that ask another node then
-	AdvertisedRequests              int  // requests that are told to who asks
+	// The names of the params that are used instead of CGI's; empty: none.
+	Trace, Class, Tenant, Key, Left string
+
+	DefaultTenant      string // of a request without one
+	DefaultTimeLeft    time.Duration
+	Overloaded         bool // a 503 is END_REQUEST with OVERLOADED, for gateways that try another node then
+	AdvertisedRequests int  // the limit of requests that FCGI_GET_VALUES is answered with
 }
 
-// gateway is what a connection has beside it where a gateway speaks FastCGI on it. What comes is read through it as HTTP/1.1 would have
-// it, so that a request's life, its times, sizes and places are those of any other. One request is on a connection at a time: a second is
-// told so.
+// gateway translates between a client that speaks FastCGI and a connection that serves HTTP/1.1: requests are read
+// through it as HTTP would have them, so that their life, times, sizes and limits are those of any other. One request
+// is on a connection at a time; a second one is rejected.
+//
+// Its fields belong to the goroutine that serves the connection. While a request is in flight others may look for an
+// abort in what has arrived behind it, with the mutex held.
 type gateway struct {
-	conn       *conn
-	config     *Gateway
-	application     fcgi.Application
-	records fcgi.Reader
-	buffer     *[]byte
-	peeking bool // nothing is waited for
-	filledBuffer    bool // the last read filled its buffer
-
-	requestID    uint16 // of the request that is read or out; 0: none
-	keepAlive  bool
-	complete  bool        // it has come whole
-	aborted  atomic.Bool // its gateway has given it up
-	contentLength  int64       // of its body; -1: not
-	bodyBytes  int64
-	params []param // while a head is made
+	conn        *conn
+	config      *Gateway
+	application fcgi.Application
+	records     fcgi.Reader
+	buffer      *[]byte // of records; nil: idle
+	filled      bool    // the last read filled its buffer
+	peeking     bool    // no read may wait
+
+	mu          sync.Mutex
+	outstanding *httpwire.Request // in flight, and read far enough for others to look behind it; nil: none
+
+	// The request that is being read or in flight:
+	requestID     uint16 // 0: none
+	keepAlive     bool   // the connection is used after the response
+	complete      bool   // all of it has arrived
+	aborted       atomic.Bool
+	contentLength int64 // as the params have it; -1: not at all
+	bodyBytes     int64 // that have arrived
+
+	// What was translated, and how much of it was read:
+	pending []byte
+	offset  int
+
+	params  []param // while a head is translated
 	scratch []byte
-	pending  []byte // not read yet
-	offset    int
 }
 
-var gatewayBuffers = sync.Pool{New: func() any { b := make([]byte, 4096); return &b }}
+const (
+	gatewayBufferSize = 4 << 10
+	// maxIdlePending is the largest buffer of translated bytes that an idle connection keeps.
+	maxIdlePending = 4 << 10
+	// maxPeekBytes is how much of a body that is still coming is read to see whether its gateway has aborted the
+	// request behind it: as much as the kernel holds of a connection that is not read from.
+	maxPeekBytes = 128 << 10
+)
 
-func newGateway(c *conn, way *Gateway) *gateway {
-	d := &gateway{conn: c, config: way, contentLength: -1}
-	d.application.Limits = fcgi.Limits{MaxRequests: 1, AdvertisedRequests: way.AdvertisedRequests, MaxParams: c.server.limits.Wire.MaxHead}
-	return d
+var gatewayBuffers = sync.Pool{New: func() any {
+	buffer := make([]byte, gatewayBufferSize)
+	return &buffer
+}}
+
+func newGateway(c *conn, config *Gateway) *gateway {
+	g := &gateway{conn: c, config: config, contentLength: -1}
+	g.application.Limits = fcgi.Limits{
+		MaxRequests:        1,
+		AdvertisedRequests: config.AdvertisedRequests,
+		MaxParams:          c.server.limits.Wire.MaxHead,
+	}
+	return g
 }
 
-// recordSource reads what the records are read from.
+// recordSource is what a gateway's records are read from.
 type recordSource gateway
 
-// Read waits for a byte only where a request has begun, and not for ever: who sends half a record would else hold a place for good.
-func (s *recordSource) Read(to []byte) (int, error) {
-	d := (*gateway)(s)
-	begun := d.application.Open() > 0 || d.records.InRecord()
+// Read waits for bytes only where a request has begun, and not for ever: a client that sends half a record would else
+// hold its capacity for good.
+func (r *recordSource) Read(to []byte) (int, error) {
+	g := (*gateway)(r)
+	c := g.conn
+	begun := g.application.Open() > 0 || g.records.InRecord()
 	switch {
-	case d.peeking:
-		d.conn.nonblocking = true
+	case g.peeking:
+		c.serving.nonblocking = true
 	case begun:
-		d.conn.nonblocking = false
-		d.conn.Progress(true)
-	case !d.conn.nonblocking:
+		c.serving.nonblocking = false
+		c.Progress(true)
+	case !c.serving.nonblocking:
 		return 0, errNoInput
 	}
-	n, err := d.conn.readRaw(to)
-	d.filledBuffer = n == len(to)
+	n, err := c.readRaw(to)
+	g.filled = n == len(to)
 	return n, err
 }
 
-// mayHaveMore tells whether the kernel may hold something that no event will tell of.
-func (g *gateway) mayHaveMore() bool { return g.filledBuffer || g.aborted.Load() }
+// mayHaveMore reports whether the kernel may hold something of which there is no event.
+func (g *gateway) mayHaveMore() bool { return g.filled || g.aborted.Load() }
 
 func (g *gateway) acquireBuffer() {
-	if g.buffer == nil {
-		g.buffer = gatewayBuffers.Get().(*[]byte)
-		g.records.Init((*recordSource)(g), *g.buffer)
+	if g.buffer != nil {
+		return
 	}
+	g.buffer = gatewayBuffers.Get().(*[]byte)
+	g.records.Init((*recordSource)(g), *g.buffer)
 }
 
-// releaseBuffers gives the buffers up between two requests; it is false if a part of the next one is in them.
+// releaseBuffers gives the buffers up between two requests. It returns false if a part of the next one is in them.
 func (g *gateway) releaseBuffers() bool {
 	if g.buffer == nil {
 		return true
@@ -98,12 +126,13 @@
 	if g.records.InRecord() {
 		return false
 	}
-	if !padded { // else the reader has to know what is still to come of it
+	if !padded { // else the reader has to know what is still to come of the padding
 		gatewayBuffers.Put(g.buffer)
 		g.buffer = nil
 	}
 	g.offset = 0
-	if g.pending = g.pending[:0]; cap(g.pending) > 4096 {
+	g.pending = g.pending[:0]
+	if cap(g.pending) > maxIdlePending {
 		g.pending = nil
 	}
 	if cap(g.params) > maxLinearParams {
@@ -112,15 +141,12 @@
 	return true
 }
 
-// Read gives the next request as HTTP/1.1, as much as has come.
+// Read reads the next request as HTTP/1.1, as much as has arrived.
 func (g *gateway) Read(to []byte) (int, error) {
 	g.acquireBuffer()
 	if g.offset == len(g.pending) {
-		g.pending, g.offset = g.pending[:0], 0
-		for len(g.pending) == 0 || !g.complete && len(g.pending) < len(to) && g.records.Buffered() {
-			if err := g.takeRecord(); err != nil {
-				return 0, err
-			}
+		if err := g.translateMore(len(to)); err != nil {
+			return 0, err
 		}
 	}
 	n := copy(to, g.pending[g.offset:])
@@ -128,321 +154,147 @@
 	return n, nil
 }
 
-// takeRecord takes one piece.
-func (g *gateway) takeRecord() error {
-	p, err := g.records.Next()
-	if err == nil {
-		var e fcgi.Event
-		if e, err = g.application.Take(p); err == nil {
-			err = g.handleEvent(e)
+// translateMore translates at least one byte, and as many as are wanted where they have arrived.
+func (g *gateway) translateMore(wanted int) error {
+	g.pending = g.pending[:0]
+	g.offset = 0
+	for len(g.pending) == 0 || !g.complete && len(g.pending) < wanted && g.records.Buffered() {
+		if err := g.translateNext(); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+// translateNext translates one piece of a record.
+func (g *gateway) translateNext() error {
+	err := g.handleNext()
 	if errors.Is(err, fcgi.ErrFraming) {
 		return fmt.Errorf("%w: %w", httpwire.ErrMalformed, err)
 	}
 	return err
 }
 
-func (g *gateway) handleEvent(e fcgi.Event) error {
-	switch e.Kind {
-	case fcgi.EventReply:
-		g.conn.SetWriteDeadline(time.Now().Add(g.conn.server.limits.ClientWriteTimeout))
-		_, err := g.conn.Conn.Write(e.Data)
+func (g *gateway) handleNext() error {
+	piece, err := g.records.Next()
+	if err != nil {
+		return err
+	}
+	event, err := g.application.Take(piece)
+	if err != nil {
 		return err
+	}
+	return g.handleEvent(event)
+}
+
+func (g *gateway) handleEvent(event fcgi.Event) error {
+	switch event.Kind {
+	case fcgi.EventReply:
+		return g.writeNow(event.Data)
 	case fcgi.EventParams:
-		g.requestID, g.keepAlive, g.complete, g.bodyBytes = e.ID, e.Keep, false, 0
+		g.requestID = event.ID
+		g.keepAlive = event.Keep
+		g.complete = false
+		g.bodyBytes = 0
 		g.aborted.Store(false)
-		return g.appendRequestHead(e.Params)
+		return g.appendRequestHead(event.Params)
 	case fcgi.EventBody:
-		if g.bodyBytes += int64(len(e.Data)); g.contentLength >= 0 && g.bodyBytes > g.contentLength {
-			return fmt.Errorf("%w: a longer body than CONTENT_LENGTH tells", httpwire.ErrMalformed)
-		}
-		g.pending = append(strconv.AppendInt(g.pending, int64(len(e.Data)), 16), "\r\n"...)
-		g.pending = append(append(g.pending, e.Data...), "\r\n"...)
+		return g.appendBody(event.Data)
 	case fcgi.EventBodyEnd:
-		if g.contentLength >= 0 && g.bodyBytes < g.contentLength {
-			return fmt.Errorf("%w: a shorter body than CONTENT_LENGTH tells", httpwire.ErrMalformed)
-		}
-		g.pending = append(g.pending, "0\r\n\r\n"...)
-		g.complete = true
+		return g.appendBodyEnd()
 	case fcgi.EventAborted:
-		if g.requestID == 0 { // its params were still coming: nobody has heard of it
-			g.requestID = e.ID
-			g.conn.SetWriteDeadline(time.Now().Add(g.conn.server.limits.ClientWriteTimeout))
-			_, err := g.conn.Conn.Write(g.appendResponseEnd(nil, 1, fcgi.StatusComplete))
-			return err
-		}
-		if g.aborted.Store(true); !g.complete { // who reads it has nothing to wait for
-			g.conn.notifyClientGone()
-			return errClientClosed
-		}
+		return g.handleAbort(event.ID)
 	case fcgi.EventRejected:
-		g.requestID, g.keepAlive = e.ID, false
-		return fmt.Errorf("%w: %s", httpwire.ErrMalformed, e.Reason)
-	}
-	return nil
-}
-
-// maxPeekBytes is how much of a body that is still coming is taken in to see whether its gateway has given it up behind that: as much as
-// the kernel holds of a connection that is not read from.
-const maxPeekBytes = 128 << 10
-
-// peek takes in what has come while a request is out, without waiting, and tells whether its gateway still waits for it.
-func (g *gateway) peek() bool {
-	g.peeking = true
-	defer func() { g.peeking, g.conn.nonblocking = false, false }()
-	for !g.aborted.Load() {
-		if len(g.pending)-g.offset > maxPeekBytes {
-			return true
-		}
-		if err := g.takeRecord(); err != nil {
-			return err == errNoInput
-		}
-	}
-	return false
-}
-
-// hopParams are params that would frame the message anew or are the connection's; what comes by FastCGI has its frame already.
-var hopParams = map[string]bool{"HTTP_CONTENT_LENGTH": true, "HTTP_TRANSFER_ENCODING": true, "HTTP_CONNECTION": true, "HTTP_EXPECT": true, "HTTP_UPGRADE": true, "HTTP_TE": true,
-	"HTTP_TRAILER": true, "HTTP_KEEP_ALIVE": true, "HTTP_PROXY": true, "HTTP_CONTENT_TYPE": true}
-
-// knownField is a header that the protocol knows, and the param that CGI makes of it.
-type knownField struct{ header, param string }
-
-var knownFields = [...]knownField{{httpwire.HeaderTraceID, "HTTP_X_TRACE_ID"}, {httpwire.HeaderMethod, "HTTP_X_QOS"}, {httpwire.HeaderTenant, "HTTP_X_CUSTOMER"},
-	{httpwire.HeaderIdempotencyKey, "HTTP_IDEMPOTENCY_KEY"}, {httpwire.HeaderTimeLeft, "HTTP_X_EXPIRES_IN_MS"}, {"Host", "HTTP_HOST"}, {"Content-Type", "CONTENT_TYPE"}}
-
-// customParam is the param that a gateway uses in a field's place; empty: none.
-func (g *Gateway) customParam(i int) string {
-	return [len(knownFields)]string{g.Trace, g.Class, g.Tenant, g.Key, g.Left}[i]
-}
-
-// param is a param. It lies in the request's params.
-type param struct{ name, value []byte }
-
-// maxLinearParams are so many params that each is compared with each.
-const maxLinearParams = 64
-
-// parseParams takes the params apart. What could end a line, or says two things at once, is refused.
-func (g *gateway) parseParams(params []byte) error {
-	bad := func(what string, name []byte) error {
-		return fmt.Errorf("%w: %s %.60q", httpwire.ErrMalformed, what, name)
-	}
-	g.params = g.params[:0]
-	var seen map[string][]byte
-	for len(params) > 0 {
-		name, value, rest, err := fcgi.Pair(params)
-		if err != nil {
-			return err
-		}
-		params = rest
-		for _, c := range value {
-			if c < ' ' && c != '\t' || c == 0x7f {
-				return bad("a control byte in", name)
-			}
-		}
-		value = bytes.Trim(value, " \t")
-		was, twice := seen[string(name)]
-		if seen == nil {
-			if was, twice = g.findParam(string(name)); len(g.params) == maxLinearParams {
-				seen = make(map[string][]byte, 4*maxLinearParams)
-				for _, p := range g.params {
-					seen[string(p.name)] = p.value
-				}
-			}
-		} else if !twice {
-			seen[string(name)] = value
-		}
-		switch {
-		case !twice:
-			g.params = append(g.params, param{name, value})
-		case !bytes.Equal(was, value):
-			return bad("two values of", name)
-		}
+		g.requestID = event.ID
+		g.keepAlive = false
+		return fmt.Errorf("%w: %s", httpwire.ErrMalformed, event.Reason)
 	}
 	return nil
 }
 
-func (g *gateway) findParam(name string) ([]byte, bool) {
-	for _, p := range g.params {
-		if string(p.name) == name {
-			return p.value, true
-		}
-	}
-	return nil, false
-}
-
-func (g *gateway) paramValue(name string) []byte {
-	value, _ := g.findParam(name)
-	return value
+func (g *gateway) writeNow(message []byte) error {
+	g.conn.setWriteDeadline()
+	_, err := g.conn.Conn.Write(message)
+	return err
 }
 
-// appendRequestHead makes a request's head of its params.
-func (g *gateway) appendRequestHead(params []byte) error {
-	defer func() { clear(g.params) }()
-	if err := g.parseParams(params); err != nil {
-		return err
-	}
-	verb, from := g.paramValue("REQUEST_METHOD"), len(g.pending)
-	g.pending = append(append(g.pending, verb...), ' ')
-	at := len(g.pending)
-	if uri := g.paramValue("REQUEST_URI"); len(uri) > 0 {
-		g.pending = append(g.pending, uri...)
-	} else {
-		g.pending = append(append(g.pending, g.paramValue("SCRIPT_NAME")...), g.paramValue("PATH_INFO")...)
-		if query := g.paramValue("QUERY_STRING"); len(query) > 0 {
-			g.pending = append(append(g.pending, '?'), query...)
-		}
-	}
-	target := g.pending[at:]
-	if len(verb) == 0 || bytes.ContainsAny(verb, " \t") || bytes.ContainsAny(target, " \t") {
-		return fmt.Errorf("%w: no request line: %.60q", httpwire.ErrMalformed, g.pending[from:])
-	}
-	class, _, _ := bytes.Cut(target, []byte("?"))
-	class, _, _ = bytes.Cut(bytes.TrimPrefix(class, []byte("/")), []byte("/"))
-	class = append(g.scratch[:0], class...) // what it lies in grows
-	g.scratch = class
-	g.contentLength = -1
-	if text := g.paramValue("CONTENT_LENGTH"); len(text) > 0 {
-		n, err := strconv.ParseUint(string(text), 10, 62)
-		if err != nil {
-			return fmt.Errorf("%w: CONTENT_LENGTH is %.60q", httpwire.ErrMalformed, text)
-		}
-		g.contentLength = int64(n)
-	}
-	g.pending = append(g.pending, " HTTP/1.1\r\nTransfer-Encoding: chunked\r\n"...)
-	for i, f := range knownFields {
-		v := g.paramValue(f.param)
-		if own := g.config.customParam(i); own != "" {
-			if given := g.paramValue(own); len(given) > 0 {
-				v = given
-			}
-		}
-		if len(v) == 0 {
-			v = g.defaultValue(f.header, class)
-		}
-		if len(v) > 0 {
-			g.pending = append(append(append(append(g.pending, f.header...), ": "...), v...), "\r\n"...)
-		}
-	}
-	for _, p := range g.params { // for routes: servers are sent none of them
-		if bytes.HasPrefix(p.name, []byte("HTTP_")) && len(p.value) > 0 && isPlainHeaderParam(p.name) && !hopParams[string(p.name)] && !isKnownParam(p.name) {
-			g.pending = append(append(append(appendHeaderName(g.pending, p.name), ": "...), p.value...), "\r\n"...)
-		}
+// appendBody translates a part of the body to a chunk.
+func (g *gateway) appendBody(data []byte) error {
+	g.bodyBytes += int64(len(data))
+	if g.contentLength >= 0 && g.bodyBytes > g.contentLength {
+		return fmt.Errorf("%w: the body is longer than CONTENT_LENGTH", httpwire.ErrMalformed)
 	}
+	const hexadecimal = 16
+	g.pending = strconv.AppendInt(g.pending, int64(len(data)), hexadecimal)
+	g.pending = append(g.pending, "\r\n"...)
+	g.pending = append(g.pending, data...)
 	g.pending = append(g.pending, "\r\n"...)
 	return nil
 }
 
-// defaultValue is what stands for a field that a gateway does not send.
-func (g *gateway) defaultValue(header string, class []byte) []byte {
-	switch header {
-	case httpwire.HeaderTraceID: // a gateway that has none can't ask for the same again, either
-		return fmt.Appendf(nil, "%016x%016x", rand.Uint64(), rand.Uint64())
-	case httpwire.HeaderMethod:
-		return class
-	case httpwire.HeaderTenant:
-		return []byte(g.config.DefaultTenant)
-	case httpwire.HeaderTimeLeft:
-		if g.config.DefaultTimeLeft > 0 {
-			return strconv.AppendInt(nil, g.config.DefaultTimeLeft.Milliseconds(), 10)
-		}
+func (g *gateway) appendBodyEnd() error {
+	if g.contentLength >= 0 && g.bodyBytes < g.contentLength {
+		return fmt.Errorf("%w: the body is shorter than CONTENT_LENGTH", httpwire.ErrMalformed)
 	}
+	g.pending = append(g.pending, "0\r\n\r\n"...)
+	g.complete = true
 	return nil
 }
 
-// isKnownParam tells a param that is one of the fields'.
-func isKnownParam(name []byte) bool {
-	for _, f := range knownFields {
-		if string(name) == f.param {
-			return true
-		}
+// handleAbort handles the gateway's abort of a request.
+func (g *gateway) handleAbort(id uint16) error {
+	if g.requestID == 0 { // its params were still coming: nobody knows of it
+		g.requestID = id
+		return g.writeNow(g.appendResponseEnd(nil, 1, fcgi.StatusComplete))
 	}
-	return false
-}
-
-// isPlainHeaderParam tells a param's name that CGI makes of a header's: any other could end its line.
-func isPlainHeaderParam(name []byte) bool {
-	for _, c := range name {
-		if c != '_' && (c < 'A' || c > 'Z') && (c < '0' || c > '9') {
-			return false
-		}
-	}
-	return len(name) > len("HTTP_")
-}
-
-// appendHeaderName writes the name that CGI made a param of, as far as that can be told.
-func appendHeaderName(to, param []byte) []byte {
-	first := true
-	for _, c := range param[len("HTTP_"):] {
-		switch {
-		case c == '_':
-			c = '-'
-		case !first && c >= 'A' && c <= 'Z':
-			c += 'a' - 'A'
-		}
-		to = append(to, c)
-		first = c == '-'
+	g.aborted.Store(true)
+	if g.complete {
+		return nil
 	}
-	return to
+	// Whoever reads the body has nothing to wait for.
+	g.conn.notifyClientGone()
+	return errClientClosed
 }
 
-// stillWaitingOnInput tells, when something has come while a request is out, whether its gateway still waits for it.
-func (g *gateway) stillWaitingOnInput(q *httpwire.Request) bool {
-	if q.BodyStream != nil && !q.BodyStream.Complete() { // who passes its body on reads, and sees it first
-		return !g.aborted.Load() && !g.conn.clientClosed.Load()
+// stillWaitingOnInput reports, when something has arrived while a request is in flight, whether its gateway still
+// waits for the response. The mutex is held.
+func (g *gateway) stillWaitingOnInput(request *httpwire.Request) bool {
+	if request.BodyStream != nil && !request.BodyStream.Complete() { // whoever reads the body sees an abort first
+		return !g.aborted.Load() && !g.conn.shared.clientClosed.Load()
 	}
 	return g.peek()
 }
 
-// stillWaiting is stays for who is about to send the request on, and has claimed its body where that is coming. Fresh tells that what the
-// kernel holds is known; what has been read of it may hold more than the request.
-func (g *gateway) stillWaiting(fresh bool) bool {
+// stillWaiting reports whether the gateway still waits for the response to the request in flight, for who is about to
+// send it and has claimed its body where that is still coming. The kernel was asked recently or not; what has been
+// read may hold more than the request. The mutex is held.
+func (g *gateway) stillWaiting(recent bool) bool {
 	switch {
 	case g.aborted.Load():
 		return false
-	case g.records.Buffered() || !fresh && socket.StateOfRaw(g.conn.raw) == socket.StateReadable:
+	case g.records.Buffered():
+		return g.peek()
+	case !recent && socket.StateOfRaw(g.conn.raw) == socket.StateReadable:
 		return g.peek()
 	}
 	return true
 }
 
-// appendResponse writes a whole answer to the request that is out, and its end.
-func (g *gateway) appendResponse(to []byte, a *httpwire.ClientResponse, headOnly bool) []byte {
-	if g.requestID == 0 {
-		return to // nobody has asked anything yet
-	}
-	status := fcgi.StatusComplete
-	if a.Status == 503 && g.config.Overloaded {
-		status = fcgi.StatusOverloaded
-	} else {
-		to = g.appendResponseHead(to, a)
-		if !headOnly {
-			to = fcgi.AppendStream(to, fcgi.TypeStdout, g.requestID, a.Body)
+// peek reads what has arrived while a request is in flight, without waiting, and reports whether its gateway still
+// waits for the response.
+func (g *gateway) peek() bool {
+	g.peeking = true
+	defer func() {
+		g.peeking = false
+		g.conn.serving.nonblocking = false
+	}()
+	for !g.aborted.Load() {
+		if len(g.pending)-g.offset > maxPeekBytes {
+			return true
+		}
+		if err := g.translateNext(); err != nil {
+			return err == errNoInput
 		}
 	}
-	return g.appendResponseEnd(to, 0, status)
-}
-
-// appendResponseHead writes an answer's head.
-func (g *gateway) appendResponseHead(to []byte, a *httpwire.ClientResponse) []byte {
-	var head [256]byte
-	again := ""
-	if a.RetryAfter > 0 {
-		again = strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)
-	}
-	return fcgi.AppendStream(to, fcgi.TypeStdout, g.requestID, fcgi.AppendCGI(head[:0], a.Status, httpwire.StatusText(a.Status), a.ContentType, again))
-}
-
-func (g *gateway) frameBody(p []byte) net.Buffers { return fcgi.Records(fcgi.TypeStdout, g.requestID, p) }
-
-// appendResponseEnd ends the request; its id may be used again.
-func (g *gateway) appendResponseEnd(to []byte, app uint32, s fcgi.Status) []byte {
-	if s == fcgi.StatusComplete {
-		to = fcgi.AppendStreamEnd(to, fcgi.TypeStdout, g.requestID)
-	}
-	to = fcgi.AppendEnd(to, g.requestID, app, s)
-	g.application.Done(g.requestID)
-	g.requestID = 0
-	return to
+	return false
 }
--- /dev/null
+++ b/internal/dataplane/frontend/gatewayparams.go
@@ -0,0 +1,289 @@
+package frontend
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
+)
+
+const (
+	headerParamPrefix = "HTTP_" // of the params that CGI makes of headers
+	// maxLinearParams is up to how many params each is compared with each; beyond, they are looked up in a map.
+	maxLinearParams = 64
+)
+
+// param is one of a request's params. It is a part of the list that came.
+type param struct{ name, value []byte }
+
+// hopParams are params that would frame the message anew or concern the connection: what comes by FastCGI has its
+// frame already.
+var hopParams = map[string]bool{
+	"HTTP_CONTENT_LENGTH":    true,
+	"HTTP_TRANSFER_ENCODING": true,
+	"HTTP_CONNECTION":        true,
+	"HTTP_EXPECT":            true,
+	"HTTP_UPGRADE":           true,
+	"HTTP_TE":                true,
+	"HTTP_TRAILER":           true,
+	"HTTP_KEEP_ALIVE":        true,
+	"HTTP_PROXY":             true,
+	"HTTP_CONTENT_TYPE":      true,
+}
+
+// knownField is a header that the protocol knows, and the param that CGI makes of it.
+type knownField struct{ header, param string }
+
+var knownFields = [...]knownField{
+	{httpwire.HeaderTraceID, "HTTP_X_TRACE_ID"},
+	{httpwire.HeaderMethod, "HTTP_X_QOS"},
+	{httpwire.HeaderTenant, "HTTP_X_CUSTOMER"},
+	{httpwire.HeaderIdempotencyKey, "HTTP_IDEMPOTENCY_KEY"},
+	{httpwire.HeaderTimeLeft, "HTTP_X_EXPIRES_IN_MS"},
+	{"Host", "HTTP_HOST"},
+	{"Content-Type", "CONTENT_TYPE"},
+}
+
+// customParam returns the param that is used instead of that of a known field; empty: none.
+func (g *Gateway) customParam(field int) string {
+	return [len(knownFields)]string{g.Trace, g.Class, g.Tenant, g.Key, g.Left}[field]
+}
+
+// parseParams splits the list of params. What could end a line, and a name with two values, is malformed.
+func (g *gateway) parseParams(list []byte) error {
+	g.params = g.params[:0]
+	var seen map[string][]byte // from maxLinearParams on
+	for len(list) > 0 {
+		name, value, rest, err := fcgi.Pair(list)
+		if err != nil {
+			return err
+		}
+		list = rest
+		if hasControlByte(value) {
+			return malformedParam("a control byte in", name)
+		}
+		value = bytes.Trim(value, " \t")
+		other, known := g.lookUpParam(seen, name)
+		switch {
+		case seen != nil && !known:
+			seen[string(name)] = value
+		case seen == nil && len(g.params) == maxLinearParams:
+			// TODO: this param is missing in the index, so a second value of its name is not noticed.
+			seen = g.indexParams()
+		}
+		if known && !bytes.Equal(other, value) {
+			return malformedParam("two values of", name)
+		}
+		if known {
+			continue
+		}
+		g.params = append(g.params, param{name, value})
+	}
+	return nil
+}
+
+func malformedParam(problem string, name []byte) error {
+	return fmt.Errorf("%w: %s %.60q", httpwire.ErrMalformed, problem, name)
+}
+
+func hasControlByte(value []byte) bool {
+	const del = 0x7f
+	for _, b := range value {
+		if b < ' ' && b != '\t' || b == del {
+			return true
+		}
+	}
+	return false
+}
+
+func (g *gateway) indexParams() map[string][]byte {
+	index := make(map[string][]byte, 4*maxLinearParams)
+	for _, p := range g.params {
+		index[string(p.name)] = p.value
+	}
+	return index
+}
+
+// lookUpParam returns the value of a param that was parsed before, by an index where there is one.
+func (g *gateway) lookUpParam(index map[string][]byte, name []byte) ([]byte, bool) {
+	if index != nil {
+		value, ok := index[string(name)]
+		return value, ok
+	}
+	return g.findParam(string(name))
+}
+
+func (g *gateway) findParam(name string) ([]byte, bool) {
+	for _, p := range g.params {
+		if string(p.name) == name {
+			return p.value, true
+		}
+	}
+	return nil, false
+}
+
+func (g *gateway) paramValue(name string) []byte {
+	value, _ := g.findParam(name)
+	return value
+}
+
+// appendRequestHead translates params to the head of an HTTP/1.1 request.
+func (g *gateway) appendRequestHead(list []byte) error {
+	defer func() { clear(g.params) }()
+	if err := g.parseParams(list); err != nil {
+		return err
+	}
+	class, err := g.appendRequestLine()
+	if err != nil {
+		return err
+	}
+	if g.contentLength, err = g.parseContentLength(); err != nil {
+		return err
+	}
+	g.pending = append(g.pending, "Transfer-Encoding: chunked\r\n"...)
+	g.appendKnownFields(class)
+	g.appendOtherHeaders()
+	g.pending = append(g.pending, "\r\n"...)
+	return nil
+}
+
+// appendRequestLine appends the first line of the request. It returns the first part of the path, which is the class
+// where a gateway sends none.
+func (g *gateway) appendRequestLine() (class []byte, err error) {
+	verb := g.paramValue("REQUEST_METHOD")
+	lineStart := len(g.pending)
+	g.pending = append(g.pending, verb...)
+	g.pending = append(g.pending, ' ')
+	targetStart := len(g.pending)
+	g.appendTarget()
+	target := g.pending[targetStart:]
+	if len(verb) == 0 || bytes.ContainsAny(verb, " \t") || bytes.ContainsAny(target, " \t") {
+		return nil, fmt.Errorf("%w: no request line: %.60q", httpwire.ErrMalformed, g.pending[lineStart:])
+	}
+	path, _, _ := bytes.Cut(target, []byte("?"))
+	first, _, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
+	g.scratch = append(g.scratch[:0], first...) // a copy, since pending grows
+	g.pending = append(g.pending, " HTTP/1.1\r\n"...)
+	return g.scratch, nil
+}
+
+func (g *gateway) appendTarget() {
+	if uri := g.paramValue("REQUEST_URI"); len(uri) > 0 {
+		g.pending = append(g.pending, uri...)
+		return
+	}
+	g.pending = append(g.pending, g.paramValue("SCRIPT_NAME")...)
+	g.pending = append(g.pending, g.paramValue("PATH_INFO")...)
+	if query := g.paramValue("QUERY_STRING"); len(query) > 0 {
+		g.pending = append(g.pending, '?')
+		g.pending = append(g.pending, query...)
+	}
+}
+
+// parseContentLength returns the length of the body, or -1 where the params have none.
+func (g *gateway) parseContentLength() (int64, error) {
+	const decimal, bits = 10, 62
+	text := g.paramValue("CONTENT_LENGTH")
+	if len(text) == 0 {
+		return -1, nil
+	}
+	length, err := strconv.ParseUint(string(text), decimal, bits)
+	if err != nil {
+		return -1, fmt.Errorf("%w: CONTENT_LENGTH is %.60q", httpwire.ErrMalformed, text)
+	}
+	return int64(length), nil
+}
+
+func (g *gateway) appendKnownFields(class []byte) {
+	for i, field := range knownFields {
+		value := g.paramValue(field.param)
+		if custom := g.config.customParam(i); custom != "" {
+			if given := g.paramValue(custom); len(given) > 0 {
+				value = given
+			}
+		}
+		if len(value) == 0 {
+			value = g.defaultValue(field.header, class)
+		}
+		if len(value) > 0 {
+			g.pending = append(g.pending, field.header...)
+			g.appendFieldValue(value)
+		}
+	}
+}
+
+// appendOtherHeaders appends the headers that routes may go by. Servers are sent none of them.
+func (g *gateway) appendOtherHeaders() {
+	for _, p := range g.params {
+		if !isHeaderParam(p.name) || len(p.value) == 0 || hopParams[string(p.name)] || isKnownParam(p.name) {
+			continue
+		}
+		g.pending = appendHeaderName(g.pending, p.name)
+		g.appendFieldValue(p.value)
+	}
+}
+
+func (g *gateway) appendFieldValue(value []byte) {
+	g.pending = append(g.pending, ": "...)
+	g.pending = append(g.pending, value...)
+	g.pending = append(g.pending, "\r\n"...)
+}
+
+// defaultValue returns the value of a known field that the gateway does not send.
+func (g *gateway) defaultValue(header string, class []byte) []byte {
+	switch header {
+	case httpwire.HeaderTraceID: // a gateway without one can't send the same request again, either
+		return fmt.Appendf(nil, "%016x%016x", rand.Uint64(), rand.Uint64())
+	case httpwire.HeaderMethod:
+		return class
+	case httpwire.HeaderTenant:
+		return []byte(g.config.DefaultTenant)
+	case httpwire.HeaderTimeLeft:
+		if g.config.DefaultTimeLeft > 0 {
+			return strconv.AppendInt(nil, g.config.DefaultTimeLeft.Milliseconds(), 10)
+		}
+	}
+	return nil
+}
+
+// isKnownParam reports whether a param is that of a known field.
+func isKnownParam(name []byte) bool {
+	for _, field := range knownFields {
+		if string(name) == field.param {
+			return true
+		}
+	}
+	return false
+}
+
+// isHeaderParam reports whether a param has a name that CGI makes of a header's; any other could end its line.
+func isHeaderParam(name []byte) bool {
+	if !bytes.HasPrefix(name, []byte(headerParamPrefix)) || len(name) == len(headerParamPrefix) {
+		return false
+	}
+	for _, b := range name {
+		if b != '_' && (b < 'A' || b > 'Z') && (b < '0' || b > '9') {
+			return false
+		}
+	}
+	return true
+}
+
+// appendHeaderName appends the name of the header that CGI made a param of, as far as that can be told.
+func appendHeaderName(to, param []byte) []byte {
+	wordStart := true
+	for _, b := range param[len(headerParamPrefix):] {
+		switch {
+		case b == '_':
+			b = '-'
+		case !wordStart && b >= 'A' && b <= 'Z':
+			b += 'a' - 'A'
+		}
+		to = append(to, b)
+		wordStart = b == '-'
+	}
+	return to
+}
--- /dev/null
+++ b/internal/dataplane/frontend/gatewayresponse.go
@@ -0,0 +1,53 @@
+package frontend
+
+import (
+	"net"
+	"strconv"
+
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
+)
+
+// maxResponseHead is the size of the buffer for a response's head on the stack; a longer one is allocated.
+const maxResponseHead = 256
+
+// appendResponse appends a complete response to the request in flight, with its end.
+func (g *gateway) appendResponse(to []byte, response *httpwire.ClientResponse, headOnly bool) []byte {
+	if g.requestID == 0 {
+		return to // there was no request yet
+	}
+	if response.Status == 503 && g.config.Overloaded {
+		return g.appendResponseEnd(to, 0, fcgi.StatusOverloaded)
+	}
+	to = g.appendResponseHead(to, response)
+	if !headOnly {
+		to = fcgi.AppendStream(to, fcgi.TypeStdout, g.requestID, response.Body)
+	}
+	return g.appendResponseEnd(to, 0, fcgi.StatusComplete)
+}
+
+func (g *gateway) appendResponseHead(to []byte, response *httpwire.ClientResponse) []byte {
+	var buffer [maxResponseHead]byte
+	retryAfter := ""
+	if response.RetryAfter > 0 {
+		retryAfter = strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64)
+	}
+	reason := httpwire.StatusText(response.Status)
+	head := fcgi.AppendCGI(buffer[:0], response.Status, reason, response.ContentType, retryAfter)
+	return fcgi.AppendStream(to, fcgi.TypeStdout, g.requestID, head)
+}
+
+func (g *gateway) frameBody(piece []byte) net.Buffers {
+	return fcgi.Records(fcgi.TypeStdout, g.requestID, piece)
+}
+
+// appendResponseEnd appends the end of the request in flight; its ID may be used again.
+func (g *gateway) appendResponseEnd(to []byte, appStatus uint32, status fcgi.Status) []byte {
+	if status == fcgi.StatusComplete {
+		to = fcgi.AppendStreamEnd(to, fcgi.TypeStdout, g.requestID)
+	}
+	to = fcgi.AppendEnd(to, g.requestID, appStatus, status)
+	g.application.Done(g.requestID)
+	g.requestID = 0
+	return to
+}
--- /dev/null
+++ b/internal/dataplane/frontend/stream.go
@@ -0,0 +1,110 @@
+package frontend
+
+import (
+	"io"
+	"net"
+	"time"
+
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/system/socket"
+)
+
+// maxChunkHead is the space for the frame of one piece of a streamed body.
+const maxChunkHead = 16
+
+// streamWriter writes a response whose body is passed on as it comes.
+type streamWriter struct {
+	conn     *conn
+	response *httpwire.ClientResponse
+	chunked  bool
+	frame    []byte        // buffer for the frames of chunks
+	written  int           // bytes
+	waited   time.Duration // for the client to read them
+}
+
+// writeStreamed passes a response on as it comes, at its client's pace. One that breaks off looks broken: the
+// connection ends short of the length, without the last chunk or, where neither can be told, by a reset.
+func (c *conn) writeStreamed(response *httpwire.ClientResponse) bool {
+	w := streamWriter{
+		conn:     c,
+		response: response,
+		chunked:  response.Chunked() && c.gateway == nil,
+		frame:    make([]byte, 0, maxChunkHead),
+	}
+	ok := w.writeHead() && w.writeBody() && w.writeEnd()
+	response.BodyStream.Close(ok)
+	if ok {
+		return true
+	}
+	if tcp, isTCP := c.Conn.(*net.TCPConn); isTCP && response.HTTP10 && response.BodyStream.Remaining() < 0 {
+		tcp.SetLinger(0)
+	}
+	return false
+}
+
+func (w *streamWriter) writeHead() bool {
+	var head []byte
+	if gateway := w.conn.gateway; gateway != nil {
+		head = gateway.appendResponseHead(nil, w.response)
+	} else {
+		head = w.response.AppendHead(nil)
+	}
+	return w.write(net.Buffers{head})
+}
+
+// writeBody writes what the response was begun with, and the rest as it comes.
+func (w *streamWriter) writeBody() bool {
+	if len(w.response.Body) > 0 && !w.writePiece(w.response.Body) {
+		return false
+	}
+	piece := httpwire.BorrowBuffer()
+	defer httpwire.ReturnBuffer(piece)
+	for {
+		n, err := w.response.BodyStream.Read(*piece)
+		if n > 0 && !w.writePiece((*piece)[:n]) {
+			return false
+		}
+		if err != nil {
+			return err == io.EOF
+		}
+	}
+}
+
+// writeEnd writes what tells that the response is complete.
+func (w *streamWriter) writeEnd() bool {
+	switch {
+	case w.conn.gateway != nil:
+		return w.write(net.Buffers{w.conn.gateway.appendResponseEnd(nil, 0, fcgi.StatusComplete)})
+	case w.chunked:
+		return w.write(net.Buffers{httpwire.LastChunk})
+	}
+	return true
+}
+
+func (w *streamWriter) writePiece(piece []byte) bool {
+	if w.conn.gateway != nil {
+		return w.write(w.conn.gateway.frameBody(piece))
+	}
+	return w.write(httpwire.FrameChunk(piece, w.chunked, w.frame))
+}
+
+// write writes one piece. Its client may stop reading for a while, but nobody may be slower than the minimal rate in
+// the long run: its capacity would be held for hours. The time that the server takes is not the client's.
+func (w *streamWriter) write(buffers net.Buffers) bool {
+	limits := &w.conn.server.limits
+	size := 0
+	for _, buffer := range buffers {
+		size += len(buffer)
+	}
+	start := time.Now()
+	remaining := limits.ClientStallTimeout + limits.TransferTime(w.written) - w.waited
+	w.conn.SetWriteDeadline(start.Add(min(limits.ClientStallTimeout, remaining)))
+	err := socket.WriteBuffers(w.conn.Conn, &buffers)
+	w.waited += time.Since(start)
+	if err != nil { // nothing more is written
+		return false
+	}
+	w.written += size
+	return true
+}
--- /dev/null
+++ b/internal/dataplane/frontend/timers.go
@@ -0,0 +1,53 @@
+package frontend
+
+import (
+	"time"
+
+	"robincart/internal/system/telemetry"
+	"robincart/internal/system/timingwheel"
+)
+
+// maxTimersAtOnce is how many connections are closed in one go: a moment in which the timers of all of them end must
+// not stop those at work.
+const maxTimersAtOnce = 64
+
+// armTimers has the timers expired when the next one ends. The mutex is held.
+func (s *Server) armTimers() {
+	next, ok := s.timers.Next()
+	if !ok || s.timersPaused {
+		return
+	}
+	if s.timersDue != 0 && s.timersDue <= next {
+		return
+	}
+	s.timersDue = next
+	time.AfterFunc(max(0, next-s.clock()), func() { s.expireTimers(next) })
+}
+
+// expireTimers closes the connections whose timers have ended, unless the timers have been armed for another time.
+func (s *Server) expireTimers(due time.Duration) {
+	s.mu.Lock()
+	if s.timersDue != due {
+		s.mu.Unlock()
+		return
+	}
+	s.timersDue = 0
+	var expired []*conn
+	more := s.timers.Advance(s.clock(), maxTimersAtOnce, func(t *timingwheel.Timer) {
+		expired = append(expired, t.Payload.(*conn))
+	})
+	if more {
+		s.timersPaused = true
+		time.AfterFunc(timerGranularity, s.resumeTimers)
+	}
+	s.armTimers()
+	s.mu.Unlock()
+	s.closeConns(expired, telemetry.IdleTimeout)
+}
+
+func (s *Server) resumeTimers() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.timersPaused = false
+	s.armTimers()
+}
--- /dev/null
+++ b/internal/dataplane/frontend/write.go
@@ -0,0 +1,118 @@
+package frontend
+
+import (
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/system/socket"
+	"robincart/internal/system/telemetry"
+)
+
+const (
+	responseBufferSize = 1 << 10
+	// maxPooledBuffer is the largest buffer that is used again: a gateway's response has its body in it.
+	maxPooledBuffer = 4 << 10
+)
+
+// responseBuffers are buffers that responses are written from.
+var responseBuffers = sync.Pool{New: func() any {
+	buffer := make([]byte, 0, responseBufferSize)
+	return &buffer
+}}
+
+// respond writes the one response to a request, and returns whether the connection can be used again.
+func (c *conn) respond(request *httpwire.Request, response *httpwire.ClientResponse) bool {
+	body := request.BodyStream
+	response.Close = response.Close || c.closesAfter(request)
+	if response.Close && (body == nil || body.Complete()) && c.hasUnread() {
+		// Closed with bytes unread the connection would be reset, and the response lost with it. Of a body that is
+		// still coming stopBody knows.
+		c.serving.lingerOnClose = true
+	}
+	if c.gateway != nil && body != nil { // an attempt may still read the body, and with it the gateway's records
+		body.Stop(c.cancelRead)
+	}
+	c.state.set(stateWriting)
+	written := false
+	if response.BodyStream != nil {
+		written = c.writeStreamed(response)
+	} else {
+		written = c.writeResponse(response, request.Verb == "HEAD")
+	}
+	c.state.set(stateReading)
+	c.serving.closeReason = telemetry.LastResponse
+	if !written {
+		c.serving.closeReason = telemetry.WriteFailed
+	}
+	return written && !response.Close
+}
+
+// closesAfter reports whether the response to a request closes the connection, whatever the response is.
+func (c *conn) closesAfter(request *httpwire.Request) bool {
+	switch {
+	case request.Close || c.serving.lastResponse || c.server.closesConns():
+		return true
+	case request.BodyStream != nil && !request.BodyStream.Complete():
+		return true
+	}
+	return c.gateway != nil && !c.gateway.keepAlive
+}
+
+// hasUnread reports whether the client has sent more than was read as requests.
+func (c *conn) hasUnread() bool {
+	return c.serving.reader.HasBuffered() || socket.StateOfRaw(c.raw) == socket.StateReadable
+}
+
+// writeResponse writes a complete response. Nearly always the kernel takes all of it, and no deadline is set.
+func (c *conn) writeResponse(response *httpwire.ClientResponse, headOnly bool) bool {
+	buffer := responseBuffers.Get().(*[]byte)
+	defer responseBuffers.Put(buffer)
+	var message, body []byte
+	if c.gateway != nil {
+		message = c.gateway.appendResponse((*buffer)[:0], response, headOnly)
+	} else {
+		message = response.AppendHead((*buffer)[:0])
+		body = response.Body
+	}
+	if cap(message) <= maxPooledBuffer {
+		*buffer = message
+	}
+	if headOnly {
+		body = nil
+	}
+	if cap(message)-len(message) >= len(body) {
+		message = append(message, body...)
+		body = nil
+	}
+	written := 0
+	if c.raw != nil && len(body) == 0 {
+		written = c.writeNow(message)
+		if written == len(message) {
+			return true
+		}
+	}
+	c.setWriteDeadline()
+	remaining := net.Buffers{message[written:]}
+	if len(body) > 0 {
+		remaining = append(remaining, body)
+	}
+	return socket.WriteBuffers(c.Conn, &remaining) == nil
+}
+
+// writeNow writes as much as the kernel takes at once, and returns how much that was. What fails here fails again in
+// the write that follows.
+func (c *conn) writeNow(message []byte) int {
+	n := 0
+	c.raw.Write(func(fd uintptr) bool {
+		n, _ = syscall.Write(int(fd), message)
+		return true
+	})
+	return max(n, 0)
+}
+
+func (c *conn) setWriteDeadline() {
+	c.SetWriteDeadline(time.Now().Add(c.server.limits.ClientWriteTimeout))
+}
