--- a/cmd/robincart/descriptors_test.go
+++ b/cmd/robincart/descriptors_test.go
@@ -312,7 +312,7 @@
 	limitDescriptors(t, p, 80)
 	require.NoError(t, p.Start(t.Context()))
 	checkServesCrowded(t, p, d, admin, config)
-	assert.NotContains(t, p.Log(), "no descriptor left", "the budget knows it")
+	assert.NotContains(t, p.Log(), "descriptors exhausted", "the budget knows it")
 	assert.NotContains(t, p.Log(), "too many open files")
 }
 
@@ -326,5 +326,5 @@
 	few := uint64(len(files) + 24)
 	require.NoError(t, unix.Prlimit(p.Pid(), unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: few, Max: few}, nil))
 	checkServesCrowded(t, p, d, admin, config)
-	assert.Contains(t, p.Log(), "no descriptor left", "the story has been told")
+	assert.Contains(t, p.Log(), "descriptors exhausted")
 }
--- a/internal/dataplane/frontend/accept.go
+++ b/internal/dataplane/frontend/accept.go
@@ -15,8 +15,7 @@
 	"robincart/internal/system/telemetry"
 )
 
-// maxWatchAttempts is how often the poller is asked to watch a new connection, with AcceptRetryDelay between, where
-// that fails for a moment.
+// maxWatchAttempts limits the attempts to register a new connection with the poller, where that fails for a moment.
 const maxWatchAttempts = 100
 
 // Serve accepts connections in a goroutine of its own until the listener is closed. Several listeners may be served
@@ -127,7 +126,7 @@
 	s.adopt(raw, false, config)
 }
 
-// Adopt serves a connection that another process had; hasRequested tells whether it had a request there.
+// Adopt serves a connection that another process had; hasRequested is whether it has had a request there.
 func (s *Server) Adopt(raw net.Conn, hasRequested bool) { s.adopt(raw, hasRequested, nil) }
 
 // adopt waits for capacity for a connection, and serves it. Where there is none an idle connection is evicted; where
--- a/internal/dataplane/frontend/capacity.go
+++ b/internal/dataplane/frontend/capacity.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// scheduleAdmit has admitWaiting called in a while: a connection that waits too long has to be told. The mutex is
-// held.
+// scheduleAdmit has admitWaiting called in a while: a connection that waits too long has to be rejected. The mutex
+// is held.
 func (s *Server) scheduleAdmit() {
 	if s.admitScheduled {
 		return
@@ -58,8 +58,8 @@
 	})
 }
 
-// beginRequest counts a request as active, unless as many are active as the node has descriptors for. endRequest
-// takes it off.
+// beginRequest counts a request as active, until endRequest. It returns false if as many are active as the node has
+// descriptors for.
 func (s *Server) beginRequest() bool {
 	if s.activeRequests.Add(1) <= int64(s.limits.MaxRequests) {
 		return true
@@ -70,8 +70,8 @@
 
 func (s *Server) endRequest() { s.activeRequests.Add(-1) }
 
-// markSlow counts a connection whose request comes in pieces among the slow. Where there are too many of them one is
-// evicted, which may be this one.
+// markSlow counts a connection whose request arrives in pieces as slow. Where there are too many slow ones one of them
+// is evicted, which may be this one.
 func (s *Server) markSlow(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/frontend/client.go
+++ b/internal/dataplane/frontend/client.go
@@ -26,8 +26,8 @@
 }
 
 // StillWaiting reports whether the client still waits for the response to a request. The poller notices its end, too,
-// but it may be late to, as the request's own goroutine may be, where many connections have events. What the kernel
-// said last counts for ClientCheckInterval, and costs nothing.
+// but it may be late, as the request's own goroutine may be, where many connections have events. An answer of the
+// kernel is valid for ClientCheckInterval, in which the call costs nothing.
 func (c *conn) StillWaiting(request *httpwire.Request) bool {
 	if c.gateway == nil {
 		return c.checkClient()
@@ -58,7 +58,7 @@
 	return true
 }
 
-// setOutstanding lets those who carry a gateway's request out look at what has arrived behind it; nil: no more.
+// setOutstanding lets the attempts for a gateway's request look at what has arrived behind it; nil: no more.
 func (c *conn) setOutstanding(request *httpwire.Request) {
 	if c.gateway == nil {
 		return
--- a/internal/dataplane/frontend/evict.go
+++ b/internal/dataplane/frontend/evict.go
@@ -10,9 +10,9 @@
 // pastDeadline makes whoever reads from a connection or accepts from a listener return at once.
 var pastDeadline = time.Unix(1, 0)
 
-// longIdleEvictionParts is the part of all connections, as a divisor, that may be evicted at once for being idle for
-// long: thousands may be idle all evening by right.
-const longIdleEvictionParts = 16
+// longIdleEvictionDivisor limits how many connections are evicted at once for being idle for long, to that part of all
+// connections: thousands may be idle for long by right.
+const longIdleEvictionDivisor = 16
 
 // evictIdle makes room for other connections. Their clients open new ones when they need them. All candidates go at
 // once, since a usual client waits in the listener's queue behind hundreds that connect and send nothing, send half a
@@ -35,15 +35,15 @@
 
 // takeEvictionCandidates takes the connections that are to be evicted off their lists: those that have had no request
 // for a while (one that has only just come may have its request on the way), a part of those idle for long, and those
-// whose last request was rejected, which would else hold the places that clients of other services wait for. Where
-// none was rejected the one idle longest goes, too. The mutex is held.
+// whose last request was rejected, which would else hold the capacity that clients of other services wait for. Where
+// none was rejected the one idle longest is evicted, too. The mutex is held.
 func (s *Server) takeEvictionCandidates(now time.Duration) []*conn {
 	all := len(s.conns)
 	rejecting := s.rejected.first() != nil
 	candidates := s.unproven.takeWhile(all, nil, func(c *conn) bool {
 		return now-c.createdAt >= s.limits.EvictableAfter
 	})
-	candidates = s.idle.takeWhile(all/longIdleEvictionParts+1, candidates, func(c *conn) bool {
+	candidates = s.idle.takeWhile(all/longIdleEvictionDivisor+1, candidates, func(c *conn) bool {
 		return now-c.managed.idleSince >= s.limits.LongIdle
 	})
 	candidates = s.rejected.takeWhile(all, candidates, func(*conn) bool { return true })
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -265,9 +265,9 @@
 	return g.peek()
 }
 
-// stillWaiting reports whether the gateway still waits for the response to the request in flight, for who is about to
-// send it and has claimed its body where that is still coming. The kernel was asked recently or not; what has been
-// read may hold more than the request. The mutex is held.
+// stillWaiting reports whether the gateway still waits for the response to the request in flight. It is called right
+// before an attempt sends the request, which has claimed the body if that is still arriving. recent is whether the
+// kernel's input was looked at lately; what was read of it may hold more than the request. The mutex is held.
 func (g *gateway) stillWaiting(recent bool) bool {
 	switch {
 	case g.aborted.Load():
--- a/internal/dataplane/frontend/gatewayparams.go
+++ b/internal/dataplane/frontend/gatewayparams.go
@@ -272,7 +272,7 @@
 	return true
 }
 
-// appendHeaderName appends the name of the header that CGI made a param of, as far as that can be told.
+// appendHeaderName appends the name of the header that CGI made a param of, as far as the param's name shows it.
 func appendHeaderName(to, param []byte) []byte {
 	wordStart := true
 	for _, b := range param[len(headerParamPrefix):] {
--- a/internal/dataplane/frontend/linger.go
+++ b/internal/dataplane/frontend/linger.go
@@ -15,7 +15,7 @@
 }}
 
 // startLinger shuts the sending side of a connection down and discards what its client is still sending: closed with
-// bytes unread the connection would be reset, and the last response lost with it. It takes neither capacity nor a
+// bytes unread the connection would be reset, and the last response lost with it. It needs neither capacity nor a
 // goroutine meanwhile. It returns false if the connection is to be closed at once.
 func (s *Server) startLinger(c *conn) bool {
 	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
--- a/internal/dataplane/frontend/methods.go
+++ b/internal/dataplane/frontend/methods.go
@@ -21,7 +21,7 @@
 	streamed    *atomic.Bool // the last response was: the next request counts as streamed from its start
 }
 
-// formerIdempotency is one that a method had: requests may still have the form that it asks for.
+// formerIdempotency is one that a method had before: requests may still have the form that it requires.
 type formerIdempotency struct {
 	idempotency decide.Idempotency
 	validUntil  time.Duration
--- a/internal/dataplane/frontend/read.go
+++ b/internal/dataplane/frontend/read.go
@@ -19,8 +19,8 @@
 const (
 	// deadlineByteStep is how many bytes of a request put its read deadline off at once.
 	deadlineByteStep = 8 << 10
-	// deadlineTimeStep is how long a read deadline may stand that should have been put off: where a request comes in
-	// small pieces most reads leave it.
+	// deadlineTimeStep is for how long a read deadline is not put off: where a request arrives in small pieces, most
+	// reads need not set it.
 	deadlineTimeStep = 100 * time.Millisecond
 )
 
@@ -99,9 +99,9 @@
 	return max(0, c.server.clock()-arrivedAt)
 }
 
-// Progress is called before each further read of a request that does not come in one piece. Such a request has a
-// deadline, later for what is large, and there is limited capacity for them. Whatever has come gives a client no more
-// time once it stops sending: each wait has a timeout of its own.
+// Progress is called before each further read of a request that does not arrive in one piece. Such a request has a
+// deadline, a later one if it is large, and the capacity for such requests is limited. However much has arrived, each
+// wait for more has a timeout of its own.
 func (c *conn) Progress(bool) {
 	s, status := c.server, &c.serving
 	now := s.clock()
@@ -154,7 +154,7 @@
 	}
 }
 
-// writeContinue tells a client that waits for it to send its body.
+// writeContinue sends the response that a client waits for before it sends its body.
 func (c *conn) writeContinue() {
 	c.setWriteDeadline()
 	socket.Write(c.Conn, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
--- a/internal/dataplane/frontend/stream.go
+++ b/internal/dataplane/frontend/stream.go
@@ -24,7 +24,7 @@
 }
 
 // writeStreamed passes a response on as it comes, at its client's pace. One that breaks off looks broken: the
-// connection ends short of the length, without the last chunk or, where neither can be told, by a reset.
+// connection ends short of the length, without the last chunk or, where the response has neither, by a reset.
 func (c *conn) writeStreamed(response *httpwire.ClientResponse) bool {
 	w := streamWriter{
 		conn:     c,
@@ -71,7 +71,7 @@
 	}
 }
 
-// writeEnd writes what tells that the response is complete.
+// writeEnd writes the end of a complete response.
 func (w *streamWriter) writeEnd() bool {
 	switch {
 	case w.conn.gateway != nil:
--- a/internal/dataplane/frontend/transfer.go
+++ b/internal/dataplane/frontend/transfer.go
@@ -6,7 +6,7 @@
 	"robincart/internal/system/telemetry"
 )
 
-// TransferFunc sends a client's connection to another process; hasRequested tells whether it has had a request.
+// TransferFunc sends a client's connection to another process; hasRequested is whether it has had a request.
 type TransferFunc func(raw net.Conn, hasRequested bool) error
 
 // TransferTo sends connections to another process from now on: idle ones at once, and others after their response.
