--- /dev/null
+++ b/internal/dataplane/frontend/attempts_test.go
@@ -0,0 +1,492 @@
+package frontend
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"maps"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
+	"golang.org/x/sys/unix"
+
+	"robincart/decide"
+	"robincart/internal/core/node"
+	"robincart/internal/dataplane/upstream"
+	"robincart/internal/protocol/fcgi"
+	"robincart/internal/protocol/httpwire"
+	"robincart/internal/protocol/settings"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
+	"robincart/internal/testutil"
+)
+
+// A client that has gone gets no attempt, first or retry, however late the node is to notice. The poller, which notices
+// that clients go, is blocked here from before the client goes, as on a processor with thousands of other things to do;
+// the core, which is notified by it, allows everything. All sockets are real.
+
+// testNode is a node without decisions: the test orders each attempt and lets it go, and a real pool carries it out.
+type testNode struct {
+	*fakeCore
+	*upstream.Pool
+	server       *Server
+	address      string // that clients connect to
+	upstreamAddr net.Addr
+	starts       chan func()        // each starts an attempt
+	results      chan decide.Result // of attempts
+	received     chan string        // what reaches the upstream server, a read each
+	responses    chan string        // what it responds
+	onBind       func()
+}
+
+func (n *testNode) Start(attempt *node.Attempt, request *httpwire.Request) {
+	n.starts <- func() { n.Pool.Start(attempt, request) }
+}
+
+func (n *testNode) AttemptDone(_ *node.Attempt, result decide.Result, _ *node.Response) bool {
+	n.results <- result
+	return false
+}
+
+func (n *testNode) Bind(*node.Attempt, node.Canceler) bool {
+	if n.onBind != nil {
+		n.onBind()
+	}
+	return true
+}
+
+func (n *testNode) Address(*node.Server) (string, bool)       { return n.upstreamAddr.String(), true }
+func (n *testNode) Ready(*node.Server) bool                   { return true }
+func (n *testNode) Begin(*node.Attempt, node.Canceler) bool   { return true }
+func (n *testNode) TimeLeft(*node.Attempt) time.Duration      { return time.Second }
+func (n *testNode) BodyReceived(*node.Attempt, time.Duration) {}
+func (n *testNode) OnServersUnavailable(func([]*node.Server)) {}
+
+// serveUpstream serves as the upstream server.
+func (n *testNode) serveUpstream(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go n.serveUpstreamConn(conn)
+	}
+}
+
+func (n *testNode) serveUpstreamConn(conn net.Conn) {
+	defer conn.Close()
+	for buffer := make([]byte, 1<<16); ; {
+		count, err := conn.Read(buffer)
+		if err != nil {
+			return
+		}
+		n.received <- string(buffer[:count])
+		response, ok := <-n.responses
+		if !ok {
+			return
+		}
+		io.WriteString(conn, response)
+	}
+}
+
+// startNode serves until the test ends; gateways if there is a configuration for them, else HTTP.
+func startNode(t *testing.T, l limits.Limits, config *Gateway) *testNode {
+	const many = 99
+	leaks := goleak.IgnoreCurrent()
+	l.Wire.MaxStream, l.MaxStreamedRequests, l.ConnectTimeout = 1<<20, 1, 5*time.Second
+	n := &testNode{
+		fakeCore:  newFakeCore(),
+		starts:    make(chan func(), many),
+		results:   make(chan decide.Result, many),
+		received:  make(chan string, many),
+		responses: make(chan string, many),
+	}
+	upstreamListener := newListener(t)
+	n.upstreamAddr = upstreamListener.Addr()
+	go n.serveUpstream(upstreamListener)
+	budget := limits.NewBudget(many, 0, nil)
+	n.Pool = upstream.NewPool(n, l, budget, nil)
+	n.server = newTestServer(t, l, budget)
+	instance := &settings.Instance{MethodNames: []string{"find", "put"}}
+	instance.Methods = []decide.Method{{}, {Idempotency: decide.NonIdempotent}}
+	n.server.SetTable(&Table{Only: NewService("only", instance, n, n, nil)})
+	listener := newListener(t)
+	n.server.ServeGateways(listener, config)
+	n.address = listener.Addr().String()
+	t.Cleanup(func() {
+		listener.Close()
+		ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
+		defer cancel()
+		n.server.Drain(ctx)
+		close(n.responses) // whoever still waits for one gets an end
+		n.Pool.Close()
+		upstreamListener.Close()
+		n.server.poller.Close()
+		goleak.VerifyNone(t, leaks)
+	})
+	return n
+}
+
+// conn returns the only connection that there is.
+func (n *testNode) conn(t *testing.T) *conn {
+	n.server.mu.Lock()
+	defer n.server.mu.Unlock()
+	require.Len(t, n.server.conns, 1)
+	for c := range n.server.conns {
+		return c
+	}
+	return nil
+}
+
+// order orders an attempt, and returns what starts it.
+func (n *testNode) order(t *testing.T, rpc *node.RPC) func() {
+	rpc.Orders <- node.Order{Kind: node.OrderSend, Attempt: &node.Attempt{Server: &node.Server{}}}
+	return testutil.Receive(t, n.starts)
+}
+
+// requireNotSent checks that an attempt ended without a byte to the upstream server.
+func (n *testNode) requireNotSent(t *testing.T) {
+	t.Helper()
+	select {
+	case result := <-n.results:
+		assert.Equal(t, decide.NotSent, result)
+	case text := <-n.received:
+		t.Fatalf("the server got %.40q", text)
+	case <-time.After(eventTimeout):
+		t.Fatal("the attempt has no result")
+	}
+}
+
+// peerHasClosed reports what the kernel knows, of which the node may not have been notified.
+func peerHasClosed(raw syscall.RawConn) (closed bool) {
+	raw.Control(func(fd uintptr) {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, _ := unix.Poll(fds, 0)
+		closed = n > 0
+	})
+	return closed
+}
+
+func requirePeerClosed(t *testing.T, raw syscall.RawConn) {
+	t.Helper()
+	require.Eventually(t, func() bool { return peerHasClosed(raw) }, eventTimeout, pollInterval)
+}
+
+func unreadBytes(raw syscall.RawConn) (count int) {
+	raw.Control(func(fd uintptr) { count, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
+	return count
+}
+
+// blockingWatcher blocks its poller at its first event, until it is released.
+type blockingWatcher struct {
+	conn    net.Conn // a write makes the event
+	entered chan struct{}
+	leave   chan struct{}
+}
+
+func (b *blockingWatcher) OnEvent(poller.Event) {
+	close(b.entered)
+	<-b.leave
+}
+
+func newBlockingWatcher(t *testing.T, p *poller.Poller) *blockingWatcher {
+	listener := newListener(t)
+	defer listener.Close()
+	conn, err := net.Dial("tcp", listener.Addr().String())
+	require.NoError(t, err)
+	accepted, err := listener.Accept()
+	require.NoError(t, err)
+	raw, err := accepted.(syscall.Conn).SyscallConn()
+	require.NoError(t, err)
+	b := &blockingWatcher{conn: conn, entered: make(chan struct{}), leave: make(chan struct{})}
+	registration, err := p.Add(raw, b, true)
+	require.NoError(t, err)
+	t.Cleanup(func() {
+		b.release()
+		p.Remove(&registration)
+		accepted.Close()
+		conn.Close()
+	})
+	return b
+}
+
+// trigger has the poller blocked once it comes to this watcher.
+func (b *blockingWatcher) trigger() { b.conn.Write([]byte{1}) }
+
+func (b *blockingWatcher) release() {
+	select {
+	case <-b.leave:
+	default:
+		close(b.leave)
+	}
+}
+
+// blockPoller blocks the server's poller.
+func (n *testNode) blockPoller(t *testing.T) {
+	b := newBlockingWatcher(t, n.server.poller)
+	b.trigger()
+	testutil.Receive(t, b.entered)
+}
+
+// protocol is one that clients speak.
+type protocol struct {
+	gateway    *Gateway // nil: HTTP
+	find       string   // a complete request
+	put        string   // the first part of a request whose body is streamed
+	leaveFuncs map[string]func(*client)
+}
+
+func protocols() map[string]protocol {
+	return map[string]protocol{"HTTP": httpProtocol(), "FastCGI": fastCGIProtocol()}
+}
+
+const (
+	putLength  = "9000"
+	putPartial = 5000
+)
+
+func httpProtocol() protocol {
+	const head = "POST /put HTTP/1.1\r\nX-Qos: put\r\nX-Trace-Id: t1\r\nX-Expires-In-Ms: 1000\r\n"
+	return protocol{
+		find:       findRequest("t1"),
+		put:        head + "Content-Length: " + putLength + "\r\n\r\n" + strings.Repeat("b", putPartial),
+		leaveFuncs: leaveFuncs,
+	}
+}
+
+func fastCGIProtocol() protocol {
+	request := func(verb, method string, more ...string) []byte {
+		params := []string{
+			"REQUEST_METHOD", verb, "REQUEST_URI", "/" + method, "HTTP_X_QOS", method,
+			"HTTP_X_TRACE_ID", "t1", "HTTP_X_EXPIRES_IN_MS", "1000",
+		}
+		return gatewayRequest(1, append(params, more...)...)
+	}
+	complete := request("POST", "put", "CONTENT_LENGTH", putLength)
+	head := complete[:len(complete)-len(fcgi.AppendStreamEnd(nil, fcgi.TypeStdin, 1))]
+	another := gatewayRequest(2, "REQUEST_METHOD", "GET")
+	leave := maps.Clone(leaveFuncs)
+	leave["sent another request"] = func(c *client) {
+		c.Write(another)
+		c.Close()
+	}
+	leave["aborted"] = func(c *client) { c.Write(fcgi.AppendAbort(nil, 1)) }
+	leave["aborted amid more"] = func(c *client) { c.Write(append(fcgi.AppendAbort(nil, 1), another...)) }
+	return protocol{
+		gateway:    &Gateway{},
+		find:       string(request("GET", "find")),
+		put:        string(fcgi.AppendStream(head, fcgi.TypeStdin, 1, bytes.Repeat([]byte("b"), putPartial))),
+		leaveFuncs: leave,
+	}
+}
+
+const failedResponse = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+
+// leaveMoment is when a client leaves. It has what is ordered wait until the kernel knows that the client has left.
+type leaveMoment struct {
+	name     string
+	streamed bool // the request's body
+	play     func(t *testing.T, n *testNode, rpc *node.RPC, leave func())
+}
+
+var leaveMoments = []leaveMoment{
+	{"first attempt", false, leaveBeforeAttempt},
+	{"streamed body", true, leaveBeforeAttempt},
+	{"retry", false, func(t *testing.T, n *testNode, rpc *node.RPC, leave func()) {
+		n.responses <- failedResponse
+		n.order(t, rpc)()
+		assert.Equal(t, decide.Failed, testutil.Receive(t, n.results))
+		testutil.Receive(t, n.received)
+		leaveBeforeAttempt(t, n, rpc, leave)
+	}},
+	{"hedged request", false, func(t *testing.T, n *testNode, rpc *node.RPC, leave func()) {
+		n.order(t, rpc)()
+		testutil.Receive(t, n.received)
+		leaveBeforeAttempt(t, n, rpc, leave)
+	}},
+	{"connect", false, func(t *testing.T, n *testNode, rpc *node.RPC, leave func()) {
+		bound, goOn := make(chan struct{}), make(chan struct{})
+		n.onBind = func() {
+			close(bound)
+			<-goOn
+		}
+		n.order(t, rpc)()
+		testutil.Receive(t, bound)
+		leave()
+		close(goOn)
+	}},
+}
+
+func leaveBeforeAttempt(t *testing.T, n *testNode, rpc *node.RPC, leave func()) {
+	start := n.order(t, rpc)
+	leave()
+	start()
+}
+
+func TestServer_NoAttemptForGoneClient(t *testing.T) {
+	for name, protocol := range protocols() {
+		for _, moment := range leaveMoments {
+			for way, leave := range protocol.leaveFuncs {
+				t.Run(fmt.Sprint(name, "/", moment.name, "/", way), func(t *testing.T) {
+					aborted := strings.HasPrefix(way, "aborted")
+					checkNoAttempt(t, protocol, moment, leave, aborted)
+				})
+			}
+		}
+	}
+}
+
+func checkNoAttempt(t *testing.T, p protocol, moment leaveMoment, leave func(*client), aborted bool) {
+	n := startNode(t, testLimits(), p.gateway)
+	c := dial(t, n.address)
+	if moment.streamed {
+		io.WriteString(c, p.put)
+	} else {
+		io.WriteString(c, p.find)
+	}
+	rpc := testutil.Receive(t, n.arrived)
+	raw := n.conn(t).raw
+	moment.play(t, n, rpc, func() {
+		n.blockPoller(t)
+		unread := unreadBytes(raw)
+		leave(c)
+		if aborted {
+			arrived := func() bool { return unreadBytes(raw) > unread }
+			require.Eventually(t, arrived, eventTimeout, pollInterval)
+		} else {
+			requirePeerClosed(t, raw)
+		}
+	})
+	n.requireNotSent(t)
+	assert.Same(t, rpc, testutil.Receive(t, n.gone), "the poller has notified nobody yet")
+	if aborted && !moment.streamed {
+		requireEndOfAborted(t, c)
+		c.Close()
+	} else {
+		requireConnCount(t, n.server, 0)
+	}
+	assert.Empty(t, n.received)
+	assert.Empty(t, n.arrived, "nobody waits for what it had requested next")
+}
+
+// requireEndOfAborted checks that a gateway gets the end of the request that it aborted: its connection goes on.
+func requireEndOfAborted(t *testing.T, c *client) {
+	t.Helper()
+	buffer := make([]byte, 99)
+	count, err := c.Read(buffer)
+	assert.NoError(t, err)
+	assert.Contains(t, string(buffer[:count]), string(fcgi.AppendEnd(nil, 1, 1, fcgi.StatusComplete)))
+}
+
+// The first request's attempt is in flight as the client leaves, and it gets its response before the node notices.
+func TestServer_PipelinedRequestOfGoneClient(t *testing.T) {
+	for way, leave := range leaveFuncs {
+		t.Run(way, func(t *testing.T) {
+			n := startNode(t, testLimits(), nil)
+			c := dial(t, n.address)
+			io.WriteString(c, findRequest("first")+findRequest("second")+findRequest("third"))
+			rpc := testutil.Receive(t, n.arrived)
+			n.order(t, rpc)()
+			assert.Contains(t, testutil.Receive(t, n.received), "first")
+			n.blockPoller(t)
+			raw := n.conn(t).raw
+			leave(c)
+			requirePeerClosed(t, raw)
+			rpc.Orders <- served("well")
+			for more := true; more; {
+				select {
+				case rpc := <-n.arrived: // it is admitted, and the client is looked for before its first byte
+					n.order(t, rpc)()
+					assert.Same(t, rpc, testutil.Receive(t, n.gone))
+				case <-time.After(time.Millisecond):
+					more = connCount(n.server) > 0
+				}
+			}
+			assert.Empty(t, n.received)
+			n.responses <- failedResponse
+		})
+	}
+}
+
+// The request and the end are in the socket as the connection comes from another process.
+func TestAdopt_ClientGone(t *testing.T) {
+	for way, leave := range leaveFuncs {
+		t.Run(way, func(t *testing.T) {
+			n := startNode(t, testLimits(), nil)
+			listener := newListener(t)
+			c := dial(t, listener.Addr().String())
+			accepted, err := listener.Accept()
+			require.NoError(t, err)
+			listener.Close()
+			c.sendRequest()
+			leave(c)
+			raw, err := accepted.(syscall.Conn).SyscallConn()
+			require.NoError(t, err)
+			requirePeerClosed(t, raw)
+			n.server.Adopt(accepted, true)
+			requireConnCount(t, n.server, 0)
+			assert.Empty(t, n.arrived)
+		})
+	}
+}
+
+// A gateway's abort arrives with the request itself: there is no event of it, and nothing is in the kernel.
+func TestGateway_AbortArrivesWithRequest(t *testing.T) {
+	p := fastCGIProtocol()
+	l := testLimits()
+	l.ClientCheckInterval = time.Hour // the kernel is not asked
+	n := startNode(t, l, p.gateway)
+	c := dial(t, n.address)
+	io.WriteString(c, p.find+string(fcgi.AppendAbort(nil, 1)))
+	rpc := testutil.Receive(t, n.arrived)
+	rpc.Orders <- node.Order{Kind: node.OrderSend, Attempt: &node.Attempt{Server: &node.Server{}}}
+	select {
+	case start := <-n.starts:
+		start()
+		assert.Equal(t, decide.NotSent, testutil.Receive(t, n.results))
+	case rpc := <-n.gone:
+		n.gone <- rpc
+	}
+	assert.Same(t, rpc, testutil.Receive(t, n.gone))
+	requireEndOfAborted(t, c)
+	assert.Empty(t, n.received)
+}
+
+// The kernel reports a request, and the poller is blocked before it handles that event; the client leaves meanwhile.
+// What the poller reports then is as old as the kernel's answer.
+func TestStillWaiting_PollerDelayed(t *testing.T) {
+	l := testLimits()
+	l.ClientCheckInterval = 50 * time.Millisecond
+	n := startNode(t, l, nil)
+	c := dial(t, n.address)
+	requireConnCount(t, n.server, 1)
+	raw := n.conn(t).raw
+	p := n.server.poller
+	first, before, behind := newBlockingWatcher(t, p), newBlockingWatcher(t, p), newBlockingWatcher(t, p)
+	first.trigger()
+	testutil.Receive(t, first.entered)
+	// The kernel keeps the order in which they come.
+	before.trigger()
+	c.sendRequest()
+	require.Eventually(t, func() bool { return unreadBytes(raw) > 0 }, eventTimeout, pollInterval)
+	behind.trigger()
+	first.release()
+	testutil.Receive(t, before.entered)
+	c.Close()
+	requirePeerClosed(t, raw)
+	time.Sleep(2 * l.ClientCheckInterval)
+	before.release()
+	testutil.Receive(t, behind.entered)
+	rpc := testutil.Receive(t, n.arrived)
+	n.order(t, rpc)()
+	assert.Equal(t, decide.NotSent, testutil.Receive(t, n.results))
+	assert.Same(t, rpc, testutil.Receive(t, n.gone))
+	assert.Empty(t, n.received)
+}
--- /dev/null
+++ b/internal/dataplane/frontend/clientgone_test.go
@@ -0,0 +1,104 @@
+package frontend
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"robincart/internal/testutil"
+)
+
+func TestServer_ClientLeavesInFlight(t *testing.T) {
+	for way, leave := range leaveFuncs {
+		t.Run(way, func(t *testing.T) {
+			server, core, address := startServer(t)
+			c := dial(t, address)
+			c.sendRequest()
+			rpc := testutil.Receive(t, core.arrived)
+			leave(c)
+			assert.Same(t, rpc, testutil.Receive(t, core.gone))
+			rpc.Orders <- send
+			requireIdle(t, server)
+			assert.Empty(t, core.startedRequests())
+			assert.Empty(t, core.arrived, "nobody waits for what it had requested next")
+		})
+	}
+}
+
+// Nothing is accepted until the client has left: the kernel has received its request.
+func TestServer_ClientLeftInListenQueue(t *testing.T) {
+	for way, leave := range leaveFuncs {
+		t.Run(way, func(t *testing.T) {
+			server, core, _ := startServer(t)
+			listener := newListener(t)
+			t.Cleanup(func() { listener.Close() })
+			gone := dial(t, listener.Addr().String())
+			gone.sendRequest()
+			leave(gone)
+			waits := dial(t, listener.Addr().String())
+			waits.sendRequest()
+			server.Serve(listener)
+			testutil.Receive(t, core.arrived).Orders <- pushBack
+			waits.requireStatus(t, 503)
+			requireConnCount(t, server, 1)
+			assert.Empty(t, core.arrived)
+		})
+	}
+}
+
+// There is no capacity until the client, whose request waits for it, has left.
+func TestServer_ClientLeftWhileWaiting(t *testing.T) {
+	for way, leave := range leaveFuncs {
+		t.Run(way, func(t *testing.T) {
+			l := testLimits()
+			l.MaxRequests, l.OverloadConnections, l.OverloadRetryAfter = 1, 0, 20*time.Second
+			server, core, address := startServerWith(t, l)
+			first := dial(t, address)
+			first.sendRequest()
+			rpc := testutil.Receive(t, core.arrived)
+			gone := dial(t, address)
+			gone.sendRequest()
+			waiting := func() bool {
+				server.mu.Lock()
+				defer server.mu.Unlock()
+				return server.admission.WaitingCount() == 1
+			}
+			require.Eventually(t, waiting, eventTimeout, pollInterval)
+			leave(gone)
+			require.Eventually(t, func() bool { return closedClientCount(server) == 1 }, eventTimeout, pollInterval)
+			rpc.Orders <- pushBack
+			first.requireStatus(t, 503)
+			requireConnCount(t, server, 1)
+			assert.Empty(t, core.arrived)
+		})
+	}
+}
+
+// closedClientCount returns the number of connections whose client is known to have closed.
+func closedClientCount(s *Server) (count int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		if c.shared.clientClosed.Load() {
+			count++
+		}
+	}
+	return count
+}
+
+// An end that the client's kernel holds back behind a flood has not reached the node: what is in flight is responded
+// to, to nobody, and nothing in the flood is taken for a request.
+func TestServer_FloodBehindRequest(t *testing.T) {
+	server, core, address := startServer(t)
+	c := dial(t, address)
+	c.sendRequest()
+	rpc := testutil.Receive(t, core.arrived)
+	c.flood()
+	c.Close()
+	rpc.Orders <- served("well")
+	requireIdle(t, server)
+	assert.Empty(t, core.arrived)
+	assert.Empty(t, core.startedRequests())
+}
--- /dev/null
+++ b/internal/dataplane/frontend/server_test.go
@@ -0,0 +1,242 @@
+package frontend
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"robincart/decide"
+	"robincart/internal/core/node"
+	"robincart/internal/system/socket"
+	"robincart/internal/testutil"
+)
+
+func TestServer_CarriesOutOrders(t *testing.T) {
+	response := node.Order{Kind: node.OrderPushBack, RetryAfter: 250 * time.Millisecond}
+	_, core, address := startServer(t, send, send, response)
+	c := dial(t, address)
+	c.sendRequestWithID("t1")
+	r := c.receive(t)
+	assert.Equal(t, 503, r.StatusCode)
+	assert.Equal(t, "0.250", r.Header.Get("Retry-After"))
+	assert.False(t, r.Close)
+	assert.Equal(t, []string{"t1", "t1"}, core.startedRequests())
+}
+
+// The client's time runs from when its request arrived, and not from when it was read: here the cores' clock stands
+// still, but for that wait. On a new connection the request may have been there since the accept, which is before the
+// client has its connection.
+func TestServer_DeadlineFromArrival(t *testing.T) {
+	const timeLeft = time.Second
+	_, core, address := startServer(t, pushBack)
+	dialedAt := time.Now()
+	c := dial(t, address)
+	for i := range 3 {
+		// The accept is before the first request, by less than the time in which a connection counts as new.
+		time.Sleep(2 * time.Millisecond)
+		arrivedAfter := time.Now()
+		c.sendRequest()
+		c.receive(t)
+		deadline := testutil.Receive(t, core.arrived).Deadline
+		if i == 0 {
+			arrivedAfter = dialedAt
+		}
+		assert.LessOrEqual(t, deadline, coreTime+timeLeft)
+		assert.Greater(t, deadline, coreTime+timeLeft-time.Since(arrivedAfter), "request %d", i)
+	}
+}
+
+func TestServer_Pipelining(t *testing.T) {
+	_, core, address := startServer(t)
+	c := dial(t, address)
+	c.sendRequest()
+	c.sendRequest()
+	first := testutil.Receive(t, core.arrived)
+	time.Sleep(20 * time.Millisecond)
+	assert.Empty(t, core.arrived)
+	assert.Empty(t, core.gone, "more bytes are no end")
+	first.Orders <- served("one")
+	c.requireStatus(t, 200)
+	testutil.Receive(t, core.arrived).Orders <- abort
+	c.requireStatus(t, 504)
+}
+
+func TestServer_RejectsWhileClientSends(t *testing.T) {
+	_, _, address := startServer(t)
+	c := dial(t, address)
+	const length = 4_000_000
+	head := fmt.Sprintf("POST /find HTTP/1.1\r\nContent-Length: %d\r\n\r\n", length)
+	_, err := io.WriteString(c, head+strings.Repeat("x", length))
+	assert.NoError(t, err, "a reset would reach the client before the response")
+	c.requireStatus(t, 413)
+}
+
+func TestServer_MaxRequests(t *testing.T) {
+	_, core, address := startServer(t)
+	a, b, c := dial(t, address), dial(t, address), dial(t, address)
+	a.sendRequest()
+	b.sendRequest()
+	first, second := testutil.Receive(t, core.arrived), testutil.Receive(t, core.arrived)
+	c.sendRequest()
+	r := c.receive(t)
+	assert.Equal(t, 503, r.StatusCode)
+	assert.Equal(t, "0.500", r.Header.Get("Retry-After"))
+	assert.Empty(t, core.arrived)
+
+	first.Orders <- abort
+	second.Orders <- abort
+	a.receive(t)
+	b.receive(t)
+	a.sendRequest()
+	testutil.Receive(t, core.arrived).Orders <- abort
+	a.requireStatus(t, 504) // there is capacity again
+}
+
+// Read to the last byte of its buffer a connection may hold more, of which there is no further event.
+func TestServer_RequestFillsBuffer(t *testing.T) {
+	_, core, address := startServer(t, abort)
+	request := func(padding int) string {
+		const format = "GET /find HTTP/1.1\r\nX-Qos: find\r\nX-Trace-Id: %s\r\nX-Expires-In-Ms: 1000\r\nX: %s\r\n\r\n"
+		return fmt.Sprintf(format, newRequestID(), strings.Repeat("x", padding))
+	}
+	for extra := range 20 { // from just below the buffer's size to just above
+		c := dial(t, address)
+		padding := testLimits().Wire.BufferSize - len(request(0)) - 10 + extra
+		io.WriteString(c, request(padding)+request(0)+request(300))
+		for range 3 {
+			testutil.Receive(t, core.arrived)
+			c.requireStatus(t, 504)
+		}
+	}
+}
+
+func TestServer_IncompleteRequest(t *testing.T) {
+	l := testLimits()
+	l.ClientReadTimeout = 100 * time.Millisecond
+	_, core, address := startServerWith(t, l)
+	for name, part := range map[string]string{
+		"half a head":           "GET /fi",
+		"head without its body": "POST /find HTTP/1.1\r\nContent-Length: 3\r\n\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := dial(t, address)
+			io.WriteString(c, part)
+			c.requireStatus(t, 408)
+		})
+	}
+	t.Run("client closes", func(t *testing.T) {
+		c := dial(t, address)
+		io.WriteString(c, "GET /fi")
+		c.halfClose()
+		c.requireEnd(t)
+	})
+	assert.Empty(t, core.arrived)
+}
+
+// streamedBody is what is still to come of a large response.
+type streamedBody struct {
+	io.Reader
+	closed chan bool // whether all of it was read
+}
+
+func (s streamedBody) Remaining() int64 { return 1 << 24 }
+
+func (s streamedBody) Close(complete bool) { s.closed <- complete }
+
+// Small requests have to get through among large responses, and nobody holds capacity by reading next to nothing.
+func TestServer_StreamedResponses(t *testing.T) {
+	l := testLimits()
+	l.MaxRequests, l.MaxStreamedRequests, l.MaxClientConnections = 3, 1, 6
+	l.ClientStallTimeout, l.MinTransferRate = 300*time.Millisecond, 1<<20
+	server, core, address := startServerWith(t, l)
+	body := streamedBody{strings.NewReader(strings.Repeat("x", 1<<24)), make(chan bool, 1)}
+	slow := dial(t, address)
+	slow.sendRequest()
+	rpc := testutil.Receive(t, core.arrived)
+	response := &node.Response{Body: []byte("begun"), BodyStream: body}
+	rpc.Orders <- node.Order{Kind: node.OrderServed, Response: response}
+	line, err := slow.reader.ReadString('\n') // the rest is not read, or a byte at a time
+	require.NoError(t, err)
+	assert.Contains(t, line, "200")
+
+	next := dial(t, address)
+	next.sendRequest()
+	next.requireStatus(t, 503) // the next response of the method would most likely be as large
+
+	assert.False(t, readSlowly(t, slow, body.closed))
+	streamed := func() int64 { return server.streamedRequests.Load() }
+	require.Eventually(t, func() bool { return streamed() == 0 }, eventTimeout, pollInterval)
+	for _, count := range []int64{1, 0} { // until a small response is seen
+		next.sendRequest()
+		rpc := testutil.Receive(t, core.arrived)
+		assert.Equal(t, count, streamed())
+		rpc.Orders <- served("well")
+		next.requireStatus(t, 200)
+	}
+}
+
+// readSlowly reads a byte at a time until the server closes the body, and returns whether it read all of it.
+func readSlowly(t *testing.T, c *client, closed <-chan bool) bool {
+	buffer := make([]byte, 1)
+	for {
+		_, err := c.Read(buffer)
+		select {
+		case complete := <-closed:
+			return complete
+		case <-time.After(time.Millisecond):
+		}
+		if err != nil {
+			return testutil.Receive(t, closed)
+		}
+	}
+}
+
+// A close over unread bytes resets a connection, and small writes that the kernel held back would be lost with it.
+func TestServer_NoDelay(t *testing.T) {
+	server, _, address := startServer(t)
+	dial(t, address)
+	requireConnCount(t, server, 1)
+	listener := newListener(t)
+	defer listener.Close()
+	dial(t, listener.Addr().String())
+	raw, err := socket.Accept(listener) // out of the queue of a listener that closes, and as from another process
+	require.NoError(t, err)
+	require.NotNil(t, raw)
+	server.Adopt(raw, true)
+
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	require.Len(t, server.conns, 2)
+	for c := range server.conns {
+		assert.Equal(t, 1, noDelayOption(c.raw))
+	}
+}
+
+func noDelayOption(raw syscall.RawConn) (value int) {
+	raw.Control(func(fd uintptr) {
+		value, _ = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+	})
+	return value
+}
+
+func TestServer_AttemptOrderedForGoneClient(t *testing.T) {
+	_, core, address := startServer(t)
+	core.onClientGone = func(rpc *node.RPC) { rpc.Orders <- send } // ordered as the core was notified
+	c := dial(t, address)
+	c.sendRequest()
+	rpc := testutil.Receive(t, core.arrived)
+	c.Close()
+	assert.Same(t, rpc, testutil.Receive(t, core.gone))
+	notSent := func() bool {
+		results := core.attemptResults()
+		return len(results) == 1 && results[0] == decide.NotSent
+	}
+	require.Eventually(t, notSent, time.Second, pollInterval)
+	assert.Empty(t, core.startedRequests())
+}
