--- a/internal/resources/admission/admission.go
+++ b/internal/resources/admission/admission.go
@@ -1,221 +1,211 @@
-// Package admission decides, when many connections wake at once, who is served now, who waits with its bytes still in the
-// kernel, and who is pushed back. A place stands for a goroutine and a buffer, so the places bound the memory. It knows no
-// connection and no clock, and is not safe for concurrent use.
+// Package admission decides, when many connections have something to read at once, which are served now, which wait
+// with their bytes still in the kernel, and which are rejected. Whatever is served takes a goroutine and a buffer, so
+// the limit of those bounds the memory.
+//
+// A Controller owns the queues and the counts. It knows neither connections nor a clock: a connection embeds a Member,
+// and times are passed in. It is not safe for concurrent use.
 package admission
 
 import "time"
 
-// Config bounds a Gate.
+// Config bounds a Controller.
 type Config struct {
 	MaxServing    int           // served at once
-	MaxRejecting  int           // beside them, told at once that the node is full
-	MaxSlow       int           // of those served, whose requests come in pieces
-	MinSlowTime   time.Duration // a slow one keeps its place for so long at least
-	AdmitsPerStep int           // others than regulars let in a Step; 0: no bound
+	MaxRejecting  int           // beside these, those that are being rejected
+	MaxSlow       int           // of those served, whose requests arrive in pieces
+	MinSlowTime   time.Duration // for which a slow one is not evicted
+	AdmitsPerStep int           // of members that are not regular, in a Step; 0: no limit
 	Step          time.Duration
-	MaxWait       time.Duration // who has waited longer is pushed back instead of served: its caller may have given up
+	MaxWait       time.Duration // after which a member is rejected instead of served: its client may have given up
 }
 
-// Member is one connection. It is embedded in it.
-type Member struct {
-	Owner any // what it belongs to
+// A regular member has been served lately. Regular members go before others, so that a wave of new connections does
+// not stop those at work; but one in othersTurn turns goes to the others, which would else wait for ever behind a
+// steady flow.
+const othersTurn = 4
 
-	state      state
-	since      time.Duration
-	next, prev *Member
-}
-
-type state uint8
+// Verdict is what becomes of a member.
+type Verdict uint8
 
+// The verdicts.
 const (
-	away    state = iota
-	waiting       // among the others
-	waitingRegular
-	served
-	slow // served, and in the list of the slow
-	refused
+	Wait   Verdict = iota
+	Serve          // now; Leave gives its capacity back
+	Reject         // now, and nothing else; Leave gives its capacity back
 )
 
-// Absent tells that the gate knows nothing of the member.
-func (m *Member) Absent() bool { return m.state == away }
-
-// Controller gives places out.
+// Controller gives out capacity.
 type Controller struct {
-	c                       Config
-	regulars, others, slows queue
-	served, refused, turns  int
-	tokens                  float64 // for others than regulars
-	filled                  time.Duration
-}
-
-type queue struct {
-	head Member // of a ring, the oldest first
-	n    int
-}
-
-func (q *queue) init() { q.head.next, q.head.prev = &q.head, &q.head }
-
-func (q *queue) push(m *Member) {
-	m.prev, m.next = q.head.prev, &q.head
-	m.prev.next, q.head.prev = m, m
-	q.n++
-}
-
-func (q *queue) drop(m *Member) {
-	m.prev.next, m.next.prev = m.next, m.prev
-	m.next, m.prev = nil, nil
-	q.n--
-}
-
-func (q *queue) first() *Member {
-	if q.n == 0 {
-		return nil
-	}
-	return q.head.next
+	config    Config
+	regulars  queue // waiting
+	others    queue // waiting
+	slow      queue // served
+	serving   int
+	rejecting int
+	turns     int // in which a waiting member was served
+
+	// The token bucket of members that are not regular.
+	tokens     float64
+	refilledAt time.Duration
 }
 
-// New makes a gate with all places free.
-func New(c Config) *Controller {
-	g := &Controller{c: c}
-	g.regulars.init()
-	g.others.init()
-	g.slows.init()
-	return g
+// New returns a controller with all of its capacity free.
+func New(config Config) *Controller {
+	c := &Controller{config: config}
+	c.regulars.init()
+	c.others.init()
+	c.slow.init()
+	return c
 }
 
-// Verdict is what becomes of a member.
-type Verdict uint8
-
-const (
-	Wait   Verdict = iota
-	Serve          // now; Done gives its place back
-	Reject         // now, with a pushback and nothing else; Done gives its place back
-)
-
-// Arrive asks for a place for a member whose connection has something to read. A regular has been served of late.
+// Arrive asks for capacity for a member whose connection has something to read.
 func (c *Controller) Arrive(m *Member, regular bool, now time.Duration) Verdict {
 	m.since = now
-	if c.served < c.c.MaxServing && (regular || c.others.n == 0 && c.may(now)) {
-		c.take(m, regular, now)
+	if c.serving < c.config.MaxServing && (regular || c.others.count == 0 && c.hasToken(now)) {
+		c.serve(m, regular, now)
 		return Serve
 	}
 	if regular {
-		m.state = waitingRegular
+		m.state = stateWaitingRegular
 		c.regulars.push(m)
 	} else {
-		m.state = waiting
+		m.state = stateWaiting
 		c.others.push(m)
 	}
 	return Wait
 }
 
-// may tells whether another than a regular can be let in now. A wave that is let in all at once stands before the regulars
-// in every queue there is, the scheduler's first.
-func (c *Controller) may(now time.Duration) bool {
-	if c.c.AdmitsPerStep == 0 {
+// hasToken reports whether a member that is not regular may be served now. A wave that is admitted all at once would
+// be before the regular members in every queue there is, the scheduler's first.
+func (c *Controller) hasToken(now time.Duration) bool {
+	if c.config.AdmitsPerStep == 0 {
 		return true
 	}
-	most := float64(c.c.AdmitsPerStep)
-	c.tokens = min(most, c.tokens+most*float64(now-c.filled)/float64(c.c.Step))
-	c.filled = now
+	limit := float64(c.config.AdmitsPerStep)
+	steps := float64(now-c.refilledAt) / float64(c.config.Step)
+	c.tokens = min(limit, c.tokens+limit*steps)
+	c.refilledAt = now
 	return c.tokens >= 1
 }
 
-func (c *Controller) take(m *Member, regular bool, now time.Duration) {
-	m.state, m.since = served, now
-	c.served++
+func (c *Controller) serve(m *Member, regular bool, now time.Duration) {
+	m.state = stateServed
+	m.since = now
+	c.serving++
 	if !regular {
 		c.tokens--
 	}
 }
 
-// Next hands out the next member that waits and can have a place now, with what becomes of it; nil if there is none. It is
-// asked after each Done until it has none, and every few milliseconds while some wait.
+// Next returns the next waiting member for which there is capacity now, and its verdict; nil if there is none. It is
+// called after each Leave until there is none, and every few milliseconds while some wait.
 func (c *Controller) Next(now time.Duration) (*Member, Verdict) {
-	// Who has waited too long stands first in its queue. Places to be told are apart: with all others taken for seconds,
-	// none would else learn of it.
-	if c.refused < c.c.MaxRejecting {
-		for _, q := range []*queue{&c.others, &c.regulars} {
-			if m := q.first(); m != nil && now-m.since > c.c.MaxWait {
-				q.drop(m)
-				m.state, m.since = refused, now
-				c.refused++
-				return m, Reject
-			}
-		}
+	if m := c.nextRejected(now); m != nil {
+		return m, Reject
 	}
-	if c.served >= c.c.MaxServing {
+	if c.serving >= c.config.MaxServing {
 		return nil, Wait
 	}
-	// Regulars go first, so that a wave does not stop those at work; but one turn in four is the others', who would else
-	// wait for ever behind a steady flow.
-	others := c.others.n > 0 && c.may(now)
-	q := &c.regulars
-	if q.n == 0 || others && c.turns%4 == 3 {
-		if q = &c.others; !others {
-			return nil, Wait
-		}
+	waiting := c.nextQueue(now)
+	if waiting == nil {
+		return nil, Wait
 	}
-	m := q.first()
-	if now-m.since > c.c.MaxWait { // until there is a place to tell it
+	m := waiting.first()
+	if c.waitedTooLong(m, now) { // until there is capacity to reject it
 		return nil, Wait
 	}
 	c.turns++
-	q.drop(m)
-	c.take(m, q == &c.regulars, now)
+	waiting.remove(m)
+	c.serve(m, waiting == &c.regulars, now)
 	return m, Serve
 }
 
-// WaitingCount is how many wait.
-func (c *Controller) WaitingCount() int { return c.regulars.n + c.others.n }
+// nextRejected takes the next member that has waited too long, which is the first of its queue. The capacity to reject
+// is separate: with all other capacity in use for seconds nobody would else learn of it.
+func (c *Controller) nextRejected(now time.Duration) *Member {
+	if c.rejecting >= c.config.MaxRejecting {
+		return nil
+	}
+	for _, waiting := range []*queue{&c.others, &c.regulars} {
+		m := waiting.first()
+		if m == nil || !c.waitedTooLong(m, now) {
+			continue
+		}
+		waiting.remove(m)
+		m.state = stateRejected
+		m.since = now
+		c.rejecting++
+		return m
+	}
+	return nil
+}
 
-// ServingCount is how many have a place.
-func (c *Controller) ServingCount() int { return c.served }
+func (c *Controller) waitedTooLong(m *Member, now time.Duration) bool {
+	return now-m.since > c.config.MaxWait
+}
 
-// SlowCount is how many of those served are slow.
-func (c *Controller) SlowCount() int { return c.slows.n }
+// nextQueue returns the queue whose turn it is, or nil.
+func (c *Controller) nextQueue(now time.Duration) *queue {
+	othersMayGo := c.others.count > 0 && c.hasToken(now)
+	switch {
+	case othersMayGo && (c.regulars.count == 0 || c.turns%othersTurn == othersTurn-1):
+		return &c.others
+	case c.regulars.count > 0:
+		return &c.regulars
+	}
+	return nil
+}
+
+// WaitingCount returns the number of members that wait.
+func (c *Controller) WaitingCount() int { return c.regulars.count + c.others.count }
 
-// MarkSlow tells that a member's request comes in pieces. Where as many as may be are slow already, the one that has been for
-// longest has to end, if it has had its time; else the newcomer has to. It returns who has to end, or nil.
+// SlowCount returns the number of members, of those served, that are slow.
+func (c *Controller) SlowCount() int { return c.slow.count }
+
+// MarkSlow notes that the request of a served member arrives in pieces. Where as many as may be are slow already, the
+// one that has been slow for longest is evicted, if it has had its time; else this one is. It returns the evicted one,
+// or nil.
 func (c *Controller) MarkSlow(m *Member, now time.Duration) *Member {
-	if m.state != served {
+	if m.state != stateServed {
 		return nil
 	}
-	var out *Member
-	if c.slows.n >= c.c.MaxSlow {
-		if out = c.slows.first(); out == nil || now-out.since < c.c.MinSlowTime {
+	var evicted *Member
+	if c.slow.count >= c.config.MaxSlow {
+		evicted = c.slow.first()
+		if evicted == nil || now-evicted.since < c.config.MinSlowTime {
 			return m
 		}
-		c.slows.drop(out)
-		out.state = served // until its Done
+		c.slow.remove(evicted)
+		evicted.state = stateServed // until it leaves
 	}
-	m.state, m.since = slow, now
-	c.slows.push(m)
-	return out
+	m.state = stateSlow
+	m.since = now
+	c.slow.push(m)
+	return evicted
 }
 
-// MarkComplete tells that a member's request has come.
+// MarkComplete notes that a member's request is complete.
 func (c *Controller) MarkComplete(m *Member) {
-	if m.state == slow {
-		c.slows.drop(m)
-		m.state = served
+	if m.state == stateSlow {
+		c.slow.remove(m)
+		m.state = stateServed
 	}
 }
 
-// Leave gives a member's place back, or takes it out of the queue.
+// Leave gives a member's capacity back, or takes it out of its queue.
 func (c *Controller) Leave(m *Member) {
 	switch m.state {
-	case waiting:
-		c.others.drop(m)
-	case waitingRegular:
-		c.regulars.drop(m)
-	case slow:
-		c.slows.drop(m)
-		c.served--
-	case served:
-		c.served--
-	case refused:
-		c.refused--
+	case stateWaiting:
+		c.others.remove(m)
+	case stateWaitingRegular:
+		c.regulars.remove(m)
+	case stateSlow:
+		c.slow.remove(m)
+		c.serving--
+	case stateServed:
+		c.serving--
+	case stateRejected:
+		c.rejecting--
 	}
-	m.state = away
+	m.state = stateAbsent
 }
