--- a/internal/system/poller/poller.go
+++ b/internal/system/poller/poller.go
@@ -1,6 +1,9 @@
-// Package poller watches connections that nobody reads: one epoll instance of its own tells of bytes and of ends, so that a
-// connection between requests needs no goroutine, no buffer and no runtime timer. The runtime's poller watches the same
+// Package poller watches connections that no goroutine reads. One epoll instance of its own reports bytes and ends, so
+// that an idle connection needs no goroutine, no buffer and no runtime timer. The runtime's poller watches the same
 // sockets beside it, for the goroutines that read and write while a request lasts.
+//
+// A Poller owns its epoll instance and one goroutine, which calls the watchers. It neither reads nor closes the
+// connections that it watches.
 package poller
 
 import (
@@ -14,42 +17,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// Event says what happened on a connection: something came, it ended, or both.
+// maxEvents is how many events are taken from the kernel at once.
+const maxEvents = 128
+
+// Event is what happened on a connection: something arrived, it ended, or both.
 type Event uint8
 
+// The events, which may be combined.
 const (
-	Readable Event = 1 << iota
-	HungUp
+	Readable Event = 1 << iota // something arrived
+	HungUp                     // the peer has closed, or the connection is broken
 )
 
-// Watcher is told of events on one connection, by the poller's one goroutine, which it must not keep waiting. Events are told
-// once each, not again while bytes lie unread. An Ended may come beside bytes that are still to be read.
+// Watcher is notified of the events on one connection by the poller's one goroutine, which it must not block. There is
+// one event for what has arrived, and none again while bytes are unread. A HungUp may come while there are still bytes
+// to be read.
 type Watcher interface{ OnEvent(Event) }
 
-// Poller is one epoll instance.
+// Poller is an epoll instance. It is safe for concurrent use.
 type Poller struct {
-	ep   *os.File
-	raw  syscall.RawConn
-	done chan struct{}
-	as   time.Time // of the kernel's last word
+	file     *os.File // the epoll instance
+	raw      syscall.RawConn
+	ended    chan struct{} // closed when the goroutine has ended
+	polledAt time.Time     // when the kernel was asked for the events that are handled; the goroutine's alone
 
 	mu    sync.Mutex
 	slots []slot
-	free  []uint32
+	free  []uint32 // indexes of slots
 }
 
+// slot is the place of one registration after another. The events of the kernel carry its index and generation.
 type slot struct {
-	w   Watcher
-	gen uint32
+	watcher    Watcher // nil: free
+	generation uint32
 }
 
-// Registration is where a connection stands in a poller.
+// Registration is what a Poller has of a connection. The zero value is none.
 type Registration struct {
-	slot, gen uint32
-	in        bool
+	slot, generation uint32
+	active           bool
 }
 
-// New opens one. Close ends it.
+// New opens an epoll instance and starts its goroutine. Close ends them.
 func New() (*Poller, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -59,127 +68,158 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	// An epoll instance can be watched as any file: waiting in the runtime's poller takes no thread.
-	l := &Poller{ep: os.NewFile(uintptr(fd), "epoll"), done: make(chan struct{})}
-	if l.raw, err = l.ep.SyscallConn(); err != nil {
-		l.ep.Close()
+	// The runtime's poller can watch an epoll instance as any file, so that waiting for events takes no thread.
+	p := &Poller{file: os.NewFile(uintptr(fd), "epoll"), ended: make(chan struct{})}
+	p.raw, err = p.file.SyscallConn()
+	if err != nil {
+		p.file.Close()
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	go l.run()
-	return l, nil
+	go p.run()
+	return p, nil
 }
 
-// Add begins to watch. Without bytes only ends are told.
-func (l *Poller) Add(c syscall.RawConn, w Watcher, bytes bool) (Registration, error) {
-	l.mu.Lock()
-	var n uint32
-	if k := len(l.free); k > 0 {
-		n = l.free[k-1]
-		l.free = l.free[:k-1]
-	} else {
-		n = uint32(len(l.slots))
-		l.slots = append(l.slots, slot{})
+// Add begins to watch a connection, for bytes and ends or for ends only.
+func (p *Poller) Add(conn syscall.RawConn, watcher Watcher, bytes bool) (Registration, error) {
+	r := p.register(watcher)
+	event := unix.EpollEvent{
+		Events: unix.EPOLLRDHUP | unix.EPOLLET,
+		Fd:     int32(r.slot), // the kernel returns these two as they are
+		Pad:    int32(r.generation),
 	}
-	s := &l.slots[n]
-	s.w = w
-	p := Registration{slot: n, gen: s.gen, in: true}
-	l.mu.Unlock()
-	ev := unix.EpollEvent{Events: unix.EPOLLRDHUP | unix.EPOLLET, Fd: int32(n), Pad: int32(p.gen)}
 	if bytes {
-		ev.Events |= unix.EPOLLIN
+		event.Events |= unix.EPOLLIN
 	}
-	var inner, add error
-	err := l.raw.Control(func(ep uintptr) {
-		inner = c.Control(func(fd uintptr) { add = unix.EpollCtl(int(ep), unix.EPOLL_CTL_ADD, int(fd), &ev) })
-	})
-	if err = errors.Join(err, inner, add); err != nil {
-		l.Remove(&p)
+	if err := p.control(conn, unix.EPOLL_CTL_ADD, &event); err != nil {
+		p.Remove(&r)
 		return Registration{}, fmt.Errorf("epoll: %w", err)
 	}
-	return p, nil
+	return r, nil
 }
 
-// Remove ends the telling. The kernel's part of it ends as the connection is closed, so that has to follow.
-func (l *Poller) Remove(p *Registration) {
-	if !p.in {
-		return
+// register finds a slot for a watcher.
+func (p *Poller) register(watcher Watcher) Registration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var index uint32
+	if last := len(p.free) - 1; last >= 0 {
+		index = p.free[last]
+		p.free = p.free[:last]
+	} else {
+		index = uint32(len(p.slots))
+		p.slots = append(p.slots, slot{})
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	p.in = false
-	s := &l.slots[p.slot]
-	s.w = nil
-	s.gen++ // what is on its way for this connection must not reach the next one in its place
-	l.free = append(l.free, p.slot)
+	s := &p.slots[index]
+	s.watcher = watcher
+	return Registration{slot: index, generation: s.generation, active: true}
 }
 
-// Detach is Remove for a connection that lives on in another process: closing this one's copy would leave the kernel's part.
-func (l *Poller) Detach(c syscall.RawConn, p *Registration) {
-	if p.in {
-		l.raw.Control(func(ep uintptr) {
-			c.Control(func(fd uintptr) { unix.EpollCtl(int(ep), unix.EPOLL_CTL_DEL, int(fd), nil) })
+// control changes what the kernel watches.
+func (p *Poller) control(conn syscall.RawConn, operation int, event *unix.EpollEvent) error {
+	var connErr, epollErr error
+	err := p.raw.Control(func(epoll uintptr) {
+		connErr = conn.Control(func(fd uintptr) {
+			epollErr = unix.EpollCtl(int(epoll), operation, int(fd), event)
 		})
+	})
+	return errors.Join(err, connErr, epollErr)
+}
+
+// Remove ends the notifications. The kernel watches until the connection is closed, so that has to follow.
+func (p *Poller) Remove(r *Registration) {
+	if !r.active {
+		return
 	}
-	l.Remove(p)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	r.active = false
+	s := &p.slots[r.slot]
+	s.watcher = nil
+	s.generation++ // an event that is on its way must not reach the next watcher in this slot
+	p.free = append(p.free, r.slot)
 }
 
-// EventTime is, within Stirred, when the kernel was asked for what is being told: what came later is still to be told, also where the
-// poller was kept from its work for long.
-func (l *Poller) EventTime() time.Time { return l.as }
+// Detach is Remove for a connection that lives on in another process: the kernel would go on watching it, though this
+// process's copy is closed.
+func (p *Poller) Detach(conn syscall.RawConn, r *Registration) {
+	if r.active {
+		p.control(conn, unix.EPOLL_CTL_DEL, nil)
+	}
+	p.Remove(r)
+}
 
-// Close ends the poller; nothing is told afterwards.
-func (l *Poller) Close() {
-	l.ep.Close()
-	<-l.done
+// EventTime returns, within OnEvent, when the kernel was asked for the event. What happened later will be reported,
+// also where the poller was delayed for long.
+func (p *Poller) EventTime() time.Time { return p.polledAt }
+
+// Close ends the poller. There is no notification afterwards.
+func (p *Poller) Close() {
+	p.file.Close()
+	<-p.ended
 }
 
-func (l *Poller) run() {
-	defer close(l.done)
-	events := make([]unix.EpollEvent, 128)
-	watchers := make([]Watcher, len(events))
+// run notifies the watchers until the poller is closed.
+func (p *Poller) run() {
+	defer close(p.ended)
+	events := make([]unix.EpollEvent, maxEvents)
+	watchers := make([]Watcher, maxEvents)
 	for {
-		n := 0
-		err := l.raw.Read(func(fd uintptr) bool {
-			l.as = time.Now()
-			n = waited(int(fd), events)
-			return n > 0
-		})
+		count, err := p.wait(events)
 		if err != nil { // closed
 			return
 		}
-		l.mu.Lock()
-		for i := range n {
-			ev := &events[i]
-			if s := &l.slots[ev.Fd]; s.gen == uint32(ev.Pad) {
-				watchers[i] = s.w
+		p.findWatchers(events[:count], watchers)
+		for i, watcher := range watchers[:count] {
+			if watcher != nil {
+				watcher.OnEvent(eventOf(events[i].Events))
 			}
-		}
-		l.mu.Unlock()
-		for i, w := range watchers[:n] {
-			if w == nil {
-				continue
-			}
-			var e Event
-			if events[i].Events&unix.EPOLLIN != 0 {
-				e |= Readable
-			}
-			if events[i].Events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-				e |= HungUp
-			}
-			w.OnEvent(e)
 			watchers[i] = nil
 		}
 	}
 }
 
-// waited takes the events that are there. An interruption is none of them: the instance's own edge has passed, and nobody would ask again
-// before the next one.
-func waited(ep int, events []unix.EpollEvent) int {
+// wait waits for events, and returns how many there are.
+func (p *Poller) wait(events []unix.EpollEvent) (int, error) {
+	count := 0
+	err := p.raw.Read(func(fd uintptr) bool {
+		p.polledAt = time.Now()
+		count = takeEvents(int(fd), events)
+		return count > 0
+	})
+	return count, err
+}
+
+// takeEvents takes the events that there are. It does not return for an interruption: the runtime's poller has
+// reported the instance once, and nobody would ask it again before the next event.
+func takeEvents(epoll int, events []unix.EpollEvent) int {
 	for {
-		n, err := unix.EpollWait(ep, events, 0)
+		n, err := unix.EpollWait(epoll, events, 0)
 		if errors.Is(err, unix.EINTR) {
 			continue
 		}
 		return max(n, 0)
 	}
 }
+
+// findWatchers sets the watcher of each event; one that was removed meanwhile stays nil.
+func (p *Poller) findWatchers(events []unix.EpollEvent, watchers []Watcher) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i := range events {
+		s := &p.slots[events[i].Fd]
+		if s.generation == uint32(events[i].Pad) {
+			watchers[i] = s.watcher
+		}
+	}
+}
+
+func eventOf(flags uint32) Event {
+	var event Event
+	if flags&unix.EPOLLIN != 0 {
+		event |= Readable
+	}
+	if flags&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
+		event |= HungUp
+	}
+	return event
+}
