--- a/internal/dataplane/frontend/connstate.go
+++ b/internal/dataplane/frontend/connstate.go
@@ -4,24 +4,24 @@
 
 // connState is the state of a client's connection, in the way of http.ConnState.
 //
-//	from           event                                             to
-//	new            it is registered with the server                  idle
-//	idle           something arrived, and there is capacity          reading
-//	idle           something arrived, and there is no capacity       waiting
-//	idle           another process takes connections over            transferring
-//	idle           idle timeout, eviction, shutdown                  closed
-//	waiting        capacity is free, or the wait was too long        reading
-//	reading        a request was read                                in flight
-//	reading        nothing is left to read                           idle
-//	reading        another process takes the connection over         closed
-//	reading        an end, an error, a timeout, the last response    lingering or closed
-//	in flight      the response is known                             writing
-//	in flight      the client has aborted the request                reading
-//	in flight      the client has closed                             closed
-//	writing        the response was written, or could not be         reading
-//	transferring   the other process has the connection              closed
-//	transferring   the other process has gone                        reading or waiting
-//	lingering      end of input, timeout, eviction, shutdown         closed
+//	from           event                                                   to
+//	new            it is registered with the server                        idle
+//	idle           something arrived, and there is capacity                reading
+//	idle           something arrived, and there is no capacity             waiting
+//	idle           another process takes connections over                  transferring
+//	idle           idle timeout, eviction, shutdown                        closed
+//	waiting        capacity is free, or the wait was too long              reading
+//	reading        a request was read                                      in flight
+//	reading        nothing is left to read                                 idle
+//	reading        another process takes the connection over               closed
+//	reading        an end, an error, a timeout, the last response          lingering or closed
+//	in flight      the response is known                                   writing
+//	in flight      the client has gone, or has aborted the request         reading
+//	in flight      the client had closed before the request was admitted   closed
+//	writing        the response was written, or could not be               reading
+//	transferring   the other process has the connection                    closed
+//	transferring   the other process has gone                              reading or waiting
+//	lingering      end of input, timeout, eviction, shutdown               closed
 //
 // While a goroutine serves the connection (reading, in flight, writing) only that goroutine sets the state: between
 // the three with no lock, and out of them with the server's mutex held. In every other state whoever holds the
