--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -7,364 +7,121 @@
 	"syscall"
 	"time"
 
-	"robincart/decide"
 	"robincart/internal/core/node"
-	"robincart/internal/protocol/fcgi"
 	"robincart/internal/protocol/httpwire"
 	"robincart/internal/resources/admission"
-	"robincart/internal/resources/limits"
 	"robincart/internal/system/poller"
-	"robincart/internal/system/socket"
 	"robincart/internal/system/telemetry"
 	"robincart/internal/system/timingwheel"
 )
 
-// conn is one caller's connection. Between requests it is this record, which the poller watches. While a request lasts a
-// goroutine serves it, the only one that reads its requests and writes to it.
+// conn is a client's connection. Between requests it is this record, which the poller watches. While requests are
+// served it is a goroutine's, the only one that reads requests from it and writes to it. Times are those of the
+// server's clock.
+//
+// Thousands of connections are idle at once, so the record is to stay small: TestConn_Size bounds it.
 type conn struct {
 	net.Conn
-	server  *Server
-	raw     syscall.RawConn
-	place   poller.Registration
-	born    time.Duration
-	reader  *httpwire.Reader         // while it is served
-	gateway *gateway                 // nil: its caller speaks HTTP
-	rpc     atomic.Pointer[node.RPC] // while one is out
-	heard   atomic.Int64             // when the kernel was last asked whether it has ended, in nanoseconds of the server's clock
-	ended   atomic.Bool              // the caller has closed its side
-	cut     atomic.Bool              // what is being read is given up: its deadline must not be put off
-	owed    atomic.Bool              // a request was read and has had no answer
-
-	// Its own goroutine's; the small ones together, since thousands of records rest:
-	reads  uint32           // that gave something
-	first  bool             // its first request is still to come
-	last   bool             // its next answer is its last
-	try    bool             // the next read must not wait
-	timed  bool             // a read deadline is set
-	tired  bool             // it has waited for its place too long: it is told that the node is full
-	full   bool             // its request came too slowly for the places there are
-	linger bool             // what its caller still sends is to be taken in before the close
-	why    telemetry.Reason // that it ends for
-	counts int              // the bytes that its deadline goes by
-	paced  time.Duration    // when its read deadline was last set
-	begun  time.Duration    // of the request that is being read
-	read   time.Duration    // when the last bytes were read
-	// When what is read next had come, as far as that is known: 0 is not. Set with the server's mutex held, while nobody serves it; of a
-	// connection that has only just come it is when that was accepted.
-	arrived time.Duration
-
-	// Who else may look at what a gateway has sent while its request is out; guarded by its own mutex.
-	look sync.Mutex
-	out  *httpwire.Request // nil: none
-
-	// Guarded by the server's mutex:
-	admission.Member
-	ring         timingwheel.Timer // while resting
-	since        time.Duration
-	list         *ring // it stands in
-	older, newer *conn
-	resting      bool // between requests
-	stirred      bool // something came while it was served
-	asked        bool // it has brought an RPC
-	turned       bool // its last RPC was pushed back, where services share the door
-	ending       bool // chosen to end
-	closed       bool
-	lingering    bool          // it rests after its last answer
-	stirredAt    time.Duration // when the first of what came while it was served did
-	taking       int           // bytes it may still send then
-}
-
-var readers = sync.Pool{New: func() any { return &httpwire.Reader{} }}
-
-// Run answers the requests that are here, one after another, and lets the connection rest.
-func (c *conn) Run() {
-	f := c.server
-	r := readers.Get().(*httpwire.Reader)
-	r.Init(c, &f.limits.Wire)
-	r.KeepHeaders, r.OnProgress, r.OnExpectContinue, r.Memory = f.table.Load().Find != nil, c, c.goAhead, f.bodies
-	c.reader = r
-	for next := goOn; next == goOn; {
-		c.try = !r.HasBuffered()
-		switch {
-		case !c.request():
-			next = over
-		case !r.HasBuffered():
-			next = f.again(c)
-		}
-		if next == over && !(c.linger && f.lingers(c)) {
-			f.close(c, c.why)
-		}
-	}
-	// The connection may be another goroutine's by now.
-	r.Reset()
-	readers.Put(r)
+	server       *Server
+	raw          syscall.RawConn
+	registration poller.Registration // guarded by the server's mutex
+	state        atomicConnState
+	createdAt    time.Duration
+	gateway      *gateway // nil: the client speaks HTTP
+
+	shared  sharedStatus
+	serving servingStatus
+	managed managedStatus
 }
 
-// request is the life of one request: it is read, the module decides, what it orders is done, and the caller
-// gets the one answer. It returns whether the connection can be used again.
-func (c *conn) request() bool {
-	f := c.server
-	c.begun = f.clock()
-	if c.first {
-		c.begun = c.born // one who says nothing, then half a request, has no more time than others
-	}
-	reads := c.reads
-	q, err := c.reader.ReadRequest()
-	if err != nil {
-		return c.unread(err)
-	}
-	c.owed.Store(true)
-	waited, read := c.waited(reads), f.now()
-	if q.ReservedBytes > 0 {
-		defer f.bodies.Release(q.ReservedBytes)
-	}
-	// The caller's time runs from its last byte on: it may take seconds to send, and what it has sent may have waited here.
-	came := read
-	if c.first = false; q.BodyStream == nil {
-		came -= waited
-		c.whole()
-	} else {
-		defer c.rest(q)
-	}
-	if q.Path == httpwire.PathReady {
-		return c.refuse(q, f.ready(q), telemetry.ReadinessProbe)
-	}
-	service, bad := f.find(q)
-	if bad != nil {
-		return c.refuse(q, bad, telemetry.Unroutable)
-	}
-	defer service.leave()
-	class, tenant, bad := service.check(q, &f.limits, came)
-	if bad != nil {
-		return c.refuse(q, bad, telemetry.Unroutable)
-	}
-	if c.ended.Load() {
-		c.why = telemetry.PeerClosed
-		return false // it left while it waited for its place or behind another request: nothing is sent for nobody
-	}
-	f.asks(c)
-	id, fresh := f.ids.begin(q.TraceID)
-	if !fresh {
-		return c.refuse(q, &httpwire.ClientResponse{Status: 409, Close: true}, telemetry.DuplicateID)
-	}
-	defer func() { f.ids.end(id, f.now()) }()
-	if why := f.turnsAway(c); why != telemetry.NoReason {
-		return c.refuse(q, &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter, Close: true}, why)
-	}
-	large := q.BodyStream != nil || class.large.Load()
-	defer func() {
-		if large {
-			f.large.Add(-1)
-		}
-	}()
-	if large {
-		if f.large.Add(1) > int64(f.limits.MaxStreamedRequests) {
-			f.end()
-			return c.refuse(q, &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter}, telemetry.AtCapacity)
-		}
-	}
-	var recalled <-chan struct{} // never, without a share
-	if service.share != nil {
-		lease, wait, ok := service.share.Acquire(tenant, len(q.Body))
-		if f.turns(c, !ok); !ok {
-			f.end()
-			return c.refuse(q, &httpwire.ClientResponse{Status: 503, RetryAfter: wait}, telemetry.QuotaExhausted)
-		}
-		defer lease.Release()
-		recalled = lease.Revoked()
-	}
-
-	q.Client = c
-	c.shows(q)
-	rpc := service.core.Arrived(node.Arrival{RequestID: q.TraceID, Method: class.slot, Tenant: tenant, Deadline: came + q.TimeLeft, Retry: q.Retry,
-		BodyPending: q.BodyStream != nil, WorkHint: q.WorkHint})
-	c.watch(rpc)
-	var a *httpwire.ClientResponse
-	held := 0 // by the answer
-	givenUp, sent := false, false
-	for a == nil {
-		// Who gives it up goes before what is ordered, so that nothing more is sent, but an answer that is there is not thrown away.
-		if !givenUp {
-			select {
-			case <-recalled: // what it holds was borrowed, and its owner needs it
-				givenUp = true
-			case <-f.halt:
-				givenUp = true
-			default:
-			}
-			if givenUp {
-				service.core.ClientGone(rpc) // nothing more is ordered
-			}
-		}
-		var o node.Order
-		select {
-		case o = <-rpc.Orders:
-		default:
-			if givenUp {
-				a = &httpwire.ClientResponse{Status: 504}
-				if !sent || class.repeat == decide.Idempotent && len(class.former) == 0 {
-					a = &httpwire.ClientResponse{Status: 503, RetryAfter: f.limits.OverloadRetryAfter} // trying again is harmless
-				}
-				f.telemetry.Record(telemetry.Event{Kind: telemetry.RequestAnswered, Reason: telemetry.Draining, Request: q.TraceID, Status: a.Status})
-				continue
-			}
-			select {
-			case o = <-rpc.Orders:
-			case <-recalled:
-				continue
-			case <-f.halt:
-				continue
-			}
-		}
-		switch o.Kind {
-		case node.OrderSend:
-			if givenUp {
-				service.core.AttemptDone(o.Attempt, decide.NotSent, nil)
-				continue
-			}
-			if !sent && q.BodyStream == nil {
-				c.checkDeadline(q, rpc, read-waited)
-			}
-			sent = true
-			service.picks.Start(o.Attempt, q)
-		case node.OrderServed:
-			a = &httpwire.ClientResponse{Status: 200, ContentType: o.Response.ContentType, Body: o.Response.Body, HTTP10: q.HTTP10}
-			if o.Response.BodyStream != nil {
-				a.BodyStream = o.Response.BodyStream
-			}
-			if class.large.Load() != (a.BodyStream != nil) {
-				class.large.Store(a.BodyStream != nil)
-			}
-			if a.BodyStream != nil && !large { // who would have thought: it is passed on all the same
-				large = true
-				f.large.Add(1)
-			}
-			held = o.Response.ReservedBytes
-		case node.OrderPushBack:
-			f.turns(c, service.share != nil)
-			a = &httpwire.ClientResponse{Status: 503, RetryAfter: o.RetryAfter}
-		case node.OrderAbort:
-			a = &httpwire.ClientResponse{Status: 504}
-		case node.OrderClientGone:
-			if c.stays(q, rpc) {
-				continue
-			}
-			c.rpc.Store(nil)
-			c.shows(nil)
-			service.giveUp(rpc, f.answers)
-			f.end()
-			return c.abandoned(q)
-		}
-	}
-	c.rpc.Store(nil)
-	c.shows(nil)
-	if held > 0 {
-		defer f.answers.Release(held)
-	}
-	if a.BodyStream != nil { // its server's connection is in use until it has passed
-		defer f.end()
-		return c.answer(q, a)
-	}
-	// Before the answer: its reader may ask again elsewhere at once, and would be turned away where places are few.
-	f.end()
-	return c.answer(q, a)
+// sharedStatus is the part of a connection that any goroutine may use at any time.
+type sharedStatus struct {
+	rpc          atomic.Pointer[node.RPC] // in flight, and not yet notified that its client has gone
+	checkedAt    atomic.Int64             // when the kernel was last asked whether the client has closed; nanoseconds
+	clientClosed atomic.Bool              // the client has closed its side
+	readCanceled atomic.Bool              // a read was given up: its deadline must not be put off
 }
 
-// giveUp ends an RPC whose caller has left, and the picks that were ordered meanwhile: nobody sends them any more.
-func (s *Service) giveUp(rpc *node.RPC, answers limits.MemoryPool) {
-	s.core.ClientGone(rpc)
-	for {
-		select {
-		case o := <-rpc.Orders:
-			if o.Kind == node.OrderSend {
-				s.core.AttemptDone(o.Attempt, decide.NotSent, nil)
-			}
-			if o.Kind == node.OrderServed {
-				answers.Release(o.Response.ReservedBytes)
-				if o.Response.BodyStream != nil {
-					o.Response.BodyStream.Close(false)
-				}
-			}
-		default:
-			return
-		}
-	}
+// servingStatus is the part of a connection that belongs to the goroutine that serves it; while there is none, to
+// whoever holds the server's mutex.
+type servingStatus struct {
+	reader        *httpwire.Reader // nil: no goroutine serves the connection
+	arrivedAt     time.Duration    // when what is read next arrived; of a new connection, when it was accepted; 0: unknown
+	requestStart  time.Duration    // when the request that is being read began
+	lastReadAt    time.Duration
+	deadlineSetAt time.Duration    // of the read deadline
+	deadlineBytes int              // that had been read of the request when its deadline was set
+	readCount     uint32           // of reads that brought bytes
+	deadlineSet   bool             // a read deadline is set, since the request comes in pieces
+	nonblocking   bool             // the next read must not wait
+	firstRequest  bool             // the first request is still to come
+	lastResponse  bool             // the next response closes the connection
+	queueTimeout  bool             // the connection waited too long for capacity: its request is rejected
+	lingerOnClose bool             // what the client still sends is to be discarded before the close
+	closeReason   telemetry.Reason // for which the connection is closed next
 }
 
-// stays tells, when a caller seems to have left, whether it has only sent something. One that has ended its side has left,
-// whatever it sent before that: nothing is sent on for it, and what it had asked next nobody waits for.
-func (c *conn) stays(q *httpwire.Request, rpc *node.RPC) bool {
-	if c.gateway == nil {
-		return false
-	}
-	c.look.Lock()
-	stays := c.gateway.stays(q)
-	c.look.Unlock()
-	if !stays {
-		return false
-	}
-	c.watch(rpc) // it is told of each thing that comes
-	return true
+// managedStatus is the part of a connection that the server's mutex guards. What only the goroutine that serves the
+// connection sets, that goroutine reads without the mutex.
+type managedStatus struct {
+	member        admission.Member
+	timer         timingwheel.Timer // in the states in which the connection is closable
+	idleSince     time.Duration
+	list          *connList // that the connection is in, or nil
+	older, newer  *conn     // in the list
+	readableAt    time.Duration
+	lingerBytes   int  // that the client may still send while its connection lingers
+	readable      bool // there was an event at readableAt, while a goroutine served the connection
+	hasRequested  bool // there was a request; set by the goroutine that serves the connection
+	lastRejected  bool // the last request was rejected; set by the goroutine that serves the connection
+	evicted       bool // the connection ends with what is in flight
+	evictedAsSlow bool // the request came too slowly for the capacity that there is
 }
 
-// shows lets those who carry a gateway's request out look at what has come behind it, until it is shown no more.
-func (c *conn) shows(q *httpwire.Request) {
-	if c.gateway != nil {
-		c.look.Lock()
-		c.out = q
-		c.look.Unlock()
-	}
-}
+var readers = sync.Pool{New: func() any { return &httpwire.Reader{} }}
 
-// StillWaiting tells whether a request's caller still waits for its answer. The poller tells of its end, too, but a poller that has much to tell
-// may come to it late, and so may the request's own goroutine. While the kernel's last word is fresh it counts, and costs nothing.
-func (c *conn) StillWaiting(q *httpwire.Request) bool {
-	if c.gateway != nil {
-		c.look.Lock()
-		defer c.look.Unlock()
-		if c.out != q {
-			return false // it has its answer: what is on the connection now is another's
-		}
-	}
-	now := c.server.clock()
-	fresh := now-time.Duration(c.heard.Load()) < c.server.limits.ClientCheckInterval
-	if !fresh && socket.PeerClosed(c.raw) {
-		c.ended.Store(true)
-	}
-	if c.ended.Load() || c.gateway != nil && !c.gateway.waits(fresh) {
-		c.tell()
-		return false
+// Run serves the requests that have arrived, one after another, and leaves the connection idle.
+func (c *conn) Run() {
+	reader := readers.Get().(*httpwire.Reader)
+	c.setReader(reader)
+	step := stepServe
+	for step == stepServe {
+		step = c.serveNext(reader)
 	}
-	if !fresh {
-		c.heard.Store(int64(now))
+	if step == stepClose {
+		c.finish()
 	}
-	return true
+	// The connection may be another goroutine's by now.
+	reader.Reset()
+	readers.Put(reader)
 }
 
-// abandoned ends a request whose caller has given it up, and tells whether its connection can be used again: a gateway has said so and
-// goes on.
-func (c *conn) abandoned(q *httpwire.Request) bool {
-	c.why = telemetry.PeerClosed
-	c.owed.Store(false)
-	if c.gateway == nil || !c.gateway.gone.Load() || q.BodyStream != nil && !q.BodyStream.Complete() {
-		return false
-	}
-	keep := c.gateway.keep && !c.last && !c.server.closing()
-	c.SetWriteDeadline(time.Now().Add(c.server.limits.ClientWriteTimeout))
-	return socket.Write(c.Conn, c.gateway.end(nil, 1, fcgi.StatusComplete)) == nil && keep
+func (c *conn) setReader(reader *httpwire.Reader) {
+	s := c.server
+	reader.Init(c, &s.limits.Wire)
+	reader.KeepHeaders = s.table.Load().Find != nil
+	reader.OnProgress = c
+	reader.OnExpectContinue = c.writeContinue
+	reader.Memory = s.requestMemory
+	c.serving.reader = reader
 }
 
-// watch lets the poller tell an RPC that its caller has left. It may have left already.
-func (c *conn) watch(rpc *node.RPC) {
-	c.rpc.Store(rpc)
-	if c.ended.Load() || c.gateway != nil && c.server.unstir(c) {
-		c.tell()
+// serveNext serves one request, and finds out what is next.
+func (c *conn) serveNext(reader *httpwire.Reader) nextStep {
+	c.serving.nonblocking = !reader.HasBuffered()
+	if !c.serveRequest() {
+		return stepClose
+	}
+	if reader.HasBuffered() {
+		return stepServe
 	}
+	return c.server.afterResponse(c)
 }
 
-// tell tells the RPC, once, whoever of the two finds out first.
-func (c *conn) tell() {
-	if rpc := c.rpc.Swap(nil); rpc != nil {
-		rpc.Orders <- node.Order{Kind: node.OrderClientGone}
+// finish closes the connection, after it has lingered where that is needed.
+func (c *conn) finish() {
+	if c.serving.lingerOnClose && c.server.startLinger(c) {
+		return
 	}
+	c.server.closeConn(c, c.serving.closeReason)
 }
--- a/internal/dataplane/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -1,364 +1,190 @@
 package frontend
 
 import (
-	"sync"
-	"syscall"
 	"time"
 
 	"robincart/internal/resources/admission"
 	"robincart/internal/system/poller"
 	"robincart/internal/system/socket"
 	"robincart/internal/system/telemetry"
-	"robincart/internal/system/timingwheel"
 )
 
-// What follows is the life of a connection between its requests.
-
-// ring holds connections in an order, linked through themselves.
-type ring struct{ head conn }
-
-func (r *ring) init() { r.head.older, r.head.newer = &r.head, &r.head }
-
-func (r *ring) push(c *conn) {
-	c.list = r
-	c.older, c.newer = r.head.older, &r.head
-	c.older.newer, r.head.older = c, c
-}
-
-func (r *ring) drop(c *conn) {
-	c.older.newer, c.newer.older = c.newer, c.older
-	c.older, c.newer, c.list = nil, nil, nil
-}
-
-func (r *ring) first() *conn {
-	if r.head.newer == &r.head {
-		return nil
-	}
-	return r.head.newer
-}
-
-// OnEvent is the poller's word of what happened on a connection.
-func (c *conn) OnEvent(e poller.Event) {
-	f := c.server
-	c.heard.Store(int64(f.poller.EventTime().Sub(f.started)))
-	if e&poller.HungUp != 0 {
-		c.ended.Store(true)
-		c.tell()
-	}
-	f.mu.Lock()
-	lingers := c.lingering
-	switch {
-	case lingers:
-	case c.resting:
-		f.rouse(c)
-	default:
-		if !c.stirred {
-			c.stirred, c.stirredAt = true, f.clock()
-		}
+// OnEvent is called by the poller's goroutine when something happened on the connection.
+func (c *conn) OnEvent(event poller.Event) {
+	s := c.server
+	c.shared.checkedAt.Store(int64(s.poller.EventTime().Sub(s.started)))
+	if event&poller.HungUp != 0 {
+		c.shared.clientClosed.Store(true)
+		c.notifyClientGone()
 	}
-	f.mu.Unlock()
-	if c.gateway != nil { // a gateway may give up what is out
-		c.tell()
+	state := s.handleEvent(c)
+	if c.gateway != nil { // a gateway may abort the request that is in flight
+		c.notifyClientGone()
 	}
-	if lingers && !f.discard(c) {
-		f.close(c, telemetry.LastResponse)
+	if state == stateLingering && !s.discardInput(c) {
+		s.closeConn(c, telemetry.LastResponse)
 	}
 }
 
-// unstir tells whether something has come while a connection was served, and forgets that.
-func (s *Server) unstir(c *conn) bool {
+// handleEvent wakes an idle connection, and notes the event for a goroutine that serves it. It returns the state in
+// which the event found the connection.
+func (s *Server) handleEvent(c *conn) connState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := c.stirred
-	c.stirred = false
-	return was
-}
-
-// lingers takes in what a caller is still sending after its last answer: closed with bytes unread, the connection would be
-// reset and the answer lost with it. It holds no place and no goroutine meanwhile.
-func (s *Server) lingers(c *conn) bool {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
-		return false
+	state := c.state.load()
+	switch {
+	case state == stateLingering:
+	case state == stateIdle:
+		s.wake(c)
+	case !c.managed.readable:
+		c.managed.readable = true
+		c.managed.readableAt = s.clock()
 	}
-	s.mu.Lock()
-	s.gate.Leave(&c.Member)
-	c.lingering, c.taking, c.reader = true, s.limits.MaxLingerBytes, nil
-	s.rest(c, s.limits.LingerTimeout)
-	s.admit()
-	s.mu.Unlock()
-	// Also what has come by now, of which no event may tell again.
-	return s.discard(c)
+	return state
 }
 
-var scraps = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
-
-// discard takes in what has come, and tells whether to wait for more. The bytes are bounded: a body without end, sent at
-// full speed, would take the core from all others.
-func (s *Server) discard(c *conn) bool {
-	b := scraps.Get().(*[]byte)
-	defer scraps.Put(b)
-	for {
-		n, err := 0, error(nil)
-		outer := c.raw.Read(func(fd uintptr) bool {
-			n, err = socket.Read(fd, *b)
-			return true
-		})
-		switch {
-		case outer == nil && (err == syscall.EAGAIN || socket.Classify(err) == socket.Memory): // what is left is taken in with the next event, or not
-			return true
-		case outer != nil || err != nil || n == 0:
-			return false
-		}
-		s.mu.Lock()
-		c.taking -= n
-		more := c.taking > 0 && !c.closed
-		s.mu.Unlock()
-		if !more {
-			return false
-		}
-	}
+// takeReadable reports whether there was an event while a goroutine served the connection, and forgets that.
+func (s *Server) takeReadable(c *conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	readable := c.managed.readable
+	c.managed.readable = false
+	return readable
 }
 
-// rouse asks for a place for a connection on which something has come. What follows is called with the mutex held.
-func (s *Server) rouse(c *conn) {
+// wake asks for capacity to serve a connection on which something has arrived. The mutex is held.
+func (s *Server) wake(c *conn) {
 	now := s.clock()
-	c.resting, c.stirred, c.tired = false, false, false
-	if !c.first || now-c.born >= s.limits.FinalReadWindow { // else it may have lain in the socket while a place was looked for
-		c.arrived = now
+	c.managed.readable = false
+	c.serving.queueTimeout = false
+	if !c.serving.firstRequest || now-c.createdAt >= s.limits.FinalReadWindow {
+		c.serving.arrivedAt = now // else it may have been in the socket while the connection waited for a descriptor
 	}
-	s.ends.Remove(&c.ring)
-	regular := c.asked && now-c.since < s.limits.LongIdle
-	if c.list != nil && c.list != &s.fresh {
-		c.list.drop(c)
+	s.timers.Remove(&c.managed.timer)
+	regular := c.managed.hasRequested && now-c.managed.idleSince < s.limits.LongIdle
+	if c.managed.list != nil && c.managed.list != &s.unproven {
+		c.managed.list.remove(c)
 	}
-	switch s.gate.Arrive(&c.Member, regular, now) {
+	switch s.admission.Arrive(&c.managed.member, regular, now) {
 	case admission.Serve:
+		c.state.set(stateReading)
 		s.workers.Do(c)
 	case admission.Wait:
-		s.ask()
+		c.state.set(stateWaiting)
+		s.scheduleAdmit()
 	}
 }
 
-// ask has the gate asked in a while: who waits too long has to be told.
-func (s *Server) ask() {
-	if !s.asking {
-		s.asking = true
-		time.AfterFunc(askGate, func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.asking = false
-			s.admit()
-		})
-	}
-}
-
-// admit lets those in whose turn it is.
-func (s *Server) admit() {
-	for s.gate.WaitingCount() > 0 {
-		m, verdict := s.gate.Next(s.clock())
-		if m == nil {
-			s.ask()
-			return
-		}
-		c := m.Owner.(*conn)
-		c.tired = verdict == admission.Reject
-		s.workers.Do(c)
+// suspend leaves a connection to the poller and to its timer, in a state in which no goroutine serves it. The mutex is
+// held.
+func (s *Server) suspend(c *conn, state connState, timeout time.Duration) {
+	c.state.set(state)
+	c.managed.idleSince = s.clock()
+	switch {
+	case c.managed.list != nil: // the unproven stay in theirs
+	case c.managed.lastRejected:
+		s.rejected.push(c)
+	default:
+		s.idle.push(c)
 	}
+	s.timers.Add(&c.managed.timer, c.managed.idleSince+timeout)
+	s.armTimers()
 }
 
-// rest lets a connection stand, for so long at most.
-func (s *Server) rest(c *conn, most time.Duration) {
-	c.resting, c.since = true, s.clock()
-	if c.list == nil {
-		if c.turned {
-			s.flood.push(c)
-		} else {
-			s.rested.push(c)
-		}
+// setIdle makes a connection idle that a goroutine has served. The mutex is held.
+func (s *Server) setIdle(c *conn) {
+	c.serving.reader.ReleaseBuffer()
+	c.serving.reader = nil
+	s.admission.Leave(&c.managed.member)
+	timeout := s.limits.ClientIdleTimeout
+	if c.serving.firstRequest { // it has sent nothing yet
+		timeout = max(0, c.createdAt+s.limits.ClientReadTimeout-s.clock())
 	}
-	s.ends.Add(&c.ring, c.since+most)
-	s.arm()
+	s.suspend(c, stateIdle, timeout)
+	s.admitWaiting()
+	s.scheduleTrim()
 }
 
-// step is what comes next for a connection that has just been answered.
-type step uint8
+// nextStep is what is next for a connection that a goroutine serves.
+type nextStep uint8
 
 const (
-	goOn  step = iota // something has come
-	stood             // it rests, and its goroutine has nothing more to do with it
-	over
+	stepServe nextStep = iota // something has arrived
+	stepIdle                  // it is idle, or another process's: its goroutine has nothing more to do with it
+	stepClose
 )
 
-// again finds what comes next for a connection that has just been answered.
-func (s *Server) again(c *conn) step {
-	more := c.reader.FilledBuffer()
+// afterResponse finds out what is next for a connection whose last request has its response.
+func (s *Server) afterResponse(c *conn) nextStep {
+	mayHaveMore := c.serving.reader.FilledBuffer() // the kernel may have more, of which there is no event
 	if c.gateway != nil {
-		if !c.gateway.rest() {
-			return goOn
+		if !c.gateway.releaseBuffers() {
+			return stepServe
 		}
-		more = c.gateway.more()
+		mayHaveMore = c.gateway.mayHaveMore()
 	}
 	for {
 		s.mu.Lock()
-		drains := s.drained || s.emptied
-		ends := c.ending || drains
-		if pass := s.pass; pass != nil && !c.ending && !c.last && c.gateway == nil {
-			s.mu.Unlock()
-			if s.passes(c, pass) {
-				return stood
-			}
-			s.mu.Lock()
-			s.pass, more = nil, true // the other process has gone
+		reason := s.shutdownReason(c)
+		transfer := s.transferOf(c)
+		if transfer == nil && reason == telemetry.NoReason && !c.managed.readable && !mayHaveMore {
+			s.setIdle(c)
 			s.mu.Unlock()
-			continue
+			return stepIdle
 		}
-		if !c.stirred && !more && !ends {
-			c.reader.ReleaseBuffer()
-			c.reader = nil
-			s.stand(c)
-			s.mu.Unlock()
-			return stood
-		}
-		if c.arrived = 0; c.stirred {
-			c.arrived = c.stirredAt
+		if transfer == nil {
+			c.takeArrival()
 		}
-		c.stirred, more = false, false
 		s.mu.Unlock()
+		if transfer != nil {
+			if s.transferConn(c, transfer) {
+				return stepIdle
+			}
+			s.stopTransfer()
+			mayHaveMore = true
+			continue
+		}
+		mayHaveMore = false
 		switch socket.StateOfRaw(c.raw) {
 		case socket.StateReadable:
-			c.last = c.last || ends
-			return goOn
+			c.serving.lastResponse = c.serving.lastResponse || reason != telemetry.NoReason
+			return stepServe
 		case socket.StateClosed:
-			c.why = telemetry.PeerClosed
-			return over
+			c.serving.closeReason = telemetry.PeerClosed
+			return stepClose
 		}
-		if ends {
-			c.why = telemetry.Evicted
-			if drains {
-				c.why = telemetry.Draining
-			}
-			return over
+		if reason != telemetry.NoReason {
+			c.serving.closeReason = reason
+			return stepClose
 		}
 	}
 }
 
-// stand lets a served connection rest. The mutex is held.
-func (s *Server) stand(c *conn) {
-	s.gate.Leave(&c.Member)
-	most := s.limits.ClientIdleTimeout
-	if c.first { // it has said nothing yet
-		most = max(0, c.born+s.limits.ClientReadTimeout-s.clock())
-	}
-	s.rest(c, most)
-	s.admit()
-	s.tidy()
-}
-
-// close ends a connection for good, once.
-func (s *Server) close(c *conn, why telemetry.Reason) { s.drop(c, why) }
-
-// drop forgets a connection, which ends or, handed over, lives on in another process.
-func (s *Server) drop(c *conn, why telemetry.Reason) {
-	lives := why == telemetry.HandedOver
-	s.mu.Lock()
-	if c.closed {
-		s.mu.Unlock()
-		return
-	}
-	c.closed, c.resting = true, false
-	s.ends.Remove(&c.ring)
-	if c.list != nil {
-		c.list.drop(c)
-	}
-	s.gate.Leave(&c.Member)
-	delete(s.conns, c)
-	place := c.place
-	s.admit()
-	s.tidy()
-	s.mu.Unlock()
-	if lives {
-		s.poller.Detach(c.raw, &place)
-	} else {
-		s.poller.Remove(&place)
-	}
-	s.records(c, why)
-	c.Conn.Close()
-	s.budget.ReleaseForClient()
-	s.done.Done()
-}
-
-// arm has the wheel looked at when the next resting connection may have to end.
-func (s *Server) arm() {
-	at, any := s.ends.Next()
-	if !any || s.paced || s.armed != 0 && s.armed <= at {
-		return
-	}
-	s.armed = at
-	time.AfterFunc(max(0, at-s.clock()), func() { s.ringAt(at) })
-}
-
-// ringAt ends the connections that have rested for too long, some at once: a second in which all of them end must not
-// stop those at work.
-func (s *Server) ringAt(at time.Duration) {
-	var out []*conn
-	s.mu.Lock()
-	if s.armed != at {
-		s.mu.Unlock()
-		return
-	}
-	s.armed = 0
-	if s.ends.Advance(s.clock(), atOnce, func(t *timingwheel.Timer) { out = append(out, t.Payload.(*conn)) }) {
-		s.paced = true
-		time.AfterFunc(grain, func() {
-			s.mu.Lock()
-			s.paced = false
-			s.arm()
-			s.mu.Unlock()
-		})
+// shutdownReason returns why a connection is to be closed now that its last request has its response, or NoReason. The
+// mutex is held.
+func (s *Server) shutdownReason(c *conn) telemetry.Reason {
+	switch {
+	case s.draining || s.lameDuckDraining:
+		return telemetry.Draining
+	case c.managed.evicted:
+		return telemetry.Evicted
 	}
-	s.arm()
-	s.mu.Unlock()
-	s.endRest(out, telemetry.IdleTimeout)
+	return telemetry.NoReason
 }
 
-// tidy has the worker pool's idle goroutines ended in a while.
-func (s *Server) tidy() {
-	if s.tidying {
-		return
+// transferOf returns what sends a connection to another process between two requests, or nil. The mutex is held.
+func (s *Server) transferOf(c *conn) TransferFunc {
+	if c.managed.evicted || c.serving.lastResponse || c.gateway != nil {
+		return nil
 	}
-	s.tidying = true
-	time.AfterFunc(tidyIn, func() {
-		left := s.workers.Trim()
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.tidying = false; left > 0 {
-			s.tidy()
-		}
-	})
+	return s.transfer
 }
 
-// slows finds a place among the slow for a connection whose request comes in pieces.
-func (s *Server) slows(c *conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if out := s.gate.MarkSlow(&c.Member, s.clock()); out != nil {
-		o := out.Owner.(*conn)
-		o.full = true
-		o.cut.Store(true)
-		o.SetReadDeadline(time.Unix(1, 0))
+// takeArrival takes over when the bytes arrived that are read next, if there was an event of them. The mutex is held.
+func (c *conn) takeArrival() {
+	c.serving.arrivedAt = 0
+	if c.managed.readable {
+		c.serving.arrivedAt = c.managed.readableAt
 	}
-}
-
-func (s *Server) isWhole(c *conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.gate.MarkComplete(&c.Member)
-	c.full = false
-}
-
-func (s *Server) isFull(c *conn) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return c.full
+	c.managed.readable = false
 }
