--- a/decide/qtable.go
+++ b/decide/qtable.go
@@ -9,7 +9,7 @@
 	alpha            = 0.7  // the paper's learning rate
 	loadLevels       = 5    // by own attempts in flight at the server: 0, 1-2, 3-6, 7-14, 15 and more
 	entryLifetime    = 60.0 // seconds after which an entry that was not updated is dropped
-	entryHalfLife    = 8.0  // typical latencies after which half of an entry's difference from its row's mean still counts
+	entryHalfLife    = 8.0  // typical latencies after which half of an entry's difference from its row counts
 	maxEntryHalfLife = 4.0  // seconds: a slow server may have recovered by then
 	rowPriorSamples  = 2.0  // samples of the typical latency that count in each row's mean
 	firstUpdate      = 1e-9 // seconds; the earliest time of an update, since 0 stands for none
--- a/internal/dataplane/upstream/fastcgi.go
+++ b/internal/dataplane/upstream/fastcgi.go
@@ -14,7 +14,7 @@
 
 const (
 	recordBufferSize = 4 << 10
-	maxIdleText      = 4 << 10               // the largest buffer of a translated response that is left for the next one
+	maxIdleText      = 4 << 10               // the largest buffer of a translated response that is reused
 	abortTimeout     = 20 * time.Millisecond // for writing an ABORT record
 )
 
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -29,7 +29,8 @@
 	Address(*node.Server) (addr string, ready bool)
 	// Ready reports whether a server accepts new attempts. It never waits for the core.
 	Ready(*node.Server) bool
-	// Bind sets what cancels an attempt while its server is being connected to. It returns false if the attempt is over.
+	// Bind sets what cancels an attempt while its server is being connected to. It returns false if the attempt is
+	// over.
 	Bind(*node.Attempt, node.Canceler) bool
 	// Begin sets what cancels an attempt, and returns false if its first byte must not be written any more.
 	Begin(*node.Attempt, node.Canceler) bool
--- a/internal/resources/limits/limits.go
+++ b/internal/resources/limits/limits.go
@@ -30,7 +30,7 @@
 	MaxRequests          int   // in progress at once; each has a connection on either side
 	OverloadConnections  int   // beyond MaxRequests, on which clients are rejected at once
 	MaxClientConnections int   // idle ones included
-	MaxStreamedRequests  int   // of MaxRequests, with streamed bodies: they last, and small requests have to get through
+	MaxStreamedRequests  int   // of MaxRequests, with streamed bodies: they last, and small ones have to get through
 
 	Wire        httpwire.Sizes // of messages
 	MaxListLine int            // bytes of one line of the endpoint list
