--- a/internal/protocol/httpwire/head.go
+++ b/internal/protocol/httpwire/head.go
@@ -1,171 +1,272 @@
 package httpwire
 
 import (
+	"bufio"
+	"bytes"
 	"fmt"
 	"net/textproto"
 	"strings"
+	"sync"
 )
 
-// known numbers the headers that this package reads itself.
-type known int
+// headerField is a header that this package reads itself.
+type headerField int
 
 const (
-	hTrace known = iota
-	hKey
-	hMethod
-	hTenant
-	hType
-	hHost
-	hLeft
-	hSecondTry
-	hEncoding
-	hLength
-	hNeverRan
-	hLoad
-	hWork
-	hConnection
-	hExpect
-	hCount
-
-	hOnce = hNeverRan // from there on a second, different value is no contradiction in a request
+	fieldTraceID headerField = iota
+	fieldIdempotencyKey
+	fieldMethod
+	fieldTenant
+	fieldContentType
+	fieldHost
+	fieldTimeLeft
+	fieldRetry
+	fieldTransferEncoding
+	fieldContentLength
+	fieldNeverRan
+	fieldLoadReport
+	fieldWorkHint
+	fieldConnection
+	fieldExpect
+	fieldCount
+
+	// singleFields is how many fields, the first ones, a request may not have with two different values.
+	singleFields = fieldNeverRan
 )
 
-var names = [hCount]string{HeaderTraceID, HeaderIdempotencyKey, HeaderMethod, HeaderTenant, headerType, "Host", HeaderTimeLeft, HeaderRetry,
-	headerEncoding, headerLength, HeaderNeverRan, HeaderLoadReport, HeaderWorkHint, headerConnection, "Expect"}
+var fieldNames = [fieldCount]string{
+	fieldTraceID:          HeaderTraceID,
+	fieldIdempotencyKey:   HeaderIdempotencyKey,
+	fieldMethod:           HeaderMethod,
+	fieldTenant:           HeaderTenant,
+	fieldContentType:      headerContentType,
+	fieldHost:             headerHost,
+	fieldTimeLeft:         HeaderTimeLeft,
+	fieldRetry:            HeaderRetry,
+	fieldTransferEncoding: headerTransferEncoding,
+	fieldContentLength:    headerContentLength,
+	fieldNeverRan:         HeaderNeverRan,
+	fieldLoadReport:       HeaderLoadReport,
+	fieldWorkHint:         HeaderWorkHint,
+	fieldConnection:       headerConnection,
+	fieldExpect:           headerExpect,
+}
 
-// Head is a message's start line and what its headers say.
-type Head struct {
-	Line   string
-	Header textproto.MIMEHeader // all of them, where they were asked for
+// messageHead is a message's start line and headers.
+type messageHead struct {
+	startLine string
+	header    textproto.MIMEHeader // all headers, as received; nil unless the Reader keeps them
 
-	value [hCount]string // the first
-	count [hCount]int
-	other [hCount]bool // a later one is different
-	close bool         // one of Connection's words
+	value    [fieldCount]string // the first value
+	count    [fieldCount]int
+	conflict [fieldCount]bool // a later value differs from the first
 
-	expects bool // its sender waits for a word before the body
+	closes          bool // Connection has the option close
+	expectsContinue bool // the sender waits for 100 Continue before it sends the body
 }
 
-func (h *Head) add(k known, v string) {
-	if h.count[k]++; h.count[k] == 1 {
-		h.value[k] = v
-	} else if v != h.value[k] {
-		h.other[k] = true
+// add notes a value of a field.
+func (h *messageHead) add(field headerField, value string) {
+	h.count[field]++
+	if h.count[field] == 1 {
+		h.value[field] = value
+	} else if value != h.value[field] {
+		h.conflict[field] = true
 	}
-	if k == hExpect {
-		h.expects = h.expects || strings.EqualFold(v, "100-continue")
+	switch field {
+	case fieldExpect:
+		h.expectsContinue = h.expectsContinue || strings.EqualFold(value, "100-continue")
+	case fieldConnection:
+		h.closes = h.closes || hasCloseOption(value)
 	}
-	if k == hConnection {
-		h.close = h.close || asksClose(v)
+}
+
+// single returns the only value of a field, or an error if there are two different ones.
+func (h *messageHead) single(field headerField) (string, error) {
+	if h.conflict[field] {
+		return "", fmt.Errorf("%w: two different values of %s", ErrMalformed, fieldNames[field])
 	}
+	return h.value[field], nil
 }
 
-// one returns the only value of a header; a second, different one is a contradiction.
-func (h *Head) one(k known) (string, error) {
-	if h.other[k] {
-		return "", fmt.Errorf("%w: %s stands twice", ErrMalformed, names[k])
+// hasCloseOption reports whether a Connection header has the option close.
+func hasCloseOption(value string) bool {
+	for option := range strings.SplitSeq(value, ",") {
+		if strings.EqualFold(strings.TrimSpace(option), "close") {
+			return true
+		}
 	}
-	return h.value[k], nil
+	return false
 }
 
-// plain reads a head as nearly all are: each line a name of letters, digits and dashes, a colon and printable ASCII. Its
-// strings share one copy of the block. Any other is false, and left to net/textproto, so that what is odd is read as it
-// always was.
-func (h *Head) plain(block []byte, all bool) bool {
-	text := string(block)
-	end := strings.Index(text, "\r\n")
-	if end < 0 {
-		return false
+// parseHead parses a start line and headers, to the empty line that ends them.
+func parseHead(block []byte, keepHeaders bool) (messageHead, error) {
+	var head messageHead
+	if head.parsePlain(block, keepHeaders) {
+		return head, nil
 	}
-	h.Line = text[:end]
-	for i := range len(h.Line) {
-		if h.Line[i] < ' ' || h.Line[i] >= 0x7f {
-			return false
+	head = messageHead{}
+	header, err := head.parseTextproto(block)
+	if err != nil {
+		return messageHead{}, err
+	}
+	for field := range fieldCount {
+		for _, value := range header[fieldNames[field]] {
+			head.add(field, strings.TrimRight(value, " \t"))
 		}
 	}
-	if all {
-		h.Header = textproto.MIMEHeader{}
+	if keepHeaders {
+		head.header = header
+	}
+	return head, nil
+}
+
+// parsePlain parses a head as nearly all are: each line a name of letters, digits and hyphens, a colon and printable
+// ASCII. Its strings share one copy of the block. It returns false for any other head, which is left to net/textproto,
+// so that there is one reading of what is unusual.
+func (h *messageHead) parsePlain(block []byte, keepHeaders bool) bool {
+	startLine, rest, found := strings.Cut(string(block), lineEnd)
+	if !found || !isPrintable(startLine) {
+		return false
+	}
+	h.startLine = startLine
+	if keepHeaders {
+		h.header = textproto.MIMEHeader{}
 	}
-	for at := end + 2; ; {
-		end := strings.IndexByte(text[at:], '\r')
-		if end < 0 || at+end+1 >= len(text) || text[at+end+1] != '\n' {
+	for {
+		var line string
+		line, rest, found = strings.Cut(rest, lineEnd)
+		if !found {
 			return false
 		}
-		line := text[at : at+end]
-		at += end + 2
 		if line == "" {
-			return at == len(text)
+			return rest == ""
 		}
-		colon := 0
-		for ; colon < len(line) && line[colon] != ':'; colon++ {
-			if c := line[colon] | 0x20; c != '-'|0x20 && (c < 'a' || c > 'z') && (line[colon] < '0' || line[colon] > '9') {
-				return false
-			}
-		}
-		if colon == 0 || colon == len(line) {
+		name, value, plain := cutPlainField(line)
+		if !plain {
 			return false
 		}
-		name, value := line[:colon], line[colon+1:]
-		for i := range len(value) {
-			if c := value[i]; (c < ' ' || c >= 0x7f) && c != '\t' {
-				return false
-			}
-		}
-		value = strings.Trim(value, " \t")
-		for k := range hCount {
-			if len(names[k]) == len(name) && strings.EqualFold(names[k], name) {
-				h.add(k, value)
-				break
-			}
+		h.addNamed(name, value)
+		if keepHeaders {
+			h.header.Add(name, value)
 		}
-		if all {
-			h.Header.Add(name, value)
+	}
+}
+
+// addNamed notes a value of a header, unless it is one that only the Reader's user reads.
+func (h *messageHead) addNamed(name, value string) {
+	for field := range fieldCount {
+		known := fieldNames[field]
+		if len(known) == len(name) && strings.EqualFold(known, name) {
+			h.add(field, value)
+			return
 		}
 	}
 }
 
-// parseHead reads a whole head.
-func parseHead(block []byte, all bool) (Head, error) {
-	h := Head{}
-	if h.plain(block, all) {
-		return h, nil
+// cutPlainField splits a header line. It returns false for one that is left to net/textproto.
+func cutPlainField(line string) (name, value string, plain bool) {
+	colon := strings.IndexByte(line, ':')
+	if colon <= 0 {
+		return "", "", false
 	}
-	h = Head{}
-	header, err := h.odd(block)
-	if err != nil {
-		return Head{}, err
+	name, value = line[:colon], line[colon+1:]
+	for i := range len(name) {
+		if !isPlainNameByte(name[i]) {
+			return "", "", false
+		}
 	}
-	for k := range hCount {
-		for _, v := range header[names[k]] {
-			h.add(k, strings.TrimRight(v, " \t"))
+	for i := range len(value) {
+		if !isPrintableByte(value[i]) && value[i] != '\t' {
+			return "", "", false
 		}
 	}
-	if all {
-		h.Header = header
+	return name, strings.Trim(value, " \t"), true
+}
+
+func isPlainNameByte(c byte) bool {
+	lower := c | 0x20
+	return lower >= 'a' && lower <= 'z' || c >= '0' && c <= '9' || c == '-'
+}
+
+func isPrintableByte(c byte) bool { return c >= ' ' && c < 0x7f }
+
+func isPrintable(s string) bool {
+	for i := range len(s) {
+		if !isPrintableByte(s[i]) {
+			return false
+		}
 	}
-	return h, nil
+	return true
 }
 
-// odd reads a head by net/textproto.
-func (h *Head) odd(block []byte) (textproto.MIMEHeader, error) {
-	p := parsers.Get().(*parser)
-	defer parsers.Put(p)
-	p.block.Reset(block)
-	p.buffered.Reset(&p.block)
-	line, err := p.text.ReadLine()
+// parseTextproto parses the start line, and returns the headers as net/textproto reads them.
+func (h *messageHead) parseTextproto(block []byte) (textproto.MIMEHeader, error) {
+	parser := headParsers.Get().(*headParser)
+	defer headParsers.Put(parser)
+	parser.reset(block)
+	startLine, err := parser.text.ReadLine()
 	if err != nil {
 		return nil, fmt.Errorf("%w: start line: %w", ErrMalformed, err)
 	}
-	header, err := p.text.ReadMIMEHeader()
+	header, err := parser.text.ReadMIMEHeader()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	for name := range header {
-		// net/textproto lets a blank before the colon pass; others read such a name as another header.
+		// net/textproto accepts a blank before the colon. Other parsers take such a name for another header.
 		if name == "" || strings.ContainsAny(name, " \t") {
 			return nil, fmt.Errorf("%w: header name %q", ErrMalformed, name)
 		}
 	}
-	h.Line = line
+	h.startLine = startLine
 	return header, nil
 }
+
+// headParser is a net/textproto reader of one block of bytes. It copies the start line and each value into strings of
+// their own.
+type headParser struct {
+	block    bytes.Reader
+	buffered *bufio.Reader
+	text     *textproto.Reader
+}
+
+const headParserBufferSize = 1024
+
+var headParsers = sync.Pool{New: func() any {
+	parser := &headParser{}
+	parser.buffered = bufio.NewReaderSize(&parser.block, headParserBufferSize)
+	parser.text = textproto.NewReader(parser.buffered)
+	return parser
+}}
+
+func (p *headParser) reset(block []byte) {
+	p.block.Reset(block)
+	p.buffered.Reset(&p.block)
+}
+
+// findHeadEnd returns where the headers end, or 0 if not all of them are here. It rejects lines that do not end with
+// CR LF: two parsers that differ on a bare line feed disagree on where a message begins.
+func findHeadEnd(data []byte) (int, error) {
+	lineStart := 0
+	for {
+		lineLength := bytes.IndexByte(data[lineStart:], '\n')
+		if lineLength < 0 {
+			return 0, nil
+		}
+		lineFeed := lineStart + lineLength
+		if lineFeed == 0 || data[lineFeed-1] != '\r' {
+			return 0, errBareLineFeed
+		}
+		isFirst, isEmpty := lineStart == 0, lineLength == 1
+		switch {
+		case isFirst && isEmpty:
+			return 0, fmt.Errorf("%w: empty start line", ErrMalformed)
+		case isEmpty:
+			return lineFeed + 1, nil
+		case !isFirst && (data[lineStart] == ' ' || data[lineStart] == '\t'):
+			return 0, fmt.Errorf("%w: folded header", ErrMalformed)
+		}
+		lineStart = lineFeed + 1
+	}
+}
