--- a/internal/protocol/httpwire/head.go
+++ b/internal/protocol/httpwire/head.go
@@ -125,7 +125,7 @@
 // ASCII. Its strings share one copy of the block. It returns false for any other head, which is left to net/textproto,
 // so that there is one reading of what is unusual.
 func (h *messageHead) parsePlain(block []byte, keepHeaders bool) bool {
-	startLine, rest, found := strings.Cut(string(block), lineEnd)
+	startLine, rest, found := cutLine(string(block))
 	if !found || !isPrintable(startLine) {
 		return false
 	}
@@ -135,7 +135,7 @@
 	}
 	for {
 		var line string
-		line, rest, found = strings.Cut(rest, lineEnd)
+		line, rest, found = cutLine(rest)
 		if !found {
 			return false
 		}
@@ -153,6 +153,15 @@
 	}
 }
 
+// cutLine cuts a line off a text. It returns false if the first CR is not followed by LF.
+func cutLine(text string) (line, rest string, found bool) {
+	end := strings.IndexByte(text, '\r')
+	if end < 0 || !strings.HasPrefix(text[end:], lineEnd) {
+		return "", "", false
+	}
+	return text[:end], text[end+len(lineEnd):], true
+}
+
 // addNamed notes a value of a header, unless it is one that only the Reader's user reads.
 func (h *messageHead) addNamed(name, value string) {
 	for field := range fieldCount {
@@ -166,16 +175,14 @@
 
 // cutPlainField splits a header line. It returns false for one that is left to net/textproto.
 func cutPlainField(line string) (name, value string, plain bool) {
-	colon := strings.IndexByte(line, ':')
-	if colon <= 0 {
+	colon := 0
+	for colon < len(line) && isPlainNameByte(line[colon]) {
+		colon++
+	}
+	if colon == 0 || colon == len(line) || line[colon] != ':' {
 		return "", "", false
 	}
 	name, value = line[:colon], line[colon+1:]
-	for i := range len(name) {
-		if !isPlainNameByte(name[i]) {
-			return "", "", false
-		}
-	}
 	for i := range len(value) {
 		if !isPrintableByte(value[i]) && value[i] != '\t' {
 			return "", "", false
