--- a/internal/system/socket/shortage.go
+++ b/internal/system/socket/shortage.go
@@ -5,50 +5,56 @@
 	"time"
 )
 
-// A machine that has no memory for a read or write fails the call and leaves the connection as it is: it is tried again for a while.
+// A read or write for which the kernel has no memory fails and leaves its connection as it is: it is retried for a
+// while.
 const (
-	shortageFor   = 2 * time.Second
-	shortagePause = 5 * time.Millisecond
+	shortageTimeout = 2 * time.Second
+	shortagePause   = 5 * time.Millisecond
 )
 
-// RetryShortage does a read or write again while it fails for want of memory that may pass. Nearly all succeed at once, and no clock is read.
+// RetryShortage repeats a read or write while the kernel has no memory for it, for some seconds. Nearly all succeed at
+// once, and then no clock is read.
 func RetryShortage(do func() error) error {
 	err := do()
 	if err == nil || Classify(err) != Memory {
 		return err
 	}
-	for end := time.Now().Add(shortageFor); Classify(err) == Memory && time.Now().Before(end); {
+	deadline := time.Now().Add(shortageTimeout)
+	for Classify(err) == Memory && time.Now().Before(deadline) {
 		time.Sleep(shortagePause)
 		err = do()
 	}
 	return err
 }
 
-// ShortageConn is a connection that reads and writes through a shortage of memory that passes.
+// ShortageConn is a connection whose reads are repeated through a shortage of memory. For writes there are Write and
+// WriteBuffers.
 type ShortageConn struct{ net.Conn }
 
-// Read is the connection's, tried again.
-func (s ShortageConn) Read(to []byte) (n int, err error) {
-	err = RetryShortage(func() error {
+// Read reads from the connection by RetryShortage.
+func (s ShortageConn) Read(to []byte) (int, error) {
+	n := 0
+	err := RetryShortage(func() error {
+		var err error
 		n, err = s.Conn.Read(to)
 		return err
 	})
 	return n, err
 }
 
-// Write writes all of a message.
-func Write(c net.Conn, message []byte) error {
+// Write writes all of a message by RetryShortage.
+func Write(conn net.Conn, message []byte) error {
 	return RetryShortage(func() error {
-		n, err := c.Write(message)
+		n, err := conn.Write(message)
 		message = message[n:]
 		return err
 	})
 }
 
-// WriteBuffers writes all of some buffers, which are used up by that.
-func WriteBuffers(c net.Conn, buffers *net.Buffers) error {
+// WriteBuffers writes all of some buffers by RetryShortage. It consumes them.
+func WriteBuffers(conn net.Conn, buffers *net.Buffers) error {
 	return RetryShortage(func() error {
-		_, err := buffers.WriteTo(c)
+		_, err := buffers.WriteTo(conn)
 		return err
 	})
 }
