--- a/internal/protocol/fcgi/application.go
+++ b/internal/protocol/fcgi/application.go
@@ -3,195 +3,215 @@
 import (
 	"encoding/binary"
 	"fmt"
+	"strconv"
 )
 
-// EventKind is what an event tells.
-type EventKind uint8
-
-// An application hears Head to Refused, a gateway Out to Able; Reply is for both.
 const (
-	EventNone         EventKind = iota
-	EventParams                 // a request's params are here: Params, Keep
-	EventBody                   // a part of its body: Data
-	EventBodyEnd                // its body has ended
-	EventAborted                // its gateway has given it up
-	EventRejected               // it can't be served: Why. What still comes of it is passed over
-	EventStdout                 // a part of an answer: Data
-	EventStderr                 // beside it: Data
-	EventEnd                    // an answer has ended: App, Status
-	EventCapabilities           // what an application is able to do: Params
-	EventReply                  // to be written, and concerns no request: Data
+	// maxReusable is how many ended requests a connection reuses for later ones.
+	maxReusable = 4
+	// maxReusableParams is the largest buffer for params that is reused with one, in bytes.
+	maxReusableParams = 4096
 )
 
-// Event is what a piece amounts to.
-type Event struct {
-	Kind      EventKind
-	ID        uint16
-	Keep      bool   // the connection is used on after the request
-	Params    []byte // a list of names and values, checked
-	Data      []byte // holds until the next piece is read
-	AppStatus uint32
-	Status    Status
-	Reason    string
-}
-
-// Limits bound what a connection's requests may hold.
+// Limits bounds what a connection's requests may take.
 type Limits struct {
-	MaxRequests        int // open at once
-	MaxParams          int // bytes of one's params
-	AdvertisedRequests int // open on all connections, as who asks is told; 0: nothing
+	MaxRequests        int // open at once on the connection
+	MaxParams          int // of one request, in bytes
+	AdvertisedRequests int // open at once on all connections, for a gateway that requests it; 0: not answered
 }
 
-// Application is the application's side of one connection: requests come in, interleaved as their gateway likes. It is not safe for
-// concurrent use.
+// Application is the state of one connection at an application: requests are received, interleaved as their gateway
+// likes. It is not safe for concurrent use.
 type Application struct {
 	Limits
-	open map[uint16]*request
-	free []*request // their buffers serve on
-	told []byte
+	open     map[uint16]*request
+	reusable []*request
+	reply    []byte
 }
 
+// request is what was received of a request.
 type request struct {
-	keep   bool
-	headed bool // its params are whole
-	whole  bool // its body is
-	bad    bool
-	params []byte
+	keep           bool // the connection is used for more requests
+	paramsComplete bool
+	bodyComplete   bool
+	rejected       bool
+	params         []byte
 }
 
-// mostKept is the largest buffer that a connection keeps between requests.
-const mostKept = 4096
-
-// Open is how many requests are open.
+// Open returns how many requests are open.
 func (a *Application) Open() int { return len(a.open) }
 
-// Done tells that a request has been ended towards its gateway. From now on its id may be another's, and what still comes under it
-// before that is nobody's.
+// Done notes that a request has ended for its gateway, too. Its ID may be another's from now on; what comes with it
+// before that is ignored.
 func (a *Application) Done(id uint16) {
-	if q := a.open[id]; q != nil {
-		delete(a.open, id)
-		*q = request{params: q.params[:0]}
-		if len(a.free) < 4 && cap(q.params) <= mostKept {
-			a.free = append(a.free, q)
-		}
+	ended := a.open[id]
+	if ended == nil {
+		return
+	}
+	delete(a.open, id)
+	*ended = request{params: ended.params[:0]}
+	if len(a.reusable) < maxReusable && cap(ended.params) <= maxReusableParams {
+		a.reusable = append(a.reusable, ended)
 	}
 }
 
-// Take takes a piece. An error tells that the connection can't be followed any more; an event of kind Bad, that one request can't.
-func (a *Application) Take(p Piece) (Event, error) {
-	if p.ID == 0 {
-		return a.manage(p)
+// Take processes a piece. After an error the connection can't be used; EventRejected concerns one request only.
+func (a *Application) Take(piece Piece) (Event, error) {
+	if piece.ID == 0 {
+		return a.takeManagement(piece)
 	}
-	q := a.open[p.ID]
-	if p.Type == TypeBegin {
-		return a.begin(p, q)
+	open := a.open[piece.ID]
+	if piece.Type == TypeBegin {
+		if open != nil {
+			// What comes next with this ID could be of either request.
+			return Event{}, fmt.Errorf("%w: request %d begins twice", ErrFraming, piece.ID)
+		}
+		return a.begin(piece), nil
 	}
-	if q == nil || q.bad { // ended here while its gateway was still sending
+	if open == nil || open.rejected { // it has ended here while its gateway was still sending
 		return Event{}, nil
 	}
-	e := Event{ID: p.ID}
-	switch p.Type {
+	event := open.take(piece, a.MaxParams)
+	event.ID = piece.ID
+	return event, nil
+}
+
+// take processes a piece of the request.
+func (r *request) take(piece Piece, maxParams int) Event {
+	switch piece.Type {
 	case TypeParams:
-		switch {
-		case q.headed:
-			return a.refuse(q, e, "params after their end")
-		case p.Ends:
-			if check(q.params) != nil {
-				return a.refuse(q, e, "params that end in the middle of one")
-			}
-			q.headed = true
-			e.Kind, e.Params, e.Keep = EventParams, q.params, q.keep
-		case len(q.params)+len(p.Content) > a.Limits.MaxParams:
-			return a.refuse(q, e, "more params than are taken")
-		default:
-			q.params = append(q.params, p.Content...)
-		}
+		return r.takeParams(piece, maxParams)
 	case TypeStdin:
-		switch {
-		case !q.headed:
-			return a.refuse(q, e, "a body ahead of the params' end")
-		case q.whole:
-			return a.refuse(q, e, "a body after its end")
-		case p.Ends:
-			q.whole = true
-			e.Kind = EventBodyEnd
-		default:
-			e.Kind, e.Data = EventBody, p.Content
-		}
+		return r.takeBody(piece)
 	case TypeAbort:
-		e.Kind = EventAborted
-	default:
-		return a.refuse(q, e, fmt.Sprintf("a record of type %d", p.Type))
+		return Event{Kind: EventAborted}
 	}
-	return e, nil
+	return r.reject(fmt.Sprintf("a record of type %d", piece.Type))
 }
 
-func (a *Application) refuse(q *request, e Event, why string) (Event, error) {
-	q.bad = true
-	e.Kind, e.Reason, e.Keep = EventRejected, why, q.keep
-	return e, nil
+func (r *request) takeParams(piece Piece, maxParams int) Event {
+	switch {
+	case r.paramsComplete:
+		return r.reject("params after their end")
+	case piece.Ends && checkPairs(r.params) != nil:
+		return r.reject("params that end in the middle of one")
+	case piece.Ends:
+		r.paramsComplete = true
+		return Event{Kind: EventParams, Params: r.params, Keep: r.keep}
+	case len(r.params)+len(piece.Content) > maxParams:
+		return r.reject("more params than are accepted")
+	}
+	r.params = append(r.params, piece.Content...)
+	return Event{}
 }
 
-func (a *Application) begin(p Piece, q *request) (Event, error) {
-	if q != nil { // what comes next under this id could be either's
-		return Event{}, fmt.Errorf("%w: request %d begins twice", ErrFraming, p.ID)
-	}
-	refuse := func(s Status) (Event, error) {
-		a.told = AppendEnd(a.told[:0], p.ID, 0, s)
-		return Event{Kind: EventReply, Data: a.told}, nil
-	}
+func (r *request) takeBody(piece Piece) Event {
 	switch {
-	case binary.BigEndian.Uint16(p.Content) != Responder:
-		return refuse(StatusUnknownRole)
-	case len(a.open) >= a.MaxRequests && a.MaxRequests == 1:
-		return refuse(StatusCantMultiplex)
-	case len(a.open) >= a.MaxRequests:
-		return refuse(StatusOverloaded)
+	case !r.paramsComplete:
+		return r.reject("a body before the end of the params")
+	case r.bodyComplete:
+		return r.reject("a body after its end")
+	case piece.Ends:
+		r.bodyComplete = true
+		return Event{Kind: EventBodyEnd}
 	}
-	if n := len(a.free); n > 0 {
-		q, a.free = a.free[n-1], a.free[:n-1]
-	} else {
-		q = &request{}
+	return Event{Kind: EventBody, Data: piece.Content}
+}
+
+func (r *request) reject(reason string) Event {
+	r.rejected = true
+	return Event{Kind: EventRejected, Reason: reason, Keep: r.keep}
+}
+
+// begin opens a request, or replies that it is rejected.
+func (a *Application) begin(piece Piece) Event {
+	role := binary.BigEndian.Uint16(piece.Content)
+	isFull := len(a.open) >= a.MaxRequests
+	switch {
+	case role != roleResponder:
+		return a.replyEnd(piece.ID, StatusUnknownRole)
+	case isFull && a.MaxRequests == 1:
+		return a.replyEnd(piece.ID, StatusCantMultiplex)
+	case isFull:
+		return a.replyEnd(piece.ID, StatusOverloaded)
 	}
-	q.keep = p.Content[2]&keepConn != 0
+	opened := a.newRequest()
+	opened.keep = piece.Content[2]&flagKeepConn != 0
 	if a.open == nil {
 		a.open = map[uint16]*request{}
 	}
-	a.open[p.ID] = q
-	return Event{}, nil
+	a.open[piece.ID] = opened
+	return Event{}
+}
+
+// newRequest returns an empty request, with the buffer of an earlier one if possible.
+func (a *Application) newRequest() *request {
+	last := len(a.reusable) - 1
+	if last < 0 {
+		return &request{}
+	}
+	reused := a.reusable[last]
+	a.reusable = a.reusable[:last]
+	return reused
 }
 
-// manage answers what concerns no request. What it does not know it says so of, as the protocol has it.
-func (a *Application) manage(p Piece) (Event, error) {
-	switch p.Type {
+func (a *Application) replyEnd(id uint16, status Status) Event {
+	a.reply = AppendEnd(a.reply[:0], id, 0, status)
+	return Event{Kind: EventReply, Data: a.reply}
+}
+
+// takeManagement processes a record that concerns no request. To a type that is not known it replies that, as the
+// protocol demands.
+func (a *Application) takeManagement(piece Piece) (Event, error) {
+	switch piece.Type {
 	case TypeGetValues:
-		var pairs []byte
-		for list := p.Content; len(list) > 0; {
-			name, _, rest, err := Pair(list)
-			if err != nil {
-				return Event{}, err
-			}
-			list = rest
-			switch string(name) {
-			case MaxReqs, MaxConns:
-				if a.AdvertisedRequests > 0 {
-					pairs = AppendPair(pairs, string(name), fmt.Sprint(a.AdvertisedRequests))
-				}
-			case MpxConns:
-				pairs = AppendPair(pairs, MpxConns, map[bool]string{true: "1", false: "0"}[a.MaxRequests > 1])
-			}
-			if len(pairs) > MaxManagement { // asked for the same again and again
-				return Event{}, fmt.Errorf("%w: too much is asked at once", ErrFraming)
-			}
+		pairs, err := a.variables(piece.Content)
+		if err != nil {
+			return Event{}, err
 		}
-		a.told = appendRecord(a.told[:0], TypeValues, 0, pairs)
+		a.reply = appendRecord(a.reply[:0], TypeValues, 0, pairs)
 	case TypeBegin, TypeAbort, TypeEnd, TypeParams, TypeStdin, TypeStdout, TypeStderr, TypeData:
-		return Event{}, fmt.Errorf("%w: a record of type %d without a request", ErrFraming, p.Type)
-	case TypeValues, TypeUnknown: // answers to what was not asked
+		return Event{}, noRequestError(piece)
+	case TypeValues, TypeUnknown: // responses to no request
 		return Event{}, nil
 	default:
-		body := [fixed]byte{byte(p.Type)}
-		a.told = appendRecord(a.told[:0], TypeUnknown, 0, body[:])
+		body := [fixedBodySize]byte{byte(piece.Type)}
+		a.reply = appendRecord(a.reply[:0], TypeUnknown, 0, body[:])
+	}
+	return Event{Kind: EventReply, Data: a.reply}, nil
+}
+
+// variables returns the values of the variables that a gateway requests. Unknown ones are left out.
+func (a *Application) variables(names []byte) ([]byte, error) {
+	var pairs []byte
+	for len(names) > 0 {
+		name, _, rest, err := Pair(names)
+		if err != nil {
+			return nil, err
+		}
+		names = rest
+		if value := a.variable(string(name)); value != "" {
+			pairs = AppendPair(pairs, string(name), value)
+		}
+		if len(pairs) > MaxManagement { // the same names were repeated
+			return nil, fmt.Errorf("%w: too many values are requested", ErrFraming)
+		}
+	}
+	return pairs, nil
+}
+
+// variable returns the value of a variable; empty: none.
+func (a *Application) variable(name string) string {
+	switch name {
+	case variableMaxRequests, variableMaxConns:
+		if a.AdvertisedRequests > 0 {
+			return strconv.Itoa(a.AdvertisedRequests)
+		}
+	case variableMultiplexes:
+		if a.MaxRequests > 1 {
+			return "1"
+		}
+		return "0"
 	}
-	return Event{Kind: EventReply, Data: a.told}, nil
+	return ""
 }
--- a/internal/protocol/fcgi/bench_test.go
+++ b/internal/protocol/fcgi/bench_test.go
@@ -4,90 +4,111 @@
 	"io"
 	"net"
 	"net/http"
-	stock "net/http/fcgi"
+	nethttp "net/http/fcgi"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 )
 
-// The same gateway asks an application on this codec and one on net/http/fcgi, over one kept connection: 20 params, a body, a short
-// answer. -bench Child
-func BenchmarkChild(b *testing.B) {
-	for _, size := range []int{0, 1000, 60_000} {
-		for name, serve := range map[string]func(net.Listener){"own": serveOwn, "nethttp": serveStock} {
-			b.Run(name+"/"+map[int]string{0: "empty", 1000: "1KB", 60_000: "60KB"}[size], func(b *testing.B) {
-				ln, err := net.Listen("tcp", "127.0.0.1:0")
-				require.NoError(b, err)
-				defer ln.Close()
-				go serve(ln)
-				c, err := net.Dial("tcp", ln.Addr().String())
-				require.NoError(b, err)
-				defer c.Close()
-				var pairs []byte
-				for _, p := range [][2]string{{"REQUEST_METHOD", "POST"}, {"REQUEST_URI", "/book-table"}, {"SERVER_PROTOCOL", "HTTP/1.1"}, {"HTTP_HOST", "booking.example.org"},
-					{"HTTP_X_TRACE_ID", "0123456789abcdef"}, {"HTTP_X_QOS", "book-table"}, {"CONTENT_LENGTH", ""}, {"SCRIPT_NAME", "/book-table"}} {
-					pairs = AppendPair(pairs, p[0], p[1])
-				}
-				for range 12 {
-					pairs = AppendPair(pairs, "HTTP_X_FURTHER", "something that gateways send")
-				}
-				ask := AppendStreamEnd(AppendStream(AppendBegin(nil, 1, true), TypeParams, 1, pairs), TypeParams, 1)
-				ask = AppendStreamEnd(AppendStream(ask, TypeStdin, 1, make([]byte, size)), TypeStdin, 1)
-				r := &Reader{}
-				r.Init(c, make([]byte, 4096))
-				b.ReportAllocs()
-				b.SetBytes(int64(len(ask)))
-				for b.Loop() {
-					c.Write(ask)
-					for {
-						p, err := r.Next()
-						require.NoError(b, err)
-						if p.Type == TypeEnd {
-							break
-						}
-					}
-				}
-			})
+// BenchmarkApplication compares an application on this codec with one on net/http/fcgi, for the same gateway over one
+// connection: 20 params, a body, a short response.
+func BenchmarkApplication(b *testing.B) {
+	for _, body := range []struct {
+		name string
+		size int
+	}{{"empty", 0}, {"1KB", 1000}, {"60KB", 60_000}} {
+		b.Run("own/"+body.name, func(b *testing.B) { benchmarkRequests(b, serveOwn, body.size) })
+		b.Run("nethttp/"+body.name, func(b *testing.B) { benchmarkRequests(b, serveNetHTTP, body.size) })
+	}
+}
+
+func benchmarkRequests(b *testing.B, serve func(net.Listener), bodySize int) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(b, err)
+	defer ln.Close()
+	go serve(ln)
+	conn, err := net.Dial("tcp", ln.Addr().String())
+	require.NoError(b, err)
+	defer conn.Close()
+	request := benchmarkRequest(bodySize)
+	reader := &Reader{}
+	reader.Init(conn, make([]byte, 4096))
+	b.ReportAllocs()
+	b.SetBytes(int64(len(request)))
+	for b.Loop() {
+		conn.Write(request)
+		for {
+			piece, err := reader.Next()
+			require.NoError(b, err)
+			if piece.Type == TypeEnd {
+				break
+			}
 		}
 	}
 }
 
-func serveStock(ln net.Listener) {
-	stock.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		io.Copy(io.Discard, q.Body)
+func benchmarkRequest(bodySize int) []byte {
+	var params []byte
+	for _, param := range []struct{ name, value string }{
+		{"REQUEST_METHOD", "POST"},
+		{"REQUEST_URI", "/book-table"},
+		{"SERVER_PROTOCOL", "HTTP/1.1"},
+		{"HTTP_HOST", "booking.example.org"},
+		{"HTTP_X_TRACE_ID", "0123456789abcdef"},
+		{"HTTP_X_QOS", "book-table"},
+		{"CONTENT_LENGTH", ""},
+		{"SCRIPT_NAME", "/book-table"},
+	} {
+		params = AppendPair(params, param.name, param.value)
+	}
+	for range 12 {
+		params = AppendPair(params, "HTTP_X_FURTHER", "something that gateways send")
+	}
+	request := AppendBegin(nil, 1, true)
+	request = AppendStream(request, TypeParams, 1, params)
+	request = AppendStreamEnd(request, TypeParams, 1)
+	request = AppendStream(request, TypeStdin, 1, make([]byte, bodySize))
+	return AppendStreamEnd(request, TypeStdin, 1)
+}
+
+func serveNetHTTP(ln net.Listener) {
+	nethttp.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		io.Copy(io.Discard, request.Body)
 		w.Header().Set("Content-Type", "text/plain")
 		io.WriteString(w, "booked")
 	}))
 }
 
 func serveOwn(ln net.Listener) {
-	c, err := ln.Accept()
+	conn, err := ln.Accept()
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	r, a := &Reader{}, &Application{Limits: Limits{MaxRequests: 10, MaxParams: 16 << 10}}
-	r.Init(c, make([]byte, 4096))
+	defer conn.Close()
+	reader, app := &Reader{}, &Application{Limits: Limits{MaxRequests: 10, MaxParams: 16 << 10}}
+	reader.Init(conn, make([]byte, 4096))
 	var out []byte
 	for {
-		p, err := r.Next()
+		piece, err := reader.Next()
 		if err != nil {
 			return
 		}
-		e, err := a.Take(p)
+		event, err := app.Take(piece)
 		if err != nil {
 			return
 		}
-		switch e.Kind {
-		case EventParams: // as an adapter has to look at all of them
-			for list := e.Params; len(list) > 0; {
+		switch event.Kind {
+		case EventParams: // an application looks at all of them
+			for list := event.Params; len(list) > 0; {
 				_, _, list, _ = Pair(list)
 			}
 		case EventBodyEnd:
-			out = AppendStream(out[:0], TypeStdout, e.ID, append(AppendCGI(nil, 200, "OK", "text/plain", ""), "booked"...))
-			out = AppendEnd(AppendStreamEnd(out, TypeStdout, e.ID), e.ID, 0, StatusComplete)
-			a.Done(e.ID)
-			c.Write(out)
+			response := append(AppendCGI(nil, 200, "OK", "text/plain", ""), "booked"...)
+			out = AppendStream(out[:0], TypeStdout, event.ID, response)
+			out = AppendStreamEnd(out, TypeStdout, event.ID)
+			out = AppendEnd(out, event.ID, 0, StatusComplete)
+			app.Done(event.ID)
+			conn.Write(out)
 		}
 	}
 }
--- a/internal/protocol/fcgi/cgi.go
+++ b/internal/protocol/fcgi/cgi.go
@@ -4,124 +4,164 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
+
+	"robincart/internal/protocol/httpwire"
 )
 
-// ErrHead tells that what an application wrote is no answer.
-var ErrHead = errors.New("not a CGI answer")
+// ErrHead means that what an application has written is not a CGI response.
+var ErrHead = errors.New("not a CGI response")
+
+const (
+	// minCGIStatus and maxCGIStatus bound the statuses that an application may respond with.
+	minCGIStatus    = 200
+	maxCGIStatus    = 599
+	cgiStatusDigits = 3
+
+	// lengthBits bounds Content-Length, so that it can be added to.
+	lengthBits = 62
+)
 
-// CGI is the head of an answer as CGI has it.
+// CGI is the head of a response as CGI has it (RFC 3875, section 6).
 type CGI struct {
-	Status   int // 200 where none is given, 302 with a Location alone
+	Status   int // without a Status header: 302 with Location, else 200
 	Type     string
 	Location string
 	Length   int64               // of the body; -1: not given
-	Fields   map[string][]string // the others, by their names in lower case
+	Fields   map[string][]string // the other headers, by their names in lower case
 }
 
-// ReadCGI takes the head off what has come of an answer; body is what follows it. It is not here yet where whole is false. Lines may
-// end in a line feed alone: many applications write them so. What is there twice and may be there once is refused: whoever reads it after
-// this node might take the other.
-func ReadCGI(text []byte, most int) (h CGI, body []byte, whole bool, err error) {
-	head, body, whole := cutHead(text)
-	if !whole && len(text) <= most {
-		return CGI{}, nil, false, nil // lines are looked at once all are here: an answer in single bytes would else cost their square
+// ReadCGI parses the head of a response, as far as it was received, and returns the body behind it. It returns false if
+// the head is not complete yet. Lines may end with a bare line feed, as many applications write them. A header that may
+// occur once and occurs twice is an error: whoever reads the response later could use the other one.
+func ReadCGI(text []byte, maxHead int) (head CGI, body []byte, complete bool, err error) {
+	lines, body, complete := cutHead(text)
+	if !complete && len(text) <= maxHead {
+		// Lines are parsed once all are here: a response in single bytes would otherwise cost their square.
+		return CGI{}, nil, false, nil
 	}
-	if len(head) > most {
-		return CGI{}, nil, false, fmt.Errorf("%w: its head is longer than %d bytes", ErrHead, most)
+	if len(lines) > maxHead {
+		return CGI{}, nil, false, fmt.Errorf("%w: its head is longer than %d bytes", ErrHead, maxHead)
 	}
-	h = CGI{Length: -1}
-	for line := range strings.Lines(string(head)) {
-		if err := h.field(strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r")); err != nil {
+	head = CGI{Length: -1}
+	for line := range strings.Lines(string(lines)) {
+		line = strings.TrimSuffix(line, "\n")
+		if err := head.setField(strings.TrimSuffix(line, "\r")); err != nil {
 			return CGI{}, nil, false, err
 		}
 	}
-	if h.Status == 0 {
-		if h.Status = 200; h.Location != "" {
-			h.Status = 302
-		}
+	if head.Status == 0 {
+		head.Status = head.defaultStatus()
+	}
+	return head, body, true, nil
+}
+
+// defaultStatus is the status of a response without one.
+func (c *CGI) defaultStatus() int {
+	if c.Location != "" {
+		return http.StatusFound
 	}
-	return h, body, true, nil
+	return http.StatusOK
 }
 
-// cutHead finds the first empty line. All of the text is head where there is none.
-func cutHead(text []byte) (head, body []byte, whole bool) {
-	for at := 0; ; {
-		n := bytes.IndexByte(text[at:], '\n')
-		if n < 0 {
+// cutHead cuts a text at the first empty line. Without one all of it is head.
+func cutHead(text []byte) (head, body []byte, complete bool) {
+	for start := 0; ; {
+		length := bytes.IndexByte(text[start:], '\n')
+		if length < 0 {
 			return text, nil, false
 		}
-		if n == 0 || n == 1 && text[at] == '\r' {
-			return text[:at], text[at+n+1:], true
+		next := start + length + 1
+		if length == 0 || length == 1 && text[start] == '\r' {
+			return text[:start], text[next:], true
 		}
-		at += n + 1
+		start = next
 	}
 }
 
-func (c *CGI) field(line string) error {
-	name, value, ok := strings.Cut(line, ":")
+// setField parses a header line.
+func (c *CGI) setField(line string) error {
+	name, value, found := strings.Cut(line, ":")
 	value = strings.Trim(value, " \t")
-	if !ok || !token(name) || strings.ContainsFunc(value, control) {
+	if !found || !httpwire.IsToken(name) || strings.ContainsFunc(value, isControl) {
 		return fmt.Errorf("%w: the line %.60q", ErrHead, line)
 	}
-	once := func(given bool) error {
-		if given {
-			return fmt.Errorf("%w: %s stands twice", ErrHead, name)
-		}
-		return nil
-	}
-	switch name = strings.ToLower(name); name {
+	switch key := strings.ToLower(name); key {
 	case "status":
-		code, _, _ := strings.Cut(value, " ")
-		n, err := strconv.Atoi(code)
-		if len(code) != 3 || err != nil || n < 200 || n > 599 {
-			return fmt.Errorf("%w: the status %.60q", ErrHead, value)
-		}
-		err, c.Status = once(c.Status != 0), n
-		return err
+		return c.setStatus(name, value)
 	case "content-type":
-		err := once(c.Type != "")
-		c.Type = value
-		return err
+		return setOnce(&c.Type, name, value)
 	case "location":
-		err := once(c.Location != "")
-		c.Location = value
-		return err
+		return setOnce(&c.Location, name, value)
 	case "content-length":
-		n, err := strconv.ParseUint(value, 10, 62)
-		if err != nil {
-			return fmt.Errorf("%w: the length %.60q", ErrHead, value)
+		return c.setLength(name, value)
+	default:
+		if c.Fields == nil {
+			c.Fields = map[string][]string{}
 		}
-		err, c.Length = once(c.Length >= 0), int64(n)
-		return err
+		c.Fields[key] = append(c.Fields[key], value)
+		return nil
+	}
+}
+
+func isControl(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
+
+func (c *CGI) setStatus(name, value string) error {
+	code, _, _ := strings.Cut(value, " ")
+	status, err := strconv.Atoi(code)
+	if len(code) != cgiStatusDigits || err != nil || status < minCGIStatus || status > maxCGIStatus {
+		return fmt.Errorf("%w: the status %.60q", ErrHead, value)
 	}
-	if c.Fields == nil {
-		c.Fields = map[string][]string{}
+	if c.Status != 0 {
+		return repeatedError(name)
 	}
-	c.Fields[name] = append(c.Fields[name], value)
+	c.Status = status
 	return nil
 }
 
-func control(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
+func (c *CGI) setLength(name, value string) error {
+	length, err := strconv.ParseUint(value, 10, lengthBits)
+	if err != nil {
+		return fmt.Errorf("%w: the length %.60q", ErrHead, value)
+	}
+	if c.Length >= 0 {
+		return repeatedError(name)
+	}
+	c.Length = int64(length)
+	return nil
+}
 
-func token(s string) bool {
-	for _, c := range []byte(s) {
-		if c <= ' ' || c >= 0x7f || strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) >= 0 {
-			return false
-		}
+func setOnce(field *string, name, value string) error {
+	if *field != "" {
+		return repeatedError(name)
 	}
-	return s != ""
+	*field = value
+	return nil
 }
 
-// AppendCGI writes the head of an answer.
-func AppendCGI(to []byte, status int, reason, kind, retryAfter string) []byte {
-	to = append(strconv.AppendInt(append(to, "Status: "...), int64(status), 10), ' ')
-	to = append(append(to, reason...), "\r\n"...)
-	for _, f := range [][2]string{{"Content-Type", kind}, {"Retry-After", retryAfter}} {
-		if f[1] != "" {
-			to = append(append(append(append(to, f[0]...), ": "...), f[1]...), "\r\n"...)
-		}
+func repeatedError(name string) error { return fmt.Errorf("%w: %s is given twice", ErrHead, name) }
+
+// AppendCGI appends the head of a response.
+func AppendCGI(to []byte, status int, reason, contentType, retryAfter string) []byte {
+	to = append(to, "Status: "...)
+	to = strconv.AppendInt(to, int64(status), 10)
+	to = append(to, ' ')
+	to = append(to, reason...)
+	to = append(to, "\r\n"...)
+	to = appendCGIField(to, "Content-Type", contentType)
+	to = appendCGIField(to, httpwire.HeaderRetryAfter, retryAfter)
+	return append(to, "\r\n"...)
+}
+
+// appendCGIField appends a header, unless its value is empty.
+func appendCGIField(to []byte, name, value string) []byte {
+	if value == "" {
+		return to
 	}
+	to = append(to, name...)
+	to = append(to, ": "...)
+	to = append(to, value...)
 	return append(to, "\r\n"...)
 }
--- a/internal/protocol/fcgi/gateway.go
+++ b/internal/protocol/fcgi/gateway.go
@@ -5,75 +5,100 @@
 	"fmt"
 )
 
-// Gateway is the gateway's side of one connection: requests go out, and their answers come back interleaved. It is not safe for
-// concurrent use.
+// Gateway is the state of one connection at a gateway: requests are sent, and responses are received interleaved. It is
+// not safe for concurrent use.
 type Gateway struct {
-	open map[uint16]*answer
-	next uint16
+	open   map[uint16]*response
+	lastID uint16
 }
 
-type answer struct {
-	out, said bool // the stream has ended
+// response is which streams of a response have ended.
+type response struct {
+	stdoutEnded bool
+	stderrEnded bool
 }
 
-// Begin gives a request an id that no other has, also none whose end is still to come. It is false where none is left.
+// Begin returns the ID of a new request, which no other has whose end is still to come. It returns false if none is
+// left.
 func (g *Gateway) Begin() (id uint16, ok bool) {
 	if g.open == nil {
-		g.open = map[uint16]*answer{}
+		g.open = map[uint16]*response{}
 	}
 	if len(g.open) >= MaxContent {
 		return 0, false
 	}
 	for {
-		if g.next++; g.next != 0 && g.open[g.next] == nil {
-			g.open[g.next] = &answer{}
-			return g.next, true
+		g.lastID++
+		if g.lastID != 0 && g.open[g.lastID] == nil {
+			g.open[g.lastID] = &response{}
+			return g.lastID, true
 		}
 	}
 }
 
-// Open is how many requests have no end yet.
+// Open returns how many requests have not ended.
 func (g *Gateway) Open() int { return len(g.open) }
 
-// Take takes a piece. After an error nothing that comes can be believed to be the request's whose id it has.
-func (g *Gateway) Take(p Piece) (Event, error) {
-	if p.ID == 0 {
-		switch p.Type {
-		case TypeValues:
-			return Event{Kind: EventCapabilities, Params: p.Content}, check(p.Content)
-		case TypeUnknown:
-			return Event{}, nil
-		}
-		return Event{}, fmt.Errorf("%w: a record of type %d without a request", ErrFraming, p.Type)
+// Take processes a piece. After an error the connection can't be used: what comes with an ID may not belong to the
+// request that has it.
+func (g *Gateway) Take(piece Piece) (Event, error) {
+	if piece.ID == 0 {
+		return takeManagement(piece)
 	}
-	a := g.open[p.ID]
-	if a == nil {
-		return Event{}, fmt.Errorf("%w: request %d is not open", ErrFraming, p.ID)
+	open := g.open[piece.ID]
+	if open == nil {
+		return Event{}, fmt.Errorf("%w: request %d is not open", ErrFraming, piece.ID)
 	}
-	e := Event{ID: p.ID, Data: p.Content}
-	switch p.Type {
+	switch piece.Type {
 	case TypeStdout:
-		if a.out {
-			return Event{}, fmt.Errorf("%w: an answer after its end", ErrFraming)
-		}
-		if e.Kind = EventStdout; p.Ends { // not the answer's end yet: only its application's word is
-			a.out, e.Kind = true, EventNone
-		}
+		return streamEvent(piece, EventStdout, &open.stdoutEnded)
 	case TypeStderr:
-		if a.said {
-			return Event{}, fmt.Errorf("%w: a message after its end", ErrFraming)
-		}
-		if e.Kind = EventStderr; p.Ends {
-			a.said, e.Kind = true, EventNone
-		}
+		return streamEvent(piece, EventStderr, &open.stderrEnded)
 	case TypeEnd:
-		delete(g.open, p.ID)
-		e.Kind, e.AppStatus, e.Status = EventEnd, binary.BigEndian.Uint32(p.Content), Status(p.Content[4])
-		if e.Status > StatusUnknownRole {
-			return Event{}, fmt.Errorf("%w: a request ended with status %d", ErrFraming, e.Status)
-		}
-	default:
-		return Event{}, fmt.Errorf("%w: a record of type %d from an application", ErrFraming, p.Type)
+		return g.end(piece)
+	}
+	return Event{}, fmt.Errorf("%w: a record of type %d from an application", ErrFraming, piece.Type)
+}
+
+// takeManagement processes a record that concerns no request.
+func takeManagement(piece Piece) (Event, error) {
+	switch piece.Type {
+	case TypeValues:
+		return Event{Kind: EventCapabilities, Params: piece.Content}, checkPairs(piece.Content)
+	case TypeUnknown:
+		return Event{}, nil
+	}
+	return Event{}, noRequestError(piece)
+}
+
+func noRequestError(piece Piece) error {
+	return fmt.Errorf("%w: a record of type %d without a request", ErrFraming, piece.Type)
+}
+
+// streamEvent returns the event for a piece of a stream. The end of a stream is none: only TypeEnd ends the response.
+func streamEvent(piece Piece, kind EventKind, ended *bool) (Event, error) {
+	if *ended {
+		return Event{}, fmt.Errorf("%w: a record of type %d after its stream's end", ErrFraming, piece.Type)
+	}
+	if piece.Ends {
+		*ended = true
+		kind = EventNone
+	}
+	return Event{Kind: kind, ID: piece.ID, Data: piece.Content}, nil
+}
+
+// end ends a request.
+func (g *Gateway) end(piece Piece) (Event, error) {
+	delete(g.open, piece.ID)
+	status := Status(piece.Content[4])
+	if status > StatusUnknownRole {
+		return Event{}, fmt.Errorf("%w: a request ended with status %d", ErrFraming, status)
 	}
-	return e, nil
+	return Event{
+		Kind:      EventEnd,
+		ID:        piece.ID,
+		Data:      piece.Content,
+		AppStatus: binary.BigEndian.Uint32(piece.Content),
+		Status:    status,
+	}, nil
 }
--- a/internal/protocol/httpwire/request.go
+++ b/internal/protocol/httpwire/request.go
@@ -130,7 +130,7 @@
 	verb, rest, hasTarget := strings.Cut(line, " ")
 	target, version, hasVersion := strings.Cut(rest, " ")
 	authority, target := splitAbsoluteForm(target)
-	valid := hasTarget && hasVersion && isToken(verb) && isOriginForm(target) && isVersion(version)
+	valid := hasTarget && hasVersion && IsToken(verb) && isOriginForm(target) && isVersion(version)
 	if !valid {
 		return nil, fmt.Errorf("%w: request line %.80q", ErrMalformed, line)
 	}
@@ -146,8 +146,8 @@
 
 func isVersion(s string) bool { return s == http11 || s == http10 }
 
-// isToken reports whether s is a token of RFC 9110, section 5.6.2.
-func isToken(s string) bool {
+// IsToken reports whether s is a token of RFC 9110, section 5.6.2.
+func IsToken(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f || strings.IndexByte(`"(),/:;<=>?@[\]{}`, s[i]) >= 0 {
 			return false
