--- a/internal/testutil/golden/golden.go
+++ b/internal/testutil/golden/golden.go
@@ -1,5 +1,8 @@
-// Package golden compares what a program writes and reads with files kept under a package's testdata. Only tests
-// import it. It has no way to write such a file: a golden that follows the code pins nothing.
+// Package golden compares what a program writes and reads with files in the testdata of the package under test. Only
+// tests import it.
+//
+// It can't write such a file. Other processes and stored data depend on the forms in the files, so a difference is a
+// fault of the code.
 package golden
 
 import (
@@ -15,7 +18,7 @@
 )
 
 // Read returns the content of a golden file.
-func Read(t *testing.T, name string) []byte {
+func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
 	require.NoError(t, err)
@@ -23,14 +26,14 @@
 }
 
 // Check compares bytes that the program wrote with a golden file.
-func Check(t *testing.T, name string, written []byte) {
+func Check(t testing.TB, name string, written []byte) {
 	t.Helper()
 	assert.Equal(t, string(Read(t, name)), string(written), name)
 }
 
-// JSON checks a value against a golden line of JSON in both directions: the value is written as the golden has it,
-// byte for byte, and the golden is read as the value, with no key left over.
-func JSON[T any](t *testing.T, name string, value T) {
+// JSON compares a value with a golden file of one line of JSON, in both directions: the value is encoded as that line,
+// byte for byte, and the line is decoded as the value, with no unknown key.
+func JSON[T any](t testing.TB, name string, value T) {
 	t.Helper()
 	var written bytes.Buffer
 	require.NoError(t, json.NewEncoder(&written).Encode(value))
@@ -43,9 +46,9 @@
 	assert.Equal(t, value, read, name)
 }
 
-// FullJSON is JSON for a struct that has to have a value in each field that is written, so that a field added later
-// is pinned as well.
-func FullJSON[T any](t *testing.T, name string, value T) {
+// FullJSON is JSON for a struct. It also fails the test if a field that is encoded has no value, so that a field added
+// later is compared as well.
+func FullJSON[T any](t testing.TB, name string, value T) {
 	t.Helper()
 	fields := reflect.ValueOf(value)
 	for _, field := range reflect.VisibleFields(fields.Type()) {
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,4 +1,4 @@
-// Package testutil holds what tests of several packages share. Only tests import it.
+// Package testutil has what tests of several packages use. Only tests import it.
 package testutil
 
 import (
@@ -6,15 +6,18 @@
 	"time"
 )
 
-// Receive takes what a channel brings. Bounded, since a wait without an end hides which one it was; long, since a verdict
-// must not hang on the machine's speed.
+// receiveTimeout is long, so that no result depends on the machine's speed.
+const receiveTimeout = 20 * time.Second
+
+// Receive returns the next value of a channel. It fails the test if none is sent: a wait without an end would not show
+// where it was.
 func Receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
+	var value T
 	select {
-	case v := <-c:
-		return v
-	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came")
-		panic("unreachable")
+	case value = <-c:
+	case <-time.After(receiveTimeout):
+		t.Fatalf("nothing was sent to the channel for %v", receiveTimeout)
 	}
+	return value
 }
