--- a/internal/lab/judge/golden_test.go
+++ b/internal/lab/judge/golden_test.go
@@ -14,7 +14,7 @@
 // The golden files were written by the text at 0cdd5b2; a run's result.json holds these forms and names. They must
 // never be written anew to follow a rename.
 
-// verdictForms are the parts of a verdict that a result keeps as they are.
+// verdictForms holds the parts of a verdict that a result contains as they are.
 type verdictForms struct {
 	Breach Violation `json:"breach"`
 	Part   Tally     `json:"part"`
@@ -23,7 +23,7 @@
 func TestVerdict_Golden(t *testing.T) {
 	want := verdictForms{
 		Breach: Violation{Count: 101, Examples: []string{"case 102", "case 103"}},
-		Part:   Tally{Name: "part-201", Calls: 202, InTime: 203, OK: 204, Asked: 205.5, Earned: 206.25},
+		Part:   Tally{Name: "part-201", Calls: 202, InTime: 203, OK: 204, OfferedUtility: 205.5, EarnedUtility: 206.25},
 	}
 	labtest.RequireEveryFieldSet(t, "json", want)
 	var read verdictForms
@@ -36,14 +36,14 @@
 
 func TestVerdict_ExplicitNames(t *testing.T) { labtest.RequireExplicitNames(t, "json", verdictForms{}) }
 
-// Results have rules and ends by these names.
+// Results have rules and outcomes by these names.
 func TestVerdict_GoldenNames(t *testing.T) {
 	var lines []string
 	for _, rule := range RuleNames {
 		lines = append(lines, "rule: "+rule)
 	}
-	for end := OK; int(end) < len(endNames); end++ {
-		lines = append(lines, "end: "+end.String())
+	for outcome := OK; int(outcome) < len(outcomeNames); outcome++ {
+		lines = append(lines, "end: "+outcome.String())
 	}
 	labtest.RequireGolden(t, "names.txt", []byte(strings.Join(lines, "\n")+"\n"))
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -54,7 +54,7 @@
 	e.Run(context.Background())
 	assert.Empty(t, e.Faults())
 	v := judge.Judge(rules, log)
-	assert.EqualValues(t, v.Tries, target.ended.Load(), "each try that was begun has ended")
+	assert.EqualValues(t, v.Attempts, target.ended.Load(), "each try that was begun has ended")
 	assert.Zero(t, e.Counts().Open)
 	return v
 }
@@ -78,7 +78,7 @@
 			time.Sleep(2 * time.Second)
 			s.Freeze(false)
 		})
-	assert.Equal(t, map[string]int{"ok": 6000}, v.Ends, "nothing planned is skipped")
+	assert.Equal(t, map[string]int{"ok": 6000}, v.Outcomes, "nothing planned is skipped")
 	assert.Empty(t, v.Broken)
 	planned, service := judge.Percentile(v.Latency, 99), judge.Percentile(v.Service, 99)
 	assert.Greater(t, planned, 1800*time.Millisecond)
@@ -92,8 +92,8 @@
 	v := play(t, every(time.Millisecond, 600), load.Config{Connections: 4, Waiting: 50, Slack: 100 * time.Millisecond},
 		func(s *standin.Server) { s.Freeze(true) })
 	assert.Equal(t, 600, v.All.Calls)
-	assert.Equal(t, 4, v.Ends["lost"], "%v", v.Ends)
-	assert.Equal(t, 596, v.Ends["unsent"], "%v", v.Ends)
+	assert.Equal(t, 4, v.Outcomes["lost"], "%v", v.Outcomes)
+	assert.Equal(t, 596, v.Outcomes["unsent"], "%v", v.Outcomes)
 	assert.Equal(t, 4, v.Broken[judge.NoAnswer].Count)
 	assert.Zero(t, v.All.OK)
 }
@@ -105,7 +105,7 @@
 	// Either lane may send all of it while the machine holds the other one's thread, with the other half of the warm
 	// connections idle: a connection for each request beside the warm ones.
 	v := play(t, every(2*time.Microsecond, 500), load.Config{Connections: 750, Waiting: 0, Warm: 250, Lanes: 2, Slack: time.Second}, nil)
-	assert.Equal(t, map[string]int{"ok": 500}, v.Ends)
+	assert.Equal(t, map[string]int{"ok": 500}, v.Outcomes)
 }
 
 func TestCallersTryAgainByWhatTheyMayRepeat(t *testing.T) {
@@ -128,7 +128,7 @@
 		e.Run(context.Background())
 		s.Stop()
 		v := judge.Judge(rules, log)
-		assert.Equal(t, tries, v.Tries, "%v %v", fault, v.Ends)
+		assert.Equal(t, tries, v.Attempts, "%v %v", fault, v.Outcomes)
 		if fault == standin.DieMid {
 			assert.Equal(t, 3+1+1, v.Effects, "repeats of the deduplicated one are dropped by their mark")
 		}
@@ -162,7 +162,7 @@
 				b.ReportMetric(float64(v.Schedule.P99.Microseconds()), "p99-error-µs")
 				b.ReportMetric(100*v.Schedule.Worst, "worst-100ms-%")
 				b.ReportMetric(float64(judge.Percentile(v.Latency, 50).Microseconds()), "p50-latency-µs")
-				b.ReportMetric(float64(v.Ends["ok"])/2, "ok/s")
+				b.ReportMetric(float64(v.Outcomes["ok"])/2, "ok/s")
 			}
 		})
 	}
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -300,7 +300,7 @@
 // report turns a verdict into figures.
 func report(v *judge.Verdict, spans []Span) *Arm {
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	a := &Arm{Broken: map[string]judge.Violation{}, Ends: v.Ends, Methods: v.Methods, Tenants: v.Tenants,
+	a := &Arm{Broken: map[string]judge.Violation{}, Ends: v.Outcomes, Methods: v.Methods, Tenants: v.Tenants,
 		Windows: v.Schedule.Windows}
 	for name, b := range v.Broken {
 		a.Broken[name] = *b
@@ -322,11 +322,11 @@
 		if during {
 			to = &faulty
 		}
-		to.Asked += s.Asked
-		to.Earned += s.Earned
+		to.OfferedUtility += s.OfferedUtility
+		to.EarnedUtility += s.EarnedUtility
 		if at >= lastEnd+3*time.Second {
-			after.Asked += s.Asked
-			after.Earned += s.Earned
+			after.OfferedUtility += s.OfferedUtility
+			after.EarnedUtility += s.EarnedUtility
 		}
 	}
 	for _, q := range []float64{1, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100} {
@@ -343,10 +343,10 @@
 		"p50_ms": ms(judge.Percentile(v.Latency, 50)), "p99_ms": ms(judge.Percentile(v.Latency, 99)), "p999_ms": ms(judge.Percentile(v.Latency, 99.9)),
 		"service_p50_ms": ms(judge.Percentile(v.Service, 50)), "service_p99_ms": ms(judge.Percentile(v.Service, 99)),
 		"schedule_p99_us": float64(v.Schedule.P99.Microseconds()), "schedule_worst": v.Schedule.Worst,
-		"unsent": float64(v.Ends[judge.NotSent.String()]), "rules_broken": float64(v.Violations()), "retries": float64(v.Retries),
-		"picks_per_call": share(float64(v.Picks), float64(v.All.Calls)), "late_work_share": share(v.LateWork.Seconds(), v.AllWork.Seconds()),
-		"effects": float64(v.Effects), "calls": float64(v.All.Calls), "drain_last_ms": float64(v.WordCalls.Max()) / 1000,
-		"drain_p999_ms": ms(judge.Percentile(v.WordCalls, 99.9))}
+		"unsent": float64(v.Outcomes[judge.NotSent.String()]), "rules_broken": float64(v.Violations()), "retries": float64(v.Retries),
+		"picks_per_call": share(float64(v.ServerRequests), float64(v.All.Calls)), "late_work_share": share(v.LateWork.Seconds(), v.AllWork.Seconds()),
+		"effects": float64(v.Effects), "calls": float64(v.All.Calls), "drain_last_ms": float64(v.AfterDrain.Max()) / 1000,
+		"drain_p999_ms": ms(judge.Percentile(v.AfterDrain, 99.9))}
 	for i, p := range v.Methods {
 		a.Metrics["method."+p.Name+".goodput"] = p.Goodput()
 		a.Metrics["method."+p.Name+".p50_ms"] = ms(judge.Percentile(v.ByMethod[i], 50))
