--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -1,312 +1,225 @@
 package load
 
 import (
-	"bytes"
 	"errors"
+	"math"
 	"net"
 	"os"
-	"strconv"
 	"sync"
 	"time"
 
 	"robincart/internal/lab/judge"
-	"robincart/internal/lab/wire"
 )
 
-// conn is one connection: a pacer writes requests to it, one at a time, and its own goroutine reads the answers.
+const (
+	readBufferSize    = 1 << 10 // at first
+	maxReadBufferSize = maxResponseHead + maxResponseBody
+)
+
+// conn is one connection. Requests are written to it one at a time, by whichever goroutine dispatches them; a goroutine
+// of its own reads the responses.
 type conn struct {
 	net.Conn
-	lane *lane
-	dest Destination
-	key
-
-	mu   sync.Mutex
-	cur  *flight
-	prev *judge.ClientAttempt // ended here last; noted once nothing more can come for it
-	dead bool
+	pool        poolKey
+	lane        *lane
+	destination Destination
+
+	mu      sync.Mutex
+	current *attempt
+	// previous ended here last. It is recorded once nothing more can be received for it.
+	previous *judge.ClientAttempt
+	dead     bool
+
+	writing     sync.Mutex // a response can be here before the write of its request has returned
+	writeBuffer []byte
+	readBuffer  []byte
+}
 
-	writing sync.Mutex // an answer can be here before the write that asked for it has returned
-	out, in []byte
+// serves returns whether the connection can be used for an attempt that waits for one. A client of a node that waits
+// takes the first node that is free.
+func (c *conn) serves(a *attempt) bool {
+	if a.host() != c.pool.host {
+		return false
+	}
+	bothNodes := a.destination.Node >= 0 && c.destination.Node >= 0
+	return bothNodes || a.destination.ID == c.destination.ID
 }
 
-// send writes a try's request.
-func (c *conn) send(f *flight) {
-	e := c.lane.e
+// send writes an attempt's request.
+func (c *conn) send(a *attempt) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
-	c.mu.Lock()
-	if c.dead {
-		c.mu.Unlock()
-		go c.lane.dispatch(f) // closed while it was idle: nothing was written
+	if !c.begin(a) {
+		go c.lane.dispatch(a) // closed while it was idle: nothing was written
 		return
 	}
-	c.note()
-	c.cur = f
-	c.out = c.request(c.out[:0], f)
-	f.Sent = e.now()
-	c.mu.Unlock()
+	e := c.lane.engine
 	e.sent.Add(1)
 	e.inFlight.Add(1)
-	c.SetReadDeadline(e.start.Add(f.Until + e.Slack))
-	c.SetWriteDeadline(e.start.Add(f.Until + e.Slack))
-	if _, err := c.Write(c.out); err != nil {
-		c.Close() // the reader tells how it ended
+	deadline := e.start.Add(a.Until + e.Slack)
+	c.SetReadDeadline(deadline)
+	c.SetWriteDeadline(deadline)
+	if _, err := c.Write(c.writeBuffer); err != nil {
+		c.Close() // the reader finds out how the attempt ends
 	}
 }
 
-// note hands the last try to the ledger, under the connection's lock.
-func (c *conn) note() {
-	if c.prev != nil {
-		c.lane.e.log.AddAttempt(*c.prev)
-		c.prev = nil
+// begin makes an attempt the current one and prepares its request. It returns false if the connection is dead.
+func (c *conn) begin(a *attempt) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.dead {
+		return false
 	}
+	c.recordPrevious()
+	c.current = a
+	c.writeBuffer = a.appendRequest(c.writeBuffer[:0])
+	a.Sent = c.lane.engine.now()
+	return true
 }
 
-var zeros [64 << 10]byte
-
-func (c *conn) request(to []byte, f *flight) []byte {
-	e, a := c.lane.e, f.a
-	m := &e.Methods[a.Method]
-	if m.Repeat == judge.Idempotent {
-		to = append(to, "GET /"...)
-	} else {
-		to = append(to, "POST /"...)
-	}
-	to = append(to, m.Name...)
-	to = append(to, "/t?k="...)
-	to = strconv.AppendUint(to, uint64(a.Key), 10)
-	if a.Work > 0 {
-		to = append(to, "&w="...)
-		to = strconv.AppendFloat(to, float64(a.Work), 'f', 3, 32)
+// recordPrevious adds the previous attempt to the ledger, under the connection's lock.
+func (c *conn) recordPrevious() {
+	if c.previous != nil {
+		c.lane.engine.ledger.AddAttempt(*c.previous)
+		c.previous = nil
 	}
-	if a.Wait > 0 {
-		to = append(to, "&i="...)
-		to = strconv.AppendFloat(to, float64(a.Wait), 'f', 3, 32)
-	}
-	to = append(to, " HTTP/1.1\r\nHost: "...)
-	to = append(to, m.Host...)
-	to = append(to, "\r\n"+wire.Trace+": "...)
-	to = wire.ID{Call: f.Call, Try: f.N}.Append(to)
-	to = append(to, "\r\n"+wire.Method+": "...)
-	to = append(to, m.Name...)
-	if len(e.Tenants) > 0 {
-		to = append(to, "\r\n"+wire.Tenant+": "...)
-		to = append(to, e.Tenants[a.Tenant]...)
-	}
-	to = append(to, "\r\n"+wire.Left+": "...)
-	to = strconv.AppendInt(to, max(1, (f.Until-e.now()).Milliseconds()), 10)
-	if f.N > 0 && e.Clients.Marks {
-		to = append(to, "\r\n"+wire.SecondTry+": 1"...)
-	}
-	if m.Repeat == judge.Deduplicated {
-		to = append(to, "\r\n"+wire.Key+": "...)
-		to = wire.ID{Call: f.Call}.Append(to)
-	}
-	if m.Repeat != judge.Idempotent {
-		to = append(to, "\r\nContent-Length: "...)
-		to = strconv.AppendUint(to, uint64(a.Body), 10)
-	}
-	to = append(to, "\r\n\r\n"...)
-	if m.Repeat != judge.Idempotent {
-		to = append(to, zeros[:a.Body]...)
+}
+
+// addExtraResponse counts a response that nothing had been sent for, under the connection's lock.
+func (c *conn) addExtraResponse() {
+	if c.previous != nil && c.previous.Extra < math.MaxUint8 {
+		c.previous.Extra++
 	}
-	return to
 }
 
-// read takes answers until the connection ends.
+// read takes responses until the connection ends.
 func (c *conn) read() {
-	c.in = make([]byte, 1024)
-	n := 0
+	c.readBuffer = make([]byte, readBufferSize)
+	buffered := 0
 	for {
-		k, err := c.Read(c.in[n:])
-		if n += k; k == 0 {
-			c.broke(err, n > 0)
+		n, err := c.Read(c.readBuffer[buffered:])
+		buffered += n
+		if n == 0 {
+			c.end(err, buffered > 0)
 			return
 		}
-		used, ok := c.answers(c.in[:n])
-		if !ok {
-			c.broke(errSpoilt, true)
+		used, err := c.takeResponses(c.readBuffer[:buffered])
+		if err != nil {
+			c.end(err, true)
 			return
 		}
-		n = copy(c.in, c.in[used:n])
-		if n == len(c.in) {
-			if n > 80<<10 {
-				c.broke(errSpoilt, true)
-				return
-			}
-			c.in = append(c.in, make([]byte, n)...)
+		buffered = copy(c.readBuffer, c.readBuffer[used:buffered])
+		if buffered < len(c.readBuffer) {
+			continue
 		}
+		if buffered > maxReadBufferSize {
+			c.end(errMalformedResponse, true)
+			return
+		}
+		c.readBuffer = append(c.readBuffer, make([]byte, buffered)...)
 	}
 }
 
-var errSpoilt = errors.New("what came is no answer")
-
-// answers takes each whole answer out of what has come.
-func (c *conn) answers(b []byte) (used int, ok bool) {
+// takeResponses handles each complete response in b, and returns how many bytes those were.
+func (c *conn) takeResponses(b []byte) (used int, err error) {
 	for {
-		a, n, ok := parse(b[used:])
-		if !ok || n == 0 {
-			return used, ok
-		}
-		used += n
-		if !c.answered(a, used < len(b)) {
-			return used, true
+		r, size, err := parseResponse(b[used:])
+		if err != nil || size == 0 {
+			return used, err
 		}
+		used += size
+		c.handleResponse(r, used < len(b))
 	}
 }
 
-// answer is what matters of one.
-type answer struct {
-	status int
-	closes bool
-	wait   time.Duration
-	body   []byte
-}
-
-// parse reads one answer; n is 0 while it is not whole.
-func parse(b []byte) (a answer, n int, ok bool) {
-	if len(b) > 0 && b[0] != 'H' {
-		return a, 0, false
-	}
-	end := bytes.Index(b, []byte("\r\n\r\n"))
-	if end < 0 {
-		return a, 0, len(b) < 16<<10
-	}
-	if end < 12 || string(b[:7]) != "HTTP/1." {
-		return a, 0, false
-	}
-	status, err := strconv.Atoi(string(b[9:12]))
-	if err != nil || status < 100 {
-		return a, 0, false
+// handleResponse ends the current attempt. more says whether further bytes have been received with the response.
+func (c *conn) handleResponse(r response, more bool) {
+	a, reusable := c.complete(r, more)
+	if a == nil {
+		return
 	}
-	a.status = status
-	length := 0
-	for line := range bytes.SplitSeq(b[:end], []byte("\r\n")) {
-		name, value, _ := bytes.Cut(line, []byte(":"))
-		value = bytes.TrimSpace(value)
-		switch {
-		case len(name) == len("Content-Length") && bytes.EqualFold(name, []byte("Content-Length")):
-			if length, err = strconv.Atoi(string(value)); err != nil || length < 0 || length > 64<<10 {
-				return a, 0, false
-			}
-		case len(name) == len("Connection") && bytes.EqualFold(name, []byte("Connection")):
-			a.closes = bytes.EqualFold(value, []byte("close"))
-		case len(name) == len(wire.RetryAfter) && bytes.EqualFold(name, []byte(wire.RetryAfter)):
-			a.wait = wire.Seconds(string(value))
-		}
+	c.lane.engine.inFlight.Add(-1)
+	c.SetReadDeadline(time.Time{})
+	if reusable {
+		c.lane.release(c)
 	}
-	if len(b) < end+4+length {
-		return a, 0, true
+	a.finish(a.Outcome)
+	if !reusable {
+		c.Close() // the reader gets an error and cleans up
 	}
-	a.body = b[end+4 : end+4+length]
-	return a, end + 4 + length, true
 }
 
-// answered ends the try that an answer belongs to, and tells whether the connection goes on.
-func (c *conn) answered(a answer, more bool) bool {
-	e := c.lane.e
-	now := e.now()
+// complete takes the current attempt's response. It returns the attempt, nil if there was none, and whether the
+// connection can be used for further ones.
+func (c *conn) complete(r response, more bool) (a *attempt, reusable bool) {
+	now := c.lane.engine.now()
 	c.mu.Lock()
-	f := c.cur
-	if f == nil {
-		if c.prev != nil && c.prev.Extra < 255 {
-			c.prev.Extra++
-		}
-		c.mu.Unlock()
-		return true
-	}
-	c.cur = nil
-	f.Answered, f.wait = now, a.wait
-	end := judge.Aborted
-	switch a.status {
-	case 200:
-		end = judge.OK
-		f.Foreign = !bytes.Contains(a.body, []byte(wire.ID{Call: f.Call, Try: f.N}.String()))
-	case 429, 503:
-		end = judge.PushedBack
-	}
-	f.Outcome = end
-	t := f.ClientAttempt
-	c.prev = &t
+	defer c.mu.Unlock()
+	a = c.current
+	if a == nil {
+		c.addExtraResponse()
+		return nil, false
+	}
+	c.current = nil
+	a.Answered, a.retryAfter, a.Outcome = now, r.retryAfter, r.outcome()
+	a.Foreign = a.Outcome == judge.OK && !r.isFor(a.ID)
+	previous := a.ClientAttempt
+	c.previous = &previous
 	if more {
-		c.prev.Extra++ // nothing else was asked on this connection
-	}
-	dead := c.dead || a.closes
-	if dead {
-		c.dead = true
+		c.addExtraResponse()
 	}
-	c.mu.Unlock()
-	e.inFlight.Add(-1)
-	c.SetReadDeadline(time.Time{})
-	if !dead {
-		c.lane.keep(c)
-	}
-	f.finish(end)
-	if dead {
-		c.Close() // read() comes back with an error and clears up
-	}
-	return true
+	c.dead = c.dead || r.closes
+	return a, !c.dead
 }
 
-// broke ends a connection: by its end, an error, or the time of the request on it.
-func (c *conn) broke(err error, some bool) {
-	e := c.lane.e
+// end cleans up after the connection's reading has ended: by its end, an error, or the deadline of its attempt. partial
+// says whether bytes of a response had been received.
+func (c *conn) end(err error, partial bool) {
 	c.Close()
 	c.mu.Lock()
-	f := c.cur
-	c.cur, c.dead = nil, true
-	if some && f == nil && c.prev != nil && errors.Is(err, errSpoilt) {
-		c.prev.Extra++ // bytes that nobody asked for
+	a := c.current
+	c.current, c.dead = nil, true
+	if a == nil && partial && errors.Is(err, errMalformedResponse) {
+		c.addExtraResponse()
 	}
-	c.note()
+	c.recordPrevious()
 	c.mu.Unlock()
-	c.lane.forget(c)
-	if f == nil {
-		return
+	c.lane.remove(c)
+	if a != nil {
+		c.abandon(a, err, partial)
 	}
+}
+
+// abandon ends an attempt that gets no response.
+func (c *conn) abandon(a *attempt, err error, partial bool) {
+	e := c.lane.engine
 	e.inFlight.Add(-1)
-	f.Answered = e.now()
-	end := judge.Lost
+	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
+	a.Answered = e.now()
 	switch {
 	case e.closed.Load():
-		end = judge.ClientLeft
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		f.Answered = f.Until
-		if e.target.Excused(f.dest, f.Sent) {
-			end = judge.Excused
-		}
-	case e.target.Excused(f.dest, f.Sent):
-		end = judge.Excused
-	case !some:
-		// Closed with nothing said: the node may close a connection between requests, and that can cross one. The
-		// ledger tells whether it had sent this one on.
-		end = judge.Crossed
-	}
-	f.Outcome = end
-	e.log.AddAttempt(f.ClientAttempt)
-	f.finish(end)
+		a.Outcome = judge.ClientLeft
+	case e.target.Excused(a.destination, a.Sent):
+		a.Outcome = judge.Excused
+	case !timedOut && !partial:
+		// The node may close an idle connection, and that can cross a request. The ledger says whether the node had
+		// read and forwarded this one.
+		a.Outcome = judge.Crossed
+	default:
+		a.Outcome = judge.Lost
+	}
+	if timedOut && a.Outcome != judge.ClientLeft {
+		a.Answered = a.Until
+	}
+	e.ledger.AddAttempt(a.ClientAttempt)
+	a.finish(a.Outcome)
 }
 
-// kill closes a connection that has no request on it.
-func (c *conn) kill() {
+// retire closes a connection that has no request in flight, or the generator's last ones.
+func (c *conn) retire() {
 	c.mu.Lock()
 	c.dead = true
 	c.mu.Unlock()
 	c.Close()
 }
-
-// forget gives a connection's place back.
-func (l *lane) forget(c *conn) {
-	l.mu.Lock()
-	delete(l.all, c)
-	list := l.idle[c.key]
-	for i, x := range list {
-		if x == c {
-			l.idle[c.key] = append(list[:i], list[i+1:]...)
-			break
-		}
-	}
-	l.mu.Unlock()
-	l.e.open.Add(-1)
-	l.next()
-}
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -158,7 +158,7 @@
 		straight := straightCallers(e, name, f.Discovery())
 		defer straight.Close()
 		target = straight
-		c.Clients.AtOnce = 2
+		c.Clients.ImmediateRetries = 2
 		_, members := f.Discovery().List()
 		for _, m := range members {
 			c.WarmTo = append(c.WarmTo, load.Destination{ID: m.Index, Node: -1, Addr: m.Addr})
@@ -288,8 +288,8 @@
 
 func config(e *experiment.Experiment) load.Config {
 	c := load.Config{Tenants: e.TenantNames(), Connections: e.Clients.Connections, Waiting: e.Clients.Waiting, Warm: e.Clients.Warm,
-		Slack: 250 * time.Millisecond, Seed: e.Seed, Clients: load.Clients{Share: e.Clients.Share, Most: e.Clients.Tries,
-			Backoff: time.Duration(e.Clients.Backoff), Honour: e.Clients.Honour, Marks: e.Clients.Marks}}
+		Slack: 250 * time.Millisecond, Seed: e.Seed, Clients: load.Clients{RetryShare: e.Clients.Share, MaxRetries: e.Clients.Tries,
+			Backoff: time.Duration(e.Clients.Backoff), RetryAfterShare: e.Clients.Honour, MarkRetries: e.Clients.Marks}}
 	for _, m := range e.Method {
 		c.Methods = append(c.Methods, load.Method{Name: m.Name, Repeat: m.Idempotency(), Deadline: time.Duration(m.Deadline),
 			Window: time.Duration(m.Window), Host: e.Host(m.Service)})
