--- a/internal/lab/plan/golden_test.go
+++ b/internal/lab/plan/golden_test.go
@@ -12,8 +12,8 @@
 )
 
 // The golden file is the plan that the text at 0cdd5b2 made from this seed. It must never be written anew to follow a
-// rename: a seed that was kept plays what it has always played. The words that Source is given are part of that.
-func TestMake_GoldenSchedule(t *testing.T) {
+// rename: a saved seed plays what it has always played. The names that NewSource is given are part of that.
+func TestGenerate_GoldenSchedule(t *testing.T) {
 	goldenMix := Mix{
 		Methods: []Kind{
 			{Share: 2, Work: Distribution{Kind: "lognormal", Mean: 10, CV: 0.5}, Wait: Distribution{Kind: "exponential", Mean: 3}},
