--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -44,39 +44,51 @@
 duration = "5s"
 `
 
-func TestAFileIsReadFilledAndShortened(t *testing.T) {
+func TestParse_Defaults(t *testing.T) {
 	e, err := Parse([]byte(good), ".")
 	require.NoError(t, err)
-	all, err := e.Plan()
-	require.NoError(t, err)
-	assert.InDelta(t, 550, len(all), 120)
 	assert.Equal(t, 2, e.Fleet.Tier[0].Cores)
+	arrivals, err := e.Plan()
+	require.NoError(t, err)
+	assert.InDelta(t, 550, len(arrivals), 120)
+}
+
+func TestShorten(t *testing.T) {
+	e, err := Parse([]byte(good), ".")
+	require.NoError(t, err)
 	e.Shorten()
 	assert.Equal(t, Duration(5*time.Second), e.Duration)
 	assert.Equal(t, Duration(time.Second), e.Fault[0].At)
 	assert.Equal(t, Duration(2*time.Second), e.Fault[0].For)
 	assert.Equal(t, []string{"robincart"}, e.Arms)
 	assert.Len(t, e.Expect, 2, "what compares with an arm that is not played is left out")
+}
+
+func TestScale(t *testing.T) {
+	e, err := Parse([]byte(good), ".")
+	require.NoError(t, err)
+	e.Shorten()
 	require.NoError(t, e.Scale(2))
 	assert.Equal(t, 8, e.Fleet.Tier[0].Servers)
 	assert.Error(t, e.Scale(1000))
 }
 
-// The operators' trial has up to 350 processes and some hundreds of servers, and production up to 3,200; an experiment may have 1,024 nodes and 3,200 servers.
-func TestAnExperimentMayHaveAThousandNodesAndServers(t *testing.T) {
-	sized := func(nodes, servers int) error {
+// Operators' trials have up to 350 processes and some hundreds of servers, and production up to 3,200.
+func TestParse_MaxSize(t *testing.T) {
+	parseSized := func(nodes, servers int) error {
 		text := strings.Replace(good, "nodes = 2", fmt.Sprint("nodes = ", nodes), 1)
-		_, err := Parse([]byte(strings.Replace(text, "servers = 4", fmt.Sprint("servers = ", servers), 1)), ".")
+		text = strings.Replace(text, "servers = 4", fmt.Sprint("servers = ", servers), 1)
+		_, err := Parse([]byte(text), ".")
 		return err
 	}
-	assert.NoError(t, sized(1024, 3200))
-	assert.ErrorContains(t, sized(1025, 4), "fleet.nodes: 1025 is not in 1 to 1024")
-	assert.ErrorContains(t, sized(2, 3201), "3201 servers, 3200 at most")
+	assert.NoError(t, parseSized(1024, 3200))
+	assert.ErrorContains(t, parseSized(1025, 4), "fleet.nodes: 1025 is not in 1 to 1024")
+	assert.ErrorContains(t, parseSized(2, 3201), "3201 servers, 3200 at most")
 }
 
-// Each mistake is named, by line where the text is at fault and by key where its meaning is.
-func TestEveryMistakeIsNamed(t *testing.T) {
-	for change, says := range map[string]string{
+// Each mistake is reported, by line where the text is wrong and by key where its meaning is.
+func TestParse_Mistakes(t *testing.T) {
+	for change, message := range map[string]string{
 		"rate = 10>rate = -1":                              "load[1]: a rate below 0",
 		`on = "zone:b">on = "zone:c"`:                      `fault[1].on: "zone:c" is not in the fleet`,
 		`on = "zone:b">on = "server:9"`:                    `fault[1].on: "server:9" is not in the fleet`,
@@ -98,44 +110,49 @@
 		`share = 1>share = 1` + "\n" + `repeat = "maybe"`:  `"maybe"`,
 		"to = 100>to = 100000000":                          "is the most",
 	} {
-		from, to, _ := strings.Cut(change, ">")
-		require.Contains(t, good, from)
-		e, err := Parse([]byte(strings.Replace(good, from, to, 1)), ".")
-		if err == nil {
-			_, err = e.Plan()
-		}
-		if assert.Error(t, err, change) {
-			assert.Contains(t, err.Error(), says, change)
-		}
+		t.Run(change, func(t *testing.T) {
+			from, to, _ := strings.Cut(change, ">")
+			require.Contains(t, good, from)
+			e, err := Parse([]byte(strings.Replace(good, from, to, 1)), ".")
+			if err == nil {
+				_, err = e.Plan()
+			}
+			assert.ErrorContains(t, err, message)
+		})
 	}
+}
+
+func TestParse_AllMistakes(t *testing.T) {
 	_, err := Parse([]byte(strings.NewReplacer(`"zone:b"`, `"zone:c"`, "rate = 10", "rate = -1").Replace(good)), ".")
 	assert.Len(t, strings.Split(fmt.Sprint(err), "\n"), 3, "all mistakes at once: %v", err)
 }
 
-func TestTheShippedExperimentsAreGood(t *testing.T) {
+func TestRead_ShippedExperiments(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.toml")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
-	for _, f := range files {
-		e, err := Read(f)
-		if !assert.NoError(t, err, f) {
-			continue
-		}
-		assert.Equal(t, strings.TrimSuffix(filepath.Base(f), ".toml"), e.Name)
-		assert.NotEmpty(t, e.Expect, f)
-		assert.NotEmpty(t, e.About, f)
-		e.Shorten()
-		assert.LessOrEqual(t, e.Duration.Std()*time.Duration(len(e.Arms)), 30*time.Second, f)
-		_, err = e.Plan()
-		assert.NoError(t, err, f)
+	for _, file := range files {
+		t.Run(filepath.Base(file), func(t *testing.T) {
+			e, err := Read(file)
+			require.NoError(t, err)
+			assert.Equal(t, strings.TrimSuffix(filepath.Base(file), ".toml"), e.Name)
+			assert.NotEmpty(t, e.Expect)
+			assert.NotEmpty(t, e.About)
+			e.Shorten()
+			assert.LessOrEqual(t, e.Duration.Std()*time.Duration(len(e.Arms)), 30*time.Second)
+			_, err = e.Plan()
+			assert.NoError(t, err)
+		})
 	}
 }
 
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(good))
-	files, _ := filepath.Glob("../../../experiments/*.toml")
-	for _, name := range files {
-		text, _ := os.ReadFile(name)
+	files, err := filepath.Glob("../../../experiments/*.toml")
+	require.NoError(f, err)
+	for _, file := range files {
+		text, err := os.ReadFile(file)
+		require.NoError(f, err)
 		f.Add(text)
 	}
 	f.Add([]byte("[[load]]\npoints = [[1,2],[0,1]]\n"))
@@ -148,8 +165,9 @@
 		for i := range e.Load {
 			e.Load[i].Trace = "" // no files here
 		}
-		if all, err := e.Plan(); err == nil && len(all) == 0 {
-			t.Fatal("a plan of nothing")
+		arrivals, err := e.Plan()
+		if err == nil {
+			assert.NotEmpty(t, arrivals)
 		}
 	})
 }
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -15,7 +15,7 @@
 // these values by the text at 0cdd5b2. It must never be changed to follow a rename: the keys stay what users' files
 // have.
 
-// everyKey is what testdata/every-key.toml says.
+// everyKey is the content of testdata/every-key.toml.
 func everyKey() Experiment {
 	milliseconds := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	number := func(value float64) *float64 { return &value }
@@ -26,46 +26,46 @@
 		Duration: milliseconds(102_000),
 		Arms:     []string{"arm-103", "arm-104"},
 		Fleet: Fleet{
-			Nodes:    201,
-			Zones:    []string{"zone-202", "zone-203"},
-			Host:     "host-204",
-			Listen:   "listen-205",
-			Notice:   milliseconds(206),
-			Cores:    207.5,
-			MemoryMB: 208,
-			Sockets:  209,
-			MaxPicks: 210,
-			NoCopies: true,
-			Program:  "program-211",
+			Nodes:          201,
+			Zones:          []string{"zone-202", "zone-203"},
+			Host:           "host-204",
+			Listen:         "listen-205",
+			DetectionDelay: milliseconds(206),
+			Cores:          207.5,
+			MemoryMB:       208,
+			Sockets:        209,
+			MaxAttempts:    210,
+			NoHedging:      true,
+			Program:        "program-211",
 			Tier: []Tier{
 				{
-					Servers:      401,
-					Cores:        402,
-					Speed:        []float64{403.5, 404.5},
-					Queue:        405,
-					Conns:        406,
-					Idle:         milliseconds(407),
-					PerConn:      408,
-					ColdFrom:     409.5,
-					ColdFor:      milliseconds(410),
-					FallMultiple: 411.5,
-					FallFor:      milliseconds(412),
-					Cancels:      true,
-					Part:         413.5,
-					Calls:        414,
-					Service:      "service-415",
-					Host:         "host-416",
-					Guarantee:    417.5,
-					Weight:       418.5,
+					Servers:            401,
+					Cores:              402,
+					Speed:              []float64{403.5, 404.5},
+					Queue:              405,
+					MaxConns:           406,
+					Idle:               milliseconds(407),
+					MaxRequestsPerConn: 408,
+					WarmUpSpeed:        409.5,
+					WarmUpTime:         milliseconds(410),
+					OverloadMultiple:   411.5,
+					OverloadWindow:     milliseconds(412),
+					DropsCanceled:      true,
+					WorkShare:          413.5,
+					NextTierCalls:      414,
+					Service:            "service-415",
+					Host:               "host-416",
+					Guarantee:          417.5,
+					Weight:             418.5,
 				},
 				{Servers: 451},
 			},
 			Discovery: Discovery{
-				Watch:    "watch-301",
-				Wait:     milliseconds(302),
-				CallWork: milliseconds(303),
-				CallMost: milliseconds(304),
-				Bound:    milliseconds(305),
+				Watch:        "watch-301",
+				Wait:         milliseconds(302),
+				CallWork:     milliseconds(303),
+				MaxCallDelay: milliseconds(304),
+				NotifyBound:  milliseconds(305),
 			},
 		},
 		Method: []Method{
@@ -105,33 +105,33 @@
 			{Shape: "shape-751"},
 		},
 		Clients: Clients{
-			Share:       801.5,
-			Tries:       802,
-			Backoff:     milliseconds(803),
-			Honour:      804.5,
-			Marks:       true,
-			Connections: 805,
-			Waiting:     806,
-			Warm:        807,
+			RetryShare:      801.5,
+			MaxRetries:      802,
+			Backoff:         milliseconds(803),
+			RetryAfterShare: 804.5,
+			MarkRetries:     true,
+			Connections:     805,
+			Waiting:         806,
+			Warm:            807,
 		},
 		Fault: []Fault{
 			{
-				At:      milliseconds(901),
-				For:     milliseconds(902),
-				Kind:    "kind-903",
-				On:      "on-904",
-				Share:   905.5,
-				Factor:  906.5,
-				By:      milliseconds(907),
-				NewID:   true,
-				Answers: true,
-				Keep:    true,
-				Call:    "call-908",
-				Errors:  []string{"error-909", "error-910"},
-				Folder:  "folder-911",
+				At:                 milliseconds(901),
+				For:                milliseconds(902),
+				Kind:               "kind-903",
+				Target:             "on-904",
+				Share:              905.5,
+				Factor:             906.5,
+				By:                 milliseconds(907),
+				NewID:              true,
+				AnswersDuringDrain: true,
+				KeepDuration:       true,
+				Call:               "call-908",
+				Errors:             []string{"error-909", "error-910"},
+				Folder:             "folder-911",
 			},
-			{Kind: "kind-951", Answers: true},
-			{Kind: "kind-961", Keep: true},
+			{Kind: "kind-951", AnswersDuringDrain: true},
+			{Kind: "kind-961", KeepDuration: true},
 		},
 		Expect: map[string]Bound{
 			"figure-1001": {Min: number(1002.5), Max: number(1003.5)},
@@ -148,12 +148,13 @@
 }
 
 func TestExperiment_GoldenShowsEveryField(t *testing.T) {
-	whole := everyKey()
-	// The others of each list are there to be told from the first, and say little else.
-	whole.Fleet.Tier, whole.Method, whole.Tenant = whole.Fleet.Tier[:1], whole.Method[:1], whole.Tenant[:1]
-	whole.Load, whole.Fault = whole.Load[:1], whole.Fault[:1]
-	delete(whole.Expect, "figure-1004")
-	labtest.RequireEveryFieldSet(t, "toml", whole)
+	complete := everyKey()
+	// The further elements of each list are there to be told from the first, and have few keys.
+	complete.Fleet.Tier, complete.Method = complete.Fleet.Tier[:1], complete.Method[:1]
+	complete.Tenant, complete.Load = complete.Tenant[:1], complete.Load[:1]
+	complete.Fault = complete.Fault[:1]
+	delete(complete.Expect, "figure-1004")
+	labtest.RequireEveryFieldSet(t, "toml", complete)
 }
 
 func TestExperiment_ExplicitNames(t *testing.T) {
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"os"
@@ -11,54 +12,83 @@
 	"robincart/internal/lab/trace"
 )
 
-// Plan makes the schedule.
+// Plan makes the schedule of all loads.
 func (e *Experiment) Plan() ([]plan.Arrival, error) {
-	mix := plan.Mix{}
-	for _, m := range e.Method {
-		mix.Methods = append(mix.Methods, plan.Kind{Share: m.Share, Work: plan.Distribution{Kind: m.Spread, Mean: m.WorkMS, CV: m.CV},
-			Wait: plan.Distribution{Kind: m.Spread, Mean: m.WaitMS, CV: m.CV}, Body: m.Body})
-	}
-	for _, t := range e.Tenant {
-		mix.Tenants = append(mix.Tenants, t.Share)
-	}
+	mix := e.mix()
 	var loads []plan.Load
 	var traced []plan.Arrival
 	for i, l := range e.Load {
 		if l.Trace == "" {
-			loads = append(loads, plan.Load{Shape: l.shape(), Even: l.Even, Method: slices.Index(e.MethodNames(), l.Method),
-				Tenant: slices.Index(e.TenantNames(), l.Tenant)})
+			loads = append(loads, e.planLoad(l))
 			continue
 		}
-		path := l.Trace
-		if !filepath.IsAbs(path) {
-			path = filepath.Join(e.dir, path)
-		}
-		f, err := os.Open(path)
+		arrivals, err := e.readTrace(l, mix)
 		if err != nil {
 			return nil, fmt.Errorf("load[%d].trace: %w", i+1, err)
 		}
-		rows, err := trace.Read(f, trace.Names{Methods: e.MethodNames(), Tenants: e.TenantNames(), Mix: mix, Seed: e.Seed})
-		f.Close()
-		if err != nil {
-			return nil, fmt.Errorf("load[%d].trace: %s: %w", i+1, l.Trace, err)
-		}
-		plan.Accelerate(rows, l.Pace)
-		traced = append(traced, rows...)
+		traced = append(traced, arrivals...)
 	}
-	all, err := plan.Generate(e.Seed, e.Duration.Std(), loads, mix)
+	arrivals, err := plan.Generate(e.Seed, e.Duration.Std(), loads, mix)
 	if err != nil {
 		return nil, err
 	}
-	all = append(all, traced...)
-	if len(all) > plan.MaxArrivals {
-		return nil, fmt.Errorf("%d requests are planned, %d is the most", len(all), plan.MaxArrivals)
+	arrivals = append(arrivals, traced...)
+	if len(arrivals) > plan.MaxArrivals {
+		return nil, fmt.Errorf("%d requests are planned, %d is the most", len(arrivals), plan.MaxArrivals)
 	}
-	slices.SortStableFunc(all, func(a, b plan.Arrival) int { return int(a.At - b.At) })
-	for len(all) > 0 && all[len(all)-1].At > e.Duration.Std() {
-		all = all[:len(all)-1]
+	slices.SortStableFunc(arrivals, func(a, b plan.Arrival) int { return cmp.Compare(a.At, b.At) })
+	for len(arrivals) > 0 && arrivals[len(arrivals)-1].At > e.Duration.Std() {
+		arrivals = arrivals[:len(arrivals)-1]
 	}
-	if len(all) == 0 {
+	if len(arrivals) == 0 {
 		return nil, errors.New("load: it plans no request at all")
 	}
-	return all, nil
+	return arrivals, nil
+}
+
+// mix is the distribution of the requests.
+func (e *Experiment) mix() plan.Mix {
+	var mix plan.Mix
+	for _, m := range e.Method {
+		mix.Methods = append(mix.Methods, plan.Kind{
+			Share: m.Share,
+			Work:  plan.Distribution{Kind: m.Spread, Mean: m.WorkMS, CV: m.CV},
+			Wait:  plan.Distribution{Kind: m.Spread, Mean: m.WaitMS, CV: m.CV},
+			Body:  m.Body,
+		})
+	}
+	for _, t := range e.Tenant {
+		mix.Tenants = append(mix.Tenants, t.Share)
+	}
+	return mix
+}
+
+// planLoad is a load that has a shape, as the plan takes it.
+func (e *Experiment) planLoad(l Load) plan.Load {
+	return plan.Load{
+		Shape:  l.shape(),
+		Even:   l.Even,
+		Method: slices.Index(e.MethodNames(), l.Method), // -1: drawn from the mix
+		Tenant: slices.Index(e.TenantNames(), l.Tenant),
+	}
+}
+
+// readTrace reads a load's trace.
+func (e *Experiment) readTrace(l Load, mix plan.Mix) ([]plan.Arrival, error) {
+	path := l.Trace
+	if !filepath.IsAbs(path) {
+		path = filepath.Join(e.dir, path)
+	}
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	names := trace.Names{Methods: e.MethodNames(), Tenants: e.TenantNames(), Mix: mix, Seed: e.Seed}
+	arrivals, err := trace.Read(f, names)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", l.Trace, err)
+	}
+	plan.Accelerate(arrivals, l.Pace)
+	return arrivals, nil
 }
--- a/internal/lab/experiment/target.go
+++ b/internal/lab/experiment/target.go
@@ -8,69 +8,101 @@
 	"strings"
 )
 
-// FaultTarget says what a fault is on.
+// TargetKind is the kind of part of the fleet that a fault is made at.
+type TargetKind string
+
+// The kinds of targets, by the names that mistakes are reported with.
+const (
+	TargetServer    TargetKind = "server"
+	TargetNode      TargetKind = "node"
+	TargetDiscovery TargetKind = "discovery"
+)
+
+// FaultTarget is what a fault is made at. Without an index, a share below one or a zone it is all of the kind.
 type FaultTarget struct {
-	What  string // server, node or discovery
-	Tier  int    // of servers, from 0
-	Index int    // -1: not one alone
-	Part  float64
-	Zone  string
+	Kind  TargetKind
+	Tier  int     // of servers, from 0
+	Index int     // of a single server or node; -1: none
+	Share float64 // of the servers or nodes
+	Zone  string  // of servers; "": any
 }
 
-// ParseFaultTarget reads "server:3", "servers:0.1", "zone:b", "all", each with "tier:2/" before it for another tier than the
-// first; "node:1", "nodes", "nodes:0.3", "discovery".
+// ParseFaultTarget reads "server:3", "servers:0.1", "zone:b" or "all", each with "tier:2/" before it for another tier
+// than the first, or "node:1", "nodes", "nodes:0.3" or "discovery".
 func ParseFaultTarget(text string) (FaultTarget, error) {
-	s := FaultTarget{What: "server", Index: -1, Part: 1}
-	rest := text
-	if tier, r, ok := strings.Cut(rest, "/"); ok {
-		n, err := strconv.Atoi(strings.TrimPrefix(tier, "tier:"))
-		if err != nil || n < 1 || !strings.HasPrefix(tier, "tier:") {
-			return s, fmt.Errorf("%q is no tier such as \"tier:2\"", tier)
-		}
-		s.Tier, rest = n-1, r
+	t := FaultTarget{Kind: TargetServer, Index: -1, Share: 1}
+	if text == "" {
+		return t, errors.New("it is missing")
+	}
+	rest, err := t.parseTier(text)
+	if err != nil {
+		return t, err
 	}
-	what, arg, _ := strings.Cut(rest, ":")
-	var err error
-	switch what {
+	kind, argument, _ := strings.Cut(rest, ":")
+	switch kind {
 	case "all", "":
-		if text == "" {
-			return s, errors.New("it is missing")
-		}
 	case "server", "node":
-		s.What = what
-		if s.Index, err = strconv.Atoi(arg); err != nil || s.Index < 0 {
-			return s, fmt.Errorf("%q is no number of a %s", arg, what)
-		}
+		t.Kind = TargetKind(kind)
+		t.Index, err = parseIndex(kind, argument)
 	case "servers":
-		if s.Part, err = strconv.ParseFloat(arg, 64); err != nil || !(s.Part > 0 && s.Part <= 1) {
-			return s, fmt.Errorf("%q is no share", arg)
-		}
+		t.Share, err = parseShare(argument)
 	case "zone":
-		s.Zone = arg
+		t.Zone = argument
 	case "nodes":
-		s.What = "node"
-		if arg == "" {
-			break
-		}
-		if s.Part, err = strconv.ParseFloat(arg, 64); err != nil || !(s.Part > 0 && s.Part <= 1) {
-			return s, fmt.Errorf("%q is no share", arg)
+		t.Kind = TargetNode
+		if argument != "" {
+			t.Share, err = parseShare(argument)
 		}
 	case "discovery":
-		s.What = "discovery"
+		t.Kind = TargetDiscovery
 	default:
-		return s, fmt.Errorf("%q is none of server:N, servers:SHARE, zone:NAME, all, node:N, nodes, discovery", text)
+		err = fmt.Errorf("%q is none of server:N, servers:SHARE, zone:NAME, all, node:N, nodes, discovery", text)
+	}
+	return t, err
+}
+
+// parseTier takes the tier from a target's text, if it names one, and returns the rest.
+func (t *FaultTarget) parseTier(text string) (rest string, err error) {
+	tier, rest, found := strings.Cut(text, "/")
+	if !found {
+		return text, nil
+	}
+	number, isTier := strings.CutPrefix(tier, "tier:")
+	n, err := strconv.Atoi(number)
+	if !isTier || err != nil || n < 1 {
+		return "", fmt.Errorf("%q is no tier such as \"tier:2\"", tier)
+	}
+	t.Tier = n - 1
+	return rest, nil
+}
+
+// parseIndex reads the index of a server or a node.
+func parseIndex(kind, text string) (int, error) {
+	index, err := strconv.Atoi(text)
+	if err != nil || index < 0 {
+		return -1, fmt.Errorf("%q is no number of a %s", text, kind)
+	}
+	return index, nil
+}
+
+// parseShare reads a share of servers or nodes.
+func parseShare(text string) (float64, error) {
+	share, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(share > 0 && share <= 1) {
+		return 0, fmt.Errorf("%q is no share", text)
 	}
-	return s, nil
+	return share, nil
 }
 
-func (e *Experiment) there(s FaultTarget) bool {
+// hasTarget returns whether a target is in the fleet.
+func (e *Experiment) hasTarget(t FaultTarget) bool {
 	switch {
-	case s.Tier >= len(e.Fleet.Tier):
+	case t.Tier >= len(e.Fleet.Tier):
 		return false
-	case s.Zone != "" && !slices.Contains(e.Fleet.Zones, s.Zone):
+	case t.Zone != "" && !slices.Contains(e.Fleet.Zones, t.Zone):
 		return false
-	case s.What == "node":
-		return s.Index < e.Fleet.Nodes
+	case t.Kind == TargetNode:
+		return t.Index < e.Fleet.Nodes
 	}
-	return s.Index < e.Fleet.Tier[s.Tier].Servers
+	return t.Index < e.Fleet.Tier[t.Tier].Servers
 }
--- a/internal/lab/run/demo.go
+++ b/internal/lab/run/demo.go
@@ -18,8 +18,8 @@
 	{Kind: "freeze", For: experiment.Duration(3 * time.Second)}, {Kind: "silent", For: experiment.Duration(4 * time.Second), Share: 1},
 	{Kind: "slow", For: experiment.Duration(5 * time.Second), Factor: 6}, {Kind: "fail", For: experiment.Duration(4 * time.Second), Share: 0.5},
 	{Kind: "restart", For: experiment.Duration(2 * time.Second)}, {Kind: "drain", For: experiment.Duration(5 * time.Second)},
-	{Kind: "die-mid", For: experiment.Duration(3 * time.Second), Share: 1}, {Kind: "reload", On: "node:0"},
-	{Kind: "gone", On: "discovery", For: experiment.Duration(4 * time.Second)}}
+	{Kind: "die-mid", For: experiment.Duration(3 * time.Second), Share: 1}, {Kind: "reload", Target: "node:0"},
+	{Kind: "gone", Target: "discovery", For: experiment.Duration(4 * time.Second)}}
 
 // Demo starts a small fleet with a node at a known address, some load and a trouble now and then, and tells of it a
 // line a second until the context or the file's duration ends.
@@ -60,14 +60,14 @@
 		draw := plan.NewSource(uint64(time.Now().UnixNano()), "demo")
 		for sleep(ctx, time.Duration(4+draw.Intn(4))*time.Second) {
 			x := troubles[draw.Intn(len(troubles))]
-			if x.On == "" {
-				x.On = fmt.Sprint("server:", draw.Intn(len(f.tiers[0])))
+			if x.Target == "" {
+				x.Target = fmt.Sprint("server:", draw.Intn(len(f.tiers[0])))
 			}
-			on, err := experiment.ParseFaultTarget(x.On)
+			on, err := experiment.ParseFaultTarget(x.Target)
 			if err != nil {
 				return
 			}
-			fmt.Fprintf(w, "  ! %s %s for %v\n", x.Kind, x.On, time.Duration(x.For))
+			fmt.Fprintf(w, "  ! %s %s for %v\n", x.Kind, x.Target, time.Duration(x.For))
 			f.fault(ctx, x, on)
 		}
 	}()
--- a/internal/lab/run/faults.go
+++ b/internal/lab/run/faults.go
@@ -23,16 +23,16 @@
 	var all sync.WaitGroup
 	spans := make([]Span, len(f.e.Fault))
 	for i, x := range f.e.Fault {
-		on, err := experiment.ParseFaultTarget(x.On)
+		on, err := experiment.ParseFaultTarget(x.Target)
 		if err != nil {
 			continue // checked with the file
 		}
-		spans[i] = Span{Name: x.Kind + " " + x.On, From: time.Duration(x.At), To: time.Duration(x.At + x.For)}
+		spans[i] = Span{Name: fmt.Sprint(x.Kind, " ", x.Target), From: time.Duration(x.At), To: time.Duration(x.At + x.For)}
 		all.Go(func() {
 			if !sleep(ctx, time.Until(start.Add(time.Duration(x.At)))) {
 				return
 			}
-			f.notes("%v: %s %s", time.Duration(x.At), x.Kind, x.On)
+			f.notes("%v: %s %s", time.Duration(x.At), x.Kind, x.Target)
 			f.fault(ctx, x, on)
 		})
 	}
@@ -54,7 +54,7 @@
 // fault is the life of one fault.
 func (f *Fleet) fault(ctx context.Context, x experiment.Fault, on experiment.FaultTarget) {
 	lasts := time.Duration(x.For)
-	switch on.What {
+	switch on.Kind {
 	case "discovery":
 		f.discovery(ctx, x, f.disc[on.Tier])
 		return
@@ -119,7 +119,7 @@
 	case "drain":
 		each(func(p *place) {
 			f.phase(p, "draining")
-			if !x.Answers {
+			if !x.AnswersDuringDrain {
 				p.now().Drain(time.Now().Add(time.Second))
 			}
 		})
@@ -156,7 +156,7 @@
 			}
 		}
 	default:
-		kind := standin.Faults[x.Kind]
+		kind := standin.Faults[string(x.Kind)]
 		each(func(p *place) { p.now().Fault(kind, x.Share) })
 		sleep(ctx, lasts)
 		each(func(p *place) { p.now().Fault(standin.NoFault, 1) })
@@ -174,9 +174,9 @@
 	case "reset-watches":
 		d.ResetWatches()
 	case "busy":
-		d.SetWorkQueue(x.By.Std(), f.e.Fleet.Discovery.CallMost.Std())
+		d.SetWorkQueue(x.By.Std(), f.e.Fleet.Discovery.MaxCallDelay.Std())
 		sleep(ctx, time.Duration(x.For))
-		d.SetWorkQueue(f.e.Fleet.Discovery.CallWork.Std(), f.e.Fleet.Discovery.CallMost.Std())
+		d.SetWorkQueue(f.e.Fleet.Discovery.CallWork.Std(), f.e.Fleet.Discovery.MaxCallDelay.Std())
 	case "late":
 		d.SetDelay(time.Duration(x.By))
 		sleep(ctx, time.Duration(x.For))
--- a/internal/lab/run/fleet.go
+++ b/internal/lab/run/fleet.go
@@ -79,7 +79,7 @@
 	draw := plan.NewSource(e.Seed, "fleet")
 	for range e.Fleet.Tier {
 		d := standin.NewDiscovery(log, begin)
-		d.Watch, d.Wait, d.Bound = experiment.WatchModes[e.Fleet.Discovery.Watch], e.Fleet.Discovery.Wait.Std(), e.Fleet.Discovery.Bound.Std()
+		d.Watch, d.Wait, d.Bound = e.Fleet.Discovery.WatchMode(), e.Fleet.Discovery.Wait.Std(), e.Fleet.Discovery.NotifyBound.Std()
 		f.disc = append(f.disc, d)
 		marks := map[string]*standin.IdempotencyKeys{}
 		for _, m := range e.Method {
@@ -94,11 +94,11 @@
 	for t := len(e.Fleet.Tier) - 1; t >= 0; t-- {
 		tier := e.Fleet.Tier[t]
 		for i := range tier.Servers {
-			p := &place{tier: t, zone: e.Fleet.Zones[i%len(e.Fleet.Zones)], calls: tier.Calls, kind: standin.Kind{
-				Cores: tier.Cores, Speed: (tier.Speed[0] + draw.Float64()*(tier.Speed[1]-tier.Speed[0])) / tier.Part,
-				Queue: tier.Queue, Conns: tier.Conns, Idle: time.Duration(tier.Idle), PerConn: tier.PerConn, ColdFrom: tier.ColdFrom,
-				ColdFor: time.Duration(tier.ColdFor), FallMultiple: tier.FallMultiple, FallFor: time.Duration(tier.FallFor),
-				Cancels: tier.Cancels}}
+			p := &place{tier: t, zone: e.Fleet.Zones[i%len(e.Fleet.Zones)], calls: tier.NextTierCalls, kind: standin.Kind{
+				Cores: tier.Cores, Speed: (tier.Speed[0] + draw.Float64()*(tier.Speed[1]-tier.Speed[0])) / tier.WorkShare,
+				Queue: tier.Queue, Conns: tier.MaxConns, Idle: time.Duration(tier.Idle), PerConn: tier.MaxRequestsPerConn, ColdFrom: tier.WarmUpSpeed,
+				ColdFor: time.Duration(tier.WarmUpTime), FallMultiple: tier.OverloadMultiple, FallFor: time.Duration(tier.OverloadWindow),
+				Cancels: tier.DropsCanceled}}
 			f.tiers[t] = append(f.tiers[t], p)
 			if t+1 < len(e.Fleet.Tier) && tier.Service == "" {
 				if err := f.attach(p); err != nil {
@@ -129,7 +129,7 @@
 		}
 		f.dests = append(f.dests, load.Destination{ID: f.nodeNo - 1, Node: f.nodeNo - 1, Addr: n.Addr})
 	}
-	f.Front = standin.NewClientBalancer(begin, time.Duration(e.Fleet.Notice), f.dests)
+	f.Front = standin.NewClientBalancer(begin, time.Duration(e.Fleet.DetectionDelay), f.dests)
 	return f, start(ctx, f.nodes)
 }
 
@@ -286,7 +286,7 @@
 		e.Fleet.Cores, e.Fleet.MemoryMB, e.Fleet.Sockets, !f.shared)
 	for i, t := range e.Fleet.Tier {
 		fmt.Fprintf(&b, "[[service]]\nname = %q\ndiscovery = %q\nnodes = %d\nguarantee = %v\nweight = %v\nmax_picks = %d\nsecond_copies = %v\nidle = %q\nconnect = \"250ms\"\n",
-			t.Service, doors[i].Addr(), e.Fleet.Nodes, t.Guarantee, t.Weight, e.Fleet.MaxPicks, !e.Fleet.NoCopies, time.Duration(t.Idle))
+			t.Service, doors[i].Addr(), e.Fleet.Nodes, t.Guarantee, t.Weight, e.Fleet.MaxAttempts, !e.Fleet.NoHedging, time.Duration(t.Idle))
 		for _, m := range e.Method {
 			if m.Service == t.Service {
 				fmt.Fprintf(&b, "[[service.method]]\nname = %q\nrepeat = %q\ntarget = %q\ndeadline = %q\nutility = %v\n", m.Name, m.Repeat,
@@ -326,9 +326,9 @@
 	}
 	return map[string]any{"Classes": classes, "Tenants": tenants, "Zones": e.Fleet.Zones, "MyZone": slices.Index(e.Fleet.Zones, zone),
 		"Stage": tier, "Instances": instances, "RegistryMode": "subscribe",
-		"Limits": map[string]any{"MaxAttempts": e.Fleet.MaxPicks, "MayCancel": true, "RetryAfter": true, "SecondCopies": !e.Fleet.NoCopies,
+		"Limits": map[string]any{"MaxAttempts": e.Fleet.MaxAttempts, "MayCancel": true, "RetryAfter": true, "SecondCopies": !e.Fleet.NoHedging,
 			"MaxRetryAfterMs": 2000, "ConnectTimeoutMs": 250, "ConnIdleMs": ms(t.Idle)},
-		"Rules": map[string]any{"ColdFrom": t.ColdFrom, "ColdMs": ms(t.ColdFor), "FallMultiple": t.FallMultiple, "FallMs": ms(t.FallFor),
+		"Rules": map[string]any{"ColdFrom": t.WarmUpSpeed, "ColdMs": ms(t.WarmUpTime), "FallMultiple": t.OverloadMultiple, "FallMs": ms(t.OverloadWindow),
 			"MustAskInMs": 10000, "StopSendingWithinMs": 400}}
 }
 
@@ -343,8 +343,8 @@
 		return list[s.Index : s.Index+1]
 	case s.Zone != "":
 		return slices.DeleteFunc(slices.Clone(list), func(p *place) bool { return p.zone != s.Zone })
-	case s.Part < 1:
-		n := max(1, int(s.Part*float64(len(list))+0.5))
+	case s.Share < 1:
+		n := max(1, int(s.Share*float64(len(list))+0.5))
 		var out []*place
 		for _, i := range plan.NewSource(f.e.Seed, "faults").Perm(len(list))[:n] {
 			out = append(out, list[i])
--- a/internal/lab/run/processes.go
+++ b/internal/lab/run/processes.go
@@ -45,7 +45,7 @@
 		if i%2 == 0 {
 			settings["Classes"] = append(settings["Classes"].([]map[string]any), map[string]any{"Name": "further", "AimMs": 500, "DeadlineMs": 1000, "Credit": 1,
 				"LateWorth": 0, "WindowMs": 0, "Repeat": "once", "DedupScope": "all"})
-			settings["Limits"].(map[string]any)["MaxAttempts"] = max(1, f.e.Fleet.MaxPicks-1)
+			settings["Limits"].(map[string]any)["MaxAttempts"] = max(1, f.e.Fleet.MaxAttempts-1)
 		}
 		n.Configure(func(config map[string]any) { config["discovery"], config["settings"] = door.Addr(), settings })
 		if err := n.Write(); err != nil {
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -170,7 +170,7 @@
 	// The watches are to stand before the load begins: that a fresh node may act on an old list is another experiment.
 	f.settle(ctx)
 	for _, d := range f.disc {
-		d.SetWorkQueue(e.Fleet.Discovery.CallWork.Std(), e.Fleet.Discovery.CallMost.Std())
+		d.SetWorkQueue(e.Fleet.Discovery.CallWork.Std(), e.Fleet.Discovery.MaxCallDelay.Std())
 	}
 	servers := f.firstTier()
 	ahead := time.Since(begin) + 300*time.Millisecond
@@ -288,8 +288,8 @@
 
 func config(e *experiment.Experiment) load.Config {
 	c := load.Config{Tenants: e.TenantNames(), Connections: e.Clients.Connections, Waiting: e.Clients.Waiting, Warm: e.Clients.Warm,
-		Slack: 250 * time.Millisecond, Seed: e.Seed, Clients: load.Clients{RetryShare: e.Clients.Share, MaxRetries: e.Clients.Tries,
-			Backoff: time.Duration(e.Clients.Backoff), RetryAfterShare: e.Clients.Honour, MarkRetries: e.Clients.Marks}}
+		Slack: 250 * time.Millisecond, Seed: e.Seed, Clients: load.Clients{RetryShare: e.Clients.RetryShare, MaxRetries: e.Clients.MaxRetries,
+			Backoff: time.Duration(e.Clients.Backoff), RetryAfterShare: e.Clients.RetryAfterShare, MarkRetries: e.Clients.MarkRetries}}
 	for _, m := range e.Method {
 		c.Methods = append(c.Methods, load.Method{Name: m.Name, Repeat: m.Idempotency(), Deadline: time.Duration(m.Deadline),
 			Window: time.Duration(m.Window), Host: e.Host(m.Service)})
--- a/internal/lab/run/trouble.go
+++ b/internal/lab/run/trouble.go
@@ -34,7 +34,7 @@
 	s.plan.Seed = f.e.Seed + uint64(number)
 	met := false
 	for _, x := range f.e.Fault {
-		on, err := experiment.ParseFaultTarget(x.On)
+		on, err := experiment.ParseFaultTarget(x.Target)
 		if err != nil || !x.UsesShim() || !slices.Contains(f.nodesOfFleet(on), number) {
 			continue
 		}
@@ -64,7 +64,7 @@
 	if s.Index >= 0 {
 		return []int{s.Index}
 	}
-	return f.partOfNodes(s.Part, f.e.Fleet.Nodes)
+	return f.partOfNodes(s.Share, f.e.Fleet.Nodes)
 }
 
 // change changes the plan and has the shim read it.
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -8,6 +8,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"robincart/internal/lab/experiment"
 )
 
 // Size is how large a fleet is drawn.
@@ -22,7 +24,7 @@
 
 // trouble is a fault that may be drawn.
 type trouble struct {
-	kind        string
+	kind        experiment.FaultKind
 	on          func(*rand.Rand, Size) string
 	least, most time.Duration
 	more        func(*rand.Rand) string // lines of the fault
@@ -114,7 +116,7 @@
 }
 
 // excludes are the kinds that a seed with one of processes does not have.
-var excludes = map[string][]string{"replace": {"kill", "stop"}, "pause": {"errno", "short", "stall", "clock"}}
+var excludes = map[experiment.FaultKind][]experiment.FaultKind{"replace": {"kill", "stop"}, "pause": {"errno", "short", "stall", "clock"}}
 
 // moments is how often troubles come together.
 const moments = 3
@@ -186,7 +188,7 @@
 		for _, kind := range [][]trouble{servers, servers, nodes, lists, calls, calls} {
 			if r.IntN(4) > 0 { // three to five of the six
 				text := fault(r, s, kind, at)
-				if !slices.ContainsFunc(excludes[process.kind], func(out string) bool { return strings.Contains(text, fmt.Sprintf("kind = %q", out)) }) {
+				if !slices.ContainsFunc(excludes[process.kind], func(out experiment.FaultKind) bool { return strings.Contains(text, fmt.Sprintf("kind = %q", out)) }) {
 					b.WriteString(text)
 				}
 			}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestEverySeedIsAnExperimentAndTheSameOneAgain(t *testing.T) {
-	kinds := map[string]int{}
+	kinds := map[experiment.FaultKind]int{}
 	for seed := range uint64(200) {
 		text := ExperimentText(seed+1, DefaultSize)
 		assert.Equal(t, text, ExperimentText(seed+1, DefaultSize))
