--- a/internal/lab/load/engine.go
+++ b/internal/lab/load/engine.go
@@ -9,6 +9,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"maps"
 	"runtime"
 	"runtime/debug"
@@ -97,6 +98,11 @@
 	return float64(peak) * float64(time.Second/peakWindow)
 }
 
+// String describes the engine's load in a log.
+func (e *Engine) String() string {
+	return fmt.Sprintf("%d requests on %d lanes", len(e.plan), len(e.lanes))
+}
+
 // now is the time since the start.
 func (e *Engine) now() time.Duration { return time.Since(e.start) }
 
