--- a/internal/lab/trace/golden_test.go
+++ b/internal/lab/trace/golden_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestTrace_GoldenRowsAreReadWhole(t *testing.T) {
+func TestTrace_GoldenRows(t *testing.T) {
 	var rows []Row
 	for lines := json.NewDecoder(bytes.NewReader(labtest.ReadGolden(t, "rows.jsonl"))); lines.More(); {
 		var row Row
