--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -10,28 +10,40 @@
 	"robincart/internal/lab/experiment"
 )
 
-func TestEverySeedIsAnExperimentAndTheSameOneAgain(t *testing.T) {
+func TestExperimentText_Valid(t *testing.T) {
 	kinds := map[experiment.FaultKind]int{}
-	for seed := range uint64(200) {
-		text := ExperimentText(seed+1, DefaultSize)
-		assert.Equal(t, text, ExperimentText(seed+1, DefaultSize))
+	for seed := uint64(1); seed <= 200; seed++ {
+		text := ExperimentText(seed, DefaultSize)
+		assert.Equal(t, text, ExperimentText(seed, DefaultSize), "the same seed, the same text")
 		e, err := experiment.Parse([]byte(text), ".")
 		require.NoError(t, err, "%s", text)
-		overlaps := 0
-		for i, a := range e.Fault {
-			kinds[a.Kind]++
-			for _, b := range e.Fault[:i] {
-				if a.At <= b.At+b.For && b.At <= a.At+a.For {
-					overlaps++
-				}
-			}
+		assert.Positive(t, overlaps(e.Fault), "seed %d", seed)
+		for _, fault := range e.Fault {
+			kinds[fault.Kind]++
+		}
+	}
+	for _, group := range [][]faultTemplate{serverFaults, nodeFaults, discoveryFaults, callFaults} {
+		for _, template := range group {
+			assert.Positive(t, kinds[template.kind], template.kind)
 		}
-		assert.Positive(t, overlaps, "seed %d", seed+1)
 	}
-	for _, all := range [][]trouble{servers, nodes, lists, calls} {
-		for _, k := range all {
-			assert.Positive(t, kinds[k.kind], k.kind)
+}
+
+// overlaps counts the pairs of faults that overlap.
+func overlaps(faults []experiment.Fault) int {
+	n := 0
+	for i, a := range faults {
+		for _, b := range faults[:i] {
+			if a.At <= b.At+b.For && b.At <= a.At+a.For {
+				n++
+			}
 		}
 	}
-	assert.NotEqual(t, strings.Replace(ExperimentText(1, DefaultSize), "seed = 1", "", 1), strings.Replace(ExperimentText(2, DefaultSize), "seed = 2", "", 1))
+	return n
+}
+
+func TestExperimentText_DiffersBySeed(t *testing.T) {
+	first := strings.Replace(ExperimentText(1, DefaultSize), "seed = 1", "", 1)
+	second := strings.Replace(ExperimentText(2, DefaultSize), "seed = 2", "", 1)
+	assert.NotEqual(t, first, second)
 }
