--- a/internal/lab/run/serverfaults.go
+++ b/internal/lab/run/serverfaults.go
@@ -84,7 +84,7 @@
 		return // restarted meanwhile: the new process has the listener
 	}
 	if err := server.Listen(""); err != nil {
-		f.crash(fmt.Errorf("a server's door: %w", err))
+		f.crash(fmt.Errorf("a server's listener: %w", err))
 	}
 }
 
