--- a/cmd/robincart/bulk_test.go
+++ b/cmd/robincart/bulk_test.go
@@ -78,33 +78,47 @@
 		b.mu.Unlock()
 		form, size, _ := strings.Cut(strings.TrimPrefix(q.URL.RawQuery, "a="), ".")
 		n, _ := strconv.Atoi(size)
-		body := randomBody(n)
-		switch form {
-		case "length":
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", n)
-		case "chunks":
-			fmt.Fprintf(c, "HTTP/1.1 200 \r\nTransfer-Encoding: chunked\r\n\r\n")
-		case "end":
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-		case "short": // it dies in the middle of it
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*n)
+		if !b.respond(c, form, n) {
+			return
 		}
-		for k := 0; len(body) > 0; k++ {
-			piece := body[:min(len(body), 1+(k*7919)%40_000)]
-			body = body[len(piece):]
-			if form == "chunks" {
-				fmt.Fprintf(c, "%x;x=y\r\n%s\r\n", len(piece), piece)
-			} else if _, err := c.Write(piece); err != nil {
-				return
-			}
+	}
+}
+
+// togetherBytes is how much of a response is written in one call. A node reads a response that is no larger, and the
+// beginning of any other, within half a second of its first byte: a server that the machine stops in between would fail.
+const togetherBytes = 80 << 10
+
+// respond writes a response, in pieces beyond its first togetherBytes. It reports whether the connection stays.
+func (b *bulkServer) respond(c net.Conn, form string, n int) bool {
+	w := bufio.NewWriterSize(c, togetherBytes)
+	switch form {
+	case "length":
+		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", n)
+	case "chunks":
+		fmt.Fprintf(w, "HTTP/1.1 200 \r\nTransfer-Encoding: chunked\r\n\r\n")
+	case "end":
+		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
+	case "short": // it dies in the middle of it
+		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*n)
+	}
+	body := randomBody(n)
+	written := 0
+	for k := 0; written < n; k++ {
+		piece := body[written:min(n, written+1+(k*7919)%40_000)]
+		written += len(piece)
+		if form == "chunks" {
+			fmt.Fprintf(w, "%x;x=y\r\n%s\r\n", len(piece), piece)
+		} else {
+			w.Write(piece)
 		}
-		switch form {
-		case "chunks":
-			io.WriteString(c, "0\r\nTrailer: x\r\n\r\n")
-		case "end", "short":
-			return
+		if written > togetherBytes && w.Flush() != nil {
+			return false
 		}
 	}
+	if form == "chunks" {
+		io.WriteString(w, "0\r\nTrailer: x\r\n\r\n")
+	}
+	return w.Flush() == nil && form != "end" && form != "short"
 }
 
 // choppyReader reads a body in pieces of varying sizes.
