--- a/cmd/robinlab/fleet.go
+++ b/cmd/robinlab/fleet.go
@@ -1,11 +1,8 @@
 package main
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
 
 	"github.com/spf13/cobra"
 
@@ -13,95 +10,151 @@
 	"robincart/internal/lab/run"
 )
 
+// fleetFlags are the flags of fleet.
+type fleetFlags struct {
+	node, out            string
+	sizes                []int // nodes; empty: the files' own sizes
+	recordByControllers  bool
+	asJSON, quiet, check bool
+}
+
 func fleetCommand() *cobra.Command {
-	var node, out string
-	var sizes []int
-	var asJSON, quiet, check, through bool
-	c := &cobra.Command{Use: "fleet FILE...", Short: "Play days of a whole fleet's control side, its nodes hollow; exits 0 if all kept to what they expect, 1 if not, 2 on bad input",
+	var flags fleetFlags
+	command := &cobra.Command{
+		Use: "fleet FILE...",
+		Short: "Play days of a whole fleet's control side, its nodes hollow; " +
+			"exits 0 if all met their expectations, 1 if not, 2 on bad input",
 		Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, paths []string) error {
-			var all []*fleet.File
-			for _, p := range paths { // nothing is started before all of it is read
-				f, err := fleet.Read(p)
-				if err != nil {
-					return err
-				}
-				if through {
-					f.Through = true
-				}
-				for _, n := range sizes {
-					if n < f.Zones || n > 2000 {
-						return fmt.Errorf("--nodes: %d is not in %d to 2000", n, f.Zones)
-					}
-				}
-				all = append(all, f)
+		RunE: func(command *cobra.Command, paths []string) error {
+			files, err := readFleets(&flags, paths)
+			if err != nil {
+				return err
 			}
-			if check {
-				for _, f := range all {
-					fmt.Fprintf(c.OutOrStdout(), "%s: sizes %v, %d services, %d regions, %d zones, %d steps\n", f.Name, f.Sizes, f.Services, f.Regions, f.Zones, len(f.Step))
-				}
+			if flags.check {
+				printFleets(command, files)
 				return nil
 			}
-			program, err := run.FindProgram(node)
-			if err != nil {
-				return err
+			return playFleets(command, &flags, files)
+		},
+	}
+	set := command.Flags()
+	set.IntSliceVar(&flags.sizes, "nodes", nil, "other sizes than the file's")
+	set.BoolVar(&flags.recordByControllers, "through", false,
+		"nodes get the record from the controllers, whatever the files say")
+	set.StringVar(&flags.node, "node", "", "the node's program (default: robincart beside this program, "+
+		"or bin/robincart); "+controllerProgram+" is taken from beside it")
+	set.StringVar(&flags.out, "out", "", "where files and logs go (default: the system's place for temporary files)")
+	set.BoolVar(&flags.asJSON, "json", false, "print the figures as JSON")
+	set.BoolVar(&flags.quiet, "quiet", false, "no progress")
+	set.BoolVar(&flags.check, "check", false, "read the files and play nothing")
+	return command
+}
+
+// readFleets reads all files before anything is started: a mistake in the last one is found at once.
+func readFleets(flags *fleetFlags, paths []string) ([]*fleet.File, error) {
+	var files []*fleet.File
+	for _, path := range paths {
+		file, err := fleet.Read(path)
+		if err != nil {
+			return nil, err
+		}
+		if flags.recordByControllers {
+			file.Through = true
+		}
+		for _, nodes := range flags.sizes {
+			if nodes < file.Zones || nodes > fleet.MaxNodes {
+				return nil, fmt.Errorf("--nodes: %d is not in %d to %d", nodes, file.Zones, fleet.MaxNodes)
 			}
-			self, err := os.Executable()
+		}
+		files = append(files, file)
+	}
+	return files, nil
+}
+
+func printFleets(command *cobra.Command, files []*fleet.File) {
+	for _, f := range files {
+		fmt.Fprintf(command.OutOrStdout(), "%s: sizes %v, %d services, %d regions, %d zones, %d steps\n",
+			f.Name, f.Sizes, f.Services, f.Regions, f.Zones, len(f.Step))
+	}
+}
+
+// playFleets plays each file in each size.
+func playFleets(command *cobra.Command, flags *fleetFlags, files []*fleet.File) error {
+	options, err := fleetOptions(command, flags)
+	if err != nil {
+		return err
+	}
+	failed := false
+	for _, file := range files {
+		sizes := file.Sizes
+		if len(flags.sizes) > 0 {
+			sizes = flags.sizes
+		}
+		for _, nodes := range sizes {
+			passed, err := playFleet(command, flags, file, nodes, options)
 			if err != nil {
 				return err
 			}
-			o := fleet.Options{Node: program, Controller: filepath.Join(filepath.Dir(program), "robincart-controller"), Lab: self}
-			if !quiet {
-				o.Notes = func(format string, args ...any) { fmt.Fprintf(c.ErrOrStderr(), "  "+format+"\n", args...) }
-			}
-			if _, err := os.Stat(o.Controller); err != nil {
-				return fmt.Errorf("the controller's program: %w", err)
-			}
-			failed := false
-			for _, f := range all {
-				of := f.Sizes
-				if len(sizes) > 0 {
-					of = sizes
-				}
-				for _, n := range of {
-					if o.Dir, err = os.MkdirTemp(out, "fleet-"); err != nil {
-						return err
-					}
-					res, err := fleet.Play(c.Context(), f, n, o)
-					if err != nil {
-						return errors.Join(fmt.Errorf("%s, %d nodes (logs in %s): %w", f.Name, n, o.Dir, err))
-					}
-					if asJSON {
-						e := json.NewEncoder(c.OutOrStdout())
-						e.SetIndent("", " ")
-						e.Encode(res)
-					} else {
-						res.Text(c.OutOrStdout())
-					}
-					if res.Passed() {
-						os.RemoveAll(o.Dir)
-					} else {
-						failed = true
-						fmt.Fprintf(c.OutOrStdout(), " logs in %s\n", o.Dir)
-					}
-				}
-			}
-			if failed {
-				return errFailed
-			}
-			return nil
-		}}
-	c.Flags().IntSliceVar(&sizes, "nodes", nil, "other sizes than the file's")
-	c.Flags().BoolVar(&through, "through", false, "nodes are told the record by the controllers, whatever the files say")
-	c.Flags().StringVar(&node, "node", "", "the node's program (default: robincart beside this program, or bin/robincart); robincart-controller is taken from beside it")
-	c.Flags().StringVar(&out, "out", "", "where files and logs go (default: the system's place for temporary files)")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the figures as JSON")
-	c.Flags().BoolVar(&quiet, "quiet", false, "no progress")
-	c.Flags().BoolVar(&check, "check", false, "read the files and play nothing")
-	return c
+			failed = failed || !passed
+		}
+	}
+	if failed {
+		return errFailed
+	}
+	return nil
+}
+
+// fleetOptions returns what all plays have in common: the programs, and where notes go.
+func fleetOptions(command *cobra.Command, flags *fleetFlags) (fleet.Options, error) {
+	var options fleet.Options
+	var err error
+	if options.Node, err = run.FindProgram(flags.node); err != nil {
+		return options, err
+	}
+	if options.Lab, err = os.Executable(); err != nil {
+		return options, err
+	}
+	if !flags.quiet {
+		options.Notes = notes(command)
+	}
+	options.Controller = findController("", options.Node)
+	if _, err := os.Stat(options.Controller); err != nil {
+		return options, fmt.Errorf("the controller's program: %w", err)
+	}
+	return options, nil
+}
+
+// playFleet plays a file in one size, prints the result, and returns whether it passed. If not, its logs are left.
+func playFleet(
+	command *cobra.Command, flags *fleetFlags, file *fleet.File, nodes int, options fleet.Options,
+) (passed bool, err error) {
+	if options.Dir, err = os.MkdirTemp(flags.out, "fleet-"); err != nil {
+		return false, err
+	}
+	result, err := fleet.Play(command.Context(), file, nodes, options)
+	if err != nil {
+		return false, fmt.Errorf("%s, %d nodes (logs in %s): %w", file.Name, nodes, options.Dir, err)
+	}
+	out := command.OutOrStdout()
+	if flags.asJSON {
+		printJSON(out, result)
+	} else {
+		result.Text(out)
+	}
+	if result.Passed() {
+		os.RemoveAll(options.Dir)
+		return true, nil
+	}
+	fmt.Fprintf(out, " logs in %s\n", options.Dir)
+	return false, nil
 }
 
-// fleetPartCommand is what the lab starts by itself: a process of hollow nodes, or the store's stand-in.
+// fleetPartCommand is what package fleet starts: a process of hollow nodes, or the store's stand-in.
 func fleetPartCommand() *cobra.Command {
-	return &cobra.Command{Use: "fleet-part", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error { return fleet.Part(args[0]) }}
+	return &cobra.Command{
+		Use:    "fleet-part",
+		Hidden: true,
+		Args:   cobra.ExactArgs(1),
+		RunE:   func(_ *cobra.Command, arguments []string) error { return fleet.Part(arguments[0]) },
+	}
 }
--- a/cmd/robinlab/shim.go
+++ b/cmd/robinlab/shim.go
@@ -9,48 +9,67 @@
 	"robincart/internal/lab/shim"
 )
 
-// shimCommand runs a program under a plan of failing system calls.
+// shimExecName is the subcommand that the tracer starts, and that becomes the traced program.
+const shimExecName = "shim-exec"
+
 func shimCommand() *cobra.Command {
-	var plan, journal string
-	c := &cobra.Command{Use: "shim --plan FILE PROGRAM [ARG...]", Short: "Run a program whose system calls fail by a plan", Args: cobra.MinimumNArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error {
-			p, err := shim.ReadPlan(plan)
-			if err != nil {
-				return err
-			}
-			self, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			t := &shim.Tracer{PlanFile: plan, Starter: append([]string{self, "shim-exec", strings.Join(p.Calls, ",")}, args...)}
-			if journal != "" {
-				if t.Journal, err = os.OpenFile(journal, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
-					return err
-				}
-				defer t.Journal.Close()
-			}
-			status, err := t.Run()
+	var planPath, journalPath string
+	command := &cobra.Command{
+		Use:   "shim --plan FILE PROGRAM [ARG...]",
+		Short: "Run a program whose system calls fail by a plan",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(_ *cobra.Command, programAndArguments []string) error {
+			status, err := runTraced(planPath, journalPath, programAndArguments)
 			if err == nil && status != 0 {
 				os.Exit(status)
 			}
 			return err
-		}}
-	c.Flags().StringVar(&plan, "plan", "", "the plan's file; SIGUSR2 has it read again")
-	c.Flags().StringVar(&journal, "journal", "", "a line for each injection goes here")
-	c.Flags().SetInterspersed(false)
-	return c
+		},
+	}
+	command.Flags().StringVar(&planPath, "plan", "", "the plan's file; SIGUSR2 has it read again")
+	command.Flags().StringVar(&journalPath, "journal", "", "a line for each injection goes here")
+	command.Flags().SetInterspersed(false)
+	return command
+}
+
+// runTraced runs a program under the plan and returns its exit status.
+func runTraced(planPath, journalPath string, programAndArguments []string) (status int, err error) {
+	plan, err := shim.ReadPlan(planPath)
+	if err != nil {
+		return 0, err
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return 0, err
+	}
+	starter := []string{self, shimExecName, strings.Join(plan.Calls, ",")}
+	tracer := &shim.Tracer{PlanFile: planPath, Starter: append(starter, programAndArguments...)}
+	if journalPath != "" {
+		const fileMode = 0o600
+		journal, err := os.OpenFile(journalPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
+		if err != nil {
+			return 0, err
+		}
+		defer journal.Close()
+		tracer.Journal = journal
+	}
+	return tracer.Run()
 }
 
-// shimExecCommand is what the shim starts: it becomes the program.
+// shimExecCommand stops at the calls of the plan and becomes the program.
 func shimExecCommand() *cobra.Command {
-	c := &cobra.Command{Use: "shim-exec CALLS PROGRAM [ARG...]", Hidden: true, Args: cobra.MinimumNArgs(2),
-		RunE: func(_ *cobra.Command, args []string) error {
+	command := &cobra.Command{
+		Use:    shimExecName + " CALLS PROGRAM [ARG...]",
+		Hidden: true,
+		Args:   cobra.MinimumNArgs(2),
+		RunE: func(_ *cobra.Command, arguments []string) error {
 			var calls []string
-			if args[0] != "" {
-				calls = strings.Split(args[0], ",")
+			if arguments[0] != "" {
+				calls = strings.Split(arguments[0], ",")
 			}
-			return shim.Exec(calls, args[1], args[2:])
-		}}
-	c.Flags().SetInterspersed(false)
-	return c
+			return shim.Exec(calls, arguments[1], arguments[2:])
+		},
+	}
+	command.Flags().SetInterspersed(false)
+	return command
 }
--- a/cmd/robinlab/soak.go
+++ b/cmd/robinlab/soak.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"time"
@@ -13,86 +14,115 @@
 	"robincart/internal/lab/soak"
 )
 
-// soakCommand plays fleets in trouble, a seed after another.
+// eventsVariable is the environment variable with which a node logs each of its events.
+const eventsVariable = "EDGE_EVENTS"
+
+// soakFlags are the flags of soak.
+type soakFlags struct {
+	firstSeed uint64
+	seeds     int
+	node, out string
+	patience  time.Duration
+	logEvents bool
+	size      soak.Size
+}
+
 func soakCommand() *cobra.Command {
-	var first uint64
-	var seeds int
-	var node, out string
-	var patience time.Duration
-	var events bool
-	size := soak.DefaultSize
-	c := &cobra.Command{Use: "soak", Short: "Real nodes under troubles that overlap, drawn from seeds; exits 1 if a rule or an invariant was broken", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			program, err := run.FindProgram(node)
-			if err != nil {
-				return err
-			}
-			if events {
-				os.Setenv("EDGE_EVENTS", "1")
-			}
-			failed := 0
-			for seed := first; seed < first+uint64(seeds) && c.Context().Err() == nil; seed++ {
-				text := soak.ExperimentText(seed, size)
-				e, err := experiment.Parse([]byte(text), ".")
-				if err != nil {
-					return fmt.Errorf("seed %d: %w", seed, err)
-				}
-				e.Fleet.Program = program
-				dir := filepath.Join(out, fmt.Sprintf("soak-%d", seed))
-				if err := os.RemoveAll(dir); err != nil {
-					return err
-				}
-				r, err := run.Play(c.Context(), e, run.Options{Dir: dir, Patience: patience})
-				if err != nil {
-					return fmt.Errorf("seed %d: %w", seed, err)
-				}
-				if err := os.WriteFile(filepath.Join(dir, "soak.toml"), []byte(text), 0o644); err != nil {
-					return err
-				}
-				if !soakLine(c, seed, r) {
-					failed++
-				}
-			}
-			fmt.Fprintf(c.OutOrStdout(), "%d of %d seeds broke something\n", failed, seeds)
-			if failed > 0 {
-				return errFailed
-			}
-			return nil
-		}}
-	c.Flags().Uint64Var(&first, "first", 1, "the first seed")
-	c.Flags().IntVar(&seeds, "seeds", 1, "how many")
-	c.Flags().StringVar(&node, "node", "", "the node's program (default: robincart beside this program, or bin/robincart)")
-	c.Flags().StringVar(&out, "out", "runs", "where experiments, results, configurations and logs go")
-	c.Flags().DurationVar(&patience, "patience", 250*time.Millisecond, "added to the rules' times, for a machine that stalls")
-	c.Flags().BoolVar(&events, "events", false, "nodes log each event")
-	c.Flags().IntVar(&size.Nodes, "nodes", size.Nodes, "nodes")
-	c.Flags().IntVar(&size.Servers, "servers", size.Servers, "servers")
-	c.Flags().IntVar(&size.Rate, "rate", size.Rate, "calls a second")
-	c.Flags().DurationVar(&size.Duration, "for", size.Duration, "how long a seed lasts")
-	return c
+	flags := soakFlags{size: soak.DefaultSize}
+	size := &flags.size
+	command := &cobra.Command{
+		Use:   "soak",
+		Short: "Real nodes under overlapping faults, drawn from seeds; exits 1 if a rule or an invariant was broken",
+		Args:  cobra.NoArgs,
+		RunE:  func(command *cobra.Command, _ []string) error { return playSoaks(command, &flags) },
+	}
+	set := command.Flags()
+	set.Uint64Var(&flags.firstSeed, "first", 1, "the first seed")
+	set.IntVar(&flags.seeds, "seeds", 1, "how many")
+	registerNodeFlag(command, &flags.node)
+	set.StringVar(&flags.out, "out", "runs", "where experiments, results, configurations and logs go")
+	set.DurationVar(&flags.patience, "patience", 250*time.Millisecond,
+		"added to the rules' times, for a machine that stalls")
+	set.BoolVar(&flags.logEvents, "events", false, "nodes log each event")
+	set.IntVar(&size.Nodes, "nodes", size.Nodes, "nodes")
+	set.IntVar(&size.Servers, "servers", size.Servers, "servers")
+	set.IntVar(&size.Rate, "rate", size.Rate, "calls a second")
+	set.DurationVar(&size.Duration, "for", size.Duration, "how long a seed lasts")
+	return command
+}
+
+// playSoaks plays one seed after another.
+func playSoaks(command *cobra.Command, flags *soakFlags) error {
+	program, err := run.FindProgram(flags.node)
+	if err != nil {
+		return err
+	}
+	if flags.logEvents {
+		if err := os.Setenv(eventsVariable, "1"); err != nil {
+			return err
+		}
+	}
+	out := command.OutOrStdout()
+	failed := 0
+	end := flags.firstSeed + uint64(flags.seeds)
+	for seed := flags.firstSeed; seed < end && command.Context().Err() == nil; seed++ {
+		result, err := playSoak(command, flags, seed, program)
+		if err != nil {
+			return err
+		}
+		if !printSoak(out, seed, result) {
+			failed++
+		}
+	}
+	fmt.Fprintf(out, "%d of %d seeds broke something\n", failed, flags.seeds)
+	if failed > 0 {
+		return errFailed
+	}
+	return nil
+}
+
+// playSoak plays one seed in a directory of its own, which it clears before. The experiment is left there.
+func playSoak(command *cobra.Command, flags *soakFlags, seed uint64, program string) (*run.Result, error) {
+	text := soak.ExperimentText(seed, flags.size)
+	parsed, err := experiment.Parse([]byte(text), ".")
+	if err != nil {
+		return nil, fmt.Errorf("seed %d: %w", seed, err)
+	}
+	parsed.Fleet.Program = program
+	dir := filepath.Join(flags.out, fmt.Sprintf("soak-%d", seed))
+	if err := os.RemoveAll(dir); err != nil {
+		return nil, err
+	}
+	result, err := run.Play(command.Context(), parsed, run.Options{Dir: dir, Patience: flags.patience})
+	if err != nil {
+		return nil, fmt.Errorf("seed %d: %w", seed, err)
+	}
+	const fileMode = 0o644
+	return result, os.WriteFile(filepath.Join(dir, "soak.toml"), []byte(text), fileMode)
 }
 
-// soakLine prints a seed's verdict and tells whether nothing was broken.
-func soakLine(c *cobra.Command, seed uint64, r *run.Result) bool {
-	arm := r.Arms[0]
-	ok := len(arm.Broken) == 0 && len(arm.Violations) == 0 && arm.Metrics["crashes"] == 0 && len(r.Invalid) == 0
+// printSoak prints a seed's verdict, and returns whether it passed.
+func printSoak(out io.Writer, seed uint64, result *run.Result) bool {
+	arm := result.Arms[0]
+	metrics := arm.Metrics
+	passed := len(arm.Broken) == 0 && len(arm.Violations) == 0 && metrics["crashes"] == 0 && len(result.Invalid) == 0
 	verdict := "kept"
-	if !ok {
+	if !passed {
 		verdict = "BROKEN"
 	}
-	fmt.Fprintf(c.OutOrStdout(), "seed %d: %s; %.0f calls, goodput %.3f, %.0f system calls changed, %v\n", seed, verdict, arm.Metrics["calls"], arm.Metrics["goodput"],
-		arm.Metrics["injected"], arm.Ends)
-	for name, b := range arm.Broken {
-		fmt.Fprintf(c.OutOrStdout(), "  %s: %d\n", name, b.Count)
-		for _, example := range b.Examples {
-			fmt.Fprintf(c.OutOrStdout(), "    %s\n", example)
+	fmt.Fprintf(out, "seed %d: %s; %.0f calls, goodput %.3f, %.0f system calls changed, %v\n",
+		seed, verdict, metrics["calls"], metrics["goodput"], metrics["injected"], arm.Ends)
+	for rule, broken := range arm.Broken {
+		fmt.Fprintf(out, "  %s: %d\n", rule, broken.Count)
+		for _, example := range broken.Examples {
+			fmt.Fprintf(out, "    %s\n", example)
 		}
 	}
-	for rule, n := range arm.Violations {
-		fmt.Fprintf(c.OutOrStdout(), "  the nodes found %q: %d\n", rule, n)
+	for invariant, count := range arm.Violations {
+		fmt.Fprintf(out, "  the nodes found %q: %d\n", invariant, count)
 	}
-	for _, note := range append(arm.Notes, r.Invalid...) {
-		fmt.Fprintf(c.OutOrStdout(), "    %s\n", note)
+	for _, note := range append(arm.Notes, result.Invalid...) {
+		fmt.Fprintf(out, "    %s\n", note)
 	}
-	return ok
+	return passed
 }
--- a/internal/lab/cost/golden_test.go
+++ b/internal/lab/cost/golden_test.go
@@ -15,10 +15,17 @@
 
 // The golden file was written by the text at 0cdd5b2. Nodes of any version read it; it must never be written anew to
 // follow a rename.
-func TestPlatform_Golden(t *testing.T) {
-	shape := Shape{Cores: 101, MemoryMB: 102, Sockets: 103, Picks: 4, Deadline: 2 * time.Second, NoCopies: true}
+func TestPlatformConfig_Golden(t *testing.T) {
+	rig := &RigConfig{
+		Cores:       101,
+		MemoryMB:    102,
+		Sockets:     103,
+		MaxAttempts: 4,
+		Deadline:    2 * time.Second,
+		NoHedging:   true,
+	}
 	members := []standin.Member{{ID: "s0", Addr: "127.0.0.1:201", Zone: "z1", Phase: "ready", Size: 1}}
-	text, err := json.MarshalIndent(platform(shape, 2, "127.0.0.1:301", 302, members), "", " ")
+	text, err := json.MarshalIndent(platformConfig(rig, 2, "127.0.0.1:301", 302, members), "", " ")
 	require.NoError(t, err)
 	labtest.RequireGolden(t, "node.json", text)
 	var config struct {
--- a/internal/lab/cost/idle.go
+++ b/internal/lab/cost/idle.go
@@ -2,282 +2,250 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
-	"net"
+	"net/http"
 	"os"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
+)
 
-	"github.com/HdrHistogram/hdrhistogram-go"
+const (
+	openingLanes      = 16      // idle connections that are opened at once
+	usingLanes        = 32      // open ones that are used at once
+	firstIdleNumber   = 1 << 21 // of the clients
+	idleSources       = 8       // addresses of the clients: one has ports for some 28,000 connections
+	openingTimeout    = 60 * time.Second
+	openingSettleTime = 3 * time.Second // goroutines that served the opening end, and the collector runs
+	timeoutSlack      = 3 * time.Second // after the idle timeout, before what is still open is counted
+	shutdownTimeout   = 20 * time.Second
+	dripInterval      = time.Second
+	probeTimeout      = 5 * time.Millisecond
 )
 
-// Idle is one measurement of a node with many idle connections and a few at work.
-type Idle struct {
-	Shape
-	Name        string
-	Connections int
-	Rate        int           // RPCs a second of those at work
-	For         time.Duration // of each phase
-	Expire      time.Duration // the node ends idle connections after that; 0: the second of timers is left out
+// IdleConnections measures a node with many idle connections, and a steady load beside them. A tenth of the
+// connections then wake at once, half of them with a body that arrives in drips; last, the node's idle timeout ends
+// all that are left within a second.
+type IdleConnections struct {
+	RigConfig
+	Count         int           // of the connections
+	Rate          int           // calls a second of the steady load
+	PhaseDuration time.Duration // of each phase
+	IdleTimeout   time.Duration // of the node; 0: the phase of the timeouts is left out
+}
+
+// IdleResult is what an IdleConnections has measured.
+type IdleResult struct {
+	BytesPerConnection   float64 // of the node's memory
+	KernelBytesPerSocket float64 // of the kernel's, for each of a connection's two ends
+	PeakBytes            int64
+	Phases               []Phase // of the steady load, the first without idle connections
+	Wave                 WaveResult
+	OpenAfterTimeout     int           // connections still open 3 s after the idle timeout
+	ShutdownTime         time.Duration // from SIGTERM to the process's end, with all that is connected
+}
 
-	Bytes       float64 // resident of the node, a connection
-	Kernel      float64 // of slab, a socket, both ends counted
-	Phases      []Phase
-	WaveOK      int
-	WavePushed  int
-	WaveOther   int // dripping ones included
-	Most        int64
-	End         time.Duration // from SIGTERM, with all that is connected
-	ExpiredLeft int           // connections still open at the end of the second of timers and three more
+// WaveResult is what became of the calls on the connections that woke at once.
+type WaveResult struct {
+	OK, Rejected int
+	Other        int // dripping ones included
 }
 
-// Phase is how those at work fared in one phase.
-type Phase struct {
-	Name     string
-	Asked    int
-	OK       int
-	P50, P99 time.Duration
-	Worst    time.Duration
+// Measure runs the measurement.
+func (i *IdleConnections) Measure(ctx context.Context) (*IdleResult, error) {
+	rig, err := newRig(ctx, i.RigConfig)
+	if err != nil {
+		return nil, err
+	}
+	defer rig.close()
+	m := &idleMeasurement{config: i, rig: rig, load: newSteadyLoad(rig.node.Addr, i.Rate)}
+	defer m.load.close()
+	defer m.closeAll()
+	m.load.play("warm", i.PhaseDuration/2, nil)
+	m.play("none idle", i.PhaseDuration, nil)
+	if err := m.measureMemory(); err != nil {
+		return nil, err
+	}
+	waking := m.idle[:i.Count/10]
+	m.play("a tenth wakes", i.PhaseDuration, func() { m.wake(waking) })
+	_, m.result.PeakBytes = rig.node.Usage()
+	if i.IdleTimeout > 0 {
+		m.awaitTimeout(m.idle[len(waking):])
+	}
+	if err := rig.node.Crashed(); err != nil {
+		return nil, err
+	}
+	begin := time.Now()
+	rig.node.End(shutdownTimeout)
+	m.result.ShutdownTime = time.Since(begin)
+	return &m.result, nil
+}
 
-	times *hdrhistogram.Histogram
+// idleMeasurement is one run of an IdleConnections.
+type idleMeasurement struct {
+	config *IdleConnections
+	rig    *rig
+	load   *steadyLoad
+	idle   []*client // nil where one could not be opened
+	result IdleResult
 }
 
-func (p *Phase) sum() {
-	q := func(q float64) time.Duration { return time.Duration(p.times.ValueAtQuantile(q)) * time.Microsecond }
-	p.P50, p.P99, p.Worst = q(50), q(99), q(100)
+// play adds a phase of the steady load.
+func (m *idleMeasurement) play(name string, duration time.Duration, beside func()) {
+	m.result.Phases = append(m.result.Phases, m.load.play(name, duration, beside))
 }
 
-// join adds another play of the same phase.
-func (p *Phase) join(o Phase) {
-	if p.times == nil {
-		*p = o
-		return
+// measureMemory opens the idle connections and measures what they hold.
+func (m *idleMeasurement) measureMemory() error {
+	count := m.config.Count
+	nodeBefore, kernelBefore := readMemory(m.rig.node.Pid()).anonymous, readSlab()
+	if failed := m.open(); failed > count/100 {
+		return fmt.Errorf("%d of %d connections could not be opened and used", failed, count)
 	}
-	p.Asked, p.OK = p.Asked+o.Asked, p.OK+o.OK
-	p.times.Merge(o.times)
-	p.sum()
+	time.Sleep(openingSettleTime)
+	m.play("idle", m.config.PhaseDuration, nil)
+	nodeAfter, kernelAfter := readMemory(m.rig.node.Pid()).anonymous, readSlab()
+	m.result.BytesPerConnection = float64(nodeAfter-nodeBefore) / float64(count)
+	m.result.KernelBytesPerSocket = float64(kernelAfter-kernelBefore) / float64(2*count)
+	return nil
 }
 
-// workers are connections that ask at a steady rate, whatever the answers: a late one does not put off the next.
-type workers struct {
-	free chan *caller
-	addr string
+// open opens the idle connections, makes a call on each, and returns how many failed.
+func (m *idleMeasurement) open() int {
+	m.idle = make([]*client, m.config.Count)
+	var failed atomic.Int64
+	eachInLanes(len(m.idle), openingLanes, func(i int) {
+		source := fmt.Sprintf("127.0.%d.1", 2+i%idleSources)
+		client, err := dial(m.rig.node.Addr, source, firstIdleNumber+i)
+		if err != nil {
+			failed.Add(1)
+			return
+		}
+		client.SetDeadline(time.Now().Add(openingTimeout))
+		if !isOK(client.call()) {
+			failed.Add(1)
+		}
+		client.releaseBuffers()
+		m.idle[i] = client
+	})
+	return int(failed.Load())
 }
 
-func (w *workers) phase(name string, rate int, most time.Duration, during func()) Phase {
-	p := Phase{Name: name, times: hdrhistogram.New(1, 60_000_000, 3)}
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	end := time.Now().Add(most)
-	if during != nil {
-		all.Go(during)
-	}
-	every := time.Second / time.Duration(rate)
-	for at := time.Now(); at.Before(end); at = at.Add(every) {
-		time.Sleep(time.Until(at))
-		p.Asked++
-		var c *caller
-		select {
-		case c = <-w.free:
-		default:
-			var err error
-			if c, err = dial(w.addr, "", 1<<20+p.Asked); err != nil {
-				continue
-			}
+// wake makes a call on each of these connections at once. Every second one sends a body that never arrives in full.
+func (m *idleMeasurement) wake(clients []*client) {
+	var ok, rejected, other atomic.Int64
+	var calling sync.WaitGroup
+	for i, client := range clients {
+		if client == nil {
+			continue
 		}
-		all.Go(func() {
-			c.SetDeadline(time.Now().Add(20 * time.Second))
-			status, err := c.ask()
-			took := time.Since(at) // since it was due, not since it was sent
-			mu.Lock()
-			p.times.RecordValue(took.Microseconds())
-			if err == nil && status == 200 {
-				p.OK++
+		calling.Go(func() {
+			client.SetDeadline(time.Now().Add(m.config.PhaseDuration))
+			call := client.call
+			if i%2 == 1 {
+				call = client.callDripping
 			}
-			mu.Unlock()
-			if err != nil {
-				c.Close()
-				return
-			}
-			select {
-			case w.free <- c:
+			status, err := call()
+			switch {
+			case isOK(status, err):
+				ok.Add(1)
+			case err == nil && status == http.StatusServiceUnavailable:
+				rejected.Add(1)
 			default:
-				c.Close()
+				other.Add(1)
 			}
 		})
 	}
-	all.Wait()
-	p.sum()
-	return p
+	calling.Wait()
+	m.result.Wave = WaveResult{OK: int(ok.Load()), Rejected: int(rejected.Load()), Other: int(other.Load())}
 }
 
-// slab is the kernel's memory of small objects, sockets among them.
-func slab() int64 {
-	text, _ := os.ReadFile("/proc/meminfo")
-	for line := range strings.SplitSeq(string(text), "\n") {
-		if kb, ok := strings.CutPrefix(line, "Slab:"); ok {
-			n, _ := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(kb), " kB"), 10, 64)
-			return n << 10
-		}
-	}
-	return 0
+// callDripping makes a call whose body arrives a byte a second until there is a response.
+func (c *client) callDripping() (int, error) {
+	c.traceID++
+	fmt.Fprintf(c, "POST /find HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %016x\r\nX-Qos: find\r\nX-Expires-In-Ms: 5000\r\n"+
+		"Content-Length: 65536\r\n\r\n", c.traceID)
+	stop := make(chan struct{})
+	var dripping sync.WaitGroup
+	dripping.Go(func() { c.drip(stop) })
+	status, err := c.readStatus()
+	close(stop)
+	dripping.Wait()
+	return status, err
 }
 
-// each runs f for all idle connections, some side by side.
-func each(all []*caller, f func(*caller)) {
-	var wait sync.WaitGroup
-	const lanes = 32
-	for lane := range lanes {
-		wait.Go(func() {
-			for i := lane; i < len(all); i += lanes {
-				f(all[i])
-			}
-		})
+// drip writes a byte a second until it is stopped or the connection is closed.
+func (c *client) drip(stop <-chan struct{}) {
+	ticker := time.NewTicker(dripInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-ticker.C:
+		}
+		if _, err := c.Write([]byte("x")); err != nil {
+			return
+		}
 	}
-	wait.Wait()
 }
 
-// Play measures.
-func (l *Idle) Play(ctx context.Context) error {
-	rig, err := NewRig(ctx, l.Shape)
-	if err != nil {
-		return err
-	}
-	defer rig.Close()
-	w := &workers{free: make(chan *caller, 64), addr: rig.node.Addr}
-	defer func() {
-		for len(w.free) > 0 {
-			(<-w.free).Close()
+// awaitTimeout makes a call on each connection within a second, so that their idle timeouts end within one, and counts
+// those that are open after that.
+func (m *idleMeasurement) awaitTimeout(clients []*client) {
+	eachClient(clients, func(c *client) {
+		c.SetDeadline(time.Now().Add(steadyCallTimeout))
+		c.call()
+		c.releaseBuffers()
+	})
+	wait := m.config.IdleTimeout + timeoutSlack
+	end := time.Now().Add(wait)
+	m.play("every timer ends", wait, nil)
+	time.Sleep(time.Until(end))
+	var open atomic.Int64
+	eachClient(clients, func(c *client) {
+		if c.isOpen() {
+			open.Add(1)
 		}
-	}()
-	w.phase("warm", l.Rate, l.For/2, nil)
-	l.Phases = append(l.Phases, w.phase("none idle", l.Rate, l.For, nil))
+	})
+	m.result.OpenAfterTimeout = int(open.Load())
+}
 
-	_, before := memory(rig.node.Pid())
-	slab0 := slab()
-	idle := make([]*caller, l.Connections)
-	var failed atomic.Int64
-	defer func() {
-		for _, c := range idle {
-			if c != nil {
-				c.Close()
-			}
+// isOpen reports whether the node has not closed the connection.
+func (c *client) isOpen() bool {
+	c.SetReadDeadline(time.Now().Add(probeTimeout))
+	var b [1]byte
+	_, err := c.Read(b[:])
+	return errors.Is(err, os.ErrDeadlineExceeded)
+}
+
+func (m *idleMeasurement) closeAll() {
+	for _, client := range m.idle {
+		if client != nil {
+			client.Close()
 		}
-	}()
-	var wait sync.WaitGroup
-	for lane := range 16 {
-		wait.Go(func() {
-			for i := lane; i < len(idle); i += 16 {
-				c, err := dial(w.addr, fmt.Sprintf("127.0.%d.1", 2+i%8), 1<<21+i)
-				if err != nil {
-					failed.Add(1)
-					continue
-				}
-				c.SetDeadline(time.Now().Add(60 * time.Second))
-				if status, err := c.ask(); err != nil || status != 200 {
-					failed.Add(1)
-				}
-				c.in, c.out = nil, nil // this process holds as many
-				idle[i] = c
-			}
-		})
 	}
-	wait.Wait()
-	if n := failed.Load(); n > int64(len(idle)/100) {
-		return fmt.Errorf("%d of %d connections could not be opened and used", n, len(idle))
-	}
-	time.Sleep(3 * time.Second) // goroutines that were needed for the opening end, and the collector runs
-	l.Phases = append(l.Phases, w.phase("idle", l.Rate, l.For, nil))
-	_, after := memory(rig.node.Pid())
-	l.Bytes = float64(after-before) / float64(l.Connections)
-	l.Kernel = float64(slab()-slab0) / float64(2*l.Connections)
+}
 
-	// A tenth wakes at once, half of them with a body that drips.
-	tenth := idle[:l.Connections/10]
-	l.Phases = append(l.Phases, w.phase("a tenth wakes", l.Rate, l.For, func() {
-		var ok, pushed, other atomic.Int64
-		var wave sync.WaitGroup
-		for i, c := range tenth {
-			if c == nil {
-				continue
-			}
-			wave.Go(func() {
-				c.SetDeadline(time.Now().Add(l.For))
-				var status int
-				var err error
-				if i%2 == 0 {
-					status, err = c.ask()
-				} else {
-					c.id++
-					fmt.Fprintf(c, "POST /find HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %016x\r\nX-Qos: find\r\nX-Expires-In-Ms: 5000\r\nContent-Length: 65536\r\n\r\n", c.id)
-					stop := make(chan struct{})
-					wave.Go(func() {
-						tick := time.NewTicker(time.Second)
-						defer tick.Stop()
-						for {
-							select {
-							case <-stop:
-								return
-							case <-tick.C:
-							}
-							if _, err := c.Write([]byte("x")); err != nil {
-								return
-							}
-						}
-					})
-					status, err = c.hear()
-					close(stop)
-				}
-				switch {
-				case err == nil && status == 200:
-					ok.Add(1)
-				case err == nil && status == 503:
-					pushed.Add(1)
-				default:
-					other.Add(1)
-				}
-			})
+// eachClient calls a function for each client that could be opened, in several lanes.
+func eachClient(clients []*client, use func(*client)) {
+	eachInLanes(len(clients), usingLanes, func(i int) {
+		if clients[i] != nil {
+			use(clients[i])
 		}
-		wave.Wait()
-		l.WaveOK, l.WavePushed, l.WaveOther = int(ok.Load()), int(pushed.Load()), int(other.Load())
-	}))
-	_, l.Most = rig.node.Usage()
+	})
+}
 
-	if l.Expire > 0 {
-		rest := idle[len(tenth):]
-		each(rest, func(c *caller) { // within a second, so that their times end within one
-			if c != nil {
-				c.SetDeadline(time.Now().Add(20 * time.Second))
-				c.ask()
-				c.in, c.out = nil, nil
-			}
-		})
-		begun := time.Now()
-		l.Phases = append(l.Phases, w.phase("every timer ends", l.Rate, l.Expire+3*time.Second, nil))
-		time.Sleep(time.Until(begun.Add(l.Expire + 3*time.Second)))
-		var open atomic.Int64
-		each(rest, func(c *caller) {
-			if c == nil {
-				return
-			}
-			c.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
-			var b [1]byte
-			if _, err := c.Read(b[:]); err != nil {
-				if ne, ok := err.(net.Error); ok && ne.Timeout() {
-					open.Add(1)
-				}
+// eachInLanes calls a function for 0 to count-1, in several goroutines, and waits for all of them.
+func eachInLanes(count, lanes int, use func(i int)) {
+	var running sync.WaitGroup
+	for lane := range lanes {
+		running.Go(func() {
+			for i := lane; i < count; i += lanes {
+				use(i)
 			}
 		})
-		l.ExpiredLeft = int(open.Load())
 	}
-	if err := rig.node.Crashed(); err != nil {
-		return err
-	}
-	begun := time.Now()
-	rig.node.End(20 * time.Second)
-	l.End = time.Since(begun)
-	return nil
+	running.Wait()
 }
--- a/internal/lab/cost/usage.go
+++ b/internal/lab/cost/usage.go
@@ -9,50 +9,90 @@
 	"time"
 )
 
-// Usage is what a process has had of the machine so far, as the kernel counts it. Threads that have ended are not in it but
-// for Calls; the programs here keep theirs.
+// Usage is what a process has used of the machine so far, as the kernel counts it. Of threads that have ended only
+// ReadWriteCalls are in it; the programs measured here keep their threads.
 type Usage struct {
-	CPU       time.Duration // on a core, in nanoseconds and not in ticks
-	Waited    time.Duration // able to run, with no core free
-	Sleeps    int64         // voluntary context switches: a thread went to sleep, and something woke it
-	Preempted int64         // the other switches
-	Calls     int64         // system calls of the read and the write kind, those that found nothing as well
+	CPU                 time.Duration // from the scheduler's nanoseconds, not from ticks
+	RunQueueWait        time.Duration // able to run, with no core free
+	VoluntarySwitches   int64         // a thread went to sleep, and something woke it
+	InvoluntarySwitches int64
+	ReadWriteCalls      int64 // system calls of the read and the write kind, those that found nothing as well
 }
 
-// ReadUsage reads it; a process that has gone is an error.
-func ReadUsage(pid int) (u Usage, err error) {
-	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
-	if err != nil || len(tasks) == 0 {
-		return u, fmt.Errorf("process %d has gone", pid)
+// readUsage reads a process's usage. A process that has ended is an error.
+func readUsage(pid int) (Usage, error) {
+	var usage Usage
+	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
+	if err != nil || len(threads) == 0 {
+		return usage, fmt.Errorf("process %d has gone", pid)
 	}
-	for _, t := range tasks {
-		text, err := os.ReadFile(t + "/schedstat")
-		f := strings.Fields(string(text))
-		if err != nil || len(f) < 2 {
-			continue // a thread that ended just now
+	for _, thread := range threads {
+		text, err := os.ReadFile(thread + "/schedstat")
+		fields := strings.Fields(string(text))
+		if err != nil || len(fields) < 2 {
+			continue // the thread has just ended
 		}
-		on, _ := strconv.ParseInt(f[0], 10, 64)
-		waited, _ := strconv.ParseInt(f[1], 10, 64)
-		u.CPU, u.Waited = u.CPU+time.Duration(on), u.Waited+time.Duration(waited)
-		fields(t+"/status", map[string]*int64{"voluntary_ctxt_switches": &u.Sleeps, "nonvoluntary_ctxt_switches": &u.Preempted})
+		onCore, _ := strconv.ParseInt(fields[0], 10, 64)
+		waited, _ := strconv.ParseInt(fields[1], 10, 64)
+		usage.CPU += time.Duration(onCore)
+		usage.RunQueueWait += time.Duration(waited)
+		addNumbers(thread+"/status", map[string]*int64{
+			"voluntary_ctxt_switches":    &usage.VoluntarySwitches,
+			"nonvoluntary_ctxt_switches": &usage.InvoluntarySwitches,
+		})
 	}
-	fields(fmt.Sprintf("/proc/%d/io", pid), map[string]*int64{"syscr": &u.Calls, "syscw": &u.Calls})
-	return u, nil
+	addNumbers(fmt.Sprintf("/proc/%d/io", pid), map[string]*int64{
+		"syscr": &usage.ReadWriteCalls,
+		"syscw": &usage.ReadWriteCalls,
+	})
+	return usage, nil
 }
 
-// fields adds the numbers of a file of names and values.
-func fields(path string, to map[string]*int64) {
+// Sub returns what was used since an earlier reading.
+func (u Usage) Sub(earlier Usage) Usage {
+	return Usage{
+		CPU:                 u.CPU - earlier.CPU,
+		RunQueueWait:        u.RunQueueWait - earlier.RunQueueWait,
+		VoluntarySwitches:   u.VoluntarySwitches - earlier.VoluntarySwitches,
+		InvoluntarySwitches: u.InvoluntarySwitches - earlier.InvoluntarySwitches,
+		ReadWriteCalls:      u.ReadWriteCalls - earlier.ReadWriteCalls,
+	}
+}
+
+// memory is a process's resident memory, in bytes.
+type memory struct {
+	resident  int64
+	anonymous int64 // of it, what no file backs
+}
+
+// readMemory reads a process's memory; of one that has ended it is zero.
+func readMemory(pid int) memory {
+	var kibibytes memory
+	addNumbers(fmt.Sprintf("/proc/%d/status", pid), map[string]*int64{
+		"VmRSS":   &kibibytes.resident,
+		"RssAnon": &kibibytes.anonymous,
+	})
+	return memory{resident: kibibytes.resident << 10, anonymous: kibibytes.anonymous << 10}
+}
+
+// readSlab reads the bytes that the kernel holds in small objects, sockets among them.
+func readSlab() int64 {
+	var kibibytes int64
+	addNumbers("/proc/meminfo", map[string]*int64{"Slab": &kibibytes})
+	return kibibytes << 10
+}
+
+// addNumbers adds the values of a file with a "name: value" on each line, some of them in kB, to the given numbers. A
+// file that can't be read adds nothing.
+func addNumbers(path string, numbers map[string]*int64) {
 	text, _ := os.ReadFile(path)
 	for line := range strings.SplitSeq(string(text), "\n") {
 		name, value, _ := strings.Cut(line, ":")
-		if p := to[name]; p != nil {
-			n, _ := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
-			*p += n
+		number := numbers[name]
+		if number == nil {
+			continue
 		}
+		n, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(value, " kB")), 10, 64)
+		*number += n
 	}
 }
-
-// Less is what came since an earlier reading.
-func (u Usage) Less(o Usage) Usage {
-	return Usage{u.CPU - o.CPU, u.Waited - o.Waited, u.Sleeps - o.Sleeps, u.Preempted - o.Preempted, u.Calls - o.Calls}
-}
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -64,7 +64,7 @@
 
 // The most that a file may ask for: ten times the target is a mistake, not a size.
 const (
-	mostNodes    = 2000
+	MaxNodes    = 2000
 	mostServices = 100
 	mostSteps    = 100
 	mostCount    = 2000
@@ -120,7 +120,7 @@
 	}
 	bad(f.Name == "", "name is missing")
 	for _, n := range f.Sizes {
-		bad(n < f.Zones || n > mostNodes, "sizes: %d is not in %d to %d", n, f.Zones, mostNodes)
+		bad(n < f.Zones || n > MaxNodes, "sizes: %d is not in %d to %d", n, f.Zones, MaxNodes)
 	}
 	bad(f.Services < 1 || f.Services > mostServices, "services: %d is not in 1 to %d", f.Services, mostServices)
 	bad(f.Regions < 1 || f.Regions > 8 || f.Zones < f.Regions || f.Zones > 64 || f.Zones%max(f.Regions, 1) != 0, "zones: %d can't be parted over %d regions (8 regions, 64 zones at most)", f.Zones, f.Regions)
