--- a/cmd/robinlab/common.go
+++ b/cmd/robinlab/common.go
@@ -17,7 +17,7 @@
 	mebibyte = 1 << 20
 )
 
-// controllerProgram is the controller's program, which stands beside the node's.
+// controllerProgram is the controller's program, which is in the directory of the node's.
 const controllerProgram = "robincart-controller"
 
 // registerNodeFlag adds the flag that names the node's program, for run.FindProgram.
--- a/internal/lab/cost/openloop.go
+++ b/internal/lab/cost/openloop.go
@@ -17,7 +17,7 @@
 const (
 	startDelay      = 20 * time.Millisecond // of a plan's first moment, for what is set up until then
 	minWarmUp       = 300 * time.Millisecond
-	maxGeneratorLag = 20 * time.Millisecond // at the 99th percentile; figures of later callers say nothing of the target
+	maxGeneratorLag = 20 * time.Millisecond // at the 99th percentile, beyond which figures are of the callers
 	seedStep        = 1009                  // between the plans of two rounds
 )
 
--- /dev/null
+++ b/internal/lab/fleet/hollownode.go
@@ -0,0 +1,241 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/url"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"robincart/internal/config/nodeconfig"
+	"robincart/internal/controlplane/recordcache"
+	"robincart/internal/dataplane/services"
+	"robincart/internal/record/record"
+	"robincart/internal/record/store"
+	"robincart/internal/record/store/sqlstore"
+	"robincart/internal/resources/limits"
+	"robincart/internal/system/poller"
+)
+
+// noTimeout is longer than any run.
+const noTimeout = time.Hour
+
+// hollowNode is one of the HollowNodes.
+type hollowNode struct {
+	all         *HollowNodes
+	number      int
+	place       Place
+	file        *nodeconfig.Config
+	services    *services.Manager
+	recordCache *recordcache.Cache // nil: it has none
+	poller      *poller.Poller
+	following   sync.WaitGroup // of followRecord
+	cancel      context.CancelFunc
+	dials       atomic.Int64 // of endpoint lists
+
+	mu       sync.Mutex
+	phases   map[string]Phase  // by address: as last received
+	settings map[string]string // in force, by name
+}
+
+// clock is the time since a node's start.
+type clock struct{ start time.Time }
+
+func (c clock) Now() time.Duration                  { return time.Since(c.start) }
+func (c clock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
+
+// startNode starts a node. stop ends it.
+func (h *HollowNodes) startNode(number int) (*hollowNode, error) {
+	n := &hollowNode{
+		all:      h,
+		number:   number,
+		place:    h.config.Places[number-h.config.FirstNode],
+		phases:   map[string]Phase{},
+		settings: map[string]string{},
+	}
+	name := fmt.Sprint("h", number)
+	if err := n.readFile(name); err != nil {
+		return nil, err
+	}
+	log, err := n.newLog(name)
+	if err != nil {
+		return nil, err
+	}
+	if n.poller, err = poller.New(); err != nil {
+		return nil, err
+	}
+	var ctx context.Context
+	ctx, n.cancel = context.WithCancel(context.Background())
+	config := n.file
+	n.newServices(log)
+	if h.config.StoreURL != "" || h.OpenStore != nil {
+		if err := n.openRecord(ctx, name, log); err != nil {
+			n.stop()
+			return nil, err
+		}
+		n.services.RecordCache = n.recordCache
+		config = n.withRecord(config)
+	}
+	n.services.Apply(config)
+	n.noteSettings(config)
+	if n.recordCache != nil {
+		n.following.Go(func() { n.followRecord(ctx, config) })
+	}
+	return n, nil
+}
+
+// readFile reads the node's file as written by NodeFile.
+func (n *hollowNode) readFile(name string) error {
+	const unusedListener = "127.0.0.1:1"
+	text := NodeFile(&n.all.config, name, unusedListener, n.place.Zone, plannedNodes, "")
+	var err error
+	if n.file, err = nodeconfig.Parse([]byte(text), 0); err != nil {
+		return err
+	}
+	if !n.all.NoTimeouts {
+		return nil
+	}
+	for i := range n.file.Pools {
+		l := &n.file.Pools[i].Limits
+		l.DiscoveryConnectTimeout = noTimeout
+		l.FirstUpdateTimeout = noTimeout
+		l.MaxUpdateDelay = noTimeout
+		l.WatchSilenceTimeout = noTimeout
+	}
+	return nil
+}
+
+// newLog returns a log into the process's for the first node of a fleet of processes, and none for the others: what
+// one logs, all would.
+func (n *hollowNode) newLog(name string) (*zap.Logger, error) {
+	inOwnProcess := n.all.OpenStore == nil && n.all.Connect == nil
+	if n.number != n.all.config.FirstNode || !inOwnProcess {
+		return zap.NewNop(), nil
+	}
+	config := zap.NewProductionConfig()
+	config.Level.SetLevel(zap.WarnLevel)
+	config.Sampling = nil
+	return config.Build(zap.Fields(zap.String("node", name)))
+}
+
+func (n *hollowNode) newServices(log *zap.Logger) {
+	l := n.file.Limits
+	budget := limits.NewBudget(l.Descriptors, l.OverloadConnections, limits.NewMemoryBudget(l.BodyMemory))
+	n.services = services.New(n.file, clock{start: time.Now()}, budget, log, n.poller)
+	n.services.Dial = n.dialDiscovery
+	n.services.WrapReceiver = n.observe
+}
+
+func (n *hollowNode) openRecord(ctx context.Context, name string, log *zap.Logger) error {
+	storeURL, err := url.Parse(n.all.config.StoreURL)
+	if err != nil {
+		return err
+	}
+	r := n.file.Record
+	n.recordCache, err = recordcache.Open(ctx, recordcache.Config{
+		Name:         name,
+		Store:        storeURL.Redacted(),
+		MaxStaleness: time.Duration(*r.MaxStaleness),
+		MaxPending:   r.MaxPending,
+		CallTimeout:  time.Duration(r.CallTimeout),
+		PollInterval: time.Duration(r.PollInterval),
+		Open:         n.openStore,
+	}, log)
+	return err
+}
+
+// openStore returns the client of the store, by the controllers if there are record servers.
+func (n *hollowNode) openStore() (store.Store, error) {
+	config := &n.all.config
+	if n.all.OpenStore != nil {
+		return n.all.OpenStore(n.number)
+	}
+	if len(config.RecordServers) > 0 {
+		return n.dialControllers(), nil
+	}
+	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
+		return n.all.network.Dial(ctx, n.place, config.Store.Place, config.Store.Addr, &n.all.record)
+	}
+	return sqlstore.OpenWithDialer(config.StoreURL, dial)
+}
+
+// dialControllers returns a client of the controllers' record servers, those of the node's own region first.
+func (n *hollowNode) dialControllers() store.Store {
+	places := map[string]Place{}
+	var near, far []string
+	for _, server := range replicaTargets(n.all.config.RecordServers, n.number) {
+		places[server.address] = server.place
+		if server.place.Region == n.place.Region {
+			near = append(near, server.address)
+		} else {
+			far = append(far, server.address)
+		}
+	}
+	dial := func(ctx context.Context, address string) (net.Conn, error) {
+		return n.all.network.Dial(ctx, n.place, places[address], address, &n.all.record)
+	}
+	return store.DialControllersWith(dial, append(near, far...), nil)
+}
+
+// dialDiscovery connects to a service's endpoint list at one of the replicas that are alive, as behind an address that
+// spreads connections.
+func (n *hollowNode) dialDiscovery(ctx context.Context, _, address string) (net.Conn, error) {
+	for _, service := range n.all.config.Services {
+		if service.Discovery == address {
+			turn := int(n.dials.Add(1)) + n.number
+			targets := replicaTargets(service.Replicas, turn)
+			return n.all.network.dialAny(ctx, n.place, targets, &n.all.endpointLists)
+		}
+	}
+	return nil, fmt.Errorf("%s is no discovery address of the fleet", address)
+}
+
+// followRecord puts the record's changes in force until the context ends.
+func (n *hollowNode) followRecord(ctx context.Context, current *nodeconfig.Config) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-n.recordCache.Changes():
+		}
+		updated := n.withRecord(current)
+		if updated == current {
+			continue
+		}
+		current = updated
+		n.services.Apply(current)
+		n.noteSettings(current)
+	}
+}
+
+// withRecord returns the file with the record's settings over it, as the program puts them, or the current
+// configuration where that can't be.
+func (n *hollowNode) withRecord(current *nodeconfig.Config) *nodeconfig.Config {
+	var entries []record.Entry
+	for _, kind := range []record.Kind{record.KindService, record.KindRoute, record.KindTenant} {
+		entries = append(entries, n.recordCache.Entries(kind)...)
+	}
+	if len(entries) == 0 {
+		return n.file
+	}
+	updated, err := n.file.WithRecord(entries)
+	if err != nil {
+		return current
+	}
+	updated.KeepProcessSettings(current)
+	return updated
+}
+
+func (n *hollowNode) stop() {
+	n.cancel()
+	n.services.Close()
+	n.following.Wait()
+	if n.recordCache != nil {
+		n.recordCache.Close()
+	}
+	n.poller.Close()
+}
