--- a/cmd/robinlab/common.go
+++ b/cmd/robinlab/print.go
@@ -1,10 +1,10 @@
 package main
 
 import (
+	"encoding/json"
 	"fmt"
 	"io"
 	"maps"
-	"path/filepath"
 	"slices"
 	"text/tabwriter"
 	"time"
@@ -17,32 +17,6 @@
 	mebibyte = 1 << 20
 )
 
-// controllerProgram is the controller's program, which is in the directory of the node's.
-const controllerProgram = "robincart-controller"
-
-// registerNodeFlag adds the flag that names the node's program, for run.FindProgram.
-func registerNodeFlag(command *cobra.Command, path *string) {
-	command.Flags().StringVar(path, "node", "",
-		"the node's program (default: robincart beside this program, or bin/robincart)")
-}
-
-// registerControllerFlag adds the flag that names the controller's program, for findController.
-func registerControllerFlag(command *cobra.Command, path *string) {
-	command.Flags().StringVar(path, "controller", "", "the controller's program (default: "+controllerProgram+
-		" beside the node's)")
-}
-
-// isBetween reports whether a number is at least 1 and at most limit.
-func isBetween(number, limit int) bool { return number >= 1 && number <= limit }
-
-// findController returns the path of the controller's program, by default beside the node's.
-func findController(path, nodePath string) string {
-	if path != "" {
-		return path
-	}
-	return filepath.Join(filepath.Dir(nodePath), controllerProgram)
-}
-
 // notes returns a function that prints indented lines on standard error.
 func notes(command *cobra.Command) func(format string, args ...any) {
 	return func(format string, args ...any) {
@@ -56,6 +30,13 @@
 	return tabwriter.NewWriter(out, 0, 0, padding, ' ', tabwriter.AlignRight)
 }
 
+// printJSON prints figures as indented JSON.
+func printJSON(out io.Writer, figures any) error {
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", " ")
+	return encoder.Encode(figures)
+}
+
 // printCounts prints counts in the order of their names.
 func printCounts(out io.Writer, counts map[string]int) {
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
--- a/cmd/robinlab/report.go
+++ b/cmd/robinlab/report.go
@@ -1,9 +1,7 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
-	"io"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -63,13 +61,6 @@
 	return errors.Join(report.HTML(file, results...), file.Close())
 }
 
-// printJSON prints figures as indented JSON.
-func printJSON(out io.Writer, figures any) error {
-	encoder := json.NewEncoder(out)
-	encoder.SetIndent("", " ")
-	return encoder.Encode(figures)
-}
-
 func selfCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "selfcheck",
--- a/internal/lab/cost/idle.go
+++ b/internal/lab/cost/idle.go
@@ -92,32 +92,32 @@
 }
 
 // play adds a phase of the steady load.
-func (m *idleMeasurement) play(name string, duration time.Duration, beside func()) {
-	m.result.Phases = append(m.result.Phases, m.load.play(name, duration, beside))
+func (i *idleMeasurement) play(name string, duration time.Duration, beside func()) {
+	i.result.Phases = append(i.result.Phases, i.load.play(name, duration, beside))
 }
 
 // measureMemory opens the idle connections and measures what they hold.
-func (m *idleMeasurement) measureMemory() error {
-	count := m.config.Count
-	nodeBefore, kernelBefore := readMemory(m.rig.node.Pid()).anonymous, readSlab()
-	if failed := m.open(); failed > count/100 {
+func (i *idleMeasurement) measureMemory() error {
+	count := i.config.Count
+	nodeBefore, kernelBefore := readMemory(i.rig.node.Pid()).anonymous, readSlab()
+	if failed := i.open(); failed > count/100 {
 		return fmt.Errorf("%d of %d connections could not be opened and used", failed, count)
 	}
 	time.Sleep(openingSettleTime)
-	m.play("idle", m.config.PhaseDuration, nil)
-	nodeAfter, kernelAfter := readMemory(m.rig.node.Pid()).anonymous, readSlab()
-	m.result.BytesPerConnection = float64(nodeAfter-nodeBefore) / float64(count)
-	m.result.KernelBytesPerSocket = float64(kernelAfter-kernelBefore) / float64(2*count)
+	i.play("idle", i.config.PhaseDuration, nil)
+	nodeAfter, kernelAfter := readMemory(i.rig.node.Pid()).anonymous, readSlab()
+	i.result.BytesPerConnection = float64(nodeAfter-nodeBefore) / float64(count)
+	i.result.KernelBytesPerSocket = float64(kernelAfter-kernelBefore) / float64(2*count)
 	return nil
 }
 
 // open opens the idle connections, makes a call on each, and returns how many failed.
-func (m *idleMeasurement) open() int {
-	m.idle = make([]*client, m.config.Count)
+func (i *idleMeasurement) open() int {
+	i.idle = make([]*client, i.config.Count)
 	var failed atomic.Int64
-	eachInLanes(len(m.idle), openingLanes, func(i int) {
-		source := fmt.Sprintf("127.0.%d.1", 2+i%idleSources)
-		client, err := dial(m.rig.node.Addr, source, firstIdleNumber+i)
+	eachInLanes(len(i.idle), openingLanes, func(number int) {
+		source := fmt.Sprintf("127.0.%d.1", 2+number%idleSources)
+		client, err := dial(i.rig.node.Addr, source, firstIdleNumber+number)
 		if err != nil {
 			failed.Add(1)
 			return
@@ -127,23 +127,23 @@
 			failed.Add(1)
 		}
 		client.releaseBuffers()
-		m.idle[i] = client
+		i.idle[number] = client
 	})
 	return int(failed.Load())
 }
 
 // wake makes a call on each of these connections at once. Every second one sends a body that never arrives in full.
-func (m *idleMeasurement) wake(clients []*client) {
+func (i *idleMeasurement) wake(clients []*client) {
 	var ok, rejected, other atomic.Int64
 	var calling sync.WaitGroup
-	for i, client := range clients {
+	for number, client := range clients {
 		if client == nil {
 			continue
 		}
 		calling.Go(func() {
-			client.SetDeadline(time.Now().Add(m.config.PhaseDuration))
+			client.SetDeadline(time.Now().Add(i.config.PhaseDuration))
 			call := client.call
-			if i%2 == 1 {
+			if number%2 == 1 {
 				call = client.callDripping
 			}
 			status, err := call()
@@ -158,7 +158,7 @@
 		})
 	}
 	calling.Wait()
-	m.result.Wave = WaveResult{OK: int(ok.Load()), Rejected: int(rejected.Load()), Other: int(other.Load())}
+	i.result.Wave = WaveResult{OK: int(ok.Load()), Rejected: int(rejected.Load()), Other: int(other.Load())}
 }
 
 // callDripping makes a call whose body arrives a byte a second until there is a response.
@@ -193,15 +193,15 @@
 
 // awaitTimeout makes a call on each connection within a second, so that their idle timeouts end within one, and counts
 // those that are open after that.
-func (m *idleMeasurement) awaitTimeout(clients []*client) {
+func (i *idleMeasurement) awaitTimeout(clients []*client) {
 	eachClient(clients, func(c *client) {
 		c.SetDeadline(time.Now().Add(steadyCallTimeout))
 		c.call()
 		c.releaseBuffers()
 	})
-	wait := m.config.IdleTimeout + timeoutSlack
+	wait := i.config.IdleTimeout + timeoutSlack
 	end := time.Now().Add(wait)
-	m.play("every timer ends", wait, nil)
+	i.play("every timer ends", wait, nil)
 	time.Sleep(time.Until(end))
 	var open atomic.Int64
 	eachClient(clients, func(c *client) {
@@ -209,7 +209,7 @@
 			open.Add(1)
 		}
 	})
-	m.result.OpenAfterTimeout = int(open.Load())
+	i.result.OpenAfterTimeout = int(open.Load())
 }
 
 // isOpen reports whether the node has not closed the connection.
@@ -220,8 +220,8 @@
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-func (m *idleMeasurement) closeAll() {
-	for _, client := range m.idle {
+func (i *idleMeasurement) closeAll() {
+	for _, client := range i.idle {
 		if client != nil {
 			client.Close()
 		}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -3,9 +3,10 @@
 // regions whose links have latency and can be partitioned. It measures how long changes take to be in force at every
 // node, and what each role uses for that.
 //
-// A Scenario says what the fleet is, what is done to it step by step, and what is expected. Play starts everything, as
-// processes of its own where it can not share one, carries out the steps, and ends everything. Hollow nodes run in
-// further processes of robinlab (Part), which are called over their standard streams.
+// A Scenario says what the fleet is, what is done to it step by step, and what is expected of it. Play starts
+// everything, carries out the steps, and ends everything. The API's stand-in and the links of processes run in this
+// process; hollow nodes and the store's stand-in run in further processes of robinlab (Part), which are called over
+// their standard streams; controllers and real nodes are programs of their own.
 //
 // Requests of clients are not part of it: package run plays those.
 package fleet
@@ -89,132 +90,132 @@
 }
 
 // play starts the fleet and carries out the steps.
-func (r *fleetRun) play(ctx context.Context) (*Result, error) {
-	started, err := r.startAndMeasure(ctx)
+func (f *fleetRun) play(ctx context.Context) (*Result, error) {
+	started, err := f.startAndMeasure(ctx)
 	if err != nil {
 		return nil, err
 	}
-	result := &Result{Scenario: r.scenario.Name, Nodes: r.nodes, Steps: []StepResult{started}}
-	for i := range r.scenario.Steps {
+	result := &Result{Scenario: f.scenario.Name, Nodes: f.nodes, Steps: []StepResult{started}}
+	for i := range f.scenario.Steps {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		step := &r.scenario.Steps[i]
-		r.tracker.beginStep(i + 1)
-		stepResult, err := r.playStep(ctx, step)
+		step := &f.scenario.Steps[i]
+		f.tracker.beginStep(i + 1)
+		stepResult, err := f.playStep(ctx, step)
 		if err != nil {
 			result.Errors = append(result.Errors, fmt.Sprintf("%s: %v", step.Name, err))
 		}
 		result.Steps = append(result.Steps, stepResult)
 	}
-	r.takeEvents()
+	f.takeEvents()
 	for i := range result.Steps {
-		result.Steps[i].Updates = r.tracker.propagation(i, false)
-		result.Steps[i].Drains = r.tracker.propagation(i, true)
+		result.Steps[i].Updates = f.tracker.propagation(i, false)
+		result.Steps[i].Drains = f.tracker.propagation(i, true)
 	}
-	result.CameBack = r.tracker.cameBack
-	result.judge(r.scenario.Expect)
+	result.CameBack = f.tracker.cameBack
+	result.judge(f.scenario.Expect)
 	return result, nil
 }
 
 // startAndMeasure starts the fleet and returns the result of that.
-func (r *fleetRun) startAndMeasure(ctx context.Context) (StepResult, error) {
+func (f *fleetRun) startAndMeasure(ctx context.Context) (StepResult, error) {
 	begin := time.Now()
-	if err := r.start(ctx); err != nil {
+	if err := f.start(ctx); err != nil {
 		return StepResult{}, err
 	}
 	result := StepResult{Name: startName, Duration: time.Since(begin)}
-	listsKnown := time.Since(r.nodesStarted)
-	recordQuiet, err := r.awaitRecord(ctx)
+	listsKnown := time.Since(f.nodesStarted)
+	recordQuiet, err := f.awaitRecord(ctx)
 	if err != nil {
 		return StepResult{}, err
 	}
 	result.Note = fmt.Sprintf("all nodes together know all lists after %.1f s, the record is quiet %.1f s later",
 		listsKnown.Seconds(), recordQuiet.Seconds())
-	result.Commits = r.commits()
+	result.Commits = f.commits()
 	return result, nil
 }
 
 // start starts the control side, then the nodes.
-func (r *fleetRun) start(ctx context.Context) error {
-	if err := r.startControlSide(ctx); err != nil {
+func (f *fleetRun) start(ctx context.Context) error {
+	if err := f.startControlSide(ctx); err != nil {
 		return err
 	}
-	if err := r.startDiscovery(); err != nil {
+	if err := f.startDiscovery(); err != nil {
 		return err
 	}
-	for i := range r.scenario.RealNodes {
-		if err := r.startRealNode(ctx, i); err != nil {
+	for i := range f.scenario.RealNodes {
+		if err := f.startRealNode(ctx, i); err != nil {
 			return err
 		}
 	}
-	if err := r.startWorkers(); err != nil {
+	if err := f.startWorkers(); err != nil {
 		return err
 	}
-	return r.startAllNodes(ctx)
+	return f.startAllNodes(ctx)
 }
 
 // startAllNodes starts the hollow nodes together. Unless they are to start on an empty record, one of them in the
 // store's zone starts before: what it receives is recorded before the others start, as in a fleet that has long been
 // there.
-func (r *fleetRun) startAllNodes(ctx context.Context) error {
+func (f *fleetRun) startAllNodes(ctx context.Context) error {
 	first := -1
-	if *r.scenario.Record && !r.scenario.EmptyRecord {
-		isNearStore := func(p Place) bool { return p.Zone == r.storePlace().Zone }
-		first = slices.IndexFunc(r.config.Places, isNearStore)
+	if *f.scenario.Record && !f.scenario.EmptyRecord {
+		isNearStore := func(p Place) bool { return p.Zone == f.storePlace().Zone }
+		first = slices.IndexFunc(f.config.Places, isNearStore)
 	}
 	if first >= 0 {
-		if err := r.startFirstNode(ctx, first); err != nil {
+		if err := f.startFirstNode(ctx, first); err != nil {
 			return err
 		}
 	}
 	var others []int
-	for node := range r.nodes {
+	for node := range f.nodes {
 		if node != first {
 			others = append(others, node)
 		}
 	}
-	r.nodesStarted = time.Now()
-	if err := r.startNodes(others); err != nil {
+	f.nodesStarted = time.Now()
+	if err := f.startNodes(others); err != nil {
 		return err
 	}
-	return r.awaitLists(ctx, r.nodes, allNodesTimeout)
+	return f.awaitLists(ctx, f.nodes, allNodesTimeout)
 }
 
-func (r *fleetRun) startFirstNode(ctx context.Context, node int) error {
-	if err := r.startNodes([]int{node}); err != nil {
+func (f *fleetRun) startFirstNode(ctx context.Context, node int) error {
+	if err := f.startNodes([]int{node}); err != nil {
 		return err
 	}
-	if err := r.awaitLists(ctx, 1, firstNodeTimeout); err != nil {
+	if err := f.awaitLists(ctx, 1, firstNodeTimeout); err != nil {
 		return err
 	}
-	_, err := r.awaitRecord(ctx)
+	_, err := f.awaitRecord(ctx)
 	return err
 }
 
 // close ends everything, also of a start that has failed half way. It lifts partitions, for which connections would
 // wait.
-func (r *fleetRun) close() {
-	for _, node := range r.realNodes {
+func (f *fleetRun) close() {
+	for _, node := range f.realNodes {
 		node.Kill()
 	}
-	for _, worker := range r.workers {
+	for _, worker := range f.workers {
 		worker.kill()
 	}
-	for _, controller := range r.controllers {
+	for _, controller := range f.controllers {
 		controller.kill()
 	}
-	if r.store != nil {
-		r.store.kill()
+	if f.store != nil {
+		f.store.kill()
 	}
-	r.network.SetPartitions(nil)
-	for _, proxy := range r.proxies {
+	f.network.SetPartitions(nil)
+	for _, proxy := range f.proxies {
 		proxy.Close()
 	}
-	if r.api != nil {
-		r.api.Stop()
+	if f.api != nil {
+		f.api.Stop()
 	}
 }
 
 // logPath returns the path of a process's log.
-func (r *fleetRun) logPath(name string) string { return filepath.Join(r.options.Dir, name+".log") }
+func (f *fleetRun) logPath(name string) string { return filepath.Join(f.options.Dir, name+".log") }
--- a/internal/lab/fleet/golden_test.go
+++ b/internal/lab/fleet/golden_test.go
@@ -43,8 +43,8 @@
 			Zone:   milliseconds(202),
 			Rack:   milliseconds(203),
 		},
-		RecordTimeout:       milliseconds(110),
-		SettleTimeout:       milliseconds(111),
+		RecordTimeout: milliseconds(110),
+		SettleTimeout: milliseconds(111),
 		Steps: []Step{
 			{
 				Action:         "do-301",
--- a/internal/lab/fleet/hollownode.go
+++ b/internal/lab/fleet/hollownode.go
@@ -89,18 +89,18 @@
 }
 
 // readFile reads the node's file as written by NodeFile.
-func (n *hollowNode) readFile(name string) error {
+func (h *hollowNode) readFile(name string) error {
 	const unusedListener = "127.0.0.1:1"
-	text := NodeFile(&n.all.config, name, unusedListener, n.place.Zone, plannedNodes, "")
+	text := NodeFile(&h.all.config, name, unusedListener, h.place.Zone, plannedNodes, "")
 	var err error
-	if n.file, err = nodeconfig.Parse([]byte(text), 0); err != nil {
+	if h.file, err = nodeconfig.Parse([]byte(text), 0); err != nil {
 		return err
 	}
-	if !n.all.NoTimeouts {
+	if !h.all.NoTimeouts {
 		return nil
 	}
-	for i := range n.file.Pools {
-		l := &n.file.Pools[i].Limits
+	for i := range h.file.Pools {
+		l := &h.file.Pools[i].Limits
 		l.DiscoveryConnectTimeout = noTimeout
 		l.FirstUpdateTimeout = noTimeout
 		l.MaxUpdateDelay = noTimeout
@@ -111,9 +111,9 @@
 
 // newLog returns a log into the process's for the first node of a fleet of processes, and none for the others: what
 // one logs, all would.
-func (n *hollowNode) newLog(name string) (*zap.Logger, error) {
-	inOwnProcess := n.all.OpenStore == nil && n.all.Connect == nil
-	if n.number != n.all.config.FirstNode || !inOwnProcess {
+func (h *hollowNode) newLog(name string) (*zap.Logger, error) {
+	inOwnProcess := h.all.OpenStore == nil && h.all.Connect == nil
+	if h.number != h.all.config.FirstNode || !inOwnProcess {
 		return zap.NewNop(), nil
 	}
 	config := zap.NewProductionConfig()
@@ -122,107 +122,107 @@
 	return config.Build(zap.Fields(zap.String("node", name)))
 }
 
-func (n *hollowNode) newServices(log *zap.Logger) {
-	l := n.file.Limits
+func (h *hollowNode) newServices(log *zap.Logger) {
+	l := h.file.Limits
 	budget := limits.NewBudget(l.Descriptors, l.OverloadConnections, limits.NewMemoryBudget(l.BodyMemory))
-	n.services = services.New(n.file, clock{start: time.Now()}, budget, log, n.poller)
-	n.services.Dial = n.dialDiscovery
-	n.services.WrapReceiver = n.observe
+	h.services = services.New(h.file, clock{start: time.Now()}, budget, log, h.poller)
+	h.services.Dial = h.dialDiscovery
+	h.services.WrapReceiver = h.observe
 }
 
-func (n *hollowNode) openRecord(ctx context.Context, name string, log *zap.Logger) error {
-	storeURL, err := url.Parse(n.all.config.StoreURL)
+func (h *hollowNode) openRecord(ctx context.Context, name string, log *zap.Logger) error {
+	storeURL, err := url.Parse(h.all.config.StoreURL)
 	if err != nil {
 		return err
 	}
-	r := n.file.Record
-	n.recordCache, err = recordcache.Open(ctx, recordcache.Config{
+	r := h.file.Record
+	h.recordCache, err = recordcache.Open(ctx, recordcache.Config{
 		Name:         name,
 		Store:        storeURL.Redacted(),
 		MaxStaleness: time.Duration(*r.MaxStaleness),
 		MaxPending:   r.MaxPending,
 		CallTimeout:  time.Duration(r.CallTimeout),
 		PollInterval: time.Duration(r.PollInterval),
-		Open:         n.openStore,
+		Open:         h.openStore,
 	}, log)
 	return err
 }
 
 // openStore returns the client of the store, by the controllers if there are record servers.
-func (n *hollowNode) openStore() (store.Store, error) {
-	config := &n.all.config
-	if n.all.OpenStore != nil {
-		return n.all.OpenStore(n.number)
+func (h *hollowNode) openStore() (store.Store, error) {
+	config := &h.all.config
+	if h.all.OpenStore != nil {
+		return h.all.OpenStore(h.number)
 	}
 	if len(config.RecordServers) > 0 {
-		return n.dialControllers(), nil
+		return h.dialControllers(), nil
 	}
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return n.all.network.Dial(ctx, n.place, config.Store.Place, config.Store.Addr, &n.all.record)
+		return h.all.network.Dial(ctx, h.place, config.Store.Place, config.Store.Addr, &h.all.record)
 	}
 	return sqlstore.OpenWithDialer(config.StoreURL, dial)
 }
 
 // dialControllers returns a client of the controllers' record servers, those of the node's own region first.
-func (n *hollowNode) dialControllers() store.Store {
+func (h *hollowNode) dialControllers() store.Store {
 	places := map[string]Place{}
 	var near, far []string
-	for _, server := range replicaTargets(n.all.config.RecordServers, n.number) {
+	for _, server := range replicaTargets(h.all.config.RecordServers, h.number) {
 		places[server.address] = server.place
-		if server.place.Region == n.place.Region {
+		if server.place.Region == h.place.Region {
 			near = append(near, server.address)
 		} else {
 			far = append(far, server.address)
 		}
 	}
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
-		return n.all.network.Dial(ctx, n.place, places[address], address, &n.all.record)
+		return h.all.network.Dial(ctx, h.place, places[address], address, &h.all.record)
 	}
 	return store.DialControllersWith(dial, append(near, far...), nil)
 }
 
 // dialDiscovery connects to a service's endpoint list at one of the replicas that are alive, as behind an address that
 // spreads connections.
-func (n *hollowNode) dialDiscovery(ctx context.Context, _, address string) (net.Conn, error) {
-	for _, service := range n.all.config.Services {
+func (h *hollowNode) dialDiscovery(ctx context.Context, _, address string) (net.Conn, error) {
+	for _, service := range h.all.config.Services {
 		if service.Discovery == address {
-			turn := int(n.dials.Add(1)) + n.number
+			turn := int(h.dials.Add(1)) + h.number
 			targets := replicaTargets(service.Replicas, turn)
-			return n.all.network.dialAny(ctx, n.place, targets, &n.all.endpointLists)
+			return h.all.network.dialAny(ctx, h.place, targets, &h.all.endpointLists)
 		}
 	}
 	return nil, fmt.Errorf("%s is no discovery address of the fleet", address)
 }
 
 // followRecord puts the record's changes in force until the context ends.
-func (n *hollowNode) followRecord(ctx context.Context, current *nodeconfig.Config) {
+func (h *hollowNode) followRecord(ctx context.Context, current *nodeconfig.Config) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.recordCache.Changes():
+		case <-h.recordCache.Changes():
 		}
-		updated := n.withRecord(current)
+		updated := h.withRecord(current)
 		if updated == current {
 			continue
 		}
 		current = updated
-		n.services.Apply(current)
-		n.noteSettings(current)
+		h.services.Apply(current)
+		h.noteSettings(current)
 	}
 }
 
 // withRecord returns the file with the record's settings over it, as the program puts them, or the current
 // configuration where that can't be.
-func (n *hollowNode) withRecord(current *nodeconfig.Config) *nodeconfig.Config {
+func (h *hollowNode) withRecord(current *nodeconfig.Config) *nodeconfig.Config {
 	var entries []record.Entry
 	for _, kind := range []record.Kind{record.KindService, record.KindRoute, record.KindTenant} {
-		entries = append(entries, n.recordCache.Entries(kind)...)
+		entries = append(entries, h.recordCache.Entries(kind)...)
 	}
 	if len(entries) == 0 {
-		return n.file
+		return h.file
 	}
-	updated, err := n.file.WithRecord(entries)
+	updated, err := h.file.WithRecord(entries)
 	if err != nil {
 		return current
 	}
@@ -230,12 +230,12 @@
 	return updated
 }
 
-func (n *hollowNode) stop() {
-	n.cancel()
-	n.services.Close()
-	n.following.Wait()
-	if n.recordCache != nil {
-		n.recordCache.Close()
+func (h *hollowNode) stop() {
+	h.cancel()
+	h.services.Close()
+	h.following.Wait()
+	if h.recordCache != nil {
+		h.recordCache.Close()
 	}
-	n.poller.Close()
+	h.poller.Close()
 }
--- a/internal/lab/fleet/nodefile.go
+++ b/internal/lab/fleet/nodefile.go
@@ -39,7 +39,7 @@
 
 // serviceTable returns a service's part of the file, or with noZone that of a setting. A weight is the smallest of
 // changes: nodes put it in force in place.
-func (c *HollowConfig) serviceTable(service *Service, weight float64, zone, nodes int) string {
+func (h *HollowConfig) serviceTable(service *Service, weight float64, zone, nodes int) string {
 	const form = `[[service]]
 name = %q
 discovery = %q
@@ -54,14 +54,14 @@
 deadline = "2s"
 `
 	var quoted []string
-	for _, name := range c.Zones {
+	for _, name := range h.Zones {
 		quoted = append(quoted, fmt.Sprintf("%q", name))
 	}
 	zoneLine := ""
 	if zone != noZone {
 		zoneLine = fmt.Sprintf("zone = %s\n", quoted[zone])
 	}
-	guarantee := 1 / float64(len(c.Services))
+	guarantee := 1 / float64(len(h.Services))
 	zones := strings.Join(quoted, ", ")
 	return fmt.Sprintf(form, service.Name, service.Discovery, guarantee, weight, nodes, zones, zoneLine)
 }
--- a/internal/lab/fleet/observe.go
+++ b/internal/lab/fleet/observe.go
@@ -25,8 +25,8 @@
 }
 
 // observe wraps the receiver of a service's endpoint list.
-func (n *hollowNode) observe(_ string, receiver endpoints.Receiver) endpoints.Receiver {
-	return &observedReceiver{Receiver: receiver, node: n, present: map[string]bool{}}
+func (h *hollowNode) observe(_ string, receiver endpoints.Receiver) endpoints.Receiver {
+	return &observedReceiver{Receiver: receiver, node: h, present: map[string]bool{}}
 }
 
 // UpdateEndpoints puts a list in force and notes what it changed.
@@ -70,20 +70,20 @@
 }
 
 // noteSettings notes the settings of a configuration that has come into force.
-func (n *hollowNode) noteSettings(config *nodeconfig.Config) {
+func (h *hollowNode) noteSettings(config *nodeconfig.Config) {
 	now := time.Now().UnixNano()
-	n.all.notify(n.changedSettings(config, now))
+	h.all.notify(h.changedSettings(config, now))
 }
 
 // changedSettings returns the events of the settings that differ from those before.
-func (n *hollowNode) changedSettings(config *nodeconfig.Config, now int64) []Event {
+func (h *hollowNode) changedSettings(config *nodeconfig.Config, now int64) []Event {
 	var events []Event
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	note := func(name, value string) {
-		if n.settings[name] != value {
-			n.settings[name] = value
-			events = append(events, Event{At: now, Node: n.number, Subject: name + "=" + value, Phase: PhaseSet})
+		if h.settings[name] != value {
+			h.settings[name] = value
+			events = append(events, Event{At: now, Node: h.number, Subject: name + "=" + value, Phase: PhaseSet})
 		}
 	}
 	for i := range config.Services {
@@ -100,11 +100,11 @@
 func weightSetting(service string) string { return "weight " + service }
 
 // readyServers returns how many servers are ready by the lists of the node.
-func (n *hollowNode) readyServers() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (h *hollowNode) readyServers() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	count := 0
-	for _, phase := range n.phases {
+	for _, phase := range h.phases {
 		if phase == PhaseReady {
 			count++
 		}
--- a/internal/lab/fleet/proxies.go
+++ b/internal/lab/fleet/proxies.go
@@ -26,12 +26,12 @@
 }
 
 // proxiedStore returns the store's URL by a proxy.
-func (r *fleetRun) proxiedStore(kind proxyKind, from Place) (string, error) {
-	address, err := r.startProxy(kind, from, r.config.Store)
+func (f *fleetRun) proxiedStore(kind proxyKind, from Place) (string, error) {
+	address, err := f.startProxy(kind, from, f.config.Store)
 	if err != nil {
 		return "", err
 	}
-	storeURL, err := url.Parse(r.storeURL)
+	storeURL, err := url.Parse(f.storeURL)
 	if err != nil {
 		return "", err
 	}
@@ -40,21 +40,21 @@
 }
 
 // startProxy starts a proxy to an endpoint and returns its address.
-func (r *fleetRun) startProxy(kind proxyKind, from Place, to Endpoint) (string, error) {
+func (f *fleetRun) startProxy(kind proxyKind, from Place, to Endpoint) (string, error) {
 	targets := []target{{place: to.Place, address: to.Addr}}
-	return r.startProxyToAny(kind, from, func() []target { return targets })
+	return f.startProxyToAny(kind, from, func() []target { return targets })
 }
 
-func (r *fleetRun) startProxyToAny(kind proxyKind, from Place, targets func() []target) (string, error) {
-	address, err := r.ports.next()
+func (f *fleetRun) startProxyToAny(kind proxyKind, from Place, targets func() []target) (string, error) {
+	address, err := f.ports.next()
 	if err != nil {
 		return "", err
 	}
-	proxy, err := startProxy(r.network, from, address, targets)
+	proxy, err := startProxy(f.network, from, address, targets)
 	if err != nil {
 		return "", err
 	}
-	r.proxies = append(r.proxies, &countedProxy{Proxy: proxy, kind: kind})
+	f.proxies = append(f.proxies, &countedProxy{Proxy: proxy, kind: kind})
 	return proxy.Addr(), nil
 }
 
--- a/internal/lab/fleet/realnodes.go
+++ b/internal/lab/fleet/realnodes.go
@@ -9,14 +9,14 @@
 )
 
 // startRealNode starts a node as a process, on the first machine.
-func (r *fleetRun) startRealNode(ctx context.Context, number int) error {
-	address, err := r.ports.next()
+func (f *fleetRun) startRealNode(ctx context.Context, number int) error {
+	address, err := f.ports.next()
 	if err != nil {
 		return err
 	}
 	recordTable := ""
-	if *r.scenario.Record {
-		storeAddress, err := r.realNodeStore()
+	if *f.scenario.Record {
+		storeAddress, err := f.realNodeStore()
 		if err != nil {
 			return err
 		}
@@ -26,26 +26,26 @@
 	node := &standin.Node{
 		Name:    name,
 		Addr:    address,
-		Program: r.options.NodeProgram,
-		Dir:     r.options.Dir,
-		Text:    NodeFile(&r.config, name, address, 0, plannedNodes, recordTable),
+		Program: f.options.NodeProgram,
+		Dir:     f.options.Dir,
+		Text:    NodeFile(&f.config, name, address, 0, plannedNodes, recordTable),
 	}
 	if err := node.Start(ctx); err != nil {
 		return err
 	}
-	r.realNodes = append(r.realNodes, node)
+	f.realNodes = append(f.realNodes, node)
 	return nil
 }
 
 // realNodeStore returns the store as a real node's file names it, by proxies.
-func (r *fleetRun) realNodeStore() (string, error) {
-	place := r.config.Places[0]
-	if !r.scenario.RecordByControllers {
-		return r.proxiedStore(proxyReal, place)
+func (f *fleetRun) realNodeStore() (string, error) {
+	place := f.config.Places[0]
+	if !f.scenario.RecordByControllers {
+		return f.proxiedStore(proxyReal, place)
 	}
 	var addresses []string
-	for _, server := range r.config.RecordServers {
-		address, err := r.startProxy(proxyReal, place, server)
+	for _, server := range f.config.RecordServers {
+		address, err := f.startProxy(proxyReal, place, server)
 		if err != nil {
 			return "", err
 		}
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -86,9 +86,9 @@
 	phase   Phase
 }
 
-// testFleet is a fleet in the test's process: the control sides of hollow nodes, the real fan-out, and a store in
+// fleetFixture is a fleet in the test's process: the control sides of hollow nodes, the real fan-out, and a store in
 // memory.
-type testFleet struct {
+type fleetFixture struct {
 	t         *testing.T
 	hollow    *HollowNodes
 	nodes     []int
@@ -100,9 +100,9 @@
 	reached map[inForce]map[int]bool // nodes
 }
 
-func startTestFleet(t *testing.T, nodes, services int, withRecord bool) *testFleet {
+func startTestFleet(t *testing.T, nodes, services int, withRecord bool) *fleetFixture {
 	t.Helper()
-	f := &testFleet{t: t, reached: map[inForce]map[int]bool{}}
+	f := &fleetFixture{t: t, reached: map[inForce]map[int]bool{}}
 	config := HollowConfig{Places: (&Scenario{Regions: 2, Zones: 8, Racks: 3}).Places(nodes)}
 	for i := range 8 {
 		config.Zones = append(config.Zones, zoneName(i))
@@ -135,7 +135,7 @@
 
 // serveList serves a service's list with two servers. Each change is sent by itself, and no time passes for the list:
 // whatever the machine does meanwhile, no watch is given up.
-func (f *testFleet) serveList(service int) *pipeListener {
+func (f *fleetFixture) serveList(service int) *pipeListener {
 	config := fanout.DefaultConfig()
 	config.BatchDelay, config.HeartbeatInterval, config.WriteTimeout = 0, time.Hour, time.Hour
 	list, listener := fanout.New(config, zap.NewNop()), newPipeListener()
@@ -162,7 +162,7 @@
 	}
 }
 
-func (f *testFleet) noteEvent(event Event) {
+func (f *fleetFixture) noteEvent(event Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := inForce{subject: event.Subject, phase: event.Phase}
@@ -172,14 +172,14 @@
 	f.reached[key][event.Node] = true
 }
 
-func (f *testFleet) reachedNodes(subject string, phase Phase) int {
+func (f *fleetFixture) reachedNodes(subject string, phase Phase) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.reached[inForce{subject: subject, phase: phase}])
 }
 
 // awaitAll waits until a change is in force at every node.
-func (f *testFleet) awaitAll(subject string, phase Phase) {
+func (f *fleetFixture) awaitAll(subject string, phase Phase) {
 	f.t.Helper()
 	isEverywhere := func() bool { return f.reachedNodes(subject, phase) == len(f.nodes) }
 	if !assert.Eventually(f.t, isEverywhere, propagationTimeout, checkInterval) {
@@ -188,7 +188,7 @@
 }
 
 // publish changes a server in its service's list and waits until that is in force at every node.
-func (f *testFleet) publish(service, number int, phase Phase) {
+func (f *fleetFixture) publish(service, number int, phase Phase) {
 	f.t.Helper()
 	changed := member(service, number, phase)
 	f.lists[service].PublishDelta([]fanout.Member{changed})
@@ -196,14 +196,14 @@
 }
 
 // awaitWrites waits until no node has anything to write to the store.
-func (f *testFleet) awaitWrites() {
+func (f *fleetFixture) awaitWrites() {
 	f.t.Helper()
 	isQuiet := func() bool { return f.hollow.Usage(false).PendingWrites == 0 }
 	require.Eventually(f.t, isQuiet, propagationTimeout, checkInterval)
 }
 
 // messages returns the messages that the lists have sent, and their bytes.
-func (f *testFleet) messages() (messages, bytes int64) {
+func (f *fleetFixture) messages() (messages, bytes int64) {
 	for _, listener := range f.listeners {
 		messages += listener.messages.Load()
 		bytes += listener.bytes.Load()
--- a/internal/lab/fleet/serversteps.go
+++ b/internal/lab/fleet/serversteps.go
@@ -13,64 +13,64 @@
 
 // changeSetting changes a service's weight, by an object of the API: the controller that leads writes it to the record,
 // and nodes follow that.
-func (r *fleetRun) changeSetting() {
-	r.settings++
-	service := &r.config.Services[r.settings%len(r.config.Services)]
-	weight := defaultWeight + float64(r.settings)/weightSteps
-	text := r.config.serviceTable(service, weight, noZone, plannedNodes)
-	r.tracker.expect(fmt.Sprintf("%s=%g", weightSetting(service.Name), weight), PhaseSet)
-	r.cluster.WriteSetting("weight-"+service.Name, "service", service.Name, text)
+func (f *fleetRun) changeSetting() {
+	f.settings++
+	service := &f.config.Services[f.settings%len(f.config.Services)]
+	weight := defaultWeight + float64(f.settings)/weightSteps
+	text := f.config.serviceTable(service, weight, noZone, plannedNodes)
+	f.tracker.expect(fmt.Sprintf("%s=%g", weightSetting(service.Name), weight), PhaseSet)
+	f.cluster.WriteSetting("weight-"+service.Name, "service", service.Name, text)
 }
 
 // startServers starts servers on the machines of a place.
-func (r *fleetRun) startServers(ctx context.Context, step *Step) {
-	machines := r.machinesAt(mustScope(step.Place))
+func (f *fleetRun) startServers(ctx context.Context, step *Step) {
+	machines := f.machinesAt(mustScope(step.Place))
 	const stride = 7 // so that servers that start one after another are not neighbors
-	r.repeat(ctx, step, func(i int) { r.startServer(machines[i*stride%len(machines)]) })
+	f.repeat(ctx, step, func(i int) { f.startServer(machines[i*stride%len(machines)]) })
 }
 
-func (r *fleetRun) startServer(machine int) {
-	pod := r.cluster.StartPod(machine%len(r.config.Services), machine)
-	r.tracker.expect(pod.Addr, PhaseReady)
-	r.cluster.Flush()
+func (f *fleetRun) startServer(machine int) {
+	pod := f.cluster.StartPod(machine%len(f.config.Services), machine)
+	f.tracker.expect(pod.Addr, PhaseReady)
+	f.cluster.Flush()
 }
 
 // replaceServers drains servers and starts others in their places, one by one over the step's time, or without one all
 // at once.
-func (r *fleetRun) replaceServers(ctx context.Context, step *Step) {
-	pods := r.cluster.ReadyPods()
+func (f *fleetRun) replaceServers(ctx context.Context, step *Step) {
+	pods := f.cluster.ReadyPods()
 	delay := step.ReplaceDelay.Std()
 	if delay == 0 {
 		delay = defaultReplaceDelay
 	}
 	if step.Spread == 0 {
-		r.replaceTogether(ctx, pods[:min(step.Count, len(pods))], delay)
+		f.replaceTogether(ctx, pods[:min(step.Count, len(pods))], delay)
 		return
 	}
-	r.repeat(ctx, step, func(i int) {
-		r.replaceTogether(ctx, []*Pod{pods[i%len(pods)]}, delay)
+	f.repeat(ctx, step, func(i int) {
+		f.replaceTogether(ctx, []*Pod{pods[i%len(pods)]}, delay)
 	})
 }
 
-func (r *fleetRun) replaceTogether(ctx context.Context, pods []*Pod, delay time.Duration) {
+func (f *fleetRun) replaceTogether(ctx context.Context, pods []*Pod, delay time.Duration) {
 	for _, pod := range pods {
-		r.tracker.expectDrain(pod)
-		r.cluster.Drain(pod)
+		f.tracker.expectDrain(pod)
+		f.cluster.Drain(pod)
 	}
-	r.cluster.Flush()
+	f.cluster.Flush()
 	sleep(ctx, delay)
 	for _, pod := range pods {
-		r.startServer(pod.Machine)
+		f.startServer(pod.Machine)
 	}
 	for _, pod := range pods {
-		r.cluster.EndPod(pod)
+		f.cluster.EndPod(pod)
 	}
 }
 
 // machinesAt returns the machines of a part of the fleet.
-func (r *fleetRun) machinesAt(scope Scope) []int {
+func (f *fleetRun) machinesAt(scope Scope) []int {
 	var machines []int
-	for machine, place := range r.config.Places {
+	for machine, place := range f.config.Places {
 		if scope.Contains(place) {
 			machines = append(machines, machine)
 		}
@@ -79,10 +79,10 @@
 }
 
 // podsAt returns those of the servers that are in a part of the fleet.
-func (r *fleetRun) podsAt(scope Scope, pods []*Pod) []*Pod {
+func (f *fleetRun) podsAt(scope Scope, pods []*Pod) []*Pod {
 	var here []*Pod
 	for _, pod := range pods {
-		if scope.Contains(r.config.Places[pod.Machine]) {
+		if scope.Contains(f.config.Places[pod.Machine]) {
 			here = append(here, pod)
 		}
 	}
@@ -90,18 +90,18 @@
 }
 
 // drainByOperator gives an operator's commands to drain servers of a place to one node there.
-func (r *fleetRun) drainByOperator(ctx context.Context, step *Step) (note string, err error) {
+func (f *fleetRun) drainByOperator(ctx context.Context, step *Step) (note string, err error) {
 	scope := mustScope(step.Place)
-	node := r.machinesAt(scope)[0]
-	pods := r.podsAt(scope, r.cluster.ReadyPods())
-	r.repeat(ctx, step, func(i int) {
+	node := f.machinesAt(scope)[0]
+	pods := f.podsAt(scope, f.cluster.ReadyPods())
+	f.repeat(ctx, step, func(i int) {
 		if i >= len(pods) || err != nil {
 			return
 		}
 		pod := pods[len(pods)-1-i]
-		r.tracker.expectDrain(pod)
-		command := DrainCommand{Node: node, Server: r.config.Services[pod.Service].Name + "/" + pod.ID()}
-		err = r.workerOf(node).call(callDrain, command, &Empty{})
+		f.tracker.expectDrain(pod)
+		command := DrainCommand{Node: node, Server: f.config.Services[pod.Service].Name + "/" + pod.ID()}
+		err = f.workerOf(node).call(callDrain, command, &Empty{})
 	})
 	return fmt.Sprintf("told to node %d", node), err
 }
--- a/internal/lab/fleet/usage.go
+++ b/internal/lab/fleet/usage.go
@@ -18,40 +18,40 @@
 	commits     int
 }
 
-func (r *fleetRun) sampleUsage() usageSample {
+func (f *fleetRun) sampleUsage() usageSample {
 	s := usageSample{at: time.Now(), proxied: map[proxyKind]Volume{}}
-	s.nodes, _ = r.hollowUsage(false) // what can't be had counts as nothing
-	for _, worker := range r.workers {
+	s.nodes, _ = f.hollowUsage(false) // what can't be had counts as nothing
+	for _, worker := range f.workers {
 		s.hollow = s.hollow.add(worker.usage())
 	}
-	for _, controller := range r.controllers {
+	for _, controller := range f.controllers {
 		s.controllers = s.controllers.add(controller.usage())
 	}
-	if r.store != nil {
-		s.store = r.store.usage()
+	if f.store != nil {
+		s.store = f.store.usage()
 	}
-	for _, node := range r.realNodes {
+	for _, node := range f.realNodes {
 		s.realNodes = s.realNodes.add(readProcessTree(node.Pid()))
 	}
 	s.lab = readProcess(os.Getpid())
-	for _, proxy := range r.proxies {
+	for _, proxy := range f.proxies {
 		s.proxied[proxy.kind] = s.proxied[proxy.kind].Add(proxy.Volume())
 	}
-	s.commits = r.commits()
+	s.commits = f.commits()
 	return s
 }
 
 // proxiedSince returns the volume of the proxies of some kinds since an earlier sample.
-func (s *usageSample) proxiedSince(earlier *usageSample, kinds ...proxyKind) Volume {
+func (u *usageSample) proxiedSince(earlier *usageSample, kinds ...proxyKind) Volume {
 	var total Volume
 	for _, kind := range kinds {
-		total = total.Add(s.proxied[kind].Since(earlier.proxied[kind]))
+		total = total.Add(u.proxied[kind].Since(earlier.proxied[kind]))
 	}
 	return total
 }
 
 // roles returns what each role used between two samples.
-func (r *fleetRun) roles(before, after *usageSample) []RoleUsage {
+func (f *fleetRun) roles(before, after *usageSample) []RoleUsage {
 	elapsed := after.at.Sub(before.at)
 	lists := after.nodes.EndpointLists.Since(before.nodes.EndpointLists)
 	record := after.nodes.Record.Since(before.nodes.Record)
@@ -63,14 +63,14 @@
 		newRole(roleEndpoints, nodes, elapsed, lists, processUsage{}),
 		newRole(roleRecord, nodes, elapsed, record, processUsage{}),
 	}
-	if count := len(r.realNodes); count > 0 {
+	if count := len(f.realNodes); count > 0 {
 		volume := after.proxiedSince(before, proxyDiscovery, proxyReal)
 		roles = append(roles, newRole(roleReal, count, elapsed, volume, after.realNodes.since(before.realNodes)))
 	}
 	controllers := lists.Add(after.proxiedSince(before, proxyDiscovery, proxyAPI, proxyStore))
-	roles = append(roles, newRole(roleController, len(r.controllers), elapsed, controllers,
+	roles = append(roles, newRole(roleController, len(f.controllers), elapsed, controllers,
 		after.controllers.since(before.controllers)))
-	if r.store != nil {
+	if f.store != nil {
 		volume := record.Add(after.proxiedSince(before, proxyStore, proxyReal))
 		roles = append(roles, newRole(roleStore, 1, elapsed, volume, after.store.since(before.store)))
 	}
--- a/internal/lab/fleet/workers.go
+++ b/internal/lab/fleet/workers.go
@@ -18,24 +18,24 @@
 )
 
 // startWorkers starts the processes of hollow nodes. Their nodes are not started yet.
-func (r *fleetRun) startWorkers() error {
-	count := (r.nodes + nodesPerWorker - 1) / nodesPerWorker
-	r.nodesPerWorker = (r.nodes + count - 1) / count
+func (f *fleetRun) startWorkers() error {
+	count := (f.nodes + nodesPerWorker - 1) / nodesPerWorker
+	f.nodesPerWorker = (f.nodes + count - 1) / count
 	for i := range count {
 		name := fmt.Sprint("hollow", i)
 		worker := &childProcess{
 			name:    name,
-			logPath: r.logPath(name),
-			args:    []string{r.options.LabProgram, PartCommand, nodesPart},
+			logPath: f.logPath(name),
+			args:    []string{f.options.LabProgram, PartCommand, nodesPart},
 			calls:   true,
 		}
 		if err := worker.start(); err != nil {
 			return err
 		}
-		r.workers = append(r.workers, worker)
-		config := r.config
-		config.FirstNode = i * r.nodesPerWorker
-		config.Places = config.Places[config.FirstNode:min(r.nodes, config.FirstNode+r.nodesPerWorker)]
+		f.workers = append(f.workers, worker)
+		config := f.config
+		config.FirstNode = i * f.nodesPerWorker
+		config.Places = config.Places[config.FirstNode:min(f.nodes, config.FirstNode+f.nodesPerWorker)]
 		if err := worker.call(callPrepare, config, &Empty{}); err != nil {
 			return err
 		}
@@ -44,67 +44,67 @@
 }
 
 // workerOf returns the process of a node.
-func (r *fleetRun) workerOf(node int) *childProcess { return r.workers[node/r.nodesPerWorker] }
+func (f *fleetRun) workerOf(node int) *childProcess { return f.workers[node/f.nodesPerWorker] }
 
 // callNodes calls the workers that have some of these nodes, side by side.
-func (r *fleetRun) callNodes(nodes []int, method string) error {
-	byWorker := make([][]int, len(r.workers))
+func (f *fleetRun) callNodes(nodes []int, method string) error {
+	byWorker := make([][]int, len(f.workers))
 	for _, node := range nodes {
-		worker := node / r.nodesPerWorker
+		worker := node / f.nodesPerWorker
 		byWorker[worker] = append(byWorker[worker], node)
 	}
-	errs := make([]error, len(r.workers))
+	errs := make([]error, len(f.workers))
 	var calling sync.WaitGroup
 	for i, numbers := range byWorker {
 		if len(numbers) > 0 {
-			calling.Go(func() { errs[i] = r.workers[i].call(method, NodeNumbers{Numbers: numbers}, &Empty{}) })
+			calling.Go(func() { errs[i] = f.workers[i].call(method, NodeNumbers{Numbers: numbers}, &Empty{}) })
 		}
 	}
 	calling.Wait()
 	return errors.Join(errs...)
 }
 
-func (r *fleetRun) startNodes(nodes []int) error {
-	r.tracker.nodesStart(nodes)
-	return r.callNodes(nodes, callStart)
+func (f *fleetRun) startNodes(nodes []int) error {
+	f.tracker.nodesStart(nodes)
+	return f.callNodes(nodes, callStart)
 }
 
-func (r *fleetRun) killNodes(nodes []int) error {
-	r.takeEvents()
-	r.tracker.nodesDie(nodes)
-	return r.callNodes(nodes, callKill)
+func (f *fleetRun) killNodes(nodes []int) error {
+	f.takeEvents()
+	f.tracker.nodesDie(nodes)
+	return f.callNodes(nodes, callKill)
 }
 
 // awaitLists waits until so many nodes run and each knows a ready server on every machine.
-func (r *fleetRun) awaitLists(ctx context.Context, nodes int, timeout time.Duration) error {
+func (f *fleetRun) awaitLists(ctx context.Context, nodes int, timeout time.Duration) error {
 	known := 0
 	limit := time.Now().Add(timeout)
 	for time.Now().Before(limit) && ctx.Err() == nil {
-		usage, err := r.hollowUsage(false)
+		usage, err := f.hollowUsage(false)
 		if err != nil {
 			return err
 		}
 		known = usage.MinReadyServers
-		if usage.Nodes >= nodes && known >= r.nodes {
-			r.takeEvents()
+		if usage.Nodes >= nodes && known >= f.nodes {
+			f.takeEvents()
 			return nil
 		}
 		time.Sleep(listsPoll)
 	}
-	return fmt.Errorf("after %v a node knows %d of %d servers", timeout, known, r.nodes)
+	return fmt.Errorf("after %v a node knows %d of %d servers", timeout, known, f.nodes)
 }
 
 // awaitRecord waits until nodes have nothing to write to the store for a second, and returns how long it took until
 // then. That they still have something after the scenario's timeout is noted.
-func (r *fleetRun) awaitRecord(ctx context.Context) (time.Duration, error) {
-	if !*r.scenario.Record {
+func (f *fleetRun) awaitRecord(ctx context.Context) (time.Duration, error) {
+	if !*f.scenario.Record {
 		return 0, nil
 	}
-	timeout := r.scenario.RecordTimeout.Std()
+	timeout := f.scenario.RecordTimeout.Std()
 	begin := time.Now()
 	pending, quiet := 0, 0
 	for time.Since(begin) < timeout && ctx.Err() == nil {
-		usage, err := r.hollowUsage(false)
+		usage, err := f.hollowUsage(false)
 		if err != nil {
 			return 0, err
 		}
@@ -117,19 +117,19 @@
 		if quiet >= quietPolls {
 			return time.Since(begin) - quietPolls*recordPoll, nil
 		}
-		r.takeEvents()
+		f.takeEvents()
 		time.Sleep(recordPoll)
 	}
-	r.options.Notes("after %v nodes still have %d changes to write to the store", timeout, pending)
+	f.options.Notes("after %v nodes still have %d changes to write to the store", timeout, pending)
 	return time.Since(begin), nil
 }
 
 // awaitChanges waits until all changes of the present step are in force at every node, or for the timeout.
-func (r *fleetRun) awaitChanges(ctx context.Context, timeout time.Duration) {
+func (f *fleetRun) awaitChanges(ctx context.Context, timeout time.Duration) {
 	limit := time.Now().Add(timeout)
 	for time.Now().Before(limit) && ctx.Err() == nil {
-		r.takeEvents()
-		if r.tracker.missing() == 0 {
+		f.takeEvents()
+		if f.tracker.missing() == 0 {
 			return
 		}
 		time.Sleep(eventsPoll)
@@ -137,9 +137,9 @@
 }
 
 // hollowUsage returns the usage of all hollow nodes.
-func (r *fleetRun) hollowUsage(collect bool) (HollowUsage, error) {
+func (f *fleetRun) hollowUsage(collect bool) (HollowUsage, error) {
 	total := HollowUsage{MinReadyServers: math.MaxInt}
-	for _, worker := range r.workers {
+	for _, worker := range f.workers {
 		var usage HollowUsage
 		if err := worker.call(callUse, collect, &usage); err != nil {
 			return total, err
@@ -158,20 +158,20 @@
 }
 
 // takeEvents takes the events that the workers have. One that can't be called has none.
-func (r *fleetRun) takeEvents() {
-	for _, worker := range r.workers {
+func (f *fleetRun) takeEvents() {
+	for _, worker := range f.workers {
 		var events []Event
 		if err := worker.call(callEvents, Empty{}, &events); err == nil {
-			r.tracker.take(events...)
+			f.tracker.take(events...)
 		}
 	}
 }
 
 // commits returns the store's commits since its process started, none if it does not run.
-func (r *fleetRun) commits() int {
+func (f *fleetRun) commits() int {
 	commits := 0
-	if r.store != nil && r.store.isRunning() {
-		r.store.call(callCommits, Empty{}, &commits)
+	if f.store != nil && f.store.isRunning() {
+		f.store.call(callCommits, Empty{}, &commits)
 	}
 	return commits
 }
