--- a/internal/lab/chaos/view.go
+++ b/internal/lab/chaos/view.go
@@ -104,7 +104,7 @@
 		return err
 	}
 	time.Sleep(time.Second)
-	_, v.Idle, _ = standin.Process(x.cmd.Process.Pid)
+	v.Idle = standin.ReadProcessUsage(x.cmd.Process.Pid).Resident
 	x.kill()
 	begun = time.Now()
 	if err := x.start(v.Program); err != nil {
@@ -115,7 +115,8 @@
 	}
 	slices.SortFunc(at, time.Time.Compare)
 	v.Half, v.Last = at[len(at)/2].Sub(begun), at[len(at)-1].Sub(begun)
-	v.CPU, _, v.Most = standin.Process(x.cmd.Process.Pid)
+	usage := standin.ReadProcessUsage(x.cmd.Process.Pid)
+	v.CPU, v.Most = usage.CPU, usage.MaxResident
 	return nil
 }
 
--- a/internal/lab/standin/bypassingnode.go
+++ b/internal/lab/standin/bypassingnode.go
@@ -2,6 +2,8 @@
 
 import (
 	"bufio"
+	"fmt"
+	"io"
 	"net"
 	"strconv"
 	"strings"
@@ -12,208 +14,254 @@
 	"robincart/internal/lab/wire"
 )
 
-// BypassingNode is a node made wrong on purpose, one rule at a time, so that the judge can be shown to find it. Without a crime
-// it is the simplest node that keeps the rules: one pick at a server of the list, one answer.
+// BypassingNode is a node that breaks one rule on purpose, to show that the judge finds it. With no rule to break it is
+// the simplest node that keeps them all: one attempt at a server of the list, one response.
 type BypassingNode struct {
-	Crime string // a rule of the judge; "" for none
-	Every int    // it sins at every so manieth request
-
+	Crime     string // the rule of the judge that it breaks; empty: none
+	Every     int    // it breaks the rule at each request with a number divisible by this
 	Discovery *Discovery
 	Door      *DiscoveryListener
-	Grace     time.Duration
-
-	mu    sync.Mutex
-	n     int
-	next  int
-	list  []Member // as it was at the start, for one that listens to nothing
-	ln    net.Listener
-	conns map[net.Conn]struct{}
-	watch net.Conn
+
+	listener net.Listener
+	watch    net.Conn
+	initial  []Member // the list at its start
+
+	mu       sync.Mutex
+	requests int
+	next     int // server in turn
+	conns    map[net.Conn]struct{}
 }
 
-// Start serves at a loopback address and watches discovery, whatever it makes of it.
-func (r *BypassingNode) Start(addr string) (string, error) {
-	ln, err := net.Listen("tcp", addr)
+const (
+	// maxNodeReadTime is how long a request may take from its first byte to its last, at a node that keeps the rules.
+	maxNodeReadTime = 2 * time.Second
+	// responseSlack is how long past a request's deadline its server's response is waited for.
+	responseSlack = time.Second
+	// addedTime is what a node that passes servers a wrong deadline adds to it.
+	addedTime = 5 * time.Second
+	// lateBy is how long past its deadline a late response, or an attempt after the response, is sent.
+	lateBy = 1300 * time.Millisecond
+	// repeatDelay is longer than the window of the method whose request is repeated after it.
+	repeatDelay = 1500 * time.Millisecond
+)
+
+// Start serves at an address and watches discovery, though it ignores the watch's messages. It returns the address.
+func (b *BypassingNode) Start(addr string) (string, error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
 	}
-	r.ln, r.conns = ln, map[net.Conn]struct{}{}
-	_, r.list = r.Discovery.List()
-	if r.watch, err = net.Dial("tcp", r.Door.Addr()); err != nil {
+	b.listener = listener
+	b.conns = map[net.Conn]struct{}{}
+	_, b.initial = b.Discovery.List()
+	b.watch, err = net.Dial("tcp", b.Door.Addr())
+	if err != nil {
 		return "", err
 	}
-	r.watch.Write([]byte("GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nHost: lab\r\n\r\n"))
-	go func() {
-		b := make([]byte, 4096)
-		for {
-			if _, err := r.watch.Read(b); err != nil {
-				return
-			}
-		}
-	}()
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			r.mu.Lock()
-			r.conns[c] = struct{}{}
-			r.mu.Unlock()
-			go r.serve(c)
-		}
-	}()
-	return ln.Addr().String(), nil
+	fmt.Fprintf(b.watch, "GET %s?%s=1&%s=0 HTTP/1.1\r\nHost: lab\r\n\r\n", pathMembers, queryWatch, querySince)
+	go io.Copy(io.Discard, b.watch)
+	go b.accept()
+	return listener.Addr().String(), nil
 }
 
-// Stop ends it.
-func (r *BypassingNode) Stop() {
-	r.ln.Close()
-	r.watch.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for c := range r.conns {
-		c.Close()
+// Stop closes its listener, its watch and its connections.
+func (b *BypassingNode) Stop() {
+	b.listener.Close()
+	b.watch.Close()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for conn := range b.conns {
+		conn.Close()
 	}
 }
 
-func (r *BypassingNode) serve(c net.Conn) {
-	defer c.Close()
-	in := bufio.NewReader(c)
+// accept accepts connections until the listener is closed.
+func (b *BypassingNode) accept() {
 	for {
-		if _, err := in.Peek(1); err != nil {
-			return
-		}
-		if r.Crime != judge.StalledKept {
-			c.SetReadDeadline(time.Now().Add(requestMost))
-		}
-		q, err := wire.ReadRequest(in)
+		conn, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
-		c.SetReadDeadline(time.Time{})
-		if !r.request(c, q) {
-			return
-		}
+		b.mu.Lock()
+		b.conns[conn] = struct{}{}
+		b.mu.Unlock()
+		go b.serve(conn)
 	}
 }
 
-// requestMost is how long a request may take from its first byte to its last, at a node that keeps the rules.
-const requestMost = 2 * time.Second
-
-// choose takes the servers in turn; sinner tells whether this request is one to sin at.
-func (r *BypassingNode) choose(cold bool) (m Member, sinner bool) {
-	_, list := r.Discovery.List()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.n++
-	sinner = r.Crime != "" && r.n%max(1, r.Every) == 0
-	if r.Crime == judge.ToDrained {
-		list = r.list
-	}
-	var ready []Member
-	for _, m := range list {
-		if m.Phase == "ready" {
-			ready = append(ready, m)
+// serve serves one connection until its end.
+func (b *BypassingNode) serve(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
+	for {
+		if _, err := reader.Peek(1); err != nil {
+			return
 		}
-	}
-	if len(ready) == 0 {
-		return Member{}, sinner
-	}
-	if cold && r.Crime == judge.PushedOver { // all to the youngest
-		youngest := ready[0]
-		for _, m := range ready {
-			if m.UpSince > youngest.UpSince {
-				youngest = m
-			}
+		if b.Crime != judge.StalledKept {
+			conn.SetReadDeadline(time.Now().Add(maxNodeReadTime))
 		}
-		if youngest.UpSince > 0 {
-			return youngest, true
+		request, err := wire.ReadRequest(reader)
+		if err != nil {
+			return
 		}
-	}
-	r.next++
-	return ready[r.next%len(ready)], sinner
-}
-
-// toldMore is what a node that tells servers too much time adds.
-const toldMore = 5 * time.Second
-
-// forward makes one pick, for as long as a caller waits.
-func (r *BypassingNode) forward(m Member, q *wire.Request, until time.Time) (*wire.Response, error) {
-	c, err := net.DialTimeout("tcp", m.Addr, time.Second)
-	if err != nil {
-		return nil, err
-	}
-	defer c.Close()
-	var b strings.Builder
-	b.WriteString(q.Verb + " " + q.Target + " HTTP/1.1\r\n")
-	for name, values := range q.Header {
-		if name == wire.Left {
-			values = []string{strconv.FormatInt(max(1, time.Until(until).Milliseconds()), 10)}
+		conn.SetReadDeadline(time.Time{})
+		if !b.handle(conn, request) {
+			return
 		}
-		b.WriteString(name + ": " + values[0] + "\r\n")
-	}
-	b.WriteString("\r\n")
-	c.SetDeadline(until.Add(time.Second))
-	if _, err := c.Write(append([]byte(b.String()), q.Body...)); err != nil {
-		return nil, err
 	}
-	return wire.ReadResponse(bufio.NewReader(c))
 }
 
-func (r *BypassingNode) request(c net.Conn, q *wire.Request) bool {
-	came := time.Now()
-	if strings.HasPrefix(q.Path, "/health/") {
-		c.Write(wire.Answer(nil, 200, "", nil))
+// handle responds to a request. It returns whether the connection may carry another one.
+func (b *BypassingNode) handle(conn net.Conn, request *wire.Request) bool {
+	receivedAt := time.Now()
+	if strings.HasPrefix(request.Path, "/health/") {
+		conn.Write(wire.Answer(nil, 200, "", nil))
 		return true
 	}
-	m, sinner := r.choose(true)
-	if m.ID == "" {
-		c.Write(wire.Answer(nil, 503, "Retry-After: 0.2\r\n", nil))
+	server, breaks := b.choose(true)
+	if server.ID == "" {
+		conn.Write(wire.Answer(nil, 503, "Retry-After: 0.2\r\n", nil))
 		return true
 	}
-	until := q.Deadline(came)
-	told := until
-	if sinner && r.Crime == judge.ToldTooMuch {
-		told = until.Add(toldMore)
+	exchange := &bypassedExchange{
+		node:     b,
+		conn:     conn,
+		request:  request,
+		server:   server,
+		deadline: request.Deadline(receivedAt),
+		status:   504,
+	}
+	passedDeadline := exchange.deadline
+	if breaks && b.Crime == judge.ToldTooMuch {
+		passedDeadline = exchange.deadline.Add(addedTime)
 	}
-	p, err := r.forward(m, q, told)
-	status, body := 504, []byte(nil)
-	if err == nil && p.Status == 200 {
-		status, body = 200, p.Body
+	response, err := b.forward(server, request, passedDeadline)
+	if err == nil && response.Status == 200 {
+		exchange.status, exchange.body = 200, response.Body
 	}
-	if r.Crime == judge.PastWindow && q.Header.Get(wire.Key) == "" {
-		sinner = false // only a mark has a window
+	if b.Crime == judge.PastWindow && request.Header.Get(wire.Key) == "" {
+		breaks = false // only an idempotency key has a window
 	}
-	if !sinner {
-		c.Write(wire.Answer(nil, status, "", body))
+	if !breaks {
+		exchange.respond()
 		return true
 	}
-	switch r.Crime {
+	return exchange.breakRule()
+}
+
+// bypassedExchange is a request at a node that breaks a rule, with the response that would be right.
+type bypassedExchange struct {
+	node     *BypassingNode
+	conn     net.Conn
+	request  *wire.Request
+	server   Member
+	deadline time.Time
+	status   int
+	body     []byte
+}
+
+func (b *bypassedExchange) respond() { b.conn.Write(b.encode()) }
+
+func (b *bypassedExchange) encode() []byte { return wire.Answer(nil, b.status, "", b.body) }
+
+// breakRule responds, and breaks the node's rule where a correct attempt has not broken it already. It returns whether
+// the connection may carry another request.
+func (b *bypassedExchange) breakRule() bool {
+	node := b.node
+	switch node.Crime {
 	case judge.NoAnswer:
 		return false
 	case judge.LateAnswer:
-		time.Sleep(time.Until(q.Deadline(came).Add(1300 * time.Millisecond)))
+		time.Sleep(time.Until(b.deadline.Add(lateBy)))
 	case judge.SecondAnswer:
-		c.Write(append(wire.Answer(nil, status, "", body), wire.Answer(nil, status, "", body)...))
+		b.conn.Write(append(b.encode(), b.encode()...))
 		return true
 	case judge.ForeignOK:
-		status, body = 200, []byte("made up")
+		b.status, b.body = 200, []byte("made up")
 	case judge.EffectTwice:
-		if m2, _ := r.choose(false); m2.ID != "" {
-			r.forward(m2, q, until)
+		if other, _ := node.choose(false); other.ID != "" {
+			node.forward(other, b.request, b.deadline)
 		}
 	case judge.FalsePromise:
-		status, body = 503, nil
+		b.status, b.body = 503, nil
 	case judge.PastWindow:
-		time.Sleep(1500 * time.Millisecond)
-		r.forward(m, q, until)
+		time.Sleep(repeatDelay)
+		node.forward(b.server, b.request, b.deadline)
 	case judge.SentAfter:
-		c.Write(wire.Answer(nil, status, "", body))
-		time.Sleep(1300 * time.Millisecond)
-		r.forward(m, q, until)
+		b.respond()
+		time.Sleep(lateBy)
+		node.forward(b.server, b.request, b.deadline)
 		return true
 	}
-	c.Write(wire.Answer(nil, status, "", body))
+	b.respond()
 	return true
 }
+
+// choose chooses the servers in turn. It returns whether this request is one to break the rule at.
+func (b *BypassingNode) choose(overload bool) (server Member, breaks bool) {
+	_, list := b.Discovery.List()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.requests++
+	breaks = b.Crime != "" && b.requests%max(1, b.Every) == 0
+	if b.Crime == judge.ToDrained {
+		list = b.initial
+	}
+	ready := readyMembers(list)
+	if len(ready) == 0 {
+		return Member{}, breaks
+	}
+	if overload && b.Crime == judge.PushedOver {
+		if youngest := youngestMember(ready); youngest.UpSince > 0 {
+			return youngest, true
+		}
+	}
+	b.next++
+	return ready[b.next%len(ready)], breaks
+}
+
+func readyMembers(list []Member) []Member {
+	var ready []Member
+	for _, m := range list {
+		if m.Phase == phaseReady {
+			ready = append(ready, m)
+		}
+	}
+	return ready
+}
+
+// youngestMember is the server that was started last.
+func youngestMember(list []Member) Member {
+	youngest := list[0]
+	for _, m := range list {
+		if m.UpSince > youngest.UpSince {
+			youngest = m
+		}
+	}
+	return youngest
+}
+
+// forward makes one attempt, for as long as the client waits.
+func (b *BypassingNode) forward(server Member, request *wire.Request, deadline time.Time) (*wire.Response, error) {
+	conn, err := net.DialTimeout("tcp", server.Addr, dialTimeout)
+	if err != nil {
+		return nil, err
+	}
+	defer conn.Close()
+	var text strings.Builder
+	text.WriteString(request.Verb + " " + request.Target + " HTTP/1.1\r\n")
+	for name, values := range request.Header {
+		value := values[0]
+		if name == wire.Left {
+			value = strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10)
+		}
+		text.WriteString(name + ": " + value + "\r\n")
+	}
+	text.WriteString("\r\n")
+	text.Write(request.Body)
+	conn.SetDeadline(deadline.Add(responseSlack))
+	if _, err := conn.Write([]byte(text.String())); err != nil {
+		return nil, err
+	}
+	return wire.ReadResponse(bufio.NewReader(conn))
+}
--- a/internal/lab/standin/clientbalancer.go
+++ b/internal/lab/standin/clientbalancer.go
@@ -1,6 +1,7 @@
 package standin
 
 import (
+	"math"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -11,106 +12,122 @@
 	"robincart/internal/lab/plan"
 )
 
-// ClientBalancer deals out connections among the nodes that it believes in: it notices only after a while that one has died,
-// and takes it in again once it says that it is ready.
+// leaveDelay is how long connections still go to a node that was told to stop.
+const leaveDelay = 300 * time.Millisecond
+
+// notEnded is the end of a span that lasts.
+const notEnded = time.Duration(math.MaxInt64)
+
+// ClientBalancer is the load balancer between the clients and the nodes. It notices only after a delay that a node has
+// died, and uses a node again once that is ready.
 type ClientBalancer struct {
-	Begin  time.Time
-	Notice time.Duration
+	begin       time.Time
+	noticeDelay time.Duration
+	next        atomic.Uint32
 
 	mu    sync.Mutex
-	nodes []frontNode
-	next  atomic.Uint32
+	nodes []balancedNode
 }
 
-type frontNode struct {
-	Dest    load.Destination
-	out     bool
-	excused []span // when it was killed or away by order
+// balancedNode is a node as the ClientBalancer knows it.
+type balancedNode struct {
+	destination load.Destination
+	out         bool
+	killed      []span // by order of the run
 }
 
+// span is a span of time since the run's start.
 type span struct{ from, to time.Duration }
 
-// NewClientBalancer deals out connections to these.
-func NewClientBalancer(begin time.Time, notice time.Duration, nodes []load.Destination) *ClientBalancer {
-	f := &ClientBalancer{Begin: begin, Notice: notice}
-	for _, d := range nodes {
-		f.nodes = append(f.nodes, frontNode{Dest: d})
+// NewClientBalancer returns a balancer that uses all these nodes.
+func NewClientBalancer(begin time.Time, noticeDelay time.Duration, nodes []load.Destination) *ClientBalancer {
+	c := &ClientBalancer{begin: begin, noticeDelay: noticeDelay}
+	for _, destination := range nodes {
+		c.nodes = append(c.nodes, balancedNode{destination: destination})
 	}
-	return f
+	return c
 }
 
-// Choose deals nodes out in turn.
-func (f *ClientBalancer) Choose(_ *plan.Arrival, _ []int32) (load.Destination, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	start := int(f.next.Add(1))
-	for i := range f.nodes {
-		if n := &f.nodes[(start+i)%len(f.nodes)]; !n.out {
-			return n.Dest, true
+// Choose returns the next node in turn, also one that is out if all are. It returns false if there are no nodes.
+func (c *ClientBalancer) Choose(_ *plan.Arrival, _ []int32) (load.Destination, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	start := int(c.next.Add(1))
+	for i := range c.nodes {
+		n := &c.nodes[(start+i)%len(c.nodes)]
+		if !n.out {
+			return n.destination, true
 		}
 	}
-	if len(f.nodes) == 0 {
+	if len(c.nodes) == 0 {
 		return load.Destination{}, false
 	}
-	return f.nodes[start%len(f.nodes)].Dest, true // nobody is left: a front deals them out all the same
+	return c.nodes[start%len(c.nodes)].destination, true
 }
 
-// Done is of no use to a front.
-func (f *ClientBalancer) Done(load.Destination, judge.Outcome) {}
-
-// Killed notes that a node has been killed by order; the front learns of it later.
-func (f *ClientBalancer) Killed(id int32) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for i := range f.nodes {
-		if n := &f.nodes[i]; n.Dest.ID == id {
-			n.excused = append(n.excused, span{time.Since(f.Begin), 1 << 62})
-			time.AfterFunc(f.Notice, func() {
-				f.mu.Lock()
-				defer f.mu.Unlock()
-				if last := len(n.excused) - 1; n.excused[last].to == 1<<62 {
-					n.out = true
-				}
-			})
-		}
+// Done does nothing: a ClientBalancer does not count requests in flight.
+func (c *ClientBalancer) Done(load.Destination, judge.Outcome) {}
+
+// node is the node with an id, nil if there is none. The mutex is held.
+func (c *ClientBalancer) node(id int32) *balancedNode {
+	i := slices.IndexFunc(c.nodes, func(n balancedNode) bool { return n.destination.ID == id })
+	if i < 0 {
+		return nil
 	}
+	return &c.nodes[i]
 }
 
-// Leaving notes that a node is told to stop: the front goes on for a moment, then leaves it out.
-func (f *ClientBalancer) Leaving(id int32) {
-	time.AfterFunc(300*time.Millisecond, func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		for i := range f.nodes {
-			if f.nodes[i].Dest.ID == id {
-				f.nodes[i].out = true
-			}
+// Killed notes that a node was killed by order of the run. The balancer notices it after its delay, unless the node is
+// back by then.
+func (c *ClientBalancer) Killed(id int32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := c.node(id)
+	if n == nil {
+		return
+	}
+	n.killed = append(n.killed, span{from: time.Since(c.begin), to: notEnded})
+	time.AfterFunc(c.noticeDelay, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if n.killed[len(n.killed)-1].to == notEnded {
+			n.out = true
 		}
 	})
 }
 
-// Back takes a node in again.
-func (f *ClientBalancer) Back(id int32) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for i := range f.nodes {
-		if n := &f.nodes[i]; n.Dest.ID == id {
-			n.out = false
-			if last := len(n.excused) - 1; last >= 0 && n.excused[last].to == 1<<62 {
-				n.excused[last].to = time.Since(f.Begin)
-			}
+// Leaving notes that a node was told to stop: after a moment it gets no more connections.
+func (c *ClientBalancer) Leaving(id int32) {
+	time.AfterFunc(leaveDelay, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if n := c.node(id); n != nil {
+			n.out = true
 		}
+	})
+}
+
+// Back notes that a node is ready again.
+func (c *ClientBalancer) Back(id int32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := c.node(id)
+	if n == nil {
+		return
+	}
+	n.out = false
+	if last := len(n.killed) - 1; last >= 0 && n.killed[last].to == notEnded {
+		n.killed[last].to = time.Since(c.begin)
 	}
 }
 
-// Excused tells whether a node was killed by order after that moment.
-func (f *ClientBalancer) Excused(d load.Destination, since time.Duration) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for i := range f.nodes {
-		if f.nodes[i].Dest.ID == d.ID {
-			return slices.ContainsFunc(f.nodes[i].excused, func(s span) bool { return s.to >= since })
-		}
+// Excused returns whether a node was killed by order of the run, or not back from that, after a moment.
+func (c *ClientBalancer) Excused(destination load.Destination, since time.Duration) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := c.node(destination.ID)
+	if n == nil {
+		return false
 	}
-	return false
+	return slices.ContainsFunc(n.killed, func(s span) bool { return s.to >= since })
 }
--- a/internal/lab/standin/directclient.go
+++ b/internal/lab/standin/directclient.go
@@ -12,143 +12,179 @@
 	"robincart/internal/lab/plan"
 )
 
-// Policies of straight callers, the baselines.
-var Policies = []string{"random", "round-robin", "least-outstanding", "two-choices"}
+// The policies by which a DirectClient chooses a server. Any other one is random.
+const (
+	policyRoundRobin       = "round-robin"
+	policyLeastOutstanding = "least-outstanding"
+	policyTwoChoices       = "two-choices"
+)
+
+const (
+	// listInterval is how often a direct client reads the list.
+	listInterval = 50 * time.Millisecond
+	// seedStride is between the seeds of two direct clients.
+	seedStride = 7919
+)
 
-// DirectClient is a caller's own balancer: it follows the server list and knows what it has out itself, no more.
+// DirectClient is a client that balances its load by itself, with no node between: it follows the list of servers and
+// knows its own requests in flight, no more.
 type DirectClient struct {
-	policy string
-	list   atomic.Pointer[[]load.Destination]
-	next   atomic.Uint32
-	out    sync.Map // server index → *atomic.Int64
-	mu     sync.Mutex
-	rand   *rand.Rand
-	stop   chan struct{}
+	policy   string
+	list     atomic.Pointer[[]load.Destination]
+	next     atomic.Uint32
+	inFlight sync.Map // by a server's index: *atomic.Int64
+	stop     chan struct{}
+
+	mu   sync.Mutex
+	rand *rand.Rand
 }
 
-// NewDirectClient follows discovery's list until it is closed.
-func NewDirectClient(policy string, d *Discovery, seed uint64) *DirectClient {
-	s := &DirectClient{policy: policy, rand: plan.NewSource(seed, "straight"), stop: make(chan struct{})}
-	s.next.Store(s.rand.Uint32()) // many that begin at the same server would go on in step
-	s.follow(d)
-	go func() {
-		t := time.NewTicker(50 * time.Millisecond)
-		defer t.Stop()
-		for {
-			select {
-			case <-t.C:
-				s.follow(d)
-			case <-s.stop:
-				return
-			}
-		}
-	}()
-	return s
+// NewDirectClient returns a client that follows discovery's list until it is closed.
+func NewDirectClient(policy string, discovery *Discovery, seed uint64) *DirectClient {
+	d := &DirectClient{policy: policy, rand: plan.NewSource(seed, "straight"), stop: make(chan struct{})}
+	d.next.Store(d.rand.Uint32()) // many clients that begin at the same server would stay in step
+	d.readList(discovery)
+	go d.follow(discovery)
+	return d
 }
 
-// Close ends the following.
-func (s *DirectClient) Close() { close(s.stop) }
+// Close ends the following of the list.
+func (d *DirectClient) Close() { close(d.stop) }
+
+// follow reads the list again and again until Close.
+func (d *DirectClient) follow(discovery *Discovery) {
+	ticker := time.NewTicker(listInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			d.readList(discovery)
+		case <-d.stop:
+			return
+		}
+	}
+}
 
-func (s *DirectClient) follow(d *Discovery) {
-	d.mu.Lock()
-	gone := d.gone
-	_, members := d.list()
-	d.mu.Unlock()
-	if gone && s.list.Load() != nil {
-		return // nobody tells: the list stays
+// readList takes the ready servers of the list. While discovery is down the list stays as it is.
+func (d *DirectClient) readList(discovery *Discovery) {
+	members, reachable := discovery.reachable()
+	if !reachable && d.list.Load() != nil {
+		return
 	}
 	ready := []load.Destination{}
 	for _, m := range members {
-		if m.Phase == "ready" {
+		if m.Phase == phaseReady {
 			ready = append(ready, load.Destination{ID: m.Index, Node: -1, Addr: m.Addr})
 		}
 	}
-	s.list.Store(&ready)
+	d.list.Store(&ready)
 }
 
-func (s *DirectClient) outstanding(id int32) *atomic.Int64 {
-	n, ok := s.out.Load(id)
+// requests is the counter of the requests in flight at a server.
+func (d *DirectClient) requests(server load.Destination) *atomic.Int64 {
+	counter, ok := d.inFlight.Load(server.ID)
 	if !ok {
-		n, _ = s.out.LoadOrStore(id, &atomic.Int64{})
+		counter, _ = d.inFlight.LoadOrStore(server.ID, &atomic.Int64{})
 	}
-	return n.(*atomic.Int64)
+	return counter.(*atomic.Int64)
 }
 
-// Choose picks a server that this call has not tried, if there is one.
-func (s *DirectClient) Choose(_ *plan.Arrival, tried []int32) (load.Destination, bool) {
-	list := *s.list.Load()
-	if len(tried) > 0 {
-		if rest := slices.DeleteFunc(slices.Clone(list), func(d load.Destination) bool { return slices.Contains(tried, d.ID) }); len(rest) > 0 {
-			list = rest
-		}
-	}
-	if len(list) == 0 {
+// Choose returns a server, if there is any: one that this call has not tried, unless it has tried all.
+func (d *DirectClient) Choose(_ *plan.Arrival, tried []int32) (load.Destination, bool) {
+	servers := untried(*d.list.Load(), tried)
+	if len(servers) == 0 {
 		return load.Destination{}, false
 	}
-	s.mu.Lock()
-	i, j := s.rand.Intn(len(list)), s.rand.Intn(len(list))
-	s.mu.Unlock()
-	switch s.policy {
-	case "round-robin":
-		i = int(s.next.Add(1)) % len(list)
-	case "two-choices":
-		if s.outstanding(list[j].ID).Load() < s.outstanding(list[i].ID).Load() {
-			i = j
+	chosen := d.choose(servers)
+	d.requests(chosen).Add(1)
+	return chosen, true
+}
+
+// untried are the servers that were not tried, or all of them if they all were.
+func untried(servers []load.Destination, tried []int32) []load.Destination {
+	if len(tried) == 0 {
+		return servers
+	}
+	wasTried := func(server load.Destination) bool { return slices.Contains(tried, server.ID) }
+	left := slices.DeleteFunc(slices.Clone(servers), wasTried)
+	if len(left) == 0 {
+		return servers
+	}
+	return left
+}
+
+// choose chooses a server by the policy.
+func (d *DirectClient) choose(servers []load.Destination) load.Destination {
+	d.mu.Lock()
+	first, second := d.rand.Intn(len(servers)), d.rand.Intn(len(servers))
+	d.mu.Unlock()
+	switch d.policy {
+	case policyRoundRobin:
+		return servers[int(d.next.Add(1))%len(servers)]
+	case policyTwoChoices:
+		if d.requests(servers[second]).Load() < d.requests(servers[first]).Load() {
+			return servers[second]
 		}
-	case "least-outstanding":
-		least := s.outstanding(list[i].ID).Load()
-		for k := range list { // from a random place on, so that equals share
-			at := (i + k) % len(list)
-			if n := s.outstanding(list[at].ID).Load(); n < least {
-				least, j = n, at
-			} else if k == 0 {
-				j = at
-			}
+	case policyLeastOutstanding:
+		return d.leastOutstanding(servers, first)
+	}
+	return servers[first]
+}
+
+// leastOutstanding is the server with the fewest requests in flight, the first such one from a place on: with a random
+// place, equals share the load.
+func (d *DirectClient) leastOutstanding(servers []load.Destination, from int) load.Destination {
+	least := servers[from]
+	minimum := d.requests(least).Load()
+	for i := range servers {
+		server := servers[(from+i)%len(servers)]
+		if requests := d.requests(server).Load(); requests < minimum {
+			least, minimum = server, requests
 		}
-		i = j
 	}
-	s.outstanding(list[i].ID).Add(1)
-	return list[i], true
+	return least
 }
 
-// Done counts a try out.
-func (s *DirectClient) Done(d load.Destination, _ judge.Outcome) { s.outstanding(d.ID).Add(-1) }
+// Done notes the end of a request.
+func (d *DirectClient) Done(server load.Destination, _ judge.Outcome) { d.requests(server).Add(-1) }
 
-// Excused is never asked for: a straight caller has no node.
-func (s *DirectClient) Excused(load.Destination, time.Duration) bool { return false }
+// Excused is false: there is no node that could have been killed.
+func (d *DirectClient) Excused(load.Destination, time.Duration) bool { return false }
 
-// DirectClients is many straight callers, each with a view of its own, among which calls are dealt out in turn as a front does.
+// DirectClients are several direct clients, each with a view of its own, among which the calls are distributed in turn.
 type DirectClients struct {
-	callers []*DirectClient
+	clients []*DirectClient
 	next    atomic.Uint32
 }
 
-// NewDirectClients starts so many.
-func NewDirectClients(policy string, d *Discovery, seed uint64, callers int) *DirectClients {
-	f := &DirectClients{}
-	for i := range callers {
-		f.callers = append(f.callers, NewDirectClient(policy, d, seed+uint64(i)*7919))
+// NewDirectClients returns that many clients.
+func NewDirectClients(policy string, discovery *Discovery, seed uint64, clients int) *DirectClients {
+	d := &DirectClients{}
+	for i := range clients {
+		d.clients = append(d.clients, NewDirectClient(policy, discovery, seed+uint64(i)*seedStride))
 	}
-	return f
+	return d
 }
 
-// Close ends the following of all.
-func (f *DirectClients) Close() {
-	for _, s := range f.callers {
-		s.Close()
+// Close ends the following of the list by all.
+func (d *DirectClients) Close() {
+	for _, client := range d.clients {
+		client.Close()
 	}
 }
 
-// Choose has the next caller choose.
-func (f *DirectClients) Choose(a *plan.Arrival, tried []int32) (load.Destination, bool) {
-	via := int(f.next.Add(1)) % len(f.callers)
-	d, ok := f.callers[via].Choose(a, tried)
-	d.Via = int32(via)
-	return d, ok
+// Choose has the next client choose.
+func (d *DirectClients) Choose(arrival *plan.Arrival, tried []int32) (load.Destination, bool) {
+	via := int(d.next.Add(1)) % len(d.clients)
+	server, ok := d.clients[via].Choose(arrival, tried)
+	server.Via = int32(via)
+	return server, ok
 }
 
-// Done tells the caller that chose.
-func (f *DirectClients) Done(d load.Destination, end judge.Outcome) { f.callers[d.Via].Done(d, end) }
+// Done notes the end of a request at the client that chose its server.
+func (d *DirectClients) Done(server load.Destination, outcome judge.Outcome) {
+	d.clients[server.Via].Done(server, outcome)
+}
 
-// Excused is never asked for: a straight caller has no node.
-func (f *DirectClients) Excused(load.Destination, time.Duration) bool { return false }
+// Excused is false: there is no node that could have been killed.
+func (d *DirectClients) Excused(load.Destination, time.Duration) bool { return false }
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -2,230 +2,258 @@
 
 import (
 	"net"
+	"slices"
 	"sync"
 	"time"
 
 	"robincart/internal/lab/judge"
 )
 
-// Member is one entry of discovery's list.
-type Member struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"host_port"`
-	Zone    string  `json:"locality"`
-	Flavor  string  `json:"flavor"`
-	Cell    int     `json:"cell"`
-	Phase   string  `json:"phase"`
-	Size    float64 `json:"size"`
-	UpSince int64   `json:"up_since_ms"`
+// Watch is how discovery notifies watchers of changes.
+type Watch int
 
-	Index int32 `json:"-"` // in the ledger
-}
+// The ways in which discovery notifies watchers of changes.
+const (
+	// WatchStreams sends each change on a watch until its connection ends.
+	WatchStreams Watch = iota
+	// WatchWaits ends a watch with the first change after the list, or after a time without one.
+	WatchWaits
+	// WatchEndsWithList ends a watch right after its list: watchers poll.
+	WatchEndsWithList
+)
 
-var states = map[string]judge.State{"ready": judge.Ready, "draining": judge.Draining, "gone": judge.Gone}
+const (
+	firstRevision     = 41
+	heartbeatInterval = 2 * time.Second
+	// maxDeltas is how many deltas are known at most, and keptDeltas how many are left once there are more. A watch
+	// from an older revision on begins with a snapshot.
+	maxDeltas  = 10_000
+	keptDeltas = 5_000
+	// maxReplayed is how many deltas a replay sends again.
+	maxReplayed = 50
+	// replayTimeout bounds a replay's write to one watch.
+	replayTimeout = 100 * time.Millisecond
+)
 
-type change struct {
+// delta is a change of one member.
+type delta struct {
 	revision int64
 	member   Member
 }
 
-// Discovery keeps the list of one tier and tells its changes. Each node has a door of its own, so that the ledger
-// knows which node was told what, and when.
+// Discovery serves one tier's list of servers and its changes. Each node has a listener of its own, so that the ledger
+// knows which node was notified of what, and when.
 type Discovery struct {
 	Log   *judge.Ledger
 	Begin time.Time
-	Every time.Duration // between empty lines
-	Watch Watch         // how it tells of changes
-	Wait  time.Duration // of WatchWaits: how long a watch lasts at most
-	// Bound is how long after it could be reached a change counts as told to every node, told or not. 0: never unless it is told.
+	Every time.Duration // between the heartbeats of a watch, which are empty lines
+	Watch Watch
+	Wait  time.Duration // how long a watch lasts at most, with WatchWaits
+	// Bound is how long after discovery could be reached a change counts as notified to every node, whether it was or
+	// not. 0: only what was sent counts.
 	Bound time.Duration
 
-	mu       sync.Mutex
-	revision int64
-	members  map[string]Member
-	order    []string
-	changes  []change
-	delay    time.Duration
-	gone     bool
-	queue    callQueue
-	doors    []*DiscoveryListener
-	back     time.Time              // when it last became reachable
-	known    []Member               // the list as it was when it last could be reached
-	binding  map[string]*time.Timer // by member: when its last change counts as told to all
-	stopped  bool
-	wake     chan struct{} // closed at each change
-}
-
-// NewDiscovery starts with an empty list at a revision.
+	mu           sync.Mutex
+	revision     int64
+	members      map[string]Member
+	order        []string // the members' ids, the oldest first
+	deltas       []delta
+	delay        time.Duration // before each message
+	queue        callQueue
+	listeners    []*DiscoveryListener
+	down         bool
+	upSince      time.Time
+	lastSnapshot []Member               // as it was when discovery went down
+	boundTimers  map[string]*time.Timer // by member: when its last change counts as notified to every node
+	stopped      bool
+	changed      chan struct{} // closed at each change
+}
+
+// NewDiscovery returns a discovery with an empty list.
 func NewDiscovery(log *judge.Ledger, begin time.Time) *Discovery {
-	return &Discovery{Log: log, Begin: begin, Every: 2 * time.Second, revision: 41, members: map[string]Member{},
-		wake: make(chan struct{}), binding: map[string]*time.Timer{}, back: begin}
+	return &Discovery{
+		Log:         log,
+		Begin:       begin,
+		Every:       heartbeatInterval,
+		revision:    firstRevision,
+		members:     map[string]Member{},
+		boundTimers: map[string]*time.Timer{},
+		upSince:     begin,
+		changed:     make(chan struct{}),
+	}
 }
 
-// SetRevision sets the revision that the list stands at, and forgets what changed before.
+// SetRevision sets the list's revision, and forgets all deltas.
 func (d *Discovery) SetRevision(revision int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.revision, d.changes = revision, nil
+	d.revision, d.deltas = revision, nil
 }
 
-// Update changes the list.
+// Update adds or changes members. One whose phase is "gone" is removed.
 func (d *Discovery) Update(members ...Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
 	for _, m := range members {
-		if _, known := d.members[m.ID]; !known {
-			d.order = append(d.order, m.ID)
-		}
-		d.members[m.ID] = m
-		if m.Phase == "gone" {
-			delete(d.members, m.ID)
-			for i, id := range d.order {
-				if id == m.ID {
-					d.order = append(d.order[:i:i], d.order[i+1:]...)
-					break
-				}
-			}
-		}
-		d.changes = append(d.changes, change{d.revision, m})
+		d.updateMember(m)
+		d.deltas = append(d.deltas, delta{d.revision, m})
 	}
-	if n := len(d.changes); n > 10_000 {
-		d.changes = append([]change(nil), d.changes[n-5000:]...)
+	if len(d.deltas) > maxDeltas {
+		d.deltas = slices.Clone(d.deltas[len(d.deltas)-keptDeltas:])
 	}
 	for _, m := range members {
-		d.bind(m)
+		d.scheduleBound(m)
+	}
+	d.wakeWatches()
+}
+
+// updateMember changes the list. The mutex is held.
+func (d *Discovery) updateMember(m Member) {
+	_, known := d.members[m.ID]
+	if !known {
+		d.order = append(d.order, m.ID)
+	}
+	d.members[m.ID] = m
+	if m.Phase == phaseGone {
+		delete(d.members, m.ID)
+		d.order = slices.DeleteFunc(d.order, func(id string) bool { return id == m.ID })
 	}
-	d.stir()
 }
 
-func (d *Discovery) stir() {
-	close(d.wake)
-	d.wake = make(chan struct{})
+// wakeWatches has all watches look at the list. The mutex is held.
+func (d *Discovery) wakeWatches() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// List is the whole list as it stands.
+// List returns a snapshot of the list with its revision.
 func (d *Discovery) List() (int64, []Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list()
+	return d.revision, d.snapshot()
 }
 
-func (d *Discovery) list() (int64, []Member) {
-	out := []Member{}
+// snapshot is the list. The mutex is held.
+func (d *Discovery) snapshot() []Member {
+	members := make([]Member, 0, len(d.order))
 	for _, id := range d.order {
-		out = append(out, d.members[id])
+		members = append(members, d.members[id])
 	}
-	return d.revision, out
+	return members
+}
+
+// LastKnown is the list as a node that starts now knows it from before: the present one, or the one from when discovery
+// went down.
+func (d *Discovery) LastKnown() []Member {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.down {
+		return d.lastSnapshot
+	}
+	return d.snapshot()
 }
 
-// SetDelay makes every word wait that long before it is written.
+// reachable returns the list, and whether discovery can be reached.
+func (d *Discovery) reachable() ([]Member, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.snapshot(), !d.down
+}
+
+// SetDelay delays each message by that much.
 func (d *Discovery) SetDelay(by time.Duration) {
 	d.mu.Lock()
+	defer d.mu.Unlock()
 	d.delay = by
-	d.mu.Unlock()
 }
 
-// SetDown ends all watches and refuses new ones, or comes back.
-func (d *Discovery) SetDown(gone bool) {
+// SetWorkQueue makes it answer calls one after another, each of which takes that much work, and reject a call whose
+// answer would take longer than maxWait. A work of 0 ends that.
+func (d *Discovery) SetWorkQueue(work, maxWait time.Duration) {
 	d.mu.Lock()
-	if gone && !d.gone {
-		_, d.known = d.list()
-	}
-	d.gone = gone
-	if !gone {
-		d.back = time.Now()
-	}
-	var all []net.Conn
-	for _, o := range d.doors {
-		for c := range o.conns {
-			all = append(all, c)
-		}
-	}
-	d.mu.Unlock()
-	if gone {
-		for _, c := range all {
-			reset(c)
-		}
-	}
+	defer d.mu.Unlock()
+	d.queue = callQueue{work: work, maxWait: maxWait}
 }
 
-// Replay writes the oldest changes again to every watch, under their old revisions, as a stream that was cut and
-// resumed at the wrong place would.
-func (d *Discovery) Replay() {
+// RejectedCalls is the number of calls rejected since the last SetWorkQueue.
+func (d *Discovery) RejectedCalls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, ch := range d.changes[:min(50, len(d.changes))] {
-		for _, o := range d.doors {
-			for c, state := range o.conns {
-				if state == watching {
-					c.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
-					chunk(c, message(ch.revision, false, []Member{ch.member}))
-				}
-			}
-		}
-	}
+	return d.queue.rejected
 }
 
-// MuteWatches makes the watches that stand say nothing any more, as a path that is cut does. Calls are answered as before.
-func (d *Discovery) MuteWatches() {
+// SetDown resets all connections and every new one, or ends that.
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, o := range d.doors {
-		for c, state := range o.conns {
-			if state == watching {
-				o.conns[c] = silent
-			}
-		}
+	if down && !d.down {
+		d.lastSnapshot = d.snapshot()
+	}
+	d.down = down
+	if !down {
+		d.upSince = time.Now()
+		return
 	}
-	d.stir()
+	d.eachConn(func(conn net.Conn, _ *connState) { reset(conn) })
 }
 
-// ResetWatches resets the watches that stand.
-func (d *Discovery) ResetWatches() {
+// Replay sends the oldest deltas to every watch again, under their old revisions, as a stream that was cut and resumed
+// at the wrong place would.
+func (d *Discovery) Replay() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, o := range d.doors {
-		for c, state := range o.conns {
-			if state != calling {
-				reset(c)
+	for _, old := range d.deltas[:min(maxReplayed, len(d.deltas))] {
+		text := encodeList(old.revision, false, []Member{old.member})
+		d.eachConn(func(conn net.Conn, state *connState) {
+			if *state != connWatching {
+				return
 			}
-		}
+			conn.SetWriteDeadline(time.Now().Add(replayTimeout))
+			writeChunk(conn, text)
+		})
 	}
 }
 
-// SetWorkQueue has it work through calls in turn; work 0 ends that.
-func (d *Discovery) SetWorkQueue(work, most time.Duration) {
+// MuteWatches makes the present watches silent, as a network path that is cut does. Calls are answered as before.
+func (d *Discovery) MuteWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.queue = callQueue{work: work, most: most}
+	d.eachConn(func(_ net.Conn, state *connState) {
+		if *state == connWatching {
+			*state = connMuted
+		}
+	})
+	d.wakeWatches()
 }
 
-// RejectedCalls counts the calls that it refused since the last Queue.
-func (d *Discovery) RejectedCalls() int {
+// ResetWatches resets the present watches.
+func (d *Discovery) ResetWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.queue.refused
+	d.eachConn(func(conn net.Conn, state *connState) {
+		if *state != connCalling {
+			reset(conn)
+		}
+	})
 }
 
-// LastKnown is the list as a node that starts now has it from before: of now, or of when discovery was last reached.
-func (d *Discovery) LastKnown() []Member {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.gone {
-		return d.known
+// eachConn calls a function for each connection of each listener. The mutex is held.
+func (d *Discovery) eachConn(f func(conn net.Conn, state *connState)) {
+	for _, l := range d.listeners {
+		for conn, state := range l.conns {
+			f(conn, state)
+		}
 	}
-	_, members := d.list()
-	return members
 }
 
-// Stop ends all of it.
+// Stop closes all listeners and connections.
 func (d *Discovery) Stop() {
 	d.SetDown(true)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopped = true
-	for _, o := range d.doors {
-		o.ln.Close()
+	for _, l := range d.listeners {
+		l.listener.Close()
 	}
 }
--- a/internal/lab/standin/discovery_test.go
+++ b/internal/lab/standin/discovery_test.go
@@ -16,18 +16,19 @@
 	"robincart/internal/lab/wire"
 )
 
-// watch opens a watch at a door and returns the lines that it brings.
-func watch(t *testing.T, door *DiscoveryListener, since int64) (lines *bufio.Scanner, c net.Conn) {
-	c, err := net.Dial("tcp", door.Addr())
+// openWatch opens a watch at a listener and returns the lines that it receives, and its connection.
+func openWatch(t *testing.T, listener *DiscoveryListener, since int64) (*bufio.Scanner, net.Conn) {
+	t.Helper()
+	conn, err := net.Dial("tcp", listener.Addr())
 	require.NoError(t, err)
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c, "GET /registry/instances?follow=1&since=%d HTTP/1.1\r\nHost: lab\r\n\r\n", since)
-	return bufio.NewScanner(c), c
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	fmt.Fprintf(conn, "GET /registry/instances?follow=1&since=%d HTTP/1.1\r\nHost: lab\r\n\r\n", since)
+	return bufio.NewScanner(conn), conn
 }
 
-// next is the next line that holds a message; empty at the connection's end.
-func next(lines *bufio.Scanner) string {
+// nextMessage is the next line with a message; empty at the connection's end.
+func nextMessage(lines *bufio.Scanner) string {
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "{") {
 			return lines.Text()
@@ -36,87 +37,101 @@
 	return ""
 }
 
-func listening(t *testing.T, watches Watch) (*Discovery, *DiscoveryListener) {
+// startDiscovery starts a discovery with one ready server, and a listener for one node.
+func startDiscovery(t *testing.T, mode Watch) (*Discovery, *DiscoveryListener) {
+	t.Helper()
 	d := NewDiscovery(&judge.Ledger{}, time.Now())
-	d.Every, d.Watch, d.Wait = 20*time.Millisecond, watches, 200*time.Millisecond
-	d.Update(Member{ID: "a", Addr: "127.0.0.1:1", Phase: "ready", Index: 1})
-	door, err := d.Listen(3, "127.0.0.1:0")
+	d.Every, d.Watch, d.Wait = 20*time.Millisecond, mode, 200*time.Millisecond
+	d.Update(Member{ID: "a", Addr: "127.0.0.1:1", Phase: phaseReady, Index: 1})
+	listener, err := d.Listen(3, "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(d.Stop)
-	return d, door
+	return d, listener
 }
 
-func TestDiscoveryTellsOfChangesInThreeWays(t *testing.T) {
-	for watches, messages := range map[Watch]int{WatchStreams: 3, WatchWaits: 2, WatchEndsWithList: 1} {
-		d, door := listening(t, watches)
-		lines, c := watch(t, door, 0)
-		require.Contains(t, next(lines), `"complete":true`)
-		for n := 1; n < messages; n++ {
-			d.Update(Member{ID: "a", Addr: "127.0.0.1:1", Phase: "draining", Index: 1})
-			assert.Contains(t, next(lines), "draining")
-		}
-		if watches == WatchStreams {
-			c.Close()
-		}
-		assert.Empty(t, next(lines), "the watch has ended")
+func TestDiscovery_WatchModes(t *testing.T) {
+	for name, c := range map[string]struct {
+		mode     Watch
+		messages int
+	}{
+		"streams":        {WatchStreams, 3},
+		"waits":          {WatchWaits, 2},
+		"ends with list": {WatchEndsWithList, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			d, listener := startDiscovery(t, c.mode)
+			lines, conn := openWatch(t, listener, 0)
+			require.Contains(t, nextMessage(lines), `"complete":true`)
+			for n := 1; n < c.messages; n++ {
+				d.Update(Member{ID: "a", Addr: "127.0.0.1:1", Phase: phaseDraining, Index: 1})
+				assert.Contains(t, nextMessage(lines), "draining")
+			}
+			if c.mode == WatchStreams {
+				conn.Close()
+			}
+			assert.Empty(t, nextMessage(lines), "the watch has ended")
+		})
 	}
-	_, door := listening(t, WatchWaits)
-	lines, _ := watch(t, door, 0)
-	assert.NotEmpty(t, next(lines))
-	assert.Empty(t, next(lines), "a watch that waits ends in time where nothing changes")
+	t.Run("waits without a change", func(t *testing.T) {
+		_, listener := startDiscovery(t, WatchWaits)
+		lines, _ := openWatch(t, listener, 0)
+		assert.NotEmpty(t, nextMessage(lines))
+		assert.Empty(t, nextMessage(lines), "the watch ends in time")
+	})
 }
 
-func TestASilentWatchStaysOpenAndTellsNothing(t *testing.T) {
-	d, door := listening(t, WatchStreams)
-	lines, c := watch(t, door, 0)
-	require.NotEmpty(t, next(lines))
+func TestDiscovery_MuteWatches(t *testing.T) {
+	d, listener := startDiscovery(t, WatchStreams)
+	lines, conn := openWatch(t, listener, 0)
+	require.NotEmpty(t, nextMessage(lines))
 	d.MuteWatches()
-	d.Update(Member{ID: "a", Addr: "127.0.0.1:1", Phase: "draining", Index: 1})
-	c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-	assert.Empty(t, next(lines))
-	_, err := c.Write([]byte("x"))
+	d.Update(Member{ID: "a", Addr: "127.0.0.1:1", Phase: phaseDraining, Index: 1})
+	conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
+	assert.Empty(t, nextMessage(lines))
+	_, err := conn.Write([]byte("x"))
 	assert.NoError(t, err, "it is still open")
-	lines, _ = watch(t, door, 0)
-	assert.Contains(t, next(lines), "draining", "another one is told")
+	lines, _ = openWatch(t, listener, 0)
+	assert.Contains(t, nextMessage(lines), "draining", "another watch is notified")
 }
 
-func TestABusyDiscoveryRefusesWhoWouldWaitTooLong(t *testing.T) {
-	d, door := listening(t, WatchStreams)
+func TestDiscovery_RejectsWhenBusy(t *testing.T) {
+	d, listener := startDiscovery(t, WatchStreams)
 	d.SetWorkQueue(time.Hour, time.Minute)
-	c, err := net.Dial("tcp", door.Addr())
+	conn, err := net.Dial("tcp", listener.Addr())
 	require.NoError(t, err)
-	defer c.Close()
-	fmt.Fprint(c, "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nHost: lab\r\n\r\n")
-	answer, err := wire.ReadResponse(bufio.NewReader(c))
+	t.Cleanup(func() { conn.Close() })
+	fmt.Fprint(conn, "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nHost: lab\r\n\r\n")
+	answer, err := wire.ReadResponse(bufio.NewReader(conn))
 	require.NoError(t, err)
 	assert.Equal(t, 503, answer.Status)
 	assert.Equal(t, 1, d.RejectedCalls())
 }
 
-func TestCallsAreWorkedThroughInTurn(t *testing.T) {
+func TestCallQueue_Admit(t *testing.T) {
 	now := time.Unix(0, 0)
-	q := callQueue{work: 300 * time.Millisecond, most: time.Second}
+	queue := callQueue{work: 300 * time.Millisecond, maxWait: time.Second}
 	for _, want := range []time.Duration{300, 600, 900} {
-		wait, taken := q.take(now)
-		assert.True(t, taken)
+		wait, admitted := queue.admit(now)
+		assert.True(t, admitted)
 		assert.Equal(t, want*time.Millisecond, wait)
 	}
-	_, taken := q.take(now)
-	assert.False(t, taken)
-	wait, taken := q.take(now.Add(400 * time.Millisecond))
-	assert.True(t, taken)
-	assert.Equal(t, 800*time.Millisecond+q.work/refusalShare, wait, "a refusal costs a little")
-	wait, taken = (&callQueue{}).take(now)
-	assert.True(t, taken)
-	assert.Zero(t, wait, "without work nobody waits")
+	_, admitted := queue.admit(now)
+	assert.False(t, admitted)
+	wait, admitted := queue.admit(now.Add(400 * time.Millisecond))
+	assert.True(t, admitted)
+	assert.Equal(t, 800*time.Millisecond+queue.work/rejectionCost, wait, "a rejection costs a little")
+	wait, admitted = (&callQueue{}).admit(now)
+	assert.True(t, admitted)
+	assert.Zero(t, wait, "without work no call waits")
 }
 
-// What no node has been told binds all of them in time: the ledger then holds who still sends there.
-func TestAChangeCountsAsToldSoLongAfterItCouldBeReached(t *testing.T) {
-	draining := Member{ID: "a", Phase: "draining", Index: 1}
-	for name, x := range map[string]struct {
+// A change that no node was notified of counts as notified to all of them in time: the ledger then shows which of them
+// still send there.
+func TestDiscovery_NotificationBound(t *testing.T) {
+	draining := Member{ID: "a", Phase: phaseDraining, Index: 1}
+	for name, c := range map[string]struct {
 		play func(d *Discovery)
-		due  time.Duration // 0: it never binds
+		due  time.Duration // 0: it never counts as notified
 	}{
 		"reachable": {func(d *Discovery) { d.Update(draining) }, 6 * time.Second},
 		"down": {func(d *Discovery) {
@@ -135,12 +150,12 @@
 		"ready again": {func(d *Discovery) {
 			d.Update(draining)
 			time.Sleep(5 * time.Second)
-			d.Update(Member{ID: "a", Phase: "ready", Index: 1})
+			d.Update(Member{ID: "a", Phase: phaseReady, Index: 1})
 		}, 0},
 		"replaced": {func(d *Discovery) {
 			d.Update(draining)
 			time.Sleep(5 * time.Second)
-			d.Update(Member{ID: "a", Phase: "gone", Index: 1})
+			d.Update(Member{ID: "a", Phase: phaseGone, Index: 1})
 		}, 11 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -149,20 +164,20 @@
 				log := &judge.Ledger{}
 				d := NewDiscovery(log, begin)
 				d.Bound = 6 * time.Second
-				d.doors = []*DiscoveryListener{{d: d, node: 3}, {d: d, node: 4}}
-				x.play(d)
+				d.listeners = []*DiscoveryListener{{discovery: d, node: 3}, {discovery: d, node: 4}}
+				c.play(d)
 				time.Sleep(time.Minute)
-				words := log.Notifications()
-				if x.due == 0 {
-					assert.Empty(t, words)
+				notifications := log.Notifications()
+				if c.due == 0 {
+					assert.Empty(t, notifications)
 					return
 				}
-				require.Len(t, words, 2)
-				for i, word := range words {
-					assert.Equal(t, int32(3+i), word.Node)
-					assert.Equal(t, int32(1), word.Server)
-					assert.NotEqual(t, judge.Ready, word.State)
-					assert.Equal(t, x.due, word.At)
+				require.Len(t, notifications, 2)
+				for i, notification := range notifications {
+					assert.Equal(t, int32(3+i), notification.Node)
+					assert.Equal(t, int32(1), notification.Server)
+					assert.NotEqual(t, judge.Ready, notification.State)
+					assert.Equal(t, c.due, notification.At)
 				}
 			})
 		})
--- a/internal/lab/standin/node_test.go
+++ b/internal/lab/standin/freeaddress_test.go
@@ -8,10 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Between the finding and the listening, other listeners and connections come and go: none of theirs is the one found.
-func TestAFreeAddressIsNoneThatTheKernelGivesToOthers(t *testing.T) {
-	first := firstGiven()
-	if first <= 12_000 { // there is no room below: the kernel names one, which can be listened on
+// Between the choice of an address and the listening there, other listeners and connections come and go: none of them
+// may get the port chosen.
+func TestFreeAddress_BelowEphemeralPorts(t *testing.T) {
+	first := firstEphemeralPort()
+	if first <= minPort+minPortRange { // there are no ports below: the kernel chooses one that is free
 		addr, err := FreeAddress("127.0.0.1")
 		require.NoError(t, err)
 		ln, err := net.Listen("tcp", addr)
@@ -27,7 +28,7 @@
 		require.NoError(t, err)
 		assert.Less(t, at.Port, first)
 		assert.Greater(t, at.Port, 1023)
-		assert.False(t, seen[at.Port], "named twice while nobody listened")
+		assert.False(t, seen[at.Port], "chosen twice while nobody listened")
 		seen[at.Port] = true
 	}
 }
--- a/internal/lab/standin/golden_test.go
+++ b/internal/lab/standin/golden_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// A list, and a watch's changes, are told so.
-func TestMessage_Golden(t *testing.T) {
+// A snapshot, and a delta.
+func TestEncodeList_Golden(t *testing.T) {
 	var read struct {
 		Revision int64    `json:"revision"`
 		Complete bool     `json:"complete"`
@@ -46,8 +46,8 @@
 	assert.Equal(t, int64(301), read.Revision)
 	assert.True(t, read.Complete)
 	assert.Equal(t, goldenMembers(), read.Members)
-	labtest.RequireGolden(t, "list.json", message(read.Revision, read.Complete, read.Members))
-	labtest.RequireGolden(t, "empty-change.json", message(302, false, nil))
+	labtest.RequireGolden(t, "list.json", encodeList(read.Revision, read.Complete, read.Members))
+	labtest.RequireGolden(t, "empty-change.json", encodeList(302, false, nil))
 }
 
 func TestMember_GoldenShowsEveryField(t *testing.T) {
@@ -72,56 +72,58 @@
 	labtest.RequireGolden(t, "node.json", written)
 }
 
-// answerOnce takes one connection, returns what comes on it up to so many bytes, and answers.
-func answerOnce(ln net.Listener, size int, answer string) []byte {
-	c, err := ln.Accept()
+// respondOnce accepts one connection, returns the first bytes received on it, and responds.
+func respondOnce(ln net.Listener, size int, response string) []byte {
+	conn, err := ln.Accept()
 	if err != nil {
 		return nil
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	got := make([]byte, size)
-	n, _ := io.ReadFull(c, got)
-	io.WriteString(c, answer)
-	return got[:n]
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	received := make([]byte, size)
+	n, _ := io.ReadFull(conn, received)
+	io.WriteString(conn, response)
+	return received[:n]
 }
 
 // An operator's call on a server.
 func TestNode_GoldenOperatorCall(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer ln.Close()
+	t.Cleanup(func() { ln.Close() })
 	golden := labtest.ReadGolden(t, "operator-call.http")
-	asked := make(chan []byte, 1)
-	go func() { asked <- answerOnce(ln, len(golden), "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n") }()
+	received := make(chan []byte, 1)
+	go func() {
+		received <- respondOnce(ln, len(golden), "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n")
+	}()
 	n := &Node{Config: map[string]any{"admin_addr": ln.Addr().String()}}
 	assert.Equal(t, 409, n.Call("/_servers/detach", "s0-1"))
-	labtest.RequireGolden(t, "operator-call.http", <-asked)
+	labtest.RequireGolden(t, "operator-call.http", <-received)
 }
 
-// What servers answer: to a request, to one that they turn away, to one that no caller of the lab sent, and their
+// A server's responses: to a request, to one that no client of the lab sent and to one that it rejects, and its load
 // report.
 func TestServer_GoldenAnswers(t *testing.T) {
 	s := &Server{Kind: Kind{Cores: 1}, Index: 501, Log: &judge.Ledger{}, Begin: time.Now()}
 	require.NoError(t, s.Start("127.0.0.1:0"))
-	defer s.Stop()
-	ask := func(request string) []byte {
-		c, err := net.Dial("tcp", s.Addr())
+	t.Cleanup(s.Stop)
+	send := func(request string) []byte {
+		conn, err := net.Dial("tcp", s.Addr())
 		require.NoError(t, err)
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(10 * time.Second))
-		_, err = io.WriteString(c, request)
+		defer conn.Close()
+		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		_, err = io.WriteString(conn, request)
 		require.NoError(t, err)
-		require.NoError(t, c.(*net.TCPConn).CloseWrite())
-		answer, err := io.ReadAll(c)
+		require.NoError(t, conn.(*net.TCPConn).CloseWrite())
+		response, err := io.ReadAll(conn)
 		require.NoError(t, err)
-		return answer
+		return response
 	}
 	const known = "GET /find HTTP/1.1\r\nHost: lab\r\n" +
 		"X-Trace-Id: 0000000000000901\r\nX-Qos: find\r\nX-Expires-In-Ms: 1000\r\n\r\n"
-	labtest.RequireGolden(t, "answer.http", ask(known))
-	labtest.RequireGolden(t, "stranger.http", ask("GET /find HTTP/1.1\r\nHost: lab\r\n\r\n"))
-	labtest.RequireGolden(t, "report.http", ask("GET /stats HTTP/1.1\r\nHost: lab\r\n\r\n"))
+	labtest.RequireGolden(t, "answer.http", send(known))
+	labtest.RequireGolden(t, "stranger.http", send("GET /find HTTP/1.1\r\nHost: lab\r\n\r\n"))
+	labtest.RequireGolden(t, "report.http", send("GET /stats HTTP/1.1\r\nHost: lab\r\n\r\n"))
 	s.Drain(time.Now().Add(-time.Second))
-	labtest.RequireGolden(t, "turned-away.http", ask(known))
+	labtest.RequireGolden(t, "turned-away.http", send(known))
 }
--- a/internal/lab/standin/innerclient.go
+++ b/internal/lab/standin/innerclient.go
@@ -2,8 +2,10 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"net"
+	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -13,7 +15,14 @@
 	"robincart/internal/lab/wire"
 )
 
-// InnerClient is a server as the only client of its own node: to answer a request it calls the tier behind through it.
+const (
+	// dialTimeout bounds a connect to a node or a server.
+	dialTimeout = time.Second
+	// idleCheckTime is how long an idle connection is read from, to see whether the node has closed it.
+	idleCheckTime = 50 * time.Microsecond
+)
+
+// InnerClient is a server as the only client of its own node, by which it calls the tier behind it.
 type InnerClient struct {
 	Node    int32
 	Addr    string
@@ -21,116 +30,179 @@
 	Begin   time.Time
 	Methods map[string]uint16
 	Repeats []judge.Idempotency
-	Number  *atomic.Uint32 // of inner calls, one series a run
-	Slack   time.Duration
-	Excused func(since time.Duration) bool // the node was ended together with its server
+	Number  *atomic.Uint32 // of the last inner call in the run
+	Slack   time.Duration  // how long past its deadline a response is waited for
+	Excused func(since time.Duration) bool
 
 	mu   sync.Mutex
 	idle []*innerConn
 }
 
+// innerConn is a connection to the node.
 type innerConn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-// Call makes one call and returns whether it ended ok. The call is a new request with a new id and what is left of
-// the time; its mark follows from the caller's, so that a repeat of the outer request repeats the inner ones.
-func (k *InnerClient) Call(q *wire.Request, n int, until time.Time) bool {
-	method := q.Header.Get(wire.Method)
-	t := judge.ClientAttempt{ID: judge.ID{Call: k.Number.Add(1), Inner: true}, Method: k.Methods[method], Node: k.Node}
-	t.Planned = time.Since(k.Begin)
-	t.Handed, t.Until = t.Planned, until.Sub(k.Begin)
-	left := time.Until(until)
-	if left <= 0 {
+// Call makes the n-th inner call for a request, and returns whether it ended OK. It is a request of its own, with a new
+// id and the time that is left. Its idempotency key is derived from the request's, so that a repeat of the request
+// repeats its inner calls.
+func (i *InnerClient) Call(request *wire.Request, n int, deadline time.Time) bool {
+	attempt := judge.ClientAttempt{
+		ID:      judge.ID{Call: i.Number.Add(1), Inner: true},
+		Method:  i.Methods[request.Header.Get(wire.Method)],
+		Node:    i.Node,
+		Planned: i.now(),
+		Until:   deadline.Sub(i.Begin),
+	}
+	attempt.Handed = attempt.Planned
+	timeLeft := time.Until(deadline)
+	if timeLeft <= 0 {
 		return false
 	}
-	c, err := k.take()
+	conn, err := i.takeConn()
 	if err != nil {
-		t.Answered, t.Outcome = time.Since(k.Begin), judge.NotConnected
-		k.Log.AddAttempt(t)
+		attempt.Answered, attempt.Outcome = i.now(), judge.NotConnected
+		i.Log.AddAttempt(attempt)
 		return false
 	}
-	var b strings.Builder
-	id := wire.ID{Call: t.Call, Inner: true}
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: lab\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\n", q.Verb, q.Target, wire.Trace, id, wire.Method, method,
-		wire.Left, max(1, left.Milliseconds()))
-	if tenant := q.Header.Get(wire.Tenant); tenant != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", wire.Tenant, tenant)
+	id := wire.ID{Call: attempt.Call, Inner: true}
+	text := encodeInnerCall(request, id, n, timeLeft)
+	conn.SetDeadline(deadline.Add(i.Slack))
+	attempt.Sent = i.now()
+	response, err := conn.exchange(text)
+	attempt.Answered = i.now()
+	if err != nil {
+		conn.Close()
+		attempt.Outcome = i.failureOutcome(attempt.Sent, deadline)
+		if attempt.Outcome == judge.Lost {
+			attempt.Answered = attempt.Until
+		}
+		i.Log.AddAttempt(attempt)
+		return false
 	}
-	if mark := q.Header.Get(wire.Key); mark != "" {
-		fmt.Fprintf(&b, "%s: %s.%d\r\n", wire.Key, mark, n)
+	attempt.Outcome = responseOutcome(response.Status)
+	attempt.Foreign = attempt.Outcome == judge.OK && !strings.Contains(string(response.Body), id.String())
+	if conn.reader.Buffered() > 0 {
+		attempt.Extra = 1
 	}
-	if q.Verb != "GET" {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(q.Body))
+	i.Log.AddAttempt(attempt)
+	if response.Close || attempt.Extra > 0 {
+		conn.Close()
+	} else {
+		i.putConn(conn)
 	}
-	b.WriteString("\r\n")
-	c.SetDeadline(until.Add(k.Slack))
-	t.Sent = time.Since(k.Begin)
-	_, err = c.Write(append([]byte(b.String()), q.Body...))
-	var p *wire.Response
-	if err == nil {
-		p, err = wire.ReadResponse(c.r)
-	}
-	t.Answered = time.Since(k.Begin)
+	return attempt.Outcome == judge.OK
+}
+
+func (i *InnerClient) now() time.Duration { return time.Since(i.Begin) }
+
+// failureOutcome is the outcome of a call that got no response.
+func (i *InnerClient) failureOutcome(sent time.Duration, deadline time.Time) judge.Outcome {
 	switch {
-	case err != nil && k.Excused(t.Sent):
-		t.Outcome = judge.Excused
-	case err != nil && time.Now().Before(until):
-		t.Outcome = judge.Crossed
-	case err != nil:
-		t.Outcome, t.Answered = judge.Lost, t.Until
-	case p.Status == 200:
-		t.Outcome, t.Foreign = judge.OK, !strings.Contains(string(p.Body), id.String())
-	case p.Status == 503 || p.Status == 429:
-		t.Outcome = judge.PushedBack
+	case i.Excused(sent):
+		return judge.Excused // the node was ended together with its server
+	case time.Now().Before(deadline):
+		return judge.Crossed
 	default:
-		t.Outcome = judge.Aborted
+		return judge.Lost
 	}
-	if err == nil && c.r.Buffered() > 0 {
-		t.Extra = 1
+}
+
+// responseOutcome is the outcome of a request that got a response.
+func responseOutcome(status int) judge.Outcome {
+	switch status {
+	case 200:
+		return judge.OK
+	case 429, 503:
+		return judge.PushedBack
+	default:
+		return judge.Aborted
 	}
-	k.Log.AddAttempt(t)
-	if err != nil || p.Close || t.Extra > 0 {
-		c.Close()
-	} else {
-		k.mu.Lock()
-		k.idle = append(k.idle, c)
-		k.mu.Unlock()
+}
+
+// encodeInnerCall is the n-th inner call for a request.
+func encodeInnerCall(request *wire.Request, id wire.ID, n int, timeLeft time.Duration) []byte {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: lab\r\n", request.Verb, request.Target)
+	fmt.Fprintf(&b, "%s: %s\r\n", wire.Trace, id)
+	fmt.Fprintf(&b, "%s: %s\r\n", wire.Method, request.Header.Get(wire.Method))
+	fmt.Fprintf(&b, "%s: %d\r\n", wire.Left, max(1, timeLeft.Milliseconds()))
+	if tenant := request.Header.Get(wire.Tenant); tenant != "" {
+		fmt.Fprintf(&b, "%s: %s\r\n", wire.Tenant, tenant)
+	}
+	if key := request.Header.Get(wire.Key); key != "" {
+		fmt.Fprintf(&b, "%s: %s.%d\r\n", wire.Key, key, n)
+	}
+	if request.Verb != "GET" {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(request.Body))
+	}
+	b.WriteString("\r\n")
+	return append([]byte(b.String()), request.Body...)
+}
+
+// exchange sends one request and reads its response.
+func (i *innerConn) exchange(request []byte) (*wire.Response, error) {
+	if _, err := i.Write(request); err != nil {
+		return nil, err
 	}
-	return t.Outcome == judge.OK
+	return wire.ReadResponse(i.reader)
 }
 
-func (k *InnerClient) take() (*innerConn, error) {
+// takeConn takes an idle connection, or opens one.
+func (i *InnerClient) takeConn() (*innerConn, error) {
 	for {
-		k.mu.Lock()
-		n := len(k.idle)
-		if n == 0 {
-			k.mu.Unlock()
-			c, err := net.DialTimeout("tcp", k.Addr, time.Second)
-			if err != nil {
-				return nil, err
-			}
-			return &innerConn{c, bufio.NewReader(c)}, nil
+		conn := i.takeIdle()
+		if conn == nil {
+			return i.dial()
 		}
-		c := k.idle[n-1]
-		k.idle = k.idle[:n-1]
-		k.mu.Unlock()
-		// One that the node has closed meanwhile would take a request and lose it.
-		c.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-		if _, err := c.r.Peek(1); err != nil && strings.Contains(err.Error(), "timeout") {
-			return c, nil
+		if conn.usable() {
+			return conn, nil
 		}
-		c.Close()
+		conn.Close()
 	}
 }
 
-// Close ends its connections.
-func (k *InnerClient) Close() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, c := range k.idle {
-		c.Close()
+func (i *InnerClient) takeIdle() *innerConn {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	last := len(i.idle) - 1
+	if last < 0 {
+		return nil
+	}
+	conn := i.idle[last]
+	i.idle = i.idle[:last]
+	return conn
+}
+
+func (i *InnerClient) dial() (*innerConn, error) {
+	conn, err := net.DialTimeout("tcp", i.Addr, dialTimeout)
+	if err != nil {
+		return nil, err
+	}
+	return &innerConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
+}
+
+// usable returns whether the node has neither closed the connection nor sent anything on it. A request on one that it
+// has closed would be lost.
+func (i *innerConn) usable() bool {
+	i.SetReadDeadline(time.Now().Add(idleCheckTime))
+	_, err := i.reader.Peek(1)
+	return errors.Is(err, os.ErrDeadlineExceeded)
+}
+
+func (i *InnerClient) putConn(conn *innerConn) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.idle = append(i.idle, conn)
+}
+
+// Close closes the idle connections.
+func (i *InnerClient) Close() {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	for _, conn := range i.idle {
+		conn.Close()
 	}
-	k.idle = nil
+	i.idle = nil
 }
--- a/internal/lab/standin/misbehaving_test.go
+++ b/internal/lab/standin/misbehaving_test.go
@@ -17,47 +17,56 @@
 	"robincart/internal/lab/load"
 )
 
-// A request that a node resets unread is lost, but for one that stood in its listener's queue as that closed.
-func TestRudeClients_ResetUnread(t *testing.T) {
+// A request that a node resets unread is lost, unless its connection was in the listener's queue when that closed.
+func TestMisbehavingClients_ResetUnread(t *testing.T) {
 	t.Parallel()
 	closeListener := func(ln net.Listener) { ln.Close() }
 	for _, c := range []struct {
-		name string
-		node func(net.Listener)
-		end  judge.Outcome
+		name    string
+		node    func(net.Listener)
+		outcome judge.Outcome
 	}{
 		{"listener closed with the connection in its queue", closeListener, judge.Crossed},
 		{"connection closed while the listener stays", acceptAndReset(false, 0), judge.Lost},
-		{"connection closed long after its connect, and the listener too", acceptAndReset(true, 2*listenerCloseWindow), judge.Lost},
+		{"connection closed long after its connect, and the listener too", acceptAndReset(true, 2*maxListenerCloseTime), judge.Lost},
 	} {
-		for kind, play := range map[string]func(*MisbehavingClients, context.Context){"hasty": (*MisbehavingClients).hasty, "pipeline": (*MisbehavingClients).pipeline} {
+		for kind, play := range map[string]func(*MisbehavingClients, context.Context){
+			"hurry":    (*MisbehavingClients).hurry,
+			"pipeline": (*MisbehavingClients).pipeline,
+		} {
 			t.Run(c.name+"/"+kind, func(t *testing.T) {
 				t.Parallel()
 				ln := listenDeferred(t)
 				log := &judge.Ledger{}
-				r := &MisbehavingClients{Begin: time.Now(), Dest: load.Destination{Addr: ln.Addr().String()}, Log: log, Calls: &atomic.Uint32{},
-					Excused: func(time.Duration) bool { return false }, Lasting: 5 * time.Second}
+				clients := &MisbehavingClients{
+					Begin:   time.Now(),
+					Dest:    load.Destination{Addr: ln.Addr().String()},
+					Log:     log,
+					Calls:   &atomic.Uint32{},
+					Excused: func(time.Duration) bool { return false },
+					Lasting: 5 * time.Second,
+				}
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
-					play(r, t.Context())
+					play(clients, t.Context())
 				}()
 				awaitQueued(t, ln)
 				c.node(ln)
 				<-done
-				ends := map[judge.ID]judge.Outcome{}
-				log.EachAttempt(func(try judge.ClientAttempt) { ends[try.ID] = try.Outcome })
-				require.Contains(t, ends, judge.ID{Call: rudeCalls + 1})
-				assert.Equal(t, c.end, ends[judge.ID{Call: rudeCalls + 1}], "its first request")
+				outcomes := map[judge.ID]judge.Outcome{}
+				log.EachAttempt(func(attempt judge.ClientAttempt) { outcomes[attempt.ID] = attempt.Outcome })
+				require.Contains(t, outcomes, judge.ID{Call: firstMisbehavingCall + 1})
+				assert.Equal(t, c.outcome, outcomes[judge.ID{Call: firstMisbehavingCall + 1}], "its first request")
 			})
 		}
 	}
 }
 
-// acceptAndReset takes the connection and resets it after a while, with what it brought unread.
+// acceptAndReset accepts the connection and resets it after a while, without reading from it.
 func acceptAndReset(closeListener bool, after time.Duration) func(net.Listener) {
 	return func(ln net.Listener) {
-		c, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
@@ -65,11 +74,11 @@
 		if closeListener {
 			ln.Close()
 		}
-		reset(c)
+		reset(conn)
 	}
 }
 
-// listenDeferred listens so that a connection stands in the queue only once it has brought bytes.
+// listenDeferred listens so that a connection is queued only once bytes were received on it.
 func listenDeferred(t *testing.T) *net.TCPListener {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -85,7 +94,7 @@
 	return ln.(*net.TCPListener)
 }
 
-// awaitQueued waits until a connection stands in a listener's queue.
+// awaitQueued waits until a connection is in a listener's queue.
 func awaitQueued(t *testing.T, ln *net.TCPListener) {
 	t.Helper()
 	raw, err := ln.SyscallConn()
--- a/internal/lab/standin/proxy.go
+++ b/internal/lab/standin/proxy.go
@@ -9,40 +9,46 @@
 	"time"
 )
 
-// Proxy carries connections from nodes to one server, byte by byte, and makes the network between them fail.
+// Proxy is the network between the nodes and one server: it copies the bytes of their connections, and fails by order.
 type Proxy struct {
-	server func() string // where the server listens now
-
-	ln      net.Listener
-	mu      sync.Mutex
-	pairs   map[*pair]struct{}
-	closed  bool
-	muted   atomic.Bool
-	trickle atomic.Int64 // nanoseconds between pieces; 0: bytes go on as they come
+	serverAddr func() string // where the server listens now
+	listener   net.Listener
+	muted      atomic.Bool
+	trickle    atomic.Int64 // nanoseconds before each piece; 0: bytes are copied as they come
+
+	mu     sync.Mutex
+	conns  map[*proxiedConn]struct{}
+	closed bool
 }
 
-// pair is a connection and what carries it on.
-type pair struct{ node, server net.Conn }
+// proxiedConn is a node's connection, and the one to the server that carries it on.
+type proxiedConn struct{ node, server net.Conn }
 
-// trickled is how many bytes go on in one piece while a proxy trickles.
-const trickled = 16
+const (
+	// trickledBytes is the size of a piece while a proxy trickles.
+	trickledBytes = 16
+	// proxyBufferSize is the most that is copied at once.
+	proxyBufferSize = 16 << 10
+	// proxyPause is the pause after a failed accept, and between two looks whether a proxy is still muted.
+	proxyPause = 5 * time.Millisecond
+)
 
-// NewProxy listens on a loopback address.
-func NewProxy(addr string, server func() string) (*Proxy, error) {
-	ln, err := net.Listen("tcp", addr)
+// NewProxy returns a proxy that listens at an address, before a server whose address may change.
+func NewProxy(addr string, serverAddr func() string) (*Proxy, error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{server: server, ln: ln, pairs: map[*pair]struct{}{}}
+	p := &Proxy{serverAddr: serverAddr, listener: listener, conns: map[*proxiedConn]struct{}{}}
 	go p.accept()
 	return p, nil
 }
 
-// Addr is where it listens.
-func (p *Proxy) Addr() string { return p.ln.Addr().String() }
+// Addr is the address that it listens on.
+func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Mute carries nothing on, as a network that is cut; connections stay open and silent. At its end they are reset, so that nothing that was
-// sent before arrives late.
+// Mute copies no bytes, as a network that is cut; the connections stay open. At its end they are reset, so that nothing
+// that was sent before arrives late.
 func (p *Proxy) Mute(on bool) {
 	if !on {
 		p.Cut()
@@ -50,99 +56,123 @@
 	p.muted.Store(on)
 }
 
-// Trickle carries bytes on in small pieces, with a pause after each; 0 ends that.
+// Trickle copies bytes in small pieces, with a pause before each; 0 ends that.
 func (p *Proxy) Trickle(pause time.Duration) { p.trickle.Store(int64(pause)) }
 
-// Cut resets all connections, under requests or not.
+// Cut resets all connections, in use or not.
 func (p *Proxy) Cut() {
 	p.mu.Lock()
-	pairs := p.pairs
-	p.pairs = map[*pair]struct{}{}
+	conns := p.conns
+	p.conns = map[*proxiedConn]struct{}{}
 	p.mu.Unlock()
-	for c := range pairs {
-		reset(c.node)
-		reset(c.server)
+	for conn := range conns {
+		conn.reset()
 	}
 }
 
-// Close ends it.
+// Close closes its listener and resets all connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.ln.Close()
+	p.listener.Close()
 	p.Cut()
 }
 
+// accept accepts connections until the listener is closed.
 func (p *Proxy) accept() {
 	for {
-		c, err := p.ln.Accept()
+		conn, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(5 * time.Millisecond)
+			time.Sleep(proxyPause)
 			continue
 		}
-		go p.carry(c)
+		go p.carry(conn)
 	}
 }
 
 // carry is the life of one connection.
-func (p *Proxy) carry(c net.Conn) {
-	s, err := net.DialTimeout("tcp", p.server(), time.Second)
+func (p *Proxy) carry(node net.Conn) {
+	server, err := net.DialTimeout("tcp", p.serverAddr(), dialTimeout)
 	if err != nil {
-		reset(c)
+		reset(node)
 		return
 	}
-	both := &pair{c, s}
-	p.mu.Lock()
-	if p.closed {
-		p.mu.Unlock()
-		reset(c)
-		reset(s)
+	conn := &proxiedConn{node: node, server: server}
+	if !p.addConn(conn) {
+		conn.reset()
 		return
 	}
-	p.pairs[both] = struct{}{}
-	p.mu.Unlock()
-	var ways sync.WaitGroup
-	ways.Go(func() { p.copy(s, c) })
-	ways.Go(func() { p.copy(c, s) })
-	ways.Wait()
-	c.Close()
-	s.Close()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copy(server, node) })
+	directions.Go(func() { p.copy(node, server) })
+	directions.Wait()
+	node.Close()
+	server.Close()
 	p.mu.Lock()
-	delete(p.pairs, both)
+	delete(p.conns, conn)
 	p.mu.Unlock()
 }
 
-// copy carries one direction on until an end of it; a reset is passed on as one.
+// addConn adds a connection. It returns false if the proxy is closed.
+func (p *Proxy) addConn(conn *proxiedConn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return false
+	}
+	p.conns[conn] = struct{}{}
+	return true
+}
+
+func (p *proxiedConn) reset() {
+	reset(p.node)
+	reset(p.server)
+}
+
+// copy copies one direction until its end. An end is passed on as an end, anything else as a reset.
 func (p *Proxy) copy(to, from net.Conn) {
-	b := make([]byte, 16<<10)
+	buffer := make([]byte, proxyBufferSize)
 	for {
-		n, err := from.Read(b)
+		n, readErr := from.Read(buffer)
 		for p.muted.Load() {
-			time.Sleep(5 * time.Millisecond) // until it is reset
+			time.Sleep(proxyPause) // until the connection is reset
 		}
-		for rest := b[:n]; len(rest) > 0; {
-			piece := rest
-			if pause := time.Duration(p.trickle.Load()); pause > 0 {
-				piece = rest[:min(trickled, len(rest))]
-				time.Sleep(pause)
-			}
-			if _, err := to.Write(piece); err != nil {
-				reset(from)
-				return
-			}
-			rest = rest[len(piece):]
+		if err := p.write(to, buffer[:n]); err != nil {
+			reset(from)
+			return
 		}
-		if err != nil {
-			if half, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-				half.CloseWrite()
-			} else {
-				reset(to)
-			}
+		if readErr != nil {
+			endWrites(to, readErr)
 			return
 		}
 	}
 }
+
+// write writes bytes, in small pieces while the proxy trickles.
+func (p *Proxy) write(to net.Conn, bytes []byte) error {
+	for len(bytes) > 0 {
+		piece := bytes
+		if pause := time.Duration(p.trickle.Load()); pause > 0 {
+			piece = bytes[:min(trickledBytes, len(bytes))]
+			time.Sleep(pause)
+		}
+		if _, err := to.Write(piece); err != nil {
+			return err
+		}
+		bytes = bytes[len(piece):]
+	}
+	return nil
+}
+
+// endWrites ends one direction of a connection by what ended the other connection's reads.
+func endWrites(to net.Conn, readErr error) {
+	if tcp, ok := to.(*net.TCPConn); ok && errors.Is(readErr, io.EOF) {
+		tcp.CloseWrite()
+		return
+	}
+	reset(to)
+}
