--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -1,4 +1,5 @@
-// Package traffic counts what connections carry, by what the system counted of them: bytes of payload and TCP's segments, both ways.
+// Package traffic counts what connections carry, by what the kernel counts of each: bytes of payload and TCP segments,
+// both ways. It counts connections that a Listener has accepted; it neither reads nor changes what they carry.
 package traffic
 
 import (
@@ -8,90 +9,96 @@
 	"golang.org/x/sys/unix"
 )
 
-// Counts are sums over connections.
+// segmentHeader is the size of the headers of IPv4 and TCP without options.
+const segmentHeader = 40
+
+// Counts are sums over the connections of a listener.
 type Counts struct {
-	Connections int // now
-	Most        int // at one time
+	Connections int // open now
+	Most        int // max open at one time
 	Opened      int
 	Bytes       int64
 	Segments    int64
 }
 
-// Wire is bytes with 40 a segment for the headers of IPv4 and TCP without options.
-func (c Counts) Wire() int64 { return c.Bytes + 40*c.Segments }
+// Wire is the number of bytes on the wire, with the headers of each segment.
+func (c Counts) Wire() int64 { return c.Bytes + segmentHeader*c.Segments }
 
-// of is what one connection carried.
-func of(c net.Conn) (bytes, segments int64) {
-	t, ok := c.(*net.TCPConn)
+// add adds what a connection has carried so far. One that the kernel gives no counts of adds nothing.
+func (c *Counts) add(conn net.Conn) {
+	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		return 0, 0
+		return
 	}
-	raw, err := t.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return 0, 0
+		return
 	}
 	raw.Control(func(fd uintptr) {
-		if i, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			bytes, segments = int64(i.Bytes_acked+i.Bytes_received), int64(i.Segs_out)+int64(i.Segs_in)
+		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		if err != nil {
+			return
 		}
+		c.Bytes += int64(info.Bytes_acked + info.Bytes_received)
+		c.Segments += int64(info.Segs_out) + int64(info.Segs_in)
 	})
-	return bytes, segments
 }
 
-// Listener counts the connections that it has accepted.
+// Listener is a listener that counts the connections it accepts.
 type Listener struct {
 	net.Listener
 
-	mu   sync.Mutex
-	open map[*counted]struct{}
-	sum  Counts
+	mu     sync.Mutex
+	open   map[*countedConn]struct{}
+	counts Counts // of the connections opened, and of what those that are closed have carried
 }
 
 // Listen counts on a listener.
-func Listen(ln net.Listener) *Listener { return &Listener{Listener: ln, open: map[*counted]struct{}{}} }
+func Listen(listener net.Listener) *Listener {
+	return &Listener{Listener: listener, open: map[*countedConn]struct{}{}}
+}
 
-type counted struct {
+// countedConn is a connection that adds to its listener's counts when it is closed.
+type countedConn struct {
 	net.Conn
-	l    *Listener
-	once sync.Once
+	listener *Listener
+	once     sync.Once
 }
 
-// Accept is the listener's.
+// Accept accepts a connection and counts it.
 func (l *Listener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	x := &counted{Conn: c, l: l}
+	conn := &countedConn{Conn: accepted, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open[x] = struct{}{}
-	l.sum.Opened++
-	l.sum.Most = max(l.sum.Most, len(l.open))
-	return x, nil
+	l.open[conn] = struct{}{}
+	l.counts.Opened++
+	l.counts.Most = max(l.counts.Most, len(l.open))
+	return conn, nil
 }
 
-// Close counts what it carried and ends the connection.
-func (c *counted) Close() error {
+// Close counts what the connection has carried, and closes it.
+func (c *countedConn) Close() error {
 	c.once.Do(func() {
-		b, n := of(c.Conn)
-		c.l.mu.Lock()
-		defer c.l.mu.Unlock()
-		delete(c.l.open, c)
-		c.l.sum.Bytes, c.l.sum.Segments = c.l.sum.Bytes+b, c.l.sum.Segments+n
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
+		delete(c.listener.open, c)
+		c.listener.counts.add(c.Conn)
 	})
 	return c.Conn.Close()
 }
 
-// Counts are those until now.
+// Counts are the counts so far.
 func (l *Listener) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.sum
-	s.Connections = len(l.open)
-	for c := range l.open {
-		b, n := of(c.Conn)
-		s.Bytes, s.Segments = s.Bytes+b, s.Segments+n
+	counts := l.counts
+	counts.Connections = len(l.open)
+	for conn := range l.open {
+		counts.add(conn.Conn)
 	}
-	return s
+	return counts
 }
