--- a/internal/lab/shim/clock.go
+++ b/internal/lab/shim/clock.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// The kernel maps code into each process by which it reads clocks without a system call. In a traced process that code is replaced by a
-// call of the kernel and, for CLOCK_REALTIME alone, an addition of seconds that the tracer writes. The monotonic clock is untouched.
+// The kernel maps code into each process, the vDSO, by which it reads clocks without a system call. In a traced process
+// its clock_gettime is replaced by the system call and, for CLOCK_REALTIME alone, the addition of seconds that the
+// tracer writes.
 
-// clockCode is clock_gettime: the system call, and seconds from clockOffset added to the result if the clock is CLOCK_REALTIME (0).
+// clockCode is the replacement. It adds the seconds at clockOffset to the result if the clock is CLOCK_REALTIME (0).
 var clockCode = []byte{
 	0xb8, 0xe4, 0x00, 0x00, 0x00, // mov $228, %eax
 	0x0f, 0x05, // syscall
@@ -24,19 +25,31 @@
 	0xc3, // ret
 }
 
-// clockOffset is where the seconds lie behind the function's begin: aligned, so that a write is seen whole.
-const clockOffset = 25
-
-// auxvVDSO is the entry of the auxiliary vector that tells where the mapping begins.
-const auxvVDSO = 33
+const (
+	// clockOffset is where the seconds are, behind the function's start: aligned, so that a write to them is atomic.
+	clockOffset = 25
+	// secondsSize is their size.
+	secondsSize = 8
+	// auxvVDSO is the entry of the auxiliary vector with the vDSO's address.
+	auxvVDSO = 33
+	// auxvEntry is the size of an entry: two words.
+	auxvEntry = 16
+	// maxVDSO bounds what is read of the vDSO.
+	maxVDSO = 64 << 10
+	// clockSymbol is the function's name there.
+	clockSymbol = "__vdso_clock_gettime"
+)
 
-// maxVDSO bounds what is read of the mapping.
-const maxVDSO = 64 << 10
+// Errors of a process whose clock can't be replaced.
+var (
+	errNoVDSO  = errors.New("the process has no vDSO")
+	errNoClock = errors.New("no clock_gettime in the vDSO")
+)
 
-// clock is a process's patched clock.
+// clock is a process's replaced clock.
 type clock struct {
-	memory  *os.File
-	seconds int64 // where the offset lies
+	memory    *os.File
+	secondsAt int64
 }
 
 // patchClock replaces a stopped process's clock_gettime.
@@ -49,62 +62,64 @@
 	if err != nil {
 		return nil, err
 	}
-	at, err := findClock(memory, base)
+	function, err := findClock(memory, base)
 	if err == nil {
-		code := append(bytes.Clone(clockCode), make([]byte, clockOffset+8-len(clockCode))...)
-		_, err = memory.WriteAt(code, at)
+		code := make([]byte, clockOffset+secondsSize)
+		copy(code, clockCode)
+		_, err = memory.WriteAt(code, function)
 	}
 	if err != nil {
 		memory.Close()
 		return nil, fmt.Errorf("clock: %w", err)
 	}
-	return &clock{memory, at + clockOffset}, nil
+	return &clock{memory: memory, secondsAt: function + clockOffset}, nil
 }
 
 // step sets the wall clock against the machine's.
 func (c *clock) step(by time.Duration) error {
-	var text [8]byte
-	binary.LittleEndian.PutUint64(text[:], uint64(int64(by/time.Second)))
-	_, err := c.memory.WriteAt(text[:], c.seconds)
+	var seconds [secondsSize]byte
+	binary.LittleEndian.PutUint64(seconds[:], uint64(int64(by/time.Second)))
+	_, err := c.memory.WriteAt(seconds[:], c.secondsAt)
 	return err
 }
 
+// vdsoBase is the address of a process's vDSO.
 func vdsoBase(pid int) (int64, error) {
 	auxv, err := os.ReadFile(fmt.Sprintf("/proc/%d/auxv", pid))
 	if err != nil {
 		return 0, err
 	}
-	for ; len(auxv) >= 16; auxv = auxv[16:] {
+	for ; len(auxv) >= auxvEntry; auxv = auxv[auxvEntry:] {
 		if binary.LittleEndian.Uint64(auxv) == auxvVDSO {
-			return int64(binary.LittleEndian.Uint64(auxv[8:])), nil
+			return int64(binary.LittleEndian.Uint64(auxv[auxvEntry/2:])), nil
 		}
 	}
-	return 0, errors.New("the process has no vDSO")
+	return 0, errNoVDSO
 }
 
-// findClock finds the function in the mapping.
+// findClock finds the function's address in the vDSO.
 func findClock(memory *os.File, base int64) (int64, error) {
 	image := make([]byte, maxVDSO)
 	n, err := memory.ReadAt(image, base)
 	if n == 0 {
 		return 0, err
 	}
-	f, err := elf.NewFile(bytes.NewReader(image[:n]))
+	vdso, err := elf.NewFile(bytes.NewReader(image[:n]))
 	if err != nil {
 		return 0, err
 	}
-	symbols, err := f.DynamicSymbols()
+	symbols, err := vdso.DynamicSymbols()
 	if err != nil {
 		return 0, err
 	}
-	for _, s := range symbols {
-		if s.Name != "__vdso_clock_gettime" {
+	for _, symbol := range symbols {
+		if symbol.Name != clockSymbol {
 			continue
 		}
-		if s.Size < clockOffset+8 {
-			return 0, fmt.Errorf("clock_gettime has %d bytes, too few to be replaced", s.Size)
+		if symbol.Size < clockOffset+secondsSize {
+			return 0, fmt.Errorf("clock_gettime has %d bytes, too few to be replaced", symbol.Size)
 		}
-		return base + int64(s.Value), nil
+		return base + int64(symbol.Value), nil
 	}
-	return 0, errors.New("no clock_gettime in the vDSO")
+	return 0, errNoClock
 }
--- a/internal/lab/shim/spec_test.go
+++ b/internal/lab/shim/plan_test.go
@@ -8,14 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each mistake of an injection is named.
-func TestAnInjectionThatMeansNothingIsRefused(t *testing.T) {
-	good := Injection{Call: "openat", Errors: []string{"ENOSPC"}, Share: 0.5, Folder: "/tmp/x"}
-	require.NoError(t, good.Check())
-	for says, change := range map[string]func(*Injection){
+func TestInjection_Check(t *testing.T) {
+	valid := Injection{Call: "openat", Errors: []string{"ENOSPC"}, Share: 0.5, Folder: "/tmp/x"}
+	require.NoError(t, valid.Check())
+	for message, change := range map[string]func(*Injection){
 		`call "open" is none of`:                        func(i *Injection) { i.Call = "open" },
 		"EPIPE is no error that openat may return here": func(i *Injection) { i.Errors = []string{"EPIPE"} },
-		"openat is met in a folder only":                func(i *Injection) { i.Folder = "" },
+		"openat fails in a folder only":                 func(i *Injection) { i.Folder = "" },
 		"is no absolute path":                           func(i *Injection) { i.Folder = "tmp/x" },
 		"accept4 is no call on files":                   func(i *Injection) { i.Call, i.Errors = "accept4", []string{"ENFILE"} },
 		"returns [EIO ENOSPC] in a folder only":         func(i *Injection) { i.Call, i.Errors, i.Folder = "write", []string{"EIO"}, "" },
@@ -24,28 +23,34 @@
 		"is not in 0 to a minute":                       func(i *Injection) { i.Delay = -1 },
 		"nothing would happen":                          func(i *Injection) { i.Errors = nil },
 	} {
-		bad := good
-		change(&bad)
-		assert.ErrorContains(t, bad.Check(), says)
+		t.Run(message, func(t *testing.T) {
+			invalid := valid
+			change(&invalid)
+			assert.ErrorContains(t, invalid.Check(), message)
+		})
 	}
 }
 
-func TestAPlanIsReadAsItWasWritten(t *testing.T) {
+func TestPlan_WriteAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
-	plan := &Plan{Seed: 7, Calls: []string{"read"}, Injections: []Injection{{Call: "read", Errors: []string{"EIO"}, Share: 1, Folder: "/x"}}}
+	plan := &Plan{
+		Seed:       7,
+		Calls:      []string{"read"},
+		Injections: []Injection{{Call: "read", Errors: []string{"EIO"}, Share: 1, Folder: "/x"}},
+	}
 	require.NoError(t, plan.Write(path))
-	got, err := ReadPlan(path)
+	read, err := ReadPlan(path)
 	require.NoError(t, err)
-	assert.Equal(t, plan, got)
+	assert.Equal(t, plan, read)
 	plan.Injections[0].Call = "openat"
 	require.NoError(t, plan.Write(path))
 	_, err = ReadPlan(path)
 	assert.ErrorContains(t, err, "not among the plan's calls", "a filter is set once, at the start")
 }
 
-func TestAFileLiesBelowItsFolderAlone(t *testing.T) {
-	for path, is := range map[string]bool{"/a/b/c": true, "/a/b": false, "/a/bc": false, "": false} {
-		assert.Equal(t, is, below("/a/b", path), path)
-		assert.Equal(t, is, below("/a/b/", path), path)
+func TestIsBelow(t *testing.T) {
+	for path, want := range map[string]bool{"/a/b/c": true, "/a/b": false, "/a/bc": false, "": false} {
+		assert.Equal(t, want, isBelow("/a/b", path), path)
+		assert.Equal(t, want, isBelow("/a/b/", path), path)
 	}
 }
