--- a/internal/lab/apiserver/cluster.go
+++ b/internal/lab/apiserver/cluster.go
@@ -7,210 +7,182 @@
 	"time"
 )
 
-// Cluster is a scripted cluster manager on top of the API: it starts, replaces, evicts and scales the pods of one service and
-// writes what its parts would. It is not safe for concurrent use.
+// Cluster is a scripted cluster manager on top of the API: it starts, replaces, evicts and scales the pods of one
+// service, and writes what the parts of a cluster manager would. It is not safe for concurrent use.
 type Cluster struct {
 	API      *Server
 	Service  string
 	Port     int
 	Address  func(n int) string // of the n-th pod
-	PerSlice int                // endpoints
-	Nodes    int                // machines that pods are spread over, a zone each; 0: none is named
-	Gate     string             // readiness gate of each pod; empty: none
-	// Word, if set, is told of a pod's address right before the first word of its end.
-	Word func(ip string)
-	Rand *rand.Rand
-
-	n     int
-	live  []string // the oldest first
-	pods  map[string]*pod
-	ended []string     // the latest last
-	shut  map[int]bool // machines that take no pods
+	PerSlice int                // pods in an endpoint slice
+	Nodes    int                // machines that pods are spread over, a zone each; 0: pods name none
+	Gate     string             // a readiness gate of each pod; empty: none
+	// OnDrain, if set, is called with a pod's address right before the first event of its end.
+	OnDrain func(ip string)
+	Rand    *rand.Rand
+
+	started  int      // pods so far
+	live     []string // pods by name, the oldest first
+	pods     map[string]*pod
+	ended    []string     // names of pods, the latest last
+	cordoned map[int]bool // machines that get no pods
 }
 
+// pod is a pod that lives or is about to end.
 type pod struct {
-	ip, node string
-	slice    int
-	ending   bool
+	name, ip, machine string
+	slice             int
+	terminating       bool
 }
 
-const namespace = "default"
-
-// endedMost is how many pods that have ended are remembered, for a restored API that has them again.
-const endedMost = 500
+const (
+	// clusterNamespace is the namespace of all objects of a Cluster.
+	clusterNamespace = "default"
+	// maxEnded is how many pods that have ended are known, to delete them again in an API that was restored.
+	maxEnded = 500
+	// terminationTime is how long a pod is still there after it began to end.
+	terminationTime = 500 * time.Millisecond
+	// evictTaint is the taint of a machine whose pods are evicted.
+	evictTaint = "robincart.dev/leave"
+)
 
-// Live lists the pods, the oldest first.
+// Live are the names of the pods that live, the oldest first.
 func (c *Cluster) Live() []string { return slices.Clone(c.live) }
 
-// Add starts a pod.
-func (c *Cluster) Add() string {
-	name := c.put()
-	c.write(c.pods[name].slice)
-	return name
-}
-
-// Scale starts or ends pods until there are so many, the oldest first to go.
+// Scale starts or ends pods until there are that many. The oldest are ended first.
 func (c *Cluster) Scale(to int) {
 	for len(c.live) < to {
-		c.put()
-	}
-	for k := range c.slices() {
-		c.write(k)
+		c.startPod()
 	}
+	c.writeSlices()
 	for len(c.live) > to {
-		c.write(c.end(c.live[0]))
+		c.writeSlice(c.endPod(c.live[0]))
 	}
 }
 
-// Roll replaces the oldest pod.
+// Roll replaces the oldest pod by one in the same slice.
 func (c *Cluster) Roll() {
 	if len(c.live) == 0 {
 		return
 	}
-	name := c.live[0]
-	k := c.end(name)
-	fresh := c.put()
-	c.pods[fresh].slice = k
-	c.write(k) // without the old one: by now its pod's end, or its own, has been told
+	slice := c.endPod(c.live[0])
+	c.startPod().slice = slice
+	c.writeSlice(slice) // without the old pod, whose end has been published before
 }
 
-// Evict ends a pod and starts another; it is false for one that is not there.
+// Evict ends a pod and starts another one. It returns false if there is no such pod.
 func (c *Cluster) Evict(name string) bool {
 	if !slices.Contains(c.live, name) {
 		return false
 	}
-	c.write(c.end(name))
-	c.Add()
+	c.writeSlice(c.endPod(name))
+	c.writeSlice(c.startPod().slice)
 	return true
 }
 
-// Cordon marks a machine, by its number, as one that takes no new pods; with evicts its pods have to leave as well, and others
-// start elsewhere.
+// Cordon marks a machine, by its number, as one that gets no new pods, or ends that. With evicts its pods are evicted
+// as well.
 func (c *Cluster) Cordon(n int, on, evicts bool) {
-	if c.shut == nil {
-		c.shut = map[int]bool{}
+	if c.cordoned == nil {
+		c.cordoned = map[int]bool{}
 	}
-	c.shut[n] = on
-	var leave []string
-	for _, name := range c.live {
-		if on && evicts && c.pods[name].node == machine(n) {
-			leave = append(leave, name)
-			if c.Word != nil {
-				c.Word(c.pods[name].ip) // the taint is the first word of their end
-			}
-		}
+	c.cordoned[n] = on
+	evicts = evicts && on
+	var evicted []string
+	if evicts {
+		evicted = c.podsOf(machineName(n))
 	}
-	spec := map[string]any{"unschedulable": on}
-	if on && evicts {
-		spec["taints"] = []map[string]any{{"key": "robincart.dev/leave", "effect": "NoExecute"}}
+	for _, name := range evicted {
+		c.notifyDrain(c.pods[name]) // the taint is the first event of their end
 	}
-	c.API.Set("nodes", Object{"metadata": map[string]any{"name": machine(n), "labels": map[string]any{"topology.kubernetes.io/zone": zone(n)}}, "spec": spec})
-	for _, name := range leave {
+	c.writeMachine(n, on, evicts)
+	for _, name := range evicted {
 		c.Evict(name)
 	}
 }
 
-// Repair puts right what a restored API lost or has again, as a cluster manager would.
+// Repair writes what a restored API has lost, and deletes what it should not have any more.
 func (c *Cluster) Repair() {
 	for _, name := range c.live {
-		c.tell(name)
-	}
-	for k := range c.slices() {
-		c.write(k)
+		c.writePod(c.pods[name])
 	}
+	c.writeSlices()
 	for _, name := range c.ended {
-		c.API.Delete("pods", namespace, name)
+		c.API.Delete("pods", clusterNamespace, name)
 	}
 }
 
-func machine(n int) string { return fmt.Sprint("m", n) }
-func zone(n int) string    { return string(rune('a' + n%26)) }
+func machineName(n int) string { return fmt.Sprint("m", n) }
+func zoneName(n int) string    { return string(rune('a' + n%26)) }
 
-func (c *Cluster) put() string {
-	if c.pods == nil {
-		c.pods = map[string]*pod{}
-		for n := range c.Nodes {
-			c.Cordon(n, false, false)
-		}
-	}
-	name := fmt.Sprint("p", c.n)
-	p := &pod{ip: c.Address(c.n), slice: c.n / max(1, c.PerSlice)}
-	if c.Nodes > 0 {
-		at := c.n % c.Nodes
-		for i := 0; i < c.Nodes && c.shut[at]; i++ {
-			at = (at + 1) % c.Nodes
+// podsOf are the names of a machine's pods.
+func (c *Cluster) podsOf(machine string) []string {
+	var names []string
+	for _, name := range c.live {
+		if c.pods[name].machine == machine {
+			names = append(names, name)
 		}
-		p.node = machine(at)
 	}
-	c.n++
-	c.pods[name] = p
-	c.live = append(c.live, name)
-	c.tell(name)
-	return name
+	return names
 }
 
-// tell writes a pod.
-func (c *Cluster) tell(name string) {
-	p := c.pods[name]
-	meta := map[string]any{"name": name, "namespace": namespace, "uid": "uid-" + name}
-	if p.ending {
-		meta["deletionTimestamp"] = time.Now().UTC().Format(time.RFC3339)
-	}
-	spec := map[string]any{}
-	if p.node != "" {
-		spec["nodeName"] = p.node
-	}
-	if c.Gate != "" {
-		spec["readinessGates"] = []map[string]any{{"conditionType": c.Gate}}
+func (c *Cluster) notifyDrain(p *pod) {
+	if c.OnDrain != nil {
+		c.OnDrain(p.ip)
 	}
-	c.API.Set("pods", Object{"metadata": meta, "spec": spec, "status": map[string]any{"phase": "Running", "podIP": p.ip}})
 }
 
-func (c *Cluster) slices() map[int][]string {
-	out := map[int][]string{}
-	for _, name := range c.live {
-		out[c.pods[name].slice] = append(out[c.pods[name].slice], name)
+// startPod starts a pod. Its slice is still to be written.
+func (c *Cluster) startPod() *pod {
+	if c.pods == nil {
+		c.pods = map[string]*pod{}
+		for n := range c.Nodes {
+			c.Cordon(n, false, false)
+		}
 	}
-	return out
+	p := &pod{
+		name:    fmt.Sprint("p", c.started),
+		ip:      c.Address(c.started),
+		machine: c.schedule(c.started),
+		slice:   c.started / max(1, c.PerSlice),
+	}
+	c.started++
+	c.pods[p.name] = p
+	c.live = append(c.live, p.name)
+	c.writePod(p)
+	return p
 }
 
-// write puts one slice, with the pods that live and those of them that end.
-func (c *Cluster) write(k int, ending ...string) {
-	eps := []Object{}
-	for _, name := range append(c.slices()[k], ending...) {
-		p := c.pods[name]
-		cond := map[string]any{"ready": !p.ending}
-		if p.ending {
-			cond["serving"], cond["terminating"] = true, true
-		}
-		ep := Object{"addresses": []string{p.ip}, "conditions": cond, "zone": "a", "targetRef": map[string]any{"kind": "Pod", "name": name, "uid": "uid-" + name}}
-		if p.node != "" {
-			ep["nodeName"] = p.node
+// schedule is the machine of the n-th pod: the next in turn that is not cordoned, if there is one.
+func (c *Cluster) schedule(n int) string {
+	if c.Nodes <= 0 {
+		return ""
+	}
+	machine := n % c.Nodes
+	for range c.Nodes {
+		if !c.cordoned[machine] {
+			break
 		}
-		eps = append(eps, ep)
+		machine = (machine + 1) % c.Nodes
 	}
-	c.API.Set("endpointslices", Object{"metadata": map[string]any{"name": fmt.Sprintf("%s-%d", c.Service, k), "namespace": namespace,
-		"labels": map[string]any{"kubernetes.io/service-name": c.Service}}, "addressType": "IPv4", "endpoints": eps,
-		"ports": []map[string]any{{"name": "http", "port": c.Port}}})
+	return machineName(machine)
 }
 
-// end drains a pod and returns its slice, which is still to be written without it. The words come in either order, as the parts
-// of a cluster manager are not in step.
-func (c *Cluster) end(name string) (slice int) {
+// endPod ends a pod and returns its slice, which is still to be written without it. Whether the pod or the slice shows
+// its end first is random: the parts of a cluster manager are not in step.
+func (c *Cluster) endPod(name string) int {
 	p := c.pods[name]
-	if c.Word != nil {
-		c.Word(p.ip)
-	}
-	p.ending = true
-	c.live = slices.DeleteFunc(c.live, func(x string) bool { return x == name })
+	c.notifyDrain(p)
+	p.terminating = true
+	c.live = slices.DeleteFunc(c.live, func(other string) bool { return other == name })
 	if c.Rand.Intn(2) == 0 {
-		c.tell(name)
+		c.writePod(p)
 	} else {
-		c.write(p.slice, name)
+		c.writeSlice(p.slice, p)
 	}
-	time.AfterFunc(500*time.Millisecond, func() { c.API.Delete("pods", namespace, name) })
+	time.AfterFunc(terminationTime, func() { c.API.Delete("pods", clusterNamespace, name) })
 	delete(c.pods, name)
 	c.ended = append(c.ended, name)
-	c.ended = c.ended[max(0, len(c.ended)-endedMost):]
+	c.ended = c.ended[max(0, len(c.ended)-maxEnded):]
 	return p.slice
 }
--- a/internal/lab/chaos/controller.go
+++ b/internal/lab/chaos/controller.go
@@ -112,7 +112,7 @@
 	port, _ := strconv.Atoi(r.port)
 	cluster := &apiserver.Cluster{API: r.api, Service: "s", Port: port, PerSlice: 50, Nodes: 4, Rand: rand.New(rand.NewSource(r.Seed)),
 		Address: func(n int) string { return fmt.Sprintf("127.%d.%d.%d", 20+n/62500, n/250%250, n%250+1) },
-		Word: func(ip string) {
+		OnDrain: func(ip string) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if at := net.JoinHostPort(ip, r.port); r.word[at].IsZero() {
