--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -491,7 +491,7 @@
 // left to break them: else the last fault would meet the look instead of a node.
 func (r *Record) settle(ctx context.Context) error {
 	if r.pg != nil {
-		r.pg.Well()
+		r.pg.ClearFaults()
 	}
 	s, err := sqlstore.Open(r.addr)
 	if err != nil {
--- a/internal/lab/pgstand/counts.go
+++ b/internal/lab/pgstand/counts.go
@@ -2,20 +2,20 @@
 
 import "robincart/internal/lab/traffic"
 
-// Counts is what the server has been asked since its start, as a scale test wants to know it.
+// Counts are what the server has done and its connections have carried since its start.
 type Counts struct {
 	traffic.Counts
 	Statements int
 	Notices    int // notifications sent
-	Commits    int
+	Commits    int // transactions that have written
 }
 
-// Counts tells them.
+// Counts returns the counts so far.
 func (s *Server) Counts() Counts {
-	t := s.ln.Counts()
+	connections := s.listener.Counts()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.counts
-	c.Counts, c.Commits = t, s.Commits
-	return c
+	counts := s.counts
+	counts.Counts, counts.Commits = connections, s.Commits
+	return counts
 }
