--- a/internal/lab/chaos/golden_test.go
+++ b/internal/lab/chaos/golden_test.go
@@ -25,15 +25,16 @@
 // were written by it. They must never be changed or written anew to follow a rename: programs of other versions read
 // and write them.
 
-// What a node's status page says, as Record reads it.
-func TestRead_GoldenStatus(t *testing.T) {
+// A node's status page, as Record reads it.
+func TestReadStatus_Golden(t *testing.T) {
 	page := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/record" {
 			w.Write(labtest.ReadGolden(t, "status.json"))
 		}
 	}))
-	defer page.Close()
-	status, err := (&one{status: strings.TrimPrefix(page.URL, "http://")}).read()
+	t.Cleanup(page.Close)
+	node := &recordNode{status: strings.TrimPrefix(page.URL, "http://")}
+	status, err := node.readStatus()
 	require.NoError(t, err)
 	assert.Equal(t, recordcache.Status{
 		Store:                "sqlite:/golden/record.db",
@@ -47,19 +48,27 @@
 		Written:              107,
 		SecondsSinceSnapshot: 108.5,
 		Entries:              109,
-		Draining:             []recordcache.DrainingServer{{Server: "s/s1", Reason: "why-110"}, {Server: "s/s2", Reason: "why-111"}},
-		Required:             true,
-		MaxStaleness:         "1h0m0s",
-		MaxPending:           112,
+		Draining: []recordcache.DrainingServer{
+			{Server: "s/s1", Reason: "why-110"},
+			{Server: "s/s2", Reason: "why-111"},
+		},
+		Required:     true,
+		MaxStaleness: "1h0m0s",
+		MaxPending:   112,
 	}, status)
 	labtest.RequireEveryFieldSet(t, "json", status)
 }
 
-// The file of a node whose record is kept. The program ends at once, and its file is what is looked at.
-func TestAddNode_GoldenOperatorFile(t *testing.T) {
-	r := &Record{Program: "/bin/false", Nodes: 2, dir: t.TempDir(), addr: "sqlite:/golden/record.db",
-		disc: standin.NewDiscovery(&judge.Ledger{}, time.Now())}
-	t.Cleanup(r.disc.Stop)
+// The configuration of a node with a record. The program ends at once: only its file matters.
+func TestAddNode_GoldenFile(t *testing.T) {
+	r := &Record{
+		Program:      "/bin/false",
+		Nodes:        2,
+		dir:          t.TempDir(),
+		storeAddress: "sqlite:/golden/record.db",
+		discovery:    standin.NewDiscovery(&judge.Ledger{}, time.Now()),
+	}
+	t.Cleanup(r.discovery.Stop)
 	require.ErrorContains(t, r.addNode(context.Background(), 0), "ended at its start")
 	n := r.nodes[0]
 	config, err := nodeconfig.Parse([]byte(n.Text), 0)
@@ -69,15 +78,15 @@
 	labtest.RequireGolden(t, "node.toml", []byte(names.Replace(n.Text)))
 }
 
-// The file of a controller's replica.
+// The configuration of a controller.
 func TestNewReplica_GoldenFile(t *testing.T) {
 	api, err := apiserver.Start("127.0.0.1:0", nil)
 	require.NoError(t, err)
-	defer api.Stop()
-	r := &Controller{dir: t.TempDir(), api: api}
-	x, err := r.newReplica(1, "[keys]\ncert = \"/golden/controller.pem\"\n")
+	t.Cleanup(api.Stop)
+	c := &Controller{dir: t.TempDir(), api: api}
+	x, err := c.newReplica(1, "[keys]\ncert = \"/golden/controller.pem\"\n")
 	require.NoError(t, err)
-	assert.Equal(t, filepath.Join(r.dir, "c1.toml"), x.file)
+	assert.Equal(t, filepath.Join(c.dir, "c1.toml"), x.file)
 	text, err := os.ReadFile(x.file)
 	require.NoError(t, err)
 	replaced := strings.NewReplacer(x.list, "LIST", x.status, "STATUS", api.Addr(), "API").Replace(string(text))
--- a/internal/lab/chaos/pairs.go
+++ b/internal/lab/chaos/pairs.go
@@ -1,14 +1,9 @@
 package chaos
 
 import (
-	"bufio"
-	"bytes"
 	"context"
-	"errors"
 	"fmt"
-	"io"
 	"math/rand"
-	"net"
 	"os"
 	"strings"
 	"sync"
@@ -17,85 +12,149 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"robincart/internal/lab/standin"
-	"robincart/internal/lab/wire"
-	"robincart/internal/protocol/fcgi"
 )
 
-// Pairs asks through HTTP and FastCGI on either side of a node, first of servers that do well and then of servers that die at any point
-// of their answers, and counts answers and effects for each request.
+// The protocols of a pair.
+const (
+	protocolHTTP    = "http"
+	protocolFastCGI = "fastcgi"
+)
+
+var protocols = []string{protocolHTTP, protocolFastCGI}
+
+// The methods that are called in turn: idempotent, deduplicated by a key, and neither.
+const (
+	methodFind   = "find"
+	methodBook   = "book"
+	methodCharge = "charge"
+)
+
+var pairMethods = []string{methodFind, methodBook, methodCharge}
+
+const (
+	serversPerPair = 8
+	// pairWindow is the deduplication window of methodBook.
+	pairWindow = 10 * time.Second
+	// The prefixes of trace ids, of requests to servers without faults and with them.
+	calmTracePrefix  = "c"
+	faultTracePrefix = "d"
+)
+
+// Pairs sends requests by HTTP and FastCGI through a node to servers of either protocol, first to servers without
+// faults and then to ones that reset at any point of their responses. It checks that each request gets one response,
+// and that none has its effect twice.
 type Pairs struct {
 	Program  string
-	Requests int // of each pair, with servers that die; as many at most before that
-	Calm     int // of each pair, with servers that do well
+	Requests int // of each pair, to servers with faults
+	Calm     int // of each pair before that, to servers without
 	Callers  int
 	Seed     int64
 
 	All    []Pair
 	Broken []string
 
-	mu  sync.Mutex
-	rng *rand.Rand
+	mu     sync.Mutex // guards the results, and the pair that is played
+	random *rand.Rand // of the faults
 }
 
-// Pair is one way in and one way out.
+// Pair is the protocol of the clients and that of the servers, with what was measured.
 type Pair struct {
-	In, Out       string
-	CPU           time.Duration // of the node, a request, with servers that do well
-	Latency       *hdrhistogram.Histogram
-	Answers       map[int]int
-	Faults        map[string]int
-	Effects       int
-	effects       map[string]int
-	dies          bool
-	first         map[string]time.Time // effect of a mark
-	repeats, late int
+	In, Out string
+	CPU     time.Duration           // of the node for a request to servers without faults
+	Latency *hdrhistogram.Histogram // of those requests
+	Answers map[int]int             // responses by status
+	Faults  map[string]int
+	Effects int
+
+	faulty     bool                 // the servers have faults
+	effects    map[effectKey]int    // by request
+	firstSeen  map[string]time.Time // by idempotency key: when it had its effect last
+	duplicates int
 }
 
-// Repeats is how often an idempotency key came again within its window.
-func (p *Pair) Repeats() int { return p.repeats }
+// effectKey identifies a request.
+type effectKey struct{ method, trace string }
 
-// Late is how often an idempotency key came again after its window.
-func (p *Pair) Late() int { return p.late }
+// Repeats is how often an idempotency key was received again within its window.
+func (p *Pair) Repeats() int { return p.duplicates }
 
-const pairWindow = 10 * time.Second
+func newPair(in, out string) *Pair {
+	return &Pair{
+		In:        in,
+		Out:       out,
+		Latency:   hdrhistogram.New(1, 60_000_000, 3),
+		Answers:   map[int]int{},
+		Faults:    map[string]int{},
+		effects:   map[effectKey]int{},
+		firstSeen: map[string]time.Time{},
+	}
+}
 
-// Play runs all four.
-func (r *Pairs) Play(ctx context.Context) error {
-	r.rng = rand.New(rand.NewSource(r.Seed))
-	for _, in := range []string{"http", "fastcgi"} {
-		for _, out := range []string{"http", "fastcgi"} {
-			p := &Pair{In: in, Out: out, Latency: hdrhistogram.New(1, 60_000_000, 3), Answers: map[int]int{}, Faults: map[string]int{}, effects: map[string]int{}, first: map[string]time.Time{}}
-			if err := r.play(ctx, p); err != nil {
+// Play plays all four pairs.
+func (p *Pairs) Play(ctx context.Context) error {
+	p.random = rand.New(rand.NewSource(p.Seed))
+	for _, in := range protocols {
+		for _, out := range protocols {
+			pair := newPair(in, out)
+			if err := p.playPair(ctx, pair); err != nil {
 				return fmt.Errorf("%s in, %s out: %w", in, out, err)
 			}
-			r.All = append(r.All, *p)
+			p.All = append(p.All, *pair)
 		}
 	}
 	return nil
 }
 
-func (r *Pairs) broken(p *Pair, format string, args ...any) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.Broken) < 20 {
-		r.Broken = append(r.Broken, p.In+" in, "+p.Out+" out: "+fmt.Sprintf(format, args...))
+func (p *Pairs) reportBroken(pair *Pair, format string, args ...any) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.addBroken(pair, format, args...)
+}
+
+// addBroken adds to what was found broken. The mutex is held.
+func (p *Pairs) addBroken(pair *Pair, format string, args ...any) {
+	if len(p.Broken) < maxBroken {
+		p.Broken = append(p.Broken, pair.In+" in, "+pair.Out+" out: "+fmt.Sprintf(format, args...))
 	}
 }
 
-func (r *Pairs) play(ctx context.Context, p *Pair) error {
+// pairNodeFile is the configuration of a node.
+const pairNodeFile = `listen = [%q]
+[[gateway]]
+listen = %q
+[[service]]
+name = "s"
+speaks = %q
+servers = [%s]
+[[service.method]]
+name = "find"
+repeat = "idempotent"
+deadline = "3s"
+[[service.method]]
+name = "book"
+repeat = "deduplicated"
+window = "10s"
+deadline = "3s"
+[[service.method]]
+name = "charge"
+deadline = "3s"
+`
+
+// playPair plays one pair with a node of its own.
+func (p *Pairs) playPair(ctx context.Context, pair *Pair) error {
 	dir, err := os.MkdirTemp("", "pairs")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var addrs []string
-	for range 8 {
-		addr, stop, err := r.serve(p)
+	var servers []string
+	for range serversPerPair {
+		server, err := p.startServer(pair)
 		if err != nil {
 			return err
 		}
-		defer stop()
-		addrs = append(addrs, fmt.Sprintf("%q", addr))
+		defer server.Stop()
+		servers = append(servers, fmt.Sprintf("%q", server.Addr()))
 	}
 	addr, err := standin.FreeAddress("127.0.0.1")
 	if err != nil {
@@ -105,239 +164,90 @@
 	if err != nil {
 		return err
 	}
-	n := &standin.Node{Name: "n", Addr: addr, Program: r.Program, Dir: dir, Text: fmt.Sprintf("listen = [%q]\n[[gateway]]\nlisten = %q\n[[service]]\nname = \"s\"\nspeaks = %q\nservers = [%s]\n"+
-		"[[service.method]]\nname = \"find\"\nrepeat = \"idempotent\"\ndeadline = \"3s\"\n[[service.method]]\nname = \"book\"\nrepeat = \"deduplicated\"\nwindow = \"10s\"\ndeadline = \"3s\"\n"+
-		"[[service.method]]\nname = \"charge\"\ndeadline = \"3s\"\n", addr, gateway, p.Out, strings.Join(addrs, ", "))}
-	if err := n.Start(ctx); err != nil {
+	node := &standin.Node{
+		Name:    "n",
+		Addr:    addr,
+		Program: p.Program,
+		Dir:     dir,
+		Text:    fmt.Sprintf(pairNodeFile, addr, gateway, pair.Out, strings.Join(servers, ", ")),
+	}
+	if err := node.Start(ctx); err != nil {
 		return err
 	}
-	defer n.Kill()
-	if p.In == "fastcgi" {
+	defer node.Kill()
+	if pair.In == protocolFastCGI {
 		addr = gateway
 	}
-	cpu, _ := n.Usage()
-	r.ask(ctx, p, addr, r.Calm, "c")
-	after, _ := n.Usage()
-	p.CPU = (after - cpu) / time.Duration(max(1, r.Calm))
-	r.mu.Lock()
-	p.dies, p.Answers = true, map[int]int{}
-	r.mu.Unlock()
-	r.ask(ctx, p, addr, r.Requests, "d")
-	if err := n.Crashed(); err != nil {
-		r.broken(p, "the node: %v", err)
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for key, n := range p.effects {
-		p.Effects += n
-		if n > 1 && !strings.HasPrefix(key, "find ") && len(r.Broken) < 20 {
-			r.Broken = append(r.Broken, fmt.Sprintf("%s in, %s out: %s had %d effects", p.In, p.Out, key, n))
-		}
+	p.load(ctx, pair, node, addr)
+	if err := node.Crashed(); err != nil {
+		p.reportBroken(pair, "the node: %v", err)
 	}
+	p.checkEffects(pair)
 	return ctx.Err()
 }
 
-// pairFaults are where an answer of so many bytes breaks off; the effect has been done by then.
-var pairFaults = []struct {
-	name string
-	at   func(n int) int
-}{{"before", func(int) int { return 0 }}, {"in the first bytes", func(int) int { return 5 }}, {"in the head", func(int) int { return 18 }},
-	{"in the middle", func(n int) int { return n / 2 }}, {"before the last byte", func(n int) int { return n - 1 }}}
-
-// done notes that a request has reached a server, and says how its answer goes: -1 whole, -2 refused before anything is done, else so
-// many of n bytes.
-func (r *Pairs) done(p *Pair, class, trace, mark string, n int) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	cut := -1
-	if p.dies {
-		switch k := r.rng.Intn(300); {
-		case k == 0:
-			p.Faults["refused"]++
-			return -2
-		case k <= len(pairFaults):
-			f := pairFaults[k-1]
-			p.Faults[f.name]++
-			cut = f.at(n)
-		}
-	}
-	if mark != "" { // the servers drop repeats of a mark together, for its window
-		now := time.Now()
-		at, again := p.first[mark]
-		switch {
-		case again && now.Sub(at) <= pairWindow:
-			p.repeats++
-			return cut
-		case again:
-			p.late++
-		}
-		p.first[mark] = now
-	}
-	p.effects[class+" "+trace]++
-	return cut
+// load sends requests to servers without faults, by which the node's CPU time is measured, and then to ones with them.
+func (p *Pairs) load(ctx context.Context, pair *Pair, node *standin.Node, addr string) {
+	before, _ := node.Usage()
+	p.sendAll(ctx, pair, addr, p.Calm, calmTracePrefix)
+	after, _ := node.Usage()
+	pair.CPU = (after - before) / time.Duration(max(1, p.Calm))
+	p.mu.Lock()
+	pair.faulty, pair.Answers = true, map[int]int{}
+	p.mu.Unlock()
+	p.sendAll(ctx, pair, addr, p.Requests, faultTracePrefix)
 }
 
-func (r *Pairs) serve(p *Pair) (addr string, stop func(), err error) {
-	const body = "seats for two at eight"
-	write := func(c net.Conn, cut int, answer, refusal []byte) bool {
-		switch {
-		case cut == -2:
-			answer = refusal
-		case cut >= 0:
-			c.Write(answer[:cut])
-			return false
-		}
-		_, err := c.Write(answer)
-		return err == nil
-	}
-	if p.Out == "fastcgi" {
-		s := &standin.Application{Serve: func(c net.Conn, q *standin.ApplicationRequest) bool {
-			answer := q.Answered("Content-Type: text/plain", body)
-			cut := r.done(p, q.Params["HTTP_X_QOS"], q.Params["HTTP_X_TRACE_ID"], q.Params["HTTP_IDEMPOTENCY_KEY"], len(answer))
-			return write(c, cut, answer, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusOverloaded))
-		}}
-		if err := s.Start("127.0.0.1:0"); err != nil {
-			return "", nil, err
+// checkEffects counts the effects, and checks that no request had two that may have only one.
+func (p *Pairs) checkEffects(pair *Pair) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for request, effects := range pair.effects {
+		pair.Effects += effects
+		if effects > 1 && request.method != methodFind {
+			p.addBroken(pair, "%s %s had %d effects", request.method, request.trace, effects)
 		}
-		return s.Addr(), s.Stop, nil
 	}
-	answer, refusal := wire.Answer(nil, 200, "Content-Type: text/plain\r\n", []byte(body)), wire.Answer(nil, 503, wire.NeverRan+": 1\r\n", nil)
-	s := &standin.Server{Serve: func(c net.Conn, q *wire.Request) bool {
-		return write(c, r.done(p, q.Header.Get(wire.Method), q.Header.Get(wire.Trace), q.Header.Get(wire.Key), len(answer)), answer, refusal)
-	}}
-	if err := s.Start("127.0.0.1:0"); err != nil {
-		return "", nil, err
-	}
-	return s.Addr(), s.Stop, nil
 }
 
-// ask has all callers ask, each one request after another.
-func (r *Pairs) ask(ctx context.Context, p *Pair, addr string, total int, prefix string) {
-	var all sync.WaitGroup
-	for k := range r.Callers {
-		all.Go(func() {
-			c := &pairCaller{addr: addr, fastcgi: p.In == "fastcgi"}
-			defer c.close()
-			for i := k; i < total && ctx.Err() == nil; i += r.Callers {
-				class := []string{"find", "book", "charge"}[i%3]
-				trace, mark := fmt.Sprintf("%s%015x", prefix, i), ""
-				if class == "book" {
-					mark = "m" + trace
-				}
-				began := time.Now()
-				status, err := c.ask(class, trace, mark)
-				took := time.Since(began)
-				if err != nil {
-					r.broken(p, "%s: %v", trace, err)
-					c.close()
-					continue
-				}
-				r.mu.Lock()
-				p.Answers[status]++
-				ran := p.effects[class+" "+trace]
-				if !p.dies {
-					p.Latency.RecordValue(took.Microseconds())
-				}
-				r.mu.Unlock()
-				switch {
-				case status == 503 && class == "charge" && ran > 0:
-					r.broken(p, "%s was done, and called harmless", trace)
-				case status == 200 && ran == 0:
-					r.broken(p, "%s is ok, and no server did it", trace)
-				case status != 200 && status != 503 && status != 504:
-					r.broken(p, "%s got %d", trace, status)
-				}
+// sendAll has all clients send their share of the requests, each client one after another.
+func (p *Pairs) sendAll(ctx context.Context, pair *Pair, addr string, total int, tracePrefix string) {
+	var running sync.WaitGroup
+	for first := range p.Callers {
+		running.Go(func() {
+			client := &pairClient{addr: addr, fastCGI: pair.In == protocolFastCGI}
+			defer client.close()
+			for i := first; i < total && ctx.Err() == nil; i += p.Callers {
+				p.sendOne(pair, client, newPairRequest(i, tracePrefix))
 			}
 		})
 	}
-	all.Wait()
-}
-
-// pairCaller asks over one connection, kept.
-type pairCaller struct {
-	addr    string
-	fastcgi bool
-	c       net.Conn
-	r       *bufio.Reader
-	records fcgi.Reader
-	id      uint16
-}
-
-func (c *pairCaller) close() {
-	if c.c != nil {
-		c.c.Close()
-		c.c = nil
-	}
+	running.Wait()
 }
 
-func (c *pairCaller) ask(class, trace, mark string) (status int, err error) {
-	if c.c == nil {
-		if c.c, err = net.DialTimeout("tcp", c.addr, 5*time.Second); err != nil {
-			return 0, err
-		}
-		c.r = bufio.NewReader(c.c)
-		c.records.Init(c.c, make([]byte, 4096))
-	}
-	c.c.SetDeadline(time.Now().Add(8 * time.Second))
-	verb, body := "POST", "seats"
-	if class == "find" {
-		verb, body = "GET", ""
-	}
-	if c.fastcgi {
-		return c.askFastCGI(class, trace, mark, verb, body)
-	}
-	key := ""
-	if mark != "" {
-		key = wire.Key + ": " + mark + "\r\n"
-	}
-	fmt.Fprintf(c.c, "%s /%s/t HTTP/1.1\r\nHost: a\r\n%s: %s\r\n%s: %s\r\n%s: 2900\r\n%sContent-Length: %d\r\n\r\n%s", verb, class, wire.Trace, trace, wire.Method, class, wire.Left, key, len(body), body)
-	p, err := wire.ReadResponse(c.r)
+// sendOne sends one request and checks its response.
+func (p *Pairs) sendOne(pair *Pair, client *pairClient, request pairRequest) {
+	begin := time.Now()
+	status, err := client.send(request)
+	took := time.Since(begin)
 	if err != nil {
-		return 0, fmt.Errorf("no answer: %w", err)
-	}
-	if c.r.Buffered() > 0 {
-		return 0, errors.New("more than one answer")
-	}
-	if p.Close {
-		c.close()
-	}
-	return p.Status, nil
-}
-
-func (c *pairCaller) askFastCGI(class, trace, mark, verb, body string) (int, error) {
-	c.id = c.id%5 + 1
-	var list []byte
-	for _, p := range [][2]string{{"REQUEST_METHOD", verb}, {"REQUEST_URI", "/" + class + "/t"}, {"HTTP_HOST", "a"}, {"HTTP_X_TRACE_ID", trace}, {"HTTP_X_QOS", class}, {"HTTP_X_EXPIRES_IN_MS", "2900"},
-		{"HTTP_IDEMPOTENCY_KEY", mark}} {
-		list = fcgi.AppendPair(list, p[0], p[1])
-	}
-	ask := fcgi.AppendStreamEnd(fcgi.AppendStream(fcgi.AppendBegin(nil, c.id, true), fcgi.TypeParams, c.id, list), fcgi.TypeParams, c.id)
-	if _, err := c.c.Write(fcgi.AppendStreamEnd(fcgi.AppendStream(ask, fcgi.TypeStdin, c.id, []byte(body)), fcgi.TypeStdin, c.id)); err != nil {
-		return 0, err
-	}
-	var out bytes.Buffer
-	for {
-		p, err := c.records.Next()
-		switch {
-		case errors.Is(err, io.EOF):
-			return 0, fmt.Errorf("no END after %q", out.String())
-		case err != nil:
-			return 0, err
-		case p.ID != c.id:
-			return 0, fmt.Errorf("a record of request %d", p.ID)
-		case p.Type == fcgi.TypeStdout:
-			out.Write(p.Content)
-			continue
-		case p.Type != fcgi.TypeEnd:
-			return 0, fmt.Errorf("a record of type %d", p.Type)
-		}
-		if c.records.HasBuffered() {
-			return 0, errors.New("more than one answer")
-		}
-		h, _, whole, err := fcgi.ReadCGI(out.Bytes(), 4096)
-		if err != nil || !whole {
-			return 0, fmt.Errorf("%q is no answer: %w", out.String(), err)
-		}
-		return h.Status, nil
+		p.reportBroken(pair, "%s: %v", request.trace, err)
+		client.close()
+		return
+	}
+	p.mu.Lock()
+	pair.Answers[status]++
+	effects := pair.effects[effectKey{request.method, request.trace}]
+	if !pair.faulty {
+		pair.Latency.RecordValue(took.Microseconds())
+	}
+	p.mu.Unlock()
+	switch {
+	case status == 503 && request.method == methodCharge && effects > 0:
+		p.reportBroken(pair, "%s had an effect, and its response says that it never ran", request.trace)
+	case status == 200 && effects == 0:
+		p.reportBroken(pair, "%s is OK, and no server has run it", request.trace)
+	case status != 200 && status != 503 && status != 504:
+		p.reportBroken(pair, "%s got %d", request.trace, status)
 	}
 }
--- a/internal/lab/pgstand/server.go
+++ b/internal/lab/pgstand/server.go
@@ -62,9 +62,12 @@
 	return s, nil
 }
 
+// Addr is the address that it listens on.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
+
 // Address is the URL by which a store is opened.
 func (s *Server) Address() string {
-	return fmt.Sprintf("postgres://%s:%s@%s/record?sslmode=disable", user, password, s.listener.Addr())
+	return fmt.Sprintf("postgres://%s:%s@%s/record?sslmode=disable", user, password, s.Addr())
 }
 
 // Stop ends the server and all connections, and waits for its sessions. What was not committed is lost.
