--- a/internal/lab/chaos/controller.go
+++ b/internal/lab/chaos/controller.go
@@ -60,7 +60,7 @@
 const (
 	// maxRecentFaults is how many bytes of the earlier faults are reported beside the last one.
 	maxRecentFaults = 150
-	// A machine is emptied at every so many drains, and gets pods again so many drains later.
+	// Of each emptyInterval drains, a machine is emptied at one and gets pods again at a later one.
 	emptyInterval = 150
 	emptyAt       = 75
 	refillAt      = 105
@@ -136,8 +136,8 @@
 	}
 	defer proxy.Close()
 	go proxyToReplicas(proxy, c.replicas)
-	for _, x := range c.replicas {
-		if err := x.awaitReady(ctx); err != nil {
+	for _, controller := range c.replicas {
+		if err := controller.awaitReady(ctx); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/chaos/controllerfaults.go
+++ b/internal/lab/chaos/controllerfaults.go
@@ -122,16 +122,16 @@
 // killController kills a random controller and starts it again after a while.
 func (c *Controller) killController(ctx context.Context, random *rand.Rand) {
 	c.countFault("controllers killed")
-	x := c.replicas[random.Intn(len(c.replicas))]
-	x.kill()
+	controller := c.replicas[random.Intn(len(c.replicas))]
+	controller.kill()
 	time.Sleep(randomPause(random, 0, maxReplicaRestart))
-	err := x.start(c.Program)
+	err := controller.start(c.Program)
 	if err == nil {
-		err = x.awaitReady(context.WithoutCancel(ctx))
+		err = controller.awaitReady(context.WithoutCancel(ctx))
 	}
 	if err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.reportBroken("%s does not start again: %v", x.name, err)
+		c.reportBroken("%s does not start again: %v", controller.name, err)
 	}
 }
--- a/internal/lab/chaos/controllersetup.go
+++ b/internal/lab/chaos/controllersetup.go
@@ -108,12 +108,12 @@
 		}
 	}
 	for i := range c.Replicas {
-		x, err := c.newReplica(i, c.keysSection("controller"))
+		controller, err := c.newReplica(i, c.keysSection("controller"))
 		if err != nil {
 			return err
 		}
-		c.replicas = append(c.replicas, x)
-		if err := x.start(c.Program); err != nil {
+		c.replicas = append(c.replicas, controller)
+		if err := controller.start(c.Program); err != nil {
 			return err
 		}
 	}
@@ -122,17 +122,18 @@
 
 // newReplica is the i-th controller, which is still to be started.
 func (c *Controller) newReplica(i int, keysSection string) (*replica, error) {
-	x, err := newReplica(c.dir, fmt.Sprint("c", i))
+	controller, err := newReplica(c.dir, fmt.Sprint("c", i))
 	if err != nil {
 		return nil, err
 	}
 	text := fmt.Sprintf("identity = %q\nstatus = %q\n[api]\nserver = \"http://%s\"\n[leader]\nhold = \"3s\"\n"+
-		"[[service]]\nname = \"s\"\nlisten = %q\n%s", x.name, x.status, c.api.Addr(), x.list, keysSection)
-	return x, x.writeConfig(text)
+		"[[service]]\nname = \"s\"\nlisten = %q\n%s",
+		controller.name, controller.status, c.api.Addr(), controller.list, keysSection)
+	return controller, controller.writeConfig(text)
 }
 
 func (c *Controller) killReplicas() {
-	for _, x := range c.replicas {
-		x.kill()
+	for _, controller := range c.replicas {
+		controller.kill()
 	}
 }
--- a/internal/lab/chaos/view.go
+++ b/internal/lab/chaos/view.go
@@ -72,18 +72,18 @@
 		},
 	}
 	cluster.Scale(v.Servers)
-	x, err := newReplica(dir, "c")
+	controller, err := newReplica(dir, "c")
 	if err != nil {
 		return err
 	}
 	text := fmt.Sprintf("identity = \"c\"\n[api]\nserver = \"http://%s\"\n[leader]\nhold = \"3s\"\n"+
 		"[fanout]\nwatchers = %d\n[[service]]\nname = \"s\"\nlisten = %q\n",
-		api.Addr(), v.Watchers+spareWatchers, x.list)
-	if err := x.writeConfig(text); err != nil {
+		api.Addr(), v.Watchers+spareWatchers, controller.list)
+	if err := controller.writeConfig(text); err != nil {
 		return err
 	}
-	defer x.kill()
-	w := &watchers{replica: x, snapshots: make(chan int, 2*v.Watchers+2)}
+	defer controller.kill()
+	w := &watchers{replica: controller, snapshots: make(chan int, 2*v.Watchers+2)}
 	watchCtx, cancel := context.WithCancel(ctx)
 	defer w.running.Wait()
 	defer cancel()
