--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -101,7 +101,7 @@
 
 func TestReadMemory(t *testing.T) {
 	read := readMemory(os.Getpid())
-	_, resident, _ := standin.Process(os.Getpid())
+	resident := standin.ReadProcessUsage(os.Getpid()).Resident
 	assert.InEpsilon(t, resident, read.resident, 0.2, "in bytes")
 	assert.Less(t, read.anonymous, read.resident)
 	assert.Positive(t, readSlab())
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -159,8 +159,8 @@
 	if pid == 0 {
 		return processUsage{}
 	}
-	cpu, rss, _ := standin.Process(pid)
-	return processUsage{cpu: cpu, rss: rss}
+	usage := standin.ReadProcessUsage(pid)
+	return processUsage{cpu: usage.CPU, rss: usage.Resident}
 }
 
 // readProcessTree reads the usage of a process and of its children.
--- a/internal/lab/standin/freeaddress.go
+++ b/internal/lab/standin/freeaddress.go
@@ -20,7 +20,7 @@
 	// maxPortRange is how many ports FreeAddress goes through.
 	maxPortRange = 20_000
 	// maxPortAttempts is how many ports in use FreeAddress passes over.
-	maxPortAttempts = 50
+	maxPortAttempts = 2000 // other programs, and other labs beside this one, may hold many ports in a row
 )
 
 // nextPort goes through the ports that FreeAddress returns, from a random one on: a process returns none twice in a
--- a/internal/lab/standin/freeaddress_test.go
+++ b/internal/lab/standin/freeaddress_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"strconv"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -32,3 +33,20 @@
 		seen[at.Port] = true
 	}
 }
+
+func TestFreeAddress_ManyPortsInARowTaken(t *testing.T) {
+	first := firstEphemeralPort()
+	ports := max(1, min(maxPortRange, first-minPort))
+	const taken = 60
+	from := nextPort.Load()
+	for i := range uint32(taken) {
+		port := first - 1 - int((from+1+i)%uint32(ports))
+		listener, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)))
+		if err != nil { // another program holds it
+			continue
+		}
+		t.Cleanup(func() { listener.Close() })
+	}
+	_, err := FreeAddress("127.0.0.1")
+	assert.NoError(t, err)
+}
