--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -46,7 +46,7 @@
 // whoever holds the server's mutex.
 type servingStatus struct {
 	reader        *httpwire.Reader // nil: no goroutine serves the connection
-	arrivedAt     time.Duration    // when what is read next arrived; of a new connection, when it was accepted; 0: unknown
+	arrivedAt     time.Duration    // when what is read next arrived, or a new connection; 0: unknown
 	requestStart  time.Duration    // when the request that is being read began
 	lastReadAt    time.Duration
 	deadlineSetAt time.Duration    // of the read deadline
