--- a/cmd/robincart/check.go
+++ b/cmd/robincart/check.go
@@ -77,7 +77,7 @@
 func describeRule(rule routes.Rule, config *nodeconfig.Config) string {
 	text := fmt.Sprintf("%s: %s -> %s", rule.Name, describeMatch(rule), describeTargets(rule, config))
 	if len(rule.To) > 1 {
-		text += " by " + rule.By
+		text += " by " + rule.SplitBy
 	}
 	return text
 }
@@ -95,7 +95,7 @@
 		parts = append(parts, "class "+rule.Class)
 	}
 	switch {
-	case rule.Any:
+	case rule.HeaderPresent:
 		parts = append(parts, "header "+rule.Header+" present")
 	case rule.Header != "":
 		parts = append(parts, fmt.Sprintf("header %s is %q", rule.Header, rule.Value))
--- a/cmd/robincart/commandrestore.go
+++ b/cmd/robincart/commandrestore.go
@@ -60,7 +60,7 @@
 // enforce gives the cores and the front end a state.
 func (c *commandHandler) enforce(state operatorState, knownServers []string) {
 	for _, core := range c.cores() {
-		core.Inherit(state.bans(), knownServers)
+		core.InheritBans(state.bans(), knownServers)
 	}
 	c.frontend.SetLameDuck(state.LameDuck)
 }
--- a/cmd/robincart/commands.go
+++ b/cmd/robincart/commands.go
@@ -216,7 +216,9 @@
 }
 
 // serviceStarted gives the core of a service that has just started the bans in force.
-func (c *commandHandler) serviceStarted(core *node.Core) { core.Inherit(c.operatorState().bans(), nil) }
+func (c *commandHandler) serviceStarted(core *node.Core) {
+	core.InheritBans(c.operatorState().bans(), nil)
+}
 
 // addLink has commands relayed to another process of the node from now on.
 func (c *commandHandler) addLink(link *handover.Link) {
--- a/cmd/robincart/fileservices_test.go
+++ b/cmd/robincart/fileservices_test.go
@@ -49,12 +49,12 @@
 func startServices(t *testing.T, text string) *testNode {
 	addr := freeAddress(t)
 	p := &testNode{t: t, addr: addr, Node: &standin.Node{
-		Name:    "n1",
-		Addr:    addr,
-		Program: os.Args[0],
-		Dir:     t.TempDir(),
-		Env:     testProgramEnvironment(),
-		Text:    "listen = [\"" + addr + "\"]\n" + text,
+		Name:         "n1",
+		Addr:         addr,
+		Program:      os.Args[0],
+		Dir:          t.TempDir(),
+		Env:          testProgramEnvironment(),
+		OperatorFile: "listen = [\"" + addr + "\"]\n" + text,
 	}}
 	t.Cleanup(func() {
 		p.Kill()
--- a/cmd/robincart/gateway_test.go
+++ b/cmd/robincart/gateway_test.go
@@ -83,9 +83,9 @@
 		switch {
 		case p.ID == 0:
 			return string(p.Content), p.Type, 0
-		case p.Type == fcgi.TypeEnd && p.ID == id:
-			return out.String(), fcgi.TypeEnd, fcgi.Status(p.Content[4])
-		case p.Type == fcgi.TypeEnd:
+		case p.Type == fcgi.TypeEndRequest && p.ID == id:
+			return out.String(), fcgi.TypeEndRequest, fcgi.Status(p.Content[4])
+		case p.Type == fcgi.TypeEndRequest:
 			g.t.Errorf("an END of %d", p.ID)
 		default:
 			assert.Equal(g.t, id, p.ID)
@@ -99,7 +99,7 @@
 	_, err := g.Write(records)
 	require.NoError(g.t, err)
 	text, kind, _ := g.receive(id)
-	if kind != fcgi.TypeEnd {
+	if kind != fcgi.TypeEndRequest {
 		return 0, text
 	}
 	h, rest, whole, err := fcgi.ReadCGI([]byte(text), 4096)
@@ -132,7 +132,7 @@
 	s := newServer(t, func(c net.Conn, q *wire.Request) bool {
 		body := fmt.Appendf(nil, "%s %s %s %s %s %d", q.Verb, q.Target, q.Header.Get("X-Trace-Id"),
 			q.Header.Get("X-Customer"), q.Header.Get("Idempotency-Key"), len(q.Body))
-		_, err := c.Write(wire.Answer(nil, 200, "Content-Type: text/x\r\n", body))
+		_, err := c.Write(wire.AppendResponse(nil, 200, "Content-Type: text/x\r\n", body))
 		return err == nil
 	})
 	p, addr, path := withGateways(t, s, "")
@@ -152,7 +152,7 @@
 	_, err := g.Write(fcgi.AppendGetValues(nil))
 	require.NoError(t, err)
 	values, kind, _ := g.receive(0)
-	assert.Equal(t, fcgi.TypeValues, kind)
+	assert.Equal(t, fcgi.TypeGetValuesResult, kind)
 	assert.Contains(t, values, "FCGI_MPXS_CONNS0")
 	status, _ = g.roundTrip(9, encodeRequest(9, false, gatewayParams("nothing", "GET"), "", 1))
 	assert.Equal(t, 404, status)
@@ -186,7 +186,7 @@
 	_, err = u.Write(encodeRequest(2, true, gatewayParams("charge", "POST", "REQUEST_ID", "r10"), "", 1))
 	require.NoError(t, err)
 	text, kind, end := u.receive(2)
-	assert.Equal(t, fcgi.TypeEnd, kind)
+	assert.Equal(t, fcgi.TypeEndRequest, kind)
 	assert.Equal(t, fcgi.StatusOverloaded, end)
 	assert.Empty(t, text)
 	// A node that shuts down closes the connections.
@@ -241,7 +241,7 @@
 	}
 	for name, g := range halves {
 		_, kind, _ := g.receive(1)
-		for kind == fcgi.TypeEnd { // a 408 or 400 for what had a request ID
+		for kind == fcgi.TypeEndRequest { // a 408 or 400 for what had a request ID
 			_, kind, _ = g.receive(1)
 		}
 		assert.Zero(t, kind, name)
@@ -250,7 +250,7 @@
 	g := dialGateway(t, "tcp", addr)
 	g.Write(encodeRequest(1, true, gatewayParams("find", "GET"), "", 1))
 	_, kind, _ := g.receive(1)
-	assert.Equal(t, fcgi.TypeEnd, kind)
+	assert.Equal(t, fcgi.TypeEndRequest, kind)
 }
 
 // A gateway aborts half of its requests. Their attempts are canceled, and the connection serves on.
@@ -268,7 +268,7 @@
 	// One that is aborted while its params still arrive is ended, too, and its ID is free.
 	g.Write(fcgi.AppendAbort(fcgi.AppendBegin(nil, 1, true), 1))
 	_, kind, _ := g.receive(1)
-	assert.Equal(t, fcgi.TypeEnd, kind)
+	assert.Equal(t, fcgi.TypeEndRequest, kind)
 	for i := range 20 {
 		id := uint16(i%3 + 1)
 		if i%2 == 0 {
@@ -278,7 +278,7 @@
 			if i == 4 { // the same after a complete request
 				g.Write(fcgi.AppendAbort(fcgi.AppendBegin(nil, 1, true), 1))
 				_, kind, _ := g.receive(1)
-				assert.Equal(t, fcgi.TypeEnd, kind)
+				assert.Equal(t, fcgi.TypeEndRequest, kind)
 			}
 			continue
 		}
@@ -288,12 +288,12 @@
 		if i == 3 { // another on the same connection, meanwhile
 			g.Write(encodeRequest(9, true, gatewayParams("find", "GET"), "", 1))
 			_, kind, end := g.receive(9)
-			assert.Equal(t, fcgi.TypeEnd, kind)
+			assert.Equal(t, fcgi.TypeEndRequest, kind)
 			assert.Equal(t, fcgi.StatusCantMultiplex, end)
 		}
 		g.Write(fcgi.AppendAbort(nil, id))
 		text, kind, _ := g.receive(id)
-		assert.Equal(t, fcgi.TypeEnd, kind)
+		assert.Equal(t, fcgi.TypeEndRequest, kind)
 		assert.Empty(t, text)
 		select {
 		case <-ended:
@@ -334,6 +334,6 @@
 	time.Sleep(100 * time.Millisecond)
 	require.NoError(t, p.Signal(syscall.SIGTERM))
 	text, kind, _ := g.receive(5)
-	assert.Equal(t, fcgi.TypeEnd, kind)
+	assert.Equal(t, fcgi.TypeEndRequest, kind)
 	assert.Regexp(t, "^Status: (408|50[34])", text)
 }
--- a/cmd/robincart/gateways.go
+++ b/cmd/robincart/gateways.go
@@ -31,15 +31,15 @@
 			return nil, errors.Join(err, closeGateways(all))
 		}
 		all = append(all, gatewayListener{listener, &frontend.Gateway{
-			Trace:              gateway.Params.TraceID,
-			Class:              gateway.Params.Class,
-			Tenant:             gateway.Params.Tenant,
-			Key:                gateway.Params.IdempotencyKey,
-			Left:               gateway.Params.TimeLeft,
-			DefaultTenant:      gateway.DefaultTenant,
-			DefaultTimeLeft:    time.Duration(gateway.DefaultTimeLeft),
-			Overloaded:         gateway.Overloaded,
-			AdvertisedRequests: config.Limits.MaxRequests,
+			TraceParam:          gateway.Params.TraceID,
+			MethodParam:         gateway.Params.Class,
+			TenantParam:         gateway.Params.Tenant,
+			IdempotencyKeyParam: gateway.Params.IdempotencyKey,
+			TimeLeftParam:       gateway.Params.TimeLeft,
+			DefaultTenant:       gateway.DefaultTenant,
+			DefaultTimeLeft:     time.Duration(gateway.DefaultTimeLeft),
+			Overloaded:          gateway.Overloaded,
+			AdvertisedRequests:  config.Limits.MaxRequests,
 		}})
 	}
 	return all, nil
--- a/cmd/robincart/golden_test.go
+++ b/cmd/robincart/golden_test.go
@@ -246,7 +246,7 @@
 			StartedAt: time.UnixMilli(1764540000013), Revision: 8},
 		{ID: "server-14", Addr: "127.0.0.1:3015", State: decide.Ready, Zone: 0, Cell: 16, Weight: 17,
 			StartedAt: time.UnixMilli(1764540000018), Revision: 8},
-	}, c.list.Entries(c.node.ZoneNames, zap.NewNop()))
+	}, c.list.Endpoints(c.node.ZoneNames, zap.NewNop()))
 }
 
 func TestGolden_NodeConfigurationMayLeaveOut(t *testing.T) {
--- a/cmd/robincart/helpers_test.go
+++ b/cmd/robincart/helpers_test.go
@@ -50,7 +50,7 @@
 
 func newDiscovery(t *testing.T, members ...standin.Member) *discovery {
 	d := &discovery{Discovery: standin.NewDiscovery(nil, time.Now())}
-	d.Every = 500 * time.Millisecond
+	d.HeartbeatInterval = 500 * time.Millisecond
 	if len(members) > 0 {
 		d.Update(members...)
 	}
@@ -102,7 +102,7 @@
 		head = wire.NeverRan + ": 1\r\n"
 	}
 	return func(c net.Conn, _ *wire.Request) bool {
-		_, err := c.Write(wire.Answer(nil, status, head, []byte(body)))
+		_, err := c.Write(wire.AppendResponse(nil, status, head, []byte(body)))
 		return err == nil
 	}
 }
--- a/cmd/robincart/mixedfleet_test.go
+++ b/cmd/robincart/mixedfleet_test.go
@@ -84,7 +84,7 @@
 			head := fmt.Sprintf("X-Load: %d,0,0.5\r\n", held.Add(1))
 			time.Sleep(10 * time.Millisecond)
 			held.Add(-1)
-			_, err := c.Write(wire.Answer(nil, 200, head, nil))
+			_, err := c.Write(wire.AppendResponse(nil, 200, head, nil))
 			return err == nil
 		})
 		member := newMember(name, servers[name].addr(), "ready")
--- a/cmd/robincart/platform.go
+++ b/cmd/robincart/platform.go
@@ -63,7 +63,7 @@
 	b.watcher = endpoints.New(config.Discovery, config.node.ZoneNames, l, p.budget, p.log)
 	b.core = node.New(config.node, config.seed(), p.clock, time.Now(), b.watcher.RequestWatch)
 	b.core.SetRecorder(p.telemetry)
-	b.watcher.StartWith(b.core, config.list)
+	b.watcher.SetInitialList(b.core, config.list)
 	b.pool = upstream.NewPool(b.core, l, p.budget, p.poller)
 	b.pool.SetRecorder(p.telemetry)
 	b.settings = &settingsTransition{core: b.core, now: time.Now, current: config.node}
@@ -114,7 +114,7 @@
 	none := func(int) bool { return false }
 	now := p.process.clock.Now()
 	service := frontend.NewService("", config.node.WithSlotsOf(inForce, none, none), p.core, p.pool, nil)
-	p.service = service.KeepFormer(p.service, now, now+grace)
+	p.service = service.KeepFormerSettings(p.service, now, now+grace)
 	p.process.frontend.SetTable(&frontend.Table{Only: p.service})
 	p.process.frontend.SetRequestIDTTL(config.limits.RequestIDTTL)
 	p.pool.SetTimeouts(config.limits)
--- a/cmd/robincart/platformconfig.go
+++ b/cmd/robincart/platformconfig.go
@@ -105,7 +105,7 @@
 	if p.limits, err = limits.New(machine, p.node); err != nil {
 		return err
 	}
-	p.node.MaxFirstPollDelay = p.limits.MaxCallInterval.Seconds()
+	p.node.MaxFirstPollDelay = p.limits.MaxPollInterval.Seconds()
 	return nil
 }
 
--- a/cmd/robincart/platformconfig_test.go
+++ b/cmd/robincart/platformconfig_test.go
@@ -42,7 +42,7 @@
 	c, err := readPlatformConfig(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
 	require.NoError(t, err)
 	assert.Greater(t, c.node.MaxFirstPollDelay, 0.0)
-	assert.InDelta(t, c.limits.MaxCallInterval.Seconds(), c.node.MaxFirstPollDelay, 1e-9)
+	assert.InDelta(t, c.limits.MaxPollInterval.Seconds(), c.node.MaxFirstPollDelay, 1e-9)
 }
 
 // A file that is truncated anywhere, or lacks any key, changes nothing.
--- a/cmd/robincart/requests_test.go
+++ b/cmd/robincart/requests_test.go
@@ -21,7 +21,7 @@
 func TestRequest_ServedUnchanged(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 4096)
 	echo := newServer(t, func(c net.Conn, q *wire.Request) bool {
-		c.Write(wire.Answer(nil, 200, "Content-Type: text/x\r\n", q.Body))
+		c.Write(wire.AppendResponse(nil, 200, "Content-Type: text/x\r\n", q.Body))
 		return true
 	})
 	p, _ := startWithServers(t, echo)
--- a/cmd/robincart/start_test.go
+++ b/cmd/robincart/start_test.go
@@ -104,7 +104,7 @@
 	}
 	for range b.N {
 		d := standin.NewDiscovery(nil, time.Now())
-		d.Every = 500 * time.Millisecond
+		d.HeartbeatInterval = 500 * time.Millisecond
 		d.Update(newMember("s0", "127.0.0.1:1", "ready"))
 		door, err := d.Listen(0, "127.0.0.1:0")
 		require.NoError(b, err)
--- a/cmd/robincart/successor.go
+++ b/cmd/robincart/successor.go
@@ -46,7 +46,7 @@
 		Operators:       s.commands.operatorState(),
 		OperatorsUnread: s.commands.stateUnread(),
 		Endpoints:       s.core.Endpoints(),
-		KnownServers:    s.core.KnownServers(),
+		KnownServers:    s.core.KnownServerIDs(),
 		Descriptors:     s.limits.Descriptors - s.budget.Available(),
 		RequestIDSeed:   s.frontend.RequestIDSeed(),
 		ListClock:       s.core.ListClock(),
--- a/cmd/robinlab/experiment.go
+++ b/cmd/robinlab/experiment.go
@@ -100,7 +100,7 @@
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	fmt.Fprintf(command.OutOrStdout(), "%s: %d requests in %v, %d tiers, %d nodes, %d faults, arms %v\n",
-		file, len(arrivals), time.Duration(read.Duration), len(read.Fleet.Tier), read.Fleet.Nodes, len(read.Fault),
+		file, len(arrivals), time.Duration(read.Duration), len(read.Fleet.Tiers), read.Fleet.Nodes, len(read.Faults),
 		read.Arms)
 	return nil
 }
@@ -163,7 +163,7 @@
 			return err
 		}
 		failed = failed || !result.Passed
-		if result.Cut {
+		if result.Interrupted {
 			return errFailed
 		}
 	}
--- a/cmd/robinlab/experiment_test.go
+++ b/cmd/robinlab/experiment_test.go
@@ -138,7 +138,7 @@
 	require.Len(t, results, 1)
 	result, err := run.Load(results[0])
 	require.NoError(t, err)
-	assert.True(t, result.Cut)
+	assert.True(t, result.Interrupted)
 	assert.Greater(t, result.Arms[0].Metrics["calls"], 0.0)
 	assert.Less(t, result.Arms[0].Metrics["calls"], 2400.0)
 	logs, err := filepath.Glob(filepath.Join(filepath.Dir(results[0]), "robincart", "*.log"))
--- a/cmd/robinlab/nodestate_test.go
+++ b/cmd/robinlab/nodestate_test.go
@@ -86,7 +86,7 @@
 		Program: program("robincart"),
 		Dir:     dir,
 		Env:     []string{"TMPDIR=" + s.stateFolder},
-		Wrap:    []string{program("robinlab"), "shim", "--plan", s.planPath, "--journal", s.journalPath},
+		Wrapper: []string{program("robinlab"), "shim", "--plan", s.planPath, "--journal", s.journalPath},
 		Config:  s.config(),
 	}
 	s.failStateCalls()
@@ -98,7 +98,7 @@
 // startServer starts a server that answers every request with its ID.
 func (s *shimmedNode) startServer(id string) {
 	s.t.Helper()
-	response := wire.Answer(nil, http.StatusOK, "", []byte(id))
+	response := wire.AppendResponse(nil, http.StatusOK, "", []byte(id))
 	server := &standin.Server{Serve: func(conn net.Conn, _ *wire.Request) bool {
 		time.Sleep(serverTime)
 		_, err := conn.Write(response)
--- a/internal/config/nodeconfig/compile.go
+++ b/internal/config/nodeconfig/compile.go
@@ -124,7 +124,7 @@
 func (r *Route) compile(indices map[string]int, p *problems) routes.Rule {
 	rule := routes.Rule{
 		Name: r.Name, Host: r.Host, Path: r.Path, Class: r.Class,
-		Header: r.Header, Value: r.Value, Any: r.Any, By: r.By,
+		Header: r.Header, Value: r.Value, HeaderPresent: r.Any, SplitBy: r.By,
 	}
 	p.reportIf(r.To != "" && len(r.Split) > 0, ": to and split exclude each other")
 	targets := r.Split
@@ -174,7 +174,7 @@
 	for i := range c.Pools {
 		pool := &c.Pools[i]
 		pool.Limits = c.Limits.ForService(pool.Settings)
-		pool.Settings.MaxFirstPollDelay = c.Limits.MaxCallInterval.Seconds()
+		pool.Settings.MaxFirstPollDelay = c.Limits.MaxPollInterval.Seconds()
 	}
 	return nil
 }
--- a/internal/config/nodeconfig/golden_test.go
+++ b/internal/config/nodeconfig/golden_test.go
@@ -174,7 +174,7 @@
 			testutil.EqualGolden(t, test.golden, generatedSettings(t, pool))
 			read, err := settings.Parse(testutil.Golden(t, test.golden))
 			require.NoError(t, err)
-			read.MaxFirstPollDelay = config.Limits.MaxCallInterval.Seconds()
+			read.MaxFirstPollDelay = config.Limits.MaxPollInterval.Seconds()
 			assert.Equal(t, read, pool.Settings)
 		})
 	}
--- a/internal/config/nodeconfig/nodeconfig_test.go
+++ b/internal/config/nodeconfig/nodeconfig_test.go
@@ -28,7 +28,7 @@
 	assert.True(t, c.Pools[0].Settings.MustSubscribe, "its servers come from discovery")
 	assert.False(t, c.Pools[1].Settings.MustSubscribe)
 	firstPoll := c.Pools[0].Settings.MaxFirstPollDelay
-	assert.InDelta(t, c.Limits.MaxCallInterval.Seconds(), firstPoll, 1e-9, "a new process polls as soon as any")
+	assert.InDelta(t, c.Limits.MaxPollInterval.Seconds(), firstPoll, 1e-9, "a new process polls as soon as any")
 	assert.Len(t, c.Pools[1].StaticEndpoints, 2)
 	assert.InDelta(t, 2.5, c.Pools[0].Settings.Methods[0].LatencyObjective, 1e-9)
 	assert.EqualValues(t, c.Limits.MaxRequests, c.Quota.Total[quota.InFlight])
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -225,7 +225,7 @@
 
 func TestController_NothingPublishedBeforeSync(t *testing.T) {
 	c := newCluster(t, func(api *apiserver.Server) {
-		api.Late("pods", 0)
+		api.DelayEvents("pods", 0)
 		api.Hang(true)
 	})
 	time.Sleep(100 * time.Millisecond) // nothing must be published, so there is no event to wait for
--- a/internal/controlplane/controller/golden_test.go
+++ b/internal/controlplane/controller/golden_test.go
@@ -334,11 +334,11 @@
 			Skipped:      map[string]string{"pod booking/odd": "it has no UID"},
 			GatesOpened:  8, RecordError: "the store is away",
 			RecordServer: &recordserver.Status{
-				Epoch: "5f2a9c", Revision: 9, Entries: 10, Nodes: 11, SecondsSinceContact: 12.5, Error: "no answer", Pending: 13,
+				Epoch: "5f2a9c", Revision: 9, Entries: 10, Watchers: 11, SecondsSinceContact: 12.5, Error: "no answer", Pending: 13,
 				Written: 14, Answered: 15, Merged: 16,
 			},
 			Services: map[string]fanout.Status{
-				"booking": {Revision: 17, Servers: 18, Watchers: 19, Rejected: 20, Snapshots: 21, SecondsSinceSource: 22.5},
+				"booking": {Revision: 17, Servers: 18, Watchers: 19, Rejected: 20, Snapshots: 21, SecondsSinceSourceSeen: 22.5},
 			},
 		},
 		"status-zero.json": {},
--- a/internal/controlplane/controller/publish.go
+++ b/internal/controlplane/controller/publish.go
@@ -67,7 +67,7 @@
 	for serviceName, list := range c.lists {
 		list.PublishDelta(deltas[serviceName])
 		if len(c.disconnected) == 0 {
-			list.NoteSourceAlive()
+			list.MarkSourceAlive()
 		}
 	}
 }
--- a/internal/controlplane/controller/recordwriter_test.go
+++ b/internal/controlplane/controller/recordwriter_test.go
@@ -156,7 +156,7 @@
 		page, err := served.Since(f.t.Context(), 0, 100)
 		return err == nil && len(page.Entries) == 1 && page.Entries[0].Name == name
 	})
-	assert.Equal(f.t, 1, f.controller.Status().RecordServer.Nodes)
+	assert.Equal(f.t, 1, f.controller.Status().RecordServer.Watchers)
 }
 
 // followList watches the list as a node does, until the test ends.
--- a/internal/controlplane/endpoints/address_test.go
+++ b/internal/controlplane/endpoints/address_test.go
@@ -89,9 +89,9 @@
 	t.Cleanup(core.Close)
 	w := New(freeAddress(t), nil, limits.Limits{
 		DiscoveryConnectTimeout: time.Second,
-		FirstUpdateTimeout:      time.Second,
+		FirstMessageTimeout:     time.Second,
 		MaxUpdateDelay:          time.Second,
-		MaxCallInterval:         time.Hour,
+		MaxPollInterval:         time.Hour,
 		WatchSilenceTimeout:     time.Hour,
 	}, limits.NewBudget(1, 0, nil), zap.NewNop())
 	w.SetReceiver(core)
--- a/internal/controlplane/endpoints/backoff.go
+++ b/internal/controlplane/endpoints/backoff.go
@@ -23,11 +23,11 @@
 // is spared again, until there is another one.
 func maxPauseAfterRejection(l limits.Limits, age, rejected time.Duration) time.Duration {
 	if rejected >= l.MaxUpdateDelay+maxQueueTime {
-		return l.MaxCallInterval
+		return l.MaxPollInterval
 	}
 	// A working watch may be silent for WatchSilenceTimeout: until then a list is not old.
 	aged := min(1, max(0, float64(age-l.WatchSilenceTimeout))/float64(l.MaxUpdateDelay))
-	return l.MaxCallInterval - time.Duration(aged*float64(l.MaxCallInterval)*2/3)
+	return l.MaxPollInterval - time.Duration(aged*float64(l.MaxPollInterval)*2/3)
 }
 
 // watchFailure describes the failure of a poll to the core, which decides when the next poll is due. The mutex is
@@ -39,7 +39,7 @@
 func (w *Watcher) watchFailure(p *poll, cause error, lasted bool) node.WatchFailure {
 	failure := node.WatchFailure{
 		ResetBackoff: lasted || w.newAddress || !suggestsOverload(cause),
-		MaxPause:     w.limits.MaxCallInterval - time.Since(p.lastMessage),
+		MaxPause:     w.limits.MaxPollInterval - time.Since(p.lastMessage),
 	}
 	if p.delivered { // a watch may end instead of bringing a change
 		failure.MaxPause = min(failure.MaxPause, w.limits.MaxReconnectDelay)
--- a/internal/controlplane/endpoints/backoff_test.go
+++ b/internal/controlplane/endpoints/backoff_test.go
@@ -13,7 +13,7 @@
 // Pauses after rejections fall while the list grows old.
 func TestMaxPauseAfterRejection(t *testing.T) {
 	l := limits.Limits{
-		MaxCallInterval:     3 * time.Second,
+		MaxPollInterval:     3 * time.Second,
 		MaxUpdateDelay:      6 * time.Second,
 		WatchSilenceTimeout: 2 * time.Second,
 	}
--- a/internal/controlplane/endpoints/fleet_test.go
+++ b/internal/controlplane/endpoints/fleet_test.go
@@ -392,11 +392,11 @@
 		d.mu.Unlock()
 		time.Sleep(time.Minute)
 		l := n.watcher.limits
-		assert.True(t, n.updatedSince(time.Now().Add(-l.MaxCallInterval)), "each snapshot is taken")
+		assert.True(t, n.updatedSince(time.Now().Add(-l.MaxPollInterval)), "each snapshot is taken")
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		t.Logf("%d polls in a minute", d.polls)
 		assert.LessOrEqual(t, d.polls, int(time.Minute/(l.MaxReconnectDelay/2)))
-		assert.GreaterOrEqual(t, d.polls, int(time.Minute/l.MaxCallInterval))
+		assert.GreaterOrEqual(t, d.polls, int(time.Minute/l.MaxPollInterval))
 	})
 }
--- a/internal/controlplane/endpoints/golden_test.go
+++ b/internal/controlplane/endpoints/golden_test.go
@@ -63,7 +63,7 @@
 			ID: "pod-3", Addr: "10.1.0.3:8083", State: decide.Gone, Zone: -1, Cell: 5, Weight: 3.5,
 			StartedAt: time.UnixMilli(1712998800789), Revision: 41,
 		},
-	}, list.Entries(goldenZones, zap.NewNop()))
+	}, list.Endpoints(goldenZones, zap.NewNop()))
 }
 
 func TestParse_OddForms(t *testing.T) {
@@ -86,7 +86,7 @@
 		{ID: "nulls", Addr: "10.1.0.5:8080", State: decide.Ready, Zone: -1, Weight: 1, Revision: 42},
 		{ID: "out-of-range", Addr: "10.1.0.6:8080", State: decide.Ready, Zone: -1, Cell: -1, Weight: 1, Revision: 42},
 		{ID: "no-address", State: decide.Gone, Zone: -1, Weight: 1, Revision: 42},
-	}, list.Entries(goldenZones, zap.New(core)))
+	}, list.Endpoints(goldenZones, zap.New(core)))
 	var skipped bytes.Buffer
 	for _, line := range logs.All() {
 		skipped.WriteString(line.ContextMap()["entry"].(string) + "\n")
--- a/internal/controlplane/endpoints/helpers_test.go
+++ b/internal/controlplane/endpoints/helpers_test.go
@@ -86,9 +86,9 @@
 		},
 		MaxListLine:             1 << 16,
 		DiscoveryConnectTimeout: time.Second,
-		FirstUpdateTimeout:      500 * time.Millisecond,
+		FirstMessageTimeout:     500 * time.Millisecond,
 		MaxUpdateDelay:          5 * time.Second,
-		MaxCallInterval:         time.Hour,
+		MaxPollInterval:         time.Hour,
 		WatchSilenceTimeout:     200 * time.Millisecond,
 	}
 }
@@ -134,7 +134,7 @@
 	receiver := make(fakeReceiver, 9)
 	list, err := Parse([]byte(known))
 	require.NoError(t, err)
-	w.StartWith(receiver, list)
+	w.SetInitialList(receiver, list)
 	receiver.next(t)
 	runWatcher(t, w)
 	w.RequestWatch()
--- a/internal/controlplane/endpoints/list.go
+++ b/internal/controlplane/endpoints/list.go
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// Entries converts a message into the core's endpoints. Entries that can't be used are skipped and logged.
-func (l *List) Entries(zones []string, log *zap.Logger) []node.Endpoint {
+// Endpoints converts a message into the core's endpoints. Entries that can't be used are skipped and logged.
+func (l *List) Endpoints(zones []string, log *zap.Logger) []node.Endpoint {
 	out := make([]node.Endpoint, 0, len(l.Members))
 	skipped := 0
 	for i := range l.Members {
--- a/internal/controlplane/endpoints/list_test.go
+++ b/internal/controlplane/endpoints/list_test.go
@@ -25,7 +25,7 @@
 	const tenTimesTheTarget = 10 * 440
 	l, err := Parse(snapshotOf(tenTimesTheTarget, func(i int) string { return memberJSON(fmt.Sprint("a", i), "ready") }))
 	require.NoError(t, err)
-	assert.Len(t, l.Entries(nil, zap.NewNop()), tenTimesTheTarget)
+	assert.Len(t, l.Endpoints(nil, zap.NewNop()), tenTimesTheTarget)
 }
 
 // A server in two phases makes a snapshot useless; a delta may name a server as often as it changed.
@@ -76,7 +76,7 @@
 		`{"id":"bare","host_port":"[::1]:80","phase":"ready","size":-1,"up_since_ms":-1}`,
 	}, ",") + `]}`))
 	require.NoError(t, err)
-	got := l.Entries([]string{"south"}, zap.NewNop())
+	got := l.Endpoints([]string{"south"}, zap.NewNop())
 	assert.Len(t, got, 3)
 	assert.Equal(t, "good", got[0].ID)
 	assert.Equal(t, node.Endpoint{ID: "left", State: decide.Gone, Zone: -1, Weight: 1, Revision: 1}, got[1])
@@ -87,7 +87,7 @@
 	l, err := Parse(snapshotOf(5000, func(int) string { return `"` + strings.Repeat("x", 2000) + `"` }))
 	require.NoError(t, err)
 	core, logs := observer.New(zapcore.WarnLevel)
-	assert.Empty(t, l.Entries(nil, zap.New(core)))
+	assert.Empty(t, l.Endpoints(nil, zap.New(core)))
 	require.Len(t, logs.All(), maxSkippedLogged+1)
 	assert.Len(t, logs.All()[0].ContextMap()["entry"], 1000)
 	assert.EqualValues(t, 5000, logs.All()[maxSkippedLogged].ContextMap()["skipped"])
@@ -102,7 +102,7 @@
 		if err != nil {
 			return
 		}
-		for _, e := range l.Entries([]string{"a"}, zap.NewNop()) {
+		for _, e := range l.Endpoints([]string{"a"}, zap.NewNop()) {
 			if e.ID == "" || !(e.Weight > 0) || e.State != decide.Gone && checkAddress(e.Addr) != nil {
 				t.Fatalf("accepted %+v", e)
 			}
@@ -139,7 +139,7 @@
 	core := frozenCore(t)
 	list, err := Parse(indentedSnapshot(t, servers, "ready"))
 	require.NoError(t, err)
-	core.UpdateEndpoints(list.Entries(nil, zap.NewNop()), list.Complete)
+	core.UpdateEndpoints(list.Endpoints(nil, zap.NewNop()), list.Complete)
 	assert.Len(t, core.Endpoints(), servers)
 	assert.GreaterOrEqual(t, MaxMembers, servers)
 	size := len(strings.TrimSpace(string(indentedSnapshot(t, servers, "ready"))))
@@ -164,7 +164,7 @@
 				require.NoError(b, err)
 				list, err := Parse(message)
 				require.NoError(b, err)
-				core.UpdateEndpoints(list.Entries(nil, zap.NewNop()), list.Complete)
+				core.UpdateEndpoints(list.Endpoints(nil, zap.NewNop()), list.Complete)
 			}
 		})
 	}
--- a/internal/controlplane/endpoints/polls.go
+++ b/internal/controlplane/endpoints/polls.go
@@ -33,7 +33,7 @@
 		w.endPoll(p, errNoDescriptor)
 		return
 	}
-	firstUpdate := time.AfterFunc(w.limits.FirstUpdateTimeout, func() { w.markUnanswered(p) })
+	firstUpdate := time.AfterFunc(w.limits.FirstMessageTimeout, func() { w.markUnanswered(p) })
 	go func() {
 		err := w.runPoll(pollCtx, p)
 		firstUpdate.Stop()
--- a/internal/controlplane/endpoints/simulation_test.go
+++ b/internal/controlplane/endpoints/simulation_test.go
@@ -95,7 +95,7 @@
 	require.NoError(s.t, err)
 	l, err := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, instance)
 	require.NoError(s.t, err)
-	instance.MaxFirstPollDelay = l.MaxCallInterval.Seconds()
+	instance.MaxFirstPollDelay = l.MaxPollInterval.Seconds()
 	n := &testNode{budget: o.budget}
 	n.watcher = New(firstAddress, nil, l, n.budget, zap.NewNop())
 	n.watcher.SetDialer(o.dial)
--- a/internal/controlplane/endpoints/watcher.go
+++ b/internal/controlplane/endpoints/watcher.go
@@ -91,9 +91,9 @@
 // SetReceiver sets the receiver where no list from before the start is known. It is called before Run.
 func (w *Watcher) SetReceiver(r Receiver) { w.receiver = r }
 
-// StartWith sets the receiver and hands it the list that the node had before its start, which may be old. It is called
-// before Run.
-func (w *Watcher) StartWith(r Receiver, known *List) {
+// SetInitialList sets the receiver and hands it the list that the node had before its start, which may be old. It is
+// called before Run.
+func (w *Watcher) SetInitialList(r Receiver, known *List) {
 	w.receiver = r
 	w.deliver(known)
 }
@@ -181,5 +181,5 @@
 		w.receiver.UpdateEndpoints(nil, false)
 		return
 	}
-	w.receiver.UpdateEndpoints(l.Entries(w.zones, w.log), l.Complete)
+	w.receiver.UpdateEndpoints(l.Endpoints(w.zones, w.log), l.Complete)
 }
--- a/internal/controlplane/endpoints/watcher_test.go
+++ b/internal/controlplane/endpoints/watcher_test.go
@@ -237,7 +237,7 @@
 func TestWatcher_DiscoveryDownAtStart(t *testing.T) {
 	l := limits.Limits{
 		DiscoveryConnectTimeout: time.Second,
-		FirstUpdateTimeout:      time.Second,
+		FirstMessageTimeout:     time.Second,
 		MaxUpdateDelay:          time.Second,
 	}
 	w := New(freeAddress(t), nil, l, limits.NewBudget(1, 0, nil), zap.NewNop())
--- a/internal/controlplane/fanout/golden_test.go
+++ b/internal/controlplane/fanout/golden_test.go
@@ -54,7 +54,7 @@
 
 func TestStatus_Golden(t *testing.T) {
 	for name, want := range map[string]Status{
-		"status.json":      {Revision: 41, Servers: 2, Watchers: 3, Rejected: 4, Snapshots: 5, SecondsSinceSource: 6.5},
+		"status.json":      {Revision: 41, Servers: 2, Watchers: 3, Rejected: 4, Snapshots: 5, SecondsSinceSourceSeen: 6.5},
 		"status-zero.json": {},
 	} {
 		t.Run(name, func(t *testing.T) { testutil.EqualGoldenJSON(t, name, want) })
--- a/internal/controlplane/fanout/list.go
+++ b/internal/controlplane/fanout/list.go
@@ -106,8 +106,8 @@
 	return false
 }
 
-// NoteSourceAlive notes that the source of the list can still be reached, for the status.
-func (l *List) NoteSourceAlive() {
+// MarkSourceAlive notes that the source of the list can still be reached, for the status.
+func (l *List) MarkSourceAlive() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sourceAliveAt = time.Now()
@@ -262,12 +262,12 @@
 
 // Status is the state of a list as the controller's status page shows it.
 type Status struct {
-	Revision           int64   `json:"revision"`
-	Servers            int     `json:"servers"`
-	Watchers           int64   `json:"watchers"`
-	Rejected           int64   `json:"refused"`
-	Snapshots          int64   `json:"whole_lists_sent"`
-	SecondsSinceSource float64 `json:"heard_seconds_ago"` // since the source showed that it lives; -1: it never did
+	Revision               int64   `json:"revision"`
+	Servers                int     `json:"servers"`
+	Watchers               int64   `json:"watchers"`
+	Rejected               int64   `json:"refused"`
+	Snapshots              int64   `json:"whole_lists_sent"`
+	SecondsSinceSourceSeen float64 `json:"heard_seconds_ago"` // since the source showed that it lives; -1: it never did
 }
 
 // Status returns the present state of the list.
@@ -275,15 +275,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	status := Status{
-		Revision:           l.revision,
-		Servers:            len(l.members),
-		Watchers:           l.watchers.Load(),
-		Rejected:           l.rejected.Load(),
-		Snapshots:          l.snapshotsSent.Load(),
-		SecondsSinceSource: -1,
+		Revision:               l.revision,
+		Servers:                len(l.members),
+		Watchers:               l.watchers.Load(),
+		Rejected:               l.rejected.Load(),
+		Snapshots:              l.snapshotsSent.Load(),
+		SecondsSinceSourceSeen: -1,
 	}
 	if !l.sourceAliveAt.IsZero() {
-		status.SecondsSinceSource = time.Since(l.sourceAliveAt).Seconds()
+		status.SecondsSinceSourceSeen = time.Since(l.sourceAliveAt).Seconds()
 	}
 	return status
 }
--- a/internal/controlplane/recordcache/fleet_test.go
+++ b/internal/controlplane/recordcache/fleet_test.go
@@ -155,7 +155,7 @@
 	f.b.Logf("start: all written after %v, %d changes still pending; %d commits, %d statements, store's CPU %v, "+
 		"%d connections at most; replicas' CPU %v, %d MB",
 		time.Since(begin).Round(time.Millisecond), f.pending(), now.store.Commits, now.store.Statements,
-		now.store.CPU, now.store.Most, now.replicas.CPU, now.replicas.ResidentKB>>10)
+		now.store.CPU, now.store.MaxConnections, now.replicas.CPU, now.replicas.ResidentKB>>10)
 }
 
 // pending returns how many changes the nodes have to write.
@@ -190,7 +190,7 @@
 	nodeSeconds := float64(len(f.caches)) * seconds
 	f.b.Logf("idle: %d connections at the store; a node and second %.0f bytes, %.2f ms of CPU; "+
 		"store's CPU %.1f ms/s, replicas' %.1f ms/s",
-		after.store.Connections, float64(after.nodes.Wire()-before.nodes.Wire())/nodeSeconds,
+		after.store.Connections, float64(after.nodes.WireBytes()-before.nodes.WireBytes())/nodeSeconds,
 		milliseconds(after.nodesCPU-before.nodesCPU)/nodeSeconds,
 		milliseconds(after.store.CPU-before.store.CPU)/seconds,
 		milliseconds(after.replicas.CPU-before.replicas.CPU)/seconds)
@@ -239,7 +239,7 @@
 		"%.0f bytes a node, replicas' CPU %v; quiet after %v",
 		name, len(delays), nodes, last.Round(time.Millisecond), after.store.Commits-before.store.Commits,
 		after.store.Statements-before.store.Statements, after.store.Notices-before.store.Notices,
-		after.store.CPU-before.store.CPU, float64(after.nodes.Wire()-before.nodes.Wire())/float64(nodes),
+		after.store.CPU-before.store.CPU, float64(after.nodes.WireBytes()-before.nodes.WireBytes())/float64(nodes),
 		after.replicas.CPU-before.replicas.CPU, quiet.Sub(begin).Round(time.Millisecond))
 }
 
--- a/internal/controlplane/recordserver/golden_test.go
+++ b/internal/controlplane/recordserver/golden_test.go
@@ -18,7 +18,7 @@
 			Epoch:               "epoch-1",
 			Revision:            41,
 			Entries:             42,
-			Nodes:               43,
+			Watchers:            43,
 			SecondsSinceContact: 4.5,
 			Error:               "the store is away",
 			Pending:             44,
--- a/internal/controlplane/recordserver/nodes_test.go
+++ b/internal/controlplane/recordserver/nodes_test.go
@@ -63,10 +63,10 @@
 	f := newFixture(t)
 	first, second := f.startReplica(), f.startReplica()
 	node := f.startNode("n", throughReplicas(first.address, second.address), "a", "b", "d")
-	f.eventually(func() bool { return first.Status().Nodes == 1 }, "the node watches the first")
+	f.eventually(func() bool { return first.Status().Watchers == 1 }, "the node watches the first")
 	first.stop()
 	f.recordDrain("s/a")
-	f.eventually(func() bool { return node.core.drains("a") && second.Status().Nodes == 1 }, "notified by the second")
+	f.eventually(func() bool { return node.core.drains("a") && second.Status().Watchers == 1 }, "notified by the second")
 	second.stop()
 	f.eventually(func() bool { return node.Status().Error != "" }, "none is left")
 	assert.True(t, node.core.drains("a"))
@@ -155,10 +155,10 @@
 			f.eventually(func() bool { return node.Status().Error != "" }, "the far one rejects the node")
 			assert.Contains(t, node.Status().Error, "no controller serves the record")
 			assert.True(t, hasSecond())
-			assert.Zero(t, far.Status().Nodes)
+			assert.Zero(t, far.Status().Watchers)
 			far.upstream.detached.Store(false)
 			f.eventually(func() bool {
-				return node.Status().Error == "" && far.Status().Nodes == 1
+				return node.Status().Error == "" && far.Status().Watchers == 1
 			}, "the far one has the store again")
 			assert.True(t, hasSecond())
 		})
@@ -282,7 +282,7 @@
 		_, err := readMeta(openKeys(otherFolder, "node").Client)
 		assert.ErrorContains(t, err, "keys")
 	})
-	assert.Zero(t, r.Status().Nodes)
+	assert.Zero(t, r.Status().Watchers)
 }
 
 // The load on the store does not grow with the fleet: connections, commits and notifications are those of the replicas,
@@ -324,11 +324,11 @@
 				return all(func(node *testNode) bool { return node.core.drains("a", "b") }) && all(hasNothingPending)
 			}, "all are notified")
 			for _, r := range replicas {
-				assert.Equal(t, nodeCount/replicaCount, r.Status().Nodes)
+				assert.Equal(t, nodeCount/replicaCount, r.Status().Watchers)
 			}
 			after := f.postgres.Counts()
 			if nodeCount == 24 { // a connection that was given up counts until the server has noticed
-				assert.Less(t, after.Most, nodeCount, "less than one connection a node")
+				assert.Less(t, after.MaxConnections, nodeCount, "less than one connection a node")
 			}
 			f.eventually(func() bool {
 				return f.postgres.Counts().Connections <= 3*replicaCount+2
--- a/internal/controlplane/recordserver/server.go
+++ b/internal/controlplane/recordserver/server.go
@@ -166,7 +166,7 @@
 	Epoch               string  `json:"epoch"`
 	Revision            int64   `json:"revision"`
 	Entries             int     `json:"facts"`
-	Nodes               int     `json:"nodes"`             // that watch
+	Watchers            int     `json:"nodes"`             // that watch
 	SecondsSinceContact float64 `json:"heard_seconds_ago"` // -1: never
 	Error               string  `json:"fault,omitempty"`
 	Pending             int     `json:"waiting"`  // changes that wait for the store
@@ -184,7 +184,7 @@
 		Epoch:               meta.Epoch,
 		Revision:            meta.Revision,
 		Entries:             s.copy.Len(),
-		Nodes:               s.watchers,
+		Watchers:            s.watchers,
 		SecondsSinceContact: -1,
 		Error:               s.storeError,
 		Pending:             s.queue.Len(),
--- a/internal/core/node/bans.go
+++ b/internal/core/node/bans.go
@@ -101,16 +101,16 @@
 // everListed returns whether a server is listed or was, as far as that is remembered.
 func (c *Core) everListed(id string) bool { return c.servers[id] != nil || c.knownIDs.has(id) }
 
-// KnownServers are the IDs of all servers that were ever listed, as far as they are remembered.
-func (c *Core) KnownServers() []string {
+// KnownServerIDs are the IDs of all servers that were ever listed, as far as they are remembered.
+func (c *Core) KnownServerIDs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.knownIDs.all()
 }
 
-// Inherit takes over what another process of this node knew: its bans, and which servers were listed. A ban of this
+// InheritBans takes over what another process of this node knew: its bans, and which servers were listed. A ban of this
 // process goes before another process's.
-func (c *Core) Inherit(bans map[string]Ban, listed []string) {
+func (c *Core) InheritBans(bans map[string]Ban, listed []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range listed {
--- a/internal/core/node/invariants.go
+++ b/internal/core/node/invariants.go
@@ -95,7 +95,7 @@
 	}
 	budget := slowStartBudget(c.settings.OverloadMultiple * rate * c.settings.OverloadWindow)
 	if begun := len(s.slowStartAttempts); float64(begun) > budget {
-		c.violation(telemetry.StartedTooFast, a, "%d in %v, %.1f allowed", begun, window, budget)
+		c.violation(telemetry.SlowStartExceeded, a, "%d in %v, %.1f allowed", begun, window, budget)
 	}
 }
 
--- a/internal/core/node/invariants_test.go
+++ b/internal/core/node/invariants_test.go
@@ -94,7 +94,7 @@
 		}
 		c.orderAndBegin(r, "a", c.clock.now)
 	}
-	assert.Positive(t, recorder.Violations(telemetry.StartedTooFast))
+	assert.Positive(t, recorder.Violations(telemetry.SlowStartExceeded))
 }
 
 func TestInvariants_SecondAndLateAnswers(t *testing.T) {
--- a/internal/core/node/starttimes_test.go
+++ b/internal/core/node/starttimes_test.go
@@ -107,7 +107,7 @@
 			c.UpdateEndpoints([]Endpoint{c.endpointStarted("a", 30*time.Minute, 0)}, true)
 			started, listed := c.StartTime("a")
 			require.True(t, listed)
-			c.Inherit(map[string]Ban{"a": {Since: c.wallNow().Add(off), Started: started, StartKnown: true}}, nil)
+			c.InheritBans(map[string]Ban{"a": {Since: c.wallNow().Add(off), Started: started, StartKnown: true}}, nil)
 			c.clock.now += time.Minute
 			assert.True(t, c.Attach("a"))
 			assert.InDelta(t, 0, c.age("a"), 0.01, "the list has not shown its restart")
--- a/internal/core/routes/canonical.go
+++ b/internal/core/routes/canonical.go
@@ -8,8 +8,8 @@
 // What can't be brought to one canonical form is rejected: two readers of it could disagree, and a route could be
 // bypassed.
 var (
-	ErrHost = errors.New("not a host name")
-	ErrPath = errors.New("ambiguous or malformed path")
+	ErrInvalidHost = errors.New("not a host name")
+	ErrInvalidPath = errors.New("ambiguous or malformed path")
 )
 
 const (
@@ -29,17 +29,17 @@
 	name := s
 	if i := strings.IndexByte(s, ':'); i >= 0 {
 		if !isPortSuffix(s[i:]) {
-			return "", ErrHost
+			return "", ErrInvalidHost
 		}
 		name = s[:i]
 	}
 	name = strings.TrimSuffix(name, ".")
 	if name == "" || len(name) > maxHostLength {
-		return "", ErrHost
+		return "", ErrInvalidHost
 	}
 	for label := range strings.SplitSeq(name, ".") {
 		if !isHostLabel(label) {
-			return "", ErrHost
+			return "", ErrInvalidHost
 		}
 	}
 	return toLower(name), nil
@@ -49,11 +49,11 @@
 func hostIPv6(s string) (string, error) {
 	end := strings.IndexByte(s, ']')
 	if end < 0 || !isPortSuffix(s[end+1:]) {
-		return "", ErrHost
+		return "", ErrInvalidHost
 	}
 	for _, c := range []byte(s[1:end]) {
 		if hexValue(c) < 0 && c != ':' && c != '.' {
-			return "", ErrHost
+			return "", ErrInvalidHost
 		}
 	}
 	return toLower(s[:end+1]), nil
@@ -114,14 +114,14 @@
 // slashes, backslashes and controls, and whatever is no escape. A trailing slash stays and makes no segment.
 func Path(s string) (string, error) {
 	if s == "" || s[0] != '/' {
-		return "", ErrPath
+		return "", ErrInvalidPath
 	}
 	escaped := false
 	for i := range len(s) {
 		if s[i] == '%' {
 			escaped = true
 		} else if !isPathByte(s[i]) {
-			return "", ErrPath
+			return "", ErrInvalidPath
 		}
 	}
 	if escaped {
@@ -132,7 +132,7 @@
 		}
 	}
 	if !hasPlainSegments(s) {
-		return "", ErrPath
+		return "", ErrInvalidPath
 	}
 	return s, nil
 }
@@ -155,16 +155,16 @@
 			continue
 		}
 		if i+2 >= len(s) {
-			return "", ErrPath
+			return "", ErrInvalidPath
 		}
 		high, low := hexValue(s[i+1]), hexValue(s[i+2])
 		if high < 0 || low < 0 {
-			return "", ErrPath
+			return "", ErrInvalidPath
 		}
 		i += 2
 		switch c := byte(high<<4 | low); {
 		case c == '/' || c == '\\' || c < ' ' || c == 0x7f:
-			return "", ErrPath
+			return "", ErrInvalidPath
 		case isAlphanumeric(c), c == '-', c == '.', c == '_', c == '~':
 			out = append(out, c)
 		default:
--- a/internal/core/routes/rule.go
+++ b/internal/core/routes/rule.go
@@ -26,16 +26,16 @@
 
 // Rule is one route. What it leaves open matches anything.
 type Rule struct {
-	Name   string
-	Host   string // "booking.example.org", or "*.example.org" for any name below it
-	Path   string // a prefix by complete segments: "/book" matches /book and /book/x, not /bookings
-	Class  string
-	Header string // its name
-	Value  string // that it must have
-	Any    bool   // it may have any value, but has to be there
-
-	To []Weight // one service, or a split
-	By string   // what a split goes by: "trace", "tenant", "mark", "client" or "header:NAME"
+	Name          string
+	Host          string // "booking.example.org", or "*.example.org" for any name below it
+	Path          string // a prefix by complete segments: "/book" matches /book and /book/x, not /bookings
+	Class         string
+	Header        string // its name
+	Value         string // that it must have
+	HeaderPresent bool   // it may have any value, but has to be there
+
+	To      []Weight // one service, or a split
+	SplitBy string   // what a split goes by: "trace", "tenant", "mark", "client" or "header:NAME"
 }
 
 // Weight is one side of a split.
@@ -117,7 +117,7 @@
 
 func (r Rule) validateHeader() error {
 	if r.Header == "" {
-		if r.Any || r.Value != "" {
+		if r.HeaderPresent || r.Value != "" {
 			return errors.New("a header's value without its name")
 		}
 		return nil
@@ -126,10 +126,10 @@
 	if canonical := canonicalHeader(r.Header); r.Header != canonical {
 		errs = append(errs, fmt.Errorf("header %q is to be written %q", r.Header, canonical))
 	}
-	if !r.Any && r.Value == "" {
+	if !r.HeaderPresent && r.Value == "" {
 		errs = append(errs, fmt.Errorf("header %s: neither a value nor any", r.Header))
 	}
-	if r.Any && r.Value != "" {
+	if r.HeaderPresent && r.Value != "" {
 		errs = append(errs, fmt.Errorf("header %s: a value and any exclude each other", r.Header))
 	}
 	return errors.Join(errs...)
@@ -155,8 +155,8 @@
 }
 
 func (r Rule) validateSplitKey() error {
-	_, byHeader := strings.CutPrefix(r.By, splitByHeaderPrefix)
-	switch r.By {
+	_, byHeader := strings.CutPrefix(r.SplitBy, splitByHeaderPrefix)
+	switch r.SplitBy {
 	case splitByTrace, splitByTenant, splitByMark, splitByClient:
 		return nil
 	case "":
@@ -166,7 +166,7 @@
 		return nil
 	}
 	if !byHeader {
-		return fmt.Errorf("by %q is none of trace, tenant, mark, client, header:NAME", r.By)
+		return fmt.Errorf("by %q is none of trace, tenant, mark, client, header:NAME", r.SplitBy)
 	}
 	return nil
 }
--- a/internal/core/routes/split.go
+++ b/internal/core/routes/split.go
@@ -26,7 +26,7 @@
 
 // splitKey is a request's key; empty if it has none.
 func (c *compiledRule) splitKey(q *Request) string {
-	switch c.By {
+	switch c.SplitBy {
 	case splitByTrace:
 		return q.TraceID
 	case splitByTenant:
@@ -36,7 +36,7 @@
 	case splitByClient:
 		return q.Client
 	}
-	values := q.Header[c.By[len(splitByHeaderPrefix):]]
+	values := q.Header[c.SplitBy[len(splitByHeaderPrefix):]]
 	if len(values) == 0 {
 		return ""
 	}
--- a/internal/core/routes/table.go
+++ b/internal/core/routes/table.go
@@ -149,7 +149,7 @@
 		return addAt(&h.noHeader, c)
 	}
 	r := h.rulesOf(c.Header)
-	if c.Any {
+	if c.HeaderPresent {
 		return addAt(&r.anyValue, c)
 	}
 	if other := r.byValue[c.Value]; other != nil {
--- a/internal/core/routes/table_test.go
+++ b/internal/core/routes/table_test.go
@@ -55,11 +55,11 @@
 	header, headerName := 0, 0
 	if r.Header != "" {
 		values := q.Header[r.Header]
-		if len(values) == 0 || !r.Any && (len(values) != 1 || values[0] != r.Value) {
+		if len(values) == 0 || !r.HeaderPresent && (len(values) != 1 || values[0] != r.Value) {
 			return nil, false
 		}
 		header, headerName = 1, -int(r.Header[len(r.Header)-1]) // names differ in their last letter here
-		if !r.Any {
+		if !r.HeaderPresent {
 			header = 2
 		}
 	}
@@ -80,7 +80,7 @@
 	}
 	switch oneOf(t, "header", "", "", "any", "value") {
 	case "any":
-		r.Header, r.Any = oneOf(t, "name", "X-A", "X-B"), true
+		r.Header, r.HeaderPresent = oneOf(t, "name", "X-A", "X-B"), true
 	case "value":
 		r.Header, r.Value = oneOf(t, "name", "X-A", "X-B"), oneOf(t, "value", "1", "2")
 	}
@@ -108,7 +108,7 @@
 // sameRequests returns whether two rules match the same requests.
 func sameRequests(a, b Rule) bool {
 	return a.Host == b.Host && strings.TrimSuffix(a.Path, "/") == strings.TrimSuffix(b.Path, "/") &&
-		a.Class == b.Class && a.Header == b.Header && a.Value == b.Value && a.Any == b.Any
+		a.Class == b.Class && a.Header == b.Header && a.Value == b.Value && a.HeaderPresent == b.HeaderPresent
 }
 
 func TestFind_AgreesWithNaiveMatcher(t *testing.T) {
@@ -142,7 +142,7 @@
 // A split keeps its weights; where they change, only keys on the side that shrinks go elsewhere.
 func TestFind_SplitIsStable(t *testing.T) {
 	split := func(w float64) *Table {
-		table, err := Compile([]Rule{{Name: "s", To: []Weight{{0, 1 - w}, {1, w}}, By: "tenant"}}, 2)
+		table, err := Compile([]Rule{{Name: "s", To: []Weight{{0, 1 - w}, {1, w}}, SplitBy: "tenant"}}, 2)
 		require.NoError(t, err)
 		return table
 	}
@@ -174,14 +174,14 @@
 		"is to be written \"/a\"":     {Path: "/%61", To: to},
 		"has no service":              {},
 		"no such service":             {To: []Weight{{7, 1}}},
-		"names a service twice":       {To: []Weight{{0, 1}, {0, 1}}, By: "trace"},
+		"names a service twice":       {To: []Weight{{0, 1}, {0, 1}}, SplitBy: "trace"},
 		"needs a key that it goes by": {To: []Weight{{0, 1}, {1, 1}}},
-		"is none of trace":            {To: []Weight{{0, 1}, {1, 1}}, By: "moon"},
-		"is not above 0":              {To: []Weight{{0, 1}, {1, 0}}, By: "trace"},
+		"is none of trace":            {To: []Weight{{0, 1}, {1, 1}}, SplitBy: "moon"},
+		"is not above 0":              {To: []Weight{{0, 1}, {1, 0}}, SplitBy: "trace"},
 		"neither a value nor any":     {Header: "X-A", To: to},
-		"exclude each other":          {Header: "X-A", Any: true, Value: "x", To: to},
+		"exclude each other":          {Header: "X-A", HeaderPresent: true, Value: "x", To: to},
 		"without its name":            {Value: "x", To: to},
-		"\"X-A\"":                     {Header: "x-a", Any: true, To: to},
+		"\"X-A\"":                     {Header: "x-a", HeaderPresent: true, To: to},
 		"class":                       {Class: "a b", To: to},
 	} {
 		t.Run(problem, func(t *testing.T) {
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -17,7 +17,7 @@
 // protocol's headers, it sends as a param of its own choice, or it has a default.
 type Gateway struct {
 	// The names of the params that are used instead of CGI's; empty: none.
-	Trace, Class, Tenant, Key, Left string
+	TraceParam, MethodParam, TenantParam, IdempotencyKeyParam, TimeLeftParam string
 
 	DefaultTenant      string // of a request without one
 	DefaultTimeLeft    time.Duration
@@ -193,7 +193,7 @@
 		return g.writeNow(event.Data)
 	case fcgi.EventParams:
 		g.requestID = event.ID
-		g.keepAlive = event.Keep
+		g.keepAlive = event.KeepConn
 		g.complete = false
 		g.bodyBytes = 0
 		g.aborted.Store(false)
--- a/internal/dataplane/frontend/gatewayparams.go
+++ b/internal/dataplane/frontend/gatewayparams.go
@@ -49,7 +49,10 @@
 
 // customParam returns the param that is used instead of that of a known field; empty: none.
 func (g *Gateway) customParam(field int) string {
-	return [len(knownFields)]string{g.Trace, g.Class, g.Tenant, g.Key, g.Left}[field]
+	custom := [len(knownFields)]string{
+		g.TraceParam, g.MethodParam, g.TenantParam, g.IdempotencyKeyParam, g.TimeLeftParam,
+	}
+	return custom[field]
 }
 
 // parseParams splits the list of params. What could end a line, and a name with two values, is malformed.
--- a/internal/dataplane/frontend/methods_test.go
+++ b/internal/dataplane/frontend/methods_test.go
@@ -64,25 +64,25 @@
 
 func checkIdempotencyChange(t *testing.T, old, current decide.Idempotency) {
 	without := statusOf(serviceOf(current), old, changedAt)
-	service := serviceOf(current).KeepFormer(serviceOf(old), changedAt, validUntil)
+	service := serviceOf(current).KeepFormerSettings(serviceOf(old), changedAt, validUntil)
 	assert.Equal(t, 200, statusOf(service, old, validUntil-1))
 	assert.Equal(t, without, statusOf(service, old, validUntil), "over")
 	assert.Equal(t, 200, statusOf(service, current, validUntil))
 
-	next := serviceOf(current).KeepFormer(service, changedAt, validUntil+1)
+	next := serviceOf(current).KeepFormerSettings(service, changedAt, validUntil+1)
 	assert.Equal(t, without, statusOf(next, old, validUntil), "what is over is not handed on")
 }
 
 // Settings change once more before clients have learned of the first change.
 func checkTwoIdempotencyChanges(t *testing.T, old, current, next decide.Idempotency) {
-	service := serviceOf(current).KeepFormer(serviceOf(old), changedAt, validUntil)
-	service = serviceOf(next).KeepFormer(service, changedAt+1, validUntil+1)
+	service := serviceOf(current).KeepFormerSettings(serviceOf(old), changedAt, validUntil)
+	service = serviceOf(next).KeepFormerSettings(service, changedAt+1, validUntil+1)
 	assert.Equal(t, 200, statusOf(service, old, validUntil-1))
 	assert.Equal(t, 200, statusOf(service, current, validUntil))
 
 	removed := &Service{methods: map[string]method{}, tenants: map[string]tenant{}}
-	removed = removed.KeepFormer(serviceOf(old), changedAt, validUntil)
-	service = serviceOf(next).KeepFormer(removed, changedAt+1, validUntil+1)
+	removed = removed.KeepFormerSettings(serviceOf(old), changedAt, validUntil)
+	service = serviceOf(next).KeepFormerSettings(removed, changedAt+1, validUntil+1)
 	assert.Equal(t, 200, statusOf(service, old, validUntil-1), "removed between")
 }
 
@@ -94,8 +94,8 @@
 	}
 	request := requestOf(decide.Idempotent)
 	request.Tenant = "old"
-	service := serviceWith("new", "other").KeepFormer(serviceWith("other", "old"), 1, 9)
-	service = serviceWith("new").KeepFormer(service, 2, 10)
+	service := serviceWith("new", "other").KeepFormerSettings(serviceWith("other", "old"), 1, 9)
+	service = serviceWith("new").KeepFormerSettings(service, 2, 10)
 
 	_, slot, response := service.check(request, &limits.Limits{}, 9)
 	require.Nil(t, response)
--- a/internal/dataplane/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -53,11 +53,11 @@
 	return s
 }
 
-// KeepFormer has the service accept, until a time, the methods and tenants that another service accepted before it,
-// and in either form the methods whose idempotency has changed: clients learn of new settings later than the node.
+// KeepFormerSettings has the service accept, until a time, the methods and tenants that another service accepted before
+// it, and in either form the methods whose idempotency has changed: clients learn of new settings later than the node.
 // What that service still accepted from the settings before its own is accepted for as long as there: settings may
 // change again before clients know of the last change.
-func (s *Service) KeepFormer(before *Service, now, until time.Duration) *Service {
+func (s *Service) KeepFormerSettings(before *Service, now, until time.Duration) *Service {
 	s.keepFormerMethods(before.methods, now, until)
 	s.keepFormerTenants(before.tenants, now, until)
 	return s
--- a/internal/dataplane/services/routing.go
+++ b/internal/dataplane/services/routing.go
@@ -56,11 +56,11 @@
 	headers := request.Header["Host"]
 	switch {
 	case len(headers) > 1:
-		return "", fmt.Errorf("%w: the Host header is repeated", routes.ErrHost)
+		return "", fmt.Errorf("%w: the Host header is repeated", routes.ErrInvalidHost)
 	case request.Authority == "":
 		return request.Host, nil
 	case len(headers) == 1 && !strings.EqualFold(headers[0], request.Authority):
-		return "", fmt.Errorf("%w: target and Host header differ", routes.ErrHost)
+		return "", fmt.Errorf("%w: target and Host header differ", routes.ErrInvalidHost)
 	}
 	return request.Authority, nil
 }
--- a/internal/dataplane/services/services_test.go
+++ b/internal/dataplane/services/services_test.go
@@ -39,7 +39,7 @@
 				Path: "/find", Host: test.host, Authority: test.authority, Header: header,
 			})
 			if test.want == "" {
-				assert.ErrorIs(t, err, routes.ErrHost)
+				assert.ErrorIs(t, err, routes.ErrInvalidHost)
 				return
 			}
 			require.NoError(t, err)
@@ -51,7 +51,7 @@
 
 func TestRouteRequest_AmbiguousPath(t *testing.T) {
 	_, err := RouteRequest(&httpwire.Request{Path: "/a/../b", Host: "a.example.org"})
-	assert.ErrorIs(t, err, routes.ErrPath)
+	assert.ErrorIs(t, err, routes.ErrInvalidPath)
 }
 
 // newTestQuotas returns quotas for so many requests and connections.
--- a/internal/dataplane/upstream/cgiresponse.go
+++ b/internal/dataplane/upstream/cgiresponse.go
@@ -94,8 +94,8 @@
 	r.bodyless = head.Status == http.StatusNoContent || head.Status == http.StatusNotModified
 	r.text = strconv.AppendInt(r.text, int64(head.Status), 10)
 	r.text = append(r.text, " \r\n"...)
-	if head.Type != "" {
-		r.writeField("Content-Type", head.Type)
+	if head.ContentType != "" {
+		r.writeField("Content-Type", head.ContentType)
 	}
 	// As often as it was written: the reader rejects a repeated one.
 	for _, value := range head.Fields[fieldNeverRan] {
--- a/internal/dataplane/upstream/fastcgi.go
+++ b/internal/dataplane/upstream/fastcgi.go
@@ -97,7 +97,7 @@
 	return err
 }
 
-func (f *fastCGIConn) handle(piece fcgi.Piece) error {
+func (f *fastCGIConn) handle(piece fcgi.Fragment) error {
 	event, err := f.gateway.Take(piece)
 	if err != nil {
 		return err
--- a/internal/dataplane/upstream/fastcgi_test.go
+++ b/internal/dataplane/upstream/fastcgi_test.go
@@ -27,7 +27,7 @@
 }
 
 func fastCGIRecord(recordType fcgi.RecordType, id uint16, content string) string {
-	head := fcgi.Head(recordType, id, len(content))
+	head := fcgi.RecordHeader(recordType, id, len(content))
 	return string(head[:]) + content
 }
 
@@ -49,7 +49,7 @@
 		"without the stream's end":   {ok + complete, false, decide.OK},
 		"in two records":             {out("Content-Type: tex") + out("t/x\r\nContent-Length: 2\r\n\r\nh") + out("i") + complete, false, decide.OK},
 		"with stderr":                {stderr("warning") + ok + stderr("") + complete, false, decide.OK},
-		"with management records":    {fastCGIRecord(fcgi.TypeValues, 0, "") + ok + fastCGIRecord(fcgi.TypeUnknown, 0, "\x09\x00\x00\x00\x00\x00\x00\x00") + complete, false, decide.OK},
+		"with management records":    {fastCGIRecord(fcgi.TypeGetValuesResult, 0, "") + ok + fastCGIRecord(fcgi.TypeUnknown, 0, "\x09\x00\x00\x00\x00\x00\x00\x00") + complete, false, decide.OK},
 		"overloaded":                 {end(0, fcgi.StatusOverloaded), false, decide.Rejected},
 		"can't multiplex":            {end(0, fcgi.StatusCantMultiplex), false, decide.Rejected},
 		"marked as never run":        {out("Status: 503\nX-Never-Ran: 1\n\n") + complete, false, decide.Rejected},
--- a/internal/lab/apiserver/fault.go
+++ b/internal/lab/apiserver/fault.go
@@ -68,8 +68,8 @@
 	s.failing = n
 }
 
-// Late delays a resource's events, so that the events of several resources arrive out of order.
-func (s *Server) Late(resource string, by time.Duration) {
+// DelayEvents delays a resource's events, so that the events of several resources arrive out of order.
+func (s *Server) DelayEvents(resource string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stores[resource].eventDelay = by
--- a/internal/lab/chaos/controllerfaults.go
+++ b/internal/lab/chaos/controllerfaults.go
@@ -76,9 +76,9 @@
 		c.api.BreakWatches()
 	case faultEventsLate:
 		c.countFault("events of one kind late")
-		c.api.Late(resource, randomPause(random, 0, maxEventDelay))
+		c.api.DelayEvents(resource, randomPause(random, 0, maxEventDelay))
 		time.Sleep(lateTime)
-		c.api.Late(resource, 0)
+		c.api.DelayEvents(resource, 0)
 	case faultHang:
 		c.hangAPI(random)
 	case faultRequestsFail:
--- a/internal/lab/chaos/controllersetup.go
+++ b/internal/lab/chaos/controllersetup.go
@@ -71,11 +71,11 @@
 			return nodes, err
 		}
 		n := &standin.Node{
-			Name:    fmt.Sprint("n", i),
-			Addr:    addr,
-			Program: c.Node,
-			Dir:     c.dir,
-			Text:    fmt.Sprintf(controllerNodeFile, i, addr, c.keysSection("node"), discovery, c.Nodes),
+			Name:         fmt.Sprint("n", i),
+			Addr:         addr,
+			Program:      c.Node,
+			Dir:          c.dir,
+			OperatorFile: fmt.Sprintf(controllerNodeFile, i, addr, c.keysSection("node"), discovery, c.Nodes),
 		}
 		nodes = append(nodes, n)
 		if err := n.Start(ctx); err != nil {
--- a/internal/lab/chaos/golden_test.go
+++ b/internal/lab/chaos/golden_test.go
@@ -71,11 +71,11 @@
 	t.Cleanup(r.discovery.Stop)
 	require.ErrorContains(t, r.addNode(context.Background(), 0), "ended at its start")
 	n := r.nodes[0]
-	config, err := nodeconfig.Parse([]byte(n.Text), 0)
+	config, err := nodeconfig.Parse([]byte(n.OperatorFile), 0)
 	require.NoError(t, err)
 	discovery := config.Services[0].Discovery
 	names := strings.NewReplacer(n.Addr, "NODE", n.status, "STATUS", discovery, "DISCOVERY", r.dir, "DIR")
-	labtest.RequireGolden(t, "node.toml", []byte(names.Replace(n.Text)))
+	labtest.RequireGolden(t, "node.toml", []byte(names.Replace(n.OperatorFile)))
 }
 
 // The configuration of a controller.
--- a/internal/lab/chaos/pairclient.go
+++ b/internal/lab/chaos/pairclient.go
@@ -108,11 +108,11 @@
 func (p *pairClient) sendHTTP(request pairRequest) (int, error) {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: a\r\n", request.verb(), request.target())
-	fmt.Fprintf(&text, "%s: %s\r\n", wire.Trace, request.trace)
-	fmt.Fprintf(&text, "%s: %s\r\n", wire.Method, request.method)
-	fmt.Fprintf(&text, "%s: %s\r\n", wire.Left, pairTimeLeft)
+	fmt.Fprintf(&text, "%s: %s\r\n", wire.HeaderTraceID, request.trace)
+	fmt.Fprintf(&text, "%s: %s\r\n", wire.HeaderMethod, request.method)
+	fmt.Fprintf(&text, "%s: %s\r\n", wire.HeaderTimeLeft, pairTimeLeft)
 	if request.key != "" {
-		fmt.Fprintf(&text, "%s: %s\r\n", wire.Key, request.key)
+		fmt.Fprintf(&text, "%s: %s\r\n", wire.HeaderIdempotencyKey, request.key)
 	}
 	fmt.Fprintf(&text, "Content-Length: %d\r\n\r\n%s", len(request.body()), request.body())
 	p.conn.Write(text.Bytes())
@@ -183,7 +183,7 @@
 			return nil, fmt.Errorf("a record of request %d", record.ID)
 		case record.Type == fcgi.TypeStdout:
 			output.Write(record.Content)
-		case record.Type == fcgi.TypeEnd:
+		case record.Type == fcgi.TypeEndRequest:
 			return output.Bytes(), nil
 		default:
 			return nil, fmt.Errorf("a record of type %d", record.Type)
--- a/internal/lab/chaos/pairs.go
+++ b/internal/lab/chaos/pairs.go
@@ -165,11 +165,11 @@
 		return err
 	}
 	node := &standin.Node{
-		Name:    "n",
-		Addr:    addr,
-		Program: p.Program,
-		Dir:     dir,
-		Text:    fmt.Sprintf(pairNodeFile, addr, gateway, pair.Out, strings.Join(servers, ", ")),
+		Name:         "n",
+		Addr:         addr,
+		Program:      p.Program,
+		Dir:          dir,
+		OperatorFile: fmt.Sprintf(pairNodeFile, addr, gateway, pair.Out, strings.Join(servers, ", ")),
 	}
 	if err := node.Start(ctx); err != nil {
 		return err
--- a/internal/lab/chaos/pairserver.go
+++ b/internal/lab/chaos/pairserver.go
@@ -66,13 +66,13 @@
 }
 
 func (p *Pairs) httpHandler(pair *Pair) func(net.Conn, *wire.Request) bool {
-	response := wire.Answer(nil, 200, "Content-Type: text/plain\r\n", []byte(pairResponseBody))
-	refusal := wire.Answer(nil, 503, wire.NeverRan+": 1\r\n", nil)
+	response := wire.AppendResponse(nil, 200, "Content-Type: text/plain\r\n", []byte(pairResponseBody))
+	refusal := wire.AppendResponse(nil, 503, wire.NeverRan+": 1\r\n", nil)
 	return func(conn net.Conn, received *wire.Request) bool {
 		request := pairRequest{
-			method: received.Header.Get(wire.Method),
-			trace:  received.Header.Get(wire.Trace),
-			key:    received.Header.Get(wire.Key),
+			method: received.Header.Get(wire.HeaderMethod),
+			trace:  received.Header.Get(wire.HeaderTraceID),
+			key:    received.Header.Get(wire.HeaderIdempotencyKey),
 		}
 		return writePairResponse(conn, p.run(pair, request, len(response)), response, refusal)
 	}
--- a/internal/lab/chaos/record.go
+++ b/internal/lab/chaos/record.go
@@ -238,7 +238,7 @@
 			Program: r.Program,
 			Dir:     r.dir,
 			Env:     r.Env,
-			Text: fmt.Sprintf(recordNodeFile, name, addr, r.storeAddress, snapshot, status, listener.Addr(),
+			OperatorFile: fmt.Sprintf(recordNodeFile, name, addr, r.storeAddress, snapshot, status, listener.Addr(),
 				r.Nodes),
 		},
 	}
--- a/internal/lab/cost/openloop.go
+++ b/internal/lab/cost/openloop.go
@@ -42,7 +42,7 @@
 	}
 	seed := o.seed + uint64(round)*seedStep
 	loads := []plan.Load{{Shape: plan.Shape{Kind: "constant", Rate: float64(rate)}}}
-	mix := plan.Mix{Methods: []plan.Kind{{Share: 1}}, Tenants: []float64{1}}
+	mix := plan.Mix{Methods: []plan.MethodMix{{Share: 1}}, Tenants: []float64{1}}
 	return plan.Generate(seed, warmUpTime(o.duration)+o.duration, loads, mix)
 }
 
@@ -52,19 +52,19 @@
 	start := time.Now().Add(startDelay)
 	config := load.Config{
 		Methods: []load.Method{{
-			Name:     cmp.Or(to.path, methodName),
-			Repeat:   judge.Idempotent,
-			Deadline: callDeadline,
-			Host:     "a",
+			Name:        cmp.Or(to.path, methodName),
+			Idempotency: judge.Idempotent,
+			Deadline:    callDeadline,
+			Host:        "a",
 		}},
-		Lanes:       1,
-		Connections: 1000,
-		Waiting:     100_000,
-		Warm:        1,
-		WarmTo:      to.destinations,
-		Slack:       50 * time.Millisecond,
-		Seed:        o.seed,
-		First:       o.firstCall,
+		Lanes:           1,
+		Connections:     1000,
+		MaxWaiting:      100_000,
+		WarmConnections: 1,
+		WarmTo:          to.destinations,
+		Slack:           50 * time.Millisecond,
+		Seed:            o.seed,
+		First:           o.firstCall,
 	}
 	o.firstCall += uint32(len(arrivals))
 	engine := load.New(config, slices.Clone(arrivals), to, ledger, start)
@@ -119,7 +119,7 @@
 		s.OK++
 		sincePlanned = append(sincePlanned, attempt.Answered-attempt.Planned)
 		sinceSent = append(sinceSent, attempt.Answered-attempt.Sent)
-		lags = append(lags, attempt.Handed-attempt.Planned)
+		lags = append(lags, attempt.HandedAt-attempt.Planned)
 	})
 	if s.OK == 0 {
 		return errNothingAnswered
--- a/internal/lab/cost/rig.go
+++ b/internal/lab/cost/rig.go
@@ -127,7 +127,7 @@
 		Config:  platformConfig(config, stage, listener.Addr(), revision, listed),
 	}
 	if config.ExtraTables != "" {
-		node.Text = configFile(config, address, listener.Addr())
+		node.OperatorFile = configFile(config, address, listener.Addr())
 	}
 	return node, nil
 }
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -47,7 +47,7 @@
 	e.checkTenants(&found)
 	e.checkLoads(&found)
 	e.Clients.check(&found)
-	for i, f := range e.Fault {
+	for i, f := range e.Faults {
 		e.checkFault(&found, fmt.Sprintf("fault[%d]", i+1), f)
 	}
 	e.checkArms(&found)
--- a/internal/lab/experiment/checkfault.go
+++ b/internal/lab/experiment/checkfault.go
@@ -49,7 +49,7 @@
 func (e *Experiment) checkFaultSettings(found *mistakes, key string, f Fault) {
 	found.addIf(f.Kind == FaultTrickle && f.By <= 0, "%s.by: how long between two pieces?", key)
 	found.addIf(f.Kind != FaultDrain && f.AnswersDuringDrain, "%s.answers: only a drain has it", key)
-	found.addIf(f.Kind == FaultPause && slices.ContainsFunc(e.Fault, Fault.UsesShim),
+	found.addIf(f.Kind == FaultPause && slices.ContainsFunc(e.Faults, Fault.UsesShim),
 		"%s: a process under a shim can't be paused: leave errno, short, stall and clock out", key)
 	found.addIf(f.Kind == FaultPause && (f.By <= 0 || f.By.Std() > maxPause),
 		"%s.by: for how long is the process held up each time? Up to a second", key)
--- a/internal/lab/experiment/checkfleet.go
+++ b/internal/lab/experiment/checkfleet.go
@@ -17,16 +17,16 @@
 	}
 	found.addIf(f.Nodes < 1 || f.Nodes > maxNodes, "fleet.nodes: %d is not in 1 to %d", f.Nodes, maxNodes)
 	f.Discovery.check(found)
-	tiers := len(f.Tier)
+	tiers := len(f.Tiers)
 	found.addIf(tiers == 0 || tiers > maxTiers, "fleet.tier: %d tiers, 1 to %d are wanted", tiers, maxTiers)
 	found.addIf(f.Sockets < 64 || f.Sockets > 20000, "fleet.sockets: %d is not in 64 to 20000", f.Sockets)
 	found.addIf(f.MemoryMB < 16, "fleet.memory_mb: %d is below 16", f.MemoryMB)
 	found.addIf(outside(f.Cores, 0.05, 64), "fleet.cores: %v is not in 0.05 to 64", f.Cores)
-	for i, t := range f.Tier {
-		t.check(found, tierKey(i), i+1 == len(f.Tier))
+	for i, t := range f.Tiers {
+		t.check(found, tierKey(i), i+1 == len(f.Tiers))
 	}
 	services := e.Services()
-	for i, t := range f.Tier {
+	for i, t := range f.Tiers {
 		t.checkService(found, tierKey(i), i, services)
 	}
 	e.checkSize(found)
@@ -74,11 +74,11 @@
 // checkSize checks the number of servers, and of the nodes that servers have for the tier behind.
 func (e *Experiment) checkSize(found *mistakes) {
 	servers := 0
-	for _, t := range e.Fleet.Tier {
+	for _, t := range e.Fleet.Tiers {
 		servers += t.Servers
 	}
 	found.addIf(servers > maxServers, "fleet: %d servers, %d at most", servers, maxServers)
-	tiers := e.Fleet.Tier
+	tiers := e.Fleet.Tiers
 	if len(e.Services()) > 0 || len(tiers) < 2 {
 		return
 	}
--- a/internal/lab/experiment/checkload.go
+++ b/internal/lab/experiment/checkload.go
@@ -23,10 +23,10 @@
 
 // checkMethods checks the methods.
 func (e *Experiment) checkMethods(found *mistakes) {
-	found.addIf(len(e.Method) == 0, "method: there is none")
+	found.addIf(len(e.Methods) == 0, "method: there is none")
 	services := e.Services()
 	names := map[string]bool{}
-	for i, method := range e.Method {
+	for i, method := range e.Methods {
 		key := fmt.Sprintf("method[%d]", i+1)
 		found.addIf(method.Name == "" || strings.ContainsAny(method.Name, "/?& \r\n"), "%s.name: %q", key, method.Name)
 		found.addIf(names[method.Name], "%s.name: %q stands twice", key, method.Name)
@@ -60,7 +60,7 @@
 // checkTenants checks the tenants.
 func (e *Experiment) checkTenants(found *mistakes) {
 	names := map[string]bool{}
-	for i, t := range e.Tenant {
+	for i, t := range e.Tenants {
 		found.addIf(t.Name == "" || names[t.Name], "tenant[%d].name: %q is empty or stands twice", i+1, t.Name)
 		names[t.Name] = true
 		found.addIf(t.Share < 0 || t.Quota < 0, "tenant[%d]: a negative share or quota", i+1)
@@ -69,9 +69,9 @@
 
 // checkLoads checks the loads.
 func (e *Experiment) checkLoads(found *mistakes) {
-	found.addIf(len(e.Load) == 0, "load: there is none")
+	found.addIf(len(e.Loads) == 0, "load: there is none")
 	methods, tenants := e.MethodNames(), e.TenantNames()
-	for i, l := range e.Load {
+	for i, l := range e.Loads {
 		key := fmt.Sprintf("load[%d]", i+1)
 		found.addIf(l.Method != "" && !slices.Contains(methods, l.Method), "%s.method: %q is not there", key, l.Method)
 		found.addIf(l.Tenant != "" && !slices.Contains(tenants, l.Tenant), "%s.tenant: %q is not there", key, l.Tenant)
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -16,12 +16,12 @@
 	e.setMethodDefaults()
 	e.setTenantDefaults()
 	e.Clients.setDefaults()
-	for i := range e.Load {
-		tomlfile.Default(&e.Load[i].Pace, 1)
+	for i := range e.Loads {
+		tomlfile.Default(&e.Loads[i].Pace, 1)
 	}
-	for i := range e.Fault {
-		tomlfile.Default(&e.Fault[i].Share, 1)
-		tomlfile.Default(&e.Fault[i].Factor, 4)
+	for i := range e.Faults {
+		tomlfile.Default(&e.Faults[i].Share, 1)
+		tomlfile.Default(&e.Faults[i].Factor, 4)
 	}
 	tomlfile.Default(&e.Short.Duration, Duration(min(e.Duration.Std(), 8*time.Second)))
 	tomlfile.Default(&e.Short.Rate, 1)
@@ -46,8 +46,8 @@
 	if len(f.Zones) == 0 {
 		f.Zones = []string{"a"}
 	}
-	for i := range f.Tier {
-		f.Tier[i].setDefaults(i+1 == len(f.Tier))
+	for i := range f.Tiers {
+		f.Tiers[i].setDefaults(i+1 == len(f.Tiers))
 	}
 }
 
@@ -69,8 +69,8 @@
 
 // setMethodDefaults sets what the file leaves open of the methods.
 func (e *Experiment) setMethodDefaults() {
-	for i := range e.Method {
-		m := &e.Method[i]
+	for i := range e.Methods {
+		m := &e.Methods[i]
 		tomlfile.Default(&m.Utility, 1)
 		tomlfile.Default(&m.Repeat, "idempotent")
 		tomlfile.Default(&m.Spread, "fixed")
@@ -80,11 +80,11 @@
 // setTenantDefaults sets what the file leaves open of the tenants.
 func (e *Experiment) setTenantDefaults() {
 	const defaultQuota = 1e6
-	if len(e.Tenant) == 0 {
-		e.Tenant = []Tenant{{Name: "acme", Share: 1}}
+	if len(e.Tenants) == 0 {
+		e.Tenants = []Tenant{{Name: "acme", Share: 1}}
 	}
-	for i := range e.Tenant {
-		tomlfile.Default(&e.Tenant[i].Quota, defaultQuota)
+	for i := range e.Tenants {
+		tomlfile.Default(&e.Tenants[i].Quota, defaultQuota)
 	}
 }
 
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -33,11 +33,11 @@
 	Duration Duration         `toml:"duration"`
 	Arms     []string         `toml:"arms"` // the first is the one that is judged
 	Fleet    Fleet            `toml:"fleet"`
-	Method   []Method         `toml:"method"`
-	Tenant   []Tenant         `toml:"tenant"`
-	Load     []Load           `toml:"load"`
+	Methods  []Method         `toml:"method"`
+	Tenants  []Tenant         `toml:"tenant"`
+	Loads    []Load           `toml:"load"`
 	Clients  Clients          `toml:"callers"`
-	Fault    []Fault          `toml:"fault"`
+	Faults   []Fault          `toml:"fault"`
 	Expect   map[string]Bound `toml:"expect"` // by metric
 	Short    Short            `toml:"short"`
 
@@ -92,7 +92,7 @@
 		Wire:    wireSlack,
 		Length:  e.Duration.Std(),
 	}
-	for _, m := range e.Method {
+	for _, m := range e.Methods {
 		rules.Methods = append(rules.Methods, judge.Method{
 			Name:        m.Name,
 			Idempotency: m.Idempotency(),
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -47,7 +47,7 @@
 func TestParse_Defaults(t *testing.T) {
 	e, err := Parse([]byte(good), ".")
 	require.NoError(t, err)
-	assert.Equal(t, 2, e.Fleet.Tier[0].Cores)
+	assert.Equal(t, 2, e.Fleet.Tiers[0].Cores)
 	arrivals, err := e.Plan()
 	require.NoError(t, err)
 	assert.InDelta(t, 550, len(arrivals), 120)
@@ -58,8 +58,8 @@
 	require.NoError(t, err)
 	e.Shorten()
 	assert.Equal(t, Duration(5*time.Second), e.Duration)
-	assert.Equal(t, Duration(time.Second), e.Fault[0].At)
-	assert.Equal(t, Duration(2*time.Second), e.Fault[0].For)
+	assert.Equal(t, Duration(time.Second), e.Faults[0].At)
+	assert.Equal(t, Duration(2*time.Second), e.Faults[0].For)
 	assert.Equal(t, []string{"robincart"}, e.Arms)
 	assert.Len(t, e.Expect, 2, "what compares with an arm that is not played is left out")
 }
@@ -69,7 +69,7 @@
 	require.NoError(t, err)
 	e.Shorten()
 	require.NoError(t, e.Scale(2))
-	assert.Equal(t, 8, e.Fleet.Tier[0].Servers)
+	assert.Equal(t, 8, e.Fleet.Tiers[0].Servers)
 	assert.Error(t, e.Scale(1000))
 }
 
@@ -162,8 +162,8 @@
 			return
 		}
 		e.Shorten()
-		for i := range e.Load {
-			e.Load[i].Trace = "" // no files here
+		for i := range e.Loads {
+			e.Loads[i].Trace = "" // no files here
 		}
 		arrivals, err := e.Plan()
 		if err == nil {
--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -149,13 +149,13 @@
 
 // ReplacesNodes returns whether a fault replaces nodes by successors, which then share their listener.
 func (e *Experiment) ReplacesNodes() bool {
-	return slices.ContainsFunc(e.Fault, func(f Fault) bool { return f.Kind == FaultReplace })
+	return slices.ContainsFunc(e.Faults, func(f Fault) bool { return f.Kind == FaultReplace })
 }
 
 // NeedsAdminAddress returns whether nodes need an operators' address and a state folder: for successors, and for
 // operators' commands.
 func (e *Experiment) NeedsAdminAddress() bool {
-	return e.ReplacesNodes() || slices.ContainsFunc(e.Fault, func(f Fault) bool {
+	return e.ReplacesNodes() || slices.ContainsFunc(e.Faults, func(f Fault) bool {
 		return f.Kind == FaultBan || f.Folder == StateFolder
 	})
 }
--- a/internal/lab/experiment/fleet.go
+++ b/internal/lab/experiment/fleet.go
@@ -15,7 +15,7 @@
 	MaxAttempts    int      `toml:"max_picks"`
 	NoHedging      bool     `toml:"no_second_copies"`
 	Program        string   `toml:"program"` // of the nodes
-	Tier           []Tier   `toml:"tier"`
+	Tiers          []Tier   `toml:"tier"`
 
 	Discovery Discovery `toml:"discovery"`
 }
@@ -70,7 +70,7 @@
 // Services lists the names of the services, in the order of their tiers.
 func (e *Experiment) Services() []string {
 	var names []string
-	for _, t := range e.Fleet.Tier {
+	for _, t := range e.Fleet.Tiers {
 		if t.Service != "" {
 			names = append(names, t.Service)
 		}
@@ -80,7 +80,7 @@
 
 // Host is the host that a service's requests name.
 func (e *Experiment) Host(service string) string {
-	for _, t := range e.Fleet.Tier {
+	for _, t := range e.Fleet.Tiers {
 		if t.Service == service && t.Host != "" {
 			return t.Host
 		}
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -37,7 +37,7 @@
 			MaxAttempts:    210,
 			NoHedging:      true,
 			Program:        "program-211",
-			Tier: []Tier{
+			Tiers: []Tier{
 				{
 					Servers:            401,
 					Cores:              402,
@@ -68,7 +68,7 @@
 				NotifyBound:  milliseconds(305),
 			},
 		},
-		Method: []Method{
+		Methods: []Method{
 			{
 				Name:        "method-501",
 				Service:     "service-502",
@@ -87,8 +87,8 @@
 			},
 			{Name: "method-551"},
 		},
-		Tenant: []Tenant{{Name: "tenant-601", Share: 602.5, Quota: 603.5}, {Name: "tenant-651"}},
-		Load: []Load{
+		Tenants: []Tenant{{Name: "tenant-601", Share: 602.5, Quota: 603.5}, {Name: "tenant-651"}},
+		Loads: []Load{
 			{
 				Shape:  "shape-701",
 				Rate:   702.5,
@@ -114,7 +114,7 @@
 			Waiting:         806,
 			Warm:            807,
 		},
-		Fault: []Fault{
+		Faults: []Fault{
 			{
 				At:                 milliseconds(901),
 				For:                milliseconds(902),
@@ -150,9 +150,9 @@
 func TestExperiment_GoldenShowsEveryField(t *testing.T) {
 	complete := everyKey()
 	// The further elements of each list are there to be told from the first, and have few keys.
-	complete.Fleet.Tier, complete.Method = complete.Fleet.Tier[:1], complete.Method[:1]
-	complete.Tenant, complete.Load = complete.Tenant[:1], complete.Load[:1]
-	complete.Fault = complete.Fault[:1]
+	complete.Fleet.Tiers, complete.Methods = complete.Fleet.Tiers[:1], complete.Methods[:1]
+	complete.Tenants, complete.Loads = complete.Tenants[:1], complete.Loads[:1]
+	complete.Faults = complete.Faults[:1]
 	delete(complete.Expect, "figure-1004")
 	labtest.RequireEveryFieldSet(t, "toml", complete)
 }
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -82,7 +82,7 @@
 // MethodNames lists the methods in the order of the mix.
 func (e *Experiment) MethodNames() []string {
 	var names []string
-	for _, m := range e.Method {
+	for _, m := range e.Methods {
 		names = append(names, m.Name)
 	}
 	return names
@@ -91,7 +91,7 @@
 // TenantNames lists the tenants in the order of the mix.
 func (e *Experiment) TenantNames() []string {
 	var names []string
-	for _, t := range e.Tenant {
+	for _, t := range e.Tenants {
 		names = append(names, t.Name)
 	}
 	return names
--- a/internal/lab/experiment/metrics.go
+++ b/internal/lab/experiment/metrics.go
@@ -83,7 +83,7 @@
 
 // isMethodMetric returns whether a name is that of a method's figure.
 func (e *Experiment) isMethodMetric(name string) bool {
-	return slices.ContainsFunc(e.Method, func(m Method) bool {
+	return slices.ContainsFunc(e.Methods, func(m Method) bool {
 		metric, found := strings.CutPrefix(name, "method."+m.Name+".")
 		return found && slices.Contains(methodMetrics, metric)
 	})
@@ -91,5 +91,5 @@
 
 // isTenantMetric returns whether a name is that of a tenant's figure.
 func (e *Experiment) isTenantMetric(name string) bool {
-	return slices.ContainsFunc(e.Tenant, func(t Tenant) bool { return name == "tenant."+t.Name+".goodput" })
+	return slices.ContainsFunc(e.Tenants, func(t Tenant) bool { return name == "tenant."+t.Name+".goodput" })
 }
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -17,7 +17,7 @@
 	mix := e.mix()
 	var loads []plan.Load
 	var traced []plan.Arrival
-	for i, l := range e.Load {
+	for i, l := range e.Loads {
 		if l.Trace == "" {
 			loads = append(loads, e.planLoad(l))
 			continue
@@ -49,15 +49,15 @@
 // mix is the distribution of the requests.
 func (e *Experiment) mix() plan.Mix {
 	var mix plan.Mix
-	for _, m := range e.Method {
-		mix.Methods = append(mix.Methods, plan.Kind{
+	for _, m := range e.Methods {
+		mix.Methods = append(mix.Methods, plan.MethodMix{
 			Share: m.Share,
 			Work:  plan.Distribution{Kind: m.Spread, Mean: m.WorkMS, CV: m.CV},
 			Wait:  plan.Distribution{Kind: m.Spread, Mean: m.WaitMS, CV: m.CV},
 			Body:  m.Body,
 		})
 	}
-	for _, t := range e.Tenant {
+	for _, t := range e.Tenants {
 		mix.Tenants = append(mix.Tenants, t.Share)
 	}
 	return mix
--- a/internal/lab/experiment/target.go
+++ b/internal/lab/experiment/target.go
@@ -97,12 +97,12 @@
 // hasTarget returns whether a target is in the fleet.
 func (e *Experiment) hasTarget(t FaultTarget) bool {
 	switch {
-	case t.Tier >= len(e.Fleet.Tier):
+	case t.Tier >= len(e.Fleet.Tiers):
 		return false
 	case t.Zone != "" && !slices.Contains(e.Fleet.Zones, t.Zone):
 		return false
 	case t.Kind == TargetNode:
 		return t.Index < e.Fleet.Nodes
 	}
-	return t.Index < e.Fleet.Tier[t.Tier].Servers
+	return t.Index < e.Fleet.Tiers[t.Tier].Servers
 }
--- a/internal/lab/experiment/variants.go
+++ b/internal/lab/experiment/variants.go
@@ -13,8 +13,8 @@
 	if !(factor > 0 && factor <= maxScale) {
 		return fmt.Errorf("scale: %v is not above 0 and at most %d", factor, maxScale)
 	}
-	for i := range e.Fleet.Tier {
-		scaleCount(&e.Fleet.Tier[i].Servers, factor)
+	for i := range e.Fleet.Tiers {
+		scaleCount(&e.Fleet.Tiers[i].Servers, factor)
 	}
 	scaleCount(&e.Fleet.Nodes, factor)
 	e.scaleRate(factor)
@@ -28,8 +28,8 @@
 
 // scaleRate multiplies the load.
 func (e *Experiment) scaleRate(factor float64) {
-	for i := range e.Load {
-		l := &e.Load[i]
+	for i := range e.Loads {
+		l := &e.Loads[i]
 		l.Rate *= factor
 		l.To *= factor
 		for k := range l.Points {
@@ -44,18 +44,18 @@
 	factor := min(1, float64(e.Short.Duration)/float64(e.Duration))
 	shorten := func(d *Duration) { *d = Duration(float64(*d) * factor) }
 	shorten(&e.Duration)
-	for i := range e.Load {
-		l := &e.Load[i]
+	for i := range e.Loads {
+		l := &e.Loads[i]
 		shorten(&l.At)
 		shorten(&l.For)
 		for k := range l.Points {
 			l.Points[k][0] *= factor
 		}
 	}
-	for i := range e.Fault {
-		shorten(&e.Fault[i].At)
-		if !e.Fault[i].KeepDuration {
-			shorten(&e.Fault[i].For)
+	for i := range e.Faults {
+		shorten(&e.Faults[i].At)
+		if !e.Faults[i].KeepDuration {
+			shorten(&e.Faults[i].For)
 		}
 	}
 	e.scaleRate(e.Short.Rate)
--- a/internal/lab/fleet/hollownode.go
+++ b/internal/lab/fleet/hollownode.go
@@ -102,7 +102,7 @@
 	for i := range h.file.Pools {
 		l := &h.file.Pools[i].Limits
 		l.DiscoveryConnectTimeout = noTimeout
-		l.FirstUpdateTimeout = noTimeout
+		l.FirstMessageTimeout = noTimeout
 		l.MaxUpdateDelay = noTimeout
 		l.WatchSilenceTimeout = noTimeout
 	}
--- a/internal/lab/fleet/realnodes.go
+++ b/internal/lab/fleet/realnodes.go
@@ -24,11 +24,11 @@
 	}
 	name := fmt.Sprint("real", number)
 	node := &standin.Node{
-		Name:    name,
-		Addr:    address,
-		Program: f.options.NodeProgram,
-		Dir:     f.options.Dir,
-		Text:    NodeFile(&f.config, name, address, 0, plannedNodes, recordTable),
+		Name:         name,
+		Addr:         address,
+		Program:      f.options.NodeProgram,
+		Dir:          f.options.Dir,
+		OperatorFile: NodeFile(&f.config, name, address, 0, plannedNodes, recordTable),
 	}
 	if err := node.Start(ctx); err != nil {
 		return err
--- a/internal/lab/judge/attempts.go
+++ b/internal/lab/judge/attempts.go
@@ -18,14 +18,15 @@
 	}
 	if lost(attempt, forwarded) {
 		v.violate(NoAnswer, "%v through node %d, sent at %v", attempt.ID, attempt.Node, attempt.Sent)
-	} else if attempt.Outcome <= Aborted && attempt.Answered > attempt.Until+e.rules.Slack {
-		v.violate(LateAnswer, "%v through node %d, %v late", attempt.ID, attempt.Node, attempt.Answered-attempt.Until)
+	} else if attempt.Outcome <= Aborted && attempt.Answered > attempt.Deadline+e.rules.Slack {
+		late := attempt.Answered - attempt.Deadline
+		v.violate(LateAnswer, "%v through node %d, %v late", attempt.ID, attempt.Node, late)
 	}
 	if attempt.Extra > 0 {
 		v.violate(SecondAnswer, "%v through node %d", attempt.ID, attempt.Node)
 	}
 	if attempt.Foreign {
-		v.violate(ForeignOK, "%v through node %d", attempt.ID, attempt.Node)
+		v.violate(UnsolicitedOK, "%v through node %d", attempt.ID, attempt.Node)
 	}
 }
 
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -39,9 +39,9 @@
 		Method:   method,
 		Node:     int32(call % 3),
 		Planned:  planned,
-		Handed:   planned + ms/10,
+		HandedAt: planned + ms/10,
 		Sent:     planned + ms/5,
-		Until:    planned + time.Second,
+		Deadline: planned + time.Second,
 		Answered: planned + 50*ms,
 	}
 	request := ServerRequest{
@@ -52,7 +52,7 @@
 		End:    planned + 40*ms,
 		Ran:    true,
 		Effect: true,
-		Until:  attempt.Until + 250*ms, // the latest that is allowed
+		Until:  attempt.Deadline + 250*ms, // the latest that is allowed
 	}
 	return attempt, request
 }
@@ -66,18 +66,18 @@
 // violations records, by rule, a call that violates that rule alone.
 var violations = map[string]func(l *Ledger, attempt ClientAttempt, request ServerRequest){
 	NoAnswer: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
-		attempt.Outcome, attempt.Answered = Lost, attempt.Until
+		attempt.Outcome, attempt.Answered = Lost, attempt.Deadline
 		addCall(l, attempt, request)
 	},
 	LateAnswer: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
-		attempt.Answered = attempt.Until + 51*ms
+		attempt.Answered = attempt.Deadline + 51*ms
 		addCall(l, attempt, request)
 	},
 	SecondAnswer: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
 		attempt.Extra = 1
 		addCall(l, attempt, request)
 	},
-	ForeignOK: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
+	UnsolicitedOK: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
 		attempt.Foreign = true
 		addCall(l, attempt, request)
 	},
@@ -102,20 +102,20 @@
 		request.Effect, request.First = false, request.First+401*ms
 		l.AddServerRequest(request)
 	},
-	ToDrained: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
+	SentToDraining: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
 		l.AddNotification(Notification{Node: attempt.Node, Server: request.Server, State: Draining, At: request.First - 451*ms})
 		addCall(l, attempt, request)
 	},
-	PushedOver: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
+	OverloadedInSlowStart: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
 		l.AddNotification(Notification{Node: attempt.Node, Server: request.Server, State: Ready, At: request.First - 100*ms})
 		addCall(l, attempt, request)
 		l.AddOverload(Overload{Server: request.Server, Up: request.First - 200*ms, At: request.First, Window: time.Second})
 	},
-	ToldTooMuch: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
-		request.Until = attempt.Until + 251*ms
+	DeadlineExtended: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
+		request.Until = attempt.Deadline + 251*ms
 		addCall(l, attempt, request)
 	},
-	StalledKept: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
+	StalledTooLong: func(l *Ledger, attempt ClientAttempt, request ServerRequest) {
 		addCall(l, attempt, request)
 		l.AddStalledClient(StalledClient{Node: attempt.Node, Stopped: attempt.Planned, Ended: attempt.Planned + maxStalled + 101*ms})
 	},
@@ -188,7 +188,7 @@
 	addCall(l, inTime, request)
 
 	notSent, _ := validCall(2, charge, 2*time.Second)
-	notSent.Outcome, notSent.Handed, notSent.Sent, notSent.Answered = NotSent, 0, 0, 0
+	notSent.Outcome, notSent.HandedAt, notSent.Sent, notSent.Answered = NotSent, 0, 0, 0
 	l.AddAttempt(notSent)
 
 	aborted, _ := validCall(3, find, 3*time.Second)
--- a/internal/lab/judge/notifications.go
+++ b/internal/lab/judge/notifications.go
@@ -43,7 +43,7 @@
 	for _, overload := range e.records.overloads {
 		share := e.notifiedShare(overload)
 		if share >= minNotifiedShare {
-			e.verdict.violate(PushedOver, "server %d at %v, %.0f%% of it by nodes that knew",
+			e.verdict.violate(OverloadedInSlowStart, "server %d at %v, %.0f%% of it by nodes that knew",
 				overload.Server, overload.At, 100*share)
 		}
 	}
@@ -96,7 +96,7 @@
 	for _, client := range e.records.stalledClients {
 		waited := client.Ended - client.Stopped
 		if waited > maxStalled+e.rules.Wire {
-			e.verdict.violate(StalledKept, "node %d, stopped at %v, ended %v later",
+			e.verdict.violate(StalledTooLong, "node %d, stopped at %v, ended %v later",
 				client.Node, client.Stopped, waited)
 		}
 	}
--- a/internal/lab/judge/records.go
+++ b/internal/lab/judge/records.go
@@ -76,9 +76,9 @@
 	Method, Tenant uint16
 	Node           int32         // -1: directly to a server
 	Planned        time.Duration // when the call was due; it is the same for all its attempts
-	Handed         time.Duration // when the generator dispatched it; 0: never
+	HandedAt       time.Duration // when the generator dispatched it; 0: never
 	Sent           time.Duration // when it was written
-	Until          time.Duration // the client's deadline
+	Deadline       time.Duration // the client's deadline
 	Answered       time.Duration // the response's last byte, or when the attempt ended otherwise
 	Outcome        Outcome
 	Extra          uint8 // responses beyond the first
@@ -89,10 +89,10 @@
 func (a *ClientAttempt) shift(by time.Duration) {
 	a.Planned -= by
 	a.Sent -= by
-	a.Until -= by
+	a.Deadline -= by
 	a.Answered -= by
-	if a.Handed > 0 {
-		a.Handed -= by
+	if a.HandedAt > 0 {
+		a.HandedAt -= by
 	}
 }
 
--- a/internal/lab/judge/requests.go
+++ b/internal/lab/judge/requests.go
@@ -15,7 +15,7 @@
 		if attempt == nil {
 			continue
 		}
-		if late := request.End - max(request.Start, attempt.Until); late > 0 {
+		if late := request.End - max(request.Start, attempt.Deadline); late > 0 {
 			e.verdict.LateWork += late
 		}
 		if attempt.Node < 0 {
@@ -41,9 +41,9 @@
 	if attempt.Outcome != Crossed && request.First > attempt.Answered+e.rules.Wire {
 		v.violate(SentAfter, "%v at server %d, %v after", request.ID, request.Server, request.First-attempt.Answered)
 	}
-	excess := request.Until - attempt.Until
+	excess := request.Until - attempt.Deadline
 	if request.Until > 0 && excess > deadlineSlack+e.rules.Wire {
-		v.violate(ToldTooMuch, "%v at server %d, %v more", request.ID, request.Server, excess)
+		v.violate(DeadlineExtended, "%v at server %d, %v more", request.ID, request.Server, excess)
 	}
 }
 
@@ -56,7 +56,7 @@
 	delay := request.First - since
 	record(e.verdict.AfterDrain, delay)
 	if delay > e.rules.Grace+e.rules.Slack {
-		e.verdict.violate(ToDrained, "%v at server %d through node %d, %v after word",
+		e.verdict.violate(SentToDraining, "%v at server %d through node %d, %v after word",
 			request.ID, request.Server, attempt.Node, delay)
 	}
 }
@@ -85,7 +85,7 @@
 			}
 			delay := request.First - ban.From
 			if delay > e.rules.Grace+e.rules.Slack && request.First < ban.To {
-				e.verdict.violate(ToDrained, "%v at server %d through node %d, %v after an operator's call",
+				e.verdict.violate(SentToDraining, "%v at server %d through node %d, %v after an operator's call",
 					request.ID, request.Server, attempt.Node, delay)
 			}
 		}
--- a/internal/lab/judge/rules.go
+++ b/internal/lab/judge/rules.go
@@ -35,18 +35,18 @@
 
 // The rules, by the names that results have.
 const (
-	NoAnswer     = "no answer"
-	LateAnswer   = "answer after the deadline"
-	SecondAnswer = "second answer"
-	ForeignOK    = "ok that no server made"
-	SentAfter    = "sent after the final answer"
-	EffectTwice  = "effect twice"
-	FalsePromise = "pushed back though it ran"
-	PastWindow   = "resent past the window"
-	ToDrained    = "sent to a drained server"
-	PushedOver   = "cold server pushed over"
-	ToldTooMuch  = "told more time than its caller has"
-	StalledKept  = "client that stopped in its request kept on"
+	NoAnswer              = "no answer"
+	LateAnswer            = "answer after the deadline"
+	SecondAnswer          = "second answer"
+	UnsolicitedOK         = "ok that no server made"
+	SentAfter             = "sent after the final answer"
+	EffectTwice           = "effect twice"
+	FalsePromise          = "pushed back though it ran"
+	PastWindow            = "resent past the window"
+	SentToDraining        = "sent to a drained server"
+	OverloadedInSlowStart = "cold server pushed over"
+	DeadlineExtended      = "told more time than its caller has"
+	StalledTooLong        = "client that stopped in its request kept on"
 )
 
 // RuleNames lists the rules in the order of reports.
@@ -54,15 +54,15 @@
 	NoAnswer,
 	LateAnswer,
 	SecondAnswer,
-	ForeignOK,
+	UnsolicitedOK,
 	SentAfter,
 	EffectTwice,
 	FalsePromise,
 	PastWindow,
-	ToDrained,
-	PushedOver,
-	ToldTooMuch,
-	StalledKept,
+	SentToDraining,
+	OverloadedInSlowStart,
+	DeadlineExtended,
+	StalledTooLong,
 }
 
 const (
--- a/internal/lab/judge/schedule.go
+++ b/internal/lab/judge/schedule.go
@@ -30,12 +30,12 @@
 			continue
 		}
 		planned[int(attempt.Planned/scheduleWindow)]++
-		if attempt.Outcome == NotSent && attempt.Handed == 0 {
+		if attempt.Outcome == NotSent && attempt.HandedAt == 0 {
 			continue
 		}
-		record(errors, attempt.Handed-attempt.Planned)
-		handed[int(attempt.Handed/scheduleWindow)]++
-		dispatches = append(dispatches, dispatch{attempt.Planned, attempt.Handed})
+		record(errors, attempt.HandedAt-attempt.Planned)
+		handed[int(attempt.HandedAt/scheduleWindow)]++
+		dispatches = append(dispatches, dispatch{attempt.Planned, attempt.HandedAt})
 	}
 	return Schedule{
 		P50:     Percentile(errors, 50),
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -34,11 +34,11 @@
 func newAttempt(l *lane, call uint32, arrival *plan.Arrival) *attempt {
 	return &attempt{
 		ClientAttempt: judge.ClientAttempt{
-			ID:      judge.ID{Call: call},
-			Method:  arrival.Method,
-			Tenant:  arrival.Tenant,
-			Planned: arrival.At,
-			Until:   arrival.At + l.engine.Methods[arrival.Method].Deadline,
+			ID:       judge.ID{Call: call},
+			Method:   arrival.Method,
+			Tenant:   arrival.Tenant,
+			Planned:  arrival.At,
+			Deadline: arrival.At + l.engine.Methods[arrival.Method].Deadline,
 		},
 		arrival: arrival,
 		lane:    l,
@@ -49,11 +49,11 @@
 func (a *attempt) next() *attempt {
 	return &attempt{
 		ClientAttempt: judge.ClientAttempt{
-			ID:      judge.ID{Call: a.Call, N: a.N + 1},
-			Method:  a.Method,
-			Tenant:  a.Tenant,
-			Planned: a.Planned,
-			Until:   a.Until,
+			ID:       judge.ID{Call: a.Call, N: a.N + 1},
+			Method:   a.Method,
+			Tenant:   a.Tenant,
+			Planned:  a.Planned,
+			Deadline: a.Deadline,
 		},
 		arrival: a.arrival,
 		lane:    a.lane,
@@ -99,7 +99,7 @@
 	}
 	next := a.next()
 	time.AfterFunc(pause, func() {
-		next.Handed = e.now()
+		next.HandedAt = e.now()
 		next.lane.dispatch(next)
 	})
 }
@@ -115,7 +115,7 @@
 		return 0, true
 	}
 	neverRan := outcome == judge.PushedBack || outcome == judge.NotConnected
-	if a.method().Repeat == judge.NonIdempotent && !neverRan {
+	if a.method().Idempotency == judge.NonIdempotent && !neverRan {
 		return 0, false
 	}
 	now, deadline := e.now(), a.retryDeadline(neverRan)
@@ -130,10 +130,10 @@
 // servers may have forgotten its idempotency key.
 func (a *attempt) retryDeadline(neverRan bool) time.Duration {
 	method := a.method()
-	if method.Repeat == judge.Deduplicated && !neverRan {
-		return min(a.Until, a.Planned+method.Window)
+	if method.Idempotency == judge.Deduplicated && !neverRan {
+		return min(a.Deadline, a.Planned+method.Window)
 	}
-	return a.Until
+	return a.Deadline
 }
 
 // backoff returns whether the client is one that retries once more, and its pause: what the response advised or an
--- a/internal/lab/load/config.go
+++ b/internal/lab/load/config.go
@@ -28,11 +28,11 @@
 
 // Method holds what a client knows of a method.
 type Method struct {
-	Name     string
-	Repeat   judge.Idempotency
-	Deadline time.Duration
-	Window   time.Duration // in which servers recognize a repeated idempotency key
-	Host     string
+	Name        string
+	Idempotency judge.Idempotency
+	Deadline    time.Duration
+	Window      time.Duration // in which servers recognize a repeated idempotency key
+	Host        string
 }
 
 // Clients configures the clients' retries.
@@ -48,17 +48,17 @@
 
 // Config is the load of an experiment, apart from its plan.
 type Config struct {
-	Methods     []Method
-	Tenants     []string
-	Clients     Clients
-	Lanes       int // threads that keep the schedule; 0: by the plan's rate
-	Connections int // the maximum; attempts wait while all are busy
-	Waiting     int // the maximum of waiting attempts; those beyond are not sent
-	Warm        int // connections that are opened ahead to each of WarmTo
-	WarmTo      []Destination
-	Slack       time.Duration // that a client waits past its deadline, to see a late response
-	Seed        uint64
-	First       uint32 // number of the first call: runs against the same nodes must not repeat numbers
+	Methods         []Method
+	Tenants         []string
+	Clients         Clients
+	Lanes           int // threads that keep the schedule; 0: by the plan's rate
+	Connections     int // the maximum; attempts wait while all are busy
+	MaxWaiting      int // the maximum of waiting attempts; those beyond are not sent
+	WarmConnections int // connections that are opened ahead to each of WarmTo
+	WarmTo          []Destination
+	Slack           time.Duration // that a client waits past its deadline, to see a late response
+	Seed            uint64
+	First           uint32 // number of the first call: runs against the same nodes must not repeat numbers
 }
 
 // Counts is the state of a load, for a line of progress.
--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -56,7 +56,7 @@
 	e := c.lane.engine
 	e.sent.Add(1)
 	e.inFlight.Add(1)
-	deadline := e.start.Add(a.Until + e.Slack)
+	deadline := e.start.Add(a.Deadline + e.Slack)
 	c.SetReadDeadline(deadline)
 	c.SetWriteDeadline(deadline)
 	if _, err := c.Write(c.writeBuffer); err != nil {
@@ -210,7 +210,7 @@
 		a.Outcome = judge.Lost
 	}
 	if timedOut && a.Outcome != judge.ClientLeft {
-		a.Answered = a.Until
+		a.Answered = a.Deadline
 	}
 	e.ledger.AddAttempt(a.ClientAttempt)
 	a.finish(a.Outcome)
--- a/internal/lab/load/engine.go
+++ b/internal/lab/load/engine.go
@@ -146,7 +146,7 @@
 func (e *Engine) WarmUp() {
 	hosts := e.hosts()
 	var dials sync.WaitGroup
-	for i := range e.Warm {
+	for i := range e.WarmConnections {
 		l := e.lanes[i%len(e.lanes)]
 		for _, destination := range e.WarmTo {
 			for _, host := range hosts {
--- a/internal/lab/load/engine_test.go
+++ b/internal/lab/load/engine_test.go
@@ -48,7 +48,7 @@
 func play(t testing.TB, arrivals []plan.Arrival, c load.Config, faults func(*standin.Server)) *judge.Verdict {
 	begin := time.Now()
 	ledger := &judge.Ledger{}
-	s := &standin.Server{Kind: standin.Kind{Cores: 64, Queue: 1 << 20}, Log: ledger, Begin: begin}
+	s := &standin.Server{ServerConfig: standin.ServerConfig{Cores: 64, Queue: 1 << 20}, Log: ledger, Begin: begin}
 	require.NoError(t, s.Start("127.0.0.1:0"))
 	defer s.Stop()
 	var faultsEnded sync.WaitGroup
@@ -88,7 +88,7 @@
 // time all do.
 func TestRun_FreezeShowsByPlannedTime(t *testing.T) {
 	t.Parallel()
-	c := load.Config{Connections: 16, Waiting: 1 << 20, Warm: 16, Slack: time.Second}
+	c := load.Config{Connections: 16, MaxWaiting: 1 << 20, WarmConnections: 16, Slack: time.Second}
 	v := play(t, evenly(500*time.Microsecond, 6000), c, func(s *standin.Server) {
 		time.Sleep(500 * time.Millisecond)
 		s.Freeze(true)
@@ -106,7 +106,7 @@
 // Past the limits requests are counted as unsent. None is dropped silently.
 func TestRun_CountsUnsent(t *testing.T) {
 	t.Parallel()
-	c := load.Config{Connections: 4, Waiting: 50, Slack: 100 * time.Millisecond}
+	c := load.Config{Connections: 4, MaxWaiting: 50, Slack: 100 * time.Millisecond}
 	v := play(t, evenly(time.Millisecond, 600), c, func(s *standin.Server) { s.Freeze(true) })
 	assert.Equal(t, 600, v.All.Calls)
 	assert.Equal(t, 4, v.Outcomes["lost"], "%v", v.Outcomes)
@@ -121,7 +121,7 @@
 	t.Parallel()
 	// Either lane may send all of it while the machine holds the other one's thread, with the other half of the warm
 	// connections idle: a connection for each request beside the warm ones.
-	c := load.Config{Connections: 750, Waiting: 0, Warm: 250, Lanes: 2, Slack: time.Second}
+	c := load.Config{Connections: 750, MaxWaiting: 0, WarmConnections: 250, Lanes: 2, Slack: time.Second}
 	v := play(t, evenly(2*time.Microsecond, 500), c, nil)
 	assert.Equal(t, map[string]int{"ok": 500}, v.Outcomes)
 }
@@ -130,14 +130,14 @@
 	t.Parallel()
 	c := load.Config{
 		Connections: 99,
-		Waiting:     99,
+		MaxWaiting:  99,
 		Clients:     load.Clients{RetryShare: 1, MaxRetries: 2, Backoff: time.Millisecond, MarkRetries: true},
 	}
 	arrivals := []plan.Arrival{{Method: 0}, {Method: 1, Body: 9000}, {Method: 2}}
 	rules := rules
 	rules.Methods = nil
 	for i, repeat := range []judge.Idempotency{judge.Idempotent, judge.Deduplicated, judge.NonIdempotent} {
-		method := load.Method{Name: fmt.Sprint("m", i), Repeat: repeat, Deadline: time.Second, Window: time.Minute}
+		method := load.Method{Name: fmt.Sprint("m", i), Idempotency: repeat, Deadline: time.Second, Window: time.Minute}
 		c.Methods = append(c.Methods, method)
 		rules.Methods = append(rules.Methods, judge.Method{Idempotency: repeat})
 	}
@@ -147,15 +147,15 @@
 		effects  int // -1: not checked
 	}{
 		"failures":             {standin.Fail, 3 + 3 + 1, -1},
-		"death in the middle":  {standin.DieMid, 3 + 3 + 1, 3 + 1 + 1}, // the deduplicated one's are recognized by their key
+		"death in the middle":  {standin.ResetMidResponse, 3 + 3 + 1, 3 + 1 + 1}, // the deduplicated one's are recognized by their key
 		"nothing to retry for": {standin.NoFault, 3, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ledger := &judge.Ledger{}
 			s := &standin.Server{
-				Log:   ledger,
-				Begin: time.Now(),
-				Marks: map[string]*standin.IdempotencyKeys{"m1": {Window: time.Minute}},
+				Log:             ledger,
+				Begin:           time.Now(),
+				IdempotencyKeys: map[string]*standin.IdempotencyKeys{"m1": {Window: time.Minute}},
 			}
 			startServer(t, s)
 			s.Fault(test.fault, 1)
@@ -176,9 +176,9 @@
 	t.Parallel()
 	c := load.Config{
 		Connections: 9,
-		Waiting:     9,
+		MaxWaiting:  9,
 		Clients:     load.Clients{RetryShare: 1, MaxRetries: 2, Backoff: 10 * time.Minute},
-		Methods:     []load.Method{{Name: "m1", Repeat: judge.Deduplicated, Deadline: time.Hour, Window: time.Minute}},
+		Methods:     []load.Method{{Name: "m1", Idempotency: judge.Deduplicated, Deadline: time.Hour, Window: time.Minute}},
 	}
 	ledger := &judge.Ledger{}
 	s := &standin.Server{Log: ledger, Begin: time.Now()}
@@ -197,7 +197,7 @@
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
 			for b.Loop() {
 				arrivals := evenly(time.Second/time.Duration(rate), 2*rate)
-				c := load.Config{Connections: 4000, Waiting: 1 << 20, Warm: 200, Slack: time.Second}
+				c := load.Config{Connections: 4000, MaxWaiting: 1 << 20, WarmConnections: 200, Slack: time.Second}
 				v := play(b, arrivals, c, nil)
 				b.ReportMetric(float64(v.Schedule.P50.Microseconds()), "p50-error-µs")
 				b.ReportMetric(float64(v.Schedule.P99.Microseconds()), "p99-error-µs")
@@ -219,7 +219,7 @@
 				arrivals = append(arrivals, plan.Arrival{At: begin + time.Duration(i)*2*time.Microsecond})
 			}
 		}
-		c := load.Config{Connections: 4000, Waiting: 1 << 20, Warm: 500, Lanes: 4, Slack: time.Second}
+		c := load.Config{Connections: 4000, MaxWaiting: 1 << 20, WarmConnections: 500, Lanes: 4, Slack: time.Second}
 		v := play(b, arrivals, c, nil)
 		b.ReportMetric(float64(v.Schedule.GapP50.Nanoseconds())/1000, "p50-gap-error-µs")
 		b.ReportMetric(float64(v.Schedule.P50.Microseconds()), "p50-error-µs")
--- a/internal/lab/load/lane.go
+++ b/internal/lab/load/lane.go
@@ -63,7 +63,7 @@
 			return
 		}
 		a := newAttempt(l, e.First+uint32(i), arrival)
-		a.Handed = e.now()
+		a.HandedAt = e.now()
 		e.calls.Add(1)
 		l.dispatch(a)
 	}
@@ -160,7 +160,7 @@
 // enqueue lets an attempt wait for a connection, under the lane's lock. It returns false if too many wait.
 func (l *lane) enqueue(a *attempt) bool {
 	e := l.engine
-	if e.waiting.Load() >= int64(e.Waiting) {
+	if e.waiting.Load() >= int64(e.MaxWaiting) {
 		return false
 	}
 	e.waiting.Add(1)
@@ -175,7 +175,7 @@
 		l.queue[0] = nil
 		l.queue = l.queue[1:]
 		l.engine.waiting.Add(-1)
-		if l.engine.now() < a.Until {
+		if l.engine.now() < a.Deadline {
 			return a
 		}
 		go a.finish(judge.NotSent)
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -13,7 +13,7 @@
 
 // appendRequest appends an attempt's request.
 func (a *attempt) appendRequest(b []byte) []byte {
-	hasBody := a.method().Repeat != judge.Idempotent
+	hasBody := a.method().Idempotency != judge.Idempotent
 	b = a.appendRequestLine(b)
 	b = a.appendHeaders(b)
 	if !hasBody {
@@ -28,7 +28,7 @@
 // appendRequestLine appends the request line. Its query states the work that the request is for a server.
 func (a *attempt) appendRequestLine(b []byte) []byte {
 	method := a.method()
-	if method.Repeat == judge.Idempotent {
+	if method.Idempotency == judge.Idempotent {
 		b = append(b, "GET /"...)
 	} else {
 		b = append(b, "POST /"...)
@@ -57,21 +57,21 @@
 func (a *attempt) appendHeaders(b []byte) []byte {
 	e, method := a.lane.engine, a.method()
 	b = appendHeader(b, "Host", method.Host)
-	b = append(b, wire.Trace+": "...)
+	b = append(b, wire.HeaderTraceID+": "...)
 	b = wire.ID{Call: a.Call, Try: a.N}.Append(b)
 	b = append(b, "\r\n"...)
-	b = appendHeader(b, wire.Method, method.Name)
+	b = appendHeader(b, wire.HeaderMethod, method.Name)
 	if len(e.Tenants) > 0 {
-		b = appendHeader(b, wire.Tenant, e.Tenants[a.Tenant])
+		b = appendHeader(b, wire.HeaderTenant, e.Tenants[a.Tenant])
 	}
-	b = append(b, wire.Left+": "...)
-	b = strconv.AppendInt(b, max(1, (a.Until-e.now()).Milliseconds()), 10)
+	b = append(b, wire.HeaderTimeLeft+": "...)
+	b = strconv.AppendInt(b, max(1, (a.Deadline-e.now()).Milliseconds()), 10)
 	b = append(b, "\r\n"...)
 	if a.N > 0 && e.Clients.MarkRetries {
-		b = appendHeader(b, wire.SecondTry, "1")
+		b = appendHeader(b, wire.HeaderRetry, "1")
 	}
-	if method.Repeat == judge.Deduplicated {
-		b = append(b, wire.Key+": "...)
+	if method.Idempotency == judge.Deduplicated {
+		b = append(b, wire.HeaderIdempotencyKey+": "...)
 		b = wire.ID{Call: a.Call}.Append(b)
 		b = append(b, "\r\n"...)
 	}
--- a/internal/lab/load/response.go
+++ b/internal/lab/load/response.go
@@ -73,7 +73,7 @@
 		case isHeader(name, "Connection"):
 			r.closes = bytes.EqualFold(value, []byte("close"))
 		case isHeader(name, wire.RetryAfter):
-			r.retryAfter = wire.Seconds(string(value))
+			r.retryAfter = wire.ParseRetryAfter(string(value))
 		}
 	}
 	return length, nil
--- a/internal/lab/plan/golden_test.go
+++ b/internal/lab/plan/golden_test.go
@@ -15,7 +15,7 @@
 // rename: a saved seed plays what it has always played. The names that NewSource is given are part of that.
 func TestGenerate_GoldenSchedule(t *testing.T) {
 	goldenMix := Mix{
-		Methods: []Kind{
+		Methods: []MethodMix{
 			{Share: 2, Work: Distribution{Kind: "lognormal", Mean: 10, CV: 0.5}, Wait: Distribution{Kind: "exponential", Mean: 3}},
 			{Share: 1, Work: Distribution{Kind: "fixed", Mean: 4}, Body: 9},
 		},
--- a/internal/lab/plan/mix.go
+++ b/internal/lab/plan/mix.go
@@ -28,8 +28,8 @@
 	return d.Mean
 }
 
-// Kind is one method of a mix.
-type Kind struct {
+// MethodMix is one method of a mix.
+type MethodMix struct {
 	Share float64
 	Work  Distribution
 	Wait  Distribution
@@ -38,7 +38,7 @@
 
 // Mix says how the requests are distributed over methods, tenants and keys.
 type Mix struct {
-	Methods []Kind
+	Methods []MethodMix
 	Tenants []float64 // shares
 	Keys    int       // number of different keys; 0: a million
 	Skew    float64   // above 1: the exponent of the keys' Zipf distribution
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/plan/plan_test.go
@@ -11,7 +11,7 @@
 )
 
 var mix = Mix{
-	Methods: []Kind{
+	Methods: []MethodMix{
 		{Share: 2, Work: Distribution{Kind: "lognormal", Mean: 10, CV: 0.5}},
 		{Share: 1, Body: 9},
 	},
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -191,11 +191,11 @@
 func percentilePlot(all []series) (*plot.Plot, error) {
 	p := newPlot("percentile", "ms")
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	p.X.Tick.Marker = percentileTicks(all[0].arm.Quants)
+	p.X.Tick.Marker = percentileTicks(all[0].arm.Quantiles)
 	p.Legend.Left = true
 	for i, s := range all {
 		var planned, service plotter.XYs
-		for _, q := range s.arm.Quants {
+		for _, q := range s.arm.Quantiles {
 			planned = append(planned, plotter.XY{X: nines(q.Q), Y: max(q.Planned, minLatency)})
 			service = append(service, plotter.XY{X: nines(q.Q), Y: max(q.Service, minLatency)})
 		}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -28,7 +28,7 @@
 			Windows: [][2]int{{5, 5}, {5, 4}},
 			Broken:  map[string]judge.Violation{judge.EffectTwice: {Count: 7}},
 			Seconds: []run.Second{{Calls: 5, Goodput: 1, P99: 20, Open: 1}, {Goodput: 0.5, P99: 2000, Open: 9}},
-			Quants: []run.Quantile{
+			Quantiles: []run.Quantile{
 				{Q: 50, Planned: 1, Service: 1},
 				{Q: 99, Planned: 0, Service: 3},
 				{Q: 100, Planned: 9, Service: 3},
--- a/internal/lab/run/arm.go
+++ b/internal/lab/run/arm.go
@@ -87,7 +87,7 @@
 func firstServiceOnly(e *experiment.Experiment, arrivals []plan.Arrival) []plan.Arrival {
 	service := e.Services()[0]
 	return slices.DeleteFunc(slices.Clone(arrivals), func(a plan.Arrival) bool {
-		return e.Method[a.Method].Service != service
+		return e.Methods[a.Method].Service != service
 	})
 }
 
@@ -120,7 +120,7 @@
 	for _, m := range members {
 		c.WarmTo = append(c.WarmTo, load.Destination{ID: m.Index, Node: -1, Addr: m.Addr})
 	}
-	c.Warm = max(1, e.Clients.Warm*e.Fleet.Nodes/len(members))
+	c.WarmConnections = max(1, e.Clients.Warm*e.Fleet.Nodes/len(members))
 	return a.direct, c
 }
 
@@ -151,12 +151,12 @@
 // loadConfig is the load's configuration as the experiment has it.
 func loadConfig(e *experiment.Experiment) load.Config {
 	c := load.Config{
-		Tenants:     e.TenantNames(),
-		Connections: e.Clients.Connections,
-		Waiting:     e.Clients.Waiting,
-		Warm:        e.Clients.Warm,
-		Slack:       clientSlack,
-		Seed:        e.Seed,
+		Tenants:         e.TenantNames(),
+		Connections:     e.Clients.Connections,
+		MaxWaiting:      e.Clients.Waiting,
+		WarmConnections: e.Clients.Warm,
+		Slack:           clientSlack,
+		Seed:            e.Seed,
 		Clients: load.Clients{
 			RetryShare:      e.Clients.RetryShare,
 			MaxRetries:      e.Clients.MaxRetries,
@@ -165,13 +165,13 @@
 			MarkRetries:     e.Clients.MarkRetries,
 		},
 	}
-	for _, m := range e.Method {
+	for _, m := range e.Methods {
 		c.Methods = append(c.Methods, load.Method{
-			Name:     m.Name,
-			Repeat:   m.Idempotency(),
-			Deadline: m.Deadline.Std(),
-			Window:   m.Window.Std(),
-			Host:     e.Host(m.Service),
+			Name:        m.Name,
+			Idempotency: m.Idempotency(),
+			Deadline:    m.Deadline.Std(),
+			Window:      m.Window.Std(),
+			Host:        e.Host(m.Service),
 		})
 	}
 	return c
@@ -262,7 +262,7 @@
 
 // usesShims returns whether system calls of the arm's nodes are made to fail.
 func (a *armRun) usesShims() bool {
-	return experiment.UsesNodes(a.name) && slices.ContainsFunc(a.experiment.Fault, experiment.Fault.UsesShim)
+	return experiment.UsesNodes(a.name) && slices.ContainsFunc(a.experiment.Faults, experiment.Fault.UsesShim)
 }
 
 // invalidReasons lists why an arm's figures must not be used.
--- a/internal/lab/run/bans.go
+++ b/internal/lab/run/bans.go
@@ -78,7 +78,9 @@
 	s.mu.Lock()
 	ban := serverBan{server: s.member.ID, index: s.member.Index}
 	s.mu.Unlock()
-	confirmed := retryCommand(ctx, banTimeout, func() bool { return n.Call(banPath, ban.server) == http.StatusOK })
+	confirmed := retryCommand(ctx, banTimeout, func() bool {
+		return n.OperatorCall(banPath, ban.server) == http.StatusOK
+	})
 	if confirmed {
 		sleep(ctx, commandInterval) // the ban counts from a while after its confirmation
 	} else {
@@ -91,7 +93,7 @@
 // unban has a node lift a ban.
 func unban(ctx context.Context, n *standin.Node, server string) {
 	retryCommand(ctx, unbanTimeout, func() bool {
-		status := n.Call(unbanPath, server)
+		status := n.OperatorCall(unbanPath, server)
 		return status == http.StatusOK || status == http.StatusNotFound
 	})
 }
--- a/internal/lab/run/capacity.go
+++ b/internal/lab/run/capacity.go
@@ -63,7 +63,7 @@
 
 // fleetSize counts a fleet's nodes, those of servers among them, and its servers.
 func fleetSize(e *experiment.Experiment) (nodes, servers uint64) {
-	tiers := e.Fleet.Tier
+	tiers := e.Fleet.Tiers
 	nodes = uint64(e.Fleet.Nodes)
 	for i, t := range tiers {
 		servers += uint64(t.Servers)
--- a/internal/lab/run/capacity_test.go
+++ b/internal/lab/run/capacity_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestCheckCapacity(t *testing.T) {
-	e := &experiment.Experiment{Fleet: experiment.Fleet{Nodes: 300, Tier: []experiment.Tier{{Servers: 300}}}}
+	e := &experiment.Experiment{Fleet: experiment.Fleet{Nodes: 300, Tiers: []experiment.Tier{{Servers: 300}}}}
 	t.Run("enough", func(t *testing.T) {
 		assert.NoError(t, checkCapacity(e, capacity{memory: 24 << 30, descriptors: 20_000}))
 	})
@@ -33,7 +33,7 @@
 	})
 	t.Run("nodes of servers", func(t *testing.T) {
 		e := &experiment.Experiment{Fleet: experiment.Fleet{Nodes: 300}}
-		e.Fleet.Tier = []experiment.Tier{{Servers: 500}, {Servers: 10}} // each of the 500 has a node
+		e.Fleet.Tiers = []experiment.Tier{{Servers: 500}, {Servers: 10}} // each of the 500 has a node
 		var short *CapacityError
 		require.ErrorAs(t, checkCapacity(e, capacity{memory: 24 << 30, descriptors: 20_000}), &short)
 		assert.EqualValues(t, 800*16, short.Need)
--- a/internal/lab/run/faults.go
+++ b/internal/lab/run/faults.go
@@ -12,8 +12,8 @@
 // playFaults makes all faults at their times and reverts each. It returns when all are over or the context has ended.
 func (f *fleet) playFaults(ctx context.Context, start time.Time) []Span {
 	var playing sync.WaitGroup
-	spans := make([]Span, len(f.experiment.Fault))
-	for i, fault := range f.experiment.Fault {
+	spans := make([]Span, len(f.experiment.Faults))
+	for i, fault := range f.experiment.Faults {
 		target, err := experiment.ParseFaultTarget(fault.Target)
 		if err != nil {
 			continue // checked with the file
--- a/internal/lab/run/fleet.go
+++ b/internal/lab/run/fleet.go
@@ -76,7 +76,7 @@
 
 // begin starts the servers and, if there are to be any, the nodes.
 func (f *fleet) begin(ctx context.Context) error {
-	tiers := f.experiment.Fleet.Tier
+	tiers := f.experiment.Fleet.Tiers
 	for range tiers {
 		f.addDiscovery()
 	}
@@ -109,7 +109,7 @@
 	d.Bound = config.NotifyBound.Std()
 	f.discoveries = append(f.discoveries, d)
 	keys := map[string]*standin.IdempotencyKeys{}
-	for _, m := range f.experiment.Method {
+	for _, m := range f.experiment.Methods {
 		if m.Idempotency() == judge.Deduplicated {
 			keys[m.Name] = &standin.IdempotencyKeys{Window: m.Window.Std()}
 		}
@@ -120,8 +120,8 @@
 // addTier starts the servers of a tier and adds them to its discovery.
 func (f *fleet) addTier(number int, random *rand.Rand) error {
 	e := f.experiment
-	tier := e.Fleet.Tier[number]
-	hasNextTier := number+1 < len(e.Fleet.Tier) && tier.Service == ""
+	tier := e.Fleet.Tiers[number]
+	hasNextTier := number+1 < len(e.Fleet.Tiers) && tier.Service == ""
 	for i := range tier.Servers {
 		s := newServerSlot(number, i, tier, e.Fleet.Zones[i%len(e.Fleet.Zones)], random)
 		f.tiers[number] = append(f.tiers[number], s)
--- a/internal/lab/run/golden_test.go
+++ b/internal/lab/run/golden_test.go
@@ -26,14 +26,14 @@
 func goldenResult() *Result {
 	number := func(value float64) *float64 { return &value }
 	return &Result{
-		Version: Version,
-		Name:    "golden",
-		About:   "about-101",
-		Began:   time.Date(2026, 2, 3, 4, 5, 6, 789_000_000, time.UTC),
-		Seed:    102,
-		Seconds: 103.5,
-		Short:   true,
-		Cut:     true,
+		Version:     Version,
+		Name:        "golden",
+		About:       "about-101",
+		Began:       time.Date(2026, 2, 3, 4, 5, 6, 789_000_000, time.UTC),
+		Seed:        102,
+		Seconds:     103.5,
+		Short:       true,
+		Interrupted: true,
 		Arms: []*Arm{{
 			Name:       "robincart",
 			Metrics:    map[string]float64{"goodput": 0.25, "p99_ms": 201.5},
@@ -41,7 +41,7 @@
 			Ends:       map[string]int{judge.OK.String(): 204, judge.PushedBack.String(): 205},
 			Violations: map[string]int{"rule-206": 207},
 			Seconds:    []Second{{Calls: 208, Goodput: 0.5, P50: 209.5, P99: 210.5, Open: 211}},
-			Quants:     []Quantile{{Q: 99.9, Planned: 212.5, Service: 213.5}},
+			Quantiles:  []Quantile{{Q: 99.9, Planned: 212.5, Service: 213.5}},
 			Methods:    []judge.Tally{{Name: "find", Calls: 214, InTime: 215, OK: 216, OfferedUtility: 217.5, EarnedUtility: 218.5}},
 			Tenants:    []judge.Tally{{Name: "acme", Calls: 219, InTime: 220, OK: 221, OfferedUtility: 222.5, EarnedUtility: 223.5}},
 			Windows:    [][2]int{{224, 225}, {226, 227}},
@@ -70,7 +70,7 @@
 func TestResult_GoldenSwitches(t *testing.T) {
 	for text, want := range map[string]Result{
 		`{"short":true}`:  {Short: true},
-		`{"cut":true}`:    {Cut: true},
+		`{"cut":true}`:    {Interrupted: true},
 		`{"passed":true}`: {Passed: true},
 	} {
 		t.Run(text, func(t *testing.T) {
@@ -92,7 +92,7 @@
 		experiment:   e,
 		listeners:    map[int32][]*standin.DiscoveryListener{},
 	}
-	for range e.Fleet.Tier {
+	for range e.Fleet.Tiers {
 		d := standin.NewDiscovery(&judge.Ledger{}, time.Now())
 		t.Cleanup(d.Stop)
 		d.Update(standin.Member{ID: "s0-0", Addr: "127.0.0.1:501", Zone: "zone-a", Flavor: "lab", Cell: 502,
@@ -135,7 +135,7 @@
 	n, err := f.newNode(0, "a")
 	require.NoError(t, err)
 	labtest.RequireGolden(t, "operator.toml", written(t, f, n, "n0.toml"))
-	_, err = nodeconfig.Parse([]byte(n.Text), 0)
+	_, err = nodeconfig.Parse([]byte(n.OperatorFile), 0)
 	require.NoError(t, err)
 }
 
--- a/internal/lab/run/metrics.go
+++ b/internal/lab/run/metrics.go
@@ -37,7 +37,7 @@
 		})
 	}
 	for _, q := range quantiles {
-		arm.Quants = append(arm.Quants, Quantile{
+		arm.Quantiles = append(arm.Quantiles, Quantile{
 			Q:       q,
 			Planned: milliseconds(judge.Percentile(v.Latency, q)),
 			Service: milliseconds(judge.Percentile(v.Service, q)),
--- a/internal/lab/run/networkfaults.go
+++ b/internal/lab/run/networkfaults.go
@@ -12,7 +12,7 @@
 // addProxy puts a proxy before a server that has none yet, if faults are made by proxies, and has discovery publish the
 // proxy's address.
 func (f *fleet) addProxy(s *serverSlot) error {
-	if !slices.ContainsFunc(f.experiment.Fault, experiment.Fault.UsesProxy) {
+	if !slices.ContainsFunc(f.experiment.Faults, experiment.Fault.UsesProxy) {
 		return nil
 	}
 	if s.proxy == nil {
--- a/internal/lab/run/nodeconfig.go
+++ b/internal/lab/run/nodeconfig.go
@@ -110,10 +110,10 @@
 // nodeSettings are the settings of a node that sends to a tier.
 func (f *fleet) nodeSettings(tier int, zone string) instanceSettings {
 	e := f.experiment
-	target := e.Fleet.Tier[tier]
+	target := e.Fleet.Tiers[tier]
 	instances := e.Fleet.Nodes
 	if tier > 0 {
-		instances = e.Fleet.Tier[tier-1].Servers
+		instances = e.Fleet.Tiers[tier-1].Servers
 	}
 	s := instanceSettings{
 		Instances:    instances,
@@ -139,10 +139,10 @@
 			StopSendingWithinMs: stopSendingWithinMs,
 		},
 	}
-	for _, m := range e.Method {
+	for _, m := range e.Methods {
 		s.Classes = append(s.Classes, newClassSettings(m))
 	}
-	for _, t := range e.Tenant {
+	for _, t := range e.Tenants {
 		s.Tenants = append(s.Tenants, tenantSettings{Name: t.Name, QuotaPerS: t.Quota})
 	}
 	return s
@@ -170,10 +170,10 @@
 	fmt.Fprintf(&b, "[machine]\ncores = %v\nmemory_mb = %d\nsockets = %d\n",
 		e.Fleet.Cores, e.Fleet.MemoryMB, e.Fleet.Sockets)
 	fmt.Fprintf(&b, "[sharing]\noff = %v\n", !f.quotas)
-	for i, t := range e.Fleet.Tier {
+	for i, t := range e.Fleet.Tiers {
 		f.writeService(&b, t, listeners[i].Addr())
 	}
-	for _, t := range e.Fleet.Tier {
+	for _, t := range e.Fleet.Tiers {
 		fmt.Fprintf(&b, "[[route]]\nhost = %q\nto = %q\n", t.Host, t.Service)
 	}
 	return b.String()
@@ -186,12 +186,12 @@
 	fmt.Fprintf(b, "guarantee = %v\nweight = %v\n", t.Guarantee, t.Weight)
 	fmt.Fprintf(b, "max_picks = %d\nsecond_copies = %v\n", e.Fleet.MaxAttempts, !e.Fleet.NoHedging)
 	fmt.Fprintf(b, "idle = %q\nconnect = \"%dms\"\n", t.Idle.Std(), connectTimeoutMs)
-	for _, m := range e.Method {
+	for _, m := range e.Methods {
 		if m.Service == t.Service {
 			writeMethod(b, m)
 		}
 	}
-	for _, tenant := range e.Tenant {
+	for _, tenant := range e.Tenants {
 		fmt.Fprintf(b, "[[service.tenant]]\nname = %q\nquota = %v\n", tenant.Name, tenant.Quota)
 	}
 }
--- a/internal/lab/run/nodefaults.go
+++ b/internal/lab/run/nodefaults.go
@@ -65,7 +65,7 @@
 
 // reloadNode has a node read its configuration again.
 func (f *fleet) reloadNode(n *standin.Node) {
-	if !n.Reloads() {
+	if !n.MayReload() {
 		return
 	}
 	if err := n.Write(); err != nil {
@@ -92,7 +92,7 @@
 	}
 	end := time.Now().Add(fault.For.Std())
 	for i := 0; ctx.Err() == nil && (i == 0 || time.Now().Before(end)); i++ {
-		if n.Reloads() {
+		if n.MayReload() {
 			if err := f.applyConfiguration(number, i%2 == 0); err != nil {
 				f.crash(err)
 				return
@@ -160,11 +160,11 @@
 // there is one.
 func (f *fleet) runMisbehavingClients(ctx context.Context, lasts time.Duration, number int) {
 	e, destination := f.experiment, f.destinations[number]
-	i := slices.IndexFunc(e.Method, func(m experiment.Method) bool { return m.Idempotency() == judge.Idempotent })
+	i := slices.IndexFunc(e.Methods, func(m experiment.Method) bool { return m.Idempotency() == judge.Idempotent })
 	if i < 0 {
 		return
 	}
-	method := e.Method[i]
+	method := e.Methods[i]
 	clients := &standin.MisbehavingClients{
 		Begin:   f.start,
 		Dest:    destination,
@@ -172,10 +172,10 @@
 		Method:  uint16(i),
 		Name:    method.Name,
 		Host:    e.Host(method.Service),
-		Tenant:  e.Tenant[0].Name,
+		Tenant:  e.Tenants[0].Name,
 		Calls:   &f.misbehavingCalls,
 		Excused: func(since time.Duration) bool { return f.balancer.Excused(destination, since) },
-		Lasting: misbehavingSlack,
+		Slack:   misbehavingSlack,
 	}
 	ctx, cancel := context.WithTimeout(ctx, lasts)
 	defer cancel()
--- a/internal/lab/run/nodes.go
+++ b/internal/lab/run/nodes.go
@@ -33,7 +33,7 @@
 		Config:  f.nodeConfig(tier, zone, listeners[0].Addr()),
 	}
 	if hasServices {
-		n.Text = f.nodeFile(n, listeners)
+		n.OperatorFile = f.nodeFile(n, listeners)
 	}
 	f.listeners[f.nextNode] = listeners
 	f.nextNode++
--- a/internal/lab/run/nodes_test.go
+++ b/internal/lab/run/nodes_test.go
@@ -33,7 +33,7 @@
 				Name:    "n0",
 				Addr:    addr,
 				Program: "n0",
-				Wrap:    []string{"/bin/sh", "-c", c.script},
+				Wrapper: []string{"/bin/sh", "-c", c.script},
 				Config:  map[string]any{},
 				Dir:     t.TempDir(),
 			}
--- a/internal/lab/run/result.go
+++ b/internal/lab/run/result.go
@@ -18,20 +18,20 @@
 
 // Result is one run, as it is stored and reported.
 type Result struct {
-	Version int       `json:"version"`
-	Name    string    `json:"name"`
-	About   string    `json:"about"`
-	Began   time.Time `json:"began"`
-	Seed    uint64    `json:"seed"`
-	Seconds float64   `json:"seconds"`
-	Short   bool      `json:"short,omitempty"`
-	Cut     bool      `json:"cut,omitempty"` // interrupted
-	Arms    []*Arm    `json:"arms"`          // the first is the one that is judged
-	Checks  []Check   `json:"checks"`
-	Invalid []string  `json:"invalid,omitempty"` // why the figures must not be used
-	Passed  bool      `json:"passed"`
-	Faults  []Span    `json:"faults"`
-	Machine string    `json:"machine"`
+	Version     int       `json:"version"`
+	Name        string    `json:"name"`
+	About       string    `json:"about"`
+	Began       time.Time `json:"began"`
+	Seed        uint64    `json:"seed"`
+	Seconds     float64   `json:"seconds"`
+	Short       bool      `json:"short,omitempty"`
+	Interrupted bool      `json:"cut,omitempty"` // interrupted
+	Arms        []*Arm    `json:"arms"`          // the first is the one that is judged
+	Checks      []Check   `json:"checks"`
+	Invalid     []string  `json:"invalid,omitempty"` // why the figures must not be used
+	Passed      bool      `json:"passed"`
+	Faults      []Span    `json:"faults"`
+	Machine     string    `json:"machine"`
 }
 
 // Arm holds the figures of one arm.
@@ -43,7 +43,7 @@
 	// Violations counts the broken invariants that the nodes themselves have logged.
 	Violations map[string]int `json:"violations,omitempty"`
 	Seconds    []Second       `json:"seconds"`
-	Quants     []Quantile     `json:"quantiles"`
+	Quantiles  []Quantile     `json:"quantiles"`
 	Methods    []judge.Tally  `json:"methods"`
 	Tenants    []judge.Tally  `json:"tenants"`
 	Windows    [][2]int       `json:"planned_and_sent_per_100ms"`
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -57,7 +57,7 @@
 			return nil, fmt.Errorf("arm %s: %w", name, err)
 		}
 	}
-	r.Cut = ctx.Err() != nil
+	r.Interrupted = ctx.Err() != nil
 	r.check(e)
 	return r, r.store(o.Dir)
 }
--- a/internal/lab/run/selfcheck.go
+++ b/internal/lab/run/selfcheck.go
@@ -102,11 +102,11 @@
 // impliedViolations lists the rules that a violation of another rule violates by its nature, too.
 var impliedViolations = map[string][]string{
 	// Sent so late, requests also reach a server that drains by then.
-	judge.PastWindow: {judge.EffectTwice, judge.ToDrained},
+	judge.PastWindow: {judge.EffectTwice, judge.SentToDraining},
 	// What is sent past the client's deadline states a deadline after it, whatever it states.
-	judge.SentAfter: {judge.EffectTwice, judge.PastWindow, judge.ToDrained, judge.ToldTooMuch},
+	judge.SentAfter: {judge.EffectTwice, judge.PastWindow, judge.SentToDraining, judge.DeadlineExtended},
 	// A second response that is late enough is taken for the response to the next request.
-	judge.SecondAnswer: {judge.ForeignOK},
+	judge.SecondAnswer: {judge.UnsolicitedOK},
 	// To the client the close looks like one that crossed its request, and HTTP lets it send that once more.
 	judge.NoAnswer: {judge.EffectTwice},
 	// A response that is late enough is none.
@@ -197,10 +197,10 @@
 		return nil, load.Destination{}, err
 	}
 	node := &standin.BypassingNode{
-		Crime:     rule,
+		Violation: rule,
 		Every:     selfCheckInterval,
 		Discovery: f.firstDiscovery(),
-		Door:      listener,
+		Listener:  listener,
 	}
 	addr, err := node.Start(f.experiment.Fleet.Host + ":0")
 	return node, load.Destination{ID: 0, Node: 0, Addr: addr}, err
@@ -213,9 +213,9 @@
 		Begin:  f.start,
 		Dest:   destination,
 		Log:    f.ledger,
-		Name:   e.Method[0].Name,
+		Name:   e.Methods[0].Name,
 		Host:   e.Host(""),
-		Tenant: e.Tenant[0].Name,
+		Tenant: e.Tenants[0].Name,
 		Calls:  &f.misbehavingCalls,
 	}
 	for range stalledClients {
--- a/internal/lab/run/servers.go
+++ b/internal/lab/run/servers.go
@@ -41,7 +41,7 @@
 type serverSlot struct {
 	tier          int
 	zone          string
-	kind          standin.Kind
+	kind          standin.ServerConfig
 	nextTierCalls int
 
 	mu          sync.Mutex
@@ -61,18 +61,18 @@
 		tier:          number,
 		zone:          zone,
 		nextTierCalls: tier.NextTierCalls,
-		kind: standin.Kind{
-			Cores:        tier.Cores,
-			Speed:        (slowest + random.Float64()*(fastest-slowest)) / tier.WorkShare,
-			Queue:        tier.Queue,
-			Conns:        tier.MaxConns,
-			Idle:         tier.Idle.Std(),
-			PerConn:      tier.MaxRequestsPerConn,
-			ColdFrom:     tier.WarmUpSpeed,
-			ColdFor:      tier.WarmUpTime.Std(),
-			FallMultiple: tier.OverloadMultiple,
-			FallFor:      tier.OverloadWindow.Std(),
-			Cancels:      tier.DropsCanceled,
+		kind: standin.ServerConfig{
+			Cores:             tier.Cores,
+			Speed:             (slowest + random.Float64()*(fastest-slowest)) / tier.WorkShare,
+			Queue:             tier.Queue,
+			Conns:             tier.MaxConns,
+			Idle:              tier.Idle.Std(),
+			PerConn:           tier.MaxRequestsPerConn,
+			SlowStartFraction: tier.WarmUpSpeed,
+			SlowStartDuration: tier.WarmUpTime.Std(),
+			OverloadMultiple:  tier.OverloadMultiple,
+			OverloadWindow:    tier.OverloadWindow.Std(),
+			Cancels:           tier.DropsCanceled,
 		},
 		member: standin.Member{
 			ID:     fmt.Sprintf("s%d-%d", number, i),
@@ -119,13 +119,13 @@
 // warmed up.
 func (f *fleet) launch(s *serverSlot, addr string, upSince int64) error {
 	server := &standin.Server{
-		Kind:      s.kind,
-		Index:     f.nextServer.Add(1) - 1,
-		Marks:     f.idempotencyKeys[s.tier],
-		Log:       f.ledger,
-		Begin:     f.start,
-		Calls:     s.nextTierCalls,
-		Strangers: f.experiment.Fleet.Listen != "",
+		ServerConfig:    s.kind,
+		Index:           f.nextServer.Add(1) - 1,
+		IdempotencyKeys: f.idempotencyKeys[s.tier],
+		Log:             f.ledger,
+		Begin:           f.start,
+		Calls:           s.nextTierCalls,
+		ServeUnknown:    f.experiment.Fleet.Listen != "",
 	}
 	if s.innerClient != nil {
 		server.Behind = s.innerClient.Call
@@ -175,7 +175,7 @@
 	}
 	s.node = n
 	methods, idempotencies := map[string]uint16{}, []judge.Idempotency{}
-	for i, m := range f.experiment.Method {
+	for i, m := range f.experiment.Methods {
 		methods[m.Name] = uint16(i)
 		idempotencies = append(idempotencies, m.Idempotency())
 	}
--- a/internal/lab/run/shim.go
+++ b/internal/lab/run/shim.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return fmt.Errorf("the shim is a command of robinlab: %w", err)
 	}
-	n.Wrap = []string{program, "shim", "--plan", s.planFile, "--journal", s.journal}
+	n.Wrapper = []string{program, "shim", "--plan", s.planFile, "--journal", s.journal}
 	return s.plan.Write(s.planFile)
 }
 
@@ -49,7 +49,7 @@
 		journal:  filepath.Join(f.dir, n.Name+".shim.log"),
 	}
 	s.plan.Seed = f.experiment.Seed + uint64(number)
-	for _, fault := range f.experiment.Fault {
+	for _, fault := range f.experiment.Faults {
 		target, err := experiment.ParseFaultTarget(fault.Target)
 		if err != nil || !fault.UsesShim() || !slices.Contains(f.targetNodes(target), number) {
 			continue
--- a/internal/lab/run/spread.go
+++ b/internal/lab/run/spread.go
@@ -32,7 +32,7 @@
 	metrics["spread_peak"] = long.Peak
 	metrics["spread_idle"] = long.Idle
 	metrics["spread_agreement"] = short.Agreement
-	metrics["spread_herds"] = float64(measure(e.Method[0].Target.Std()).Herds)
+	metrics["spread_herds"] = float64(measure(e.Methods[0].Target.Std()).Herds)
 }
 
 // serverArrivals lists the requests at servers with the nodes that sent them; -1: none of this run's.
--- a/internal/lab/run/text.go
+++ b/internal/lab/run/text.go
@@ -46,7 +46,7 @@
 	for _, reason := range r.Invalid {
 		fmt.Fprintf(w, "INVALID: %s\n", reason)
 	}
-	if r.Cut {
+	if r.Interrupted {
 		fmt.Fprintln(w, "INTERRUPTED: this is what was played until then")
 	}
 	if r.Passed {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -17,8 +17,8 @@
 		assert.Equal(t, text, ExperimentText(seed, DefaultSize), "the same seed, the same text")
 		e, err := experiment.Parse([]byte(text), ".")
 		require.NoError(t, err, "%s", text)
-		assert.Positive(t, overlaps(e.Fault), "seed %d", seed)
-		for _, fault := range e.Fault {
+		assert.Positive(t, overlaps(e.Faults), "seed %d", seed)
+		for _, fault := range e.Faults {
 			kinds[fault.Kind]++
 		}
 	}
--- a/internal/lab/standin/application.go
+++ b/internal/lab/standin/application.go
@@ -137,7 +137,8 @@
 func (a *applicationSession) handle(event fcgi.Event) bool {
 	switch event.Kind {
 	case fcgi.EventParams:
-		a.requests[event.ID] = &ApplicationRequest{ID: event.ID, Keep: event.Keep, Params: decodeParams(event.Params)}
+		params := decodeParams(event.Params)
+		a.requests[event.ID] = &ApplicationRequest{ID: event.ID, Keep: event.KeepConn, Params: params}
 	case fcgi.EventBody:
 		request := a.requests[event.ID]
 		request.Body = append(request.Body, event.Data...)
--- a/internal/lab/standin/bypassingnode.go
+++ b/internal/lab/standin/bypassingnode.go
@@ -17,10 +17,10 @@
 // BypassingNode is a node that breaks one rule on purpose, to show that the judge finds it. With no rule to break it is
 // the simplest node that keeps them all: one attempt at a server of the list, one response.
 type BypassingNode struct {
-	Crime     string // the rule of the judge that it breaks; empty: none
+	Violation string // the rule of the judge that it breaks; empty: none
 	Every     int    // it breaks the rule at each request with a number divisible by this
 	Discovery *Discovery
-	Door      *DiscoveryListener
+	Listener  *DiscoveryListener
 
 	listener net.Listener
 	watch    net.Conn
@@ -54,7 +54,7 @@
 	b.listener = listener
 	b.conns = map[net.Conn]struct{}{}
 	_, b.initial = b.Discovery.List()
-	b.watch, err = net.Dial("tcp", b.Door.Addr())
+	b.watch, err = net.Dial("tcp", b.Listener.Addr())
 	if err != nil {
 		return "", err
 	}
@@ -97,7 +97,7 @@
 		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		if b.Crime != judge.StalledKept {
+		if b.Violation != judge.StalledTooLong {
 			conn.SetReadDeadline(time.Now().Add(maxNodeReadTime))
 		}
 		request, err := wire.ReadRequest(reader)
@@ -115,12 +115,12 @@
 func (b *BypassingNode) handle(conn net.Conn, request *wire.Request) bool {
 	receivedAt := time.Now()
 	if strings.HasPrefix(request.Path, "/health/") {
-		conn.Write(wire.Answer(nil, 200, "", nil))
+		conn.Write(wire.AppendResponse(nil, 200, "", nil))
 		return true
 	}
 	server, breaks := b.choose(true)
 	if server.ID == "" {
-		conn.Write(wire.Answer(nil, 503, "Retry-After: 0.2\r\n", nil))
+		conn.Write(wire.AppendResponse(nil, 503, "Retry-After: 0.2\r\n", nil))
 		return true
 	}
 	exchange := &bypassedExchange{
@@ -132,14 +132,14 @@
 		status:   504,
 	}
 	passedDeadline := exchange.deadline
-	if breaks && b.Crime == judge.ToldTooMuch {
+	if breaks && b.Violation == judge.DeadlineExtended {
 		passedDeadline = exchange.deadline.Add(addedTime)
 	}
 	response, err := b.forward(server, request, passedDeadline)
 	if err == nil && response.Status == 200 {
 		exchange.status, exchange.body = 200, response.Body
 	}
-	if b.Crime == judge.PastWindow && request.Header.Get(wire.Key) == "" {
+	if b.Violation == judge.PastWindow && request.Header.Get(wire.HeaderIdempotencyKey) == "" {
 		breaks = false // only an idempotency key has a window
 	}
 	if !breaks {
@@ -162,13 +162,13 @@
 
 func (b *bypassedExchange) respond() { b.conn.Write(b.encode()) }
 
-func (b *bypassedExchange) encode() []byte { return wire.Answer(nil, b.status, "", b.body) }
+func (b *bypassedExchange) encode() []byte { return wire.AppendResponse(nil, b.status, "", b.body) }
 
 // breakRule responds, and breaks the node's rule where a correct attempt has not broken it already. It returns whether
 // the connection may carry another request.
 func (b *bypassedExchange) breakRule() bool {
 	node := b.node
-	switch node.Crime {
+	switch node.Violation {
 	case judge.NoAnswer:
 		return false
 	case judge.LateAnswer:
@@ -176,7 +176,7 @@
 	case judge.SecondAnswer:
 		b.conn.Write(append(b.encode(), b.encode()...))
 		return true
-	case judge.ForeignOK:
+	case judge.UnsolicitedOK:
 		b.status, b.body = 200, []byte("made up")
 	case judge.EffectTwice:
 		if other, _ := node.choose(false); other.ID != "" {
@@ -203,15 +203,15 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests++
-	breaks = b.Crime != "" && b.requests%max(1, b.Every) == 0
-	if b.Crime == judge.ToDrained {
+	breaks = b.Violation != "" && b.requests%max(1, b.Every) == 0
+	if b.Violation == judge.SentToDraining {
 		list = b.initial
 	}
 	ready := readyMembers(list)
 	if len(ready) == 0 {
 		return Member{}, breaks
 	}
-	if overload && b.Crime == judge.PushedOver {
+	if overload && b.Violation == judge.OverloadedInSlowStart {
 		if youngest := youngestMember(ready); youngest.UpSince > 0 {
 			return youngest, true
 		}
@@ -252,7 +252,7 @@
 	text.WriteString(request.Verb + " " + request.Target + " HTTP/1.1\r\n")
 	for name, values := range request.Header {
 		value := values[0]
-		if name == wire.Left {
+		if name == wire.HeaderTimeLeft {
 			value = strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10)
 		}
 		text.WriteString(name + ": " + value + "\r\n")
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -44,11 +44,11 @@
 // Discovery serves one tier's list of servers and its changes. Each node has a listener of its own, so that the ledger
 // knows which node was notified of what, and when.
 type Discovery struct {
-	Log   *judge.Ledger
-	Begin time.Time
-	Every time.Duration // between the heartbeats of a watch, which are empty lines
-	Watch Watch
-	Wait  time.Duration // how long a watch lasts at most, with WatchWaits
+	Log               *judge.Ledger
+	Begin             time.Time
+	HeartbeatInterval time.Duration // between the heartbeats of a watch, which are empty lines
+	Watch             Watch
+	Wait              time.Duration // how long a watch lasts at most, with WatchWaits
 	// Bound is how long after discovery could be reached a change counts as notified to every node, whether it was or
 	// not. 0: only what was sent counts.
 	Bound time.Duration
@@ -72,14 +72,14 @@
 // NewDiscovery returns a discovery with an empty list.
 func NewDiscovery(log *judge.Ledger, begin time.Time) *Discovery {
 	return &Discovery{
-		Log:         log,
-		Begin:       begin,
-		Every:       heartbeatInterval,
-		revision:    firstRevision,
-		members:     map[string]Member{},
-		boundTimers: map[string]*time.Timer{},
-		upSince:     begin,
-		changed:     make(chan struct{}),
+		Log:               log,
+		Begin:             begin,
+		HeartbeatInterval: heartbeatInterval,
+		revision:          firstRevision,
+		members:           map[string]Member{},
+		boundTimers:       map[string]*time.Timer{},
+		upSince:           begin,
+		changed:           make(chan struct{}),
 	}
 }
 
--- a/internal/lab/standin/discovery_test.go
+++ b/internal/lab/standin/discovery_test.go
@@ -41,7 +41,7 @@
 func startDiscovery(t *testing.T, mode Watch) (*Discovery, *DiscoveryListener) {
 	t.Helper()
 	d := NewDiscovery(&judge.Ledger{}, time.Now())
-	d.Every, d.Watch, d.Wait = 20*time.Millisecond, mode, 200*time.Millisecond
+	d.HeartbeatInterval, d.Watch, d.Wait = 20*time.Millisecond, mode, 200*time.Millisecond
 	d.Update(Member{ID: "a", Addr: "127.0.0.1:1", Phase: phaseReady, Index: 1})
 	listener, err := d.Listen(3, "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/lab/standin/discoverylistener.go
+++ b/internal/lab/standin/discoverylistener.go
@@ -147,7 +147,7 @@
 	}
 	conn.SetReadDeadline(time.Time{})
 	if call.Path != pathMembers || call.Verb != "GET" {
-		conn.Write(wire.Answer(nil, 404, "Connection: close\r\n", nil))
+		conn.Write(wire.AppendResponse(nil, 404, "Connection: close\r\n", nil))
 		return nil
 	}
 	return call
@@ -160,7 +160,7 @@
 	wait, admitted := d.discovery.queue.admit(time.Now())
 	d.discovery.mu.Unlock()
 	if !admitted {
-		conn.Write(wire.Answer(nil, 503, "Connection: close\r\n", nil))
+		conn.Write(wire.AppendResponse(nil, 503, "Connection: close\r\n", nil))
 		return false
 	}
 	time.Sleep(delay + wait)
@@ -174,7 +174,7 @@
 	d.record(members, true)
 	d.discovery.mu.Unlock()
 	text := encodeList(revision, true, members)
-	conn.Write(wire.Answer(nil, 200, "Connection: close\r\nContent-Type: application/json\r\n", text))
+	conn.Write(wire.AppendResponse(nil, 200, "Connection: close\r\nContent-Type: application/json\r\n", text))
 }
 
 // record notes in the ledger what the node is notified of. A server that a snapshot does not list is gone. The mutex is
--- a/internal/lab/standin/discoverywatch.go
+++ b/internal/lab/standin/discoverywatch.go
@@ -90,7 +90,7 @@
 // awaitChange waits for a change, and sends a heartbeat if none comes. It returns false at the watch's end.
 func (w *watch) awaitChange(changed <-chan struct{}) bool {
 	d := w.listener.discovery
-	wait := d.Every
+	wait := d.HeartbeatInterval
 	if d.Watch == WatchWaits {
 		if time.Now().After(w.endsAt) {
 			return false
--- a/internal/lab/standin/golden_test.go
+++ b/internal/lab/standin/golden_test.go
@@ -97,14 +97,14 @@
 		received <- respondOnce(ln, len(golden), "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n")
 	}()
 	n := &Node{Config: map[string]any{"admin_addr": ln.Addr().String()}}
-	assert.Equal(t, 409, n.Call("/_servers/detach", "s0-1"))
+	assert.Equal(t, 409, n.OperatorCall("/_servers/detach", "s0-1"))
 	labtest.RequireGolden(t, "operator-call.http", <-received)
 }
 
 // A server's responses: to a request, to one that no client of the lab sent and to one that it rejects, and its load
 // report.
 func TestServer_GoldenAnswers(t *testing.T) {
-	s := &Server{Kind: Kind{Cores: 1}, Index: 501, Log: &judge.Ledger{}, Begin: time.Now()}
+	s := &Server{ServerConfig: ServerConfig{Cores: 1}, Index: 501, Log: &judge.Ledger{}, Begin: time.Now()}
 	require.NoError(t, s.Start("127.0.0.1:0"))
 	t.Cleanup(s.Stop)
 	send := func(request string) []byte {
--- a/internal/lab/standin/innerclient.go
+++ b/internal/lab/standin/innerclient.go
@@ -49,13 +49,13 @@
 // repeats its inner calls.
 func (i *InnerClient) Call(request *wire.Request, n int, deadline time.Time) bool {
 	attempt := judge.ClientAttempt{
-		ID:      judge.ID{Call: i.Number.Add(1), Inner: true},
-		Method:  i.Methods[request.Header.Get(wire.Method)],
-		Node:    i.Node,
-		Planned: i.now(),
-		Until:   deadline.Sub(i.Begin),
+		ID:       judge.ID{Call: i.Number.Add(1), Inner: true},
+		Method:   i.Methods[request.Header.Get(wire.HeaderMethod)],
+		Node:     i.Node,
+		Planned:  i.now(),
+		Deadline: deadline.Sub(i.Begin),
 	}
-	attempt.Handed = attempt.Planned
+	attempt.HandedAt = attempt.Planned
 	timeLeft := time.Until(deadline)
 	if timeLeft <= 0 {
 		return false
@@ -76,7 +76,7 @@
 		conn.Close()
 		attempt.Outcome = i.failureOutcome(attempt.Sent, deadline)
 		if attempt.Outcome == judge.Lost {
-			attempt.Answered = attempt.Until
+			attempt.Answered = attempt.Deadline
 		}
 		i.Log.AddAttempt(attempt)
 		return false
@@ -125,14 +125,14 @@
 func encodeInnerCall(request *wire.Request, id wire.ID, n int, timeLeft time.Duration) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: lab\r\n", request.Verb, request.Target)
-	fmt.Fprintf(&b, "%s: %s\r\n", wire.Trace, id)
-	fmt.Fprintf(&b, "%s: %s\r\n", wire.Method, request.Header.Get(wire.Method))
-	fmt.Fprintf(&b, "%s: %d\r\n", wire.Left, max(1, timeLeft.Milliseconds()))
-	if tenant := request.Header.Get(wire.Tenant); tenant != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", wire.Tenant, tenant)
-	}
-	if key := request.Header.Get(wire.Key); key != "" {
-		fmt.Fprintf(&b, "%s: %s.%d\r\n", wire.Key, key, n)
+	fmt.Fprintf(&b, "%s: %s\r\n", wire.HeaderTraceID, id)
+	fmt.Fprintf(&b, "%s: %s\r\n", wire.HeaderMethod, request.Header.Get(wire.HeaderMethod))
+	fmt.Fprintf(&b, "%s: %d\r\n", wire.HeaderTimeLeft, max(1, timeLeft.Milliseconds()))
+	if tenant := request.Header.Get(wire.HeaderTenant); tenant != "" {
+		fmt.Fprintf(&b, "%s: %s\r\n", wire.HeaderTenant, tenant)
+	}
+	if key := request.Header.Get(wire.HeaderIdempotencyKey); key != "" {
+		fmt.Fprintf(&b, "%s: %s.%d\r\n", wire.HeaderIdempotencyKey, key, n)
 	}
 	if request.Verb != "GET" {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(request.Body))
--- a/internal/lab/standin/misbehaving.go
+++ b/internal/lab/standin/misbehaving.go
@@ -28,7 +28,7 @@
 	Tenant  string
 	Calls   *atomic.Uint32 // counts the calls of all misbehaving clients in the run
 	Excused func(since time.Duration) bool
-	Lasting time.Duration // how long past its deadline a response is waited for
+	Slack   time.Duration // how long past its deadline a response is waited for
 }
 
 const (
@@ -89,21 +89,21 @@
 	id := judge.ID{Call: firstMisbehavingCall + m.Calls.Add(1)}
 	now := m.now()
 	attempt := judge.ClientAttempt{
-		ID:      id,
-		Method:  m.Method,
-		Node:    m.Dest.Node,
-		Planned: now,
-		Handed:  now,
-		Sent:    now,
-		Until:   now + timeLeft,
+		ID:       id,
+		Method:   m.Method,
+		Node:     m.Dest.Node,
+		Planned:  now,
+		HandedAt: now,
+		Sent:     now,
+		Deadline: now + timeLeft,
 	}
 	var b strings.Builder
 	workMS := float64(work) / float64(time.Millisecond)
 	fmt.Fprintf(&b, "GET /%s/rude?w=%.1f HTTP/1.1\r\nHost: %s\r\n", m.Name, workMS, m.Host)
-	fmt.Fprintf(&b, "%s: %s\r\n", wire.Trace, wire.ID{Call: id.Call})
-	fmt.Fprintf(&b, "%s: %s\r\n", wire.Method, m.Name)
-	fmt.Fprintf(&b, "%s: %s\r\n", wire.Tenant, m.Tenant)
-	fmt.Fprintf(&b, "%s: %d\r\n\r\n", wire.Left, timeLeft.Milliseconds())
+	fmt.Fprintf(&b, "%s: %s\r\n", wire.HeaderTraceID, wire.ID{Call: id.Call})
+	fmt.Fprintf(&b, "%s: %s\r\n", wire.HeaderMethod, m.Name)
+	fmt.Fprintf(&b, "%s: %s\r\n", wire.HeaderTenant, m.Tenant)
+	fmt.Fprintf(&b, "%s: %d\r\n\r\n", wire.HeaderTimeLeft, timeLeft.Milliseconds())
 	return b.String(), attempt
 }
 
--- a/internal/lab/standin/misbehaving_test.go
+++ b/internal/lab/standin/misbehaving_test.go
@@ -44,7 +44,7 @@
 					Log:     log,
 					Calls:   &atomic.Uint32{},
 					Excused: func(time.Duration) bool { return false },
-					Lasting: 5 * time.Second,
+					Slack:   5 * time.Second,
 				}
 				done := make(chan struct{})
 				go func() {
--- a/internal/lab/standin/misbehavingpipeline.go
+++ b/internal/lab/standin/misbehavingpipeline.go
@@ -54,7 +54,7 @@
 		// forwarded nonetheless.
 		attempt.Outcome = judge.Crossed
 		if !ended {
-			conn.SetReadDeadline(m.Begin.Add(attempt.Until + m.Lasting))
+			conn.SetReadDeadline(m.Begin.Add(attempt.Deadline + m.Slack))
 			response, err := wire.ReadResponse(reader)
 			ended = err != nil || response.Close
 			switch {
@@ -81,7 +81,7 @@
 	defer conn.Close()
 	dialedAt := time.Now()
 	request, attempt := m.newRequest(minHurriedTime+rand.N(maxHurriedTime), hurriedWork)
-	conn.SetDeadline(m.Begin.Add(attempt.Until + m.Lasting))
+	conn.SetDeadline(m.Begin.Add(attempt.Deadline + m.Slack))
 	if _, err := conn.Write([]byte(request)); err != nil {
 		return
 	}
--- a/internal/lab/standin/node.go
+++ b/internal/lab/standin/node.go
@@ -15,16 +15,16 @@
 
 // Node is a real node as a process of its own. A node that is replaced has two for a moment.
 type Node struct {
-	Name     string
-	Addr     string
-	Program  string
-	Wrap     []string       // a command that runs the program, which is appended to it
-	Env      []string       // beside this process's own
-	Config   map[string]any // in the platform's form; its listen and name are set by Write
-	Text     string         // an operators' file in place of Config
-	Dir      string         // of its configuration and its log
-	Listener *os.File       // the clients' listener, which all its processes share; nil: each has one of its own
-	Admin    bool           // it has an operators' address, a new one for each process
+	Name         string
+	Addr         string
+	Program      string
+	Wrapper      []string       // a command that runs the program, which is appended to it
+	Env          []string       // beside this process's own
+	Config       map[string]any // in the platform's form; its listen and name are set by Write
+	OperatorFile string         // an operators' file in place of Config
+	Dir          string         // of its configuration and its log
+	Listener     *os.File       // the clients' listener, which all its processes share; nil: each has one of its own
+	Admin        bool           // it has an operators' address, a new one for each process
 
 	mu          sync.Mutex
 	cmd         *exec.Cmd
@@ -55,7 +55,7 @@
 func (n *Node) SetKnownServers(members []Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.Text == "" {
+	if n.OperatorFile == "" {
 		n.Config["known"] = map[string]any{"revision": 0, "complete": true, "members": members}
 	}
 }
@@ -71,8 +71,8 @@
 func (n *Node) Write() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	text, path := []byte(n.Text), n.operatorFilePath()
-	if n.Text == "" {
+	text, path := []byte(n.OperatorFile), n.operatorFilePath()
+	if n.OperatorFile == "" {
 		path = n.configPath()
 		n.Config["name"], n.Config["listen"] = n.Name, n.Addr
 		var err error
@@ -173,9 +173,9 @@
 	return !n.readySince.IsZero()
 }
 
-// Reloads returns whether the process may be told to reload its configuration: the platform does so neither before it
+// MayReload returns whether the process may be told to reload its configuration: the platform does so neither before it
 // is ready nor in the second after that.
-func (n *Node) Reloads() bool {
+func (n *Node) MayReload() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.readySince.IsZero() && time.Since(n.readySince) >= firstReloadDelay
--- a/internal/lab/standin/nodehttp.go
+++ b/internal/lab/standin/nodehttp.go
@@ -18,8 +18,8 @@
 	operatorTimeout = 2 * time.Second
 )
 
-// Call makes an operator's call on a server and returns its status; 0: the node can't be reached now.
-func (n *Node) Call(path, server string) int {
+// OperatorCall makes an operator's call on a server and returns its status; 0: the node can't be reached now.
+func (n *Node) OperatorCall(path, server string) int {
 	body := fmt.Sprintf(`{"host":%q}`, server)
 	request := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: lab\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 	return requestStatus(n.adminAddr(), request, operatorTimeout)
--- a/internal/lab/standin/nodeprocess.go
+++ b/internal/lab/standin/nodeprocess.go
@@ -49,11 +49,11 @@
 
 // command is the command of a process.
 func (n *Node) command() *exec.Cmd {
-	words := append(slices.Clone(n.Wrap), n.Program)
+	words := append(slices.Clone(n.Wrapper), n.Program)
 	cmd := exec.Command(words[0], words[1:]...)
 	cmd.Env = append(os.Environ(), n.Env...)
 	cmd.Env = append(cmd.Env, "EDGE_CONFIG="+n.configPath())
-	if n.Text != "" {
+	if n.OperatorFile != "" {
 		cmd.Args = append(cmd.Args, "--config", n.operatorFilePath())
 	}
 	if n.Listener != nil {
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -12,21 +12,21 @@
 	"robincart/internal/lab/wire"
 )
 
-// Kind is a server's capacity, its limits on connections, and how it behaves after its start.
-type Kind struct {
-	Cores    int
-	Speed    float64       // of one core: seconds of work a second
-	Queue    int           // max requests waiting for a core; beyond it they are rejected as never run
-	Conns    int           // max connections; 0: no limit
-	Idle     time.Duration // after which an idle connection is closed; 0: never
-	PerConn  int           // max requests on one connection; 0: no limit
-	ColdFrom float64       // the share of its speed that it starts with
-	ColdFor  time.Duration // until its speed has grown linearly from ColdFrom to all of it; 0: it needs no warmup
+// ServerConfig is a server's capacity, its limits on connections, and how it behaves after its start.
+type ServerConfig struct {
+	Cores             int
+	Speed             float64       // of one core: seconds of work a second
+	Queue             int           // max requests waiting for a core; beyond it they are rejected as never run
+	Conns             int           // max connections; 0: no limit
+	Idle              time.Duration // after which an idle connection is closed; 0: never
+	PerConn           int           // max requests on one connection; 0: no limit
+	SlowStartFraction float64       // the share of its speed that it starts with
+	SlowStartDuration time.Duration // until its speed has grown linearly to all of it; 0: it needs no warmup
 
 	// A server that warms up is overloaded, and resets all its connections, once the work sent to it over FallFor
 	// exceeds FallMultiple times what it can do at its present speed.
-	FallMultiple float64
-	FallFor      time.Duration
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
 
 	Cancels bool // the work for a client that has gone is dropped
 }
@@ -38,14 +38,14 @@
 // Server is one server. Its work is modeled: a core is held for as long as the work takes, and no cycles are spent.
 // Faults may be set at any time.
 type Server struct {
-	Kind
-	Index     int32
-	Marks     map[string]*IdempotencyKeys // by method; a method without them runs each request
-	Log       *judge.Ledger
-	Begin     time.Time // the run's start
-	Calls     int       // to the tier behind it, for each request, one after another
-	Behind    NextTierCall
-	Strangers bool // requests that no client of the lab sent are served as well, without an entry in the ledger
+	ServerConfig
+	Index           int32
+	IdempotencyKeys map[string]*IdempotencyKeys // by method; a method without them runs each request
+	Log             *judge.Ledger
+	Begin           time.Time // the run's start
+	Calls           int       // to the tier behind it, for each request, one after another
+	Behind          NextTierCall
+	ServeUnknown    bool // requests that no client of the lab sent are served as well, without an entry in the ledger
 	// Serve, for tests, responds in place of the model. It returns whether the connection may carry another request.
 	Serve func(conn net.Conn, request *wire.Request) bool
 
--- a/internal/lab/standin/serverfault.go
+++ b/internal/lab/standin/serverfault.go
@@ -7,13 +7,13 @@
 
 // The faults of a server.
 const (
-	NoFault     Fault = iota
-	Silent            // takes requests and never responds
-	Fail              // responds 500 at once
-	ResetBefore       // resets the connection at the request's first bytes
-	ResetAfter        // resets it after the request's last byte
-	DieMid            // resets it in the middle of its response
-	Spoil             // sends a malformed response
+	NoFault          Fault = iota
+	Silent                 // takes requests and never responds
+	Fail                   // responds 500 at once
+	ResetBefore            // resets the connection at the request's first bytes
+	ResetAfter             // resets it after the request's last byte
+	ResetMidResponse       // resets it in the middle of its response
+	Malformed              // sends a malformed response
 )
 
 // Faults are the faults by their names in experiment files.
@@ -22,8 +22,8 @@
 	"fail":         Fail,
 	"reset-before": ResetBefore,
 	"reset-after":  ResetAfter,
-	"die-mid":      DieMid,
-	"spoil":        Spoil,
+	"die-mid":      ResetMidResponse,
+	"spoil":        Malformed,
 }
 
 // Shares and factors are stored as whole numbers of these parts.
--- a/internal/lab/standin/serverrequest.go
+++ b/internal/lab/standin/serverrequest.go
@@ -25,7 +25,7 @@
 const malformedResponse = "HTTP/1.1 two hundred\r\nContent-Length: -5\r\nno header\r\n\r\n"
 
 // neverRanResponse rejects a request that has had no effect.
-func neverRanResponse() []byte { return wire.Answer(nil, 503, wire.NeverRan+": 1\r\n", nil) }
+func neverRanResponse() []byte { return wire.AppendResponse(nil, 503, wire.NeverRan+": 1\r\n", nil) }
 
 // serve serves one connection until its end.
 func (s *Server) serve(conn net.Conn) {
@@ -75,7 +75,7 @@
 	waiting := s.waiting
 	s.mu.Unlock()
 	report := fmt.Appendf(nil, `{"queue":%d,"active":%d}`, waiting, s.active.Load())
-	conn.Write(wire.Answer(nil, 200, "", report))
+	conn.Write(wire.AppendResponse(nil, 200, "", report))
 }
 
 // exchange is a request at a server, its response, and its entry in the ledger.
@@ -93,9 +93,9 @@
 
 // respond is the life of one request of the model. It returns whether the connection may carry another one.
 func (s *Server) respond(conn net.Conn, request *wire.Request, firstByteAt time.Time) bool {
-	id, known := wire.ParseID(request.Header.Get(wire.Trace))
-	if !known && !s.Strangers {
-		conn.Write(wire.Answer(nil, 400, "", nil))
+	id, known := wire.ParseID(request.Header.Get(wire.HeaderTraceID))
+	if !known && !s.ServeUnknown {
+		conn.Write(wire.AppendResponse(nil, 400, "", nil))
 		return true
 	}
 	e := s.newExchange(conn, request, firstByteAt)
@@ -117,7 +117,7 @@
 	case e.fault == Fail:
 		e.entry.Ran = true
 		e.record()
-		conn.Write(wire.Answer(nil, 500, "", nil))
+		conn.Write(wire.AppendResponse(nil, 500, "", nil))
 		return true
 	case e.fault == ResetAfter:
 		e.run()
@@ -136,7 +136,7 @@
 	e.entry.First = firstByteAt.Sub(s.Begin)
 	e.entry.Start = e.receivedAt.Sub(s.Begin)
 	e.entry.End = e.entry.Start
-	if request.Header.Get(wire.Left) != "" {
+	if request.Header.Get(wire.HeaderTimeLeft) != "" {
 		e.entry.Until = request.Deadline(firstByteAt).Sub(s.Begin)
 	}
 	return e
@@ -151,9 +151,9 @@
 
 // run notes that the request runs, and has its effect unless it repeats one that was deduplicated.
 func (e *exchange) run() {
-	keys := e.server.Marks[e.request.Header.Get(wire.Method)]
+	keys := e.server.IdempotencyKeys[e.request.Header.Get(wire.HeaderMethod)]
 	e.entry.Ran = true
-	e.entry.Effect = keys == nil || keys.Add(e.request.Header.Get(wire.Key))
+	e.entry.Effect = keys == nil || keys.Add(e.request.Header.Get(wire.HeaderIdempotencyKey))
 }
 
 // staySilent runs the request and sends nothing, until the client closes its connection.
@@ -179,10 +179,10 @@
 	e.server.awaitThaw()
 	status, body := 500, []byte(nil)
 	if e.callNextTier() {
-		trace := e.request.Header.Get(wire.Trace)
+		trace := e.request.Header.Get(wire.HeaderTraceID)
 		status, body = 200, fmt.Appendf(nil, "trace=%s server=%d\n", trace, e.server.Index)
 	}
-	return e.writeResponse(wire.Answer(nil, status, "Content-Type: text/plain\r\n", body), len(body))
+	return e.writeResponse(wire.AppendResponse(nil, status, "Content-Type: text/plain\r\n", body), len(body))
 }
 
 // callNextTier makes the calls to the tier behind the server. It returns false if one of them failed.
@@ -201,11 +201,11 @@
 // writeResponse writes a response that ends with bodySize bytes of body, or what the fault makes of it.
 func (e *exchange) writeResponse(response []byte, bodySize int) bool {
 	switch e.fault {
-	case DieMid:
+	case ResetMidResponse:
 		e.conn.Write(response[:len(response)-bodySize/2-1])
 		reset(e.conn)
 		return false
-	case Spoil:
+	case Malformed:
 		e.conn.Write([]byte(malformedResponse))
 		return false
 	}
--- a/internal/lab/standin/serverwarmup.go
+++ b/internal/lab/standin/serverwarmup.go
@@ -33,11 +33,11 @@
 	s.mu.Lock()
 	startedAt := s.warmup.startedAt
 	s.mu.Unlock()
-	if s.ColdFor <= 0 || startedAt.IsZero() {
+	if s.SlowStartDuration <= 0 || startedAt.IsZero() {
 		return speed
 	}
-	if progress := now.Sub(startedAt).Seconds() / s.ColdFor.Seconds(); progress < 1 {
-		speed *= s.ColdFrom + (1-s.ColdFrom)*progress
+	if progress := now.Sub(startedAt).Seconds() / s.SlowStartDuration.Seconds(); progress < 1 {
+		speed *= s.SlowStartFraction + (1-s.SlowStartFraction)*progress
 	}
 	return speed
 }
@@ -45,18 +45,18 @@
 // overload counts the work of a request that was received. It returns whether the server, as it warms up, is
 // overloaded by it or was before.
 func (s *Server) overload(seconds float64, now time.Time) bool {
-	if s.FallMultiple == 0 || s.ColdFor == 0 {
+	if s.OverloadMultiple == 0 || s.SlowStartDuration == 0 {
 		return false
 	}
 	speed := s.speed(now) * float64(s.Cores)
 	s.mu.Lock()
 	w := &s.warmup
-	if w.startedAt.IsZero() || now.Sub(w.startedAt) > s.ColdFor || w.overloaded {
+	if w.startedAt.IsZero() || now.Sub(w.startedAt) > s.SlowStartDuration || w.overloaded {
 		defer s.mu.Unlock()
 		return w.overloaded
 	}
-	w.add(sentWork{at: now, seconds: seconds}, s.FallFor)
-	w.overloaded = w.sentSum > s.FallMultiple*speed*s.FallFor.Seconds()
+	w.add(sentWork{at: now, seconds: seconds}, s.OverloadWindow)
+	w.overloaded = w.sentSum > s.OverloadMultiple*speed*s.OverloadWindow.Seconds()
 	overloaded, startedAt := w.overloaded, w.startedAt
 	s.mu.Unlock()
 	if !overloaded {
@@ -67,7 +67,7 @@
 			Server: s.Index,
 			Up:     startedAt.Sub(s.Begin),
 			At:     now.Sub(s.Begin),
-			Window: s.FallFor,
+			Window: s.OverloadWindow,
 		})
 	}
 	s.Refuse()
--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -14,15 +14,15 @@
 
 // Counts are sums over the connections of a listener.
 type Counts struct {
-	Connections int // open now
-	Most        int // max open at one time
-	Opened      int
-	Bytes       int64
-	Segments    int64
+	Connections    int // open now
+	MaxConnections int // max open at one time
+	Opened         int
+	Bytes          int64
+	Segments       int64
 }
 
-// Wire is the number of bytes on the wire, with the headers of each segment.
-func (c Counts) Wire() int64 { return c.Bytes + segmentHeader*c.Segments }
+// WireBytes is the number of bytes on the wire, with the headers of each segment.
+func (c Counts) WireBytes() int64 { return c.Bytes + segmentHeader*c.Segments }
 
 // add adds what a connection has carried so far. One that the kernel gives no counts of adds nothing.
 func (c *Counts) add(conn net.Conn) {
@@ -76,7 +76,7 @@
 	defer l.mu.Unlock()
 	l.open[conn] = struct{}{}
 	l.counts.Opened++
-	l.counts.Most = max(l.counts.Most, len(l.open))
+	l.counts.MaxConnections = max(l.counts.MaxConnections, len(l.open))
 	return conn, nil
 }
 
--- a/internal/lab/wire/message.go
+++ b/internal/lab/wire/message.go
@@ -75,7 +75,7 @@
 
 // Deadline is when the client gives up, by the time left that its request names.
 func (r *Request) Deadline(receivedAt time.Time) time.Time {
-	ms, err := strconv.Atoi(r.Header.Get(Left))
+	ms, err := strconv.Atoi(r.Header.Get(HeaderTimeLeft))
 	if err != nil {
 		return receivedAt.Add(noDeadline)
 	}
@@ -115,8 +115,8 @@
 	return status, nil
 }
 
-// Seconds parses a Retry-After of seconds, with or without decimals; 0: none, or one that does not count.
-func Seconds(s string) time.Duration {
+// ParseRetryAfter parses a Retry-After of seconds, with or without decimals; 0: none, or one that does not count.
+func ParseRetryAfter(s string) time.Duration {
 	seconds, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(seconds > 0) || seconds > maxRetryAfter {
 		return 0
@@ -158,8 +158,8 @@
 	return body, err
 }
 
-// Answer appends a response. Its headers end with a line break each; Content-Length is added.
-func Answer(to []byte, status int, headers string, body []byte) []byte {
+// AppendResponse appends a response. Its headers end with a line break each; Content-Length is added.
+func AppendResponse(to []byte, status int, headers string, body []byte) []byte {
 	to = fmt.Appendf(to, "HTTP/1.1 %d Lab\r\n%sContent-Length: %d\r\n\r\n", status, headers, len(body))
 	return append(to, body...)
 }
--- a/internal/lab/wire/wire.go
+++ b/internal/lab/wire/wire.go
@@ -7,12 +7,12 @@
 
 // The protocol's header names.
 const (
-	Trace      = "X-Trace-Id"
-	Method     = "X-Qos"
-	Tenant     = "X-Customer"
-	Left       = "X-Expires-In-Ms" // the time until the deadline
-	Key        = "Idempotency-Key"
-	SecondTry  = "X-Second-Try"
-	NeverRan   = "X-Never-Ran"
-	RetryAfter = "Retry-After"
+	HeaderTraceID        = "X-Trace-Id"
+	HeaderMethod         = "X-Qos"
+	HeaderTenant         = "X-Customer"
+	HeaderTimeLeft       = "X-Expires-In-Ms" // the time until the deadline
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderRetry          = "X-Second-Try"
+	NeverRan             = "X-Never-Ran"
+	RetryAfter           = "Retry-After"
 )
--- a/internal/protocol/fcgi/application.go
+++ b/internal/protocol/fcgi/application.go
@@ -56,12 +56,12 @@
 }
 
 // Take processes a piece. After an error the connection can't be used; EventRejected concerns one request only.
-func (a *Application) Take(piece Piece) (Event, error) {
+func (a *Application) Take(piece Fragment) (Event, error) {
 	if piece.ID == 0 {
 		return a.takeManagement(piece)
 	}
 	open := a.open[piece.ID]
-	if piece.Type == TypeBegin {
+	if piece.Type == TypeBeginRequest {
 		if open != nil {
 			// What comes next with this ID could be of either request.
 			return Event{}, fmt.Errorf("%w: request %d begins twice", ErrFraming, piece.ID)
@@ -77,7 +77,7 @@
 }
 
 // take processes a piece of the request.
-func (r *request) take(piece Piece, maxParams int) Event {
+func (r *request) take(piece Fragment, maxParams int) Event {
 	switch piece.Type {
 	case TypeParams:
 		return r.takeParams(piece, maxParams)
@@ -89,7 +89,7 @@
 	return r.reject(fmt.Sprintf("a record of type %d", piece.Type))
 }
 
-func (r *request) takeParams(piece Piece, maxParams int) Event {
+func (r *request) takeParams(piece Fragment, maxParams int) Event {
 	switch {
 	case r.paramsComplete:
 		return r.reject("params after their end")
@@ -97,7 +97,7 @@
 		return r.reject("params that end in the middle of one")
 	case piece.Ends:
 		r.paramsComplete = true
-		return Event{Kind: EventParams, Params: r.params, Keep: r.keep}
+		return Event{Kind: EventParams, Params: r.params, KeepConn: r.keep}
 	case len(r.params)+len(piece.Content) > maxParams:
 		return r.reject("more params than are accepted")
 	}
@@ -105,7 +105,7 @@
 	return Event{}
 }
 
-func (r *request) takeBody(piece Piece) Event {
+func (r *request) takeBody(piece Fragment) Event {
 	switch {
 	case !r.paramsComplete:
 		return r.reject("a body before the end of the params")
@@ -120,11 +120,11 @@
 
 func (r *request) reject(reason string) Event {
 	r.rejected = true
-	return Event{Kind: EventRejected, Reason: reason, Keep: r.keep}
+	return Event{Kind: EventRejected, Reason: reason, KeepConn: r.keep}
 }
 
 // begin opens a request, or replies that it is rejected.
-func (a *Application) begin(piece Piece) Event {
+func (a *Application) begin(piece Fragment) Event {
 	role := binary.BigEndian.Uint16(piece.Content)
 	isFull := len(a.open) >= a.MaxRequests
 	switch {
@@ -162,17 +162,17 @@
 
 // takeManagement processes a record that concerns no request. To a type that is not known it replies that, as the
 // protocol demands.
-func (a *Application) takeManagement(piece Piece) (Event, error) {
+func (a *Application) takeManagement(piece Fragment) (Event, error) {
 	switch piece.Type {
 	case TypeGetValues:
 		pairs, err := a.variables(piece.Content)
 		if err != nil {
 			return Event{}, err
 		}
-		a.reply = appendRecord(a.reply[:0], TypeValues, 0, pairs)
-	case TypeBegin, TypeAbort, TypeEnd, TypeParams, TypeStdin, TypeStdout, TypeStderr, TypeData:
+		a.reply = appendRecord(a.reply[:0], TypeGetValuesResult, 0, pairs)
+	case TypeBeginRequest, TypeAbort, TypeEndRequest, TypeParams, TypeStdin, TypeStdout, TypeStderr, TypeData:
 		return Event{}, noRequestError(piece)
-	case TypeValues, TypeUnknown: // responses to no request
+	case TypeGetValuesResult, TypeUnknown: // responses to no request
 		return Event{}, nil
 	default:
 		body := [fixedBodySize]byte{byte(piece.Type)}
--- a/internal/protocol/fcgi/application_test.go
+++ b/internal/protocol/fcgi/application_test.go
@@ -69,7 +69,7 @@
 func (a *testApplication) handle(event Event) {
 	switch event.Kind {
 	case EventParams:
-		a.open[event.ID] = &receivedRequest{params: string(event.Params), keep: event.Keep}
+		a.open[event.ID] = &receivedRequest{params: string(event.Params), keep: event.KeepConn}
 	case EventBody:
 		a.open[event.ID].body += string(event.Data)
 	case EventReply:
@@ -171,7 +171,7 @@
 	if request == nil {
 		request = drawRequest(t)
 		d.open[id] = request
-		d.record(t, TypeBegin, id, AppendBegin(nil, id, request.keep)[headerSize:])
+		d.record(t, TypeBeginRequest, id, AppendBegin(nil, id, request.keep)[headerSize:])
 		return
 	}
 	if !request.paramsWritten {
@@ -210,7 +210,7 @@
 // record writes a record with any padding.
 func (d *drawnStream) record(t *rapid.T, kind RecordType, id uint16, content []byte) {
 	padding := rapid.IntRange(0, maxPadding).Draw(t, "padding")
-	header := Head(kind, id, len(content))
+	header := RecordHeader(kind, id, len(content))
 	header[6], header[7] = byte(padding), rapid.Byte().Draw(t, "reserved")
 	d.text = append(d.text, header[:]...)
 	d.text = append(d.text, content...)
--- a/internal/protocol/fcgi/bench_test.go
+++ b/internal/protocol/fcgi/bench_test.go
@@ -40,7 +40,7 @@
 		for {
 			piece, err := reader.Next()
 			require.NoError(b, err)
-			if piece.Type == TypeEnd {
+			if piece.Type == TypeEndRequest {
 				break
 			}
 		}
--- a/internal/protocol/fcgi/cgi.go
+++ b/internal/protocol/fcgi/cgi.go
@@ -26,11 +26,11 @@
 
 // CGI is the head of a response as CGI has it (RFC 3875, section 6).
 type CGI struct {
-	Status   int // without a Status header: 302 with Location, else 200
-	Type     string
-	Location string
-	Length   int64               // of the body; -1: not given
-	Fields   map[string][]string // the other headers, by their names in lower case
+	Status      int // without a Status header: 302 with Location, else 200
+	ContentType string
+	Location    string
+	Length      int64               // of the body; -1: not given
+	Fields      map[string][]string // the other headers, by their names in lower case
 }
 
 // ReadCGI parses the head of a response, as far as it was received, and returns the body behind it. It returns false if
@@ -92,7 +92,7 @@
 	case "status":
 		return c.setStatus(name, value)
 	case "content-type":
-		return setOnce(&c.Type, name, value)
+		return setOnce(&c.ContentType, name, value)
 	case "location":
 		return setOnce(&c.Location, name, value)
 	case "content-length":
--- a/internal/protocol/fcgi/cgi_test.go
+++ b/internal/protocol/fcgi/cgi_test.go
@@ -12,8 +12,8 @@
 
 func TestReadCGI(t *testing.T) {
 	for text, want := range map[string]CGI{
-		"Content-Type: text/plain\n\nx":                      {Status: 200, Type: "text/plain", Length: -1},
-		"status: 404 Not Found\r\nContent-type:a/b\r\n\r\nx": {Status: 404, Type: "a/b", Length: -1},
+		"Content-Type: text/plain\n\nx":                      {Status: 200, ContentType: "text/plain", Length: -1},
+		"status: 404 Not Found\r\nContent-type:a/b\r\n\r\nx": {Status: 404, ContentType: "a/b", Length: -1},
 		"Location: http://a/\n\nx":                           {Status: 302, Location: "http://a/", Length: -1},
 		"Status: 200\nX-Never-Ran: 1\nSet-Cookie: a\nset-cookie: b\nContent-Length: 1\n\nx": {
 			Status: 200,
--- a/internal/protocol/fcgi/event.go
+++ b/internal/protocol/fcgi/event.go
@@ -28,7 +28,7 @@
 type Event struct {
 	Kind      EventKind
 	ID        uint16
-	Keep      bool   // the connection is used for more requests
+	KeepConn  bool   // the connection is used for more requests
 	Params    []byte // a valid list of names and values
 	Data      []byte // valid until the next piece is read
 	AppStatus uint32
--- a/internal/protocol/fcgi/gateway.go
+++ b/internal/protocol/fcgi/gateway.go
@@ -41,7 +41,7 @@
 
 // Take processes a piece. After an error the connection can't be used: what comes with an ID may not belong to the
 // request that has it.
-func (g *Gateway) Take(piece Piece) (Event, error) {
+func (g *Gateway) Take(piece Fragment) (Event, error) {
 	if piece.ID == 0 {
 		return takeManagement(piece)
 	}
@@ -54,16 +54,16 @@
 		return streamEvent(piece, EventStdout, &open.stdoutEnded)
 	case TypeStderr:
 		return streamEvent(piece, EventStderr, &open.stderrEnded)
-	case TypeEnd:
+	case TypeEndRequest:
 		return g.end(piece)
 	}
 	return Event{}, fmt.Errorf("%w: a record of type %d from an application", ErrFraming, piece.Type)
 }
 
 // takeManagement processes a record that concerns no request.
-func takeManagement(piece Piece) (Event, error) {
+func takeManagement(piece Fragment) (Event, error) {
 	switch piece.Type {
-	case TypeValues:
+	case TypeGetValuesResult:
 		return Event{Kind: EventCapabilities, Params: piece.Content}, checkPairs(piece.Content)
 	case TypeUnknown:
 		return Event{}, nil
@@ -71,12 +71,12 @@
 	return Event{}, noRequestError(piece)
 }
 
-func noRequestError(piece Piece) error {
+func noRequestError(piece Fragment) error {
 	return fmt.Errorf("%w: a record of type %d without a request", ErrFraming, piece.Type)
 }
 
 // streamEvent returns the event for a piece of a stream. The end of a stream is none: only TypeEnd ends the response.
-func streamEvent(piece Piece, kind EventKind, ended *bool) (Event, error) {
+func streamEvent(piece Fragment, kind EventKind, ended *bool) (Event, error) {
 	if *ended {
 		return Event{}, fmt.Errorf("%w: a record of type %d after its stream's end", ErrFraming, piece.Type)
 	}
@@ -88,7 +88,7 @@
 }
 
 // end ends a request.
-func (g *Gateway) end(piece Piece) (Event, error) {
+func (g *Gateway) end(piece Fragment) (Event, error) {
 	delete(g.open, piece.ID)
 	status := Status(piece.Content[4])
 	if status > StatusUnknownRole {
--- a/internal/protocol/fcgi/reader.go
+++ b/internal/protocol/fcgi/reader.go
@@ -9,8 +9,9 @@
 // maxEmptyReads is how many reads in a row may return no bytes.
 const maxEmptyReads = 100
 
-// Piece is what was read of a record. Records of streams are read in pieces of any size; any other record is one piece.
-type Piece struct {
+// Fragment is what was read of a record. Records of streams are read in fragments of any size; any other record is one
+// fragment.
+type Fragment struct {
 	Type    RecordType
 	ID      uint16
 	Content []byte // valid until the next call of the Reader
@@ -21,10 +22,10 @@
 type Reader struct {
 	source     io.Reader
 	buffer     []byte
-	start, end int   // the buffered data that is not consumed yet
-	current    Piece // the record that is being read, without content
-	left       int   // bytes to come of its content
-	padding    int   // bytes to come behind its content
+	start, end int      // the buffered data that is not consumed yet
+	current    Fragment // the record that is being read, without content
+	left       int      // bytes to come of its content
+	padding    int      // bytes to come behind its content
 }
 
 // Init makes the Reader read from source. The buffer, of MinBuffer bytes or more, is all the memory that it uses.
@@ -55,30 +56,30 @@
 }
 
 // Next returns the next piece. io.EOF means an end between two records, io.ErrUnexpectedEOF one within a record.
-func (r *Reader) Next() (Piece, error) {
+func (r *Reader) Next() (Fragment, error) {
 	if r.left > 0 {
 		return r.nextPiece()
 	}
 	if err := r.skipPadding(); err != nil {
-		return Piece{}, err
+		return Fragment{}, err
 	}
 	header, err := r.awaitHeader()
 	if err != nil {
-		return Piece{}, err
+		return Fragment{}, err
 	}
 	if err := header.check(); err != nil {
-		return Piece{}, err
+		return Fragment{}, err
 	}
 	if header.isStream() {
 		r.begin(header)
 		if header.length == 0 {
-			return Piece{Type: header.recordType, ID: header.id, Ends: true}, nil
+			return Fragment{Type: header.recordType, ID: header.id, Ends: true}, nil
 		}
 		return r.nextPiece()
 	}
 	// The header is consumed with the content only: a caller whose read failed for now calls again later.
 	if err := r.fillTo(headerSize + header.length); err != nil {
-		return Piece{}, unexpectedEOF(err)
+		return Fragment{}, unexpectedEOF(err)
 	}
 	r.begin(header)
 	return r.consume(header.length), nil
@@ -122,7 +123,7 @@
 	valid := true
 	switch {
 	case h.isStream():
-	case h.recordType == TypeBegin || h.recordType == TypeEnd || h.recordType == TypeUnknown:
+	case h.recordType == TypeBeginRequest || h.recordType == TypeEndRequest || h.recordType == TypeUnknown:
 		valid = h.length == fixedBodySize
 	default:
 		valid = h.length <= MaxManagement
@@ -135,21 +136,21 @@
 
 // begin consumes a record's header.
 func (r *Reader) begin(header recordHeader) {
-	r.current = Piece{Type: header.recordType, ID: header.id}
+	r.current = Fragment{Type: header.recordType, ID: header.id}
 	r.left, r.padding = header.length, header.padding
 	r.start += headerSize
 }
 
 // nextPiece returns what is buffered of a stream's record. It reads only if that is nothing.
-func (r *Reader) nextPiece() (Piece, error) {
+func (r *Reader) nextPiece() (Fragment, error) {
 	if err := r.fillTo(1); err != nil {
-		return Piece{}, unexpectedEOF(err)
+		return Fragment{}, unexpectedEOF(err)
 	}
 	return r.consume(min(r.left, r.end-r.start)), nil
 }
 
 // consume returns the next n bytes of the record.
-func (r *Reader) consume(n int) Piece {
+func (r *Reader) consume(n int) Fragment {
 	piece := r.current
 	next := r.start + n
 	piece.Content = r.buffer[r.start:next:next]
--- a/internal/protocol/fcgi/record.go
+++ b/internal/protocol/fcgi/record.go
@@ -16,17 +16,17 @@
 
 // The types of records that FastCGI defines. Streams are sent as any number of records, the last of which is empty.
 const (
-	TypeBegin     RecordType = 1 + iota // the gateway begins a request
-	TypeAbort                           // the gateway aborts it
-	TypeEnd                             // the application ends it
-	TypeParams                          // stream: names and values that describe the request
-	TypeStdin                           // stream: the request's body
-	TypeStdout                          // stream: the response
-	TypeStderr                          // stream: the application's messages
-	TypeData                            // stream: only for filters
-	TypeGetValues                       // management: the gateway requests variables
-	TypeValues                          // management: the application's values of them
-	TypeUnknown                         // management: the response to a type that is not known
+	TypeBeginRequest    RecordType = 1 + iota // the gateway begins a request
+	TypeAbort                                 // the gateway aborts it
+	TypeEndRequest                            // the application ends it
+	TypeParams                                // stream: names and values that describe the request
+	TypeStdin                                 // stream: the request's body
+	TypeStdout                                // stream: the response
+	TypeStderr                                // stream: the application's messages
+	TypeData                                  // stream: only for filters
+	TypeGetValues                             // management: the gateway requests variables
+	TypeGetValuesResult                       // management: the application's values of them
+	TypeUnknown                               // management: the response to a type that is not known
 )
 
 func (r RecordType) isStream() bool { return r >= TypeParams && r <= TypeData }
@@ -95,8 +95,8 @@
 // isStream reports whether the record is part of a request's stream, so that it can be read in pieces.
 func (h recordHeader) isStream() bool { return h.recordType.isStream() && h.id != 0 }
 
-// Head returns the header of a record whose content is written beside it. Records are not padded.
-func Head(recordType RecordType, id uint16, length int) [headerSize]byte {
+// RecordHeader returns the header of a record whose content is written beside it. Records are not padded.
+func RecordHeader(recordType RecordType, id uint16, length int) [headerSize]byte {
 	return [headerSize]byte{
 		version,
 		byte(recordType),
@@ -111,7 +111,7 @@
 func Records(recordType RecordType, id uint16, content []byte) (buffers [][]byte) {
 	for len(content) > 0 {
 		n := min(len(content), MaxContent)
-		header := Head(recordType, id, n)
+		header := RecordHeader(recordType, id, n)
 		buffers = append(buffers, header[:], content[:n])
 		content = content[n:]
 	}
@@ -119,7 +119,7 @@
 }
 
 func appendRecord(to []byte, recordType RecordType, id uint16, content []byte) []byte {
-	header := Head(recordType, id, len(content))
+	header := RecordHeader(recordType, id, len(content))
 	to = append(to, header[:]...)
 	return append(to, content...)
 }
@@ -146,7 +146,7 @@
 	if keepConn {
 		body[2] = flagKeepConn
 	}
-	return appendRecord(to, TypeBegin, id, body[:])
+	return appendRecord(to, TypeBeginRequest, id, body[:])
 }
 
 // AppendAbort appends a gateway's abort of a request.
@@ -157,7 +157,7 @@
 	var body [fixedBodySize]byte
 	binary.BigEndian.PutUint32(body[:], appStatus)
 	body[4] = byte(status)
-	return appendRecord(to, TypeEnd, id, body[:])
+	return appendRecord(to, TypeEndRequest, id, body[:])
 }
 
 // AppendGetValues appends a gateway's request for all variables.
--- a/internal/resources/limits/derive.go
+++ b/internal/resources/limits/derive.go
@@ -125,8 +125,8 @@
 // silent. The call that brings a change has to start so early that it may wait as long, too. What is left between the
 // two is the longest backoff; it is longer the sooner the call before has failed.
 func (l *Limits) deriveDiscovery() {
-	l.FirstUpdateTimeout = l.WatchSilenceTimeout
-	l.MaxCallInterval = l.MaxUpdateDelay - l.FirstUpdateTimeout - updateMargin
+	l.FirstMessageTimeout = l.WatchSilenceTimeout
+	l.MaxPollInterval = l.MaxUpdateDelay - l.FirstMessageTimeout - updateMargin
 	l.MaxReconnectDelay = maxWatchGap / 2 // the other half is for the call that brings the change
 }
 
--- a/internal/resources/limits/limits.go
+++ b/internal/resources/limits/limits.go
@@ -68,8 +68,8 @@
 
 	DiscoveryConnectTimeout time.Duration
 	MaxUpdateDelay          time.Duration // from when discovery has a change and can be reached until it is in force
-	FirstUpdateTimeout      time.Duration // for a watch's first event, before another call is opened beside it
-	MaxCallInterval         time.Duration // from the last event, or the start of a call, to the start of the next call
+	FirstMessageTimeout     time.Duration // for a watch's first event, before another call is opened beside it
+	MaxPollInterval         time.Duration // from the last event, or the start of a call, to the start of the next call
 	MaxReconnectDelay       time.Duration // from the end of a watch to the start of the next call
 	WatchSilenceTimeout     time.Duration // between messages: discovery sends an empty line every 2 s
 
--- a/internal/resources/limits/limits_test.go
+++ b/internal/resources/limits/limits_test.go
@@ -45,9 +45,9 @@
 			// What discovery has is in force 6 s after it could be reached, whatever failed before. A call that arrives
 			// then is queued for a while.
 			const maxUpdateDelay, maxQueueTime = 6 * time.Second, 2 * time.Second
-			assert.Less(t, l.MaxCallInterval+maxQueueTime, maxUpdateDelay, "from any failure on")
-			longestCall := max(l.FirstUpdateTimeout, l.WatchSilenceTimeout, l.DiscoveryConnectTimeout)
-			assert.Greater(t, l.MaxCallInterval, longestCall+375*time.Millisecond, "the first backoff is spread")
+			assert.Less(t, l.MaxPollInterval+maxQueueTime, maxUpdateDelay, "from any failure on")
+			longestCall := max(l.FirstMessageTimeout, l.WatchSilenceTimeout, l.DiscoveryConnectTimeout)
+			assert.Greater(t, l.MaxPollInterval, longestCall+375*time.Millisecond, "the first backoff is spread")
 			assert.Equal(t, maxUpdateDelay, l.MaxUpdateDelay)
 			assert.Greater(t, l.WatchSilenceTimeout, 2*time.Second, "an empty line arrives every 2 s")
 		})
--- a/internal/system/telemetry/violations.go
+++ b/internal/system/telemetry/violations.go
@@ -8,8 +8,8 @@
 const (
 	// SentAfterEnd: an attempt began for a request that had its answer, or whose time was over.
 	SentAfterEnd Rule = iota
-	// SentToLeaving: an attempt began at a server that drains or is gone.
-	SentToLeaving
+	// SentToDraining: an attempt began at a server that drains or is gone.
+	SentToDraining
 	// RepeatedUnproven: an attempt began though an earlier one of a request that must not run twice may have run.
 	RepeatedUnproven
 	// RepeatedTooLate: an attempt of a deduplicated request began when servers may have forgotten the first one.
@@ -24,22 +24,22 @@
 	DeadlineExtended
 	// ClosedUnanswered: the node closed a client's connection with a request that was read and had no answer.
 	ClosedUnanswered
-	// StartedTooFast: a server in slow start was sent more than its budget by this node alone.
-	StartedTooFast
+	// SlowStartExceeded: a server in slow start was sent more than its budget by this node alone.
+	SlowStartExceeded
 	ruleCount
 )
 
 var ruleNames = [ruleCount]string{
-	SentAfterEnd:     "sent after the end",
-	SentToLeaving:    "sent to a leaving server",
-	RepeatedUnproven: "repeated though it may have run",
-	RepeatedTooLate:  "repeated past the window",
-	PushbackUnsafe:   "pushed back though it may run twice",
-	AnsweredTwice:    "answered twice",
-	AnsweredLate:     "answered late",
-	DeadlineExtended: "deadline extended",
-	ClosedUnanswered: "closed unanswered",
-	StartedTooFast:   "slow start exceeded",
+	SentAfterEnd:      "sent after the end",
+	SentToDraining:    "sent to a leaving server",
+	RepeatedUnproven:  "repeated though it may have run",
+	RepeatedTooLate:   "repeated past the window",
+	PushbackUnsafe:    "pushed back though it may run twice",
+	AnsweredTwice:     "answered twice",
+	AnsweredLate:      "answered late",
+	DeadlineExtended:  "deadline extended",
+	ClosedUnanswered:  "closed unanswered",
+	SlowStartExceeded: "slow start exceeded",
 }
 
 func (r Rule) String() string { return ruleNames[r] }
