--- a/cmd/robincart-controller/golden_test.go
+++ b/cmd/robincart-controller/golden_test.go
@@ -19,6 +19,7 @@
 	"robincart/internal/system/keys"
 	"robincart/internal/system/tomlfile"
 	"robincart/internal/testutil"
+	"robincart/internal/testutil/golden"
 )
 
 // goldenKeys are the files of the [keys] table.
@@ -28,7 +29,7 @@
 
 func TestFile_EveryKey(t *testing.T) {
 	var got file
-	require.NoError(t, tomlfile.Decode(testutil.Golden(t, "every-key.toml"), &got))
+	require.NoError(t, tomlfile.Decode(golden.Read(t, "every-key.toml"), &got))
 
 	var want file
 	want.Identity, want.Status = "controller-1", "127.0.0.1:9190"
--- a/cmd/robinlab/golden_test.go
+++ b/cmd/robinlab/golden_test.go
@@ -4,9 +4,9 @@
 	"bytes"
 	"testing"
 
-	"github.com/stretchr/testify/require"
+	"robincart/internal/testutil/golden"
 
-	"robincart/internal/lab/labtest"
+	"github.com/stretchr/testify/require"
 )
 
 // The golden file was printed by the text at 0cdd5b2 for the run package's golden result. It must never be printed
@@ -18,5 +18,5 @@
 	command.SetOut(&out)
 	command.SetArgs([]string{"report", "--json", result, result})
 	require.NoError(t, command.Execute())
-	labtest.RequireGolden(t, "report.json", out.Bytes())
+	golden.Check(t, "report.json", out.Bytes())
 }
--- a/internal/config/nodeconfig/golden_test.go
+++ b/internal/config/nodeconfig/golden_test.go
@@ -24,6 +24,7 @@
 	"robincart/internal/system/keys"
 	"robincart/internal/system/tomlfile"
 	"robincart/internal/testutil"
+	"robincart/internal/testutil/golden"
 )
 
 // everyKey is what testdata/every-key.toml says.
@@ -128,7 +129,7 @@
 func decodeGolden(t *testing.T, name string) File {
 	t.Helper()
 	var file File
-	require.NoError(t, tomlfile.Decode(testutil.Golden(t, name), &file))
+	require.NoError(t, tomlfile.Decode(golden.Read(t, name), &file))
 	return file
 }
 
@@ -164,15 +165,15 @@
 		{"defaults.toml", "desk", "settings-defaults.json"},
 	} {
 		t.Run(test.golden, func(t *testing.T) {
-			config, err := Parse(testutil.Golden(t, test.file), 0)
+			config, err := Parse(golden.Read(t, test.file), 0)
 			require.NoError(t, err)
 			pool := config.Pools[0]
 			if pool.Name != test.service {
 				pool = config.Pools[1]
 			}
 			require.Equal(t, test.service, pool.Name)
-			testutil.EqualGolden(t, test.golden, generatedSettings(t, pool))
-			read, err := settings.Parse(testutil.Golden(t, test.golden))
+			golden.Check(t, test.golden, generatedSettings(t, pool))
+			read, err := settings.Parse(golden.Read(t, test.golden))
 			require.NoError(t, err)
 			read.MaxFirstPollDelay = config.Limits.MaxPollInterval.Seconds()
 			assert.Equal(t, read, pool.Settings)
@@ -181,7 +182,7 @@
 }
 
 func TestCompile_EveryKey(t *testing.T) {
-	config, err := Parse(testutil.Golden(t, "every-key.toml"), 0)
+	config, err := Parse(golden.Read(t, "every-key.toml"), 0)
 	require.NoError(t, err)
 	assert.Equal(t, quota.Config{ReservedFraction: 0.25, RevokeAfter: 3, CPUThreshold: 0.8, Total: config.Quota.Total}, config.Quota)
 	assert.Equal(t, quota.Spec{Name: "booking", Guarantee: 0.35, Weight: 2.5, Tenants: []float64{3.5, 4.5}},
@@ -215,7 +216,7 @@
 			parsedEntry{tenant: &Tenant{Name: "acme", Quota: 200.5, Weight: 2.5}}},
 	} {
 		t.Run(test.golden, func(t *testing.T) {
-			got, err := parseEntry(record.Entry{Key: test.key, Value: json.RawMessage(testutil.Golden(t, test.golden))})
+			got, err := parseEntry(record.Entry{Key: test.key, Value: json.RawMessage(golden.Read(t, test.golden))})
 			require.NoError(t, err)
 			assert.Equal(t, test.want, got)
 		})
@@ -223,10 +224,10 @@
 }
 
 func TestFactValues_Golden(t *testing.T) {
-	testutil.EqualGoldenJSON(t, "record-service.json", tomlValue{TOML: string(testutil.Golden(t, "record-service.toml"))})
-	testutil.EqualGoldenJSON(t, "record-route.json", tomlValue{TOML: string(testutil.Golden(t, "record-route.toml"))})
-	testutil.EqualGoldenJSON(t, "record-tenant.json", tenantValue{Quota: 200.5, Weight: 2.5})
-	testutil.EqualGoldenJSON(t, "record-tenant-zero.json", tenantValue{})
+	golden.JSON(t, "record-service.json", tomlValue{TOML: string(golden.Read(t, "record-service.toml"))})
+	golden.JSON(t, "record-route.json", tomlValue{TOML: string(golden.Read(t, "record-route.toml"))})
+	golden.JSON(t, "record-tenant.json", tenantValue{Quota: 200.5, Weight: 2.5})
+	golden.JSON(t, "record-tenant-zero.json", tenantValue{})
 }
 
 func TestFile_EveryFieldTagged(t *testing.T) {
--- a/internal/controlplane/controller/golden_test.go
+++ b/internal/controlplane/controller/golden_test.go
@@ -35,6 +35,7 @@
 	"robincart/internal/record/record"
 	"robincart/internal/record/store"
 	"robincart/internal/testutil"
+	"robincart/internal/testutil/golden"
 )
 
 const fixedTime = "2024-04-13T09:00:00Z"
@@ -125,7 +126,7 @@
 func goldenObject[T any](t *testing.T, name string) *T {
 	t.Helper()
 	object := new(T)
-	require.NoError(t, json.Unmarshal(testutil.Golden(t, name), object))
+	require.NoError(t, json.Unmarshal(golden.Read(t, name), object))
 	return object
 }
 
@@ -158,7 +159,7 @@
 	require.Len(t, members, 2)
 	assert.Greater(t, members[1].UpSince, members[0].UpSince, "it is not known when the second one started")
 	members[1].UpSince = 1712998800456
-	testutil.EqualGoldenJSON(t, "list.json", members)
+	golden.JSON(t, "list.json", members)
 	assert.EqualValues(t, 7<<40+5+controller.state.Revision()+1, controller.lists["booking-api"].Status().Revision,
 		"the epoch follows the lease's transitions")
 
@@ -190,7 +191,7 @@
 	controller.setLeading(true)
 	controller.openGates(t.Context())
 	require.Len(t, api.requests(), 1)
-	testutil.EqualGolden(t, "pod-gate.http", []byte(api.requests()[0].String()))
+	golden.Check(t, "pod-gate.http", []byte(api.requests()[0].String()))
 	assert.Equal(t, "robincart.dev/may-serve", string(ReadinessGate))
 }
 
@@ -211,8 +212,8 @@
 	cancel()
 	testutil.Receive(t, ended)
 	requests := api.requests()
-	testutil.EqualGolden(t, "lease-taken.http", []byte(requests[0].String()))
-	testutil.EqualGolden(t, "lease-released.http", []byte(requests[len(requests)-1].String()))
+	golden.Check(t, "lease-taken.http", []byte(requests[0].String()))
+	golden.Check(t, "lease-released.http", []byte(requests[len(requests)-1].String()))
 }
 
 // fakeStore is a record in memory, with the changes that were written to it.
@@ -248,7 +249,7 @@
 func goldenSetting(t *testing.T, name string) *unstructured.Unstructured {
 	t.Helper()
 	object := &unstructured.Unstructured{}
-	require.NoError(t, object.UnmarshalJSON(testutil.Golden(t, name)))
+	require.NoError(t, object.UnmarshalJSON(golden.Read(t, name)))
 	return object
 }
 
@@ -302,7 +303,7 @@
 			}
 			require.NoError(t, writer.reconcile(t.Context(), settings))
 			require.Len(t, api.requests(), 1)
-			testutil.EqualGolden(t, test.golden, []byte(api.requests()[0].String()))
+			golden.Check(t, test.golden, []byte(api.requests()[0].String()))
 		})
 	}
 }
@@ -343,7 +344,7 @@
 		},
 		"status-zero.json": {},
 	} {
-		t.Run(name, func(t *testing.T) { testutil.EqualGoldenJSON(t, name, want) })
+		t.Run(name, func(t *testing.T) { golden.JSON(t, name, want) })
 	}
 }
 
@@ -361,8 +362,8 @@
 	controller.serveStatus(response, httptest.NewRequest("GET", "/status", nil))
 	assert.Equal(t, http.StatusOK, response.Code)
 	assert.Equal(t, "application/json", response.Header().Get("Content-Type"))
-	testutil.EqualGolden(t, "page.json", response.Body.Bytes())
+	golden.Check(t, "page.json", response.Body.Bytes())
 	var shown Status
-	require.NoError(t, json.NewDecoder(bytes.NewReader(testutil.Golden(t, "page.json"))).Decode(&shown))
+	require.NoError(t, json.NewDecoder(bytes.NewReader(golden.Read(t, "page.json"))).Decode(&shown))
 	assert.Equal(t, controller.Status(), shown)
 }
--- a/internal/controlplane/desiredstate/golden_test.go
+++ b/internal/controlplane/desiredstate/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/internal/record/record"
-	"robincart/internal/testutil"
+	"robincart/internal/testutil/golden"
 )
 
 // goldenText is a service that has what an encoder may have to escape.
@@ -27,7 +27,7 @@
 		"spec.json":      {Kind: "service", Name: "tables", Text: goldenText},
 		"spec-zero.json": {},
 	} {
-		t.Run(name, func(t *testing.T) { testutil.EqualGoldenJSON(t, name, want) })
+		t.Run(name, func(t *testing.T) { golden.JSON(t, name, want) })
 	}
 }
 
@@ -39,7 +39,7 @@
 		},
 		"status-zero.json": {},
 	} {
-		t.Run(name, func(t *testing.T) { testutil.EqualGoldenJSON(t, name, want) })
+		t.Run(name, func(t *testing.T) { golden.JSON(t, name, want) })
 	}
 }
 
@@ -58,7 +58,7 @@
 			entry, err := object.entry()
 			require.NoError(t, err)
 			assert.Equal(t, test.want, entry.Key)
-			testutil.EqualGolden(t, test.golden, append(entry.Value, '\n'))
+			golden.Check(t, test.golden, append(entry.Value, '\n'))
 		})
 	}
 }
@@ -71,7 +71,7 @@
 	}
 	stored := record.Entry{
 		Key: record.Key{Kind: "service", Name: "tables"}, Revision: 7, Writer: "controller",
-		Value: json.RawMessage(testutil.Golden(t, "fact-service.json")),
+		Value: json.RawMessage(golden.Read(t, "fact-service.json")),
 	}
 	changes, statuses := Reconcile([]Object{object}, true, []record.Entry{stored}, "5f2a9c", newKey)
 	assert.Empty(t, changes)
--- a/internal/controlplane/endpoints/golden_test.go
+++ b/internal/controlplane/endpoints/golden_test.go
@@ -23,13 +23,14 @@
 	"robincart/internal/core/node"
 	"robincart/internal/resources/limits"
 	"robincart/internal/testutil"
+	"robincart/internal/testutil/golden"
 )
 
 var goldenZones = []string{"zone-a", "zone-b"}
 
 func parseGolden(t *testing.T, name string) *List {
 	t.Helper()
-	list, err := Parse(testutil.Golden(t, name))
+	list, err := Parse(golden.Read(t, name))
 	require.NoError(t, err)
 	return list
 }
@@ -91,7 +92,7 @@
 	for _, line := range logs.All() {
 		skipped.WriteString(line.ContextMap()["entry"].(string) + "\n")
 	}
-	testutil.EqualGolden(t, "skipped-entries.txt", skipped.Bytes())
+	golden.Check(t, "skipped-entries.txt", skipped.Bytes())
 }
 
 func TestParse_OddMessages(t *testing.T) {
@@ -174,5 +175,5 @@
 	status, _, err := watcher.sendRequest(client, &poll{addr: "10.0.0.9:8500", since: 41})
 	require.NoError(t, err)
 	assert.Equal(t, 503, status)
-	testutil.EqualGolden(t, "watch-request.http", testutil.Receive(t, request))
+	golden.Check(t, "watch-request.http", testutil.Receive(t, request))
 }
--- a/internal/controlplane/fanout/golden_test.go
+++ b/internal/controlplane/fanout/golden_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
+	"robincart/internal/testutil/golden"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
-
-	"robincart/internal/testutil"
 )
 
 // goldenMembers are the servers of the golden lists: two with each field set, and one with none.
@@ -48,7 +48,7 @@
 		"change.json": {Revision: 42, Members: goldenDelta()},
 		"empty.json":  {Revision: 43, Complete: true, Members: []Member{}},
 	} {
-		t.Run(name, func(t *testing.T) { testutil.EqualGoldenJSON(t, name, want) })
+		t.Run(name, func(t *testing.T) { golden.JSON(t, name, want) })
 	}
 }
 
@@ -57,7 +57,7 @@
 		"status.json":      {Revision: 41, Servers: 2, Watchers: 3, Rejected: 4, Snapshots: 5, SecondsSinceSourceSeen: 6.5},
 		"status-zero.json": {},
 	} {
-		t.Run(name, func(t *testing.T) { testutil.EqualGoldenJSON(t, name, want) })
+		t.Run(name, func(t *testing.T) { golden.JSON(t, name, want) })
 	}
 }
 
@@ -102,12 +102,12 @@
 	lines := bufio.NewReader(response.Body)
 	line, err := lines.ReadBytes('\n')
 	require.NoError(t, err)
-	testutil.EqualGolden(t, "whole.json", line)
+	golden.Check(t, "whole.json", line)
 	list.PublishDelta(goldenDelta())
 	line, err = lines.ReadBytes('\n')
 	require.NoError(t, err)
-	testutil.EqualGolden(t, "change.json", line)
-	testutil.EqualGolden(t, "watch.http", raw.Bytes())
+	golden.Check(t, "change.json", line)
+	golden.Check(t, "watch.http", raw.Bytes())
 }
 
 func TestServeConn_Snapshot(t *testing.T) {
@@ -115,7 +115,7 @@
 	defer end()
 	_, err := io.ReadAll(reader)
 	require.NoError(t, err)
-	testutil.EqualGolden(t, "list.http", raw.Bytes())
+	golden.Check(t, "list.http", raw.Bytes())
 }
 
 func TestServeConn_Rejected(t *testing.T) {
--- a/internal/lab/chaos/golden_test.go
+++ b/internal/lab/chaos/golden_test.go
@@ -19,6 +19,7 @@
 	"robincart/internal/lab/judge"
 	"robincart/internal/lab/labtest"
 	"robincart/internal/lab/standin"
+	"robincart/internal/testutil/golden"
 )
 
 // The golden files hold the forms of the text at 0cdd5b2: status.json was written by hand and read by it, the others
@@ -29,7 +30,7 @@
 func TestReadStatus_Golden(t *testing.T) {
 	page := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/record" {
-			w.Write(labtest.ReadGolden(t, "status.json"))
+			w.Write(golden.Read(t, "status.json"))
 		}
 	}))
 	t.Cleanup(page.Close)
@@ -75,7 +76,7 @@
 	require.NoError(t, err)
 	discovery := config.Services[0].Discovery
 	names := strings.NewReplacer(n.Addr, "NODE", n.status, "STATUS", discovery, "DISCOVERY", r.dir, "DIR")
-	labtest.RequireGolden(t, "node.toml", []byte(names.Replace(n.OperatorFile)))
+	golden.Check(t, "node.toml", []byte(names.Replace(n.OperatorFile)))
 }
 
 // The configuration of a controller.
@@ -90,5 +91,5 @@
 	text, err := os.ReadFile(x.file)
 	require.NoError(t, err)
 	replaced := strings.NewReplacer(x.list, "LIST", x.status, "STATUS", api.Addr(), "API").Replace(string(text))
-	labtest.RequireGolden(t, "replica.toml", []byte(replaced))
+	golden.Check(t, "replica.toml", []byte(replaced))
 }
--- a/internal/lab/cost/golden_test.go
+++ b/internal/lab/cost/golden_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"robincart/internal/lab/labtest"
 	"robincart/internal/lab/standin"
 	"robincart/internal/protocol/settings"
+	"robincart/internal/testutil/golden"
 )
 
 // The golden file was written by the text at 0cdd5b2. Nodes of any version read it; it must never be written anew to
@@ -27,7 +27,7 @@
 	members := []standin.Member{{ID: "s0", Addr: "127.0.0.1:201", Zone: "z1", Phase: "ready", Size: 1}}
 	text, err := json.MarshalIndent(platformConfig(rig, 2, "127.0.0.1:301", 302, members), "", " ")
 	require.NoError(t, err)
-	labtest.RequireGolden(t, "node.json", text)
+	golden.Check(t, "node.json", text)
 	var config struct {
 		Settings json.RawMessage `json:"settings"`
 	}
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -9,6 +9,7 @@
 
 	"robincart/internal/lab/labtest"
 	"robincart/internal/system/tomlfile"
+	"robincart/internal/testutil/golden"
 )
 
 // Experiment files are written by people and only read here. The golden file was written by hand and was read with
@@ -143,7 +144,7 @@
 
 func TestExperiment_GoldenKeys(t *testing.T) {
 	var read Experiment
-	require.NoError(t, tomlfile.Decode(labtest.ReadGolden(t, "every-key.toml"), &read))
+	require.NoError(t, tomlfile.Decode(golden.Read(t, "every-key.toml"), &read))
 	assert.Equal(t, everyKey(), read)
 }
 
--- a/internal/lab/fleet/golden_test.go
+++ b/internal/lab/fleet/golden_test.go
@@ -14,6 +14,7 @@
 	"robincart/internal/config/nodeconfig"
 	"robincart/internal/lab/labtest"
 	"robincart/internal/system/tomlfile"
+	"robincart/internal/testutil/golden"
 )
 
 // The golden files hold the forms of the text at 0cdd5b2: every-key.toml was written by hand and read by it, the
@@ -72,7 +73,7 @@
 
 func TestScenario_GoldenKeys(t *testing.T) {
 	var read Scenario
-	require.NoError(t, tomlfile.Decode(labtest.ReadGolden(t, "every-key.toml"), &read))
+	require.NoError(t, tomlfile.Decode(golden.Read(t, "every-key.toml"), &read))
 	assert.Equal(t, everyKey(), read)
 }
 
@@ -151,13 +152,13 @@
 	want := goldenResult()
 	labtest.RequireEveryFieldSet(t, "json", want)
 	read := &Result{}
-	require.NoError(t, json.Unmarshal(labtest.ReadGolden(t, "result.json"), read))
+	require.NoError(t, json.Unmarshal(golden.Read(t, "result.json"), read))
 	assert.Equal(t, want, read)
 	var written bytes.Buffer
 	encoder := json.NewEncoder(&written)
 	encoder.SetIndent("", " ")
 	require.NoError(t, encoder.Encode(read))
-	labtest.RequireGolden(t, "result.json", written.Bytes())
+	golden.Check(t, "result.json", written.Bytes())
 }
 
 func TestResult_ExplicitNames(t *testing.T) { labtest.RequireExplicitNames(t, "json", Result{}) }
@@ -173,7 +174,7 @@
 	}
 	const recordTable = "[record]\nstore = \"controllers:127.0.0.1:301\"\n"
 	text := []byte(NodeFile(config, "golden", "127.0.0.1:101", 1, 55, recordTable))
-	labtest.RequireGolden(t, "node.toml", text)
+	golden.Check(t, "node.toml", text)
 	_, err := nodeconfig.Parse(text, 0)
 	require.NoError(t, err)
 }
--- a/internal/lab/judge/golden_test.go
+++ b/internal/lab/judge/golden_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/internal/lab/labtest"
+	"robincart/internal/testutil/golden"
 )
 
 // The golden files were written by the text at 0cdd5b2; a run's result.json holds these forms and names. They must
@@ -27,11 +28,11 @@
 	}
 	labtest.RequireEveryFieldSet(t, "json", want)
 	var read verdictForms
-	require.NoError(t, json.Unmarshal(labtest.ReadGolden(t, "verdict.json"), &read))
+	require.NoError(t, json.Unmarshal(golden.Read(t, "verdict.json"), &read))
 	assert.Equal(t, want, read)
 	written, err := json.MarshalIndent(read, "", " ")
 	require.NoError(t, err)
-	labtest.RequireGolden(t, "verdict.json", written)
+	golden.Check(t, "verdict.json", written)
 }
 
 func TestVerdict_ExplicitNames(t *testing.T) { labtest.RequireExplicitNames(t, "json", verdictForms{}) }
@@ -45,5 +46,5 @@
 	for outcome := OK; int(outcome) < len(outcomeNames); outcome++ {
 		lines = append(lines, "end: "+outcome.String())
 	}
-	labtest.RequireGolden(t, "names.txt", []byte(strings.Join(lines, "\n")+"\n"))
+	golden.Check(t, "names.txt", []byte(strings.Join(lines, "\n")+"\n"))
 }
--- a/internal/lab/labtest/labtest.go
+++ b/internal/lab/labtest/labtest.go
@@ -2,7 +2,6 @@
 package labtest
 
 import (
-	"os"
 	"path/filepath"
 	"reflect"
 	"slices"
@@ -12,29 +11,14 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
 )
 
 // goldenFolder is where a package keeps its golden files.
 const goldenFolder = "testdata"
 
-// ReadGolden returns a golden file of the package under test.
-func ReadGolden(t testing.TB, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(GoldenPath(name))
-	require.NoError(t, err)
-	return text
-}
-
 // GoldenPath is the path of a golden file of the package under test.
 func GoldenPath(name string) string { return filepath.Join(goldenFolder, name) }
 
-// RequireGolden fails the test unless got is the golden file, byte for byte.
-func RequireGolden(t testing.TB, name string, got []byte) {
-	t.Helper()
-	require.Equal(t, string(ReadGolden(t, name)), string(got), "%s: the form has changed", name)
-}
-
 // RequireEveryFieldSet fails the test if an exported field within the value has its zero value, so that a golden file
 // made of the value shows each field. Fields that the tag's encoding leaves out ("-") are passed over.
 func RequireEveryFieldSet(t testing.TB, tag string, value any) {
--- a/internal/lab/plan/golden_test.go
+++ b/internal/lab/plan/golden_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"github.com/stretchr/testify/require"
+	"robincart/internal/testutil/golden"
 
-	"robincart/internal/lab/labtest"
+	"github.com/stretchr/testify/require"
 )
 
 // The golden file is the plan that the text at 0cdd5b2 made from this seed. It must never be written anew to follow a
@@ -34,5 +34,5 @@
 		fmt.Fprintf(&text, "%v %d %d %d %d %.4f %.4f\n", a.At.Round(time.Microsecond), a.Method, a.Tenant, a.Key,
 			a.Body, a.Work, a.Wait)
 	}
-	labtest.RequireGolden(t, "schedule.txt", text.Bytes())
+	golden.Check(t, "schedule.txt", text.Bytes())
 }
--- a/internal/lab/run/golden_test.go
+++ b/internal/lab/run/golden_test.go
@@ -17,6 +17,7 @@
 	"robincart/internal/lab/labtest"
 	"robincart/internal/lab/standin"
 	"robincart/internal/protocol/settings"
+	"robincart/internal/testutil/golden"
 )
 
 // The golden files hold the forms of the text at 0cdd5b2: result.json, node.json and operator.toml were written by
@@ -63,7 +64,7 @@
 	assert.Equal(t, want, read)
 	written, err := json.MarshalIndent(read, "", " ") // as Play writes it
 	require.NoError(t, err)
-	labtest.RequireGolden(t, "result.json", written)
+	golden.Check(t, "result.json", written)
 }
 
 // A switch alone: where all are on, two that are mixed up would not be seen.
@@ -118,11 +119,11 @@
 	f := goldenFleet(t, "fleet.toml")
 	n, err := f.newNode(0, "zone-b")
 	require.NoError(t, err)
-	labtest.RequireGolden(t, "node.json", written(t, f, n, "n0.json"))
+	golden.Check(t, "node.json", written(t, f, n, "n0.json"))
 	var config struct {
 		Settings json.RawMessage `json:"settings"`
 	}
-	require.NoError(t, json.Unmarshal(labtest.ReadGolden(t, "node.json"), &config))
+	require.NoError(t, json.Unmarshal(golden.Read(t, "node.json"), &config))
 	read, err := settings.Parse(config.Settings)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"find", "book", "charge"}, read.MethodNames)
@@ -134,7 +135,7 @@
 	f := goldenFleet(t, "services.toml")
 	n, err := f.newNode(0, "a")
 	require.NoError(t, err)
-	labtest.RequireGolden(t, "operator.toml", written(t, f, n, "n0.toml"))
+	golden.Check(t, "operator.toml", written(t, f, n, "n0.toml"))
 	_, err = nodeconfig.Parse([]byte(n.OperatorFile), 0)
 	require.NoError(t, err)
 }
--- a/internal/lab/shim/golden_test.go
+++ b/internal/lab/shim/golden_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"robincart/internal/lab/labtest"
+	"robincart/internal/testutil/golden"
 )
 
 // The golden file was written by Write of the text at 0cdd5b2. It must never be written anew to follow a rename.
@@ -41,7 +42,7 @@
 	require.NoError(t, plan.Write(path))
 	written, err := os.ReadFile(path)
 	require.NoError(t, err)
-	labtest.RequireGolden(t, "plan.json", written)
+	golden.Check(t, "plan.json", written)
 }
 
 func TestPlan_GoldenShowsEveryField(t *testing.T) {
--- a/internal/lab/standin/golden_test.go
+++ b/internal/lab/standin/golden_test.go
@@ -14,6 +14,7 @@
 
 	"robincart/internal/lab/judge"
 	"robincart/internal/lab/labtest"
+	"robincart/internal/testutil/golden"
 )
 
 // The golden files were written by the text at 0cdd5b2. Nodes read these forms; they must never be written anew to
@@ -42,12 +43,12 @@
 		Complete bool     `json:"complete"`
 		Members  []Member `json:"members"`
 	}
-	require.NoError(t, json.Unmarshal(labtest.ReadGolden(t, "list.json"), &read))
+	require.NoError(t, json.Unmarshal(golden.Read(t, "list.json"), &read))
 	assert.Equal(t, int64(301), read.Revision)
 	assert.True(t, read.Complete)
 	assert.Equal(t, goldenMembers(), read.Members)
-	labtest.RequireGolden(t, "list.json", encodeList(read.Revision, read.Complete, read.Members))
-	labtest.RequireGolden(t, "empty-change.json", encodeList(302, false, nil))
+	golden.Check(t, "list.json", encodeList(read.Revision, read.Complete, read.Members))
+	golden.Check(t, "empty-change.json", encodeList(302, false, nil))
 }
 
 func TestMember_GoldenShowsEveryField(t *testing.T) {
@@ -69,7 +70,7 @@
 	require.NoError(t, n.Write())
 	written, err := os.ReadFile(filepath.Join(n.Dir, "n7.json"))
 	require.NoError(t, err)
-	labtest.RequireGolden(t, "node.json", written)
+	golden.Check(t, "node.json", written)
 }
 
 // respondOnce accepts one connection, returns the first bytes received on it, and responds.
@@ -91,14 +92,14 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	golden := labtest.ReadGolden(t, "operator-call.http")
+	want := golden.Read(t, "operator-call.http")
 	received := make(chan []byte, 1)
 	go func() {
-		received <- respondOnce(ln, len(golden), "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n")
+		received <- respondOnce(ln, len(want), "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n")
 	}()
 	n := &Node{Config: map[string]any{"admin_addr": ln.Addr().String()}}
 	assert.Equal(t, 409, n.OperatorCall("/_servers/detach", "s0-1"))
-	labtest.RequireGolden(t, "operator-call.http", <-received)
+	golden.Check(t, "operator-call.http", <-received)
 }
 
 // A server's responses: to a request, to one that no client of the lab sent and to one that it rejects, and its load
@@ -121,9 +122,9 @@
 	}
 	const known = "GET /find HTTP/1.1\r\nHost: lab\r\n" +
 		"X-Trace-Id: 0000000000000901\r\nX-Qos: find\r\nX-Expires-In-Ms: 1000\r\n\r\n"
-	labtest.RequireGolden(t, "answer.http", send(known))
-	labtest.RequireGolden(t, "stranger.http", send("GET /find HTTP/1.1\r\nHost: lab\r\n\r\n"))
-	labtest.RequireGolden(t, "report.http", send("GET /stats HTTP/1.1\r\nHost: lab\r\n\r\n"))
+	golden.Check(t, "answer.http", send(known))
+	golden.Check(t, "stranger.http", send("GET /find HTTP/1.1\r\nHost: lab\r\n\r\n"))
+	golden.Check(t, "report.http", send("GET /stats HTTP/1.1\r\nHost: lab\r\n\r\n"))
 	s.Drain(time.Now().Add(-time.Second))
-	labtest.RequireGolden(t, "turned-away.http", send(known))
+	golden.Check(t, "turned-away.http", send(known))
 }
--- a/internal/lab/trace/golden_test.go
+++ b/internal/lab/trace/golden_test.go
@@ -11,6 +11,7 @@
 
 	"robincart/internal/lab/labtest"
 	"robincart/internal/lab/plan"
+	"robincart/internal/testutil/golden"
 )
 
 // The golden files were written by Write of the text at 0cdd5b2. They must never be written anew to follow a rename:
@@ -51,21 +52,21 @@
 		{At: 1000250 * time.Nanosecond},
 		{At: 1999750 * time.Nanosecond, Key: 4294967295},
 	}
-	for form, golden := range map[string]string{"jsonl": "rows.jsonl", "csv": "rows.csv"} {
+	for form, file := range map[string]string{"jsonl": "rows.jsonl", "csv": "rows.csv"} {
 		t.Run(form, func(t *testing.T) {
-			read, err := Read(bytes.NewReader(labtest.ReadGolden(t, golden)), goldenNames)
+			read, err := Read(bytes.NewReader(golden.Read(t, file)), goldenNames)
 			require.NoError(t, err)
 			assert.Equal(t, arrivals, read)
 			var written bytes.Buffer
 			require.NoError(t, Write(&written, form, goldenRows()))
-			labtest.RequireGolden(t, golden, written.Bytes())
+			golden.Check(t, file, written.Bytes())
 		})
 	}
 }
 
 func TestTrace_GoldenRows(t *testing.T) {
 	var rows []Row
-	for lines := json.NewDecoder(bytes.NewReader(labtest.ReadGolden(t, "rows.jsonl"))); lines.More(); {
+	for lines := json.NewDecoder(bytes.NewReader(golden.Read(t, "rows.jsonl"))); lines.More(); {
 		var row Row
 		require.NoError(t, lines.Decode(&row))
 		rows = append(rows, row)
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -5,10 +5,10 @@
 	"strings"
 	"testing"
 
+	"robincart/internal/testutil/golden"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"robincart/internal/lab/labtest"
 )
 
 // The golden conversation was played with the text at 0cdd5b2: conversation.in are the lines of a small world with
@@ -17,8 +17,8 @@
 // to say so, and is no rename.
 func TestHub_GoldenConversation(t *testing.T) {
 	var out bytes.Buffer
-	require.NoError(t, NewHub(bytes.NewReader(labtest.ReadGolden(t, "conversation.in")), &out).Run())
-	labtest.RequireGolden(t, "conversation.out", out.Bytes())
+	require.NoError(t, NewHub(bytes.NewReader(golden.Read(t, "conversation.in")), &out).Run())
+	golden.Check(t, "conversation.out", out.Bytes())
 }
 
 // The conversation has each kind of line in it, and each result.
@@ -34,11 +34,11 @@
 		}
 		return names
 	}
-	in := string(labtest.ReadGolden(t, "conversation.in"))
+	in := string(golden.Read(t, "conversation.in"))
 	events := []string{"SYNC", "YOUR_TURN", "BEGIN", "SNAPSHOT_ROWS", "M", "TARGETS", "INCOMING", "RESPONSE", "VANISHED",
 		"RING", "ESTABLISHED", "CHECK_RESULT", "MESSAGE", "DESTROY"}
 	assert.ElementsMatch(t, events, first(in))
-	out := string(labtest.ReadGolden(t, "conversation.out"))
+	out := string(golden.Read(t, "conversation.out"))
 	orders := []string{"NEXT", "ROUTE", "UNDO_SEND", "FREE_LINKS", "DENY", "REPORT_FAILURE", "AFTER", "WATCH"}
 	assert.ElementsMatch(t, orders, first(out))
 	for result := range results {
--- a/internal/system/keys/golden_test.go
+++ b/internal/system/keys/golden_test.go
@@ -15,12 +15,13 @@
 
 	"robincart/internal/system/tomlfile"
 	"robincart/internal/testutil"
+	"robincart/internal/testutil/golden"
 )
 
 func TestFiles_GoldenTOML(t *testing.T) {
 	want := Files{Cert: "/etc/robincart/node.pem", Key: "/etc/robincart/node.key", CA: "/etc/robincart/ca.pem"}
 	var decoded Files
-	require.NoError(t, tomlfile.Decode(testutil.Golden(t, "keys.toml"), &decoded))
+	require.NoError(t, tomlfile.Decode(golden.Read(t, "keys.toml"), &decoded))
 	assert.Equal(t, want, decoded)
 	decoded = Files{}
 	otherCase := `Cert = "/etc/robincart/node.pem"
--- a/internal/system/telemetry/golden_test.go
+++ b/internal/system/telemetry/golden_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
+	"robincart/internal/testutil/golden"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
-
-	"robincart/internal/testutil"
 )
 
 // fixedClock is a clock that stands still.
@@ -78,14 +78,14 @@
 		Duration: 1250 * time.Millisecond,
 	})
 	recorder.Record(Event{})
-	testutil.EqualGolden(t, "event.jsonl", lines.Bytes())
+	golden.Check(t, "event.jsonl", lines.Bytes())
 	assert.Equal(t, []eventLine{
 		{
 			Level: "info", Time: 1712998800.5, Message: "attempt ended", Reason: "turned away", Request: "request-1",
 			Server: "pod-1", Status: 503, Took: 1.25,
 		},
 		{Level: "info", Time: 1712998800.5, Message: "request taken"},
-	}, decodeLines[eventLine](t, testutil.Golden(t, "event.jsonl")))
+	}, decodeLines[eventLine](t, golden.Read(t, "event.jsonl")))
 }
 
 func TestRecord_GoldenNames(t *testing.T) {
@@ -97,7 +97,7 @@
 	for reason := range reasonCount {
 		recorder.Record(Event{Reason: reason})
 	}
-	testutil.EqualGolden(t, "event-names.jsonl", lines.Bytes())
+	golden.Check(t, "event-names.jsonl", lines.Bytes())
 }
 
 func TestViolation_Golden(t *testing.T) {
@@ -107,8 +107,8 @@
 	for rule := range ruleCount {
 		recorder.Violation(Violation{Rule: rule})
 	}
-	testutil.EqualGolden(t, "violation.jsonl", lines.Bytes())
-	decoded := decodeLines[violationLine](t, testutil.Golden(t, "violation.jsonl"))
+	golden.Check(t, "violation.jsonl", lines.Bytes())
+	decoded := decodeLines[violationLine](t, golden.Read(t, "violation.jsonl"))
 	assert.Equal(t, violationLine{
 		Level: "error", Time: 1712998800.5, Message: "an invariant is broken", Rule: "answered twice",
 		Request: "request-1", Server: "pod-1", Detail: "after 2 attempts",
@@ -127,5 +127,5 @@
 	recorder.Record(Event{Kind: ServerStateChanged, Reason: BecameReady})
 	lineLogger(&lines).Info("counters", recorder.Fields()...)
 	lineLogger(&lines).Info("counters", NewRecorder(zap.NewNop(), nil).Fields()...)
-	testutil.EqualGolden(t, "counters.jsonl", lines.Bytes())
+	golden.Check(t, "counters.jsonl", lines.Bytes())
 }
--- a/internal/system/tomlfile/golden_test.go
+++ b/internal/system/tomlfile/golden_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
+	"robincart/internal/testutil/golden"
+
 	"github.com/pelletier/go-toml/v2"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"robincart/internal/testutil"
 )
 
 type durations struct {
@@ -30,14 +30,14 @@
 func TestDuration_GoldenTOML(t *testing.T) {
 	encoded, err := toml.Marshal(goldenDurations())
 	require.NoError(t, err)
-	testutil.EqualGolden(t, "durations.toml", encoded)
+	golden.Check(t, "durations.toml", encoded)
 	var decoded durations
-	require.NoError(t, Decode(testutil.Golden(t, "durations.toml"), &decoded))
+	require.NoError(t, Decode(golden.Read(t, "durations.toml"), &decoded))
 	assert.Equal(t, goldenDurations(), decoded)
 }
 
 func TestDuration_GoldenJSON(t *testing.T) {
-	testutil.EqualGoldenJSON(t, "durations.json", goldenDurations())
+	golden.JSON(t, "durations.json", goldenDurations())
 }
 
 func TestDuration_ReadForms(t *testing.T) {
