--- a/internal/dataplane/services/apply.go
+++ b/internal/dataplane/services/apply.go
@@ -9,22 +9,22 @@
 	"robincart/internal/dataplane/frontend"
 )
 
-// maxLoggedNames is how many services are logged by their names. Of more, the numbers are logged.
+// maxLoggedNames is the number of updated and started services from which on counts are logged in place of names.
 const maxLoggedNames = 30
 
-// transition is what a configuration does to the services, by their names.
+// transition has the names of the services that a configuration updates, starts and retires.
 type transition struct {
-	updated []string // in place: their cores keep what they have learned
+	updated []string // in place, so that their cores keep their state
 	started []string
 	retired []string
 }
 
-// Apply puts a configuration in force as one step, and returns the table to serve.
+// Apply applies a configuration in one step, and returns the table by which the front end finds services.
 func (m *Manager) Apply(config *nodeconfig.Config) *frontend.Table {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.quotas.configure(config.Quota)
-	// Guarantees that shrink do so first: those that grow then find what they need.
+	// Guarantees are lowered before others are raised, so that the raised ones can use the freed amounts.
 	for i := range config.Pools {
 		pool := &config.Pools[i]
 		if s := m.services[pool.Name]; s != nil && s.quota != nil {
@@ -41,7 +41,7 @@
 		m.retire(s)
 		t.retired = append(t.retired, name)
 	}
-	var inOrder []*frontend.Service
+	var frontendServices []*frontend.Service
 	for _, pool := range config.Pools {
 		s := services[pool.Name]
 		if s != nil {
@@ -52,12 +52,12 @@
 			services[pool.Name] = s
 			t.started = append(t.started, pool.Name)
 		}
-		inOrder = append(inOrder, s.frontend)
+		frontendServices = append(frontendServices, s.frontend)
 	}
 	m.config = config
 	m.services = services
 	m.logApplied(&t, len(config.Table.Rules()))
-	return &frontend.Table{Find: finder(config.Table, inOrder)}
+	return &frontend.Table{Find: finder(config.Table, frontendServices)}
 }
 
 func (m *Manager) logApplied(t *transition, routes int) {
@@ -72,8 +72,8 @@
 		field("retired", t.retired), zap.Int("routes", routes))
 }
 
-// canServe reports whether the service can serve a configuration by an update in place. The settings of a core are
-// fixed when it starts.
+// canServe reports whether the service can be updated in place to a configuration. The settings of its core, the use of
+// discovery and the use of quotas are fixed when the service starts.
 func (s *service) canServe(config *nodeconfig.Config) bool {
 	i := slices.IndexFunc(config.Pools, func(pool nodeconfig.Pool) bool { return pool.Name == s.config.Name })
 	if i < 0 {
--- a/internal/dataplane/services/budget.go
+++ b/internal/dataplane/services/budget.go
@@ -10,16 +10,17 @@
 
 var oneConnection = quota.Amount{quota.Connections: 1}
 
-// connectionBudget counts a service's connections to servers against its quota and the process's descriptors. It is an
-// upstream.Budget.
+// connectionBudget counts a service's connections to servers against its quota and the process's descriptors. It
+// implements upstream.Budget.
 type connectionBudget struct {
 	quota      *serviceQuota
 	process    *limits.Budget
 	evictOwn   func() bool                     // closes an idle connection of the service
-	evictOther func(except *serviceQuota) bool // closes one of another service
+	evictOther func(except *serviceQuota) bool // closes an idle connection of another service
 }
 
-// Acquire reserves a connection, if need be in the place of an idle one.
+// Acquire reserves a connection. If the quota is exhausted, it evicts an idle connection of the service first, or else
+// one of another service.
 func (c *connectionBudget) Acquire() bool {
 	if !c.acquireQuota() {
 		return false
@@ -50,18 +51,19 @@
 // Memory returns the process's budget of memory.
 func (c *connectionBudget) Memory() *limits.MemoryBudget { return c.process.Memory() }
 
-// SetEvictor sets what closes an idle connection of the service.
+// SetEvictor sets the function that closes an idle connection of the service.
 func (c *connectionBudget) SetEvictor(f func() bool) { c.evictOwn = f }
 
-// processBudget counts a service's connections against the process's descriptors alone.
+// processBudget counts a service's connections only against the process's descriptors.
 type processBudget struct{ *limits.Budget }
 
-// SetEvictor does nothing: the manager chooses among the idle connections of all services.
+// SetEvictor does nothing: the process's budget already evicts idle connections of all services through the manager.
 func (processBudget) SetEvictor(func() bool) {}
 
-// evictIdle closes an idle connection of any service but one, preferably of those that have borrowed most.
+// evictIdle closes an idle connection of any service but except, which may be nil. It tries the services that have
+// borrowed most connections first, and returns false if no connection is idle.
 func (m *Manager) evictIdle(except *serviceQuota) bool {
-	all := m.all()
+	all := m.allServices()
 	borrowed := m.quotas.borrowedConnections(all)
 	slices.SortFunc(all, func(a, b *service) int { return cmp.Compare(borrowed[b], borrowed[a]) })
 	for _, s := range all {
--- a/internal/dataplane/services/maintain.go
+++ b/internal/dataplane/services/maintain.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	tickInterval  = 100 * time.Millisecond // between measurements of the CPU
+	tickInterval  = 100 * time.Millisecond // between measurements of the CPU time
 	ticksPerSweep = 5                      // between sweeps of idle connections
 )
 
-// maintain does what all services need a few times a second: it measures the CPU, revokes borrowed quota, and closes
-// expired connections. It returns when the manager is closed.
+// maintain periodically measures the CPU time, revokes borrowed quota, and closes expired connections of all services.
+// It returns when the manager is closed.
 func (m *Manager) maintain() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -40,7 +40,7 @@
 	}
 }
 
-// cores returns the cores that the configuration says the machine has.
+// cores returns the configured number of CPU cores, or 1 before the first Apply.
 func (m *Manager) cores() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -51,12 +51,12 @@
 }
 
 func (m *Manager) closeExpired() {
-	for _, s := range m.all() {
+	for _, s := range m.allServices() {
 		s.connections.CloseExpired(time.Now())
 	}
 }
 
-// cpuTime returns the CPU time that this process has used, or 0 if the system does not say.
+// cpuTime returns the CPU time that this process has used, or 0 if getrusage fails.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/dataplane/services/manager.go
+++ b/internal/dataplane/services/manager.go
@@ -1,10 +1,10 @@
-// Package services runs the services of one process. A service has a core of its own, an endpoint watcher or a static
-// list of servers, connections to them, and a quota of what all services share. A Manager puts configurations in force:
-// each one is applied as one step, which starts, updates in place and retires services, and returns the table by which
-// the front end finds them.
+// Package services runs the services of one process. Each service has its own core, an endpoint watcher or a static
+// list of servers, connections to these servers, and a quota of the resources that all services share. A Manager
+// applies each configuration in one step: it starts, updates in place and retires services, and returns the table by
+// which the front end finds them.
 //
-// The package owns the services' goroutines, and one that measures the CPU, revokes borrowed quota and closes expired
-// connections. It does not read configurations, listen for clients or choose servers.
+// The package owns the services' goroutines, and one goroutine that measures the CPU time, revokes borrowed quota and
+// closes expired connections. It does not read configurations, listen for clients or choose servers.
 package services
 
 import (
@@ -26,20 +26,20 @@
 	"robincart/internal/system/telemetry"
 )
 
-// Manager runs the services of a process. It is safe for concurrent use. Its exported fields are set before the first
-// Apply, or not at all.
+// Manager runs the services of a process. It is safe for concurrent use. Its exported fields are optional and must be
+// set before the first Apply.
 type Manager struct {
 	// RecordCache merges the services' endpoint lists with the record.
 	RecordCache *recordcache.Cache
-	// OnServiceStart is called with each service's core before the core learns of its servers.
+	// OnServiceStart is called with each service's core before the core receives its first endpoint list.
 	OnServiceStart func(*node.Core)
-	// Keys authenticate this process to discovery, and discovery to it.
+	// Keys has the TLS keys by which this process and discovery authenticate each other.
 	Keys *keys.Ring
-	// Dial connects to discovery in place of the machine's own network.
+	// Dial connects to discovery, in place of a dialer of the machine's network.
 	Dial endpoints.DialFunc
-	// Telemetry records what the services do.
+	// Telemetry records the events of the services' cores and connections.
 	Telemetry *telemetry.Recorder
-	// WrapReceiver returns what receives the endpoint list of a service in place of its core.
+	// WrapReceiver returns the receiver that gets the endpoint lists of a service in place of its core.
 	WrapReceiver func(service string, core endpoints.Receiver) endpoints.Receiver
 
 	poller *poller.Poller
@@ -48,17 +48,17 @@
 	log    *zap.Logger
 	quotas *sharedQuotas
 
-	ctx        context.Context // ends with Close
+	ctx        context.Context // canceled by Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
 	mu       sync.Mutex
 	config   *nodeconfig.Config // nil before the first Apply
 	services map[string]*service
-	retiring []*service // until their last request has ended
+	retiring []*service // retired services whose requests have not all ended
 }
 
-// New returns a manager without services. Close ends it.
+// New returns a manager without services. Close stops it.
 func New(
 	config *nodeconfig.Config, clock node.Clock, budget *limits.Budget, log *zap.Logger, p *poller.Poller,
 ) *Manager {
@@ -80,12 +80,12 @@
 	return m
 }
 
-// Go runs a function in a goroutine of the manager. Its context ends with Close, which waits for it.
+// Go runs a function in a goroutine of the manager. Close cancels the function's context and waits for its return.
 func (m *Manager) Go(f func(context.Context)) { m.goroutines.Go(func() { f(m.ctx) }) }
 
-// Close ends all services, whatever is in flight, and waits for the goroutines.
+// Close stops all services, even with requests in flight, and waits for the goroutines.
 func (m *Manager) Close() {
-	all := m.all()
+	all := m.allServices()
 	for _, s := range all {
 		s.core.Close()
 	}
@@ -99,7 +99,7 @@
 // Cores returns the cores of all services.
 func (m *Manager) Cores() []*node.Core {
 	var cores []*node.Core
-	for _, s := range m.all() {
+	for _, s := range m.allServices() {
 		cores = append(cores, s.core)
 	}
 	return cores
@@ -108,7 +108,7 @@
 // InFlight returns the number of requests in flight in all services.
 func (m *Manager) InFlight() int {
 	inFlight := 0
-	for _, s := range m.all() {
+	for _, s := range m.allServices() {
 		inFlight += s.core.InFlight()
 	}
 	return inFlight
@@ -117,8 +117,8 @@
 // Usage returns what each service uses of its quota.
 func (m *Manager) Usage() []quota.Usage { return m.quotas.usage() }
 
-// all returns the services in force and those that are retiring.
-func (m *Manager) all() []*service {
+// allServices returns the services in force and those that are retiring.
+func (m *Manager) allServices() []*service {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := slices.Clone(m.retiring)
--- a/internal/dataplane/services/quotas.go
+++ b/internal/dataplane/services/quotas.go
@@ -10,16 +10,16 @@
 )
 
 // The Retry-After of rejected requests is a random time between these multiples of the configured one, so that
-// clients do not return at the same moment.
+// clients do not all retry at the same time.
 const (
 	minRetryMultiple = 0.5
 	maxRetryMultiple = 2.0
 )
 
-// minCores bounds the cores that the CPU's use is divided by.
+// minCores is the lower bound of the number of cores by which the CPU usage is divided.
 const minCores = 0.01
 
-// sharedQuotas is the quota tree of all services, behind one lock. Nothing waits while it is held.
+// sharedQuotas has the quota tree of all services, guarded by one mutex. Nothing blocks while the mutex is held.
 type sharedQuotas struct {
 	retryAfter time.Duration
 
@@ -28,7 +28,7 @@
 	random *rand.Rand
 }
 
-// configure replaces what the quotas have in common.
+// configure replaces the settings and the totals that the quotas of all services share.
 func (s *sharedQuotas) configure(config quota.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,15 +36,16 @@
 	s.tree.Resize(config.Total)
 }
 
-// add adds a service. maxRetryAfter bounds the Retry-After of its rejected requests; 0: they have none.
+// add adds a service to the tree. maxRetryAfter is the upper bound of the Retry-After of its rejected requests; 0: they
+// have none.
 func (s *sharedQuotas) add(spec quota.Spec, maxRetryAfter time.Duration) *serviceQuota {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &serviceQuota{shared: s, service: s.tree.Add(spec), maxRetryAfter: maxRetryAfter}
 }
 
-// tick measures the CPU seconds that the process has used since the last tick, and revokes borrowed quota that its
-// owners need. It returns the number of requests that lost theirs.
+// tick measures the CPU usage from the CPU seconds that the process has used since the last tick, and revokes borrowed
+// quota that its owners need. It returns the number of requests whose leases were revoked.
 func (s *sharedQuotas) tick(now, cpuSeconds, cores float64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +58,7 @@
 	return s.tree.Usage()
 }
 
-// borrowedConnections returns how many connections each service has beyond its guarantee.
+// borrowedConnections returns the number of connections that each service has beyond its guarantee.
 func (s *sharedQuotas) borrowedConnections(services []*service) map[*service]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,14 +71,14 @@
 	return borrowed
 }
 
-// serviceQuota is the quota of one service. It is a frontend.Quota.
+// serviceQuota is the quota of one service. It implements frontend.Quota.
 type serviceQuota struct {
 	shared        *sharedQuotas
 	service       *quota.Service
 	maxRetryAfter time.Duration
 }
 
-// Acquire admits a request, or returns the time after which to retry it.
+// Acquire admits a request, or rejects it and returns its Retry-After.
 func (s *serviceQuota) Acquire(tenantIndex, bodyBytes int) (frontend.Lease, time.Duration, bool) {
 	shared := s.shared
 	shared.mu.Lock()
@@ -90,13 +91,13 @@
 	return &lease{shared: shared, lease: l}, 0, true
 }
 
-// randomRetryAfter is called with the lock held.
+// randomRetryAfter returns the Retry-After of a rejected request. The mutex must be held.
 func (s *sharedQuotas) randomRetryAfter() time.Duration {
 	multiple := minRetryMultiple + (maxRetryMultiple-minRetryMultiple)*s.random.Float64()
 	return time.Duration(float64(s.retryAfter) * multiple)
 }
 
-// lowerGuarantee applies a new guarantee only where it is lower, and a new weight.
+// lowerGuarantee sets the weight, and the guarantee only if the new one is lower.
 func (s *serviceQuota) lowerGuarantee(guarantee, weight float64) {
 	s.shared.mu.Lock()
 	defer s.shared.mu.Unlock()
@@ -109,37 +110,37 @@
 	s.service.Update(guarantee, weight)
 }
 
-// remove removes the service. What its requests hold they return as they end.
+// remove removes the service from the tree. Requests that have not ended keep their leases until they end.
 func (s *serviceQuota) remove() {
 	s.shared.mu.Lock()
 	defer s.shared.mu.Unlock()
 	s.shared.tree.Remove(s.service)
 }
 
-// grow acquires what outlives a request.
+// grow acquires an amount that may be held for longer than one request, such as a connection to a server.
 func (s *serviceQuota) grow(amount quota.Amount) bool {
 	s.shared.mu.Lock()
 	defer s.shared.mu.Unlock()
 	return s.service.Grow(amount)
 }
 
-// shrink returns what grow acquired.
+// shrink returns an amount that grow acquired.
 func (s *serviceQuota) shrink(amount quota.Amount) {
 	s.shared.mu.Lock()
 	defer s.shared.mu.Unlock()
 	s.service.Shrink(amount)
 }
 
-// lease is a quota.Lease behind the lock of all quotas. It is a frontend.Lease.
+// lease is a quota.Lease that is released under the mutex of sharedQuotas. It implements frontend.Lease.
 type lease struct {
 	shared *sharedQuotas
 	lease  *quota.Lease
 }
 
-// Revoked returns a channel that is closed when the request has to end at once.
+// Revoked returns a channel that is closed when the lease is revoked: its request has to end at once.
 func (l *lease) Revoked() <-chan struct{} { return l.lease.Revoked() }
 
-// Release returns what the request held.
+// Release ends the lease.
 func (l *lease) Release() {
 	l.shared.mu.Lock()
 	defer l.shared.mu.Unlock()
--- a/internal/dataplane/services/routing.go
+++ b/internal/dataplane/services/routing.go
@@ -10,11 +10,11 @@
 	"robincart/internal/protocol/httpwire"
 )
 
-// findFunc finds the service of a request, or returns the response to one that has none.
+// findFunc returns the service of a request, or the response to a request that has none.
 type findFunc = func(*httpwire.Request) (*frontend.Service, *httpwire.ClientResponse)
 
-// finder returns the lookup of a table of routes. What it rejects is at fault itself, so no response promises that a
-// retry helps.
+// finder returns the function that looks requests up in a table of routes. The responses to rejected requests have no
+// Retry-After, since a retry would be rejected, too.
 func finder(table *routes.Table, services []*frontend.Service) findFunc {
 	return func(request *httpwire.Request) (*frontend.Service, *httpwire.ClientResponse) {
 		routed, err := RouteRequest(request)
@@ -29,8 +29,9 @@
 	}
 }
 
-// RouteRequest returns what the routes see of a request. It fails where the host or the path is ambiguous: a server
-// could then read another route's. The error wraps routes.ErrHost or routes.ErrPath.
+// RouteRequest returns the properties of a request that routes match. It returns an error if the host or the path is
+// ambiguous, since a server could read it as that of another route. The error wraps routes.ErrInvalidHost or
+// routes.ErrInvalidPath.
 func RouteRequest(request *httpwire.Request) (routes.Request, error) {
 	host, err := requestHost(request)
 	if err != nil {
@@ -51,16 +52,17 @@
 	return routed, err
 }
 
-// requestHost returns the host that a request names, in its target or its Host header.
+// requestHost returns the host of a request, which is in its target or its Host header.
 func requestHost(request *httpwire.Request) (string, error) {
 	headers := request.Header["Host"]
 	switch {
 	case len(headers) > 1:
-		return "", fmt.Errorf("%w: the Host header is repeated", routes.ErrInvalidHost)
+		return "", fmt.Errorf("%w: expected one Host header, found %d", routes.ErrInvalidHost, len(headers))
 	case request.Authority == "":
 		return request.Host, nil
 	case len(headers) == 1 && !strings.EqualFold(headers[0], request.Authority):
-		return "", fmt.Errorf("%w: target and Host header differ", routes.ErrInvalidHost)
+		return "", fmt.Errorf("%w: expected the same host in target and Host header, found %q and %q",
+			routes.ErrInvalidHost, request.Authority, headers[0])
 	}
 	return request.Authority, nil
 }
--- a/internal/dataplane/services/service.go
+++ b/internal/dataplane/services/service.go
@@ -16,24 +16,25 @@
 	"robincart/internal/dataplane/upstream"
 )
 
-// protocolFastCGI is the configured protocol of servers that speak FastCGI.
+// protocolFastCGI is the protocol setting of a service whose servers speak FastCGI.
 const protocolFastCGI = "fastcgi"
 
-// service is one service: it is started, updated in place any number of times, and retired.
+// service is one service. It is started, updated in place any number of times, and retired.
 type service struct {
 	config       nodeconfig.Pool
 	frontend     *frontend.Service
 	core         *node.Core
-	watcher      *endpoints.Watcher        // nil with a static list
-	subscription *recordcache.Subscription // between the list and the core; nil without a record
+	watcher      *endpoints.Watcher        // nil with a static list of servers
+	subscription *recordcache.Subscription // merges the list with the record; nil without a record
 	connections  *upstream.Pool
-	quota        *serviceQuota // nil without quotas
+	quota        *serviceQuota // nil if quotas are off
 
-	cancel     context.CancelFunc // ends the watcher
+	cancel     context.CancelFunc // stops the watcher
 	goroutines sync.WaitGroup
 }
 
-// start starts a service. One that replaces another begins with the servers that the other knew.
+// start starts a service. If it replaces another service, it adopts that service's list clock and, if both watch the
+// same list, its endpoints.
 func (m *Manager) start(config *nodeconfig.Config, pool nodeconfig.Pool, replaced *service) *service {
 	s := &service{config: pool}
 	budget := m.startQuota(s, config)
@@ -56,7 +57,7 @@
 	if pool.Protocol == protocolFastCGI {
 		s.connections.UseFastCGI(pool.Params)
 	}
-	var frontendQuota frontend.Quota // which has to be nil, not an interface that holds nil
+	var frontendQuota frontend.Quota // stays a nil interface if quotas are off
 	if s.quota != nil {
 		frontendQuota = s.quota
 	}
@@ -89,8 +90,8 @@
 	return watcher
 }
 
-// startEndpoints gives the core its servers: the static list, or the one that the replaced service knew until the
-// watcher has another.
+// startEndpoints passes the core its first endpoint list: the static list, or the list of the replaced service until
+// the watcher receives a list.
 func (m *Manager) startEndpoints(s *service, replaced *service) {
 	var receiver endpoints.Receiver = s.core
 	if m.WrapReceiver != nil {
@@ -110,17 +111,18 @@
 	if replaced != nil && replaced.watchesSameList(s) {
 		receiver.UpdateEndpoints(replaced.core.Endpoints(), true)
 	}
-	// At once, since nothing is known: the core's own first request is spread for fleets that start together.
+	// The core delays its own first request by a random time, since the nodes of a fleet may start together. This
+	// request is not delayed, since the list is not known yet.
 	s.watcher.RequestWatch()
 	s.goroutines.Go(func() { s.watcher.Run(ctx) })
 }
 
-// watchesSameList reports whether two services have the same list with the same numbers of zones.
+// watchesSameList reports whether two services have the same discovery address and number the zones in the same way.
 func (s *service) watchesSameList(other *service) bool {
 	return s.config.Discovery == other.config.Discovery && slices.Equal(s.config.Zones, other.config.Zones)
 }
 
-// update takes over what can change in place.
+// update applies the settings that can change in place.
 func (s *service) update(next nodeconfig.Pool) {
 	if s.quota != nil {
 		s.quota.update(next.Guarantee, next.Weight)
@@ -142,19 +144,19 @@
 	s.core.UpdateEndpoints(list, true)
 }
 
-// retire takes a service out of force: it accepts no new request, and is stopped when its last one has ended.
+// retire closes a service to new requests. The service is stopped when its last request has ended.
 func (m *Manager) retire(s *service) {
 	m.retiring = append(m.retiring, s)
 	if s.subscription != nil {
 		m.RecordCache.Unsubscribe(s.subscription)
 	}
-	empty := s.frontend.Close()
+	drained := s.frontend.Close()
 	if s.quota != nil {
 		s.quota.remove()
 	}
 	m.goroutines.Go(func() {
 		select {
-		case <-empty:
+		case <-drained:
 		case <-m.ctx.Done():
 		}
 		s.stop()
@@ -164,7 +166,7 @@
 	})
 }
 
-// stop ends a service, whatever is in flight, and waits for its goroutines. A second call does nothing.
+// stop stops a service, even with requests in flight, and waits for its goroutines. A second call does nothing.
 func (s *service) stop() {
 	s.core.Close()
 	s.cancel()
--- a/internal/dataplane/services/services_test.go
+++ b/internal/dataplane/services/services_test.go
@@ -17,18 +17,22 @@
 
 func TestRouteRequest_Host(t *testing.T) {
 	for name, test := range map[string]struct {
-		host      string // as the reader found it
+		host      string // as httpwire.Reader returns it
 		authority string
 		headers   []string
-		want      string // empty: it is rejected
+		want      string // empty: the request is rejected
 	}{
-		"header":                          {"A.example.org:80", "", []string{"A.example.org:80"}, "a.example.org"},
-		"target":                          {"", "a.example.org", nil, "a.example.org"},
-		"target and equal header":         {"A.example.org", "a.example.org", []string{"A.example.org"}, "a.example.org"},
-		"target and different header":     {"b.example.org", "a.example.org", []string{"b.example.org"}, ""},
-		"repeated header":                 {"a.example.org", "", []string{"a.example.org", "a.example.org"}, ""},
-		"repeated header beside a target": {"a.example.org", "a.example.org", []string{"a.example.org", "a.example.org"}, ""},
-		"none":                            {"", "", nil, ""},
+		"header": {"A.example.org:80", "", []string{"A.example.org:80"}, "a.example.org"},
+		"target": {"", "a.example.org", nil, "a.example.org"},
+		"target and equal header": {
+			"A.example.org", "a.example.org", []string{"A.example.org"}, "a.example.org",
+		},
+		"target and different header": {"b.example.org", "a.example.org", []string{"b.example.org"}, ""},
+		"repeated header":             {"a.example.org", "", []string{"a.example.org", "a.example.org"}, ""},
+		"repeated header and target": {
+			"a.example.org", "a.example.org", []string{"a.example.org", "a.example.org"}, "",
+		},
+		"none": {"", "", nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			header := textproto.MIMEHeader{}
@@ -54,7 +58,7 @@
 	assert.ErrorIs(t, err, routes.ErrInvalidPath)
 }
 
-// newTestQuotas returns quotas for so many requests and connections.
+// newTestQuotas returns quotas with the given totals of requests and connections.
 func newTestQuotas(requests, connections int64) *sharedQuotas {
 	return &sharedQuotas{
 		retryAfter: time.Second,
@@ -69,7 +73,7 @@
 
 func TestServiceQuota_RetryAfter(t *testing.T) {
 	for name, test := range map[string]struct{ maximum, want time.Duration }{
-		"spread":  {time.Hour, 2 * time.Second},
+		"random":  {time.Hour, 2 * time.Second},
 		"bounded": {700 * time.Millisecond, 700 * time.Millisecond},
 		"none":    {0, 0},
 	} {
@@ -92,7 +96,7 @@
 	}
 }
 
-func TestConnectionBudget_IdleConnectionsGiveWay(t *testing.T) {
+func TestConnectionBudget_EvictsIdleConnections(t *testing.T) {
 	quotas := newTestQuotas(1, 2)
 	var evictions []string
 	newBudget := func(name string, process *limits.Budget) *connectionBudget {
@@ -116,7 +120,7 @@
 	assert.Empty(t, evictions)
 
 	assert.False(t, second.Acquire())
-	assert.Equal(t, []string{"own", "other"}, evictions, "its own first")
+	assert.Equal(t, []string{"own", "other"}, evictions, "the service's own connections are tried first")
 	second.evictOther = func(except *serviceQuota) bool {
 		assert.Same(t, second.quota, except)
 		first.Release()
@@ -129,6 +133,6 @@
 		third := newBudget("third", limits.NewBudget(0, 0, nil))
 		second.Release()
 		assert.False(t, third.Acquire())
-		assert.True(t, second.Acquire(), "what it had of the quota was returned")
+		assert.True(t, second.Acquire(), "the failed Acquire has returned its part of the quota")
 	})
 }
