--- a/internal/dataplane/upstream/benchmark_test.go
+++ b/internal/dataplane/upstream/benchmark_test.go
@@ -11,7 +11,8 @@
 	"robincart/internal/lab/standin"
 )
 
-// One attempt after another over one connection, HTTP and FastCGI, with servers that respond at once.
+// BenchmarkExchange runs sequential attempts over one connection, with HTTP and with FastCGI. The servers respond at
+// once.
 func BenchmarkExchange(b *testing.B) {
 	b.Run("http", func(b *testing.B) {
 		benchmarkExchange(b, newFixture(b, startBenchmarkServer(b, func([]byte) []byte {
@@ -20,8 +21,8 @@
 	})
 	b.Run("fastcgi", func(b *testing.B) {
 		f := newFixture(b, startBenchmarkServer(b, func(request []byte) []byte {
-			asked := standin.ApplicationRequest{ID: uint16(request[2])<<8 | uint16(request[3])}
-			return asked.Answered("Content-Type: text/x", "hi")
+			applicationRequest := standin.ApplicationRequest{ID: uint16(request[2])<<8 | uint16(request[3])}
+			return applicationRequest.Answered("Content-Type: text/x", "hi")
 		}), 5)
 		f.UseFastCGI(nil)
 		benchmarkExchange(b, f)
@@ -39,7 +40,7 @@
 	}
 }
 
-// startBenchmarkServer reads a whole request in one read, as a node writes it.
+// startBenchmarkServer starts a server that reads each request by one call, as the node writes it.
 func startBenchmarkServer(b *testing.B, respond func(request []byte) []byte) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/internal/dataplane/upstream/cgiresponse.go
+++ b/internal/dataplane/upstream/cgiresponse.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	maxCGIHead = 16 << 10
-	maxStderr  = 1 << 20 // bytes beside one response; a server that writes more is out of order
+	maxCGIHead = 16 << 10 // bytes
+	maxStderr  = 1 << 20  // bytes of stderr output per response; more of it is a fault of the server
 )
 
-// fieldNeverRan is the protocol's header as fcgi.CGI has its name.
+// fieldNeverRan is the key of httpwire.HeaderNeverRan in fcgi.CGI.Fields, whose keys are in lower case.
 const fieldNeverRan = "x-never-ran"
 
-// cgiStage is how far a response has come.
+// cgiStage is the stage in which a response is received.
 //
 //	from        event                             to
-//	not begun   the first bytes                   head
-//	head        its empty line                    body
-//	any         the end of the request            (the next request resets it)
+//	not begun   first bytes received              head
+//	head        empty line received               body
+//	any         start of the next request         not begun
 type cgiStage uint8
 
 const (
@@ -34,14 +34,14 @@
 // cgiResponse translates one CGI response at a time to HTTP/1.1.
 type cgiResponse struct {
 	stage         cgiStage
-	head          []byte // as far as it was received
-	bodyless      bool   // the status has no body
-	contentLength int64  // of the body; -1: not given
-	bodyBytes     int64  // received
-	stderrBytes   int    // received
-
-	text []byte // the translation; dropped once it is read
-	read int    // of text
+	head          []byte // received so far
+	bodyless      bool   // the status allows no body
+	contentLength int64  // of the body, in bytes; -1: not given
+	bodyBytes     int64  // received so far
+	stderrBytes   int    // received so far
+
+	translated []byte // the response as HTTP/1.1; discarded after it was read
+	readOffset int    // bytes of the translated text that were read
 }
 
 func (r *cgiResponse) reset() {
@@ -53,25 +53,26 @@
 	r.stderrBytes = 0
 }
 
-func malformed(format string, args ...any) error {
+// malformedError returns an error that wraps fcgi.ErrFraming.
+func malformedError(format string, args ...any) error {
 	return fmt.Errorf("%w: %w", fcgi.ErrFraming, fmt.Errorf(format, args...))
 }
 
-// countStderr bounds what is written for the server's own operators. Nothing here reads it.
+// countStderr counts n bytes of stderr output, which is discarded. It returns an error if they exceed maxStderr.
 func (r *cgiResponse) countStderr(n int) error {
 	r.stderrBytes += n
 	if r.stderrBytes > maxStderr {
-		return malformed("more than %d bytes beside a response", maxStderr)
+		return malformedError("expected at most %d bytes of stderr output, found %d", maxStderr, r.stderrBytes)
 	}
 	return nil
 }
 
-// write takes the next bytes of a response.
+// write translates the next bytes of a response.
 func (r *cgiResponse) write(data []byte) error {
 	if r.stage == cgiNotBegun {
 		r.stage = cgiHead
-		// Written before the head is complete: the reader's deadline for the rest begins with its first byte.
-		r.text = append(r.text, "HTTP/1.1 "...)
+		// Appended before the head is complete, since the reader's deadline for a response starts at its first byte.
+		r.translated = append(r.translated, "HTTP/1.1 "...)
 	}
 	if r.stage == cgiBody {
 		return r.writeBody(data)
@@ -92,26 +93,26 @@
 	r.stage = cgiBody
 	r.contentLength = head.Length
 	r.bodyless = head.Status == http.StatusNoContent || head.Status == http.StatusNotModified
-	r.text = strconv.AppendInt(r.text, int64(head.Status), 10)
-	r.text = append(r.text, " \r\n"...)
+	r.translated = strconv.AppendInt(r.translated, int64(head.Status), 10)
+	r.translated = append(r.translated, " \r\n"...)
 	if head.ContentType != "" {
 		r.writeField("Content-Type", head.ContentType)
 	}
-	// As often as it was written: the reader rejects a repeated one.
+	// Repeated values are all appended, so that the reader rejects them.
 	for _, value := range head.Fields[fieldNeverRan] {
 		r.writeField(httpwire.HeaderNeverRan, value)
 	}
 	if !r.bodyless {
 		r.writeField("Transfer-Encoding", "chunked")
 	}
-	r.text = append(r.text, "\r\n"...)
+	r.translated = append(r.translated, "\r\n"...)
 }
 
 func (r *cgiResponse) writeField(name, value string) {
-	r.text = append(r.text, name...)
-	r.text = append(r.text, ": "...)
-	r.text = append(r.text, value...)
-	r.text = append(r.text, "\r\n"...)
+	r.translated = append(r.translated, name...)
+	r.translated = append(r.translated, ": "...)
+	r.translated = append(r.translated, value...)
+	r.translated = append(r.translated, "\r\n"...)
 }
 
 func (r *cgiResponse) writeBody(data []byte) error {
@@ -120,56 +121,58 @@
 	}
 	r.bodyBytes += int64(len(data))
 	if r.bodyless || r.contentLength >= 0 && r.bodyBytes > r.contentLength {
-		return malformed("the body is longer than its head says")
+		return malformedError("body too long: found %d bytes or more, Content-Length is %d (-1: not given), "+
+			"status allows no body: %t", r.bodyBytes, r.contentLength, r.bodyless)
 	}
-	r.text = strconv.AppendInt(r.text, int64(len(data)), 16)
-	r.text = append(r.text, "\r\n"...)
-	r.text = append(r.text, data...)
-	r.text = append(r.text, "\r\n"...)
+	r.translated = strconv.AppendInt(r.translated, int64(len(data)), 16)
+	r.translated = append(r.translated, "\r\n"...)
+	r.translated = append(r.translated, data...)
+	r.translated = append(r.translated, "\r\n"...)
 	return nil
 }
 
-// end takes the end of a request. Only with it a response is complete: a script that crashes leaves what it has
-// written, and ends with a status of its own.
+// end processes the end of a request, and completes the response or returns an error. Without the end's status a
+// response is not known to be complete: a script that crashes may have written a part of it.
 func (r *cgiResponse) end(event fcgi.Event) error {
 	rejected := event.Status == fcgi.StatusOverloaded || event.Status == fcgi.StatusCantMultiplex
 	switch {
-	case rejected && r.stage == cgiNotBegun: // which the protocol defines as not run
-		r.text = append(r.text, "HTTP/1.1 503 \r\n"...)
+	case rejected && r.stage == cgiNotBegun: // by the FastCGI protocol, the request did not run
+		r.translated = append(r.translated, "HTTP/1.1 503 \r\n"...)
 		r.writeField(httpwire.HeaderNeverRan, "1")
 		r.writeField("Content-Length", "0")
-		r.text = append(r.text, "\r\n"...)
+		r.translated = append(r.translated, "\r\n"...)
 	case r.stage != cgiBody || event.Status != fcgi.StatusComplete || event.AppStatus != 0:
-		return malformed("the request ended with protocol status %d and application status %d",
-			event.Status, event.AppStatus)
+		return malformedError("expected protocol status 0 and application status 0 after a complete head, "+
+			"found %d and %d (head complete: %t)", event.Status, event.AppStatus, r.stage == cgiBody)
 	case r.contentLength >= 0 && r.bodyBytes < r.contentLength:
-		return malformed("the body is shorter than its head says")
+		return malformedError("body too short: found %d bytes, Content-Length is %d", r.bodyBytes, r.contentLength)
 	case !r.bodyless:
-		r.text = append(r.text, httpwire.LastChunk...)
+		r.translated = append(r.translated, httpwire.LastChunk...)
 	}
 	return nil
 }
 
-// hasUnread reports whether some of the translation has not been read.
-func (r *cgiResponse) hasUnread() bool { return r.read < len(r.text) }
+// hasUnread reports whether translated text has not been read.
+func (r *cgiResponse) hasUnread() bool { return r.readOffset < len(r.translated) }
 
-// readInto copies the next bytes of the translation.
+// readInto copies the next bytes of the translated text, and returns their number.
 func (r *cgiResponse) readInto(to []byte) int {
-	n := copy(to, r.text[r.read:])
-	r.read += n
+	n := copy(to, r.translated[r.readOffset:])
+	r.readOffset += n
 	return n
 }
 
-// discardRead empties the translation, all of which has been read.
+// discardRead discards the translated text. All of it must have been read.
 func (r *cgiResponse) discardRead() {
-	r.text = r.text[:0]
-	r.read = 0
+	r.translated = r.translated[:0]
+	r.readOffset = 0
 }
 
+// releaseBuffers frees the head and, if it has grown large, the buffer of the translated text.
 func (r *cgiResponse) releaseBuffers() {
 	r.discardRead()
-	if cap(r.text) > maxIdleText {
-		r.text = nil
+	if cap(r.translated) > maxReusedBuffer {
+		r.translated = nil
 	}
 	r.head = nil
 }
--- a/internal/dataplane/upstream/conn.go
+++ b/internal/dataplane/upstream/conn.go
@@ -12,7 +12,7 @@
 	"robincart/internal/system/telemetry"
 )
 
-// connState says who owns a connection. The pool's mutex guards it.
+// connState tells whether an exchange or the pool owns a connection. The pool's mutex guards it.
 //
 //	from    event                                                     to
 //	(none)  connected                                                 in use
@@ -22,56 +22,56 @@
 //	        server is unavailable                                     then closed
 //	in use  the attempt is over, and the connection is not reusable   closed
 //
-// A closed connection has no state of its own: nothing refers to it.
+// There is no state for closed connections, since nothing refers to them.
 type connState uint8
 
 const (
-	connInUse connState = iota // owned by an exchange, or by whoever closes it
+	connInUse connState = iota // owned by an exchange, or by the function that closes it
 	connIdle                   // owned by the pool
 )
 
-// conn is one connection to a server. An idle one has no goroutine and no buffer.
+// conn is one connection to a server. An idle connection has no goroutine and no buffer.
 type conn struct {
 	net.Conn
 	pool         *Pool
-	raw          syscall.RawConn // nil where the connection has none, as in tests
+	raw          syscall.RawConn // nil if the net.Conn has none, as in tests
 	reader       httpwire.Reader
-	fastCGI      *fastCGIConn // nil: its server speaks HTTP
+	fastCGI      *fastCGIConn // nil if the server speaks HTTP
 	address      string
 	registration poller.Registration
-	exchange     *exchange // that reads a response
+	exchange     *exchange // that is reading a response; may be nil
 	progress     responseProgress
 
 	// Guarded by the pool's mutex:
 	state     connState
 	idleSince time.Time
-	// The links of idleConns:
+	// Links of the lists of idleConns:
 	server                     *node.Server
-	nextToServer, prevToServer *conn // towards the same server, the one used last first
-	older, newer               *conn // of all idle connections
+	nextToServer, prevToServer *conn // connections to the same server, most recently used first
+	older, newer               *conn // all idle connections, by idleSince
 }
 
-func (p *Pool) newConn(raw net.Conn, address string) *conn {
-	c := &conn{Conn: raw, pool: p, address: address}
+func (p *Pool) newConn(netConn net.Conn, address string) *conn {
+	c := &conn{Conn: netConn, pool: p, address: address}
 	if p.fastCGI {
-		c.fastCGI = &fastCGIConn{conn: raw, params: p.params}
+		c.fastCGI = &fastCGIConn{conn: netConn, params: p.params}
 		c.reader.Init(c.fastCGI, &p.limits.Wire)
 	} else {
-		c.reader.Init(socket.ShortageConn{Conn: raw}, &p.limits.Wire)
+		c.reader.Init(socket.ShortageConn{Conn: netConn}, &p.limits.Wire)
 	}
 	c.reader.OnProgress = c
 	c.reader.Memory = p.memory
-	if withRaw, ok := raw.(syscall.Conn); ok {
-		c.raw, _ = withRaw.SyscallConn()
+	if syscallConn, ok := netConn.(syscall.Conn); ok {
+		c.raw, _ = syscallConn.SyscallConn()
 	}
 	if p.poller != nil && c.raw != nil {
-		// One that can't be watched is found closed when it is to be reused.
+		// If Add fails, getIdle detects a close by the server.
 		c.registration, _ = p.poller.Add(c.raw, c, false)
 	}
 	return c
 }
 
-// OnEvent closes an idle connection that its server has closed. The exchange of one in use finds out by itself.
+// OnEvent closes an idle connection that its server has closed. If the connection is in use, its exchange detects that.
 func (c *conn) OnEvent(poller.Event) {
 	p := c.pool
 	p.mu.Lock()
@@ -85,8 +85,8 @@
 	}
 }
 
-// settling reports whether an idle connection's last response has only just been read: what its server writes behind a
-// response by mistake may still be on its way, and would be read as the next response.
+// settling reports whether an idle connection's last response was read less than ResponseSettleTime ago. Bytes that a
+// faulty server sends after a response may still arrive in that time, and would be read as the next response.
 func (c *conn) settling() bool {
 	return c.fastCGI == nil && time.Since(c.idleSince) < c.pool.limits.ResponseSettleTime
 }
@@ -96,8 +96,8 @@
 	return c.reader.HasBuffered() || c.fastCGI != nil && c.fastCGI.hasUnreadData()
 }
 
-// stale reports, without waiting, whether the server has closed an idle connection or written to it unasked. A request
-// that is written to a closed connection would end as a reset, after which it may have run.
+// stale reports, without waiting, whether the server has closed an idle connection or sent bytes that belong to no
+// response. A request that is written to a closed connection would be reset, and might have run.
 func (c *conn) stale() bool {
 	if c.hasUnreadData() {
 		return true
@@ -105,7 +105,7 @@
 	return c.raw != nil && socket.StateOfRaw(c.raw) != socket.StateQuiet
 }
 
-// releaseBuffers returns what a connection needs only while it is in use.
+// releaseBuffers releases the buffers, which a connection needs only while it is in use.
 func (c *conn) releaseBuffers() {
 	c.reader.ReleaseBuffer()
 	if c.fastCGI != nil {
--- a/internal/dataplane/upstream/connect.go
+++ b/internal/dataplane/upstream/connect.go
@@ -11,19 +11,19 @@
 	"robincart/internal/system/telemetry"
 )
 
-// connectRetryDelay is the time between two connects where this machine lacks something. It is shorter than the time
-// for which accepting pauses once it has made clients give way.
+// connectRetryDelay is the time between two connects while this machine lacks descriptors, memory, ports or a route. It
+// is shorter than Limits.AcceptRetryDelay, the pause of the listeners after they have evicted clients.
 const connectRetryDelay = 2 * time.Millisecond
 
-// Errors of a missing connection whose server is not to blame.
+// Reasons why an attempt gets no connection that are not a fault of its server.
 var (
-	errNoDescriptor = errors.New("no descriptor is left for a connection to a server")
-	errServerMoved  = errors.New("the server moved while it was connected to")
+	errNoDescriptor   = errors.New("no descriptor available for a connection to a server")
+	errAddressChanged = errors.New("the server's address changed during the connect")
 )
 
 // connectResult returns the result of an attempt that got no connection.
 func connectResult(err error) decide.Result {
-	if errors.Is(err, errNoDescriptor) || errors.Is(err, errServerMoved) || socket.Classify(err).Transient() {
+	if errors.Is(err, errNoDescriptor) || errors.Is(err, errAddressChanged) || socket.Classify(err).Transient() {
 		return decide.NotSent
 	}
 	return decide.ConnectFailed
@@ -42,23 +42,24 @@
 	if !p.budget.Acquire() {
 		return nil, errNoDescriptor
 	}
-	raw, err := e.dial(address)
+	netConn, err := e.dial(address)
 	if err != nil {
 		p.budget.Release()
 		return nil, err
 	}
-	c := p.newConn(raw, address)
+	c := p.newConn(netConn, address)
 	if current, _ := p.core.Address(server); current != address {
-		// The server has come back under its name at another address. The old one may be another server's now.
+		// The server's address has changed. The old address may belong to another server now.
 		p.closeConn(c, telemetry.StaleConnection)
-		return nil, errServerMoved
+		return nil, errAddressChanged
 	}
 	return c, nil
 }
 
-// dial connects for as long as the attempt is wanted. Where the process can open no more descriptors, whatever the
-// budget says, an idle connection gives way, or clients do, and it tries again. So it does where the machine lacks
-// memory, a port or a route for a moment: reported at once, the attempt would be ordered again in the same moment.
+// dial connects until the connect timeout expires or the attempt is canceled. It retries while this machine lacks
+// descriptors, memory, ports or a route, since the core would order a failed attempt again at once. If the process can
+// open no more descriptors, although the budget had one, dial evicts an idle connection before it retries. The
+// listeners may evict clients meanwhile.
 func (e *exchange) dial(address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), e.pool.timeouts.Load().connect)
 	defer cancel()
@@ -66,14 +67,14 @@
 	if !e.pool.core.Bind(e.attempt, e) {
 		return nil, context.Canceled
 	}
-	var shortage error // the last one
+	var shortage error // the last transient error
 	for {
-		raw, err := e.pool.dialer.DialContext(ctx, "tcp", address)
+		netConn, err := e.pool.dialer.DialContext(ctx, "tcp", address)
 		if shortage != nil && isTimeout(ctx, err) {
 			return nil, timeoutCause(err, shortage)
 		}
 		if !socket.Classify(err).Transient() {
-			return raw, err
+			return netConn, err
 		}
 		shortage = err
 		if socket.Exhausted(err) && e.pool.EvictIdle() {
@@ -87,13 +88,13 @@
 	}
 }
 
-// isTimeout reports whether a connect failed because its time was over.
+// isTimeout reports whether a connect failed because its context was done or its deadline was exceeded.
 func isTimeout(ctx context.Context, err error) bool {
 	return err != nil && (ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded))
 }
 
-// timeoutCause returns the error of a connect whose time went by in a shortage. One of routes that has lasted is no
-// shortage of this machine: its server could not be reached.
+// timeoutCause returns the error of a connect that timed out after a shortage on this machine. A route that is missing
+// until the timeout is not such a shortage: the server is unreachable.
 func timeoutCause(timeout, shortage error) error {
 	if socket.Classify(shortage) == socket.NoRoute {
 		return timeout
--- a/internal/dataplane/upstream/deadline.go
+++ b/internal/dataplane/upstream/deadline.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// aLongTimeAgo is a deadline that makes reads and writes return at once.
-var aLongTimeAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that makes reads and writes return at once.
+var pastDeadline = time.Unix(1, 0)
 
-// deadlineStep is how many bytes of a response extend its deadline.
+// deadlineStep is the number of bytes of a response after which its deadline is extended again.
 const deadlineStep = 8 << 10
 
-// responsePhase says which deadline bounds the reads of a connection.
+// responsePhase determines the deadline of the reads of a connection.
 //
 //	from       event                                             to
 //	awaiting   part of a response was read, and more is needed   receiving
 //	receiving  the response was an informational one             awaiting
 //	receiving  the response is complete                          awaiting
-//	either     the response's head and prefix are here, and the  streaming
-//	           rest is passed on while it arrives
+//	either     the response's head and prefix were read, and     streaming
+//	           the rest is forwarded while it arrives
 //	streaming  the response is complete                          awaiting
 type responsePhase uint8
 
 const (
-	// awaitingResponse has no deadline: the core cancels the attempt when its time is over.
+	// awaitingResponse has no read deadline: the core cancels the attempt at its own deadline.
 	awaitingResponse responsePhase = iota
-	// receivingResponse allows ResponseReadTimeout from the first byte on, and more for a large response. One that is
-	// cut short on a connection that stays open, or whose head does not end, would otherwise hold its request until no
-	// time is left for another attempt.
+	// receivingResponse allows ResponseReadTimeout from the first byte on, plus the transfer time of the bytes read. A
+	// response that stops halfway on an open connection, or whose head does not end, would otherwise block its request
+	// until no time is left for another attempt.
 	receivingResponse
-	// streamingResponse allows ResponseStallTimeout for each read. Nothing else bounds a streamed response but a
-	// minimal transfer rate: whoever waits for it sees its progress.
+	// streamingResponse allows ResponseStallTimeout for each read. The only other bound of a streamed response is a
+	// minimum transfer rate, since its client sees the progress.
 	streamingResponse
 )
 
-// responseProgress is what the read deadline of a connection follows from.
+// responseProgress is the state from which the read deadline of a connection is computed.
 type responseProgress struct {
-	phase     responsePhase
-	startedAt time.Time // of receiving or streaming
-	counted   int       // bytes that the deadline allows for
+	phase            responsePhase
+	startedAt        time.Time // start of receiving or streaming
+	bytesAtExtension int       // BytesRead when the deadline was last extended
 }
 
-// Progress sets the deadline of a read for the rest of a response. Nearly all responses are complete with their first
-// read, so no deadline is set for them. With false, the response that had begun was an informational one.
+// Progress sets the deadline before each read for the remainder of a response that has begun. Nearly all responses are
+// complete after their first read, so that no deadline is set for them. begun is false after an informational response:
+// the final response has not begun, so the deadline is cleared.
 func (c *conn) Progress(begun bool) {
 	if !begun {
 		c.endResponse()
@@ -51,7 +52,7 @@
 		c.progress.startedAt = time.Now()
 		c.extendDeadline()
 	case receivingResponse:
-		if c.reader.BytesRead() >= c.progress.counted+deadlineStep {
+		if c.reader.BytesRead() >= c.progress.bytesAtExtension+deadlineStep {
 			c.extendDeadline()
 		}
 	case streamingResponse:
@@ -59,16 +60,17 @@
 	}
 }
 
-// extendDeadline allows the time that the bytes read so far may take.
+// extendDeadline sets the read deadline to startedAt + ResponseReadTimeout + the transfer time of the bytes read.
 func (c *conn) extendDeadline() {
 	l := &c.pool.limits
-	c.progress.counted = c.reader.BytesRead()
-	c.SetReadDeadline(c.progress.startedAt.Add(l.ResponseReadTimeout + l.TransferTime(c.progress.counted)))
+	c.progress.bytesAtExtension = c.reader.BytesRead()
+	c.SetReadDeadline(c.progress.startedAt.Add(l.ResponseReadTimeout + l.TransferTime(c.progress.bytesAtExtension)))
 	c.restoreCancel()
 }
 
-// streamDeadline returns the deadline of the next read of a streamed response. In the long run it arrives no slower
-// than its client may take it, beside which the server may stall once.
+// streamDeadline returns the deadline of the next read of a streamed response: now + ResponseStallTimeout, but at most
+// startedAt + ClientStallTimeout + ResponseStallTimeout + twice the transfer time of the bytes read. So the server may
+// stall once, and must otherwise be as fast in the long run as its client has to be.
 func (c *conn) streamDeadline(now time.Time) time.Time {
 	l := &c.pool.limits
 	total := l.ClientStallTimeout + l.ResponseStallTimeout + 2*l.TransferTime(c.reader.BytesRead())
@@ -80,7 +82,7 @@
 	return latest
 }
 
-// startStreaming begins the deadlines of a response that is passed on while it arrives.
+// startStreaming switches to the deadlines of a response that is forwarded while it arrives.
 func (c *conn) startStreaming() {
 	c.endResponse()
 	c.progress.phase = streamingResponse
@@ -93,7 +95,7 @@
 		return
 	}
 	c.progress.phase = awaitingResponse
-	c.progress.counted = 0
+	c.progress.bytesAtExtension = 0
 	c.SetReadDeadline(time.Time{})
 	c.restoreCancel()
 }
@@ -101,6 +103,6 @@
 // restoreCancel repeats a cancellation that a new deadline may have overwritten.
 func (c *conn) restoreCancel() {
 	if c.exchange != nil && c.exchange.canceled() {
-		c.SetDeadline(aLongTimeAgo)
+		c.SetDeadline(pastDeadline)
 	}
 }
--- a/internal/dataplane/upstream/exchange.go
+++ b/internal/dataplane/upstream/exchange.go
@@ -10,8 +10,8 @@
 	"robincart/internal/system/telemetry"
 )
 
-// exchangeStage is the stage of an exchange. It changes once, so that a cancellation that comes late can't hit a
-// connection that serves another attempt by then.
+// exchangeStage is the stage of an exchange. It changes only once, so that a late cancellation does not affect a
+// connection that already serves another attempt.
 //
 //	from     event                                                to
 //	running  the core cancels the attempt, or its time is over    canceled
@@ -31,31 +31,31 @@
 	request *httpwire.Request
 
 	stage         atomic.Int32         // an exchangeStage
-	conn          atomic.Pointer[conn] // nil until there is one
-	cancelConnect context.CancelFunc   // set before the core knows the exchange; nil without a connect
+	conn          atomic.Pointer[conn] // nil before the connect has succeeded
+	cancelConnect context.CancelFunc   // set before Core.Bind; nil if no connect is needed
 }
 
-// Cancel makes what waits return at once. The core calls it while it holds its mutex, and nothing here waits. A
-// cancellation that comes between the connect and the setting of the connection is found by Core.Begin.
+// Cancel makes the exchange's connect, read or write return at once. It does not block, since the core calls it while
+// holding its mutex. A cancellation between the connect and the setting of e.conn is detected by Core.Begin.
 func (e *exchange) Cancel() {
 	if !e.end(exchangeCanceled) {
 		return
 	}
 	if c := e.conn.Load(); c != nil {
-		c.SetDeadline(aLongTimeAgo)
+		c.SetDeadline(pastDeadline)
 	} else if e.cancelConnect != nil {
 		e.cancelConnect()
 	}
 }
 
-// end leaves the running stage, and returns false if another event has ended it before.
+// end changes the stage from running to another one. It returns false if the stage was not running any more.
 func (e *exchange) end(stage exchangeStage) bool {
 	return e.stage.CompareAndSwap(int32(exchangeRunning), int32(stage))
 }
 
 func (e *exchange) canceled() bool { return exchangeStage(e.stage.Load()) == exchangeCanceled }
 
-// Run carries the attempt out and reports its result to the core. It returns when its connection is idle or closed.
+// Run carries out the attempt and reports its result to the core. It returns when the connection is idle or closed.
 func (e *exchange) Run() {
 	result, response := e.perform()
 	served := e.pool.core.AttemptDone(e.attempt, result, response)
@@ -70,14 +70,14 @@
 	}
 }
 
-// perform takes the steps of an attempt. The response is nil unless the result is OK.
+// perform carries out the attempt and returns its result. The response is nil unless the result is OK.
 func (e *exchange) perform() (decide.Result, *node.Response) {
 	address, ready := e.pool.core.Address(e.attempt.Server)
 	if !ready {
 		return decide.NotSent, nil
 	}
 	if body := e.request.BodyStream; body != nil {
-		// It can't be claimed where it went to another server, or its client has gone.
+		// Claim fails if another attempt reads or has read the body, or if the client has gone.
 		if !body.Claim() {
 			return decide.NotSent, nil
 		}
@@ -91,11 +91,11 @@
 	if !e.begin(c) {
 		return decide.NotSent, nil
 	}
-	return e.settle(c, e.roundTrip(c))
+	return e.finish(c, e.roundTrip(c))
 }
 
-// begin asks whether the first byte may be written, right before it is. If not, nothing was sent, and the connection is
-// as good as before.
+// begin reports whether the request may be written. It is called right before the first byte. If it returns false,
+// nothing was sent, and the connection becomes idle unless the attempt was canceled.
 func (e *exchange) begin(c *conn) bool {
 	if e.pool.core.Begin(e.attempt, e) && e.clientWaits() {
 		return true
@@ -108,13 +108,13 @@
 	return false
 }
 
-// clientWaits reports whether the client still waits for the response. The core may not know yet that it has gone:
-// whatever notifies the core may be late, while a timer that orders another attempt is not.
+// clientWaits reports whether the client still waits for the response. The core may not know yet that the client has
+// gone, since that notification may be late while the timer for another attempt is on time.
 func (e *exchange) clientWaits() bool {
 	return e.request.Client == nil || e.request.Client.StillWaiting(e.request)
 }
 
-// outcome is how the exchange of a request and its response ended.
+// outcome is the result of writing a request and reading its response.
 type outcome struct {
 	result   decide.Result
 	response *node.Response // nil unless the result is OK
@@ -129,18 +129,18 @@
 	return e.readResponse(c)
 }
 
-// settle decides what becomes of the connection. That of a streamed response stays with the exchange.
-func (e *exchange) settle(c *conn, o outcome) (decide.Result, *node.Response) {
-	inTime := e.end(exchangeDone)
+// finish makes the connection idle or closes it. The connection of a streamed response stays in use until finishStream.
+func (e *exchange) finish(c *conn, o outcome) (decide.Result, *node.Response) {
+	notCanceled := e.end(exchangeDone)
 	streamed := o.response != nil && o.response.BodyStream != nil
 	switch {
-	case streamed && inTime:
+	case streamed && notCanceled:
 		c.startStreaming()
 	case streamed:
 		e.pool.closeConn(c, telemetry.NotReusable)
 		e.pool.memory.Release(o.response.ReservedBytes)
 		return decide.Reset, nil
-	case inTime && o.reusable:
+	case notCanceled && o.reusable:
 		e.pool.putIdle(e.attempt.Server, c)
 	default:
 		e.pool.closeConn(c, telemetry.NotReusable)
@@ -148,7 +148,7 @@
 	return o.result, o.response
 }
 
-// finishStream waits until a streamed response has been passed on, or given up by its reader.
+// finishStream waits until the reader of a streamed response closes it. Then it makes the connection idle or closes it.
 func (e *exchange) finishStream(stream *responseStream, served bool) {
 	c := e.conn.Load()
 	if !served || !stream.awaitComplete() || !stream.reusable || c.hasUnreadData() {
--- a/internal/dataplane/upstream/exchange_test.go
+++ b/internal/dataplane/upstream/exchange_test.go
@@ -27,7 +27,7 @@
 		"HTTP/1.1 500 No\r\n" + emptyBody: decide.Failed,
 		"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n" + emptyBody: decide.Rejected,
 		"HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\n" + emptyBody: decide.Rejected,
-		// Without the header it may have run, whatever the status seems to say.
+		// Only X-Never-Ran: 1 with status 503 or 504 means that the request did not run.
 		"HTTP/1.1 503 No\r\n" + emptyBody:                   decide.Failed,
 		"HTTP/1.1 503 No\r\nX-Never-Ran: 0\r\n" + emptyBody: decide.Failed,
 		"HTTP/1.1 500 No\r\nX-Never-Ran: 1\r\n" + emptyBody: decide.Failed,
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestExchange_ServerMovesDuringConnect(t *testing.T) {
+func TestExchange_AddressChangesDuringConnect(t *testing.T) {
 	before, after := startServer(t, respond(okResponse)), startServer(t, respond(okResponse))
 	f := newFixture(t, before.address, 5)
 	f.core.onBind = func() { f.core.setAddress(after.address) }
@@ -74,16 +74,16 @@
 	f := newFixture(t, server.address, 5)
 	for range 3 {
 		assert.Equal(t, decide.OK, f.attempt())
-		time.Sleep(testLimits().ResponseReadTimeout * 3 / 2) // a deadline that was left set would be over
+		time.Sleep(testLimits().ResponseReadTimeout * 3 / 2) // a deadline that was not cleared would expire
 	}
 	assert.Equal(t, 1, server.connCount())
 }
 
-// A connection that breaks after the request's last byte is a reset, and nothing is sent again.
+// If the connection breaks after the request's last byte, the result is Reset, and the request is not sent again.
 func TestExchange_ResetAfterLastByte(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"reset": closeWithReset,
-		"end":   closeOrderly,
+		"end":   closeGracefully,
 		"half a response": func(c *net.TCPConn) {
 			io.WriteString(c, okResponse[:len(okResponse)-1])
 			c.Close()
@@ -101,10 +101,10 @@
 	}
 }
 
-// breakingConn breaks once it has written some bytes.
+// breakingConn fails after a number of bytes was written.
 type breakingConn struct {
 	net.Conn
-	writable int
+	writable int // bytes until it fails
 }
 
 func (b *breakingConn) Write(p []byte) (int, error) {
@@ -145,17 +145,17 @@
 	assert.Equal(t, decide.ConnectFailed, newFixture(t, listener.Addr().String(), 5).attempt())
 }
 
-// The process has no descriptor left, whatever the budget says: the server is not to blame.
+// If the process has no descriptor left, although the budget has, the failure does not count against the server.
 func TestExchange_ConnectWithoutDescriptor(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE} {
 		shortage := os.NewSyscallError("socket", errno)
-		t.Run(fmt.Sprintf("%s that lasts", errno), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s until the timeout", errno), func(t *testing.T) {
 			f := newFixture(t, "127.0.0.1:1", 5)
 			f.dialer.Control = func(string, string, syscall.RawConn) error { return shortage }
 			assert.Equal(t, decide.NotSent, f.attempt())
 			assert.Equal(t, 5, f.budget.Available())
 		})
-		t.Run(fmt.Sprintf("%s that passes", errno), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s three times", errno), func(t *testing.T) {
 			f := newFixture(t, startServer(t, respond(okResponse)).address, 5)
 			failures := 3
 			f.dialer.Control = func(string, string, syscall.RawConn) error {
@@ -165,7 +165,7 @@
 				failures--
 				return shortage
 			}
-			assert.Equal(t, decide.OK, f.attempt(), "others may give way meanwhile")
+			assert.Equal(t, decide.OK, f.attempt(), "descriptors may be released meanwhile")
 		})
 	}
 }
@@ -179,14 +179,14 @@
 	f := newFixture(t, server.address, 1)
 	f.core.timeLeft = 50 * time.Millisecond
 	start := time.Now()
-	assert.Equal(t, decide.Reset, f.attempt(), "the core knows why")
+	assert.Equal(t, decide.Reset, f.attempt(), "the core knows that it has canceled the attempt")
 	assert.Less(t, time.Since(start), 10*time.Second)
 	assert.True(t, testutil.Receive(t, closed))
 	assert.Equal(t, 1, server.connCount())
 	assert.True(t, f.budget.Acquire(), "its descriptor was released")
 }
 
-// An attempt can be canceled when its connection already serves another.
+// A cancellation after the end of its attempt must not affect the connection, which may already serve another attempt.
 func TestExchange_LateCancel(t *testing.T) {
 	server := startServer(t, respond(okResponse))
 	f := newFixture(t, server.address, 1)
@@ -205,14 +205,14 @@
 func TestExchange_RefusedByCore(t *testing.T) {
 	server := startServer(t, respond(okResponse))
 	f := newFixture(t, server.address, 5)
-	f.core.refuses = true
+	f.core.refusesBegin = true
 	assert.Equal(t, decide.NotSent, f.attempt())
-	f.core.refuses = false
+	f.core.refusesBegin = false
 	assert.Equal(t, decide.OK, f.attempt())
 	assert.Equal(t, 1, server.connCount(), "the connection became idle")
 	assert.Equal(t, 1, server.requestCount())
 	f.core.setGone(true)
-	assert.Equal(t, decide.NotSent, f.attempt(), "a server that has gone is not even connected to")
+	assert.Equal(t, decide.NotSent, f.attempt(), "there is no connect to a server that has gone")
 }
 
 func TestExchange_LargeBody(t *testing.T) {
@@ -233,7 +233,8 @@
 	assert.Equal(t, body, string(f.core.response.Body))
 }
 
-// Bytes arrive and the response does not end: its attempt ends all the same, in time for another.
+// A response whose bytes keep arriving without an end must time out before the request's deadline, so that another
+// attempt is possible.
 func TestExchange_EndlessResponse(t *testing.T) {
 	const writeInterval = 5 * time.Millisecond
 	for name, parts := range map[string]struct{ first, repeated string }{
@@ -264,8 +265,9 @@
 	}
 }
 
-// A body without a length, where its head says so, ends with its connection: it is complete at an end and cut at a
-// reset, however much of it had arrived. Large ones are passed on while they arrive.
+// With HTTP/1.0 or Connection: close, a body without a length ends with its connection. It is complete if the peer
+// closes the connection, and incomplete if the peer resets it, no matter how many bytes have arrived. Large bodies are
+// streamed.
 func TestExchange_ResponseWithoutLength(t *testing.T) {
 	for _, head := range []string{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n"} {
 		for _, size := range []int{0, 2, 40_000, 200_000} {
@@ -280,15 +282,15 @@
 
 func testResponseWithoutLength(t *testing.T, head string, size int, reset bool) {
 	const maxBuffered = 1 << 16
-	sent := make(chan struct{}) // closed when the response may end
+	mayEnd := make(chan struct{}) // closed when the response may end
 	server := startServer(t, func(s *testServer, _ int, c *net.TCPConn) {
 		s.read(c)
 		io.WriteString(c, head+strings.Repeat("x", size))
-		<-sent
+		<-mayEnd
 		if reset {
 			closeWithReset(c)
 		} else {
-			closeOrderly(c)
+			closeGracefully(c)
 		}
 	})
 	f := newFixture(t, server.address, 5)
@@ -302,7 +304,7 @@
 	go func() { result <- f.attempt() }()
 
 	if size < maxBuffered {
-		close(sent)
+		close(mayEnd)
 		want := decide.OK
 		if reset {
 			want = decide.Reset
@@ -311,7 +313,7 @@
 		return
 	}
 	eventually(t, func() bool { return f.core.lastResponse() != nil })
-	close(sent)
+	close(mayEnd)
 	response := f.core.lastResponse()
 	rest, err := io.Copy(io.Discard, response.BodyStream)
 	if reset {
--- a/internal/dataplane/upstream/fastcgi.go
+++ b/internal/dataplane/upstream/fastcgi.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	recordBufferSize = 4 << 10
-	maxIdleText      = 4 << 10               // the largest buffer of a translated response that is reused
+	recordBufferSize = 4 << 10               // bytes
+	maxReusedBuffer  = 4 << 10               // bytes; larger buffers of translated responses are not reused
 	abortTimeout     = 20 * time.Millisecond // for writing an ABORT record
 )
 
@@ -23,32 +23,32 @@
 	return &buffer
 }}
 
-// fastCGIConn is the protocol's part of a connection whose server speaks FastCGI. It writes requests as records, and is
-// the reader of their responses as HTTP/1.1 messages, so that the limits of sizes, times and memory and the streaming
-// of large responses are those of any other response. A request has the connection to itself: the server can't make
-// one request wait for another's bytes.
+// fastCGIConn is the FastCGI state of a connection. It encodes requests as records, and is an io.Reader that translates
+// the records of their responses to HTTP/1.1 messages. So the limits of sizes, times and memory and the streaming of
+// large responses are the same as with HTTP servers. The connection carries one request at a time, so that no request
+// waits for the bytes of another.
 type fastCGIConn struct {
 	conn      net.Conn
 	params    map[string]string // sent with each request
 	records   fcgi.Reader
-	buffer    *[]byte // of records, while the connection is in use
+	buffer    *[]byte // of records; nil while the connection is idle
 	gateway   fcgi.Gateway
 	requestID uint16 // of the request in flight; 0: none
 
 	response cgiResponse
 }
 
-// start begins a request.
+// start starts a request: it sets requestID, takes a buffer and resets the response.
 func (f *fastCGIConn) start() {
 	if f.buffer == nil {
 		f.buffer = recordBuffers.Get().(*[]byte)
 		f.records.Init(f.conn, *f.buffer)
 	}
-	f.requestID, _ = f.gateway.Begin() // of which there is one at a time, so that an ID is always left
+	f.requestID, _ = f.gateway.Begin() // it can't fail with one request at a time
 	f.response.reset()
 }
 
-// Read reads the response as HTTP/1.1. It returns as much as has been received, so that a complete response needs no
+// Read reads the response as HTTP/1.1. It returns as many bytes as were received, so that a complete response needs no
 // second read.
 func (f *fastCGIConn) Read(to []byte) (int, error) {
 	if !f.response.hasUnread() {
@@ -59,16 +59,17 @@
 	return f.response.readInto(to), nil
 }
 
-// fill translates at least one byte, and as many more as were received, up to about a limit.
+// fill waits until it can translate at least one byte. It also translates further records that were received, until the
+// translated text reaches the limit in bytes. The last record may exceed the limit.
 func (f *fastCGIConn) fill(limit int) error {
 	f.response.discardRead()
 	if f.requestID == 0 || f.buffer == nil {
-		return fmt.Errorf("%w: data without a request", httpwire.ErrMalformed)
+		return fmt.Errorf("%w: expected an open FastCGI request, found none", httpwire.ErrMalformed)
 	}
 	for f.needsRecord(limit) {
-		piece, err := f.records.Next()
+		fragment, err := f.records.Next()
 		if err == nil {
-			err = f.handle(piece)
+			err = f.handle(fragment)
 		}
 		if err != nil {
 			return readError(err)
@@ -77,16 +78,17 @@
 	return nil
 }
 
-// needsRecord reports whether to translate another record: one that is waited for, or one that has been received.
+// needsRecord reports whether fill has to translate another record. That is so while the translated text is empty, and
+// while it is below the limit and further data was received.
 func (f *fastCGIConn) needsRecord(limit int) bool {
-	unread := len(f.response.text)
+	unread := len(f.response.translated)
 	if unread == 0 {
 		return true
 	}
 	return f.requestID != 0 && unread < limit && f.records.Buffered()
 }
 
-// readError returns a failure to read a response as that of an HTTP connection.
+// readError converts an error of reading records to the error that a read from an HTTP connection would return.
 func readError(err error) error {
 	switch {
 	case errors.Is(err, fcgi.ErrFraming) || errors.Is(err, fcgi.ErrHead):
@@ -97,8 +99,8 @@
 	return err
 }
 
-func (f *fastCGIConn) handle(piece fcgi.Fragment) error {
-	event, err := f.gateway.Take(piece)
+func (f *fastCGIConn) handle(fragment fcgi.Fragment) error {
+	event, err := f.gateway.Take(fragment)
 	if err != nil {
 		return err
 	}
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// hasUnreadData reports whether bytes were received, or are still to come, that belong to no response.
+// hasUnreadData reports whether the request has not ended, or received bytes have not been read.
 func (f *fastCGIConn) hasUnreadData() bool {
 	if f.requestID != 0 || f.response.hasUnread() {
 		return true
@@ -122,7 +124,7 @@
 	return f.buffer != nil && f.records.HasBuffered()
 }
 
-// releaseBuffers returns the buffers between two requests.
+// releaseBuffers releases the buffers after a request.
 func (f *fastCGIConn) releaseBuffers() {
 	if f.buffer != nil {
 		recordBuffers.Put(f.buffer)
@@ -131,8 +133,9 @@
 	f.response.releaseBuffers()
 }
 
-// abort notifies a server that its response is not wanted any more: one that is at work notices a closed connection
-// only when it writes. The close that follows waits for nothing, since no other request is on the connection.
+// abort sends an ABORT record for the request in flight, if there is one. A busy server would otherwise notice a
+// closed connection only when it writes. The caller may close the connection at once, because it carries no other
+// request.
 func (f *fastCGIConn) abort() {
 	if f.requestID == 0 {
 		return
--- a/internal/dataplane/upstream/fastcgi_test.go
+++ b/internal/dataplane/upstream/fastcgi_test.go
@@ -31,7 +31,7 @@
 	return string(head[:]) + content
 }
 
-// Each way in which an application can end a request has one outcome, which never promises more than is known.
+// Each way in which an application can end a request has one result. It is OK or Rejected only if that is certain.
 func TestFastCGI_Outcomes(t *testing.T) {
 	out := func(text string) string { return fastCGIRecord(fcgi.TypeStdout, 1, text) }
 	stderr := func(text string) string { return fastCGIRecord(fcgi.TypeStderr, 1, text) }
@@ -42,31 +42,39 @@
 	ok := out("Content-Type: text/x\n\nhi")
 	for name, c := range map[string]struct {
 		text  string
-		close bool // then
+		close bool // after the text
 		want  decide.Result
 	}{
-		"response":                   {ok + out("") + complete, false, decide.OK},
-		"without the stream's end":   {ok + complete, false, decide.OK},
-		"in two records":             {out("Content-Type: tex") + out("t/x\r\nContent-Length: 2\r\n\r\nh") + out("i") + complete, false, decide.OK},
-		"with stderr":                {stderr("warning") + ok + stderr("") + complete, false, decide.OK},
-		"with management records":    {fastCGIRecord(fcgi.TypeGetValuesResult, 0, "") + ok + fastCGIRecord(fcgi.TypeUnknown, 0, "\x09\x00\x00\x00\x00\x00\x00\x00") + complete, false, decide.OK},
-		"overloaded":                 {end(0, fcgi.StatusOverloaded), false, decide.Rejected},
-		"can't multiplex":            {end(0, fcgi.StatusCantMultiplex), false, decide.Rejected},
-		"marked as never run":        {out("Status: 503\nX-Never-Ran: 1\n\n") + complete, false, decide.Rejected},
-		"overloaded after it began":  {ok + end(0, fcgi.StatusOverloaded), false, decide.Failed},
-		"unknown role":               {end(0, fcgi.StatusUnknownRole), false, decide.Failed},
-		"503 without the mark":       {out("Status: 503\n\n") + complete, false, decide.Failed},
-		"application status":         {ok + end(1, fcgi.StatusComplete), false, decide.Failed},
-		"end alone":                  {complete, false, decide.Failed},
-		"stderr alone":               {stderr("fatal") + complete, false, decide.Failed},
-		"half a head":                {out("Content-Type: text/x\n") + complete, false, decide.Failed},
-		"no CGI":                     {out("HTTP/1.1 200 OK\n\n") + complete, false, decide.Failed},
-		"two statuses":               {out("Status: 200\nStatus: 500\n\n") + complete, false, decide.Failed},
-		"shorter than its length":    {out("Content-Length: 3\n\nhi") + complete, false, decide.Failed},
-		"longer than its length":     {out("Content-Length: 1\n\nhi") + complete, false, decide.Failed},
-		"redirect":                   {out("Location: /x\n\n") + complete, false, decide.Failed},
-		"no content":                 {out("Status: 204\n\n") + complete, false, decide.Failed},
-		"another request's ID":       {fastCGIRecord(fcgi.TypeStdout, 2, "Content-Type: a\n\nhi"), false, decide.Failed},
+		"response":                 {ok + out("") + complete, false, decide.OK},
+		"without the stream's end": {ok + complete, false, decide.OK},
+		"in three records": {
+			out("Content-Type: tex") + out("t/x\r\nContent-Length: 2\r\n\r\nh") + out("i") + complete, false, decide.OK,
+		},
+		"with stderr": {stderr("warning") + ok + stderr("") + complete, false, decide.OK},
+		"with management records": {
+			fastCGIRecord(fcgi.TypeGetValuesResult, 0, "") + ok +
+				fastCGIRecord(fcgi.TypeUnknown, 0, "\x09\x00\x00\x00\x00\x00\x00\x00") + complete,
+			false, decide.OK,
+		},
+		"overloaded":                {end(0, fcgi.StatusOverloaded), false, decide.Rejected},
+		"can't multiplex":           {end(0, fcgi.StatusCantMultiplex), false, decide.Rejected},
+		"503 that never ran":        {out("Status: 503\nX-Never-Ran: 1\n\n") + complete, false, decide.Rejected},
+		"overloaded after it began": {ok + end(0, fcgi.StatusOverloaded), false, decide.Failed},
+		"unknown role":              {end(0, fcgi.StatusUnknownRole), false, decide.Failed},
+		"503 that may have run":     {out("Status: 503\n\n") + complete, false, decide.Failed},
+		"application status":        {ok + end(1, fcgi.StatusComplete), false, decide.Failed},
+		"end alone":                 {complete, false, decide.Failed},
+		"stderr alone":              {stderr("fatal") + complete, false, decide.Failed},
+		"half a head":               {out("Content-Type: text/x\n") + complete, false, decide.Failed},
+		"no CGI":                    {out("HTTP/1.1 200 OK\n\n") + complete, false, decide.Failed},
+		"two statuses":              {out("Status: 200\nStatus: 500\n\n") + complete, false, decide.Failed},
+		"shorter than its length":   {out("Content-Length: 3\n\nhi") + complete, false, decide.Failed},
+		"longer than its length":    {out("Content-Length: 1\n\nhi") + complete, false, decide.Failed},
+		"redirect":                  {out("Location: /x\n\n") + complete, false, decide.Failed},
+		"no content":                {out("Status: 204\n\n") + complete, false, decide.Failed},
+		"another request's ID": {
+			fastCGIRecord(fcgi.TypeStdout, 2, "Content-Type: a\n\nhi"), false, decide.Failed,
+		},
 		"HTTP":                       {okResponse, false, decide.Failed},
 		"stalls in the body":         {out("Content-Type: text/x\n\nhi"), false, decide.Failed},
 		"stalls in the head":         {out("Content-"), false, decide.Failed},
@@ -85,7 +93,7 @@
 				return !c.close
 			})
 			if c.want == decide.Reset {
-				f.core.timeLeft = eventTimeout // so that it is the close that ends it
+				f.core.timeLeft = eventTimeout // so that the attempt ends by the close, not by the deadline
 			}
 			assert.Equal(t, c.want, f.attempt())
 			if c.want == decide.OK {
@@ -121,7 +129,7 @@
 	assert.Equal(t, 1, application.Conns())
 	<-requests
 	second := <-requests
-	assert.Len(t, second.Body, 1<<16, "which no single record can carry")
+	assert.Len(t, second.Body, 1<<16, "one record can't hold so many bytes")
 	assert.True(t, second.Keep)
 	delete(second.Params, "HTTP_X_EXPIRES_IN_MS")
 	assert.Equal(t, map[string]string{
--- a/internal/dataplane/upstream/fastcgirequest.go
+++ b/internal/dataplane/upstream/fastcgirequest.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// paramsSize is room for the params of nearly any request.
+	// paramsSize is the initial size of the buffer for params, in bytes. It suffices for nearly all requests.
 	paramsSize = 2 << 10
-	// stdinOverhead is room for the heads of a body's records and of the one that ends it.
+	// stdinOverhead is the space in bytes for the headers of a body's records and of the record that ends the body.
 	stdinOverhead = 32
 )
 
-// The params that carry the protocol's headers, by CGI's names for headers.
+// The CGI params that carry the headers of the protocol between nodes and servers.
 var (
 	paramTraceID        = headerParam(httpwire.HeaderTraceID)
 	paramIdempotencyKey = headerParam(httpwire.HeaderIdempotencyKey)
@@ -26,11 +26,13 @@
 	paramTimeLeft       = headerParam(httpwire.HeaderTimeLeft)
 )
 
+// headerParam returns the name of the CGI param for a header.
 func headerParam(header string) string {
 	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(header, "-", "_"))
 }
 
-// appendHead begins a request, and appends its head. Its body and its end follow as records of the same request ID.
+// appendHead starts a request, and appends the records of its head. The records of the body and of its end follow with
+// the same request ID.
 func (f *fastCGIConn) appendHead(to []byte, request *httpwire.Request, host string, timeLeft time.Duration) []byte {
 	f.start()
 	var room [paramsSize]byte
@@ -52,7 +54,7 @@
 	return fcgi.AppendPair(params, name, value)
 }
 
-// appendRequestParams appends what CGI has of any request.
+// appendRequestParams appends the params that CGI defines for every request.
 func appendRequestParams(params []byte, request *httpwire.Request, host string) []byte {
 	path, query, _ := strings.Cut(request.Target, "?")
 	if request.Host != "" {
@@ -63,7 +65,7 @@
 	params = appendParam(params, "REQUEST_METHOD", request.Verb)
 	params = appendParam(params, "REQUEST_URI", request.Target)
 	params = appendParam(params, "SCRIPT_NAME", path)
-	params = fcgi.AppendPair(params, "QUERY_STRING", query) // which CGI requires, also where it is empty
+	params = fcgi.AppendPair(params, "QUERY_STRING", query) // CGI requires it even if it is empty
 	params = appendParam(params, "CONTENT_TYPE", request.ContentType)
 	if length, known := contentLength(request); known {
 		params = appendParam(params, "CONTENT_LENGTH", strconv.FormatInt(length, 10))
@@ -71,8 +73,8 @@
 	return appendParam(params, "HTTP_HOST", host)
 }
 
-// contentLength returns the length of a request's body. It is not known where the request has no body, or one of
-// unknown length.
+// contentLength returns the length of a request's body in bytes. It is not known if a GET request has no body, or if a
+// streamed body has no known length.
 func contentLength(request *httpwire.Request) (length int64, known bool) {
 	received := int64(len(request.Body))
 	if request.BodyStream == nil {
@@ -82,7 +84,7 @@
 	return received + remaining, remaining >= 0
 }
 
-// appendProtocolParams appends the protocol's headers.
+// appendProtocolParams appends the params that carry the headers of the protocol between nodes and servers.
 func appendProtocolParams(params []byte, request *httpwire.Request, timeLeft time.Duration) []byte {
 	params = appendParam(params, paramTraceID, request.TraceID)
 	params = appendParam(params, paramIdempotencyKey, request.IdempotencyKey)
--- a/internal/dataplane/upstream/fixture_test.go
+++ b/internal/dataplane/upstream/fixture_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	eventTimeout = 20 * time.Second
-	eventPoll    = time.Millisecond
+	eventTimeout      = 20 * time.Second
+	eventPollInterval = time.Millisecond
 )
 
 // okResponse is a complete response.
@@ -27,15 +27,15 @@
 // eventually waits for a condition.
 func eventually(t *testing.T, condition func() bool, message ...any) {
 	t.Helper()
-	require.Eventually(t, condition, eventTimeout, eventPoll, message...)
+	require.Eventually(t, condition, eventTimeout, eventPollInterval, message...)
 }
 
-// fakeCore is a core with one server. It notes how attempts end.
+// fakeCore is a core with one server. It records the results of attempts.
 type fakeCore struct {
-	refuses     bool                 // no attempt may begin
-	timeLeft    time.Duration        // after which attempts are canceled
-	onBind      func()               // may be nil
-	unavailable func([]*node.Server) // set by the pool
+	refusesBegin bool                 // no attempt may begin
+	timeLeft     time.Duration        // after which attempts are canceled
+	onBind       func()               // may be nil
+	unavailable  func([]*node.Server) // set by the pool
 
 	mu       sync.Mutex
 	address  string
@@ -63,8 +63,8 @@
 }
 
 func (c *fakeCore) Begin(_ *node.Attempt, canceler node.Canceler) bool {
-	time.AfterFunc(c.timeLeft, canceler.Cancel) // one that is late must find nothing to cancel
-	return !c.refuses
+	time.AfterFunc(c.timeLeft, canceler.Cancel) // after the attempt's end it must have no effect
+	return !c.refusesBegin
 }
 
 func (c *fakeCore) TimeLeft(*node.Attempt) time.Duration        { return c.timeLeft }
@@ -103,10 +103,10 @@
 	return c.response
 }
 
-// handler serves one connection, whose number counts from 0.
+// handler serves one connection. Connections are numbered from 0.
 type handler func(s *testServer, number int, c *net.TCPConn)
 
-// testServer is a server with a handler for each connection.
+// testServer is a server that calls a handler for each connection. It records the requests.
 type testServer struct {
 	address string
 
@@ -170,17 +170,19 @@
 	}
 }
 
-// closeWithReset ends a connection by a reset.
+// closeWithReset closes a connection by a reset.
 func closeWithReset(c *net.TCPConn) {
 	c.SetLinger(0)
 	c.Close()
 }
 
-func closeOrderly(c *net.TCPConn) { c.Close() }
+func closeGracefully(c *net.TCPConn) { c.Close() }
 
 func testLimits() limits.Limits {
 	return limits.Limits{
-		Wire:                httpwire.Sizes{BufferSize: 512, ReadSize: 64, MaxHead: 4096, MaxBody: 1 << 16, MaxChunkLine: 64},
+		Wire: httpwire.Sizes{
+			BufferSize: 512, ReadSize: 64, MaxHead: 4096, MaxBody: 1 << 16, MaxChunkLine: 64,
+		},
 		ResponseReadTimeout: 50 * time.Millisecond,
 		ConnectTimeout:      200 * time.Millisecond,
 		ServerIdleTimeout:   300 * time.Millisecond,
@@ -225,7 +227,7 @@
 	return f.core.lastResult()
 }
 
-// latestIdle returns the idle connection to the fixture's server that was used last.
+// latestIdle returns the most recently used idle connection to the fixture's server.
 func (f *fixture) latestIdle() *conn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/dataplane/upstream/idle.go
+++ b/internal/dataplane/upstream/idle.go
@@ -6,11 +6,11 @@
 	"robincart/internal/core/node"
 )
 
-// idleConns are the idle connections of a pool, in two orders: those to each server, the one used last first, and all
-// of them by the time at which they became idle. The pool's mutex guards it.
+// idleConns has the idle connections of a pool in two kinds of linked lists: one list per server, most recently used
+// first, and one list of all, by the time at which they became idle. The pool's mutex guards it.
 type idleConns struct {
-	byServer map[*node.Server]*conn // the first of each server's list
-	byAge    conn                   // the head of the circular list of all: newer is the oldest, older the newest
+	byServer map[*node.Server]*conn // the head of each server's list
+	byAge    conn                   // sentinel of the circular list: newer links to the oldest, older to the newest
 }
 
 func (i *idleConns) init() {
@@ -27,7 +27,7 @@
 	return i.byAge.newer
 }
 
-// latest returns the connection to a server that was used last, or nil.
+// latest returns the most recently used connection to a server, or nil.
 func (i *idleConns) latest(server *node.Server) *conn { return i.byServer[server] }
 
 func (i *idleConns) add(server *node.Server, c *conn, now time.Time) {
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -1,9 +1,9 @@
-// Package upstream keeps the connections to servers and carries out attempts on them, one exchange per attempt.
+// Package upstream manages the connections to servers and carries out attempts on them, one exchange per attempt.
 //
 // A Pool owns the idle connections to the servers of one core; a connection in use belongs to its exchange. An exchange
 // takes an idle connection or opens one, asks the core whether the attempt may still begin, writes the request, reads
-// the response, and reports one result to the core. It never sends a request twice: whether there is another attempt,
-// and at which server, is decided by the core. Servers speak HTTP/1.1 or FastCGI.
+// the response, and reports one result to the core. It never sends a request twice: the core decides whether there is
+// another attempt, and at which server. Servers speak HTTP/1.1 or FastCGI.
 package upstream
 
 import (
@@ -27,40 +27,43 @@
 type Core interface {
 	// Address returns a server's current address, and whether it accepts new attempts.
 	Address(*node.Server) (addr string, ready bool)
-	// Ready reports whether a server accepts new attempts. It never waits for the core.
+	// Ready reports whether a server accepts new attempts. It takes no lock.
 	Ready(*node.Server) bool
-	// Bind sets what cancels an attempt while its server is being connected to. It returns false if the attempt is
-	// over.
+	// Bind sets the canceler of an attempt during the connect to its server. It returns false if the attempt is not
+	// needed any more.
 	Bind(*node.Attempt, node.Canceler) bool
-	// Begin sets what cancels an attempt, and returns false if its first byte must not be written any more.
+	// Begin sets the canceler of an attempt, and returns false if its first byte must not be written any more.
 	Begin(*node.Attempt, node.Canceler) bool
-	// TimeLeft returns the time to an attempt's deadline.
+	// TimeLeft returns the time until an attempt's deadline.
 	TimeLeft(*node.Attempt) time.Duration
-	// BodyReceived reports that the last byte of an attempt's streamed body was written.
+	// BodyReceived reports that the last byte of an attempt's streamed body was written, and the time that is left from
+	// then on.
 	BodyReceived(*node.Attempt, time.Duration)
-	// AttemptDone reports an attempt's result, once, and returns whether its response is the request's.
+	// AttemptDone reports an attempt's result. It is called once, and returns whether the response is forwarded to the
+	// client.
 	AttemptDone(*node.Attempt, decide.Result, *node.Response) (served bool)
-	// OnServersUnavailable sets what is called with servers that accept nothing new any more or have moved.
+	// OnServersUnavailable sets the function that is called with servers that accept no new attempts any more or have
+	// another address.
 	OnServersUnavailable(func([]*node.Server))
 }
 
-// Budget counts the descriptors of connections to servers; limits.Budget is one.
+// Budget counts the descriptors of connections to servers; limits.Budget implements it.
 type Budget interface {
 	// Acquire reserves a descriptor, and returns false if none is left.
 	Acquire() bool
 	// Release returns a descriptor.
 	Release()
-	// SetEvictor sets what closes an idle connection when no descriptor is left.
+	// SetEvictor sets the function that closes an idle connection if no descriptor is left.
 	SetEvictor(func() bool)
 	// Memory returns the budget of memory for responses.
 	Memory() *limits.MemoryBudget
 }
 
-// maxClosedPerSweep bounds the connections that one sweep closes: a moment in which all expire must not hold up those
-// in use.
+// maxClosedPerSweep is the maximum number of connections that one sweep closes, so that many connections that expire at
+// the same time do not delay those in use.
 const maxClosedPerSweep = 256
 
-// timeouts are the limits that new settings change while a pool works.
+// timeouts are the limits that new settings can change while a pool is in use.
 type timeouts struct {
 	connect time.Duration
 	idle    time.Duration // after which an idle connection is closed
@@ -73,10 +76,10 @@
 	timeouts  atomic.Pointer[timeouts]
 	budget    Budget
 	memory    limits.MemoryPool // for responses
-	poller    *poller.Poller    // reports closed idle connections; nil: they are found when they are to be reused
+	poller    *poller.Poller    // reports closed idle connections; nil: getIdle detects them
 	dialer    net.Dialer
 	exchanges workerpool.Pool
-	fastCGI   bool                // the servers speak FastCGI, else HTTP
+	fastCGI   bool                // the servers speak FastCGI; false: HTTP
 	params    map[string]string   // sent with each FastCGI request
 	telemetry *telemetry.Recorder // may be nil
 
@@ -86,13 +89,13 @@
 }
 
 // NewPool returns a pool without connections. The poller may be nil.
-func NewPool(core Core, l limits.Limits, budget Budget, t *poller.Poller) *Pool {
+func NewPool(core Core, l limits.Limits, budget Budget, connPoller *poller.Poller) *Pool {
 	p := &Pool{
 		core:   core,
 		limits: l,
 		budget: budget,
 		memory: budget.Memory().ForResponses(),
-		poller: t,
+		poller: connPoller,
 		dialer: net.Dialer{KeepAlive: -1, Control: socket.NoDelay},
 	}
 	p.idle.init()
@@ -102,16 +105,16 @@
 	return p
 }
 
-// SetRecorder sets the recorder of telemetry events. It is called before the first attempt.
+// SetRecorder sets the recorder of telemetry events. It must be called before the first attempt.
 func (p *Pool) SetRecorder(r *telemetry.Recorder) { p.telemetry = r }
 
-// SetTimeouts takes over a service's timeouts towards its servers.
+// SetTimeouts sets the connect timeout and the idle timeout.
 func (p *Pool) SetTimeouts(l limits.Limits) {
 	p.timeouts.Store(&timeouts{connect: l.ConnectTimeout, idle: l.ServerIdleTimeout})
 }
 
-// UseFastCGI makes the pool speak FastCGI. The params are sent with each request, beside those that follow from the
-// request. It is called before the first attempt.
+// UseFastCGI makes the pool speak FastCGI. The params are sent with each request, in addition to those of the request
+// itself. It must be called before the first attempt.
 func (p *Pool) UseFastCGI(params map[string]string) {
 	p.fastCGI = true
 	p.params = params
@@ -127,7 +130,7 @@
 	(&exchange{pool: p, attempt: attempt, request: request}).Run()
 }
 
-// Run closes expired connections periodically, and the pool when the context ends.
+// Run closes expired connections periodically. It closes the pool and returns when the context is done.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(p.limits.SweepInterval)
 	defer ticker.Stop()
@@ -142,8 +145,8 @@
 	}
 }
 
-// CloseExpired closes the connections whose idle timeout is over, and ends goroutines that were not needed lately. An
-// owner of many pools calls it instead of Run.
+// CloseExpired closes the connections whose idle timeout has expired, and ends goroutines that were not needed since
+// the last call. An owner of many pools calls it instead of Run.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.exchanges.Trim()
 	for range maxClosedPerSweep {
@@ -166,7 +169,7 @@
 	return c
 }
 
-// Close waits for the exchanges, which the core has canceled by then, and closes all connections.
+// Close waits for the exchanges and closes all connections. The core must have canceled the exchanges before.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -214,8 +217,8 @@
 	}
 }
 
-// getIdle takes the idle connection to a server that was used last, so that the others expire if they are not needed.
-// It returns nil if none can be used.
+// getIdle takes the most recently used idle connection to a server, so that the others expire if they are not needed.
+// It returns nil if no connection can be used.
 func (p *Pool) getIdle(server *node.Server, address string) *conn {
 	for {
 		p.mu.Lock()
@@ -236,7 +239,7 @@
 	}
 }
 
-// putIdle makes a connection idle, or closes it where its server accepts nothing new.
+// putIdle makes a connection idle, or closes it if its server accepts no new attempts or the pool is closed.
 func (p *Pool) putIdle(server *node.Server, c *conn) {
 	c.releaseBuffers()
 	p.mu.Lock()
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -18,8 +18,8 @@
 	"robincart/internal/testutil"
 )
 
-// The server writes each response twice, the second time when the next request on the connection has arrived, so late
-// that no look at the connection finds it before.
+// The server writes each response twice, the second time after the next request on the connection has arrived. So no
+// check of the connection before its reuse can detect the surplus response: only the settle time protects against it.
 func TestPool_ConnectionSettlesAfterResponse(t *testing.T) {
 	server := startServer(t, func(s *testServer, number int, c *net.TCPConn) {
 		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", number)
@@ -38,7 +38,7 @@
 		assert.Equal(t, decide.OK, f.attempt())
 		assert.Equal(t, fmt.Sprint(number), string(f.core.response.Body))
 	}
-	f.limits.ResponseSettleTime = 0 // it is over
+	f.limits.ResponseSettleTime = 0 // the connection may be reused at once
 	before := server.connCount()
 	f.attempt()
 	assert.Equal(t, before, server.connCount())
@@ -61,15 +61,15 @@
 	assert.Equal(t, before, server.connCount())
 }
 
-// A connection that the server has closed or written to is not written to.
+// An idle connection that the server has closed or sent bytes on is not reused.
 func TestPool_StaleConnectionIsNotReused(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
-		"end":   closeOrderly,
+		"end":   closeGracefully,
 		"reset": closeWithReset,
 		"data":  func(c *net.TCPConn) { io.WriteString(c, "HTTP/1.1 408 Slow\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			idle := make(chan struct{}) // closed when the first connection is
+			idle := make(chan struct{}) // closed when the first connection is idle
 			server := startServer(t, func(s *testServer, number int, c *net.TCPConn) {
 				s.read(c)
 				io.WriteString(c, okResponse)
@@ -91,7 +91,7 @@
 	}
 }
 
-// A response says that its connection ends after it, and the server leaves it open.
+// A connection is not reused after a response that announces its end, even if the server leaves it open.
 func TestPool_ClosingConnectionIsNotReused(t *testing.T) {
 	for name, response := range map[string]string{
 		"Connection: close": "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
@@ -129,7 +129,7 @@
 	assert.InDelta(t, testLimits().ServerIdleTimeout.Seconds(), closedAt.Sub(start).Seconds(), 0.2)
 }
 
-// A server that becomes unavailable loses its idle connections, and those that become idle later.
+// If a server becomes unavailable, its idle connections are closed, and the others as soon as they are not in use.
 func TestPool_ServerUnavailable(t *testing.T) {
 	closed := make(chan bool, 9)
 	server := startServer(t, func(s *testServer, _ int, c *net.TCPConn) {
@@ -139,13 +139,13 @@
 	})
 	f := newFixture(t, server.address, 5)
 	assert.Equal(t, decide.OK, f.attempt())
-	f.Exchange(&node.Attempt{Server: f.server, FreshConnection: true}, f.request) // the idle one is not trusted
+	f.Exchange(&node.Attempt{Server: f.server, FreshConnection: true}, f.request) // closes the idle connection
 	assert.True(t, testutil.Receive(t, closed))
 	f.core.unavailable([]*node.Server{f.server})
 	assert.True(t, testutil.Receive(t, closed))
 
 	f.attempt()
-	inUse := f.getIdle(f.server, server.address) // in use when the server goes
+	inUse := f.getIdle(f.server, server.address) // in use when the server becomes unavailable
 	f.core.setGone(true)
 	f.putIdle(f.server, inUse)
 	assert.True(t, testutil.Receive(t, closed))
@@ -163,12 +163,13 @@
 	f := newFixture(t, server.address, 1)
 	assert.Equal(t, decide.OK, f.attempt())
 	close(idle)
-	// Its descriptor is released although nothing uses the pool. Acquire would evict the connection, and show nothing.
+	// The descriptor is released without a call of the pool. Acquire can't be used for the check, since it would evict
+	// the idle connection.
 	eventually(t, func() bool { return f.budget.Available() == 1 })
 	assert.Zero(t, f.idleServers())
 }
 
-func TestPool_IdleConnectionsGiveWay(t *testing.T) {
+func TestPool_EvictsIdleConnections(t *testing.T) {
 	first, second := startServer(t, respond(okResponse)), startServer(t, respond(okResponse))
 	f := newFixture(t, first.address, 1)
 	assert.Equal(t, decide.OK, f.attempt())
@@ -177,13 +178,13 @@
 	assert.Equal(t, decide.OK, f.attempt(), "the idle connection to the first server was closed")
 	assert.Equal(t, 1, f.idleServers())
 
-	// With none idle the request was not sent, and no server is to blame.
+	// Without an idle connection to evict, the request is not sent, which does not count against the server.
 	assert.True(t, f.EvictIdle())
 	require.True(t, f.budget.Acquire())
 	assert.Equal(t, decide.NotSent, f.attempt())
 }
 
-// What the system held back of small writes would be lost where a close over unread bytes resets their connection.
+// Small writes that the kernel delays would be lost if the connection is reset by a close with unread bytes.
 func TestPool_ConnectionsSendSmallWritesAtOnce(t *testing.T) {
 	f := newFixture(t, startServer(t, respond(okResponse)).address, 5)
 	require.Equal(t, decide.OK, f.attempt())
--- a/internal/dataplane/upstream/request.go
+++ b/internal/dataplane/upstream/request.go
@@ -13,10 +13,10 @@
 	"robincart/internal/system/socket"
 )
 
-// requestBufferSize is what the head of nearly any request fits in, with a small body behind it.
+// requestBufferSize is the initial size of a request buffer, in bytes. Nearly all heads with a small body fit into it.
 const requestBufferSize = 1 << 10
 
-// chunkHeadSize is room for the size line of a chunk.
+// chunkHeadSize is the space for the size line of a chunk, in bytes.
 const chunkHeadSize = 16
 
 var requestBuffers = sync.Pool{New: func() any {
@@ -25,13 +25,14 @@
 }}
 
 var (
-	// errClientBody wraps a failure to read a streamed body from its client. The server is not to blame.
-	errClientBody = errors.New("the request's body was not received")
+	// errClientBody wraps a failure to read a streamed body from its client, which is not a fault of the server.
+	errClientBody = errors.New("the request body was not received completely from the client")
 	// errCanceled ends the writing of a request whose attempt was canceled.
 	errCanceled = errors.New("the attempt was canceled")
 )
 
-// sendResult returns the result of an attempt whose request could not be written completely, so that it never ran.
+// sendResult returns the result of an attempt whose request could not be written completely, so that the request
+// never ran.
 func sendResult(err error) decide.Result {
 	if errors.Is(err, errClientBody) {
 		return decide.NotSent
@@ -39,7 +40,7 @@
 	return decide.ConnectFailed
 }
 
-// send writes the request. After an error its last byte has not been written.
+// send writes the request. If it returns an error, the request's last byte was not written.
 func (e *exchange) send(c *conn) error {
 	buffer := requestBuffers.Get().(*[]byte)
 	defer requestBuffers.Put(buffer)
@@ -51,7 +52,7 @@
 	return c.writeMessage(buffer, e.request.Body)
 }
 
-// appendHead appends a request's head, which tells the server how much time is left.
+// appendHead appends a request's head, which includes the time left.
 func (c *conn) appendHead(to []byte, request *httpwire.Request, timeLeft time.Duration) []byte {
 	if c.fastCGI != nil {
 		return c.fastCGI.appendHead(to, request, c.address, timeLeft)
@@ -59,7 +60,7 @@
 	return request.AppendHead(to, c.address, timeLeft)
 }
 
-// writeMessage writes a head and a complete body in one call, appending the body to the head where it has room.
+// writeMessage writes a head and a complete body in one call. The body is appended to the head if the buffer has space.
 func (c *conn) writeMessage(head *[]byte, body []byte) error {
 	room := cap(*head) - len(*head)
 	switch {
@@ -77,13 +78,13 @@
 	return socket.Write(c.Conn, *head)
 }
 
-// bodyFraming is how a streamed body is written.
+// bodyFraming determines the bytes that are written for a streamed body.
 type bodyFraming struct {
-	frame func(piece []byte) net.Buffers
-	end   []byte // follows the last piece; nil: nothing does
+	frame func(piece []byte) net.Buffers // returns what is written for a piece of the body
+	end   []byte                         // written after the last piece; may be nil
 }
 
-// bodyFraming returns the framing of a body, which is one of unknown length or not.
+// bodyFraming returns the framing of a streamed body, whose length may be unknown.
 func (c *conn) bodyFraming(unknownLength bool) bodyFraming {
 	if c.fastCGI != nil {
 		return bodyFraming{frame: c.fastCGI.bodyRecords, end: c.fastCGI.appendBodyEnd(nil)}
@@ -98,8 +99,8 @@
 	return framing
 }
 
-// upload writes a request whose body is still being received, piece by piece. Until its last byte is written the
-// server has begun nothing, whatever fails.
+// upload writes a request whose body is still being received, piece by piece. If it returns an error, the last byte was
+// not written, so the server has not begun to run the request.
 func (e *exchange) upload(c *conn, head []byte) error {
 	body := e.request.BodyStream
 	defer body.Release()
@@ -123,7 +124,7 @@
 	c.SetWriteDeadline(time.Time{})
 	e.pool.core.BodyReceived(e.attempt, e.request.TimeLeft)
 	if e.canceled() {
-		c.SetDeadline(aLongTimeAgo)
+		c.SetDeadline(pastDeadline)
 	}
 	return nil
 }
@@ -147,10 +148,10 @@
 	return nil
 }
 
-// write writes to a server that may stall, but not for ever.
+// write writes to a server. It fails if that takes longer than RequestStallTimeout.
 func (e *exchange) write(c *conn, parts net.Buffers) error {
 	c.SetWriteDeadline(time.Now().Add(e.pool.limits.RequestStallTimeout))
-	if e.canceled() { // the new deadline may have overwritten the cancellation's
+	if e.canceled() { // the new deadline may have overwritten that of the cancellation
 		return errCanceled
 	}
 	return socket.WriteBuffers(c.Conn, &parts)
--- a/internal/dataplane/upstream/response.go
+++ b/internal/dataplane/upstream/response.go
@@ -10,20 +10,20 @@
 	"robincart/internal/protocol/httpwire"
 )
 
-// responseStream is the rest of a large response, which is passed on while it arrives.
+// responseStream is the remainder of a large response, which is forwarded while it arrives.
 type responseStream struct {
 	*httpwire.BodyStream
-	reusable bool      // its connection can carry another request after it
-	closed   chan bool // receives once: whether the reader has passed it on completely
+	reusable bool      // the connection can carry another request after the response
+	closed   chan bool // receives one value: whether the reader has forwarded the response completely
 }
 
-// Close ends the reading. The exchange then decides what becomes of the connection.
-func (r *responseStream) Close(passedOn bool) { r.closed <- passedOn }
+// Close ends the reading, and lets the exchange reuse or close the connection.
+func (r *responseStream) Close(complete bool) { r.closed <- complete }
 
 // awaitComplete waits for Close, and reports whether the stream was read to its end.
 func (r *responseStream) awaitComplete() bool { return <-r.closed && r.Complete() }
 
-// readResponse reads the response. Without a complete one, the request may have run.
+// readResponse reads the response. If the response is not complete, the request may have run.
 func (e *exchange) readResponse(c *conn) outcome {
 	c.exchange = e
 	response, err := c.reader.ReadResponse()
@@ -44,9 +44,9 @@
 	return outcome{result: decide.Failed, reusable: reusable}
 }
 
-// readResult returns the result of an attempt whose response could not be read. A malformed response, and one whose
-// rest does not arrive, are of a server that is alive, so they are no reset. The core knows a reset that it caused by a
-// cancellation.
+// readResult returns the result of an attempt whose response could not be read. If the response is malformed, or its
+// remainder does not arrive in time, the result is Failed and not Reset, since the server is alive. If the attempt was
+// canceled, it is Reset; the core knows that it has canceled the attempt.
 func (e *exchange) readResult(err error) decide.Result {
 	if e.canceled() {
 		return decide.Reset
@@ -57,7 +57,7 @@
 	return decide.Reset
 }
 
-// isRejection reports whether a server rejected a request without running it. The status alone does not say so.
+// isRejection reports whether a server rejected a request without running it. The status alone does not show that.
 func isRejection(response *httpwire.ServerResponse) bool {
 	if !response.NeverRan {
 		return false
