--- a/internal/dataplane/services/manager.go
+++ b/internal/dataplane/services/manager.go
@@ -35,7 +35,7 @@
 	OnServiceStart func(*node.Core)
 	// Keys has the TLS keys by which this process and discovery authenticate each other.
 	Keys *keys.Ring
-	// Dial connects to discovery, in place of a dialer of the machine's network.
+	// Dial replaces the default dialer of connections to discovery.
 	Dial endpoints.DialFunc
 	// Telemetry records the events of the services' cores and connections.
 	Telemetry *telemetry.Recorder
--- a/internal/dataplane/upstream/cgiresponse.go
+++ b/internal/dataplane/upstream/cgiresponse.go
@@ -17,7 +17,7 @@
 // fieldNeverRan is the key of httpwire.HeaderNeverRan in fcgi.CGI.Fields, whose keys are in lower case.
 const fieldNeverRan = "x-never-ran"
 
-// cgiStage is the stage in which a response is received.
+// cgiStage is the part of a response that is being received.
 //
 //	from        event                             to
 //	not begun   first bytes received              head
@@ -41,7 +41,7 @@
 	stderrBytes   int    // received so far
 
 	translated []byte // the response as HTTP/1.1; discarded after it was read
-	readOffset int    // bytes of the translated text that were read
+	readOffset int    // number of bytes of translated that were read
 }
 
 func (r *cgiResponse) reset() {
--- a/internal/dataplane/upstream/conn.go
+++ b/internal/dataplane/upstream/conn.go
@@ -39,7 +39,7 @@
 	fastCGI      *fastCGIConn // nil if the server speaks HTTP
 	address      string
 	registration poller.Registration
-	exchange     *exchange // that is reading a response; may be nil
+	exchange     *exchange // the exchange that reads the response now; nil: none
 	progress     responseProgress
 
 	// Guarded by the pool's mutex:
@@ -47,8 +47,8 @@
 	idleSince time.Time
 	// Links of the lists of idleConns:
 	server                     *node.Server
-	nextToServer, prevToServer *conn // connections to the same server, most recently used first
-	older, newer               *conn // all idle connections, by idleSince
+	nextToServer, prevToServer *conn // neighbors among those to the same server, most recently used first
+	older, newer               *conn // neighbors among all, by idleSince
 }
 
 func (p *Pool) newConn(netConn net.Conn, address string) *conn {
--- a/internal/dataplane/upstream/exchange.go
+++ b/internal/dataplane/upstream/exchange.go
@@ -31,7 +31,7 @@
 	request *httpwire.Request
 
 	stage         atomic.Int32         // an exchangeStage
-	conn          atomic.Pointer[conn] // nil before the connect has succeeded
+	conn          atomic.Pointer[conn] // nil until one is taken or opened
 	cancelConnect context.CancelFunc   // set before Core.Bind; nil if no connect is needed
 }
 
