--- a/cmd/robincart/fileservices_test.go
+++ b/cmd/robincart/fileservices_test.go
@@ -338,8 +338,8 @@
 			"gateway[1].left: it is negative",
 			`gateway[1].params: "A B"`,
 			`line 18: route[1].to: there is no service "b"`,
-			`is to be written "a.org"`,
-			"line 22: route[3]: route 3: can't be told apart from route 2"} {
+			`expected the canonical form "a.org"`,
+			"line 22: route[3]: route 3: it matches the same requests as route 2"} {
 			assert.Contains(t, out, want)
 		}
 	}
--- a/internal/core/routes/canonical.go
+++ b/internal/core/routes/canonical.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// What can't be brought to one canonical form is rejected: two readers of it could disagree, and a route could be
-// bypassed.
+// Host and Path reject input that has no unique canonical form. The load balancer and a server could interpret it
+// differently, and a request could bypass a route.
 var (
 	ErrInvalidHost = errors.New("not a host name")
 	ErrInvalidPath = errors.New("ambiguous or malformed path")
@@ -20,8 +20,8 @@
 	hexDigits = "0123456789ABCDEF"
 )
 
-// Host brings a Host header to its canonical form: lower case, without port and without a trailing dot. Addresses stay
-// as they are, those of IPv6 in brackets.
+// Host converts a Host header to its canonical form: lower case, without a port and without a trailing dot. IP
+// addresses are kept; an IPv6 address keeps its brackets.
 func Host(s string) (string, error) {
 	if strings.HasPrefix(s, "[") {
 		return hostIPv6(s)
@@ -45,7 +45,7 @@
 	return toLower(name), nil
 }
 
-// hostIPv6 is Host for an address in brackets.
+// hostIPv6 is like Host, for an IPv6 address in brackets.
 func hostIPv6(s string) (string, error) {
 	end := strings.IndexByte(s, ']')
 	if end < 0 || !isPortSuffix(s[end+1:]) {
@@ -74,7 +74,7 @@
 	return true
 }
 
-// isPortSuffix returns whether what follows a name is nothing, or a colon and a port.
+// isPortSuffix returns whether the text after a host name is empty, or a colon and a valid port.
 func isPortSuffix(s string) bool {
 	if s == "" {
 		return true
@@ -99,7 +99,7 @@
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
 }
 
-// toLower allocates only where something changes.
+// toLower converts a string to lower case. It allocates memory only if the string changes.
 func toLower(s string) string {
 	for _, c := range []byte(s) {
 		if c >= 'A' && c <= 'Z' {
@@ -109,9 +109,10 @@
 	return s
 }
 
-// Path brings a target's path to its canonical form: escapes of what needs none are decoded, those that stay are in
-// upper case. It rejects what servers read in different ways: dot segments and empty ones, plain or escaped, escaped
-// slashes, backslashes and controls, and whatever is no escape. A trailing slash stays and makes no segment.
+// Path converts the path of a request target to its canonical form: percent-encoded characters that need no encoding
+// are decoded, and the remaining escapes are in upper case. It rejects paths that servers interpret in different ways:
+// those with empty segments, with dot segments (plain or percent-encoded), with percent-encoded slashes, backslashes or
+// control characters, and with a malformed escape. A trailing slash is kept and does not count as an empty segment.
 func Path(s string) (string, error) {
 	if s == "" || s[0] != '/' {
 		return "", ErrInvalidPath
@@ -131,13 +132,13 @@
 			return "", err
 		}
 	}
-	if !hasPlainSegments(s) {
+	if !hasNormalizedSegments(s) {
 		return "", ErrInvalidPath
 	}
 	return s, nil
 }
 
-// isPathByte returns whether a byte may be part of a path without being escaped.
+// isPathByte returns whether a byte may be part of a path without percent-encoding.
 func isPathByte(c byte) bool {
 	switch c {
 	case '\\', '?', '#', '"', '<', '>', '^', '`', '{', '|', '}':
@@ -146,7 +147,7 @@
 	return c > ' ' && c < 0x7f
 }
 
-// normalizeEscapes decodes the escapes of what needs none, and writes the others in upper case.
+// normalizeEscapes decodes percent-encoded characters that need no encoding, and converts other escapes to upper case.
 func normalizeEscapes(s string) (string, error) {
 	out := make([]byte, 0, len(s))
 	for i := 0; i < len(s); i++ {
@@ -174,8 +175,8 @@
 	return string(out), nil
 }
 
-// hasPlainSegments returns whether no segment of a path is a dot segment, and none but the last is empty.
-func hasPlainSegments(path string) bool {
+// hasNormalizedSegments returns whether a path has no dot segment and no empty segment besides the last one.
+func hasNormalizedSegments(path string) bool {
 	rest, more := path[1:], true
 	for more {
 		var segment string
@@ -187,7 +188,7 @@
 	return true
 }
 
-// hexValue is the value of a hexadecimal digit; below 0 for other bytes.
+// hexValue returns the value of a hexadecimal digit, or -1 for any other byte.
 func hexValue(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
--- a/internal/core/routes/canonical_test.go
+++ b/internal/core/routes/canonical_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// checkCanonical checks a function for each input of a table; where the wanted form is empty, the input is rejected.
+// checkCanonical checks a conversion function. The table maps inputs to their canonical form, or to an empty string if
+// the input must be rejected.
 func checkCanonical(t *testing.T, canonical func(string) (string, error), table map[string]string) {
 	t.Helper()
 	for in, want := range table {
@@ -55,7 +56,7 @@
 	})
 }
 
-// Whatever is sent, the canonical form is stable, and a rule's path matches complete segments.
+// A canonical path does not change when it is converted again, and a rule's path matches only complete segments.
 func FuzzPath(f *testing.F) {
 	for _, s := range []string{"/a/b", "/%61%2e", "/a%2fb", "/..%2f", "//", "/%C3%A9/"} {
 		f.Add(s)
--- a/internal/core/routes/lookup.go
+++ b/internal/core/routes/lookup.go
@@ -2,15 +2,15 @@
 
 import "strings"
 
-// Request is what a lookup reads. Host and Path are canonical.
+// Request is the part of a request that a lookup reads. Host and Path must be in canonical form.
 type Request struct {
 	Host, Path, Class                       string
 	TraceID, Tenant, IdempotencyKey, Client string
-	Header                                  map[string][]string // names as net/textproto spells them
+	Header                                  map[string][]string // by name in the canonical form of net/textproto
 }
 
-// Find returns the rule that matches a request, by its index, and which of its services the request goes to. ok is
-// false if no rule matches.
+// Find returns the index of the rule that applies to a request, and the number of the service that the request goes to.
+// ok is false if no rule matches.
 func (t *Table) Find(q *Request) (rule, service int, ok bool) {
 	c := t.findByHost(q)
 	if c == nil {
@@ -33,7 +33,7 @@
 	return t.anyHost.find(t.maxDepth, q)
 }
 
-// findByWildcard tries the longest wildcard first.
+// findByWildcard returns the matching rule with the longest wildcard host; nil if there is none.
 func (t *Table) findByWildcard(q *Request) *compiledRule {
 	_, suffix, found := strings.Cut(q.Host, ".")
 	for found {
@@ -45,12 +45,13 @@
 	return nil
 }
 
-// find returns the rule with the longest path that matches, below a host's root; nil if there is none, or no root.
+// find returns the matching rule with the longest path in a host's tree. n is the root of the tree. It returns nil if n
+// is nil or no rule matches.
 func (n *pathNode) find(maxDepth int, q *Request) *compiledRule {
 	if n == nil {
 		return nil
 	}
-	var matching [maxSegments + 1]*classIndex // by length of their path
+	var matching [maxSegments + 1]*classIndex // rules on the request's path, shortest path first
 	count := 0
 	if n.rules != nil {
 		matching[count] = n.rules
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// nextSegment cuts the first segment, with its slash, from a path.
+// nextSegment splits a path into its first segment, without the slash, and the rest.
 func nextSegment(path string) (segment, rest string) {
 	path = path[1:]
 	end := strings.IndexByte(path, '/')
@@ -96,14 +97,14 @@
 	return i.anyClass.find(q)
 }
 
-// find returns nil if no rule matches, or there are none.
+// find returns the matching rule of the index; nil if h is nil or no rule matches.
 func (h *headerIndex) find(q *Request) *compiledRule {
 	if h == nil {
 		return nil
 	}
 	for i := range h.headers {
 		values := q.Header[h.headers[i].name]
-		if len(values) != 1 { // a repeated header equals nothing
+		if len(values) != 1 { // a repeated header matches no required value
 			continue
 		}
 		if c := h.headers[i].byValue[values[0]]; c != nil {
--- a/internal/core/routes/rule.go
+++ b/internal/core/routes/rule.go
@@ -8,45 +8,47 @@
 )
 
 const (
-	maxSegments = 32  // of a rule's path
-	maxWeight   = 1e9 // of one side of a split
+	maxSegments = 32  // in a rule's path
+	maxWeight   = 1e9 // of one service in a split
 
 	wildcardPrefix = "*."
 )
 
-// What a split goes by. Requests with equal keys go to the same service.
+// The values of Rule.SplitBy. Each names the part of a request that is the key of a split: requests with equal keys go
+// to the same service.
 const (
-	splitByTrace  = "trace"
-	splitByTenant = "tenant"
-	splitByMark   = "mark" // the idempotency key
-	splitByClient = "client"
+	splitByTrace          = "trace"
+	splitByTenant         = "tenant"
+	splitByIdempotencyKey = "mark"
+	splitByClient         = "client"
 
 	splitByHeaderPrefix = "header:"
 )
 
-// Rule is one route. What it leaves open matches anything.
+// Rule is one route. A request matches if it meets all conditions; an empty Host, Path, Class or Header is no
+// condition.
 type Rule struct {
 	Name          string
-	Host          string // "booking.example.org", or "*.example.org" for any name below it
-	Path          string // a prefix by complete segments: "/book" matches /book and /book/x, not /bookings
+	Host          string // "booking.example.org", or "*.example.org" for any subdomain
+	Path          string // a prefix of complete segments: "/book" matches /book and /book/x, not /bookings
 	Class         string
-	Header        string // its name
-	Value         string // that it must have
-	HeaderPresent bool   // it may have any value, but has to be there
+	Header        string // name of a required header
+	Value         string // required value of the header
+	HeaderPresent bool   // the header has to be present, with any value
 
-	To      []Weight // one service, or a split
-	SplitBy string   // what a split goes by: "trace", "tenant", "mark", "client" or "header:NAME"
+	To      []Weight // one service, or several for a split
+	SplitBy string   // the key of a split: "trace", "tenant", "mark", "client" or "header:NAME"
 }
 
-// Weight is one side of a split.
+// Weight is one service of a split, with its share of the requests relative to the other weights.
 type Weight struct {
 	Service int
 	Weight  float64
 }
 
-// RuleError is a rule that can't be used.
+// RuleError reports an invalid rule.
 type RuleError struct {
-	Rule  string // its name
+	Rule  string // name of the rule
 	Cause error
 }
 
@@ -54,14 +56,14 @@
 
 func (e *RuleError) Unwrap() error { return e.Cause }
 
-// compiledRule is a rule of a table.
+// compiledRule is a rule in a table.
 type compiledRule struct {
 	Rule
-	index      int       // among the table's rules
-	cumulative []float64 // weights of a split, as fractions; the last is 1
+	index      int       // in Table.rules
+	cumulative []float64 // cumulative weights of the services of a split, as fractions; the last one is 1
 }
 
-// compile validates a rule. The error joins all that is wrong with it.
+// compile validates and compiles a rule. The error joins all problems of the rule.
 func (r Rule) compile(services int) (*compiledRule, error) {
 	err := errors.Join(
 		r.validateHost(),
@@ -86,7 +88,7 @@
 		return fmt.Errorf("host %q: %w", r.Host, err)
 	}
 	if host != name {
-		return fmt.Errorf("host %q is to be written %q, without a port", r.Host, host)
+		return fmt.Errorf("host %q: expected the canonical form %q, without a port", r.Host, host)
 	}
 	return nil
 }
@@ -100,17 +102,18 @@
 	if err != nil {
 		errs = append(errs, fmt.Errorf("path %q: %w", r.Path, err))
 	} else if path != r.Path {
-		errs = append(errs, fmt.Errorf("path %q is to be written %q", r.Path, path))
+		errs = append(errs, fmt.Errorf("path %q: expected the canonical form %q", r.Path, path))
 	}
 	if strings.Count(r.Path, "/") > maxSegments {
-		errs = append(errs, fmt.Errorf("path %q has more than %d segments", r.Path, maxSegments))
+		errs = append(errs, fmt.Errorf("path %q has %d slashes, expected at most %d",
+			r.Path, strings.Count(r.Path, "/"), maxSegments))
 	}
 	return errors.Join(errs...)
 }
 
 func (r Rule) validateClass() error {
 	if strings.ContainsAny(r.Class, "/ \t\r\n") {
-		return fmt.Errorf("class %q", r.Class)
+		return fmt.Errorf("class %q: expected no slashes, spaces, tabs or line breaks", r.Class)
 	}
 	return nil
 }
@@ -118,19 +121,19 @@
 func (r Rule) validateHeader() error {
 	if r.Header == "" {
 		if r.HeaderPresent || r.Value != "" {
-			return errors.New("a header's value without its name")
+			return errors.New("value or any is set, but header is missing")
 		}
 		return nil
 	}
 	var errs []error
 	if canonical := canonicalHeader(r.Header); r.Header != canonical {
-		errs = append(errs, fmt.Errorf("header %q is to be written %q", r.Header, canonical))
+		errs = append(errs, fmt.Errorf("header %q: expected the canonical form %q", r.Header, canonical))
 	}
 	if !r.HeaderPresent && r.Value == "" {
-		errs = append(errs, fmt.Errorf("header %s: neither a value nor any", r.Header))
+		errs = append(errs, fmt.Errorf("header %s: expected value or any, found neither", r.Header))
 	}
 	if r.HeaderPresent && r.Value != "" {
-		errs = append(errs, fmt.Errorf("header %s: a value and any exclude each other", r.Header))
+		errs = append(errs, fmt.Errorf("header %s: expected value or any, found both", r.Header))
 	}
 	return errors.Join(errs...)
 }
@@ -138,17 +141,18 @@
 func (r Rule) validateSplit(services int) error {
 	var errs []error
 	if len(r.To) == 0 {
-		errs = append(errs, errors.New("it has no service"))
+		errs = append(errs, errors.New("it names no service"))
 	}
 	for i, w := range r.To {
 		if w.Service < 0 || w.Service >= services {
-			errs = append(errs, errors.New("no such service"))
+			errs = append(errs, fmt.Errorf("no such service: number %d, expected 0 to %d", w.Service, services-1))
 		}
 		if !(w.Weight > 0 && w.Weight <= maxWeight) && len(r.To) > 1 {
-			errs = append(errs, fmt.Errorf("weight %v is not above 0", w.Weight))
+			errs = append(errs,
+				fmt.Errorf("split[%d]: weight %v, expected above 0 and at most %v", i+1, w.Weight, maxWeight))
 		}
 		if slices.ContainsFunc(r.To[:i], func(o Weight) bool { return o.Service == w.Service }) {
-			errs = append(errs, errors.New("its split names a service twice"))
+			errs = append(errs, fmt.Errorf("split[%d] names the same service as an earlier entry", i+1))
 		}
 	}
 	return errors.Join(append(errs, r.validateSplitKey())...)
@@ -157,37 +161,37 @@
 func (r Rule) validateSplitKey() error {
 	_, byHeader := strings.CutPrefix(r.SplitBy, splitByHeaderPrefix)
 	switch r.SplitBy {
-	case splitByTrace, splitByTenant, splitByMark, splitByClient:
+	case splitByTrace, splitByTenant, splitByIdempotencyKey, splitByClient:
 		return nil
 	case "":
 		if len(r.To) > 1 {
-			return errors.New("a split needs a key that it goes by")
+			return fmt.Errorf("by is missing: a split over %d services needs a key", len(r.To))
 		}
 		return nil
 	}
 	if !byHeader {
-		return fmt.Errorf("by %q is none of trace, tenant, mark, client, header:NAME", r.SplitBy)
+		return fmt.Errorf("by %q: expected trace, tenant, mark, client or header:NAME", r.SplitBy)
 	}
 	return nil
 }
 
-// cumulativeWeights are the upper borders of the sides of a split, as fractions.
+// cumulativeWeights returns the upper bound of each service's part of a split, as fractions of 1.
 func (r Rule) cumulativeWeights() []float64 {
 	sum := 0.0
 	for _, w := range r.To {
 		sum += w.Weight
 	}
-	borders := make([]float64, len(r.To))
-	border := 0.0
+	bounds := make([]float64, len(r.To))
+	bound := 0.0
 	for i, w := range r.To {
-		border += w.Weight / sum
-		borders[i] = border
+		bound += w.Weight / sum
+		bounds[i] = bound
 	}
-	borders[len(borders)-1] = 1
-	return borders
+	bounds[len(bounds)-1] = 1
+	return bounds
 }
 
-// canonicalHeader spells a name as net/textproto does.
+// canonicalHeader returns a header name in the canonical form of net/textproto.
 func canonicalHeader(s string) string {
 	const toLower = 'a' - 'A'
 	b := []byte(s)
--- a/internal/core/routes/table.go
+++ b/internal/core/routes/table.go
@@ -1,9 +1,9 @@
-// Package routes decides which service a request goes to, by its host, path, class and headers.
+// Package routes selects the service of a request by the request's host, path, class and headers.
 //
-// It is pure: rules are validated and compiled into a Table once; a lookup reads nothing but the request and allocates
-// nothing, and its cost grows with the request's labels and segments, not with the number of rules. The package also
-// defines the canonical form of hosts and paths, in which both rules and requests have to be. It does not know what a
-// service is: rules name them by number.
+// It has no state besides its tables and no I/O: rules are validated and compiled into a Table once. A lookup reads
+// only the table and the request, and allocates no memory. Its cost grows with the number of labels in the request's
+// host and of segments in its path, not with the number of rules. The package also defines the canonical form that
+// hosts and paths must have in rules and in requests. Rules identify services by number only.
 package routes
 
 import (
@@ -14,48 +14,50 @@
 	"strings"
 )
 
-// maxHeaders is how many header names the rules of one host, path and class may have.
+// maxHeaders is the largest number of different header names in the rules of one host, path and class.
 const maxHeaders = 16
 
-// Table is a set of rules, compiled.
+// Table is a compiled set of rules.
 //
-// The most specific rule wins: first by host (exact, then the longest wildcard, then none), then by the longest path,
-// then by class, then by header (a value before mere presence, each in the order of names). A rule whose host fits but
-// whose path, class or header does not gives way to the next.
+// Of the rules that match a request in host, path, class and header, the most specific one applies. Rules are compared
+// by host first (exact, then the longest wildcard, then none), then by path (the longest first), then by class (one
+// before none), then by header (a required value, then mere presence, then none; several of one kind in the order of
+// the header names).
 type Table struct {
 	rules     []Rule
 	exact     map[string]*pathNode // by host
-	wildcards map[string]*pathNode // by what follows the "*."
-	anyHost   *pathNode
-	maxDepth  int // segments in any rule's path
+	wildcards map[string]*pathNode // by the suffix after "*."
+	anyHost   *pathNode            // nil: each rule has a host
+	maxDepth  int                  // largest number of segments in the path of a rule
 }
 
-// pathNode is a node in the tree of the paths of one host, one level a segment.
+// pathNode is a node in the tree of the paths of one host. Each level of the tree is one segment.
 type pathNode struct {
 	children map[string]*pathNode
-	rules    *classIndex // nil: no rule has this path
+	rules    *classIndex // nil: no rule ends at this path
 }
 
-// classIndex are the rules of one host and path.
+// classIndex holds the rules of one host and path.
 type classIndex struct {
 	byClass  map[string]*headerIndex
 	anyClass *headerIndex
 }
 
-// headerIndex are the rules of one host, path and class.
+// headerIndex holds the rules of one host, path and class.
 type headerIndex struct {
-	headers  []headerRules // in the order of names
+	headers  []headerRules // sorted by name
 	noHeader *compiledRule
 }
 
-// headerRules are the rules of one host, path, class and header name.
+// headerRules holds the rules of one host, path, class and header name.
 type headerRules struct {
 	name     string
 	byValue  map[string]*compiledRule
 	anyValue *compiledRule
 }
 
-// Compile validates rules and creates a table. The error joins one RuleError for each rule that can't be used.
+// Compile validates rules and creates a table. services is the number of services: rules identify them by 0 to
+// services-1. The error joins one RuleError for each invalid rule.
 func Compile(rules []Rule, services int) (*Table, error) {
 	t := &Table{rules: rules, exact: map[string]*pathNode{}, wildcards: map[string]*pathNode{}}
 	var errs []error
@@ -67,13 +69,14 @@
 		}
 		c.index = i
 		if other := t.add(c); other != nil {
-			errs = append(errs, &RuleError{r.Name, fmt.Errorf("can't be told apart from route %s", other.Name)})
+			errs = append(errs, &RuleError{r.Name, fmt.Errorf("it matches the same requests as route %s", other.Name)})
 		}
 	}
 	for _, index := range t.headerIndexes() {
 		slices.SortFunc(index.headers, func(a, b headerRules) int { return cmp.Compare(a.name, b.name) })
 		if n := len(index.headers); n > maxHeaders {
-			err := fmt.Errorf("it and those beside it ask for %d headers, %d at most", n, maxHeaders)
+			err := fmt.Errorf("the routes of its host, path and class have %d header names, expected at most %d",
+				n, maxHeaders)
 			errs = append(errs, &RuleError{index.firstRule().Name, err})
 		}
 	}
@@ -83,10 +86,10 @@
 	return t, nil
 }
 
-// Rules are the table's rules, as they were given to Compile.
+// Rules returns the table's rules, as they were passed to Compile.
 func (t *Table) Rules() []Rule { return t.rules }
 
-// add adds a rule, or returns the one that matches the same requests.
+// add adds a rule to the table. If a rule that matches the same requests exists, add returns that one instead.
 func (t *Table) add(c *compiledRule) *compiledRule {
 	node, depth := t.root(c.Host), 0
 	for segment := range segments(c.Path) {
@@ -97,7 +100,7 @@
 	return node.headerIndex(c.Class).add(c)
 }
 
-// root is the root of a host's paths, which is created if there is none.
+// root returns the root of the tree of a host's paths, and creates it if it does not exist.
 func (t *Table) root(host string) *pathNode {
 	if host == "" {
 		if t.anyHost == nil {
@@ -115,7 +118,7 @@
 	return roots[name]
 }
 
-// child is the node of a further segment, which is created if there is none.
+// child returns the child node for a segment, and creates it if it does not exist.
 func (n *pathNode) child(segment string) *pathNode {
 	if n.children == nil {
 		n.children = map[string]*pathNode{}
@@ -126,7 +129,7 @@
 	return n.children[segment]
 }
 
-// headerIndex are the rules of a class at this path, which are created if there are none.
+// headerIndex returns the index of the rules of a class at this path, and creates it if it does not exist.
 func (n *pathNode) headerIndex(class string) *headerIndex {
 	if n.rules == nil {
 		n.rules = &classIndex{byClass: map[string]*headerIndex{}}
@@ -143,14 +146,14 @@
 	return n.rules.byClass[class]
 }
 
-// add adds a rule, or returns the one that matches the same requests.
+// add adds a rule to the index. If a rule that matches the same requests exists, add returns that one instead.
 func (h *headerIndex) add(c *compiledRule) *compiledRule {
 	if c.Header == "" {
-		return addAt(&h.noHeader, c)
+		return setIfNil(&h.noHeader, c)
 	}
-	r := h.rulesOf(c.Header)
+	r := h.rulesForHeader(c.Header)
 	if c.HeaderPresent {
-		return addAt(&r.anyValue, c)
+		return setIfNil(&r.anyValue, c)
 	}
 	if other := r.byValue[c.Value]; other != nil {
 		return other
@@ -159,17 +162,18 @@
 	return nil
 }
 
-func addAt(place **compiledRule, c *compiledRule) *compiledRule {
-	if *place != nil {
-		return *place
+// setIfNil sets *place to a rule if it is nil, else it returns the rule that is there.
+func setIfNil(target **compiledRule, c *compiledRule) *compiledRule {
+	if *target != nil {
+		return *target
 	}
-	*place = c
+	*target = c
 	return nil
 }
 
-// rulesOf are the rules of a header name, which are created if there are none. They are valid until another name is
-// added.
-func (h *headerIndex) rulesOf(name string) *headerRules {
+// rulesForHeader returns the rules of a header name, and creates them if they do not exist. The pointer is valid until
+// another name is added.
+func (h *headerIndex) rulesForHeader(name string) *headerRules {
 	i := slices.IndexFunc(h.headers, func(r headerRules) bool { return r.name == name })
 	if i < 0 {
 		i = len(h.headers)
@@ -178,7 +182,7 @@
 	return &h.headers[i]
 }
 
-// headerIndexes are those of all hosts, paths and classes.
+// headerIndexes returns the indexes of all hosts, paths and classes.
 func (t *Table) headerIndexes() []*headerIndex {
 	var all []*headerIndex
 	for _, roots := range []map[string]*pathNode{t.exact, t.wildcards} {
@@ -207,7 +211,7 @@
 	return all
 }
 
-// firstRule is the one of its rules that was given to Compile first.
+// firstRule returns the rule of the index that comes first in the rules passed to Compile.
 func (h *headerIndex) firstRule() *compiledRule {
 	first := h.noHeader
 	consider := func(c *compiledRule) {
@@ -224,7 +228,7 @@
 	return first
 }
 
-// segments iterates over a path's segments; "/" has none.
+// segments iterates over the segments of a path. The path "/" has none.
 func segments(path string) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		rest := strings.TrimPrefix(path, "/")
--- a/internal/core/routes/table_test.go
+++ b/internal/core/routes/table_test.go
@@ -12,7 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// findNaively looks at all rules and returns the most specific that matches, by Table's comment alone; -1 for none.
+// findNaively returns the index of the most specific rule that matches, or -1 if none does. It compares all rules as
+// the comment of Table says, without the code under test.
 func findNaively(rules []Rule, q *Request) int {
 	best := -1
 	var bestRank []int
@@ -25,9 +26,10 @@
 	return best
 }
 
-// rankOf is how specific a rule is, from what counts most on, if it matches.
+// rankOf returns whether a rule matches and how specific it is: the most significant criterion comes first, and higher
+// values are more specific.
 func rankOf(r Rule, q *Request) (rank []int, matches bool) {
-	const exactHost = 1000 // above the length of all wildcards
+	const exactHost = 1000 // above the length of every wildcard host
 	host := 0
 	switch {
 	case strings.HasPrefix(r.Host, "*."):
@@ -58,7 +60,7 @@
 		if len(values) == 0 || !r.HeaderPresent && (len(values) != 1 || values[0] != r.Value) {
 			return nil, false
 		}
-		header, headerName = 1, -int(r.Header[len(r.Header)-1]) // names differ in their last letter here
+		header, headerName = 1, -int(r.Header[len(r.Header)-1]) // header names differ in their last letter here
 		if !r.HeaderPresent {
 			header = 2
 		}
@@ -118,7 +120,7 @@
 			r := drawRule(t, fmt.Sprint(i))
 			if slices.ContainsFunc(rules, func(o Rule) bool { return sameRequests(o, r) }) {
 				_, err := Compile(append(slices.Clone(rules), r), 1)
-				require.ErrorContains(t, err, "can't be told apart")
+				require.ErrorContains(t, err, "it matches the same requests as route")
 				continue
 			}
 			rules = append(rules, r)
@@ -139,7 +141,8 @@
 	})
 }
 
-// A split keeps its weights; where they change, only keys on the side that shrinks go elsewhere.
+// A split distributes keys by its weights. If the weights change, only keys of the service whose weight has decreased
+// go to another service.
 func TestFind_SplitIsStable(t *testing.T) {
 	split := func(w float64) *Table {
 		table, err := Compile([]Rule{{Name: "s", To: []Weight{{0, 1 - w}, {1, w}}, SplitBy: "tenant"}}, 2)
@@ -156,7 +159,7 @@
 		require.Equal(t, before, again)
 		counts[before]++
 		if before != after {
-			require.Equal(t, 0, before, "keys on the growing side stay there")
+			require.Equal(t, 0, before, "keys of the service whose weight has increased do not move")
 			moved++
 		}
 	}
@@ -164,25 +167,25 @@
 	assert.InDelta(t, 2000, moved, 250)
 }
 
-func TestCompile_NamesEveryMistake(t *testing.T) {
+func TestCompile_ReportsEveryError(t *testing.T) {
 	to := []Weight{{0, 1}}
 	for problem, r := range map[string]Rule{
-		"without a port":              {Host: "a.org:80", To: to},
-		"is to be written \"a.org\"":  {Host: "A.org", To: to},
-		"not a host name":             {Host: "*.*.org", To: to},
-		"ambiguous":                   {Path: "/a/../b", To: to},
-		"is to be written \"/a\"":     {Path: "/%61", To: to},
-		"has no service":              {},
-		"no such service":             {To: []Weight{{7, 1}}},
-		"names a service twice":       {To: []Weight{{0, 1}, {0, 1}}, SplitBy: "trace"},
-		"needs a key that it goes by": {To: []Weight{{0, 1}, {1, 1}}},
-		"is none of trace":            {To: []Weight{{0, 1}, {1, 1}}, SplitBy: "moon"},
-		"is not above 0":              {To: []Weight{{0, 1}, {1, 0}}, SplitBy: "trace"},
-		"neither a value nor any":     {Header: "X-A", To: to},
-		"exclude each other":          {Header: "X-A", HeaderPresent: true, Value: "x", To: to},
-		"without its name":            {Value: "x", To: to},
-		"\"X-A\"":                     {Header: "x-a", HeaderPresent: true, To: to},
-		"class":                       {Class: "a b", To: to},
+		"without a port":                                      {Host: "a.org:80", To: to},
+		"expected the canonical form \"a.org\"":               {Host: "A.org", To: to},
+		"not a host name":                                     {Host: "*.*.org", To: to},
+		"ambiguous":                                           {Path: "/a/../b", To: to},
+		"expected the canonical form \"/a\"":                  {Path: "/%61", To: to},
+		"names no service":                                    {},
+		"no such service: number 7, expected 0 to 1":          {To: []Weight{{7, 1}}},
+		"split[2] names the same service as an earlier entry": {To: []Weight{{0, 1}, {0, 1}}, SplitBy: "trace"},
+		"by is missing: a split over 2 services needs a key":  {To: []Weight{{0, 1}, {1, 1}}},
+		"by \"unknown\": expected trace":                      {To: []Weight{{0, 1}, {1, 1}}, SplitBy: "unknown"},
+		"weight 0, expected above 0 and at most 1e+09":        {To: []Weight{{0, 1}, {1, 0}}, SplitBy: "trace"},
+		"X-A: expected value or any, found neither":           {Header: "X-A", To: to},
+		"X-A: expected value or any, found both":              {Header: "X-A", HeaderPresent: true, Value: "x", To: to},
+		"value or any is set, but header is missing":          {Value: "x", To: to},
+		"\"X-A\"":                            {Header: "x-a", HeaderPresent: true, To: to},
+		"class \"a b\": expected no slashes": {Class: "a b", To: to},
 	} {
 		t.Run(problem, func(t *testing.T) {
 			r.Name = "r1"
@@ -190,7 +193,7 @@
 			require.Error(t, err)
 			assert.ErrorContains(t, err, problem)
 			assert.ErrorContains(t, err, "route r1: ")
-			assert.ErrorContains(t, err, "route r2: it has no service", "all of them")
+			assert.ErrorContains(t, err, "route r2: it names no service", "the error reports all rules")
 			var rule *RuleError
 			require.ErrorAs(t, err, &rule)
 			assert.Equal(t, "r1", rule.Rule)
@@ -198,7 +201,7 @@
 	}
 }
 
-// benchmarkRule is one of the rules that BenchmarkFind looks among.
+// benchmarkRule returns the i-th rule of the table that BenchmarkFind searches.
 func benchmarkRule(i int) Rule {
 	r := Rule{
 		Name: fmt.Sprint(i),
