--- a/internal/core/node/attempt.go
+++ b/internal/core/node/attempt.go
@@ -9,46 +9,47 @@
 	"robincart/internal/system/timingwheel"
 )
 
-// Canceler is what carries an attempt out. Cancel makes whatever waits there return at once, and does not block.
+// Canceler is the exchange that executes an attempt. Cancel makes its blocking calls return at once, and does not
+// block itself.
 type Canceler interface{ Cancel() }
 
-// attemptState says whether an attempt is still wanted. Whether it was begun is a fact apart from that: it counts
-// beyond the attempt's end.
+// attemptState is the state of an attempt. Whether the attempt has begun is in Attempt.begun, which is still needed
+// after the attempt is done.
 type attemptState uint8
 
 const (
-	attemptOrdered  attemptState = iota // to be begun, or on its way
-	attemptExpired                      // its deadline has passed: its exchange was canceled
-	attemptCanceled                     // the Balancer gave it up: its exchange was canceled
-	attemptDone                         // its result is known
+	attemptOrdered  attemptState = iota // not begun yet, or in progress
+	attemptExpired                      // the deadline has passed, and the exchange was canceled
+	attemptCanceled                     // the Balancer has canceled it, and the exchange was canceled
+	attemptDone                         // the result is known
 )
 
 // Attempt is one attempt of an RPC at a server.
 type Attempt struct {
 	Server     *Server
-	LoadReport string // set by its exchange: the server's report in its response
-	// FreshConnection: idle connections to the server may be dead without having been closed. They are not used, and
-	// a new one is opened.
+	LoadReport string // the server's load report in the response, undecoded; set by the exchange
+	// FreshConnection is set if idle connections to the server may be dead without having been closed. The attempt
+	// closes them and opens a new connection.
 	FreshConnection bool
-	Deadline        time.Duration
+	Deadline        time.Duration // on the core's clock
 
-	// Under the core's mutex.
+	// The core's mutex guards the fields below.
 	decideAttempt *decide.Attempt
 	rpc           *RPC
-	canceler      Canceler      // nil: not bound yet
-	index         int           // in Core.attempts
-	orderedAt     time.Duration // or when the request's body was received
-	begunAt       time.Duration
-	timer         timingwheel.Timer
+	canceler      Canceler          // nil until Bind or Begin
+	index         int               // in Core.attempts
+	orderedAt     time.Duration     // time of the order, or of BodyReceived if that was later
+	begunAt       time.Duration     // time of Begin
+	timer         timingwheel.Timer // set by the Balancer through StartTimer
 	deadlineTimer timingwheel.Timer
 	state         attemptState
-	begun         bool             // its first byte was let through
-	neverRan      bool             // its result proves so
-	result        telemetry.Reason // once it is done
+	begun         bool             // Begin has allowed the first byte to be written
+	neverRan      bool             // the result proves that the request had no effect
+	result        telemetry.Reason // set when the attempt is done
 }
 
-// Send orders an attempt. It lasts until its timeout or, with none, until its RPC's deadline. It is part of
-// decide.Host.
+// Send orders an attempt. The attempt's deadline is its RPC's deadline, or the end of the timeout in seconds if that is
+// earlier; a timeout of 0 means none. It is part of decide.Host.
 func (c *Core) Send(decided *decide.Attempt, timeout float64) {
 	r := decided.RPC.HostData.(*RPC)
 	s := decided.Server.HostData.(*Server)
@@ -69,7 +70,7 @@
 	decided.HostData = a
 	a.deadlineTimer.Payload = a
 	if r.decideRPC.BodyPending {
-		// Its time has not begun. How long the body may take is bounded by whoever reads it.
+		// BodyReceived sets the deadline. Until then the reader of the body limits how long the client may take.
 		a.Deadline = math.MaxInt64
 	} else {
 		c.timers.Add(&a.deadlineTimer, a.Deadline)
@@ -89,7 +90,7 @@
 	r.Orders <- Order{Kind: OrderSend, Attempt: a}
 }
 
-// Cancel gives an attempt up: its exchange closes its connection. It is part of decide.Host.
+// Cancel cancels an attempt: its exchange closes its connection. It is part of decide.Host.
 func (c *Core) Cancel(decided *decide.Attempt) {
 	a := decided.HostData.(*Attempt)
 	if a.state == attemptDone || a.state == attemptCanceled {
@@ -99,35 +100,36 @@
 	a.cancelExchange()
 }
 
-// cancelExchange cancels what carries an attempt out, if that is known yet.
+// cancelExchange cancels the exchange that executes an attempt, if one was bound.
 func (a *Attempt) cancelExchange() {
 	if a.canceler != nil {
 		a.canceler.Cancel()
 	}
 }
 
-// wanted returns whether an attempt has to be carried out still.
-func (c *Core) wanted(a *Attempt) bool {
+// stillNeeded returns whether an attempt still has to be executed.
+func (c *Core) stillNeeded(a *Attempt) bool {
 	return !c.closed && a.state == attemptOrdered && a.rpc.state == rpcOpen
 }
 
-// Bind sets what carries an attempt out, before it connects. It returns false if the attempt is not wanted any more.
-func (c *Core) Bind(a *Attempt, by Canceler) bool {
+// Bind sets the exchange that executes an attempt, before it connects. It returns false if the attempt no longer has to
+// be executed.
+func (c *Core) Bind(a *Attempt, canceler Canceler) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a.canceler = by
-	return c.wanted(a)
+	a.canceler = canceler
+	return c.stillNeeded(a)
 }
 
-// Begin is called right before the first byte of an attempt is written, and returns whether it may be. Since the
-// attempt was ordered its RPC may have ended, and its server may drain: a connect can take longer than a drain's grace
-// time.
-func (c *Core) Begin(a *Attempt, by Canceler) bool {
+// Begin returns whether the first byte of an attempt may be written. It is called immediately before the write. Since
+// the attempt was ordered, its RPC may have ended or its server may have begun to drain: a connect can take longer than
+// the grace time of a drain.
+func (c *Core) Begin(a *Attempt, canceler Canceler) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a.canceler = by
+	a.canceler = canceler
 	now := c.clock.Now()
-	if !c.wanted(a) || a.Server.state != decide.Ready || now >= a.Deadline || !a.mayRepeat(now) {
+	if !c.stillNeeded(a) || a.Server.state != decide.Ready || now >= a.Deadline || !a.mayRepeat(now) {
 		return false
 	}
 	c.checkSlowStart(a, now)
@@ -135,11 +137,11 @@
 	return true
 }
 
-// TimeLeft is how long an attempt may still last.
+// TimeLeft returns the time from now to an attempt's deadline.
 func (c *Core) TimeLeft(a *Attempt) time.Duration { return a.Deadline - c.clock.Now() }
 
-// AttemptDone takes an attempt's result, and the server's response if that is OK. It is called once for each attempt;
-// from then on its canceler is not called. It returns whether the response is forwarded to the client.
+// AttemptDone reports an attempt's result, and the server's response if the result is OK. It is called once for each
+// attempt. After that the attempt's Canceler is not called. It returns whether the response is forwarded to the client.
 func (c *Core) AttemptDone(a *Attempt, res decide.Result, response *Response) (served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +152,7 @@
 	a.state = attemptDone
 	a.neverRan, a.result = res.NeverRan(), resultReasons[res]
 	c.removeAttempt(a)
-	c.checkEnd(a, res)
+	c.checkBegun(a, res)
 	r := a.rpc
 	c.recorder.Record(telemetry.Event{
 		Kind:     telemetry.AttemptEnded,
@@ -166,14 +168,15 @@
 		served = true
 	}
 	c.answerReason = telemetry.AttemptsFailed
-	took := seconds(c.clock.Now() - a.orderedAt)
-	c.balancer.AttemptDone(a.decideAttempt, res, r.state != rpcOpen, took, c.loadReport(a))
+	elapsed := seconds(c.clock.Now() - a.orderedAt)
+	c.balancer.AttemptDone(a.decideAttempt, res, r.state != rpcOpen, elapsed, c.loadReport(a))
 	c.releaseSlots(r)
 	c.arm()
 	return served
 }
 
-// effectiveResult is an attempt's result where the exchange does not know that it was canceled, or why.
+// effectiveResult corrects the result that an exchange reports for an attempt that the core has canceled: the exchange
+// may not know that it was canceled, or why.
 func (a *Attempt) effectiveResult(res decide.Result) decide.Result {
 	switch {
 	case res == decide.OK || res == decide.Rejected || res == decide.Failed:
@@ -186,7 +189,7 @@
 	return res
 }
 
-// removeAttempt takes an attempt that is done out of the ledger.
+// removeAttempt removes an attempt that is done from the core's records.
 func (c *Core) removeAttempt(a *Attempt) {
 	c.timers.Remove(&a.timer)
 	c.timers.Remove(&a.deadlineTimer)
@@ -196,11 +199,12 @@
 	c.attempts[last] = nil
 	c.attempts = c.attempts[:last]
 	a.Server.attemptsInFlight--
-	c.forget(a.Server)
+	c.removeIfUnused(a.Server)
 	a.rpc.attemptsInFlight--
 }
 
-// loadReport decodes a server's report. A malformed one counts as none: it is no reason to fail the response.
+// loadReport decodes the server's load report. It returns nil for a malformed report, which must not make a valid
+// response fail.
 func (c *Core) loadReport(a *Attempt) *decide.LoadReport {
 	if !c.settings.LoadReports || a.LoadReport == "" {
 		return nil
--- a/internal/core/node/bans.go
+++ b/internal/core/node/bans.go
@@ -6,18 +6,19 @@
 	"robincart/decide"
 )
 
-// An operator's ban of a server takes precedence over the endpoint list: whatever state the list has, the Balancer
-// sees a server that drains, until the operator attaches it again.
+// An operator's ban of a server takes precedence over the endpoint list: until the operator attaches the server again,
+// its state is draining for the Balancer, whatever state the list has.
 
-// Ban is of a server that an operator has detached.
+// Ban records that an operator has detached a server.
 type Ban struct {
-	Since time.Time // by the wall clock of the process that was called
-	// Started is the start that was listed then, the zero time for long ago. It is known where StartKnown is set.
+	Since time.Time // on the wall clock of the process that executed the operator's call
+	// Started is the start time that the list had for the server at the time of the ban. The zero time means long ago.
+	// It is valid only if StartKnown is set.
 	Started    time.Time
 	StartKnown bool
 }
 
-// Detach bans a server: nothing new is sent to it. It returns false for one that was never listed.
+// Detach bans a server: no new attempts are sent to it. It returns false if the server was never listed.
 func (c *Core) Detach(id string) bool {
 	u, known := c.detach(id)
 	u.report()
@@ -47,8 +48,8 @@
 	return u, true
 }
 
-// Attach ends the ban of a server, which serves again as the list has it. It returns false for one that was never
-// listed.
+// Attach ends the ban of a server, which then has the state that the endpoint list has for it. It returns false if the
+// server was never listed.
 func (c *Core) Attach(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,26 +63,26 @@
 		return true
 	}
 	if !c.restartListed(s, b) {
-		// Whoever detached it has restarted it, which the list has not shown yet. If it were taken for warm, its
-		// part of the traffic would overload it.
+		// The operator is assumed to have restarted the server, but the list has not shown a restart yet. If the
+		// server counted as warm, its full share of the traffic would overload it.
 		s.attachedAt = c.Now()
 	}
 	c.refreshServer(s)
-	c.forget(s) // it may be gone from the list
+	c.removeIfUnused(s) // the list may not contain it any more
 	return true
 }
 
-// restartListed returns whether the list has shown a start of a server since it was banned: by the start that was
-// listed then, where that is known, else by the clocks.
+// restartListed returns whether the list has shown a restart of a server since it was banned. It compares the listed
+// start time with the one at the time of the ban or, if that is unknown, with the time of the ban itself.
 func (c *Core) restartListed(s *Server, b Ban) bool {
 	if b.StartKnown {
 		return !s.listed.StartedAt.Equal(b.Started)
 	}
-	return s.listed.StartedAt.After(b.Since.Add(-c.listClock.ahead))
+	return s.listed.StartedAt.After(b.Since.Add(-c.listClock.wallOffset))
 }
 
-// ExclusionReason is why nothing is sent to a server; empty if nothing keeps it out, or it was never listed here. The
-// texts are part of the answer to an operator's attach call.
+// ExclusionReason returns why no attempts are sent to a server. It is empty if the server can be used, or was never
+// listed here. The texts are part of the answer to an operator's attach call.
 func (c *Core) ExclusionReason(id string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,18 +99,18 @@
 	return ""
 }
 
-// everListed returns whether a server is listed or was, as far as that is remembered.
+// everListed returns whether a server is or was listed. IDs that have dropped out of knownIDs count as never listed.
 func (c *Core) everListed(id string) bool { return c.servers[id] != nil || c.knownIDs.has(id) }
 
-// KnownServerIDs are the IDs of all servers that were ever listed, as far as they are remembered.
+// KnownServerIDs returns the IDs of the servers that were listed most recently, as many as the core remembers.
 func (c *Core) KnownServerIDs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.knownIDs.all()
 }
 
-// InheritBans takes over what another process of this node knew: its bans, and which servers were listed. A ban of this
-// process goes before another process's.
+// InheritBans adds the bans of another process of this node, and the IDs of the servers that were listed there. If both
+// processes have banned a server, this process's ban is kept.
 func (c *Core) InheritBans(bans map[string]Ban, listed []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,8 +129,9 @@
 	}
 }
 
-// effectiveState is a listed server's state under the bans. While a ban lasts the server is remembered, also where the
-// list has it as gone: it is being restarted, and how it was used before says how to begin with it again.
+// effectiveState returns the state of a listed server with its ban taken into account. A banned server counts as
+// draining even if the list has it as gone: it is being restarted, and the Balancer needs its earlier statistics to
+// decide how much to send to it afterwards.
 func (c *Core) effectiveState(e Endpoint) decide.State {
 	if _, banned := c.bans[e.ID]; banned {
 		return decide.Draining
--- a/internal/core/node/bans_test.go
+++ b/internal/core/node/bans_test.go
@@ -11,8 +11,8 @@
 	"robincart/internal/protocol/settings"
 )
 
-// An operator's ban takes precedence over the list.
-func TestDetach_TakesPrecedenceOverTheList(t *testing.T) {
+// An operator's ban takes precedence over the endpoint list.
+func TestDetach_TakesPrecedenceOverEndpointList(t *testing.T) {
 	c := newCore(t, nil)
 	c.listReady("a", "b")
 	assert.False(t, c.Detach("c"))
@@ -27,9 +27,9 @@
 	a := nextAttempt(t, r)
 	banned := a.Server.id
 	assert.True(t, c.Detach(banned))
-	assert.True(t, c.Detach(banned), "the call may be repeated")
+	assert.True(t, c.Detach(banned), "a repeated call succeeds")
 	assert.Equal(t, []string{banned}, unavailable)
-	assert.False(t, c.Begin(a, nil), "a connect that took longer than the grace time")
+	assert.False(t, c.Begin(a, nil), "the server was banned during the connect")
 	c.AttemptDone(a, decide.NotSent, nil)
 	for range 50 {
 		c.listReady("a", "b")
@@ -41,7 +41,7 @@
 	c.listReady("a", "b", "c")
 	for range 50 {
 		a := nextAttempt(t, c.arrive(find))
-		assert.NotEqual(t, banned, a.Server.id, "also after it was gone from the list")
+		assert.NotEqual(t, banned, a.Server.id, "the ban outlives the server's absence from the list")
 		c.AttemptDone(a, decide.OK, &Response{})
 	}
 	assert.Contains(t, c.ExclusionReason(banned), "operator")
@@ -56,23 +56,25 @@
 	assert.True(t, c.Attach(banned))
 	assert.Empty(t, c.ExclusionReason(banned)+c.ExclusionReason("never"))
 	assert.Positive(t, c.endpointUpdate(c.servers[banned]).StartedAt,
-		"it was restarted: it is warming up, though the list does not show it")
+		"it counts as restarted and in slow start, although the list does not show a restart")
 	c.clock.now += time.Minute
 	c.UpdateEndpoints([]Endpoint{
 		{ID: banned, Addr: "x:80", State: decide.Ready, Weight: 1, StartedAt: c.wallNow()},
 	}, false)
-	assert.InDelta(t, c.Now(), c.endpointUpdate(c.servers[banned]).StartedAt, 0.1, "a later listed start goes before")
+	assert.InDelta(t, c.Now(), c.endpointUpdate(c.servers[banned]).StartedAt, 0.1,
+		"a later listed start time takes precedence")
 	assert.True(t, c.Ready(c.servers[banned]))
 }
 
-// A server that was restarted while it was banned is warming up, and unknown: it must neither be overloaded nor be left
-// unused, and whoever sent most there before has to find out first how it is.
-func TestAttach_ServerIsUsedSoonAndGently(t *testing.T) {
+// A server that was restarted during its ban is in slow start, and its performance is unknown. After the ban it must
+// neither be overloaded nor be left unused. The test bans the server with the most attempts: a node that has sent most
+// of its attempts to the server before has to measure it anew first.
+func TestAttach_RestartedServerGetsLimitedTraffic(t *testing.T) {
 	c := newCore(t, func(s *settings.Instance) { s.Instances = 9 })
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	c.listReady(ids...)
 	sentAt := map[string][]time.Duration{}
-	work := func(d time.Duration) {
+	sendRequestsFor := func(d time.Duration) {
 		for end := c.clock.now + d; c.clock.now < end; {
 			a := nextAttempt(t, c.arrive(find))
 			sentAt[a.Server.id] = append(sentAt[a.Server.id], c.clock.now)
@@ -81,25 +83,25 @@
 			c.clock.advance(80 * time.Millisecond)
 		}
 	}
-	work(20 * time.Second)
+	sendRequestsFor(20 * time.Second)
 	busiest := slices.MaxFunc(ids, func(a, b string) int { return len(sentAt[a]) - len(sentAt[b]) })
 	assert.True(t, c.Detach(busiest))
 	before := len(sentAt[busiest])
 	c.listReady(slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return id == busiest })...)
-	work(3 * time.Second)
+	sendRequestsFor(3 * time.Second)
 	restarted := endpoint(busiest, decide.Ready)
 	restarted.StartedAt = c.wallNow()
 	c.UpdateEndpoints([]Endpoint{restarted}, false)
-	work(3 * time.Second)
+	sendRequestsFor(3 * time.Second)
 	assert.Len(t, sentAt[busiest], before)
 	assert.True(t, c.Attach(busiest))
-	work(5 * time.Second)
+	sendRequestsFor(5 * time.Second)
 	used := len(sentAt[busiest]) - before
 	assert.Positive(t, used)
-	assert.Less(t, used, 12, "of 50, while it can do a tenth to a third of what it could")
+	assert.Less(t, used, 12, "of 50 attempts; the server has between a tenth and a third of its capacity")
 	c.Detach(busiest)
 	c.listReady()
 	assert.NotNil(t, c.servers[busiest])
 	c.Attach(busiest)
-	assert.Nil(t, c.servers[busiest], "it is gone meanwhile, and is forgotten")
+	assert.Nil(t, c.servers[busiest], "the server has left the list and is removed")
 }
--- a/internal/core/node/endpoints.go
+++ b/internal/core/node/endpoints.go
@@ -6,29 +6,31 @@
 	"robincart/decide"
 )
 
-// Endpoint is one entry of the endpoint list. Its JSON form is part of what a process hands to its successor.
+// Endpoint is one entry of the endpoint list. A process passes it to its successor as JSON.
 type Endpoint struct {
 	ID        string       `json:"ID"`
 	Addr      string       `json:"Addr"`
 	State     decide.State `json:"State"`
-	Zone      int          `json:"Zone"` // -1: none that the settings name
+	Zone      int          `json:"Zone"` // index in the settings; -1: a zone that they do not name
 	Cell      int          `json:"Cell"`
 	Weight    float64      `json:"Weight"`
-	StartedAt time.Time    `json:"Started"` // zero: long ago
-	Revision  int64        `json:"Listed"`  // of the list that had it so; 0: not known
+	StartedAt time.Time    `json:"Started"` // zero time: long ago
+	Revision  int64        `json:"Listed"`  // of the list that contained this entry; 0: unknown
 }
 
-// WatchFailure describes the failure of a poll for the endpoint list, or of its watch, by when the next poll is due.
+// WatchFailure describes how a poll or a watch of the endpoint list failed, as far as it affects the pause before the
+// next poll.
 type WatchFailure struct {
-	// ResetBackoff: the failure is no sign of an overloaded discovery, so pauses begin with the shortest again.
+	// ResetBackoff is set if the failure does not indicate that discovery is overloaded. The backoff then starts again
+	// with the shortest pause.
 	ResetBackoff bool
-	// The pause before the next poll is drawn from a third to the whole of a span that grows with each failure and is
-	// kept between these two.
+	// The longest pause grows with each failure and is kept between MinPause and MaxPause. The actual pause is drawn at
+	// random, between a third of the longest pause and all of it.
 	MinPause, MaxPause time.Duration
 }
 
-// unavailableServers are servers that have just become unavailable, with what is to be called with them once the
-// mutex is free.
+// unavailableServers are servers that have just become unavailable, with the function to notify once the mutex is
+// released.
 type unavailableServers struct {
 	servers []*Server
 	notify  func([]*Server)
@@ -40,14 +42,14 @@
 	}
 }
 
-// endpointBatch is what one update of the list comes to.
+// endpointBatch collects the effects of one update of the endpoint list.
 type endpointBatch struct {
 	changes     []decide.EndpointUpdate // for the Balancer
 	unavailable []*Server
 	gone        []*Server
 }
 
-// UpdateEndpoints puts a snapshot of the endpoint list (full) or a delta in force.
+// UpdateEndpoints applies an update of the endpoint list: a snapshot if full is set, else a delta.
 func (c *Core) UpdateEndpoints(entries []Endpoint, full bool) {
 	c.applyUpdate(entries, full).report()
 }
@@ -66,13 +68,13 @@
 	}
 	c.balancer.UpdateEndpoints(b.changes, full)
 	for _, s := range b.gone {
-		c.forget(s)
+		c.removeIfUnused(s)
 	}
 	c.arm()
 	return unavailableServers{b.unavailable, c.onUnavailable}
 }
 
-// applyEntry puts one entry of the list in force.
+// applyEntry applies one entry of the list to its server.
 func (c *Core) applyEntry(e Endpoint, b *endpointBatch) {
 	s := c.servers[e.ID]
 	state := c.effectiveState(e)
@@ -98,7 +100,7 @@
 	return s
 }
 
-// applyMissing marks the servers that a snapshot does not name as gone.
+// applyMissing marks the servers that a snapshot does not contain as gone.
 func (c *Core) applyMissing(b *endpointBatch) {
 	for _, s := range c.servers {
 		if s.lastUpdate == c.updates {
@@ -115,12 +117,13 @@
 			b.gone = append(b.gone, s)
 			continue
 		}
-		// It is banned and being restarted: what the Balancer knows of it has to outlive that.
+		// The server is banned, and is missing because it is being restarted. An update as draining makes the
+		// Balancer keep its statistics of the server.
 		b.changes = append(b.changes, c.endpointUpdate(s))
 	}
 }
 
-// Endpoints is the current list, without the servers that are gone.
+// Endpoints returns the current endpoint list, without the servers that are gone.
 func (c *Core) Endpoints() []Endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,8 +136,8 @@
 	return out
 }
 
-// EndpointWatchFailed notes that a watch has ended, or could not be established. The Balancer requests the next one
-// when it is due, within the failure's bounds.
+// EndpointWatchFailed reports that a watch has ended or could not be established. The Balancer requests the next one
+// after a pause within the failure's bounds.
 func (c *Core) EndpointWatchFailed(f WatchFailure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/node/endpoints_test.go
+++ b/internal/core/node/endpoints_test.go
@@ -30,13 +30,13 @@
 			assert.False(t, c.Begin(a, nil))
 			c.AttemptDone(a, decide.NotSent, nil)
 			o := nextOrder(t, r)
-			assert.Equal(t, OrderSend, o.Kind, "the RPC goes elsewhere")
+			assert.Equal(t, OrderSend, o.Kind, "the RPC gets an attempt at another server")
 			assert.NotSame(t, a.Server, o.Attempt.Server)
 		})
 	}
 }
 
-func TestUpdateEndpoints_ServerMoves(t *testing.T) {
+func TestUpdateEndpoints_AddressChanges(t *testing.T) {
 	c := newCore(t, nil)
 	c.listReady("a")
 	a := nextAttempt(t, c.arrive(find))
@@ -49,10 +49,10 @@
 	assert.True(t, c.Begin(a, nil))
 }
 
-// A listed start is in Unix time, and is converted to the Balancer's clock: taken as it is, every server would be
-// warming up for ever; cut at the node's own start, one that started just before it would count as warm and be
-// overloaded.
-func TestUpdateEndpoints_ServerThatStartedJustBeforeTheNodeIsWarmingUp(t *testing.T) {
+// A listed start time is in Unix time and is converted to the Balancer's clock. Without the conversion, every server
+// would be in slow start for ever. If start times before the node's own start counted as long ago, a server that
+// started shortly before the node would count as warm and be overloaded.
+func TestUpdateEndpoints_ServerStartedShortlyBeforeNodeIsInSlowStart(t *testing.T) {
 	sent := func(started time.Time) int {
 		c := newCore(t, func(s *settings.Instance) { s.MaxAttempts = 1 })
 		warm, other := endpoint("warm", decide.Ready), endpoint("other", decide.Ready)
@@ -77,12 +77,12 @@
 	}
 	longAgo := sent(time.Time{})
 	assert.Greater(t, longAgo, 50)
-	assert.Less(t, sent(startTimeOfTests.Add(-time.Second)), longAgo/2)
-	assert.Greater(t, sent(startTimeOfTests.Add(-time.Minute)), 50)
-	assert.Greater(t, sent(time.UnixMilli(1)), 50, "a time before the Balancer's clock began is long ago")
+	assert.Less(t, sent(testStartTime.Add(-time.Second)), longAgo/2)
+	assert.Greater(t, sent(testStartTime.Add(-time.Minute)), 50)
+	assert.Greater(t, sent(time.UnixMilli(1)), 50, "a start time before 0 on the Balancer's clock counts as long ago")
 }
 
-func TestUpdateEndpoints_GoneServersAreForgotten(t *testing.T) {
+func TestUpdateEndpoints_GoneServersAreRemoved(t *testing.T) {
 	c := newCore(t, nil)
 	for i := range 500 {
 		c.listReady(fmt.Sprint("a", i), fmt.Sprint("b", i))
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestNew_RequestsWatchWhereTheBalancerDoesNot(t *testing.T) {
+func TestNew_RequestsWatchIfBalancerDoesNot(t *testing.T) {
 	c := newCore(t, func(s *settings.Instance) { s.MustSubscribe = false })
 	assert.Equal(t, 1, c.watchRequests)
 }
--- a/internal/core/node/events.go
+++ b/internal/core/node/events.go
@@ -5,7 +5,7 @@
 	"robincart/internal/system/telemetry"
 )
 
-// resultReasons are the reasons by which results of attempts are recorded.
+// resultReasons maps the results of attempts to the reasons in their telemetry events.
 var resultReasons = map[decide.Result]telemetry.Reason{
 	decide.OK:            telemetry.Succeeded,
 	decide.Failed:        telemetry.Failed,
@@ -17,7 +17,7 @@
 	decide.NotSent:       telemetry.NotSent,
 }
 
-// retryReasons are the reasons of further attempts, by how the one before ended.
+// retryReasons maps the reason with which an attempt ended to the reason with which the next attempt is ordered.
 var retryReasons = map[telemetry.Reason]telemetry.Reason{
 	telemetry.Failed:       telemetry.EarlierFailed,
 	telemetry.Rejected:     telemetry.EarlierRejected,
@@ -28,7 +28,7 @@
 	telemetry.NotSent:      telemetry.EarlierNotSent,
 }
 
-// attemptReason is why another attempt of an RPC is ordered.
+// attemptReason returns the reason with which the next attempt of an RPC is ordered.
 func (r *RPC) attemptReason() telemetry.Reason {
 	if len(r.attempts) == 0 {
 		return telemetry.FirstAttempt
@@ -39,14 +39,14 @@
 	return telemetry.EarlierLate
 }
 
-// recordAnswer records that an RPC gets its final answer now, and checks that this is in time.
+// recordAnswer records that the final answer to an RPC is ordered now, and reports a violation if it is too late.
 func (c *Core) recordAnswer(r *RPC, reason telemetry.Reason) {
 	now := c.clock.Now()
 	if late := now - r.Deadline; late > lateAnswerSlack && !r.decideRPC.BodyPending {
 		c.recorder.Violation(telemetry.Violation{
 			Rule:    telemetry.AnsweredLate,
 			Request: r.requestID,
-			Detail:  late.String(),
+			Detail:  late.String() + " after the deadline",
 		})
 	}
 	c.recorder.Record(telemetry.Event{
@@ -57,7 +57,8 @@
 	})
 }
 
-// recordStateChange records a server's change to a state. e is its new entry; the server still has the one before.
+// recordStateChange records that a server changes to a state, or has restarted. e is the server's new list entry. The
+// caller updates s only after the call, so s.listed and s.state are still the previous ones.
 func (c *Core) recordStateChange(s *Server, e Endpoint, state decide.State) {
 	reason := telemetry.NoReason
 	wasListed := s.lastUpdate > 0
--- a/internal/core/node/helpers_test.go
+++ b/internal/core/node/helpers_test.go
@@ -21,13 +21,13 @@
 	charge        // non-idempotent
 )
 
-// clientWait is how long the clients of a coreTest wait.
+// clientWait is how long the clients of a coreTest wait for an answer.
 const clientWait = 4 * time.Second
 
-// startTimeOfTests is the wall clock's time when fakeClock is at 1 s.
-var startTimeOfTests = time.UnixMilli(1_800_000_000_000)
+// testStartTime is the wall clock's time when fakeClock is at 1 s, its value at the start of a test.
+var testStartTime = time.UnixMilli(1_800_000_000_000)
 
-// fakeClock calls its timers when it is advanced.
+// fakeClock is a Clock that stands still until a test advances it. Advancing it calls the functions that are due.
 type fakeClock struct {
 	now    time.Duration
 	timers []fakeTimer
@@ -44,7 +44,7 @@
 	f.timers = append(f.timers, fakeTimer{f.now + d, call})
 }
 
-// advance moves the clock on and calls the timers that are due on the way, at their times.
+// advance moves the clock forward. It calls each timer that is due at the timer's own time.
 func (f *fakeClock) advance(d time.Duration) { f.advanceTo(f.now + d) }
 
 func (f *fakeClock) advanceTo(t time.Duration) {
@@ -61,19 +61,19 @@
 	}
 }
 
-// fakeExchange notes whether it was canceled.
+// fakeExchange is a Canceler that records whether it was canceled.
 type fakeExchange struct{ canceled bool }
 
 func (f *fakeExchange) Cancel() { f.canceled = true }
 
-// coreTest is a core under test, with the clock that it goes by.
+// coreTest is a core under test, with its clock and the number of endpoint watches that it has requested.
 type coreTest struct {
 	*Core
 	clock         *fakeClock
 	watchRequests int
 }
 
-// newCore creates a core with the settings of all tests, changed by edit.
+// newCore creates a core with the default settings of these tests. edit, if not nil, changes the settings first.
 func newCore(t *testing.T, edit func(*settings.Instance)) *coreTest {
 	t.Helper()
 	method := decide.Method{LatencyObjective: 2, Deadline: 5, PriorityWeight: 1}
@@ -97,12 +97,12 @@
 		edit(s)
 	}
 	c := &coreTest{clock: &fakeClock{now: time.Second}}
-	c.Core = New(s, 1, c.clock, startTimeOfTests, func() { c.watchRequests++ })
+	c.Core = New(s, 1, c.clock, testStartTime, func() { c.watchRequests++ })
 	t.Cleanup(c.Close)
 	return c
 }
 
-// newRecordedCore creates a core whose events and violations are counted.
+// newRecordedCore creates a core with a recorder that counts its events and violations.
 func newRecordedCore(t *testing.T, edit func(*settings.Instance)) (*coreTest, *telemetry.Recorder) {
 	t.Helper()
 	c, recorder := newCore(t, edit), telemetry.NewRecorder(zap.NewNop(), nil)
@@ -114,7 +114,7 @@
 	return Endpoint{ID: id, Addr: id + ":80", State: state, Weight: 1}
 }
 
-// listReady puts a snapshot with these servers in force, all of them ready.
+// listReady applies a snapshot of the endpoint list that contains these servers, all of them ready.
 func (c *coreTest) listReady(ids ...string) {
 	var all []Endpoint
 	for _, id := range ids {
@@ -127,7 +127,7 @@
 	return c.Arrived(Arrival{Method: method, Deadline: c.clock.now + clientWait})
 }
 
-// arriveWithBody is arrive for a request whose body is received through its attempt.
+// arriveWithBody is like arrive for a request whose body is forwarded to the server while it is received.
 func (c *coreTest) arriveWithBody(method int) *RPC {
 	return c.Arrived(Arrival{Method: method, Deadline: c.clock.now + clientWait, BodyPending: true})
 }
@@ -136,22 +136,22 @@
 	t.Helper()
 	assert.Zero(t, c.openRPCs)
 	assert.Empty(t, c.attempts)
-	assert.LessOrEqual(t, c.timers.Len(), 1, "only the Balancer's first request of a watch")
+	assert.LessOrEqual(t, c.timers.Len(), 1, "only the timer of the Balancer's first watch request may be left")
 }
 
-// nextOrder is the order that waits for whoever serves an RPC.
+// nextOrder receives an RPC's next order. The test fails if there is none.
 func nextOrder(t *testing.T, r *RPC) Order {
 	t.Helper()
 	select {
 	case o := <-r.Orders:
 		return o
 	default:
-		require.Fail(t, "nothing was ordered")
+		require.Fail(t, "the RPC has no pending order")
 		return Order{}
 	}
 }
 
-// nextAttempt is the attempt that was ordered.
+// nextAttempt receives an RPC's next order, which must be OrderSend, and returns its attempt.
 func nextAttempt(t *testing.T, r *RPC) *Attempt {
 	t.Helper()
 	o := nextOrder(t, r)
--- a/internal/core/node/host.go
+++ b/internal/core/node/host.go
@@ -7,14 +7,15 @@
 )
 
 // Core implements decide.Host: Send and Cancel are in attempt.go, PushBack and Abort in rpc.go, StartTimer in
-// timers.go, the others here. The Balancer calls them from inside the core's own calls, so the mutex is held.
+// timers.go, the other methods in this file. The Balancer calls them only while the core calls the Balancer, so the
+// core's mutex is held.
 var _ decide.Host = (*Core)(nil)
 
-// balancerClockStart is the Balancer's time when the core's clock is at 0, in seconds. It is high enough that a server
-// that started before this node has a time above 0, which the Balancer takes for long ago.
+// balancerClockStart is the Balancer's time in seconds when the core's clock is 0. The Balancer treats a start time of
+// 0 as long ago. This value is high enough that a server that started before the node has a start time above 0.
 const balancerClockStart = 86_400.0
 
-// maxDuration bounds what is converted from the Balancer's seconds.
+// maxDuration limits the durations that are converted from the Balancer's seconds.
 const maxDuration = 1e9 // seconds
 
 func seconds(d time.Duration) float64 { return d.Seconds() }
@@ -23,16 +24,17 @@
 	return time.Duration(min(max(seconds, 0), maxDuration) * float64(time.Second))
 }
 
-// balancerTime converts a time by the core's clock into the Balancer's.
+// balancerTime converts a time on the core's clock to seconds on the Balancer's clock.
 func balancerTime(d time.Duration) float64 { return seconds(d) + balancerClockStart }
 
-// Now is the Balancer's clock, in seconds.
+// Now returns the current time on the Balancer's clock, in seconds. It is part of decide.Host.
 func (c *Core) Now() float64 { return balancerTime(c.clock.Now()) }
 
-// CloseIdleConnections has the next attempt at a server close the idle connections there and open a new one.
+// CloseIdleConnections marks the idle connections to a server as stale. The next attempt at the server closes them and
+// opens a new connection. It is part of decide.Host.
 func (c *Core) CloseIdleConnections(s *decide.Server) {
 	s.HostData.(*Server).idleConnectionsStale = true
 }
 
-// WatchEndpoints requests a watch of the endpoint list.
+// WatchEndpoints requests a watch of the endpoint list. It is part of decide.Host.
 func (c *Core) WatchEndpoints() { c.requestWatch() }
--- a/internal/core/node/invariants.go
+++ b/internal/core/node/invariants.go
@@ -9,19 +9,21 @@
 	"robincart/internal/system/telemetry"
 )
 
-// The invariants are checked on the core's own ledger of attempts, apart from the decisions that they bound. Begin is
-// the one place through which each attempt goes right before its first byte, and lets none through that breaks a rule;
-// each final answer goes through recordAnswer. What was ordered against a rule counts as a violation; an attempt that
-// became unfit on its way, by a slow connect or an update of its server, is only not begun.
-
-// lateAnswerSlack is how long after its deadline an answer may be ordered before it counts as late: the resolution of
-// timers, and a process that is held up for a moment.
+// The invariants are checked on the core's own records of attempts, independently of the Balancer's decisions. Begin is
+// called for each attempt immediately before its first byte is written, and refuses an attempt that would break a rule.
+// recordAnswer is called for each final answer. An order that breaks a rule counts as a violation. An attempt that
+// became invalid only after it was ordered, by a slow connect or an update of its server, is refused by Begin and does
+// not count as a violation.
+
+// lateAnswerSlack is how long after its RPC's deadline an answer may be ordered before it counts as late. It allows for
+// the resolution of timers and for short delays of the process.
 const lateAnswerSlack = 150 * time.Millisecond
 
-// mayHaveRun returns whether an attempt may have had its effect: it was begun, and no result proves that it did not.
+// mayHaveRun returns whether an attempt may have had an effect: it was begun, and its result does not prove that it
+// never ran.
 func (a *Attempt) mayHaveRun() bool { return a.begun && !a.neverRan }
 
-// firstPossibleRun is the first attempt of an RPC that may have run, apart from one; nil if there is none.
+// firstPossibleRun returns the first attempt of an RPC, other than except, that may have run; nil if there is none.
 func (r *RPC) firstPossibleRun(except *Attempt) *Attempt {
 	for _, a := range r.attempts {
 		if a != except && a.mayHaveRun() {
@@ -31,8 +33,9 @@
 	return nil
 }
 
-// mayRepeat returns whether an attempt may begin now, after those before it. Its connect may have taken longer than
-// what was left of the deduplication window, and its server may be listed in another group since it was ordered.
+// mayRepeat returns whether an attempt may begin now, given the RPC's earlier attempts. Since the attempt was ordered,
+// the deduplication window may have ended during a slow connect, or the list may have moved the attempt's server to
+// another zone or cell, and so to another deduplication scope.
 func (a *Attempt) mayRepeat(now time.Duration) bool {
 	first := a.rpc.firstPossibleRun(a)
 	if first == nil {
@@ -44,31 +47,35 @@
 		return false
 	case decide.Deduplicated:
 		inWindow := now < first.begunAt+duration(method.DedupWindow)
-		return inWindow && sameGroup(method.DedupScope, a.Server, first.Server)
+		return inWindow && sameDedupScope(method.DedupScope, a.Server, first.Server)
 	default:
 		return true
 	}
 }
 
-// checkRepeat checks that an attempt that is ordered now may follow those before it, those on their way included.
+// checkRepeat reports a violation if an attempt is ordered now that must not follow the RPC's earlier attempts.
+// Attempts that are still in flight count as if they had run.
 func (c *Core) checkRepeat(a *Attempt, now time.Duration) {
 	method := &a.rpc.method
 	for _, earlier := range a.rpc.attempts {
 		switch {
 		case earlier == a || earlier.neverRan:
 		case method.Idempotency == decide.NonIdempotent:
-			c.violation(telemetry.RepeatedUnproven, a, "an attempt at %s may have run, or may yet", earlier.Server.id)
+			c.violation(telemetry.RepeatedUnproven, a, "an earlier attempt at server %s may have run or may still run",
+				earlier.Server.id)
 		case method.Idempotency == decide.Deduplicated && now >= earlier.orderedAt+duration(method.DedupWindow):
-			c.violation(telemetry.RepeatedTooLate, a, "%v after the attempt at %s",
-				now-earlier.orderedAt, earlier.Server.id)
-		case method.Idempotency == decide.Deduplicated && !sameGroup(method.DedupScope, a.Server, earlier.Server):
-			c.violation(telemetry.RepeatedUnproven, a, "%s is in another group, and may have run it", earlier.Server.id)
+			c.violation(telemetry.RepeatedTooLate, a, "%v after the attempt at server %s, expected less than %v",
+				now-earlier.orderedAt, earlier.Server.id, duration(method.DedupWindow))
+		case method.Idempotency == decide.Deduplicated && !sameDedupScope(method.DedupScope, a.Server, earlier.Server):
+			c.violation(telemetry.RepeatedUnproven, a,
+				"an attempt at server %s, in another deduplication scope, may have run", earlier.Server.id)
 		}
 	}
 }
 
-// sameGroup returns whether two servers drop repeats of each other's requests.
-func sameGroup(scope decide.DedupScope, a, b *Server) bool {
+// sameDedupScope returns whether two servers are in the same deduplication scope: each drops repeats of the other's
+// requests.
+func sameDedupScope(scope decide.DedupScope, a, b *Server) bool {
 	switch scope {
 	case decide.ScopeZone:
 		return a.listed.Zone == b.listed.Zone
@@ -79,8 +86,10 @@
 	}
 }
 
-// checkSlowStart checks what this node begins at a server in slow start against the budget that the operators give all
-// nodes together, by what one warm server answers this node: past that, this node's part alone is too much.
+// checkSlowStart reports a violation if this node begins too many attempts at a server in slow start. The limit follows
+// from OverloadMultiple times the rate that the server can take of this node, over OverloadWindow; the rate is
+// estimated from that of a warm server. The operators set this limit for all nodes together, so above it this node's
+// attempts alone are too many.
 func (c *Core) checkSlowStart(a *Attempt, now time.Duration) {
 	s := a.Server
 	rate, starting := c.balancer.SlowStartRate(s.decideServer)
@@ -95,31 +104,35 @@
 	}
 	budget := slowStartBudget(c.settings.OverloadMultiple * rate * c.settings.OverloadWindow)
 	if begun := len(s.slowStartAttempts); float64(begun) > budget {
-		c.violation(telemetry.SlowStartExceeded, a, "%d in %v, %.1f allowed", begun, window, budget)
+		c.violation(telemetry.SlowStartExceeded, a, "%d attempts begun in %v, expected at most %.1f",
+			begun, window, budget)
 	}
 }
 
-// slowStartBudget is how many requests may begin at a server in slow start where the mean is expected requests: chance
-// needs room. The numbers are the operators' (budget of a server in slow start).
+// slowStartBudget returns how many requests may begin at a server in slow start if the expected number is the mean. The
+// margin above the mean allows for random variation. The operators' limit for servers in slow start defines the
+// numbers.
 func slowStartBudget(expected float64) float64 {
-	const few = 30
-	if expected < few {
+	const fewRequests = 30
+	if expected < fewRequests {
 		return expected + 3*math.Sqrt(expected) + 3
 	}
 	return expected + 2*math.Sqrt(expected) + 2
 }
 
-// checkEnd checks that an attempt that reached its server had been let through.
-func (c *Core) checkEnd(a *Attempt, res decide.Result) {
+// checkBegun reports a violation if the result shows that an attempt reached its server although Begin had not allowed
+// it.
+func (c *Core) checkBegun(a *Attempt, res decide.Result) {
 	switch res {
 	case decide.OK, decide.Failed, decide.Rejected, decide.Reset:
 		if !a.begun {
-			c.violation(telemetry.SentAfterEnd, a, "it ended with %v and was never let through", a.result)
+			c.violation(telemetry.SentAfterEnd, a, "the attempt ended with result %v, but was never begun", a.result)
 		}
 	}
 }
 
-// retryIsHarmless returns whether an RPC's client may retry it, for as long as it waits, without a second effect.
+// retryIsHarmless returns whether a retry by the RPC's client, at any time up to the deadline, can have no second
+// effect.
 func (r *RPC) retryIsHarmless() bool {
 	first := r.firstPossibleRun(nil)
 	switch {
@@ -132,7 +145,7 @@
 	}
 }
 
-// checkPushback checks that an RPC may be answered with the promise that a retry is harmless.
+// checkPushback reports a violation if an RPC is pushed back although a retry could have a second effect.
 func (c *Core) checkPushback(r *RPC) {
 	if r.state != rpcOpen || r.retryIsHarmless() {
 		return
@@ -140,11 +153,11 @@
 	c.recorder.Violation(telemetry.Violation{
 		Rule:    telemetry.PushbackUnsafe,
 		Request: r.requestID,
-		Detail:  fmt.Sprintf("an attempt at %s may have run", r.firstPossibleRun(nil).Server.id),
+		Detail:  fmt.Sprintf("an attempt at server %s may have run", r.firstPossibleRun(nil).Server.id),
 	})
 }
 
-// checkSecondAnswer checks that an RPC that has ended had no answer, where one is ordered.
+// checkSecondAnswer reports a violation if an answer is ordered for an RPC that was answered already.
 func (c *Core) checkSecondAnswer(r *RPC) {
 	if r.state == rpcAnswered {
 		c.recorder.Violation(telemetry.Violation{Rule: telemetry.AnsweredTwice, Request: r.requestID})
--- a/internal/core/node/invariants_test.go
+++ b/internal/core/node/invariants_test.go
@@ -12,7 +12,7 @@
 	"robincart/internal/system/telemetry"
 )
 
-// orderAndBegin orders an attempt that the Balancer would not order, and begins it.
+// orderAndBegin orders an attempt without the Balancer, which might not order it, and calls Begin for it.
 func (c *coreTest) orderAndBegin(r *RPC, server string, at time.Duration) (begun bool) {
 	c.mu.Lock()
 	c.clock.now = at
@@ -24,12 +24,12 @@
 
 func shortDedupWindow(s *settings.Instance) { s.Methods[book].DedupWindow = 1 }
 
-// What breaks the rules on repeats is counted and not begun, whatever orders it.
+// An attempt that breaks the rules on repeats counts as a violation and is not begun, even if it was ordered.
 func TestInvariants_Repeats(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		method     int
-		neverRan   bool // the first attempt is known not to have run
-		after      time.Duration
+		neverRan   bool          // the first attempt is known not to have run
+		after      time.Duration // from the begin of the first attempt to the order of the second
 		rule       telemetry.Rule
 		violations int64
 	}{
@@ -43,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			c, recorder := newRecordedCore(t, shortDedupWindow)
 			c.listReady("a", "b")
-			r := c.arrive(x.method)
+			r := c.arrive(test.method)
 			first := nextAttempt(t, r)
 			begunAt := c.clock.now
 			require.True(t, c.Begin(first, &fakeExchange{}))
@@ -51,20 +51,20 @@
 			if first.Server.id == other {
 				other = "b"
 			}
-			if x.neverRan {
+			if test.neverRan {
 				c.mu.Lock()
 				first.neverRan = true
 				c.mu.Unlock()
 			}
-			begun := c.orderAndBegin(r, other, begunAt+x.after)
-			assert.Equal(t, x.violations == 0, begun, "what breaks a rule is not begun")
-			assert.Equal(t, x.violations, recorder.Violations(x.rule))
+			begun := c.orderAndBegin(r, other, begunAt+test.after)
+			assert.Equal(t, test.violations == 0, begun, "an attempt that breaks a rule is not begun")
+			assert.Equal(t, test.violations, recorder.Violations(test.rule))
 		})
 	}
 }
 
-// An attempt that was ordered within its window, and whose connect took longer than what was left of it, is not begun,
-// and the client is not told that a retry is harmless.
+// An attempt is ordered within the deduplication window, but the window ends during its connect. The attempt is not
+// begun, and the client is not told that a retry is safe.
 func TestBegin_ConnectOutlastsDedupWindow(t *testing.T) {
 	c, recorder := newRecordedCore(t, shortDedupWindow)
 	c.listReady("a", "b")
@@ -85,7 +85,7 @@
 func TestInvariants_SlowStartExceeded(t *testing.T) {
 	c, recorder := newRecordedCore(t, nil)
 	starting := endpoint("a", decide.Ready)
-	starting.StartedAt = startTimeOfTests
+	starting.StartedAt = testStartTime
 	c.UpdateEndpoints([]Endpoint{endpoint("b", decide.Ready), starting}, true)
 	r := c.arrive(find)
 	for range 99 {
@@ -110,7 +110,7 @@
 	assert.EqualValues(t, 1, recorder.Violations(telemetry.AnsweredLate))
 }
 
-// Each attempt has the reason for which it was ordered, each answer the one for which it was given.
+// The events of attempts and answers are recorded with the reason for which the attempt or answer was ordered.
 func TestEvents_Reasons(t *testing.T) {
 	c, recorder := newRecordedCore(t, nil)
 	c.listReady("a", "b")
--- a/internal/core/node/knownids.go
+++ b/internal/core/node/knownids.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// maxRecentIDs is how many IDs each half of recentIDs has.
+// maxRecentIDs is the number of IDs in each of the two sets of recentIDs.
 const maxRecentIDs = 4096
 
-// recentIDs remembers IDs, the latest maxRecentIDs at least and twice as many at most. Without a bound, deploys would
-// fill the memory with all the IDs there have been.
+// recentIDs is a bounded set of the most recently added IDs: at least the last maxRecentIDs and at most twice as many.
+// Without a bound it would grow with each deploy, because new servers have new IDs.
 type recentIDs struct{ current, previous map[string]struct{} }
 
 func (r *recentIDs) add(id string) {
--- a/internal/core/node/orders.go
+++ b/internal/core/node/orders.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// OrderKind is what the core orders for an RPC.
+// OrderKind is the kind of an Order.
 type OrderKind int
 
-// The kinds of orders. All but OrderSend end their RPC.
+// The kinds of orders. All except OrderSend end the RPC.
 const (
-	OrderSend       OrderKind = iota // carry out an attempt
-	OrderPushBack                    // reject it: retrying is harmless
-	OrderAbort                       // fail it, with no promise
+	OrderSend       OrderKind = iota // execute an attempt
+	OrderPushBack                    // answer with a rejection: a retry is safe
+	OrderAbort                       // answer with an error: a retry may not be safe
 	OrderServed                      // forward a server's response
-	OrderClientGone                  // not the core's: sent once at most, by what watches the client's connection
+	OrderClientGone                  // stop: the client has gone; sent by the frontend, not by the core, at most once
 )
 
-// Order is one thing to be done for an RPC, by whoever serves it.
+// Order is one operation that the goroutine that serves an RPC has to execute.
 type Order struct {
 	Kind       OrderKind
-	Attempt    *Attempt      // of OrderSend
-	RetryAfter time.Duration // of OrderPushBack
-	Response   *Response     // of OrderServed
+	Attempt    *Attempt      // for OrderSend
+	RetryAfter time.Duration // for OrderPushBack: the pause before a retry that the client is advised to make
+	Response   *Response     // for OrderServed
 }
 
-// Response is a server's response, to be forwarded unchanged.
+// Response is a server's response, which is forwarded unchanged.
 type Response struct {
 	ContentType   string
 	Body          []byte
-	BodyStream    BodyStream // what of the body follows Body; nil: nothing
-	ReservedBytes int        // of the process's memory budget: whoever has forwarded the response gives them back
+	BodyStream    BodyStream // the rest of the body, after Body; nil: Body is complete
+	ReservedBytes int        // reserved in the process's memory budget; released after the response was forwarded
 }
 
-// BodyStream is the part of a response's body that had not been received when forwarding began. Whoever gets the
+// BodyStream is the part of a response's body that had not been received when forwarding began. The receiver of the
 // response has to close it.
 type BodyStream interface {
 	Read(to []byte) (int, error)
--- a/internal/core/node/rpc.go
+++ b/internal/core/node/rpc.go
@@ -9,52 +9,53 @@
 )
 
 const (
-	// finalOrders is how many orders an RPC may have beside its attempts: an answer, its client's end, and one to
-	// spare.
-	finalOrders = 3
-	// maxBufferedAttempts is how many ordered attempts of an RPC may wait to be carried out. Whoever serves it takes
-	// them one after another, so that the memory for all that the settings allow is not needed.
+	// nonSendOrders is how many orders besides OrderSend an RPC's channel has room for: an answer, OrderClientGone, and
+	// one spare.
+	nonSendOrders = 3
+	// maxBufferedAttempts is the largest number of OrderSend orders that an RPC's channel has room for. The goroutine
+	// that serves the RPC receives them as they are ordered, so a buffer for all attempts that the settings allow
+	// would waste memory.
 	maxBufferedAttempts = 61
 )
 
-// rpcState is how far an RPC is. It changes once.
+// rpcState is the state of an RPC. It changes once, from rpcOpen to one of the others.
 type rpcState uint8
 
 const (
-	rpcOpen       rpcState = iota // waits for its answer
-	rpcAnswered                   // its final answer was ordered
-	rpcClientGone                 // its client left before
+	rpcOpen       rpcState = iota // no answer was ordered yet
+	rpcAnswered                   // the final answer was ordered
+	rpcClientGone                 // the client stopped waiting before an answer was ordered
 )
 
 // RPC is one request that the node has accepted and has to answer.
 type RPC struct {
-	Orders   chan Order // buffers as many as the core may give: it never blocks on them
-	Deadline time.Duration
+	Orders   chan Order    // buffered, so that the core never blocks on a send
+	Deadline time.Duration // on the core's clock
 
-	// Under the core's mutex.
+	// The core's mutex guards the fields below.
 	decideRPC        decide.RPC
 	state            rpcState
 	slotsReleased    bool
-	requestID        string        // the client's
-	method           decide.Method // as it was when the request arrived: the RPC keeps its rules
-	attempts         []*Attempt    // all that were ordered
-	attemptsInFlight int           // of these, not done
-	timer            timingwheel.Timer
+	requestID        string            // given by the client
+	method           decide.Method     // settings at the arrival of the request; a reload does not change them
+	attempts         []*Attempt        // all attempts that were ordered
+	attemptsInFlight int               // number of attempts without a result yet
+	timer            timingwheel.Timer // set by the Balancer through StartTimer
 }
 
-// Arrival is a request as a frontend has read it.
+// Arrival describes a request that a frontend has received.
 type Arrival struct {
-	RequestID      string // the client's, for logs
-	Method, Tenant int
-	Deadline       time.Duration // by the core's clock: the client waits until then
-	Retry          bool          // the client says that it is one
-	// BodyPending: the rest of its body is forwarded to its server as it is received, and its time begins with
-	// BodyReceived.
+	RequestID      string        // given by the client; used in telemetry
+	Method, Tenant int           // indices in the settings
+	Deadline       time.Duration // until when the client waits, on the core's clock
+	Retry          bool          // the client has marked the request as a retry
+	// BodyPending is set if the body is not complete yet: its rest is forwarded to the server as it is received. The
+	// RPC has no deadline until BodyReceived sets one.
 	BodyPending bool
-	WorkHint    float64 // the client's hint of its cost, 0 for none; used where the settings say that hints are given
+	WorkHint    float64 // the client's hint of the request's cost, 0: none; ignored unless the settings enable hints
 }
 
-// Arrived accepts a request and returns its RPC, whose orders say what to do.
+// Arrived registers a request and returns its RPC. The caller executes the orders that it receives from RPC.Orders.
 func (c *Core) Arrived(a Arrival) *RPC {
 	r := &RPC{
 		Deadline:  a.Deadline,
@@ -74,7 +75,7 @@
 		r.decideRPC.WorkHint = a.WorkHint
 	}
 	r.method = c.balancer.Method(a.Method)
-	r.Orders = make(chan Order, min(c.maxAttempts, maxBufferedAttempts)+finalOrders)
+	r.Orders = make(chan Order, min(c.maxAttempts, maxBufferedAttempts)+nonSendOrders)
 	c.openRPCs++
 	c.acquireSlots(r)
 	c.recorder.Record(telemetry.Event{
@@ -89,8 +90,8 @@
 	return r
 }
 
-// BodyReceived notes that the last byte of a request was written by its attempt: the RPC's time begins, with so much
-// of it left.
+// BodyReceived reports that an attempt has written the last byte of a request whose body was pending. It sets the RPC's
+// deadline to the current time plus left.
 func (c *Core) BodyReceived(a *Attempt, left time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +108,7 @@
 	c.arm()
 }
 
-// ClientGone notes that an RPC's client does not wait any more.
+// ClientGone reports that an RPC's client no longer waits for the answer.
 func (c *Core) ClientGone(r *RPC) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,13 +120,14 @@
 	c.releaseSlots(r)
 }
 
-// PushBack orders the answer that promises that a retry is harmless. It is part of decide.Host.
-func (c *Core) PushBack(r *decide.RPC, wait float64) {
+// PushBack orders a rejection after which the client can safely retry. retryAfter is the pause that the client is
+// advised to make first, in seconds. It is part of decide.Host.
+func (c *Core) PushBack(r *decide.RPC, retryAfter float64) {
 	c.checkPushback(r.HostData.(*RPC))
-	c.answer(r, Order{Kind: OrderPushBack, RetryAfter: duration(wait)})
+	c.answer(r, Order{Kind: OrderPushBack, RetryAfter: duration(retryAfter)})
 }
 
-// Abort orders the answer that promises nothing. It is part of decide.Host.
+// Abort orders an error answer, after which a retry may not be safe. It is part of decide.Host.
 func (c *Core) Abort(r *decide.RPC) { c.answer(r, Order{Kind: OrderAbort}) }
 
 func (c *Core) answer(decided *decide.RPC, o Order) {
@@ -139,7 +141,7 @@
 	c.endRPC(r, rpcAnswered)
 }
 
-// endRPC ends an open RPC. Its attempts may go on.
+// endRPC ends an open RPC. Its attempts may still be in flight.
 func (c *Core) endRPC(r *RPC, state rpcState) {
 	r.state = state
 	c.openRPCs--
--- a/internal/core/node/rpc_test.go
+++ b/internal/core/node/rpc_test.go
@@ -12,7 +12,7 @@
 	"robincart/internal/protocol/settings"
 )
 
-// Work hints count where the settings ask for them, also while a reload replaces the settings.
+// Work hints are used only if the settings enable them, also during a concurrent reload of the settings.
 func TestArrived_WorkHints(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		t.Run(fmt.Sprint(used), func(t *testing.T) {
@@ -61,9 +61,9 @@
 	exchange := &fakeExchange{}
 	assert.True(t, c.Begin(a, exchange))
 	c.clock.advance(2*time.Second + timerResolution)
-	assert.Equal(t, OrderPushBack, nextOrder(t, r).Kind, "all servers drop a repeat: a retry is harmless")
+	assert.Equal(t, OrderPushBack, nextOrder(t, r).Kind, "all servers drop repeats, so a retry is safe")
 	assert.True(t, exchange.canceled, "the exchange has to close its connection")
-	assert.False(t, c.Begin(a, exchange), "a slow connect was established after the answer")
+	assert.False(t, c.Begin(a, exchange), "the connect finished after the answer")
 	assert.Equal(t, 0, c.InFlight())
 	c.AttemptDone(a, decide.ConnectFailed, nil)
 	c.assertNothingInFlight(t)
@@ -91,13 +91,13 @@
 	c.ClientGone(r)
 	c.ClientGone(r)
 	assert.True(t, exchange.canceled)
-	assert.False(t, c.Bind(a, exchange), "an exchange that binds late is told so")
+	assert.False(t, c.Bind(a, exchange), "the RPC ended before the exchange was bound")
 	c.AttemptDone(a, decide.Reset, nil)
 	assert.Empty(t, r.Orders)
 	c.assertNothingInFlight(t)
 }
 
-func TestClientGone_AttemptOutlivesRPCWhereCancelsAreNotAllowed(t *testing.T) {
+func TestClientGone_AttemptContinuesIfCancelIsNotAllowed(t *testing.T) {
 	c := newCore(t, func(s *settings.Instance) { s.MayCancel = false })
 	c.listReady("a")
 	r := c.arrive(find)
@@ -106,9 +106,9 @@
 	c.Bind(a, exchange)
 	c.ClientGone(r)
 	assert.False(t, exchange.canceled)
-	assert.False(t, c.Begin(a, exchange), "not written yet: the client has gone")
+	assert.False(t, c.Begin(a, exchange), "the client has gone, so an attempt that is not written yet must not begin")
 	c.AttemptDone(a, decide.OK, &Response{})
-	assert.Empty(t, r.Orders, "nobody is left to be answered")
+	assert.Empty(t, r.Orders, "the client has gone, so no answer is ordered")
 	c.assertNothingInFlight(t)
 }
 
@@ -126,7 +126,7 @@
 	assert.Empty(t, r.Orders)
 }
 
-func TestAttempt_LastsNoLongerThanItsClientWaits(t *testing.T) {
+func TestAttempt_IsCanceledAtDeadline(t *testing.T) {
 	c := newCore(t, nil)
 	c.listReady("a")
 	a := nextAttempt(t, c.arrive(find))
@@ -136,19 +136,19 @@
 	c.clock.now += clientWait
 	assert.False(t, c.Begin(a, exchange))
 	c.clock.advance(timerResolution)
-	assert.True(t, exchange.canceled, "what waits for the response returns")
+	assert.True(t, exchange.canceled, "the exchange stops waiting for the response")
 	c.AttemptDone(a, decide.Reset, nil)
 }
 
-// The time of an RPC whose body is received through its attempt begins when that has ended.
+// The deadline of an RPC whose body is forwarded while it is received is set when the body is complete.
 func TestBodyReceived(t *testing.T) {
-	t.Run("time begins", func(t *testing.T) {
+	t.Run("sets the deadline", func(t *testing.T) {
 		c := newCore(t, nil)
 		c.listReady("a", "b")
 		r := c.arriveWithBody(charge)
 		a := nextAttempt(t, r)
 		assert.True(t, c.Begin(a, nil))
-		c.clock.advance(time.Minute) // far beyond its latency objective and its deadline
+		c.clock.advance(time.Minute) // far beyond the latency objective and the deadline of the method
 		assert.Empty(t, r.Orders)
 		assert.True(t, c.Begin(a, nil))
 		c.BodyReceived(a, clientWait)
@@ -156,14 +156,14 @@
 		exchange := &fakeExchange{}
 		c.Begin(a, exchange)
 		c.clock.advance(3 * time.Second)
-		assert.Equal(t, OrderAbort, nextOrder(t, r).Kind, "it may have run by then")
+		assert.Equal(t, OrderAbort, nextOrder(t, r).Kind, "the request may have run")
 		assert.True(t, exchange.canceled)
 		c.AttemptDone(a, decide.Reset, nil)
 		c.clock.advance(time.Minute)
 		c.assertNothingInFlight(t)
 	})
-	t.Run("broken before", func(t *testing.T) {
-		// It never ran, but what was sent of its body is lost: no other server can have it.
+	t.Run("connect failed before", func(t *testing.T) {
+		// The request never ran. But the part of its body that was sent is lost, so no other server can receive it.
 		c := newCore(t, nil)
 		c.listReady("a", "b")
 		r := c.arriveWithBody(charge)
@@ -190,21 +190,21 @@
 	})
 }
 
-// Settings may allow any number of attempts, and fewer after a reload: an RPC's orders never block, without the memory
-// for all of them.
+// The settings may allow any number of attempts, and fewer after a reload. The buffer of an RPC's orders is large
+// enough that the core does not block, but does not grow with the number of attempts beyond a limit.
 func TestArrived_BufferOfOrders(t *testing.T) {
 	for _, allowed := range []int{1, 5, 1 << 40} {
 		t.Run(fmt.Sprint(allowed), func(t *testing.T) {
 			c := newCore(t, func(s *settings.Instance) { s.MaxAttempts = allowed })
 			c.listReady("a")
 			r := c.arrive(find)
-			assert.LessOrEqual(t, cap(r.Orders), maxBufferedAttempts+finalOrders)
-			assert.GreaterOrEqual(t, cap(r.Orders), min(allowed, maxBufferedAttempts)+finalOrders)
+			assert.LessOrEqual(t, cap(r.Orders), maxBufferedAttempts+nonSendOrders)
+			assert.GreaterOrEqual(t, cap(r.Orders), min(allowed, maxBufferedAttempts)+nonSendOrders)
 			fewer := &settings.Instance{Settings: c.settings.Settings, MethodNames: []string{"find"}}
 			fewer.MaxAttempts = 1
 			c.UpdateSettings(fewer)
-			assert.GreaterOrEqual(t, cap(c.arrive(find).Orders), min(allowed, maxBufferedAttempts)+finalOrders,
-				"a removed method keeps its attempts")
+			assert.GreaterOrEqual(t, cap(c.arrive(find).Orders), min(allowed, maxBufferedAttempts)+nonSendOrders,
+				"RPCs of a removed method keep its number of attempts")
 		})
 	}
 }
--- a/internal/core/node/server.go
+++ b/internal/core/node/server.go
@@ -7,27 +7,28 @@
 	"robincart/decide"
 )
 
-// Server is one server of the tier below, as it is listed.
+// Server is one server of the tier below, with its entry in the endpoint list.
 type Server struct {
 	id           string
 	decideServer *decide.Server
-	ready        atomic.Bool // state is decide.Ready, for those that do not hold the core's mutex
+	ready        atomic.Bool // whether state is decide.Ready; read without the core's mutex
 
-	// Under the core's mutex.
+	// The core's mutex guards the fields below.
 	addr       string
-	state      decide.State // as listed, or draining while an operator's ban lasts
-	listed     Endpoint
-	lastUpdate int // of the list, which named it
-	// attemptsInFlight may outlast the server's listing.
+	state      decide.State // as listed, or decide.Draining during an operator's ban
+	listed     Endpoint     // its latest list entry
+	lastUpdate int          // value of Core.updates at the latest list update with this server; 0: none yet
+	// attemptsInFlight may be above 0 after the server has left the list.
 	attemptsInFlight     int
-	idleConnectionsStale bool // the next attempt opens a connection of its own
-	// attachedAt, by the Balancer's clock, is when an operator's ban ended though the list had not shown a restart: it
-	// counts as the server's start until the list shows a later one. 0: there is none.
+	idleConnectionsStale bool // the next attempt has to open a new connection
+	// attachedAt is when an operator ended a ban before the list had shown a restart, in seconds on the Balancer's
+	// clock. It counts as the server's start time until the list shows a later one. 0: none.
 	attachedAt float64
-	// startedAt, by the Balancer's clock, is what the listed start convertedStart was converted into.
-	startedAt      float64
+	// startedAt is convertedStart in seconds on the Balancer's clock.
+	startedAt float64
+	// convertedStart is the listed start time for which startedAt was computed.
 	convertedStart time.Time
-	// slowStartAttempts are when attempts began while it is in slow start, as far back as they count for its budget.
+	// slowStartAttempts are the times within the last overload window at which attempts began during slow start.
 	slowStartAttempts []time.Duration
 }
 
@@ -36,17 +37,17 @@
 	s.ready.Store(state == decide.Ready)
 }
 
-// Address is where a server is reached now, and whether it accepts anything new.
+// Address returns a server's current address, and whether the server accepts new attempts.
 func (c *Core) Address(s *Server) (addr string, ready bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return s.addr, s.state == decide.Ready
 }
 
-// Ready returns whether a server accepts anything new. It takes no lock.
+// Ready returns whether a server accepts new attempts. It takes no lock.
 func (c *Core) Ready(s *Server) bool { return s.ready.Load() }
 
-// StartTime is the listed start of a server; the zero time is long ago.
+// StartTime returns the listed start time of a server. The zero time means long ago.
 func (c *Core) StartTime(id string) (start time.Time, listed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,15 +58,15 @@
 	return s.listed.StartedAt, true
 }
 
-// forget drops a server that is gone and carries nothing, as the Balancer does. Without it, deploys would fill the
-// map with every ID there has been.
-func (c *Core) forget(s *Server) {
+// removeIfUnused removes a server that is gone and has no attempt in flight, as the Balancer does. Otherwise the map
+// would grow with each deploy, because new servers have new IDs.
+func (c *Core) removeIfUnused(s *Server) {
 	if s.state == decide.Gone && s.attemptsInFlight == 0 && c.servers[s.id] == s {
 		delete(c.servers, s.id)
 	}
 }
 
-// endpointUpdate is a server as the Balancer is given it.
+// endpointUpdate returns a server's current data in the form in which the Balancer takes it.
 func (c *Core) endpointUpdate(s *Server) decide.EndpointUpdate {
 	return decide.EndpointUpdate{
 		Server:    s.decideServer,
@@ -77,7 +78,7 @@
 	}
 }
 
-// refreshServer gives the Balancer a server whose state depends on more than the list.
+// refreshServer recomputes a server's state after a change of its ban, and updates the Balancer.
 func (c *Core) refreshServer(s *Server) {
 	s.setState(c.effectiveState(s.listed))
 	c.balancer.UpdateEndpoints([]decide.EndpointUpdate{c.endpointUpdate(s)}, false)
--- a/internal/core/node/slots_test.go
+++ b/internal/core/node/slots_test.go
@@ -10,14 +10,14 @@
 	"robincart/internal/protocol/settings"
 )
 
-func TestUpdateSettings_OpenRPCsKeepTheirRules(t *testing.T) {
+func TestUpdateSettings_OpenRPCsKeepTheirSettings(t *testing.T) {
 	c := newCore(t, func(s *settings.Instance) { s.MethodNames = []string{"find", "book", "charge"} })
 	c.listReady("a", "b", "c")
 	idempotent := c.arrive(find) // three attempts
 	first := nextAttempt(t, idempotent)
 	nonIdempotent := c.arrive(charge)
 	charged := nextAttempt(t, nonIdempotent)
-	for range 40 { // what is learned of a server has to outlive the reload
+	for range 40 { // the Balancer's statistics of the servers have to survive the reload
 		a := nextAttempt(t, c.arrive(book))
 		c.clock.now += time.Millisecond
 		c.AttemptDone(a, decide.OK, &Response{})
@@ -29,24 +29,25 @@
 	next.Methods, next.MaxAttempts = []decide.Method{method, method, method}, 2
 	next.Methods[2].Idempotency = decide.NonIdempotent
 	inForce := c.UpdateSettings(next)
-	assert.Equal(t, []string{"find", "", "charge", "pay"}, inForce.MethodNames, "a slot just freed is not used again")
+	assert.Equal(t, []string{"find", "", "charge", "pay"}, inForce.MethodNames,
+		"a slot is not reused right after it was freed")
 
 	c.AttemptDone(first, decide.Failed, nil)
-	second := nextAttempt(t, idempotent) // it may still be repeated
+	second := nextAttempt(t, idempotent) // the method was idempotent when the RPC arrived
 	c.AttemptDone(second, decide.Failed, nil)
-	third := nextAttempt(t, idempotent) // and has the attempts with which it arrived
+	third := nextAttempt(t, idempotent) // three attempts were allowed when the RPC arrived
 	c.AttemptDone(third, decide.Failed, nil)
 	assert.Equal(t, OrderPushBack, nextOrder(t, idempotent).Kind)
 	c.AttemptDone(charged, decide.Failed, nil)
-	assert.Equal(t, OrderAbort, nextOrder(t, nonIdempotent).Kind, "it was not to be repeated when it arrived")
+	assert.Equal(t, OrderAbort, nextOrder(t, nonIdempotent).Kind, "the method was not idempotent when the RPC arrived")
 
 	r := c.arrive(find)
 	c.AttemptDone(nextAttempt(t, r), decide.Failed, nil)
-	assert.Equal(t, OrderAbort, nextOrder(t, r).Kind, "those that arrive now are under the new rules")
+	assert.Equal(t, OrderAbort, nextOrder(t, r).Kind, "an RPC that arrives after the reload has the new settings")
 	r = c.arrive(3)
 	c.AttemptDone(nextAttempt(t, r), decide.Failed, nil)
 	c.AttemptDone(nextAttempt(t, r), decide.Failed, nil)
-	assert.Equal(t, OrderPushBack, nextOrder(t, r).Kind, "two attempts at most")
+	assert.Equal(t, OrderPushBack, nextOrder(t, r).Kind, "the new settings allow two attempts")
 
 	c.clock.advance(2 * slotQuarantine)
 	next.MethodNames = []string{"charge", "tip", "find"}
--- a/internal/core/node/starttimes.go
+++ b/internal/core/node/starttimes.go
@@ -6,35 +6,37 @@
 	"robincart/decide"
 )
 
-// Servers' start times are by the clock of whoever fills the endpoint list. This machine's wall clock may be wrong by
-// seconds or by an hour, and may be stepped while the process runs. Which start is later, and how old a server is, is
-// known all the same: no start lies ahead of the list's own time, and a start that was seen to happen is as old as its
-// update took to arrive.
+// The start times of servers are on the list's clock: the clock of the machine that fills the endpoint list. This
+// machine's wall clock may differ from it by seconds or by an hour, and may be stepped while the process runs. Two
+// facts still give the order of starts and the age of a server: no start time is in the future of the list's clock, and
+// the age of a start that happened while this process was watching is the time that its update took to arrive.
 
 const (
-	// promptUpdate is how old a start may be when the first update with it arrives, without this machine's clock being
-	// taken to be ahead: a server needs some time from its start until it is listed, and a working watch brings
-	// something every two seconds.
-	promptUpdate = 2500 * time.Millisecond
+	// maxListingDelay is the longest normal time from a server's start to the first update that lists it: a server
+	// needs some time from its start until it is listed, and a working watch delivers a message every two seconds. If
+	// all observed starts seem older when they are first listed, this machine's wall clock is assumed to be ahead of the
+	// list's clock.
+	maxListingDelay = 2500 * time.Millisecond
 
-	// initialUpdates is how many updates show starts long past: the list from before the process, and the first one of
-	// its own.
+	// initialUpdates is how many updates at the beginning may contain starts from long ago: the list that the process
+	// starts with, and the first one that it receives itself.
 	initialUpdates = 2
 
-	// minStartTime, by the Balancer's clock, is for starts before that clock began: 0 would mean long ago.
+	// minStartTime, in seconds on the Balancer's clock, replaces start times before 0 on that clock: 0 would mean long
+	// ago.
 	minStartTime = 1e-6
 )
 
-// listClock estimates by how much the wall clock of this process is ahead of the clock that the list's times are by.
+// listClock estimates the offset between this process's wall clock and the list's clock.
 type listClock struct {
-	ahead       time.Duration // the estimate; below 0: it is behind
-	latestStart time.Time     // that was ever listed
-	updates     int
-	sawStart    bool          // a start happened, and was listed, while this process looked
-	minAge      time.Duration // of these starts, when they were first listed
+	wallOffset    time.Duration // estimate of the wall clock minus the list's clock; negative: the wall clock is behind
+	latestStart   time.Time     // latest start time that was ever listed
+	updates       int           // number of updates observed
+	startObserved bool          // a server has started, and was listed, while this process was watching
+	minAge        time.Duration // lowest age of such a start by the wall clock, when it was first listed
 }
 
-// observe takes the start times of an update. wall is the present time by this process's wall clock.
+// observe updates the estimate with the start times of an update. wall is the current wall-clock time.
 func (l *listClock) observe(entries []Endpoint, wall time.Time) {
 	startsAreNew := l.updates >= initialUpdates
 	latestBefore := l.latestStart
@@ -47,37 +49,39 @@
 		if e.StartedAt.After(l.latestStart) {
 			l.latestStart = e.StartedAt
 		}
-		l.ahead = min(l.ahead, age) // no start lies ahead
-		if startsAreNew && (!l.sawStart || age < l.minAge) {
-			l.minAge, l.sawStart = age, true
+		l.wallOffset = min(l.wallOffset, age) // no start time is in the future of the list's clock
+		if startsAreNew && (!l.startObserved || age < l.minAge) {
+			l.minAge, l.startObserved = age, true
 		}
 	}
 	switch {
-	case !l.sawStart:
-	case l.minAge > promptUpdate:
-		l.ahead = l.minAge
-	case l.ahead > 0: // updates are prompt after all
-		l.ahead = 0
+	case !l.startObserved:
+	case l.minAge > maxListingDelay:
+		l.wallOffset = l.minAge
+	case l.wallOffset > 0: // updates arrive in time, so the wall clock is not ahead
+		l.wallOffset = 0
 	}
 }
 
-// adopt takes over what another process on this machine knew: the present time by the list's clock.
+// adopt sets the estimate from that of another process on this machine. list is the current time on the list's clock by
+// that process's estimate, wall the current wall-clock time. A difference of at most maxListingDelay is ignored.
 func (l *listClock) adopt(list, wall time.Time) {
-	ahead := wall.Sub(list)
-	if ahead > promptUpdate || ahead < -promptUpdate {
-		l.ahead = ahead
-		l.minAge, l.sawStart = ahead, ahead > 0
+	offset := wall.Sub(list)
+	if offset > maxListingDelay || offset < -maxListingDelay {
+		l.wallOffset = offset
+		l.minAge, l.startObserved = offset, offset > 0
 	}
 }
 
-// ListClock is the present time by the list's clock, as far as it is known, for a process that follows this one.
+// ListClock returns the estimated current time on the list's clock. A process passes it to its successor.
 func (c *Core) ListClock() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.wallNow().Add(-c.listClock.ahead)
+	return c.wallNow().Add(-c.listClock.wallOffset)
 }
 
-// AdoptListClock takes over the present time by the list's clock, as another process knew it.
+// AdoptListClock sets the current time on the list's clock to another process's estimate. The zero time means that
+// there is none.
 func (c *Core) AdoptListClock(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +90,7 @@
 	}
 }
 
-// startTime is when a server started, by the Balancer's clock; 0 is long ago.
+// startTime returns when a server started, in seconds on the Balancer's clock. 0 means long ago.
 func (c *Core) startTime(s *Server) float64 {
 	if s.listed.StartedAt.IsZero() {
 		return max(0, s.attachedAt)
@@ -95,13 +99,13 @@
 	return max(s.startedAt, s.attachedAt)
 }
 
-// convertStart converts a server's listed start. It does so once for each start: a better estimate of the list's clock
-// must not look like a restart.
+// convertStart converts a server's listed start time to the Balancer's clock. It converts each start time only once: a
+// later correction of the list's clock must not look like a restart.
 func (c *Core) convertStart(s *Server) {
 	if s.convertedStart.Equal(s.listed.StartedAt) {
 		return
 	}
-	age := c.wallNow().Sub(s.listed.StartedAt) - c.listClock.ahead
+	age := c.wallNow().Sub(s.listed.StartedAt) - c.listClock.wallOffset
 	s.convertedStart = s.listed.StartedAt
 	s.startedAt = max(minStartTime, c.Now()-seconds(max(age, 0)))
 }
--- a/internal/core/node/timers.go
+++ b/internal/core/node/timers.go
@@ -10,17 +10,17 @@
 
 const (
 	timerResolution = time.Millisecond
-	timerSlots      = 1024 // of the timing wheel: a second of timers
-	// maxTimersPerFire is how many timers end in one go while the mutex is held.
+	timerSlots      = 1024 // of the timing wheel: one turn takes about a second
+	// maxTimersPerFire limits how many timers expire in one call, during which the mutex is held.
 	maxTimersPerFire = 256
 )
 
-// StartTimer has the Balancer's TimerFired called with what, after a delay in seconds. The timer of an RPC or an
-// attempt is removed when that is over: if it were kept, the timers of two seconds' RPCs would be most of what the
-// node holds. It is part of decide.Host.
-func (c *Core) StartTimer(delay float64, what any) {
+// StartTimer calls the Balancer's TimerFired with the payload after a delay in seconds. The timer of an RPC or an
+// attempt is removed when the RPC or attempt ends. Otherwise the timers of the RPCs of the last two seconds would be
+// most of what the node keeps in memory. It is part of decide.Host.
+func (c *Core) StartTimer(delay float64, payload any) {
 	var t *timingwheel.Timer
-	switch decided := what.(type) {
+	switch decided := payload.(type) {
 	case *decide.RPC:
 		t = &decided.HostData.(*RPC).timer
 	case *decide.Attempt:
@@ -29,11 +29,11 @@
 	if t == nil || t.Set() {
 		t = &timingwheel.Timer{}
 	}
-	t.Payload = what
+	t.Payload = payload
 	c.timers.Add(t, c.clock.Now()+duration(delay))
 }
 
-// arm has the clock call fireTimers when the next timer may end.
+// arm schedules a call of fireTimers for the time at which the next timer may expire.
 func (c *Core) arm() {
 	at, found := c.timers.Next()
 	if !found || c.closed {
@@ -46,8 +46,7 @@
 	c.clock.AfterFunc(max(0, at-c.clock.Now()), func() { c.fireTimers(at) })
 }
 
-// fireTimers ends the timers whose time has come. A call that was armed for another time than the latest one does
-// nothing.
+// fireTimers fires the timers that have expired. It does nothing if arm has scheduled a call for another time since.
 func (c *Core) fireTimers(at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +58,7 @@
 	c.arm()
 }
 
-// fireTimer ends one timer: an attempt's deadline, or a timer of the Balancer.
+// fireTimer handles the expiry of one timer: an attempt's deadline, or a timer of the Balancer.
 func (c *Core) fireTimer(t *timingwheel.Timer) {
 	if a, isDeadline := t.Payload.(*Attempt); isDeadline {
 		if a.state == attemptOrdered {
