--- a/internal/core/node/starttimes.go
+++ b/internal/core/node/starttimes.go
@@ -14,8 +14,8 @@
 const (
 	// maxListingDelay is the longest normal time from a server's start to the first update that lists it: a server
 	// needs some time from its start until it is listed, and a working watch delivers a message every two seconds. If
-	// all observed starts seem older when they are first listed, this machine's wall clock is assumed to be ahead of the
-	// list's clock.
+	// all observed starts seem older when they are first listed, this machine's wall clock is assumed to be ahead of
+	// the list's clock.
 	maxListingDelay = 2500 * time.Millisecond
 
 	// initialUpdates is how many updates at the beginning may contain starts from long ago: the list that the process
--- a/internal/core/node/starttimes_test.go
+++ b/internal/core/node/starttimes_test.go
@@ -10,8 +10,8 @@
 	"robincart/decide"
 )
 
-// endpointStarted returns the list entry of a ready server of the given age. The list's clock is ahead of the wall clock
-// by listOffset.
+// endpointStarted returns the list entry of a ready server of the given age. The list's clock is ahead of the wall
+// clock by listOffset.
 func (c *coreTest) endpointStarted(id string, age, listOffset time.Duration) Endpoint {
 	e := endpoint(id, decide.Ready)
 	e.StartedAt = c.wallNow().Add(listOffset - age)
@@ -104,8 +104,8 @@
 	}
 }
 
-// The same if one process executes the operator's call and another one sees the restart. The start time that was listed
-// at the ban is handed over with the ban, because the wall clock may be stepped in between or during the ban.
+// One process may execute the operator's detach call, and another one the attach call. The ban is handed over with the
+// start time that was listed at the detach call, because the wall clock may be stepped before the attach call.
 func TestInheritBans_DetectsUnlistedRestartDespiteClockOffset(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Hour, 0, time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
