--- a/internal/resources/limits/budget.go
+++ b/internal/resources/limits/budget.go
@@ -2,42 +2,44 @@
 
 import "sync"
 
-// Budget counts the descriptors of connections to clients, servers and discovery, so that no call for one fails for
-// want of them. It is safe for concurrent use.
+// Budget counts the file descriptors of connections to clients, servers and discovery, so that the process does not run
+// out of them. It is safe for concurrent use.
 type Budget struct {
 	memory *MemoryBudget
 
 	// Set before the first Acquire:
-	maxClients int         // descriptors that clients hold at most; 0: no limit
+	maxClients int         // maximum number of descriptors for clients; 0: no limit
 	evict      func() bool // may be nil
 
 	mu            sync.Mutex
 	available     int
-	clientReserve int // of available, for clients alone
-	clients       int // descriptors that clients hold
+	clientReserve int // the last available descriptors, which only clients may acquire
+	clients       int // descriptors in use by clients
 }
 
-// NewBudget returns a budget with n descriptors. The last few, clientReserve, are for clients alone: one that finds the
-// node full has to be told so, which takes a connection.
+// NewBudget returns a budget with n descriptors. Only clients may acquire the last clientReserve of them: a full node
+// needs a connection to reject a client.
 func NewBudget(n, clientReserve int, memory *MemoryBudget) *Budget {
 	return &Budget{available: n, clientReserve: clientReserve, memory: memory}
 }
 
-// SetMaxClients sets how many descriptors clients hold at most. The fewer they can still acquire, the smaller is their
-// reserve: with all of theirs held, by idle connections as well, the rest is for servers and discovery.
+// SetMaxClients sets the maximum number of descriptors for clients. The client reserve is then never more than the
+// clients may still acquire: once they hold the maximum, servers and discovery can acquire all others.
 func (b *Budget) SetMaxClients(n int) { b.maxClients = n }
 
-// Memory returns the process's budget of memory.
+// Memory returns the process's memory budget.
 func (b *Budget) Memory() *MemoryBudget { return b.memory }
 
-// SetEvictor sets what is called when no descriptor is left. It returns whether it has released one, by closing an idle
-// connection to a server.
+// SetEvictor sets the function that is called when no descriptor is available. The function closes an idle connection
+// to a server, and returns whether that has released a descriptor.
 func (b *Budget) SetEvictor(f func() bool) { b.evict = f }
 
-// Acquire acquires a descriptor for a server or for discovery. Release returns it.
+// Acquire acquires a descriptor for a connection to a server or to discovery. It returns false if none is available.
+// Release returns the descriptor.
 func (b *Budget) Acquire() bool { return b.acquireOrEvict(b.tryAcquire) }
 
-// AcquireForClient acquires a descriptor for a client, also of the reserve. ReleaseForClient returns it.
+// AcquireForClient acquires a descriptor for a client, from the client reserve if no other is available. It returns
+// false if none is available. ReleaseForClient returns the descriptor.
 func (b *Budget) AcquireForClient() bool { return b.acquireOrEvict(b.tryAcquireForClient) }
 
 func (b *Budget) acquireOrEvict(try func() bool) bool {
@@ -76,15 +78,15 @@
 	return true
 }
 
-// Available returns how many descriptors are left.
+// Available returns the number of available descriptors, the client reserve included.
 func (b *Budget) Available() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.available
 }
 
-// Lend acquires up to n descriptors at once for another process that counts against the same limit, and leaves a
-// quarter of what is available. It returns how many; Release returns each.
+// Lend acquires up to n descriptors for another process that shares this one's limit. It leaves a quarter of the
+// available ones, and returns the number acquired. Each call of Release returns one.
 func (b *Budget) Lend(n int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,14 +95,14 @@
 	return lent
 }
 
-// Release returns a descriptor.
+// Release returns a descriptor that was acquired with Acquire or Lend.
 func (b *Budget) Release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.available++
 }
 
-// ReleaseForClient returns a client's descriptor.
+// ReleaseForClient returns a descriptor that was acquired with AcquireForClient.
 func (b *Budget) ReleaseForClient() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/resources/limits/derive.go
+++ b/internal/resources/limits/derive.go
@@ -1,7 +1,6 @@
 package limits
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"time"
@@ -17,24 +16,24 @@
 	maxCores    = 1024
 	minMemoryMB = 16
 
-	// ownDescriptors are the standard streams, the poller, the listener, and some to spare.
-	ownDescriptors       = 10
-	minSockets           = 2 * ownDescriptors
+	// processDescriptors is the number of descriptors for the standard streams, the poller, the listener and a margin.
+	processDescriptors   = 10
+	minSockets           = 2 * processDescriptors
 	discoveryDescriptors = 1
 
 	maxOverloadConnections = 32
 
-	// memoryPerRequest is what a request in progress has beside its bodies: stacks, buffers, and a piece either way
-	// where a body is streamed.
+	// memoryPerRequest is the memory, in bytes, of a request in progress without its bodies: stacks, buffers, and one
+	// chunk in each direction if a body is streamed.
 	memoryPerRequest = 32 * kb
 
-	// SIGKILL may come 0.7 s after the longest deadline, of which at most maxShutdownWait counts.
+	// SIGKILL may arrive 0.7 s after the longest deadline, or 0.7 s after maxShutdownWait if the deadline is longer.
 	maxShutdownWait = 3 * time.Second
 	shutdownMargin  = 450 * time.Millisecond
 
-	// updateMargin is for clocks, connects and the endpoint list itself.
+	// updateMargin is the part of MaxUpdateDelay for clock errors, for connecting, and for receiving the endpoint list.
 	updateMargin = 250 * time.Millisecond
-	// maxWatchGap is the time in which a change has to be in force where a watch ended instead of reporting it.
+	// maxWatchGap is the time within which a change must be in force if a watch ended instead of reporting it.
 	maxWatchGap = 2 * time.Second
 )
 
@@ -45,16 +44,17 @@
 	}
 	l := defaultLimits()
 	l.Cores = int(math.Ceil(m.Cores))
-	// The collector works harder near its limit; stacks and the program itself need the rest.
+	// The garbage collector uses more CPU near the soft limit. The remaining 30 % are for stacks and the program
+	// itself.
 	l.MemoryLimit = int64(m.MemoryMB) * mb * 7 / 10
-	l.Descriptors = m.Sockets - ownDescriptors
+	l.Descriptors = m.Sockets - processDescriptors
 	l.deriveDiscovery()
 	if err := l.deriveRequests(s.MaxInFlight); err != nil {
 		return Limits{}, err
 	}
 	l = l.ForService(s)
 	longest := longestDeadline(s)
-	l.RequestIDTTL = longest // no server remembers a request for longer
+	l.RequestIDTTL = longest // servers do not remember request IDs for longer
 	l.ShutdownAbortAfter = min(longest, maxShutdownWait) + shutdownMargin
 	return l, nil
 }
@@ -62,16 +62,16 @@
 func (m *Machine) validate() error {
 	switch {
 	case !(m.Cores > 0) || m.Cores > maxCores: // also if it is NaN
-		return fmt.Errorf("limits.cores is %v", m.Cores)
+		return fmt.Errorf("limits.cores is %v, expected more than 0 and at most %d", m.Cores, maxCores)
 	case m.MemoryMB < minMemoryMB:
-		return fmt.Errorf("limits.memory_mb is %d: a node needs %d at least", m.MemoryMB, minMemoryMB)
+		return fmt.Errorf("limits.memory_mb is %d, expected at least %d", m.MemoryMB, minMemoryMB)
 	case m.Sockets < minSockets:
-		return fmt.Errorf("limits.sockets is %d: a node needs %d at least", m.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets is %d, expected at least %d", m.Sockets, minSockets)
 	}
 	return nil
 }
 
-// defaultLimits returns what depends on neither machine nor settings.
+// defaultLimits returns the limits that depend on neither the machine nor the settings. The others are zero.
 func defaultLimits() Limits {
 	return Limits{
 		Wire: httpwire.Sizes{
@@ -91,8 +91,8 @@
 		LongIdle:          2 * time.Second,
 		FinalReadWindow:   5 * time.Millisecond,
 		ClientReadTimeout: 2500 * time.Millisecond,
-		// No attempt may begin more than 0.1 s after its client has gone. What is left of that is for the way to the
-		// server.
+		// No attempt may start more than 0.1 s after its client has disconnected. The remaining 75 ms are for sending
+		// the request to the server.
 		ClientCheckInterval: 25 * time.Millisecond,
 		OverloadRetryAfter:  500 * time.Millisecond,
 		ClientWriteTimeout:  2 * time.Second,
@@ -121,16 +121,18 @@
 	}
 }
 
-// deriveDiscovery derives the longest intervals that keep MaxUpdateDelay. A call may wait as long as a watch may be
-// silent. The call that brings a change has to start so early that it may wait as long, too. What is left between the
-// two is the longest backoff; it is longer the sooner the call before has failed.
+// deriveDiscovery derives the timeout of a poll and the longest intervals between polls, so that every update is in
+// force within MaxUpdateDelay. A poll may take as long as a watch may be silent, and so may the next poll, which
+// delivers the update. MaxPollInterval is therefore MaxUpdateDelay minus that time and updateMargin. The backoff after
+// a failed poll may last until MaxPollInterval has passed since the start of that poll.
 func (l *Limits) deriveDiscovery() {
 	l.FirstMessageTimeout = l.WatchSilenceTimeout
 	l.MaxPollInterval = l.MaxUpdateDelay - l.FirstMessageTimeout - updateMargin
-	l.MaxReconnectDelay = maxWatchGap / 2 // the other half is for the call that brings the change
+	l.MaxReconnectDelay = maxWatchGap / 2 // the other half is for the poll that delivers the update
 }
 
-// deriveRequests divides descriptors and memory among requests. maxInFlight is the settings' limit; 0: they have none.
+// deriveRequests derives the limits of requests and client connections from the descriptors and the memory. maxInFlight
+// is the limit of requests in the settings; 0: no limit.
 func (l *Limits) deriveRequests(maxInFlight int) error {
 	l.OverloadConnections = min(maxOverloadConnections, l.Descriptors/8)
 	l.MaxRequests = l.requestsWithinDescriptors()
@@ -138,19 +140,19 @@
 		l.MaxRequests = min(l.MaxRequests, maxInFlight)
 	}
 	if l.MaxRequests < 1 {
-		return errors.New("limits.sockets leaves no caller a connection")
+		return fmt.Errorf("limits.sockets leaves %d descriptors, too few for one request", l.Descriptors)
 	}
 	l.MaxClientConnections = l.MaxRequests + l.OverloadConnections
-	// Half of the memory is for bodies, a quarter for what each request has beside them. Connections beyond the
-	// requests are idle, or wait with their bytes in the kernel.
+	// Half of the memory is for bodies, and a quarter for memoryPerRequest. Connections without a request in progress
+	// use none of it: they are idle, or their bytes wait in the kernel.
 	l.BodyMemory = l.MemoryLimit / 2
 	l.MaxRequests = max(1, min(l.MaxRequests, int(l.MemoryLimit/4)/memoryPerRequest))
 	l.MaxStreamedRequests = max(1, l.MaxRequests/2)
 	return nil
 }
 
-// requestsWithinDescriptors returns how many requests the descriptors suffice for: each has a connection on either
-// side, every tenth one more for a hedged request.
+// requestsWithinDescriptors returns the number of requests for which there are enough descriptors. Each request has a
+// connection to its client and one to a server, and every tenth request has another one for a hedge.
 func (l *Limits) requestsWithinDescriptors() int {
 	return (l.Descriptors - l.OverloadConnections - discoveryDescriptors) * 10 / 21
 }
--- a/internal/resources/limits/limits_test.go
+++ b/internal/resources/limits/limits_test.go
@@ -37,17 +37,17 @@
 			assert.Less(t, l.ServerIdleTimeout, 30*time.Second)
 			assert.Equal(t, 250*time.Millisecond, l.ConnectTimeout)
 
-			assert.Less(t, l.ShutdownAbortAfter+l.ShutdownWriteTime, 3600*time.Millisecond, "SIGKILL may come soon after")
+			assert.Less(t, l.ShutdownAbortAfter+l.ShutdownWriteTime, 3600*time.Millisecond, "SIGKILL may follow soon")
 			assert.Greater(t, l.ShutdownAbortAfter, 3*time.Second)
 			assert.LessOrEqual(t, l.ClientCheckInterval, 50*time.Millisecond,
-				"no attempt begins 0.1 s after its client has gone, and the way to a server takes some of that")
+				"no attempt starts more than 0.1 s after its client has disconnected, and sending takes a part of that")
 
-			// What discovery has is in force 6 s after it could be reached, whatever failed before. A call that arrives
-			// then is queued for a while.
+			// An update is in force within 6 s after discovery became reachable, whatever failed before. Discovery may
+			// queue a poll for up to maxQueueTime.
 			const maxUpdateDelay, maxQueueTime = 6 * time.Second, 2 * time.Second
-			assert.Less(t, l.MaxPollInterval+maxQueueTime, maxUpdateDelay, "from any failure on")
-			longestCall := max(l.FirstMessageTimeout, l.WatchSilenceTimeout, l.DiscoveryConnectTimeout)
-			assert.Greater(t, l.MaxPollInterval, longestCall+375*time.Millisecond, "the first backoff is spread")
+			assert.Less(t, l.MaxPollInterval+maxQueueTime, maxUpdateDelay, "after any failure")
+			longestPoll := max(l.FirstMessageTimeout, l.WatchSilenceTimeout, l.DiscoveryConnectTimeout)
+			assert.Greater(t, l.MaxPollInterval, longestPoll+375*time.Millisecond, "room for the random first backoff")
 			assert.Equal(t, maxUpdateDelay, l.MaxUpdateDelay)
 			assert.Greater(t, l.WatchSilenceTimeout, 2*time.Second, "an empty line arrives every 2 s")
 		})
@@ -59,7 +59,7 @@
 	s.MaxInFlight = 7
 	l, err := New(Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, s)
 	assert.NoError(t, err)
-	assert.Equal(t, 7, l.MaxRequests, "the settings allow fewer")
+	assert.Equal(t, 7, l.MaxRequests, "the settings allow fewer than the machine")
 }
 
 func TestNew_InvalidMachine(t *testing.T) {
@@ -80,7 +80,7 @@
 	b := NewBudget(3, 1, nil)
 	assert.True(t, b.Acquire())
 	assert.True(t, b.AcquireForClient())
-	assert.False(t, b.Acquire(), "a server must not take what a client needs to be told that the node is full")
+	assert.False(t, b.Acquire(), "the last descriptor is reserved for a client, so that it can be rejected")
 	assert.True(t, b.AcquireForClient())
 	assert.False(t, b.AcquireForClient())
 	b.Release()
@@ -100,7 +100,7 @@
 	assert.False(t, b.Acquire())
 }
 
-// Clients that hold all that is theirs, idle ones among them, leave the rest to servers and discovery.
+// Once clients hold their maximum of descriptors, servers and discovery can acquire all others.
 func TestBudget_MaxClients(t *testing.T) {
 	b := NewBudget(10, 3, nil)
 	b.SetMaxClients(6)
@@ -108,16 +108,16 @@
 		require.True(t, b.AcquireForClient())
 	}
 	for range 4 {
-		assert.True(t, b.Acquire(), "the rest is for servers and discovery to the last")
+		assert.True(t, b.Acquire(), "the client reserve is zero, so servers and discovery get all others")
 	}
 	assert.False(t, b.Acquire())
 	b.ReleaseForClient()
-	assert.False(t, b.Acquire(), "a client may come again")
+	assert.False(t, b.Acquire(), "the released descriptor is reserved for a client")
 	assert.True(t, b.AcquireForClient())
 }
 
-// As many connections for few requests as the limits allow: idle clients leave a connection for each request that is
-// in flight, and discovery's.
+// With the maximum of client connections configured and all of them open, a connection to a server is left for each
+// request, and one for discovery.
 func TestLimits_WithClients(t *testing.T) {
 	for _, requests := range []int{1, 5, 20, 100} {
 		t.Run(fmt.Sprint(requests, " requests"), func(t *testing.T) {
--- a/internal/resources/limits/memory.go
+++ b/internal/resources/limits/memory.go
@@ -2,35 +2,35 @@
 
 import "sync/atomic"
 
-// MemoryBudget counts the bytes of bodies that outgrow their usual buffers. Requests may have half of it: one that
-// holds its body needs memory for its response, and must not wait for others that do the same. A nil budget has no
-// limit. It is safe for concurrent use.
+// MemoryBudget counts the bytes of bodies that are larger than their initial buffers. Bodies of requests may use half
+// of it. The other half is left for bodies of responses: a request whose body holds memory also needs memory for its
+// response, even when many others do the same. A nil budget has no limit. MemoryBudget is safe for concurrent use.
 type MemoryBudget struct {
-	max      atomic.Int64
-	requests atomic.Int64 // in use by bodies of requests
-	total    atomic.Int64 // in use
+	max      atomic.Int64 // bytes
+	requests atomic.Int64 // bytes in use by bodies of requests
+	total    atomic.Int64 // bytes in use by all bodies
 }
 
-// NewMemoryBudget returns a budget of so many bytes.
+// NewMemoryBudget returns a budget with the given number of bytes.
 func NewMemoryBudget(bytes int64) *MemoryBudget {
 	m := &MemoryBudget{}
 	m.Resize(bytes)
 	return m
 }
 
-// Resize changes the size of the budget. What is reserved stays so.
+// Resize changes the size of the budget. It leaves existing reservations as they are.
 func (m *MemoryBudget) Resize(bytes int64) { m.max.Store(bytes) }
 
-// InUse returns how many bytes are reserved.
+// InUse returns the number of reserved bytes.
 func (m *MemoryBudget) InUse() int64 { return m.total.Load() }
 
-// ForRequests returns the budget of requests' bodies.
+// ForRequests returns the pool for bodies of requests.
 func (m *MemoryBudget) ForRequests() MemoryPool { return MemoryPool{budget: m, requests: true} }
 
-// ForResponses returns the budget of responses' bodies.
+// ForResponses returns the pool for bodies of responses.
 func (m *MemoryBudget) ForResponses() MemoryPool { return MemoryPool{budget: m} }
 
-// MemoryPool is the part of a MemoryBudget for bodies of requests, or of responses.
+// MemoryPool is a view of a MemoryBudget for bodies of either requests or responses.
 type MemoryPool struct {
 	budget   *MemoryBudget
 	requests bool
@@ -54,7 +54,7 @@
 	return true
 }
 
-// Release returns n bytes.
+// Release returns n reserved bytes.
 func (m MemoryPool) Release(n int) {
 	b := m.budget
 	if b == nil {
