--- a/internal/resources/quota/admission.go
+++ b/internal/resources/quota/admission.go
@@ -1,35 +1,35 @@
 package quota
 
-// Decision is whether a request is admitted, or why it is rejected.
+// Decision states that a request is admitted, or the reason for which it is rejected.
 type Decision int
 
 // The decisions.
 const (
 	Admitted         Decision = iota
-	Exhausted                 // the total is in use, and the service has what can't be taken from it
-	OverServiceQuota          // the service has its part of what is borrowed
-	OverTenantQuota           // the tenant has its part of the service
-	CPUSaturated              // the cores are saturated, and the service uses more than its part of them
-	ServiceRemoved
+	Exhausted                 // the total is in use or reserved, and the amount is beyond the service's reserve
+	OverServiceQuota          // the service would borrow more than its share
+	OverTenantQuota           // the tenant would use more than its share of the service's requests
+	CPUSaturated              // the CPU is saturated, and the service uses more than its fair share of it
+	ServiceRemoved            // the service was removed from the tree
 )
 
 func (d Decision) String() string {
 	return [...]string{
-		Admitted:         "taken",
-		Exhausted:        "full",
-		OverServiceQuota: "beyond its part",
-		OverTenantQuota:  "beyond its tenant's part",
-		CPUSaturated:     "beyond its part of the cores",
-		ServiceRemoved:   "leaving",
+		Admitted:         "admitted",
+		Exhausted:        "total exhausted",
+		OverServiceQuota: "over service quota",
+		OverTenantQuota:  "over tenant quota",
+		CPUSaturated:     "CPU saturated",
+		ServiceRemoved:   "service removed",
 	}[d]
 }
 
-// uncontendedFraction is the part of a service's requests that its tenants use without regard to each other. The rest
-// is only for tenants that have less than their part.
+// uncontendedFraction is the fraction of a service's requests in flight up to which its tenants are not limited. The
+// rest is only for tenants that use less than their share.
 const uncontendedFraction = 0.75
 
-// Acquire admits a request of a tenant, which holds an amount until its lease is released, or rejects it. The lease is
-// nil unless the request is admitted.
+// Acquire admits or rejects a request of a tenant. An admitted request holds the amount until its lease is released.
+// The lease of a rejected request is nil.
 func (s *Service) Acquire(tenantIndex int, amount Amount) (*Lease, Decision) {
 	s.countRequest()
 	if decision := s.decide(tenantIndex, amount); decision != Admitted {
@@ -39,29 +39,31 @@
 	return s.newLease(tenantIndex, amount), Admitted
 }
 
-// reject counts a rejection. A service that was refused to borrow counts among the borrowers from now on: otherwise one
-// that has borrowed everything would take again, one by one, what it returns, and this one never got anything.
+// reject counts a rejection. A service that was refused a borrowed amount counts as a borrower from now on, so that the
+// shares of the current borrowers shrink. Without that, a service that has borrowed everything would borrow each amount
+// again as soon as it has returned it, and this service would never get any.
 func (s *Service) reject(decision Decision) {
 	s.rejections[decision]++
 	if decision == Exhausted || decision == OverServiceQuota {
-		s.refusedNow = true
+		s.refusedSinceTick = true
 	}
-	if s.refusedNow && !s.refusedLately {
-		s.change(func() { s.refusedLately = true })
+	if s.refusedSinceTick && !s.refusedRecently {
+		s.change(func() { s.refusedRecently = true })
 	}
 }
 
-// Grow acquires what outlives a request, such as a connection to a server. Shrink returns it.
+// Grow acquires an amount without a lease, for resources that outlive a request, such as a connection to a server. It
+// returns false if the amount is not available. Shrink returns the amount.
 func (s *Service) Grow(amount Amount) bool {
 	if s.removed || s.decideResources(amount) != Admitted {
 		return false
 	}
-	s.use(amount)
+	s.addUsage(amount)
 	return true
 }
 
-// Shrink returns what Grow acquired.
-func (s *Service) Shrink(amount Amount) { s.use(amount.negated()) }
+// Shrink returns an amount that was acquired with Grow.
+func (s *Service) Shrink(amount Amount) { s.addUsage(amount.negated()) }
 
 func (s *Service) decide(tenantIndex int, amount Amount) Decision {
 	if s.removed {
@@ -70,7 +72,7 @@
 	if decision := s.decideResources(amount); decision != Admitted {
 		return decision
 	}
-	if !s.tenantMayAdd(tenantIndex, amount[InFlight]) {
+	if !s.tenantMayAcquire(tenantIndex, amount[InFlight]) {
 		return OverTenantQuota
 	}
 	if s.overCPU() {
@@ -79,7 +81,7 @@
 	return Admitted
 }
 
-// decideResources decides by the resources alone.
+// decideResources decides by the resources alone, without tenants and CPU.
 func (s *Service) decideResources(amount Amount) Decision {
 	used := s.used.plus(amount)
 	before := s.claimFor(s.used)
@@ -95,9 +97,10 @@
 	return Admitted
 }
 
-// decideResource decides whether a service may use an amount more of a resource, so that it uses used of it. Up to its
-// reserve it is never rejected; up to its guarantee only while others borrow from it, which is then revoked. Beyond,
-// the amount has to be left by the reserved amounts of all others, and the service must not borrow more than its part.
+// decideResource decides whether a service may use an additional amount of a resource; used includes that amount. Up to
+// its reserve the service is never rejected. Up to its guarantee it is rejected only while others borrow from it, and
+// Tick then revokes what they borrowed. Beyond its guarantee, the total minus the reserved amounts of all services must
+// suffice, and the service must not borrow more than its share by weight.
 func (s *Service) decideResource(r Resource, used, amount int64, before, after claim) Decision {
 	t := s.tree
 	if used <= s.reserve[r] && t.used[r]+amount <= t.Total[r] {
@@ -112,15 +115,15 @@
 		return Exhausted
 	}
 	if after.borrowed[r] > 0 {
-		part := float64(t.Total[r]-t.reserved[r]) * s.Weight / s.borrowerWeight()
-		if float64(after.borrowed[r]) > max(1, part) {
+		share := float64(t.Total[r]-t.reserved[r]) * s.Weight / s.borrowerWeight()
+		if float64(after.borrowed[r]) > max(1, share) {
 			return OverServiceQuota
 		}
 	}
 	return Admitted
 }
 
-// borrowerWeight returns the weight of all services that borrow, this one included.
+// borrowerWeight returns the sum of the weights of all borrowing services and this one.
 func (s *Service) borrowerWeight() float64 {
 	if s.borrowing {
 		return s.tree.borrowerWeight
@@ -128,8 +131,9 @@
 	return s.tree.borrowerWeight + s.Weight
 }
 
-// tenantMayAdd decides by the tenants of the service alone.
-func (s *Service) tenantMayAdd(tenantIndex int, requests int64) bool {
+// tenantMayAcquire reports whether the tenant may have the additional requests in flight. It considers only the usage
+// of the service's tenants.
+func (s *Service) tenantMayAcquire(tenantIndex int, requests int64) bool {
 	available := s.availableInFlight()
 	if float64(s.used[InFlight]+requests) <= available*uncontendedFraction {
 		return true
@@ -140,13 +144,13 @@
 		weight += tenant.weight
 	}
 	if len(s.tenants) > 1 && weight <= tenant.weight {
-		weight += s.minTenantWeight // one that is alone leaves what a second one would need
+		weight += s.minTenantWeight // a single active tenant leaves the share of the lightest one unused
 	}
 	return float64(tenant.inFlight+requests) <= max(1, available*tenant.weight/weight)
 }
 
-// availableInFlight returns how many requests the service may have in flight: its guarantee, and its part of what can
-// be borrowed.
+// availableInFlight returns the number of requests that the service may have in flight: its guarantee plus its share,
+// by weight, of the requests that can be borrowed.
 func (s *Service) availableInFlight() float64 {
 	t := s.tree
 	available := float64(s.guaranteed[InFlight])
--- a/internal/resources/quota/cpu.go
+++ b/internal/resources/quota/cpu.go
@@ -2,39 +2,41 @@
 
 import "math"
 
-// cpuSmoothing is the time constant, in seconds, by which a service's use of the CPU is smoothed.
+// cpuSmoothing is the time constant, in seconds, of the exponential moving average of a service's CPU usage.
 const cpuSmoothing = 1.0
 
-// minCPU is the part of the cores below which a service without requests counts as inactive.
-const minCPU = 1e-4
+// minActiveCPU is the smoothed CPU usage, as a fraction of the cores, at or below which a service without requests is
+// inactive.
+const minActiveCPU = 1e-4
 
-// Tick measures the CPU, and returns the leases that are revoked by it. It is called a few times a second with the time
-// in seconds, the CPU seconds that the process has used since the last call, and the cores that it has.
+// Tick updates the CPU usage, and revokes leases if a service has been short of its guarantee for RevokeAfter. It
+// returns the revoked leases. The caller calls it several times per second, with the time in seconds, the CPU seconds
+// that the process has used since the last call, and the number of cores.
 func (t *Tree) Tick(now, cpuSeconds, cores float64) []*Lease {
-	if elapsed := now - t.tickedAt; t.tickedAt > 0 && elapsed > 0 {
+	if elapsed := now - t.lastTickAt; t.lastTickAt > 0 && elapsed > 0 {
 		t.measureCPU(elapsed, cpuSeconds, cores)
-		t.forgetRefusals()
+		t.expireRefusals()
 	}
-	t.tickedAt = now
+	t.lastTickAt = now
 	return t.revoke(now)
 }
 
-// measureCPU divides the CPU that was used among the services by their requests.
+// measureCPU attributes the used CPU to the services in proportion to the numbers of their requests.
 func (t *Tree) measureCPU(elapsed, cpuSeconds, cores float64) {
-	allRequests := 0.0
+	totalRequests := 0.0
 	for _, s := range t.services {
-		allRequests += s.requests
+		totalRequests += s.requests
 	}
 	t.cpuLoad = cpuSeconds / elapsed / cores
 	t.activeCPUWeight = 0
-	previous := math.Exp(-elapsed / cpuSmoothing)
+	decay := math.Exp(-elapsed / cpuSmoothing)
 	for _, s := range t.services {
 		used := 0.0
-		if allRequests > 0 {
-			used = cpuSeconds / elapsed / cores * s.requests / allRequests
+		if totalRequests > 0 {
+			used = cpuSeconds / elapsed / cores * s.requests / totalRequests
 		}
-		s.cpu = s.cpu*previous + used*(1-previous)
-		s.activeCPU = s.requests > 0 || s.cpu > minCPU
+		s.cpu = s.cpu*decay + used*(1-decay)
+		s.activeCPU = s.requests > 0 || s.cpu > minActiveCPU
 		if s.activeCPU {
 			t.activeCPUWeight += s.Weight
 		}
@@ -42,17 +44,18 @@
 	}
 }
 
-// forgetRefusals ends the borrowing of services that were not refused to borrow since the last tick.
-func (t *Tree) forgetRefusals() {
+// expireRefusals clears refusedRecently of each service that was not refused a borrowed amount since the last tick.
+// Such a service no longer counts as a borrower, unless it holds a borrowed amount.
+func (t *Tree) expireRefusals() {
 	for _, s := range t.services {
-		if s.refusedLately && !s.refusedNow {
-			s.change(func() { s.refusedLately = false })
+		if s.refusedRecently && !s.refusedSinceTick {
+			s.change(func() { s.refusedRecently = false })
 		}
-		s.refusedNow = false
+		s.refusedSinceTick = false
 	}
 }
 
-// countRequest counts a request, admitted or not, for the division of the CPU.
+// countRequest counts a request, admitted or rejected, for the attribution of the CPU to services.
 func (s *Service) countRequest() {
 	s.requests++
 	if !s.activeCPU && !s.removed {
@@ -61,13 +64,14 @@
 	}
 }
 
-// overCPU reports whether the cores are saturated and the service uses more than its fair part: its guarantee, or its
-// part by weight of what is not guaranteed to anybody.
+// overCPU reports whether the CPU is saturated and the service uses more than its fair share of it. The fair share is
+// the larger of the service's guarantee and its share, by weight, of the fraction that is guaranteed to no service.
+// Both are fractions of the CPU in use.
 func (s *Service) overCPU() bool {
 	t := s.tree
 	if t.cpuLoad <= t.CPUThreshold || !s.activeCPU || t.activeCPUWeight <= 0 {
 		return false
 	}
-	fair := max(s.Guarantee, (1-t.guaranteedFraction)*s.Weight/t.activeCPUWeight) * t.cpuLoad
-	return s.cpu > fair && s.cpu > 0
+	fairShare := max(s.Guarantee, (1-t.guaranteedFraction)*s.Weight/t.activeCPUWeight) * t.cpuLoad
+	return s.cpu > fairShare && s.cpu > 0
 }
--- a/internal/resources/quota/lease.go
+++ b/internal/resources/quota/lease.go
@@ -4,7 +4,7 @@
 //
 //	from     event                                             to
 //	held     Release                                           released
-//	held     Tick, once an owner is short of what is borrowed  revoked
+//	held     Tick, RevokeAfter seconds after a shortage began  revoked
 //	revoked  Release                                           released
 type leaseState uint8
 
@@ -14,20 +14,20 @@
 	leaseReleased
 )
 
-// Lease is what one request holds.
+// Lease is the amount that one request holds, from its admission until Release.
 type Lease struct {
 	service     *Service
 	tenantIndex int
 	amount      Amount
 	state       leaseState
 	revoked     chan struct{}
-	// Of the same service:
+	// Neighbors in the service's list of leases:
 	newer, older *Lease
 }
 
 func (s *Service) newLease(tenantIndex int, amount Amount) *Lease {
 	l := &Lease{service: s, tenantIndex: tenantIndex, amount: amount, revoked: make(chan struct{})}
-	l.hold(amount)
+	l.updateUsage(amount)
 	l.older = s.newest
 	if l.older != nil {
 		l.older.newer = l
@@ -36,16 +36,16 @@
 	return l
 }
 
-// Revoked returns a channel that is closed when the lease is revoked: its request has to end at once.
+// Revoked returns a channel that is closed when the lease is revoked. Its request must then end at once.
 func (l *Lease) Revoked() <-chan struct{} { return l.revoked }
 
-// Release ends the lease. A second call does nothing.
+// Release ends the lease and returns its amount. A second call does nothing.
 func (l *Lease) Release() {
 	if l.state == leaseReleased {
 		return
 	}
 	l.state = leaseReleased
-	l.hold(l.amount.negated())
+	l.updateUsage(l.amount.negated())
 	if l.newer != nil {
 		l.newer.older = l.older
 	} else {
@@ -56,10 +56,10 @@
 	}
 }
 
-// hold changes what the lease's service and tenant use.
-func (l *Lease) hold(amount Amount) {
+// updateUsage adds the amount, which may be negative, to the usage of the lease's service and tenant.
+func (l *Lease) updateUsage(amount Amount) {
 	s := l.service
-	s.use(amount)
+	s.addUsage(amount)
 	tenant := &s.tenants[l.tenantIndex]
 	before := tenant.inFlight
 	tenant.inFlight += amount[InFlight]
@@ -71,22 +71,23 @@
 	}
 }
 
-// revoke revokes what was borrowed once an owner has been short for RevokeAfter, and returns those leases.
+// revoke revokes leases of borrowing services once a shortage has lasted for RevokeAfter, and returns them. It revokes
+// as many as the shortage needs.
 func (t *Tree) revoke(now float64) []*Lease {
 	missing := t.shortage
 	if missing == (Amount{}) {
-		t.shortSince = 0
+		t.shortageSince = 0
 		return nil
 	}
-	if t.shortSince == 0 {
-		t.shortSince = now
+	if t.shortageSince == 0 {
+		t.shortageSince = now
 		return nil
 	}
-	if now-t.shortSince < t.RevokeAfter {
+	if now-t.shortageSince < t.RevokeAfter {
 		return nil
 	}
 	t.shortage = Amount{}
-	t.shortSince = 0
+	t.shortageSince = 0
 	var revoked []*Lease
 	for r := range missing {
 		for missing[r] > 0 {
@@ -103,7 +104,8 @@
 	return revoked
 }
 
-// nextToRevoke returns the newest lease of the service whose borrowed amount is largest for its weight, or nil.
+// nextToRevoke returns the next lease to revoke for a resource, or nil if there is none. It is the newest lease of the
+// service that borrows the most of the resource relative to its weight.
 func (t *Tree) nextToRevoke(r Resource) *Lease {
 	var next *Lease
 	highest := 0.0
@@ -112,7 +114,7 @@
 		l := s.newest
 		for l != nil && (l.state == leaseRevoked || l.amount[r] == 0) {
 			if l.state == leaseRevoked {
-				borrowed -= l.amount[r] // will be returned soon
+				borrowed -= l.amount[r] // its request is about to end
 			}
 			l = l.older
 		}
--- a/internal/resources/quota/quota.go
+++ b/internal/resources/quota/quota.go
@@ -1,11 +1,11 @@
-// Package quota divides what one process has among its services, so that a flooded service takes nothing from a calm
-// one. Each service is guaranteed a part of every resource and may borrow what others leave unused; what is borrowed is
-// revoked when its owner needs it. Within a service, tenants share by weight. Services that use more than their fair
-// part of the CPU are rejected while it is saturated.
+// Package quota divides the resources of one process among its services, so that an overload of one service does not
+// reduce the capacity of the others. Each service has a guaranteed fraction of every resource and may borrow the unused
+// resources of others, which are revoked when their owner needs them. Within a service, tenants share by weight. While
+// the CPU is saturated, requests of services that use more than their fair share of it are rejected.
 //
-// A Tree keeps the sums over all services up to date with each change, so a decision costs the same for three services
-// as for a thousand. The package has no clock, no lock and no goroutine: time is handed in, and the caller serializes
-// the calls. It decides and counts; answering the rejected and ending the revoked requests is the caller's.
+// A Tree updates the sums over all services with each change, so a decision costs the same for 3 services as for 1000.
+// The package has no clock, locks or goroutines: the caller passes the time and serializes the calls. The package makes
+// decisions and counts usage; the caller sends the responses to rejected requests and ends the revoked ones.
 package quota
 
 import (
@@ -13,14 +13,14 @@
 	"fmt"
 )
 
-// Resource is something that services share.
+// Resource is a resource that services share.
 type Resource int
 
 // The resources.
 const (
-	InFlight    Resource = iota // requests between arrival and answer
-	BodyBytes                   // of the bodies of those
-	Connections                 // to servers
+	InFlight    Resource = iota // requests that have arrived and have no answer yet
+	BodyBytes                   // bytes of the bodies of requests in flight
+	Connections                 // connections to servers
 	NumResources
 )
 
@@ -37,7 +37,7 @@
 	return a
 }
 
-// negated returns the amount that takes a back.
+// negated returns the amount with opposite signs.
 func (a Amount) negated() Amount {
 	for r := range a {
 		a[r] = -a[r]
@@ -45,27 +45,28 @@
 	return a
 }
 
-// Config is what the quotas of all services have in common.
+// Config is the configuration that all services share.
 type Config struct {
 	Total            Amount
-	ReservedFraction float64 // part of each guarantee that is never lent
-	RevokeAfter      float64 // seconds for which an owner is short before what others borrowed is revoked
-	// CPUThreshold is the part of the process's cores above which services beyond their fair part are rejected.
+	ReservedFraction float64 // fraction of each guarantee that is never lent to other services
+	RevokeAfter      float64 // seconds of a shortage after which borrowed amounts are revoked
+	// CPUThreshold is the fraction of the process's cores in use above which the CPU is saturated. Requests of services
+	// that use more than their fair share are then rejected.
 	CPUThreshold float64
 }
 
 // Spec is the quota of one service.
 type Spec struct {
 	Name      string
-	Guarantee float64   // part of the total; the sum over all services is at most 1
-	Weight    float64   // among the services that borrow, and of the CPU
-	Tenants   []float64 // their weights; empty: the service does not tell tenants apart
+	Guarantee float64   // fraction of the total; the sum over all services is at most 1
+	Weight    float64   // for dividing borrowed amounts and the CPU among services
+	Tenants   []float64 // weights of the tenants; empty: the service does not distinguish tenants
 }
 
 const (
 	maxRevokeAfter = 60.0 // seconds
 	maxWeight      = 1e6
-	sumTolerance   = 1e-9 // of guarantees, for rounding
+	sumTolerance   = 1e-9 // for rounding errors in the sum of guarantees
 )
 
 // Validate reports every mistake in a configuration.
@@ -75,13 +76,13 @@
 		mistakes = append(mistakes, fmt.Errorf(format, args...))
 	}
 	if !isFraction(c.ReservedFraction) {
-		report("reserve %v is not in 0 to 1", c.ReservedFraction)
+		report("reserve is %v, expected 0 to 1", c.ReservedFraction)
 	}
 	if !(c.RevokeAfter >= 0 && c.RevokeAfter <= maxRevokeAfter) {
-		report("return %v s is not in 0 to 60", c.RevokeAfter)
+		report("return is %v s, expected 0 to %v s", c.RevokeAfter, maxRevokeAfter)
 	}
 	if !(isFraction(c.CPUThreshold) && c.CPUThreshold > 0) {
-		report("busy %v is not above 0 and at most 1", c.CPUThreshold)
+		report("busy is %v, expected more than 0 and at most 1", c.CPUThreshold)
 	}
 	sum := 0.0
 	for _, spec := range specs {
@@ -89,7 +90,7 @@
 		sum += spec.Guarantee
 	}
 	if sum > 1+sumTolerance {
-		report("the guarantees add up to %.3f, 1 is there", sum)
+		report("the guarantees add up to %.3f, expected at most 1", sum)
 	}
 	return errors.Join(mistakes...)
 }
@@ -97,22 +98,24 @@
 func (s *Spec) validate() []error {
 	var mistakes []error
 	if !isFraction(s.Guarantee) {
-		mistakes = append(mistakes, fmt.Errorf("service %s: guarantee %v is not in 0 to 1", s.Name, s.Guarantee))
+		mistakes = append(mistakes, fmt.Errorf("service %s: guarantee is %v, expected 0 to 1", s.Name, s.Guarantee))
 	}
 	if !isWeight(s.Weight) {
-		mistakes = append(mistakes, fmt.Errorf("service %s: weight %v is not above 0", s.Name, s.Weight))
+		mistakes = append(mistakes,
+			fmt.Errorf("service %s: weight is %v, expected more than 0 and at most %v", s.Name, s.Weight, maxWeight))
 	}
 	for i, weight := range s.Tenants {
 		if !isWeight(weight) {
 			mistakes = append(mistakes,
-				fmt.Errorf("service %s: tenant %d: weight %v is not above 0", s.Name, i+1, weight))
+				fmt.Errorf("service %s: tenant %d: weight is %v, expected more than 0 and at most %v",
+					s.Name, i+1, weight, maxWeight))
 		}
 	}
 	return mistakes
 }
 
-// isFraction is false for NaN.
+// isFraction reports whether x is in 0 to 1. It is false for NaN.
 func isFraction(x float64) bool { return x >= 0 && x <= 1 }
 
-// isWeight is false for NaN.
+// isWeight reports whether x is a valid weight. It is false for NaN.
 func isWeight(x float64) bool { return x > 0 && x <= maxWeight }
--- a/internal/resources/quota/quota_test.go
+++ b/internal/resources/quota/quota_test.go
@@ -9,20 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-const plenty = 1 << 40
+const unlimited = 1 << 40
 
 var oneRequest = Amount{InFlight: 1}
 
 func testConfig(requests int64) Config {
 	return Config{
-		Total:            Amount{InFlight: requests, BodyBytes: plenty, Connections: plenty},
+		Total:            Amount{InFlight: requests, BodyBytes: unlimited, Connections: unlimited},
 		ReservedFraction: 0.5,
 		RevokeAfter:      1,
 		CPUThreshold:     0.9,
 	}
 }
 
-// newTestTree returns a tree with a service of weight 1 for each guarantee.
+// newTestTree returns a tree with one service of weight 1 for each guarantee.
 func newTestTree(requests int64, guarantees ...float64) (*Tree, []*Service) {
 	tree := New(testConfig(requests))
 	var services []*Service
@@ -32,8 +32,8 @@
 	return tree, services
 }
 
-// acquireOf acquires up to n requests of a tenant.
-func acquireOf(s *Service, tenantIndex, n int) []*Lease {
+// acquireForTenant acquires leases for up to n requests of a tenant.
+func acquireForTenant(s *Service, tenantIndex, n int) []*Lease {
 	var leases []*Lease
 	for range n {
 		if lease, decision := s.Acquire(tenantIndex, oneRequest); decision == Admitted {
@@ -43,7 +43,7 @@
 	return leases
 }
 
-func acquire(s *Service, n int) []*Lease { return acquireOf(s, 0, n) }
+func acquire(s *Service, n int) []*Lease { return acquireForTenant(s, 0, n) }
 
 func releaseAll(leases []*Lease) {
 	for _, lease := range leases {
@@ -60,55 +60,55 @@
 	}
 }
 
-// history applies random operations to a tree.
-type history struct {
+// randomRun applies random operations to a tree.
+type randomRun struct {
 	tree         *Tree
 	services     []*Service
 	leases       []*Lease
 	now          float64
-	unguaranteed float64 // part of the total
-	grown        int64
+	unguaranteed float64 // fraction of the total that is guaranteed to no service
+	grown        int64   // connections acquired with Grow and not returned
 }
 
-func (h *history) addService(t *rapid.T) {
-	guarantee := rapid.Float64Range(0, h.unguaranteed).Draw(t, "guarantee")
-	h.unguaranteed -= guarantee
-	h.services = append(h.services, h.tree.Add(Spec{
-		Name:      fmt.Sprint(len(h.services)),
+func (run *randomRun) addService(t *rapid.T) {
+	guarantee := rapid.Float64Range(0, run.unguaranteed).Draw(t, "guarantee")
+	run.unguaranteed -= guarantee
+	run.services = append(run.services, run.tree.Add(Spec{
+		Name:      fmt.Sprint(len(run.services)),
 		Guarantee: guarantee,
 		Weight:    rapid.Float64Range(0.1, 5).Draw(t, "weight"),
 		Tenants:   []float64{1, 2},
 	}))
 }
 
-func (h *history) tick(t *rapid.T) {
-	h.now += rapid.Float64Range(0.01, 2).Draw(t, "pause")
-	for _, lease := range h.tree.Tick(h.now, 0, 1) {
+func (run *randomRun) tick(t *rapid.T) {
+	run.now += rapid.Float64Range(0.01, 2).Draw(t, "pause")
+	for _, lease := range run.tree.Tick(run.now, 0, 1) {
 		require.True(t, isRevoked(lease))
 		lease.Release()
 	}
 }
 
-func (h *history) release(t *rapid.T) {
-	if len(h.leases) == 0 {
+func (run *randomRun) release(t *rapid.T) {
+	if len(run.leases) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(h.leases)-1).Draw(t, "lease")
-	h.leases[i].Release()
-	h.leases[i].Release() // the second call does nothing
-	h.leases = append(h.leases[:i], h.leases[i+1:]...)
+	i := rapid.IntRange(0, len(run.leases)-1).Draw(t, "lease")
+	run.leases[i].Release()
+	run.leases[i].Release() // the second call does nothing
+	run.leases = append(run.leases[:i], run.leases[i+1:]...)
 }
 
-func (h *history) grow() {
-	s := h.services[0]
+func (run *randomRun) grow() {
+	s := run.services[0]
 	if s.Grow(Amount{Connections: 2}) {
 		s.Shrink(Amount{Connections: 1})
-		h.grown++
+		run.grown++
 	}
 }
 
-func (h *history) acquire(t *rapid.T) {
-	s := h.services[rapid.IntRange(0, len(h.services)-1).Draw(t, "service")]
+func (run *randomRun) acquire(t *rapid.T) {
+	s := run.services[rapid.IntRange(0, len(run.services)-1).Draw(t, "service")]
 	amount := Amount{1, int64(rapid.IntRange(0, 90).Draw(t, "bytes")), 1}
 	withinReserve := true
 	for r := range amount {
@@ -117,34 +117,34 @@
 	tenantIndex := rapid.IntRange(0, 1).Draw(t, "tenant")
 	lease, decision := s.Acquire(tenantIndex, amount)
 	if decision == Admitted {
-		h.leases = append(h.leases, lease)
+		run.leases = append(run.leases, lease)
 	}
 	rejected := decision != Admitted && decision != OverTenantQuota
 	require.False(t, withinReserve && rejected, "rejected below its reserve: %v", decision)
 }
 
-func (h *history) step(t *rapid.T) {
+func (run *randomRun) step(t *rapid.T) {
 	switch rapid.IntRange(0, 9).Draw(t, "operation") {
 	case 0:
-		if len(h.services) < 5 {
-			h.addService(t)
+		if len(run.services) < 5 {
+			run.addService(t)
 		}
 	case 1:
-		h.tick(t)
+		run.tick(t)
 	case 2, 3, 4:
-		h.release(t)
+		run.release(t)
 	case 5:
-		h.grow()
+		run.grow()
 	default:
-		h.acquire(t)
+		run.acquire(t)
 	}
 }
 
-// checkSums compares the tree's sums with those of the services.
-func (h *history) checkSums(t *rapid.T) {
+// checkSums compares the tree's sums with sums over the services.
+func (run *randomRun) checkSums(t *rapid.T) {
 	var used, reserved, borrowed Amount
 	borrowerWeight := 0.0
-	for _, s := range h.services {
+	for _, s := range run.services {
 		claim := s.claimFor(s.used)
 		used = used.plus(s.used)
 		reserved = reserved.plus(claim.reserved)
@@ -154,59 +154,60 @@
 		}
 		if s.borrowing {
 			borrowerWeight += s.Weight
-			require.True(t, claim.borrowed != Amount{} || s.refusedLately)
+			require.True(t, claim.borrowed != Amount{} || s.refusedRecently)
 		}
 	}
-	require.Equal(t, used, h.tree.used)
-	require.Equal(t, reserved, h.tree.reserved)
-	require.Equal(t, borrowed, h.tree.borrowed)
-	require.InDelta(t, borrowerWeight, h.tree.borrowerWeight, 1e-9)
+	require.Equal(t, used, run.tree.used)
+	require.Equal(t, reserved, run.tree.reserved)
+	require.Equal(t, borrowed, run.tree.borrowed)
+	require.InDelta(t, borrowerWeight, run.tree.borrowerWeight, 1e-9)
 	for r := range used {
-		require.LessOrEqual(t, used[r], h.tree.Total[r])
+		require.LessOrEqual(t, used[r], run.tree.Total[r])
 	}
 }
 
-// Whatever happens: no more is used than is there; a service below its reserve is never rejected; the sums that
-// decisions rest on are those of the services; a lease that Tick returns is revoked.
-func TestTree_AnyHistory(t *testing.T) {
+// After any sequence of operations, usage is within the total and the tree's sums equal those over the services. A
+// request within the reserve of its service is never rejected, except by its tenant's quota. A lease that Tick returns
+// is revoked.
+func TestTree_RandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{unguaranteed: 1, tree: New(Config{
+		run := &randomRun{unguaranteed: 1, tree: New(Config{
 			Total:            Amount{InFlight: 40, BodyBytes: 1000, Connections: 60},
 			ReservedFraction: rapid.Float64Range(0, 1).Draw(t, "reserved fraction"),
 			RevokeAfter:      1,
 			CPUThreshold:     0.9,
 		})}
-		h.addService(t)
-		h.addService(t)
+		run.addService(t)
+		run.addService(t)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			h.step(t)
-			h.checkSums(t)
+			run.step(t)
+			run.checkSums(t)
 		}
-		releaseAll(h.leases)
-		require.Equal(t, Amount{Connections: h.grown}, h.tree.used)
+		releaseAll(run.leases)
+		require.Equal(t, Amount{Connections: run.grown}, run.tree.used)
 	})
 }
 
 func TestTree_RevokesBorrowed(t *testing.T) {
 	tree, services := newTestTree(100, 0.5, 0.5)
-	flooded, calm := services[0], services[1]
-	flood := acquire(flooded, 500)
-	assert.Len(t, flood, 75, "all but the other's reserve")
-	calmLeases := acquire(calm, 500)
-	assert.Len(t, calmLeases, 25, "its reserve is never lent")
-	assert.Empty(t, tree.Tick(10, 0, 1), "it is short from now on")
+	flooded, other := services[0], services[1]
+	floodedLeases := acquire(flooded, 500)
+	assert.Len(t, floodedLeases, 75, "the total minus the other service's reserve")
+	otherLeases := acquire(other, 500)
+	assert.Len(t, otherLeases, 25, "its reserve is never lent")
+	assert.Empty(t, tree.Tick(10, 0, 1), "the shortage begins at this tick")
 	assert.Empty(t, tree.Tick(10.9, 0, 1), "before RevokeAfter")
 	revoked := tree.Tick(11, 0, 1)
-	assert.Len(t, revoked, 25, "what is beyond the borrower's guarantee, and no more")
+	assert.Len(t, revoked, 25, "everything beyond the borrower's guarantee, and nothing else")
 	for _, lease := range revoked {
 		assert.True(t, isRevoked(lease))
-		assert.Contains(t, flood[50:], lease, "the newest")
+		assert.Contains(t, floodedLeases[50:], lease, "the newest leases are revoked")
 		lease.Release()
 	}
-	assert.Len(t, acquire(calm, 500), 25)
-	assert.Empty(t, acquire(flooded, 500), "it has its part, and the rest is in use")
-	releaseAll(calmLeases)
-	assert.Len(t, acquire(flooded, 500), 12, "half of the 25 that are left: the other was short a moment ago")
+	assert.Len(t, acquire(other, 500), 25)
+	assert.Empty(t, acquire(flooded, 500), "it uses its guarantee, and the rest is in use")
+	releaseAll(otherLeases)
+	assert.Len(t, acquire(flooded, 500), 12, "half of the available 25: the other still counts as a borrower")
 }
 
 func TestTree_BorrowersShareByWeight(t *testing.T) {
@@ -216,14 +217,14 @@
 	tree.Add(Spec{Name: "idle", Guarantee: 0.2, Weight: 1})
 	leases := acquire(greedy, 5000)
 	assert.Len(t, leases, 900)
-	// As its requests end, others follow; the greedy service always asks first.
+	// Each request that ends is followed by new ones, of which the greedy service's always come first.
 	admitted := 0
 	for round := range 3000 {
 		leases[0].Release()
 		leases = append(leases[1:], acquire(greedy, 2)...)
-		ofHeavy := acquire(heavy, 1)
-		admitted += len(ofHeavy)
-		leases = append(leases, ofHeavy...)
+		heavyLeases := acquire(heavy, 1)
+		admitted += len(heavyLeases)
+		leases = append(leases, heavyLeases...)
 		if round > 2000 {
 			assert.InDelta(t, 675, heavy.used[InFlight], 25)
 			assert.InDelta(t, 225, greedy.used[InFlight], 25)
@@ -232,20 +233,20 @@
 	assert.Greater(t, admitted, 600)
 }
 
-func TestService_TenantsShareTheContendedPart(t *testing.T) {
+func TestService_TenantsShareContendedRequests(t *testing.T) {
 	tree := New(testConfig(100))
 	s := tree.Add(Spec{Name: "s", Guarantee: 1, Weight: 1, Tenants: []float64{1, 1}})
-	acquireOf(s, 0, 300)
-	assert.EqualValues(t, 75, s.used[InFlight], "alone it may have all but the last quarter")
-	leases := acquireOf(s, 1, 300)
-	assert.Len(t, leases, 25, "which is for the tenant that has less than its part")
+	acquireForTenant(s, 0, 300)
+	assert.EqualValues(t, 75, s.used[InFlight], "a single active tenant may use three quarters")
+	leases := acquireForTenant(s, 1, 300)
+	assert.Len(t, leases, 25, "the last quarter is for tenants below their share")
 	leases[0].Release()
 	_, decision := s.Acquire(0, oneRequest)
 	assert.Equal(t, OverTenantQuota, decision)
-	assert.Equal(t, "beyond its tenant's part", decision.String())
+	assert.Equal(t, "over tenant quota", decision.String())
 }
 
-// One of a thousand services saturates the cores: it alone is rejected, until they are free again.
+// One of 1000 services saturates the CPU. Only its requests are rejected, until the CPU is no longer saturated.
 func TestTree_CPUSaturated(t *testing.T) {
 	config := testConfig(1 << 30)
 	config.CPUThreshold = 0.8
@@ -261,32 +262,32 @@
 		releaseAll(leases)
 		return len(leases)
 	}
-	// second plays one second with ten ticks, and returns how many requests of the flooded and of calm services were
-	// admitted.
-	second := func(cpu float64) (flood, calm int) {
+	// runSecond simulates one second with ten ticks and the given CPU load. It returns how many requests of the flooded
+	// service and of ten others were admitted.
+	runSecond := func(cpu float64) (ofFlooded, ofOthers int) {
 		for range 10 {
 			for i := range 2000 {
-				flood += admits(flooded)
+				ofFlooded += admits(flooded)
 				if i < 20 {
-					calm += admits(services[i%10+20])
+					ofOthers += admits(services[i%10+20])
 				}
 			}
 			now += 0.1
 			tree.Tick(now, cpu/10, 1)
 		}
-		return flood, calm
+		return ofFlooded, ofOthers
 	}
-	second(0.95)
-	flood, calm := second(0.95)
-	assert.Equal(t, 200, calm)
-	assert.Less(t, flood, 10000)
-	second(0.1)
-	flood, calm = second(0.1)
-	assert.Equal(t, 200, calm)
-	assert.Equal(t, 20000, flood)
+	runSecond(0.95)
+	ofFlooded, ofOthers := runSecond(0.95)
+	assert.Equal(t, 200, ofOthers)
+	assert.Less(t, ofFlooded, 10000)
+	runSecond(0.1)
+	ofFlooded, ofOthers = runSecond(0.1)
+	assert.Equal(t, 200, ofOthers)
+	assert.Equal(t, 20000, ofFlooded)
 }
 
-func TestTree_ChangedServicesKeepTheSums(t *testing.T) {
+func TestTree_SumsAfterUpdateResizeAndRemove(t *testing.T) {
 	tree, services := newTestTree(100, 0.4, 0.4)
 	leases := acquire(services[0], 60)
 	services[0].Update(0.1, 5)
--- a/internal/resources/quota/tree.go
+++ b/internal/resources/quota/tree.go
@@ -6,47 +6,47 @@
 	"slices"
 )
 
-// Tree divides one total among services, and each service's part among its tenants.
+// Tree divides a total amount among services, and each service's amount among its tenants.
 type Tree struct {
 	Config
 	services []*Service
 
-	// Sums over all services. What counts against the total is reserved plus borrowed; what is used is never more.
+	// Sums over all services. reserved plus borrowed counts against the total, and used never exceeds that sum.
 	used               Amount
-	reserved           Amount  // for owners: what they use of their guarantees, or their reserves where those are more
+	reserved           Amount  // per service: the larger of its reserve and its used part of the guarantee
 	borrowed           Amount  // used beyond guarantees
-	borrowerWeight     float64 // of the services that borrow or were lately refused to
+	borrowerWeight     float64 // of the services that borrow, or were recently refused a borrowed amount
 	guaranteedFraction float64 // of the total
-	activeCPUWeight    float64 // of the services that count for the CPU's division
+	activeCPUWeight    float64 // of the services among which the CPU is divided
 
-	shortage   Amount  // what owners were refused although it was guaranteed to them
-	shortSince float64 // 0: no owner is short
-	cpuLoad    float64 // part of the cores in use
-	tickedAt   float64
+	shortage      Amount  // refused to services although it is within their guarantees; revoke reclaims it
+	shortageSince float64 // seconds; the first tick at which the shortage was seen; 0: none
+	cpuLoad       float64 // fraction of the cores in use between the last two ticks
+	lastTickAt    float64 // seconds
 }
 
-// Service is one service's quota and what it uses of it.
+// Service is the quota and the usage of one service.
 type Service struct {
 	Spec
 	tree       *Tree
 	guaranteed Amount
-	reserve    Amount // the part of guaranteed that is never lent
+	reserve    Amount // the part of guaranteed that is never lent to other services
 	used       Amount
 	removed    bool
 
-	borrowing     bool // it borrows, or refusedLately
-	refusedLately bool // it was refused to borrow since the tick before the last
-	refusedNow    bool // it was refused to borrow since the last tick
+	borrowing        bool // it counts as a borrower: it holds a borrowed amount, or refusedRecently is true
+	refusedRecently  bool // it was refused a borrowed amount since the tick before the last
+	refusedSinceTick bool // it was refused a borrowed amount since the last tick
 
 	tenants            []tenant
-	activeTenantWeight float64 // of the tenants with requests in flight
+	activeTenantWeight float64 // sum of the weights of the tenants with requests in flight
 	minTenantWeight    float64
 
-	newest *Lease // of the list of its leases
+	newest *Lease // head of the list of leases
 
-	requests   float64 // since the last tick, admitted or not
-	cpu        float64 // part of the cores in use, smoothed
-	activeCPU  bool    // counted in the tree's activeCPUWeight
+	requests   float64 // since the last tick, admitted or rejected
+	cpu        float64 // smoothed CPU usage, as a fraction of the cores
+	activeCPU  bool    // its weight is in the tree's activeCPUWeight
 	rejections [ServiceRemoved + 1]int64
 }
 
@@ -58,7 +58,7 @@
 // New returns a tree without services.
 func New(c Config) *Tree { return &Tree{Config: c} }
 
-// Add adds a service.
+// Add adds a service with its quota.
 func (t *Tree) Add(spec Spec) *Service {
 	s := &Service{Spec: spec, tree: t}
 	for _, weight := range spec.Tenants {
@@ -74,7 +74,7 @@
 	return s
 }
 
-// Remove removes a service. What its requests hold it returns as they end.
+// Remove removes a service. Its remaining leases stay valid until they are released.
 func (t *Tree) Remove(s *Service) {
 	if s.removed {
 		return
@@ -88,7 +88,7 @@
 	t.services = slices.DeleteFunc(t.services, func(other *Service) bool { return other == s })
 }
 
-// Resize changes the total.
+// Resize changes the total, and the guaranteed amounts with it.
 func (t *Tree) Resize(total Amount) {
 	t.Total = total
 	for _, s := range t.services {
@@ -96,7 +96,7 @@
 	}
 }
 
-// Update changes a service's guarantee and weight. What its requests hold stays as it is.
+// Update changes the service's guarantee and weight. Its leases stay as they are.
 func (s *Service) Update(guarantee, weight float64) {
 	s.change(func() {
 		if s.borrowing {
@@ -122,13 +122,13 @@
 	})
 }
 
-// claim is what counts against the total for one service's sake.
+// claim is the amount of one service that counts against the total.
 type claim struct {
 	reserved Amount
 	borrowed Amount
 }
 
-// claimFor returns the service's claim if it used an amount.
+// claimFor returns the claim that the service has if it uses the amount.
 func (s *Service) claimFor(used Amount) claim {
 	var c claim
 	for r := range used {
@@ -138,7 +138,7 @@
 	return c
 }
 
-// change applies a change to the service, and updates the tree's sums.
+// change applies a change to the service, and updates the sums of the tree.
 func (s *Service) change(apply func()) {
 	t := s.tree
 	before := s.claimFor(s.used)
@@ -148,7 +148,7 @@
 		t.reserved[r] += after.reserved[r] - before.reserved[r]
 		t.borrowed[r] += after.borrowed[r] - before.borrowed[r]
 	}
-	s.setBorrowing(s.refusedLately || after.borrowed != Amount{})
+	s.setBorrowing(s.refusedRecently || after.borrowed != Amount{})
 }
 
 func (s *Service) setBorrowing(borrowing bool) {
@@ -163,8 +163,8 @@
 	}
 }
 
-// use changes what the service uses. Amounts that are returned reduce the shortage.
-func (s *Service) use(amount Amount) {
+// addUsage adds the amount to the usage of the service. A negative amount is returned, and reduces the shortage.
+func (s *Service) addUsage(amount Amount) {
 	t := s.tree
 	s.change(func() {
 		for r, n := range amount {
@@ -177,16 +177,16 @@
 	})
 }
 
-// Borrowed returns how much of a resource a service uses beyond its guarantee.
+// Borrowed returns the amount of a resource that the service uses beyond its guarantee.
 func (s *Service) Borrowed(r Resource) int64 { return max(0, s.used[r]-s.guaranteed[r]) }
 
-// Usage is what a service uses, for status pages and logs.
+// Usage is a snapshot of a service's usage, for status pages and logs.
 type Usage struct {
 	Name       string
 	Used       Amount
 	Guaranteed Amount
 	Rejected   map[string]int64 // requests, by decision
-	CPU        float64          // part of the cores
+	CPU        float64          // fraction of the cores, smoothed
 }
 
 // Usage returns the usage of all services, ordered by name.
