--- a/internal/resources/admission/admission.go
+++ b/internal/resources/admission/admission.go
@@ -1,82 +1,83 @@
-// Package admission decides, when many connections have something to read at once, which are served now, which wait
-// with their bytes still in the kernel, and which are rejected. Whatever is served takes a goroutine and a buffer, so
-// the limit of those bounds the memory.
+// Package admission decides which readable connections are served now, which wait with their bytes still in the kernel,
+// and which are rejected. Each connection that is served uses a goroutine and a buffer, so the limit of served
+// connections bounds the memory.
 //
-// A Controller owns the queues and the counts. It knows neither connections nor a clock: a connection embeds a Member,
-// and times are passed in. It is not safe for concurrent use.
+// A Controller owns the queues and the counters. It has no connections and no clock: a connection embeds a Member, and
+// the caller passes the time. It is not safe for concurrent use.
 package admission
 
 import "time"
 
-// Config bounds a Controller.
+// Config contains the limits of a Controller.
 type Config struct {
-	MaxServing    int           // served at once
-	MaxRejecting  int           // beside these, those that are being rejected
-	MaxSlow       int           // of those served, whose requests arrive in pieces
-	MinSlowTime   time.Duration // for which a slow one is not evicted
-	AdmitsPerStep int           // of members that are not regular, in a Step; 0: no limit
+	MaxServing    int           // maximum number of members that are served at once
+	MaxRejecting  int           // maximum number of members that are being rejected at once, besides MaxServing
+	MaxSlow       int           // maximum number of served members whose requests arrive in pieces
+	MinSlowTime   time.Duration // time for which a slow member is not evicted
+	AdmitsPerStep int           // members without priority that are admitted per Step; 0: no limit
 	Step          time.Duration
-	MaxWait       time.Duration // after which a member is rejected instead of served: its client may have given up
+	MaxWait       time.Duration // after this time a member is rejected, since its client may have given up
 }
 
-// A regular member has been served lately. Regular members go before others, so that a wave of new connections does
-// not stop those at work; but one in othersTurn turns goes to the others, which would else wait for ever behind a
-// steady flow.
-const othersTurn = 4
+// normalTurnInterval is the interval, in turns, at which a member without priority is served while members with
+// priority wait. All other turns go to members with priority, which are recently active connections, so that many new
+// connections at once do not stop the active ones. Without turns of their own, the new connections could wait forever.
+const normalTurnInterval = 4
 
-// Verdict is what becomes of a member.
+// Verdict is the decision about a member.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Wait   Verdict = iota
-	Serve          // now; Leave gives its capacity back
-	Reject         // now, and nothing else; Leave gives its capacity back
+	Wait   Verdict = iota // the member is in a queue until Next returns it
+	Serve                 // the member holds capacity to be served, until Leave
+	Reject                // the member holds capacity to be rejected, until Leave
 )
 
-// Controller gives out capacity.
+// Controller allocates capacity to members.
 type Controller struct {
 	config    Config
-	regulars  queue // waiting
-	others    queue // waiting
-	slow      queue // served
+	priority  queue // waiting members with priority
+	normal    queue // waiting members without priority
+	slow      queue // served members whose requests arrive in pieces
 	serving   int
 	rejecting int
-	turns     int // in which a waiting member was served
+	turns     int // number of waiting members that were served
 
-	// The token bucket of members that are not regular.
+	// The token bucket for members without priority.
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// New returns a controller with all of its capacity free.
+// New returns a controller with all capacity available.
 func New(config Config) *Controller {
 	c := &Controller{config: config}
-	c.regulars.init()
-	c.others.init()
+	c.priority.init()
+	c.normal.init()
 	c.slow.init()
 	return c
 }
 
-// Arrive asks for capacity for a member whose connection has something to read.
-func (c *Controller) Arrive(m *Member, regular bool, now time.Duration) Verdict {
+// Arrive requests capacity for a member whose connection is readable. It returns Serve if the member is served now, and
+// Wait if the member was queued.
+func (c *Controller) Arrive(m *Member, hasPriority bool, now time.Duration) Verdict {
 	m.since = now
-	if c.serving < c.config.MaxServing && (regular || c.others.count == 0 && c.hasToken(now)) {
-		c.serve(m, regular, now)
+	if c.serving < c.config.MaxServing && (hasPriority || c.normal.count == 0 && c.hasToken(now)) {
+		c.serve(m, hasPriority, now)
 		return Serve
 	}
-	if regular {
-		m.state = stateWaitingRegular
-		c.regulars.push(m)
+	if hasPriority {
+		m.state = stateWaitingPriority
+		c.priority.push(m)
 	} else {
 		m.state = stateWaiting
-		c.others.push(m)
+		c.normal.push(m)
 	}
 	return Wait
 }
 
-// hasToken reports whether a member that is not regular may be served now. A wave that is admitted all at once would
-// be before the regular members in every queue there is, the scheduler's first.
+// hasToken reports whether a member without priority may be served now. The rate is limited because many members that
+// are admitted at once would be ahead of members with priority in every later queue, such as the goroutine scheduler's.
 func (c *Controller) hasToken(now time.Duration) bool {
 	if c.config.AdmitsPerStep == 0 {
 		return true
@@ -88,17 +89,17 @@
 	return c.tokens >= 1
 }
 
-func (c *Controller) serve(m *Member, regular bool, now time.Duration) {
+func (c *Controller) serve(m *Member, hasPriority bool, now time.Duration) {
 	m.state = stateServed
 	m.since = now
 	c.serving++
-	if !regular {
+	if !hasPriority {
 		c.tokens--
 	}
 }
 
-// Next returns the next waiting member for which there is capacity now, and its verdict; nil if there is none. It is
-// called after each Leave until there is none, and every few milliseconds while some wait.
+// Next returns the next waiting member for which there is capacity, and its verdict. It returns nil and Wait if there
+// is none. The caller calls it after each Leave until it returns nil, and every few milliseconds while members wait.
 func (c *Controller) Next(now time.Duration) (*Member, Verdict) {
 	if m := c.nextRejected(now); m != nil {
 		return m, Reject
@@ -111,22 +112,23 @@
 		return nil, Wait
 	}
 	m := waiting.first()
-	if c.waitedTooLong(m, now) { // until there is capacity to reject it
+	if c.waitedTooLong(m, now) { // it waits for capacity to be rejected
 		return nil, Wait
 	}
 	c.turns++
 	waiting.remove(m)
-	c.serve(m, waiting == &c.regulars, now)
+	c.serve(m, waiting == &c.priority, now)
 	return m, Serve
 }
 
-// nextRejected takes the next member that has waited too long, which is the first of its queue. The capacity to reject
-// is separate: with all other capacity in use for seconds nobody would else learn of it.
+// nextRejected removes the next member that has waited for more than MaxWait from its queue, and returns it; nil if
+// there is none or no capacity to reject it. That capacity is separate from the capacity to serve, so that clients
+// learn of the overload even if all members that are served stay for seconds.
 func (c *Controller) nextRejected(now time.Duration) *Member {
 	if c.rejecting >= c.config.MaxRejecting {
 		return nil
 	}
-	for _, waiting := range []*queue{&c.others, &c.regulars} {
+	for _, waiting := range []*queue{&c.normal, &c.priority} {
 		m := waiting.first()
 		if m == nil || !c.waitedTooLong(m, now) {
 			continue
@@ -144,27 +146,27 @@
 	return now-m.since > c.config.MaxWait
 }
 
-// nextQueue returns the queue whose turn it is, or nil.
+// nextQueue returns the queue from which the next member is served, or nil if none may be.
 func (c *Controller) nextQueue(now time.Duration) *queue {
-	othersMayGo := c.others.count > 0 && c.hasToken(now)
+	normalMayBeServed := c.normal.count > 0 && c.hasToken(now)
 	switch {
-	case othersMayGo && (c.regulars.count == 0 || c.turns%othersTurn == othersTurn-1):
-		return &c.others
-	case c.regulars.count > 0:
-		return &c.regulars
+	case normalMayBeServed && (c.priority.count == 0 || c.turns%normalTurnInterval == normalTurnInterval-1):
+		return &c.normal
+	case c.priority.count > 0:
+		return &c.priority
 	}
 	return nil
 }
 
-// WaitingCount returns the number of members that wait.
-func (c *Controller) WaitingCount() int { return c.regulars.count + c.others.count }
+// WaitingCount returns the number of waiting members.
+func (c *Controller) WaitingCount() int { return c.priority.count + c.normal.count }
 
-// SlowCount returns the number of members, of those served, that are slow.
+// SlowCount returns the number of served members that are slow.
 func (c *Controller) SlowCount() int { return c.slow.count }
 
-// MarkSlow notes that the request of a served member arrives in pieces. Where as many as may be are slow already, the
-// one that has been slow for longest is evicted, if it has had its time; else this one is. It returns the evicted one,
-// or nil.
+// MarkSlow marks a served member as slow: its request arrives in pieces. If MaxSlow members are slow already, it evicts
+// the one that has been slow for longest, or the new one if none has been slow for MinSlowTime. It returns the evicted
+// member, or nil.
 func (c *Controller) MarkSlow(m *Member, now time.Duration) *Member {
 	if m.state != stateServed {
 		return nil
@@ -176,7 +178,7 @@
 			return m
 		}
 		c.slow.remove(evicted)
-		evicted.state = stateServed // until it leaves
+		evicted.state = stateServed // it holds its capacity until Leave
 	}
 	m.state = stateSlow
 	m.since = now
@@ -184,7 +186,7 @@
 	return evicted
 }
 
-// MarkComplete notes that a member's request is complete.
+// MarkComplete ends the slow state of a member, whose request has arrived completely.
 func (c *Controller) MarkComplete(m *Member) {
 	if m.state == stateSlow {
 		c.slow.remove(m)
@@ -192,13 +194,13 @@
 	}
 }
 
-// Leave gives a member's capacity back, or takes it out of its queue.
+// Leave releases a member's capacity, or removes a waiting member from its queue.
 func (c *Controller) Leave(m *Member) {
 	switch m.state {
 	case stateWaiting:
-		c.others.remove(m)
-	case stateWaitingRegular:
-		c.regulars.remove(m)
+		c.normal.remove(m)
+	case stateWaitingPriority:
+		c.priority.remove(m)
 	case stateSlow:
 		c.slow.remove(m)
 		c.serving--
--- a/internal/resources/admission/admission_test.go
+++ b/internal/resources/admission/admission_test.go
@@ -8,24 +8,24 @@
 	"pgregory.net/rapid"
 )
 
-// modelMember is a member, and what the test knows of it.
+// modelMember is a member and its expected state.
 type modelMember struct {
 	Member
-	regular   bool
-	present   bool
-	arrivedAt time.Duration
-	verdict   Verdict
-	slow      bool
-	slowSince time.Duration
+	hasPriority bool
+	present     bool // it has arrived, and not left
+	arrivedAt   time.Duration
+	verdict     Verdict
+	slow        bool
+	slowSince   time.Duration
 }
 
-// model is a controller, and what the test knows of its members.
+// model is a controller and its members' expected states.
 type model struct {
 	config     Config
 	controller *Controller
 	members    []*modelMember
 	now        time.Duration
-	admitted   []time.Duration // when members that are not regular were served
+	admitted   []time.Duration // times at which members without priority were admitted
 }
 
 func newModel(t *rapid.T) *model {
@@ -41,7 +41,7 @@
 	}
 	m := &model{config: config, controller: New(config)}
 	for i := range count {
-		member := &modelMember{regular: i%2 == 0}
+		member := &modelMember{hasPriority: i%2 == 0}
 		member.Owner = member
 		m.members = append(m.members, member)
 	}
@@ -54,12 +54,12 @@
 	}
 	member.present = true
 	member.arrivedAt = m.now
-	m.note(member, m.controller.Arrive(&member.Member, member.regular, m.now))
+	m.recordVerdict(member, m.controller.Arrive(&member.Member, member.hasPriority, m.now))
 }
 
-func (m *model) note(member *modelMember, verdict Verdict) {
+func (m *model) recordVerdict(member *modelMember, verdict Verdict) {
 	member.verdict = verdict
-	if verdict == Serve && !member.regular {
+	if verdict == Serve && !member.hasPriority {
 		m.admitted = append(m.admitted, m.now)
 	}
 }
@@ -70,7 +70,7 @@
 	assert.Equal(t, stateAbsent, member.state)
 }
 
-// toggleSlow marks a served member as slow, or one that is slow as complete.
+// toggleSlow marks a served member as slow, or a slow member as complete.
 func (m *model) toggleSlow(t *rapid.T, member *modelMember) {
 	if member.slow {
 		m.controller.MarkComplete(&member.Member)
@@ -96,30 +96,30 @@
 	member.slow, member.slowSince = true, m.now
 }
 
-// admitAll has all served or rejected that can be.
+// admitAll calls Next until it returns no member, and checks the returned ones.
 func (m *model) admitAll(t *rapid.T) {
 	for {
-		regular, other := m.firstWaiting(true), m.firstWaiting(false)
+		firstPriority, firstNormal := m.firstWaiting(true), m.firstWaiting(false)
 		next, verdict := m.controller.Next(m.now)
 		if next == nil {
 			return
 		}
 		member := next.Owner.(*modelMember)
-		assert.True(t, member == regular || member == other, "the first of its queue")
+		assert.True(t, member == firstPriority || member == firstNormal, "the first of its queue")
 		assert.Equal(t, verdict == Reject, m.now-member.arrivedAt > m.config.MaxWait)
-		m.note(member, verdict)
+		m.recordVerdict(member, verdict)
 	}
 }
 
-func (m *model) firstWaiting(regular bool) *modelMember {
-	waits := func(x *modelMember) bool { return x.is(Wait) && x.regular == regular }
+func (m *model) firstWaiting(hasPriority bool) *modelMember {
+	waits := func(x *modelMember) bool { return x.is(Wait) && x.hasPriority == hasPriority }
 	return m.first(waits, func(x *modelMember) time.Duration { return x.arrivedAt })
 }
 
-// is reports whether the member is there with a verdict.
+// is reports whether the member is present and has the verdict.
 func (m *modelMember) is(verdict Verdict) bool { return m.present && m.verdict == verdict }
 
-// first returns the member with the lowest time of those for which a condition holds, or nil.
+// first returns the member with the lowest time among those that meet the condition, or nil.
 func (m *model) first(condition func(*modelMember) bool, at func(*modelMember) time.Duration) *modelMember {
 	var first *modelMember
 	for _, member := range m.members {
@@ -139,7 +139,7 @@
 	return count
 }
 
-// check checks what has to hold at any time.
+// check checks the conditions that hold after each step.
 func (m *model) check(t *rapid.T) {
 	serving := m.count(func(x *modelMember) bool { return x.is(Serve) })
 	rejecting := m.count(func(x *modelMember) bool { return x.is(Reject) })
@@ -154,10 +154,10 @@
 		}
 		if m.now-member.arrivedAt > m.config.MaxWait {
 			assert.GreaterOrEqual(t, rejecting, m.config.MaxRejecting, "rejected as soon as there is capacity for that")
-		} else if member.regular || m.config.AdmitsPerStep == 0 {
-			// Behind one that has waited too long, and can't be rejected yet, none is served.
+		} else if member.hasPriority || m.config.AdmitsPerStep == 0 {
+			// While the first member of the queue in turn waits for capacity to be rejected, no member is served.
 			full := serving == m.config.MaxServing || rejecting == m.config.MaxRejecting
-			assert.True(t, full, "none waits beside free capacity")
+			assert.True(t, full, "no member waits while capacity is available")
 		}
 	}
 	if m.config.AdmitsPerStep > 0 {
@@ -167,17 +167,17 @@
 				recent++
 			}
 		}
-		assert.LessOrEqual(t, recent, 2*m.config.AdmitsPerStep, "within a step and at its edges")
+		assert.LessOrEqual(t, recent, 2*m.config.AdmitsPerStep, "a full bucket and its refill within one step")
 	}
 }
 
-// Whatever comes in whatever order: the limits hold, none waits while there is capacity, a member that is served has
-// not waited too long, one that is rejected has, and the first of a queue goes first.
+// After any sequence of operations: the limits hold, and no member waits while capacity is available. Members leave
+// each queue in the order of arrival; those that have waited for more than MaxWait are rejected, the others served.
 func TestController_Model(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			m.now++ // no two come at once
+			m.now++ // each step has its own time, so the order of arrival is unambiguous
 			member := m.members[rapid.IntRange(0, len(m.members)-1).Draw(t, "member")]
 			switch rapid.IntRange(0, 4).Draw(t, "action") {
 			case 0, 1:
@@ -195,24 +195,25 @@
 	})
 }
 
-// A wave of new connections must not stop those at work: regular members get three turns of four while both wait.
-func TestController_RegularsBeforeOthers(t *testing.T) {
+// Many new connections at once must not stop the active ones: while members with and without priority wait, those with
+// priority get three of four turns.
+func TestController_PriorityTurns(t *testing.T) {
 	c := New(Config{MaxServing: 1, MaxWait: time.Hour})
 	members := make([]Member, 80)
 	for i := range members {
-		regular := i%2 == 1
-		members[i].Owner = regular
-		c.Arrive(&members[i], regular, 0)
+		hasPriority := i%2 == 1
+		members[i].Owner = hasPriority
+		c.Arrive(&members[i], hasPriority, 0)
 	}
 	c.Leave(&members[0])
-	regulars := 0
+	priorityTurns := 0
 	for range 40 {
 		m, verdict := c.Next(1)
 		assert.Equal(t, Serve, verdict)
 		if m.Owner.(bool) {
-			regulars++
+			priorityTurns++
 		}
 		c.Leave(m)
 	}
-	assert.Equal(t, 30, regulars)
+	assert.Equal(t, 30, priorityTurns)
 }
--- a/internal/resources/admission/member.go
+++ b/internal/resources/admission/member.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Member is a connection as the controller knows it. It is embedded in the connection.
+// Member is the controller's record of a connection. The connection embeds it.
 type Member struct {
 	Owner any // the connection
 
 	state      state
-	since      time.Duration // in the state
-	next, prev *Member       // in a queue
+	since      time.Duration // time at which the state began
+	next, prev *Member       // neighbors in a queue
 }
 
-// state is where a member is. Only the controller sets it.
+// state is the state of a member. Only the controller sets it.
 type state uint8
 
 const (
-	stateAbsent state = iota // no capacity, and not waiting for any
-	stateWaiting
-	stateWaitingRegular
-	stateServed
-	stateSlow // served, and in the queue of the slow
-	stateRejected
+	stateAbsent          state = iota // neither holds capacity nor waits for it
+	stateWaiting                      // in the queue of members without priority
+	stateWaitingPriority              // in the queue of members with priority
+	stateServed                       // holds capacity to be served
+	stateSlow                         // holds capacity to be served, and is in the queue of slow members
+	stateRejected                     // holds capacity to be rejected
 )
 
-// queue is a ring of members, the oldest first.
+// queue is a doubly linked ring of members in the order in which they were pushed.
 type queue struct {
 	head  Member
 	count int
@@ -51,7 +51,7 @@
 	q.count--
 }
 
-// first returns the oldest member, or nil.
+// first returns the member that has been in the queue for longest, or nil if the queue is empty.
 func (q *queue) first() *Member {
 	if q.count == 0 {
 		return nil
