--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts balancer instances on the text wire of the bench's simulator, on standard input and output.
+// Command adapter runs balancer instances for the simulator of the bench. It reads the simulator's text protocol from
+// standard input and writes the responses to standard output.
 package main
 
 import (
@@ -9,8 +10,8 @@
 	"robincart/internal/simwire"
 )
 
-// gcPercent makes garbage collections rare: instances have little CPU to spare and use little memory, and pauses would
-// count as their time.
+// gcPercent makes garbage collections rare. The instances use little memory and have little CPU to spare, and the
+// simulator counts pauses of the process as time that the instances use.
 const gcPercent = 800
 
 func main() {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -7,13 +7,13 @@
 	"robincart/decide"
 )
 
-// Bits of an arrival's flags.
+// Bits of the flags of an INCOMING event.
 const (
 	flagWorkHint = 1 << iota
 	flagRetry
 )
 
-// results are the results by the names that the wire has for them.
+// results maps the protocol's names to results.
 var results = map[string]decide.Result{
 	"Ok":           decide.OK,
 	"Failed":       decide.Failed,
@@ -25,7 +25,7 @@
 	"Ignored":      decide.NotSent,
 }
 
-// handleEvent handles an event of the instance. The fields are those that follow its id.
+// handleEvent handles an event of the instance. The fields are those after the instance's id.
 func (i *instance) handleEvent(name string, fields *fieldReader) error {
 	switch name {
 	case "TARGETS":
@@ -45,12 +45,12 @@
 	case "MESSAGE":
 		fields.integer()
 		fields.skip()
-		return fields.end() // nodes do not talk to each other
+		return fields.end() // ignored: the balancers of nodes do not exchange messages
 	}
 	return fmt.Errorf("unknown event %q", name)
 }
 
-// handleWatchEvent handles a server list, or the failure to get one.
+// handleWatchEvent handles a server list, or the failure of the watch.
 func (i *instance) handleWatchEvent(fields *fieldReader) error {
 	kind := fields.text()
 	fields.integer()
@@ -60,26 +60,26 @@
 	}
 	switch kind {
 	case "FAILED":
-		i.balancer.EndpointWatchFailed(i.hadWatchEvent, 0, math.Inf(1)) // the simulator's rules bound no wait
+		i.balancer.EndpointWatchFailed(i.hadWatchEvent, 0, math.Inf(1)) // no maximum wait in the simulator
 		i.hadWatchEvent = false
 		return nil
 	case "FULL", "SAVED", "INCREMENTAL":
 		i.hadWatchEvent = true
 		return i.updateEndpoints(number, kind != "INCREMENTAL")
 	}
-	return fmt.Errorf("unknown list kind %q", kind)
+	return fmt.Errorf("unknown list kind %q, expected FAILED, FULL, SAVED or INCREMENTAL", kind)
 }
 
-// updateEndpoints hands the balancer a numbered server list.
+// updateEndpoints passes a numbered server list to the balancer.
 func (i *instance) updateEndpoints(number int, full bool) error {
 	list, ok := i.hub.lists[number]
 	if !ok {
-		return fmt.Errorf("list %d was never set up", number)
+		return fmt.Errorf("server list %d is unknown: no SNAPSHOT_ROWS has that number", number)
 	}
 	updates := make([]decide.EndpointUpdate, 0, len(list))
 	for _, entry := range list {
 		updates = append(updates, decide.EndpointUpdate{
-			Server:    i.server(entry.addr),
+			Server:    i.serverAt(entry.addr),
 			State:     entry.state,
 			Zone:      entry.zone,
 			Cell:      entry.cell,
@@ -102,15 +102,15 @@
 	}
 	rpc.Method = fields.integer()
 	rpc.Tenant = fields.integer()
-	fields.integer() // the key: nothing decides by it
+	fields.integer() // key; the balancer does not use it
 	if rpc.Method < 0 || rpc.Method >= len(i.settings.Methods) {
-		fields.fail("class %d is not in the settings", rpc.Method)
+		fields.fail("class %d is not in the settings, which have %d classes", rpc.Method, len(i.settings.Methods))
 	}
 	if rpc.Tenant < 0 || rpc.Tenant >= max(1, len(i.settings.Tenants)) {
-		fields.fail("tenant %d is not in the settings", rpc.Tenant)
+		fields.fail("tenant %d is not in the settings, which have %d tenants", rpc.Tenant, len(i.settings.Tenants))
 	}
 	if i.requests[id] != nil {
-		fields.fail("request %s arrived twice", id)
+		fields.fail("request %s arrived twice: an earlier one with this id is still in progress", id)
 	}
 	if err := fields.end(); err != nil {
 		return err
@@ -121,14 +121,15 @@
 	return nil
 }
 
-// handleResult handles the result of an attempt. One of a request that is no longer known is passed over.
+// handleResult handles the result of an attempt. It ignores results of unknown requests, and further results of the
+// same attempt.
 func (i *instance) handleResult(fields *fieldReader) error {
 	id := fields.text()
 	number := fields.integer()
 	result := i.readResult(fields)
 	fields.skip() // the server's address
 	rpcEnded := fields.integer() != 0
-	took := fields.seconds()
+	elapsed := fields.seconds()
 	load := i.readLoadReport(fields)
 	if err := fields.end(); err != nil {
 		return err
@@ -138,7 +139,7 @@
 		return nil
 	}
 	if number < 0 || number >= len(r.attempts) {
-		return fmt.Errorf("request %s has no attempt %d", id, number)
+		return fmt.Errorf("request %s has no attempt %d: expected less than %d", id, number, len(r.attempts))
 	}
 	attempt := r.attempts[number]
 	if _, inFlight := i.attemptNumbers[attempt]; !inFlight {
@@ -149,12 +150,12 @@
 	if rpcEnded {
 		r.ended = true
 	}
-	i.balancer.AttemptDone(attempt, result, rpcEnded, took, load)
-	i.drop(r)
+	i.balancer.AttemptDone(attempt, result, rpcEnded, elapsed, load)
+	i.removeIfDone(r)
 	return nil
 }
 
-// handleClientGone handles the departure of a request's client.
+// handleClientGone handles the disconnect of a request's client.
 func (i *instance) handleClientGone(fields *fieldReader) error {
 	id := fields.text()
 	if err := fields.end(); err != nil {
@@ -164,12 +165,12 @@
 	if r == nil || r.ended {
 		return nil
 	}
-	i.end(r)
+	i.endRequest(r)
 	i.balancer.ClientGone(r.rpc)
 	return nil
 }
 
-// handleTimer handles the end of a timer.
+// handleTimer handles the expiry of a timer.
 func (i *instance) handleTimer(fields *fieldReader) error {
 	number := fields.integer()
 	if err := fields.end(); err != nil {
@@ -177,19 +178,19 @@
 	}
 	payload, ok := i.timers[number]
 	if !ok {
-		return fmt.Errorf("timer %d was never set", number)
+		return fmt.Errorf("timer %d is not running", number)
 	}
 	delete(i.timers, number)
 	i.balancer.TimerFired(payload)
 	return nil
 }
 
-// handleResponseStarted handles the begin of a streamed answer.
+// handleResponseStarted handles the start of a streamed response.
 func (i *instance) handleResponseStarted(fields *fieldReader) error {
 	id := fields.text()
 	fields.skip() // the server's address
 	number := fields.integer()
-	fields.seconds() // what it took
+	fields.seconds() // elapsed time
 	if err := fields.end(); err != nil {
 		return err
 	}
@@ -200,19 +201,19 @@
 	return nil
 }
 
-// handleProbeResult checks the result of a probe, which no decision asks for.
+// handleProbeResult checks the form of a probe's result. The balancer sends no probes, so the result is not used.
 func (i *instance) handleProbeResult(fields *fieldReader) error {
 	i.readResult(fields)
-	fields.seconds() // what it took
+	fields.seconds() // elapsed time
 	addr := fields.text()
 	i.readLoadReport(fields)
 	if i.servers[addr] == nil {
-		fields.fail("probe result of a server never listed")
+		fields.fail("probe result of server %q, which was never listed", addr)
 	}
 	return fields.end()
 }
 
-// readResult reads a result.
+// readResult reads the name of a result.
 func (i *instance) readResult(fields *fieldReader) decide.Result {
 	name := fields.text()
 	result, known := results[name]
@@ -222,7 +223,7 @@
 	return result
 }
 
-// readLoadReport reads a load report; nil stands for none.
+// readLoadReport reads a load report. It returns nil if there is none.
 func (i *instance) readLoadReport(fields *fieldReader) *decide.LoadReport {
 	s := fields.text()
 	if s == absent || s == "" {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -10,37 +10,37 @@
 // absent is the value of a field that is not set.
 const absent = "-"
 
-// fieldReader reads the values of a line one after another. After the first error it has only zero values.
+// fieldReader reads the values of a line one after another. It stores the first error.
 type fieldReader struct {
 	values []string
 	next   int
 	err    error
 }
 
-// newFieldReader reads values with a space between each two.
+// newFieldReader returns a reader of values that are separated by single spaces.
 func newFieldReader(line string) fieldReader { return fieldReader{values: strings.Split(line, " ")} }
 
-// fail records an error, unless there is one already.
+// fail stores an error, unless an earlier one is stored.
 func (f *fieldReader) fail(format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf(format, args...)
 	}
 }
 
-// text reads a value as it is.
+// text reads a value without interpreting it. It returns "" if there is none.
 func (f *fieldReader) text() string {
 	if f.next >= len(f.values) {
-		f.fail("too few values")
+		f.fail("too few values: got %d, expected more", len(f.values))
 		return ""
 	}
 	f.next++
 	return f.values[f.next-1]
 }
 
-// skip passes over a value that no decision uses, whatever its form.
+// skip ignores a value, whatever its form.
 func (f *fieldReader) skip() { f.text() }
 
-// integer reads an integer; one that is absent is 0.
+// integer reads an integer. It returns 0 for an absent value.
 func (f *fieldReader) integer() int {
 	s := f.text()
 	if s == absent {
@@ -53,29 +53,29 @@
 	return int(n)
 }
 
-// number reads a finite number, or has the default for one that is absent.
-func (f *fieldReader) number(byDefault float64) float64 {
+// number reads a finite number. It returns defaultValue for an absent value.
+func (f *fieldReader) number(defaultValue float64) float64 {
 	s := f.text()
 	if s == absent {
-		return byDefault
+		return defaultValue
 	}
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		f.fail("%q is not a number", s)
+		f.fail("%q is not a finite number", s)
 	}
 	return x
 }
 
-// seconds reads a time in milliseconds; one that is absent is 0.
+// seconds reads a time in milliseconds and returns it in seconds. It returns 0 for an absent value.
 func (f *fieldReader) seconds() float64 { return f.number(0) / 1000 }
 
-// end is the first error. Values that were not read are one.
+// end returns the stored error, or an error if the line has further values.
 func (f *fieldReader) end() error {
 	if f.err == nil && f.next < len(f.values) {
-		f.fail("%d values too many", len(f.values)-f.next)
+		f.fail("too many values: got %d, expected %d", len(f.values), f.next)
 	}
 	return f.err
 }
 
-// milliseconds writes a time as the wire has it.
+// milliseconds formats a time in seconds as milliseconds with three decimal places.
 func milliseconds(seconds float64) string { return strconv.FormatFloat(seconds*1000, 'f', 3, 64) }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -11,19 +11,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The golden conversation was played with the text at 0cdd5b2: conversation.in are the lines of a small world with
-// four servers that was made for it, conversation.out are the hub's. Neither may ever be written anew to follow a
-// rename. The decisions in it hang on the seed and on internal/decide: a change that is meant to decide otherwise has
-// to say so, and is no rename.
+// The golden conversation was recorded with the code of commit 0cdd5b2. conversation.in contains the input lines of a
+// small scenario with four servers, conversation.out the hub's output. Neither file may be regenerated for a rename.
+// The output depends on the seed and on the decisions of package decide. A change that intends other decisions has to
+// say so, and is not a rename.
 func TestHub_GoldenConversation(t *testing.T) {
 	var out bytes.Buffer
 	require.NoError(t, NewHub(bytes.NewReader(golden.Read(t, "conversation.in")), &out).Run())
 	golden.Check(t, "conversation.out", out.Bytes())
 }
 
-// The conversation has each kind of line in it, and each result.
-func TestHub_GoldenConversationShowsEveryLine(t *testing.T) {
-	first := func(text string) []string {
+// The golden conversation contains every kind of line, result, list and server state.
+func TestHub_GoldenConversationIsComplete(t *testing.T) {
+	lineNames := func(text string) []string {
 		seen := map[string]bool{}
 		var names []string
 		for line := range strings.Lines(text) {
@@ -37,10 +37,10 @@
 	in := string(golden.Read(t, "conversation.in"))
 	events := []string{"SYNC", "YOUR_TURN", "BEGIN", "SNAPSHOT_ROWS", "M", "TARGETS", "INCOMING", "RESPONSE", "VANISHED",
 		"RING", "ESTABLISHED", "CHECK_RESULT", "MESSAGE", "DESTROY"}
-	assert.ElementsMatch(t, events, first(in))
+	assert.ElementsMatch(t, events, lineNames(in))
 	out := string(golden.Read(t, "conversation.out"))
-	orders := []string{"NEXT", "ROUTE", "UNDO_SEND", "FREE_LINKS", "DENY", "REPORT_FAILURE", "AFTER", "WATCH"}
-	assert.ElementsMatch(t, orders, first(out))
+	commands := []string{"NEXT", "ROUTE", "UNDO_SEND", "FREE_LINKS", "DENY", "REPORT_FAILURE", "AFTER", "WATCH"}
+	assert.ElementsMatch(t, commands, lineNames(out))
 	for result := range results {
 		assert.Contains(t, in, " "+result+" ")
 	}
--- a/internal/simwire/hub.go
+++ b/internal/simwire/hub.go
@@ -1,13 +1,13 @@
-// Package simwire speaks the text wire of the bench's simulator: it turns lines into calls of decide.Balancer and the
-// calls of decide.Host into lines. It takes no decision.
+// Package simwire implements the text protocol of the bench's simulator. It translates lines into calls of
+// decide.Balancer, and calls of decide.Host into lines. It makes no decisions of its own.
 //
-// The files, by what they do:
+// The files:
 //
-//	hub.go         reads batches of lines and hosts the instances
+//	hub.go         reads batches of lines and runs the instances
 //	serverlist.go  reads the numbered server lists
-//	instance.go    has what the wire knows of one node
-//	events.go      turns a node's events into calls of its balancer
-//	host.go        turns its balancer's calls into lines
+//	instance.go    keeps the protocol's state of one node
+//	events.go      translates a node's events into calls of its balancer
+//	host.go        translates the balancer's calls into lines
 //	fields.go      reads the values of a line
 package simwire
 
@@ -20,23 +20,23 @@
 )
 
 const (
-	readBufferSize  = 1 << 20 // bytes; a batch has thousands of lines
+	readBufferSize  = 1 << 20 // bytes; a batch may have thousands of lines
 	writeBufferSize = 1 << 18 // bytes
 )
 
-// Hub reads batches of events and answers each with its instances' orders. The instances share nothing but the wire's
-// numbered server lists.
+// Hub reads batches of events and answers each batch with the commands of its instances. A batch begins with a SYNC
+// line and ends with a YOUR_TURN line. The instances share only the numbered server lists.
 type Hub struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
-	now       float64 // the batch's time, in seconds
+	now       float64 // time of the batch, in seconds
 	inBatch   bool
 	instances map[int]*instance
 	lists     map[int][]listedServer
-	violation error // the first order of an instance that the wire would refuse
+	violation error // the first invalid command of an instance
 }
 
-// NewHub makes a Hub over the two ends of the wire.
+// NewHub returns a Hub that reads events from in and writes commands to out.
 func NewHub(in io.Reader, out io.Writer) *Hub {
 	return &Hub{
 		in:        bufio.NewReaderSize(in, readBufferSize),
@@ -46,13 +46,13 @@
 	}
 }
 
-// Run answers batches until the input ends.
+// Run answers batches until the input ends. It returns an error at the first invalid line or command.
 func (h *Hub) Run() error {
 	for {
 		line, err := h.readLine()
 		if errors.Is(err, io.EOF) {
 			if h.inBatch {
-				return errors.New("input ended inside a batch")
+				return errors.New("input ended inside a batch, expected YOUR_TURN")
 			}
 			return nil
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-// readLine reads a line without its end. The error is io.EOF only where the input ends between two lines.
+// readLine reads a line and returns it without its line break. It returns io.EOF only if there is no further line.
 func (h *Hub) readLine() (string, error) {
 	line, err := h.in.ReadString('\n')
 	switch {
@@ -77,18 +77,18 @@
 	case errors.Is(err, io.EOF):
 		return "", io.EOF
 	default:
-		return "", fmt.Errorf("reading the wire: %w", err)
+		return "", fmt.Errorf("reading input: %w", err)
 	}
 }
 
-// handle handles a line of a batch, or the one that begins it.
+// handle handles a line: SYNC, which begins a batch, or a line inside a batch.
 func (h *Hub) handle(line string) error {
 	name, values, _ := strings.Cut(line, " ")
 	if name == "SYNC" {
 		return h.beginBatch(values)
 	}
 	if !h.inBatch {
-		return errors.New("event outside a batch")
+		return errors.New("event outside a batch, expected SYNC")
 	}
 	switch name {
 	case "YOUR_TURN":
@@ -101,10 +101,10 @@
 	return h.handleEvent(name, values)
 }
 
-// beginBatch sets the clock.
+// beginBatch handles SYNC, which sets the clock.
 func (h *Hub) beginBatch(values string) error {
 	if h.inBatch {
-		return errors.New("SYNC inside a batch")
+		return errors.New("SYNC inside a batch, expected YOUR_TURN first")
 	}
 	fields := newFieldReader(values)
 	now := fields.seconds()
@@ -115,21 +115,21 @@
 	return nil
 }
 
-// endBatch sends the orders of the batch.
+// endBatch handles YOUR_TURN, after which the commands of the batch are sent.
 func (h *Hub) endBatch() error {
 	h.inBatch = false
 	h.out.WriteString("NEXT\n")
 	if err := h.out.Flush(); err != nil {
-		return fmt.Errorf("writing the wire: %w", err)
+		return fmt.Errorf("writing output: %w", err)
 	}
 	return nil
 }
 
-// beginInstance starts an instance.
+// beginInstance handles BEGIN, which starts an instance.
 func (h *Hub) beginInstance(values string) error {
 	parts := strings.SplitN(values, " ", 3)
 	if len(parts) != 3 {
-		return errors.New("BEGIN needs an instance, a seed and settings")
+		return errors.New("too few values, expected an instance, a seed and settings")
 	}
 	fields := fieldReader{values: parts[:2]}
 	id, seed := fields.integer(), fields.integer()
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// handleEvent handles a line that is about one instance.
+// handleEvent handles an event of one instance.
 func (h *Hub) handleEvent(name, values string) error {
 	fields := newFieldReader(values)
 	id := fields.integer()
@@ -157,7 +157,7 @@
 	}
 	inst := h.instances[id]
 	if inst == nil {
-		return fmt.Errorf("instance %d was never begun", id)
+		return fmt.Errorf("instance %d is not running: no BEGIN, or DESTROY before this line", id)
 	}
 	return inst.handleEvent(name, &fields)
 }
--- a/internal/simwire/hub_test.go
+++ b/internal/simwire/hub_test.go
@@ -9,28 +9,28 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// testSettings are an instance's settings in the wire's form.
+// testSettings are the encoded settings of an instance.
 const testSettings = `{"Classes":[{"AimMs":2500,"DeadlineMs":6000,"Credit":1,"Repeat":"repeatable"}],"Instances":1,` +
 	`"RegistryMode":"automatic","Limits":{"MaxAttempts":3,"SecondCopies":true,"MayCancel":true},"Novelty":{"x":1},` +
 	`"Report":{"Fields":["depth"]}}`
 
-// testRequest is a request's id.
+// testRequest is the id of a request.
 const testRequest = "5d3a91c4-216f-49d7-a3dc-5fcaa1866f2f"
 
-// run plays lines and is what the hub wrote.
+// run runs a hub with the input lines and returns its output.
 func run(lines ...string) (string, error) {
 	var out bytes.Buffer
 	err := NewHub(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out).Run()
 	return out.String(), err
 }
 
-// withInstance puts lines behind those that start instance 3 with one server.
+// withInstance returns the lines that start instance 3 with one server, followed by the given lines.
 func withInstance(lines ...string) []string {
 	return append([]string{"SYNC 1000.5", "BEGIN 3 42 " + testSettings, "SNAPSHOT_ROWS 0 1",
 		"M 10.0.0.1:7000 0 0 0 active 1 -", "TARGETS 3 SAVED 1 0"}, lines...)
 }
 
-// arrival is the line of a request that arrives with a deadline in milliseconds.
+// arrival returns the line of an arriving request with a deadline, which is a time in milliseconds.
 func arrival(deadline int) string {
 	return fmt.Sprintf("INCOMING 3 %s %d 0 - 0 0 -", testRequest, deadline)
 }
@@ -51,10 +51,10 @@
 	assert.Contains(t, out, "10.0.0.2:7000")
 }
 
-// Bad input is named and never guessed at.
+// A malformed line ends Run with an error that names the fault.
 func TestHub_MalformedLines(t *testing.T) {
 	for line, message := range map[string]string{
-		"INCOMING 3 " + testRequest + " soon 0 - 0 0 -": "not a number",
+		"INCOMING 3 " + testRequest + " soon 0 - 0 0 -": "not a finite number",
 		"INCOMING 3 " + testRequest + " 5000 0 - 7 0 -": "class 7",
 		"INCOMING 9 " + testRequest + " 5000 0 - 0 0 -": "instance 9",
 		"HELLO 3":                             "unknown event",
@@ -77,9 +77,10 @@
 	assert.NoError(t, err)
 }
 
-// Settings that are missing neither divide by zero nor crash.
+// With few settings and no ready server, a request gets a pushback: missing settings do not cause a panic or a division
+// by zero.
 func TestHub_MissingSettings(t *testing.T) {
-	bare := `{"Classes":[{"AimMs":2500,"DeadlineMs":6000,"Repeat":"once"}],"RegistryMode":"automatic"}`
+	minimalSettings := `{"Classes":[{"AimMs":2500,"DeadlineMs":6000,"Repeat":"once"}],"RegistryMode":"automatic"}`
 	for name, list := range map[string][]string{
 		"no server":   {"SNAPSHOT_ROWS 0 0"},
 		"gone server": {"SNAPSHOT_ROWS 0 1", "M 10.0.0.1:7000 0 0 0 left 0 -"},
@@ -87,10 +88,10 @@
 			"M 10.0.0.1:7000 0 0 0 left 0 -"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lines := append([]string{"SYNC 1000.5", "BEGIN 3 42 " + bare}, list...)
+			lines := append([]string{"SYNC 1000.5", "BEGIN 3 42 " + minimalSettings}, list...)
 			out, err := run(append(lines, "TARGETS 3 SAVED 1 0", arrival(5000), "YOUR_TURN")...)
 			assert.NoError(t, err)
-			assert.Contains(t, out, "DENY 3 "+testRequest, "nothing has run: a prompt pushback")
+			assert.Contains(t, out, "DENY 3 "+testRequest, "no attempt has run, so the request is pushed back at once")
 		})
 	}
 }
@@ -112,10 +113,11 @@
 	}
 }
 
-// Server lists come again, fail and shrink; after a failure the list is watched again.
+// Server lists may be repeated, and may become shorter. After the watch has failed, the instance watches the list
+// again.
 func TestHub_ServerLists(t *testing.T) {
-	subscribing := strings.Replace(testSettings, `"automatic"`, `"subscribe"`, 1)
-	lines := []string{"SYNC 1000", "BEGIN 3 42 " + subscribing, "SNAPSHOT_ROWS 0 300"}
+	subscribeSettings := strings.Replace(testSettings, `"automatic"`, `"subscribe"`, 1)
+	lines := []string{"SYNC 1000", "BEGIN 3 42 " + subscribeSettings, "SNAPSHOT_ROWS 0 300"}
 	for i := range 300 {
 		lines = append(lines, fmt.Sprintf("M 10.0.%d.%d:7000 0 0 0 active 1 -", i/200, i%200))
 	}
@@ -124,5 +126,5 @@
 		"M 10.0.0.7:7000 0 0 0 active 1 -", "TARGETS 3 FULL 2 0", arrival(9000), "YOUR_TURN")...)
 	assert.NoError(t, err)
 	assert.Equal(t, 2, strings.Count(out, "WATCH 3 1"))
-	assert.Contains(t, out, "ROUTE 3 "+testRequest+" 10.0.0.7:7000 ", "the others have gone")
+	assert.Contains(t, out, "ROUTE 3 "+testRequest+" 10.0.0.7:7000 ", "the other servers are no longer listed")
 }
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -7,7 +7,7 @@
 	"robincart/internal/protocol/settings"
 )
 
-// instance is one node of the simulator: it owns a balancer and is its decide.Host.
+// instance is one node of the simulator. It owns a balancer, for which it implements decide.Host.
 type instance struct {
 	hub      *Hub
 	id       int
@@ -17,25 +17,25 @@
 	servers   map[string]*decide.Server // by address
 	addresses map[*decide.Server]string
 
-	requests       map[string]*request // by the wire's id
+	requests       map[string]*request // by request id
 	requestsByRPC  map[*decide.RPC]*request
-	attemptNumbers map[*decide.Attempt]int // of the attempts in flight
+	attemptNumbers map[*decide.Attempt]int // of the attempts in flight; each request's attempts count from 0
 
-	timers        map[int]any // payloads by the wire's numbers
+	timers        map[int]any // payloads, by timer number
 	lastTimer     int
-	hadWatchEvent bool // since the watch last failed
+	hadWatchEvent bool // a server list has arrived since the watch last failed
 }
 
-// request keeps an RPC's wire id until its last attempt has ended.
+// request is an RPC and its id. It is kept until the RPC and all of its attempts have ended.
 type request struct {
 	id       string
 	rpc      *decide.RPC
-	attempts []*decide.Attempt // by the wire's numbers
-	inFlight int
-	ended    bool
+	attempts []*decide.Attempt // by attempt number
+	inFlight int               // attempts without a result
+	ended    bool              // the client has its answer, or has gone
 }
 
-// newInstance starts an instance with settings in the wire's form.
+// newInstance starts an instance with encoded settings.
 func newInstance(hub *Hub, id int, seed int64, encodedSettings string) (*instance, error) {
 	parsed, err := settings.Parse([]byte(encodedSettings))
 	if err != nil {
@@ -56,8 +56,8 @@
 	return inst, nil
 }
 
-// server is the server at an address. There is a new one at an address that was never listed before.
-func (i *instance) server(addr string) *decide.Server {
+// serverAt returns the server at an address. It adds the server if the address is new.
+func (i *instance) serverAt(addr string) *decide.Server {
 	s := i.servers[addr]
 	if s == nil {
 		s = &decide.Server{}
@@ -67,22 +67,22 @@
 	return s
 }
 
-// end marks a request as ended.
-func (i *instance) end(r *request) {
+// endRequest marks a request as ended.
+func (i *instance) endRequest(r *request) {
 	r.ended = true
-	i.drop(r)
+	i.removeIfDone(r)
 }
 
-// drop forgets an ended request once nothing more of it can arrive.
-func (i *instance) drop(r *request) {
+// removeIfDone removes a request that has ended and has no attempts in flight, so no further result can arrive.
+func (i *instance) removeIfDone(r *request) {
 	if r.ended && r.inFlight == 0 {
 		delete(i.requests, r.id)
 		delete(i.requestsByRPC, r.rpc)
 	}
 }
 
-// violate stops the adapter: the balancer asked for what the wire would refuse.
-func (i *instance) violate(format string, args ...any) {
+// reportViolation makes Hub.Run return an error: the balancer made a call that has no valid command.
+func (i *instance) reportViolation(format string, args ...any) {
 	if i.hub.violation == nil {
 		i.hub.violation = fmt.Errorf("instance %d: %s", i.id, fmt.Sprintf(format, args...))
 	}
--- a/internal/simwire/serverlist.go
+++ b/internal/simwire/serverlist.go
@@ -1,13 +1,13 @@
 package simwire
 
 import (
-	"errors"
 	"fmt"
 
 	"robincart/decide"
 )
 
-// preallocatedServers bounds the memory that a list's announced length allocates before its entries are read.
+// preallocatedServers limits the number of entries for which memory is allocated before they are read, whatever length
+// a list announces.
 const preallocatedServers = 4096
 
 // listedServer is one entry of a numbered server list.
@@ -20,7 +20,7 @@
 	startedAt float64 // seconds; 0: long ago
 }
 
-// readList reads a server list and keeps it under its number, in place of an earlier one.
+// readList reads a server list and stores it under its number. It replaces an earlier list of the same number.
 func (h *Hub) readList(values string) error {
 	fields := newFieldReader(values)
 	number, length := fields.integer(), fields.integer()
@@ -28,17 +28,17 @@
 		return err
 	}
 	if length < 0 {
-		return errors.New("negative number of entries")
+		return fmt.Errorf("server list %d: length is %d, expected at least 0", number, length)
 	}
 	list := make([]listedServer, 0, min(length, preallocatedServers))
 	for range length {
 		line, err := h.readLine()
 		if err != nil {
-			return fmt.Errorf("list cut short: %w", err)
+			return fmt.Errorf("server list %d: got %d of %d entries: %w", number, len(list), length, err)
 		}
 		entry, err := parseListedServer(line)
 		if err != nil {
-			return fmt.Errorf("entry %.200q: %w", line, err)
+			return fmt.Errorf("server list %d: entry %.200q: %w", number, line, err)
 		}
 		list = append(list, entry)
 	}
@@ -46,14 +46,14 @@
 	return nil
 }
 
-// parseListedServer reads an entry of a server list.
+// parseListedServer parses an entry of a server list.
 func parseListedServer(line string) (listedServer, error) {
 	fields := newFieldReader(line)
 	if tag := fields.text(); tag != "M" {
-		return listedServer{}, errors.New("does not start with M")
+		return listedServer{}, fmt.Errorf("starts with %q, expected M", tag)
 	}
 	entry := listedServer{addr: fields.text(), zone: fields.integer()}
-	fields.skip() // the kind: decisions go by what servers do, not by what they are called
+	fields.skip() // kind of the server; decisions depend on its behavior instead
 	entry.cell = fields.integer()
 	state := fields.text()
 	entry.weight = fields.number(1)
@@ -66,7 +66,7 @@
 	case "left":
 		entry.state = decide.Gone
 	default:
-		fields.fail("unknown readiness %q", state)
+		fields.fail("unknown server state %q, expected active, leaving or left", state)
 	}
 	return entry, fields.end()
 }
