--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -139,7 +139,7 @@
 		return nil
 	}
 	if number < 0 || number >= len(r.attempts) {
-		return fmt.Errorf("request %s has no attempt %d: expected less than %d", id, number, len(r.attempts))
+		return fmt.Errorf("request %s has no attempt %d: it has %d attempts", id, number, len(r.attempts))
 	}
 	attempt := r.attempts[number]
 	if _, inFlight := i.attemptNumbers[attempt]; !inFlight {
