--- a/internal/dataplane/frontend/client.go
+++ b/internal/dataplane/frontend/client.go
@@ -10,7 +10,8 @@
 	"robincart/internal/system/telemetry"
 )
 
-// watchClient has an RPC notified when its client goes, which may have happened already.
+// watchClient registers an RPC to be notified when its client leaves. It notifies the RPC at once if the client has
+// already left, or if a gateway has sent further input, which may be an abort.
 func (c *conn) watchClient(rpc *node.RPC) {
 	c.shared.rpc.Store(rpc)
 	if c.shared.clientClosed.Load() || c.gateway != nil && c.server.takeReadable(c) {
@@ -18,16 +19,17 @@
 	}
 }
 
-// notifyClientGone notifies the RPC in flight that its client seems to have gone: once, whoever notices that first.
+// notifyClientGone notifies the RPC in flight that its client seems to have left. Any goroutine may call it; the RPC is
+// notified once.
 func (c *conn) notifyClientGone() {
 	if rpc := c.shared.rpc.Swap(nil); rpc != nil {
 		rpc.Orders <- node.Order{Kind: node.OrderClientGone}
 	}
 }
 
-// StillWaiting reports whether the client still waits for the response to a request. The poller notices its end, too,
-// but it may be late, as the request's own goroutine may be, where many connections have events. An answer of the
-// kernel is valid for ClientCheckInterval, in which the call costs nothing.
+// StillWaiting reports whether the client still waits for the response to a request. The poller detects that a client
+// leaves, too, but with events on many connections it may be late, and so may the goroutine that serves the request.
+// The kernel is asked only if its last answer is older than ClientCheckInterval.
 func (c *conn) StillWaiting(request *httpwire.Request) bool {
 	if c.gateway == nil {
 		return c.checkClient()
@@ -35,13 +37,14 @@
 	c.gateway.mu.Lock()
 	defer c.gateway.mu.Unlock()
 	if c.gateway.outstanding != request {
-		return false // it has its response: what is on the connection now is another's
+		return false // the request has its response: the connection now serves another request
 	}
 	return c.checkClient()
 }
 
-// checkClient asks the kernel whether the client has closed, unless it was asked lately, and a gateway's input whether
-// the request in flight was aborted.
+// checkClient asks the kernel whether the client has closed the connection, unless it was asked in the last
+// ClientCheckInterval. It also checks a gateway's input for an abort of the request in flight. If the client has left,
+// it notifies the RPC.
 func (c *conn) checkClient() bool {
 	now := c.server.clock()
 	recent := now-time.Duration(c.shared.checkedAt.Load()) < c.server.limits.ClientCheckInterval
@@ -58,7 +61,7 @@
 	return true
 }
 
-// setOutstanding lets the attempts for a gateway's request look at what has arrived behind it; nil: no more.
+// setOutstanding sets the gateway's request for which attempts may check the input that follows it; nil: none.
 func (c *conn) setOutstanding(request *httpwire.Request) {
 	if c.gateway == nil {
 		return
@@ -68,24 +71,25 @@
 	c.gateway.outstanding = request
 }
 
-// gatewayStillWaits reports, when a client seems to have gone, whether it is a gateway that has only sent something.
-// One that has closed its side has gone, whatever it sent before that: nobody waits for what it had requested next.
+// gatewayStillWaits reports, after a notification that the client seems to have left, whether the client is a gateway
+// that still waits and has only sent more input. A gateway that has closed its side has left, even if it sent further
+// requests before: it does not wait for their responses.
 func (c *conn) gatewayStillWaits(request *httpwire.Request, rpc *node.RPC) bool {
 	if c.gateway == nil {
 		return false
 	}
 	c.gateway.mu.Lock()
-	waits := c.gateway.stillWaitingOnInput(request)
+	waits := c.gateway.stillWaitingAfterInput(request)
 	c.gateway.mu.Unlock()
 	if !waits {
 		return false
 	}
-	c.watchClient(rpc) // each event notifies it once
+	c.watchClient(rpc) // watches again, since the notification has ended the watch
 	return true
 }
 
-// finishAborted ends a request whose client has gone or has aborted it, and returns whether the connection can be used
-// again: a gateway that aborted one request goes on.
+// finishAborted ends a request whose client has left or has aborted it. It returns whether the connection can be used
+// again: a gateway keeps its connection after it has aborted a request.
 func (c *conn) finishAborted(request *httpwire.Request) bool {
 	c.serving.closeReason = telemetry.PeerClosed
 	c.state.set(stateReading)
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -13,58 +13,58 @@
 	"robincart/internal/system/socket"
 )
 
-// Gateway configures a listener for gateways that speak FastCGI. What a gateway can't send as CGI makes it of the
-// protocol's headers, it sends as a param of its own choice, or it has a default.
+// Gateway configures a listener for gateways that speak FastCGI. A gateway that can't send a header of the protocol in
+// the param that CGI defines for it may send it in a param of another name. Some headers have a default.
 type Gateway struct {
-	// The names of the params that are used instead of CGI's; empty: none.
+	// Names of params that take precedence over those of CGI; empty: none.
 	TraceParam, MethodParam, TenantParam, IdempotencyKeyParam, TimeLeftParam string
 
-	DefaultTenant      string // of a request without one
+	DefaultTenant      string // for requests without a tenant
 	DefaultTimeLeft    time.Duration
-	Overloaded         bool // a 503 is END_REQUEST with OVERLOADED, for gateways that try another node then
-	AdvertisedRequests int  // the limit of requests that FCGI_GET_VALUES is answered with
+	Overloaded         bool // a 503 is sent as END_REQUEST with OVERLOADED, for gateways that then try another node
+	AdvertisedRequests int  // limit of requests, sent in response to FCGI_GET_VALUES
 }
 
-// gateway translates between a client that speaks FastCGI and a connection that serves HTTP/1.1: requests are read
-// through it as HTTP would have them, so that their life, times, sizes and limits are those of any other. One request
-// is on a connection at a time; a second one is rejected.
+// gateway translates between a client that speaks FastCGI and a connection that serves HTTP/1.1. Requests are read
+// through it as HTTP/1.1, so that they are processed as any other, with the same timeouts, sizes and limits. A
+// connection has one request at a time; a second one is rejected.
 //
-// Its fields belong to the goroutine that serves the connection. While a request is in flight others may look for an
-// abort in what has arrived behind it, with the mutex held.
+// The goroutine that serves the connection owns the fields. While a request is in flight, attempts in other goroutines
+// may check the input that follows it for an abort; they must hold mu.
 type gateway struct {
 	conn        *conn
 	config      *Gateway
 	application fcgi.Application
 	records     fcgi.Reader
-	buffer      *[]byte // of records; nil: idle
+	buffer      *[]byte // for records; nil: the connection is idle
 	filled      bool    // the last read filled its buffer
-	peeking     bool    // no read may wait
+	peeking     bool    // reads must not block
 
 	mu          sync.Mutex
-	outstanding *httpwire.Request // in flight, and read far enough for others to look behind it; nil: none
+	outstanding *httpwire.Request // in flight; attempts may check the input after it; nil: none
 
 	// The request that is being read or in flight:
 	requestID     uint16 // 0: none
-	keepAlive     bool   // the connection is used after the response
+	keepAlive     bool   // the connection stays open after the response
 	complete      bool   // all of it has arrived
 	aborted       atomic.Bool
-	contentLength int64 // as the params have it; -1: not at all
-	bodyBytes     int64 // that have arrived
+	contentLength int64 // from CONTENT_LENGTH; -1: unknown
+	bodyBytes     int64 // received so far
 
-	// What was translated, and how much of it was read:
+	// Translated bytes, and how many of them were read:
 	pending []byte
 	offset  int
 
-	params  []param // while a head is translated
+	params  []param // of the request head that is being translated
 	scratch []byte
 }
 
 const (
 	gatewayBufferSize = 4 << 10
-	// maxIdlePending is the largest buffer of translated bytes that an idle connection keeps.
+	// maxIdlePending is the largest buffer for translated bytes that an idle connection keeps, in bytes.
 	maxIdlePending = 4 << 10
-	// maxPeekBytes is how much of a body that is still coming is read to see whether its gateway has aborted the
-	// request behind it: as much as the kernel holds of a connection that is not read from.
+	// maxPeekBytes limits how many bytes of a body that is still arriving are read ahead to look for an abort of its
+	// request. It is as much as the kernel buffers for a connection that is not read.
 	maxPeekBytes = 128 << 10
 )
 
@@ -83,11 +83,11 @@
 	return g
 }
 
-// recordSource is what a gateway's records are read from.
+// recordSource is the reader that a gateway's records are read from.
 type recordSource gateway
 
-// Read waits for bytes only where a request has begun, and not for ever: a client that sends half a record would else
-// hold its capacity for good.
+// Read blocks only if a request or a record has begun, and with a deadline: otherwise a client that sends half a record
+// would hold its capacity forever.
 func (r *recordSource) Read(to []byte) (int, error) {
 	g := (*gateway)(r)
 	c := g.conn
@@ -106,7 +106,7 @@
 	return n, err
 }
 
-// mayHaveMore reports whether the kernel may hold something of which there is no event.
+// mayHaveMore reports whether the kernel may hold input for which there is no further event.
 func (g *gateway) mayHaveMore() bool { return g.filled || g.aborted.Load() }
 
 func (g *gateway) acquireBuffer() {
@@ -117,16 +117,17 @@
 	g.records.Init((*recordSource)(g), *g.buffer)
 }
 
-// releaseBuffers gives the buffers up between two requests. It returns false if a part of the next one is in them.
+// releaseBuffers releases the buffers between two requests. It returns false if they contain a part of the next
+// request.
 func (g *gateway) releaseBuffers() bool {
 	if g.buffer == nil {
 		return true
 	}
-	padded := g.records.HasBuffered()
+	paddingPending := g.records.HasBuffered()
 	if g.records.InRecord() {
 		return false
 	}
-	if !padded { // else the reader has to know what is still to come of the padding
+	if !paddingPending { // otherwise the reader must keep how much padding is still to be read
 		gatewayBuffers.Put(g.buffer)
 		g.buffer = nil
 	}
@@ -141,7 +142,7 @@
 	return true
 }
 
-// Read reads the next request as HTTP/1.1, as much as has arrived.
+// Read reads the next request, translated to HTTP/1.1, as far as it has arrived.
 func (g *gateway) Read(to []byte) (int, error) {
 	g.acquireBuffer()
 	if g.offset == len(g.pending) {
@@ -154,7 +155,7 @@
 	return n, nil
 }
 
-// translateMore translates at least one byte, and as many as are wanted where they have arrived.
+// translateMore translates at least one byte, and continues up to the wanted number while input is buffered.
 func (g *gateway) translateMore(wanted int) error {
 	g.pending = g.pending[:0]
 	g.offset = 0
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// translateNext translates one piece of a record.
+// translateNext translates one fragment of a record.
 func (g *gateway) translateNext() error {
 	err := g.handleNext()
 	if errors.Is(err, fcgi.ErrFraming) {
@@ -190,7 +191,7 @@
 func (g *gateway) handleEvent(event fcgi.Event) error {
 	switch event.Kind {
 	case fcgi.EventReply:
-		return g.writeNow(event.Data)
+		return g.writeWithDeadline(event.Data)
 	case fcgi.EventParams:
 		g.requestID = event.ID
 		g.keepAlive = event.KeepConn
@@ -212,17 +213,18 @@
 	return nil
 }
 
-func (g *gateway) writeNow(message []byte) error {
+func (g *gateway) writeWithDeadline(message []byte) error {
 	g.conn.setWriteDeadline()
 	_, err := g.conn.Conn.Write(message)
 	return err
 }
 
-// appendBody translates a part of the body to a chunk.
+// appendBody appends a part of the body as a chunk.
 func (g *gateway) appendBody(data []byte) error {
 	g.bodyBytes += int64(len(data))
 	if g.contentLength >= 0 && g.bodyBytes > g.contentLength {
-		return fmt.Errorf("%w: the body is longer than CONTENT_LENGTH", httpwire.ErrMalformed)
+		return fmt.Errorf("%w: expected a body of %d bytes (CONTENT_LENGTH), found %d or more",
+			httpwire.ErrMalformed, g.contentLength, g.bodyBytes)
 	}
 	const hexadecimal = 16
 	g.pending = strconv.AppendInt(g.pending, int64(len(data)), hexadecimal)
@@ -234,40 +236,42 @@
 
 func (g *gateway) appendBodyEnd() error {
 	if g.contentLength >= 0 && g.bodyBytes < g.contentLength {
-		return fmt.Errorf("%w: the body is shorter than CONTENT_LENGTH", httpwire.ErrMalformed)
+		return fmt.Errorf("%w: expected a body of %d bytes (CONTENT_LENGTH), found %d",
+			httpwire.ErrMalformed, g.contentLength, g.bodyBytes)
 	}
 	g.pending = append(g.pending, "0\r\n\r\n"...)
 	g.complete = true
 	return nil
 }
 
-// handleAbort handles the gateway's abort of a request.
+// handleAbort marks the request as aborted. It ends a request whose params are not complete.
 func (g *gateway) handleAbort(id uint16) error {
-	if g.requestID == 0 { // its params were still coming: nobody knows of it
+	if g.requestID == 0 { // its params were still arriving, so it was not started
 		g.requestID = id
-		return g.writeNow(g.appendResponseEnd(nil, 1, fcgi.StatusComplete))
+		return g.writeWithDeadline(g.appendResponseEnd(nil, 1, fcgi.StatusComplete))
 	}
 	g.aborted.Store(true)
 	if g.complete {
 		return nil
 	}
-	// Whoever reads the body has nothing to wait for.
+	// The goroutine that reads the body must not wait for the rest.
 	g.conn.notifyClientGone()
 	return errClientClosed
 }
 
-// stillWaitingOnInput reports, when something has arrived while a request is in flight, whether its gateway still
-// waits for the response. The mutex is held.
-func (g *gateway) stillWaitingOnInput(request *httpwire.Request) bool {
-	if request.BodyStream != nil && !request.BodyStream.Complete() { // whoever reads the body sees an abort first
+// stillWaitingAfterInput reports, after input has arrived while a request is in flight, whether the gateway still waits
+// for the response. The caller must hold g.mu.
+func (g *gateway) stillWaitingAfterInput(request *httpwire.Request) bool {
+	if request.BodyStream != nil && !request.BodyStream.Complete() { // the reader of the body sees an abort first
 		return !g.aborted.Load() && !g.conn.shared.clientClosed.Load()
 	}
 	return g.peek()
 }
 
-// stillWaiting reports whether the gateway still waits for the response to the request in flight. It is called right
-// before an attempt sends the request, which has claimed the body if that is still arriving. recent is whether the
-// kernel's input was looked at lately; what was read of it may hold more than the request. The mutex is held.
+// stillWaiting reports whether the gateway still waits for the response to the request in flight. An attempt calls it
+// right before it sends the request, and has claimed the body if that is still arriving. recent is true if the kernel
+// was asked within ClientCheckInterval; it is then not asked again. Buffered input is always checked, since it may go
+// beyond the request. The caller must hold g.mu.
 func (g *gateway) stillWaiting(recent bool) bool {
 	switch {
 	case g.aborted.Load():
@@ -280,8 +284,8 @@
 	return true
 }
 
-// peek reads what has arrived while a request is in flight, without waiting, and reports whether its gateway still
-// waits for the response.
+// peek reads the input that has arrived while a request is in flight, without blocking. It reports whether the gateway
+// still waits for the response.
 func (g *gateway) peek() bool {
 	g.peeking = true
 	defer func() {
--- a/internal/dataplane/frontend/gatewayparams.go
+++ b/internal/dataplane/frontend/gatewayparams.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	headerParamPrefix = "HTTP_" // of the params that CGI makes of headers
-	// maxLinearParams is up to how many params each is compared with each; beyond, they are looked up in a map.
+	headerParamPrefix = "HTTP_" // of the params that CGI derives from headers
+	// maxLinearParams is the largest number of params that are searched one by one for a name. If there are more, a map
+	// is used.
 	maxLinearParams = 64
 )
 
-// param is one of a request's params. It is a part of the list that came.
+// param is a param of a request. Its fields are slices of the received list.
 type param struct{ name, value []byte }
 
-// hopParams are params that would frame the message anew or concern the connection: what comes by FastCGI has its
-// frame already.
-var hopParams = map[string]bool{
+// droppedParams are params of headers that would frame the message a second time or that concern the connection. They
+// are dropped, since FastCGI frames the message.
+var droppedParams = map[string]bool{
 	"HTTP_CONTENT_LENGTH":    true,
 	"HTTP_TRANSFER_ENCODING": true,
 	"HTTP_CONNECTION":        true,
@@ -34,7 +35,7 @@
 	"HTTP_CONTENT_TYPE":      true,
 }
 
-// knownField is a header that the protocol knows, and the param that CGI makes of it.
+// knownField is a header of the protocol, and the param that CGI defines for it.
 type knownField struct{ header, param string }
 
 var knownFields = [...]knownField{
@@ -47,7 +48,8 @@
 	{"Content-Type", "CONTENT_TYPE"},
 }
 
-// customParam returns the param that is used instead of that of a known field; empty: none.
+// customParam returns the configured name that takes precedence over the CGI name of a field, given by its index in
+// knownFields; empty: none.
 func (g *Gateway) customParam(field int) string {
 	custom := [len(knownFields)]string{
 		g.TraceParam, g.MethodParam, g.TenantParam, g.IdempotencyKeyParam, g.TimeLeftParam,
@@ -55,10 +57,11 @@
 	return custom[field]
 }
 
-// parseParams splits the list of params. What could end a line, and a name with two values, is malformed.
+// parseParams splits the list of params. It rejects values with control bytes, which could end a header line, and names
+// with two different values.
 func (g *gateway) parseParams(list []byte) error {
 	g.params = g.params[:0]
-	var seen map[string][]byte // from maxLinearParams on
+	var seen map[string][]byte // values by name; nil up to maxLinearParams params
 	for len(list) > 0 {
 		name, value, rest, err := fcgi.Pair(list)
 		if err != nil {
@@ -66,19 +69,19 @@
 		}
 		list = rest
 		if hasControlByte(value) {
-			return malformedParam("a control byte in", name)
+			return malformedParam("expected text, found a control byte in the value of param", name)
 		}
 		value = bytes.Trim(value, " \t")
-		other, known := g.lookUpParam(seen, name)
+		earlier, known := g.lookUpParam(seen, name)
 		switch {
 		case seen != nil && !known:
 			seen[string(name)] = value
 		case seen == nil && len(g.params) == maxLinearParams:
-			// TODO: this param is missing in the index, so a second value of its name is not noticed.
+			// TODO: this param is missing in the index, so a second value of its name is not detected.
 			seen = g.indexParams()
 		}
-		if known && !bytes.Equal(other, value) {
-			return malformedParam("two values of", name)
+		if known && !bytes.Equal(earlier, value) {
+			return malformedParam("expected one value, found two different ones of param", name)
 		}
 		if known {
 			continue
@@ -110,7 +113,7 @@
 	return index
 }
 
-// lookUpParam returns the value of a param that was parsed before, by an index where there is one.
+// lookUpParam returns the value of a param that was parsed before. It uses the index unless that is nil.
 func (g *gateway) lookUpParam(index map[string][]byte, name []byte) ([]byte, bool) {
 	if index != nil {
 		value, ok := index[string(name)]
@@ -139,7 +142,7 @@
 	if err := g.parseParams(list); err != nil {
 		return err
 	}
-	class, err := g.appendRequestLine()
+	defaultMethod, err := g.appendRequestLine()
 	if err != nil {
 		return err
 	}
@@ -147,15 +150,15 @@
 		return err
 	}
 	g.pending = append(g.pending, "Transfer-Encoding: chunked\r\n"...)
-	g.appendKnownFields(class)
+	g.appendKnownFields(defaultMethod)
 	g.appendOtherHeaders()
 	g.pending = append(g.pending, "\r\n"...)
 	return nil
 }
 
-// appendRequestLine appends the first line of the request. It returns the first part of the path, which is the class
-// where a gateway sends none.
-func (g *gateway) appendRequestLine() (class []byte, err error) {
+// appendRequestLine appends the request line. It returns the first segment of the path, which is the default of the
+// header X-Qos.
+func (g *gateway) appendRequestLine() (defaultMethod []byte, err error) {
 	verb := g.paramValue("REQUEST_METHOD")
 	lineStart := len(g.pending)
 	g.pending = append(g.pending, verb...)
@@ -164,11 +167,12 @@
 	g.appendTarget()
 	target := g.pending[targetStart:]
 	if len(verb) == 0 || bytes.ContainsAny(verb, " \t") || bytes.ContainsAny(target, " \t") {
-		return nil, fmt.Errorf("%w: no request line: %.60q", httpwire.ErrMalformed, g.pending[lineStart:])
+		return nil, fmt.Errorf("%w: expected REQUEST_METHOD and a target, both without blanks, found %.60q",
+			httpwire.ErrMalformed, g.pending[lineStart:])
 	}
 	path, _, _ := bytes.Cut(target, []byte("?"))
 	first, _, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
-	g.scratch = append(g.scratch[:0], first...) // a copy, since pending grows
+	g.scratch = append(g.scratch[:0], first...) // a copy, since appending may reallocate pending
 	g.pending = append(g.pending, " HTTP/1.1\r\n"...)
 	return g.scratch, nil
 }
@@ -186,7 +190,7 @@
 	}
 }
 
-// parseContentLength returns the length of the body, or -1 where the params have none.
+// parseContentLength returns the length of the body, or -1 if the params do not contain it.
 func (g *gateway) parseContentLength() (int64, error) {
 	const decimal, bits = 10, 62
 	text := g.paramValue("CONTENT_LENGTH")
@@ -195,21 +199,22 @@
 	}
 	length, err := strconv.ParseUint(string(text), decimal, bits)
 	if err != nil {
-		return -1, fmt.Errorf("%w: CONTENT_LENGTH is %.60q", httpwire.ErrMalformed, text)
+		return -1, fmt.Errorf("%w: expected CONTENT_LENGTH to be a decimal number below 2^62, found %.60q",
+			httpwire.ErrMalformed, text)
 	}
 	return int64(length), nil
 }
 
-func (g *gateway) appendKnownFields(class []byte) {
+func (g *gateway) appendKnownFields(defaultMethod []byte) {
 	for i, field := range knownFields {
 		value := g.paramValue(field.param)
 		if custom := g.config.customParam(i); custom != "" {
-			if given := g.paramValue(custom); len(given) > 0 {
-				value = given
+			if customValue := g.paramValue(custom); len(customValue) > 0 {
+				value = customValue
 			}
 		}
 		if len(value) == 0 {
-			value = g.defaultValue(field.header, class)
+			value = g.defaultValue(field.header, defaultMethod)
 		}
 		if len(value) > 0 {
 			g.pending = append(g.pending, field.header...)
@@ -218,10 +223,10 @@
 	}
 }
 
-// appendOtherHeaders appends the headers that routes may go by. Servers are sent none of them.
+// appendOtherHeaders appends the other headers, which routes may match. They are not forwarded to servers.
 func (g *gateway) appendOtherHeaders() {
 	for _, p := range g.params {
-		if !isHeaderParam(p.name) || len(p.value) == 0 || hopParams[string(p.name)] || isKnownParam(p.name) {
+		if !isHeaderParam(p.name) || len(p.value) == 0 || droppedParams[string(p.name)] || isKnownParam(p.name) {
 			continue
 		}
 		g.pending = appendHeaderName(g.pending, p.name)
@@ -235,13 +240,13 @@
 	g.pending = append(g.pending, "\r\n"...)
 }
 
-// defaultValue returns the value of a known field that the gateway does not send.
-func (g *gateway) defaultValue(header string, class []byte) []byte {
+// defaultValue returns the default of a known field that the gateway has not sent; nil: none.
+func (g *gateway) defaultValue(header string, defaultMethod []byte) []byte {
 	switch header {
-	case httpwire.HeaderTraceID: // a gateway without one can't send the same request again, either
+	case httpwire.HeaderTraceID: // a gateway that sends none can't repeat a request with the same ID, either
 		return fmt.Appendf(nil, "%016x%016x", rand.Uint64(), rand.Uint64())
 	case httpwire.HeaderMethod:
-		return class
+		return defaultMethod
 	case httpwire.HeaderTenant:
 		return []byte(g.config.DefaultTenant)
 	case httpwire.HeaderTimeLeft:
@@ -262,7 +267,8 @@
 	return false
 }
 
-// isHeaderParam reports whether a param has a name that CGI makes of a header's; any other could end its line.
+// isHeaderParam reports whether a param has a name that CGI derives from the name of a header. Any other name could end
+// the header line.
 func isHeaderParam(name []byte) bool {
 	if !bytes.HasPrefix(name, []byte(headerParamPrefix)) || len(name) == len(headerParamPrefix) {
 		return false
@@ -275,7 +281,8 @@
 	return true
 }
 
-// appendHeaderName appends the name of the header that CGI made a param of, as far as the param's name shows it.
+// appendHeaderName appends the name of the header that CGI has derived a param from, with the usual capitals: X-Any for
+// HTTP_X_ANY.
 func appendHeaderName(to, param []byte) []byte {
 	wordStart := true
 	for _, b := range param[len(headerParamPrefix):] {
--- a/internal/dataplane/frontend/gatewayresponse.go
+++ b/internal/dataplane/frontend/gatewayresponse.go
@@ -8,13 +8,13 @@
 	"robincart/internal/protocol/httpwire"
 )
 
-// maxResponseHead is the size of the buffer for a response's head on the stack; a longer one is allocated.
+// maxResponseHead is the size of the buffer for a response's head on the stack, in bytes. A longer head is allocated.
 const maxResponseHead = 256
 
-// appendResponse appends a complete response to the request in flight, with its end.
+// appendResponse appends the complete response to the request in flight, and the end of the request.
 func (g *gateway) appendResponse(to []byte, response *httpwire.ClientResponse, headOnly bool) []byte {
 	if g.requestID == 0 {
-		return to // there was no request yet
+		return to // no request has begun
 	}
 	if response.Status == 503 && g.config.Overloaded {
 		return g.appendResponseEnd(to, 0, fcgi.StatusOverloaded)
@@ -41,7 +41,7 @@
 	return fcgi.Records(fcgi.TypeStdout, g.requestID, piece)
 }
 
-// appendResponseEnd appends the end of the request in flight; its ID may be used again.
+// appendResponseEnd appends the end of the request in flight. Its ID may be reused afterwards.
 func (g *gateway) appendResponseEnd(to []byte, appStatus uint32, status fcgi.Status) []byte {
 	if status == fcgi.StatusComplete {
 		to = fcgi.AppendStreamEnd(to, fcgi.TypeStdout, g.requestID)
