--- a/internal/dataplane/frontend/accept.go
+++ b/internal/dataplane/frontend/accept.go
@@ -15,14 +15,15 @@
 	"robincart/internal/system/telemetry"
 )
 
-// maxWatchAttempts limits the attempts to register a new connection with the poller, where that fails for a moment.
-const maxWatchAttempts = 100
+// maxWatchRetries is how many times the registration of a connection with the poller is retried after transient
+// errors.
+const maxWatchRetries = 100
 
-// Serve accepts connections in a goroutine of its own until the listener is closed. Several listeners may be served
-// at once; Drain waits for all of them.
+// Serve starts a goroutine that accepts connections of HTTP clients until the listener is closed. Several listeners may
+// be served at once; Drain waits for all of them.
 func (s *Server) Serve(listener net.Listener) { s.ServeGateways(listener, nil) }
 
-// ServeGateways does the same for clients that are gateways and speak FastCGI; nil: they speak HTTP.
+// ServeGateways is Serve for gateways that speak FastCGI. With a nil config the clients speak HTTP.
 func (s *Server) ServeGateways(listener net.Listener, config *Gateway) {
 	s.running.Add(1)
 	s.mu.Lock()
@@ -34,24 +35,24 @@
 func (s *Server) acceptLoop(listener net.Listener, config *Gateway) {
 	defer s.running.Done()
 	defer s.removeListener(listener)
-	exhausted := false // the process has no descriptor left; logged once, not at each attempt
+	exhausted := false // the lack of descriptors was logged, and no accept has succeeded since
 	for {
 		if s.closingListeners.Load() {
 			interruptAccept(listener)
 		}
-		raw, err := listener.Accept()
+		netConn, err := listener.Accept()
 		switch {
 		case err == nil:
 			exhausted = false
-			s.handleAccepted(raw, config)
+			s.handleAccepted(netConn, config)
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			s.emptyListener(listener, config)
+			s.drainListener(listener, config)
 			return
 		case socket.Exhausted(err):
-			// The budget should prevent this. Whatever holds the other descriptors, idle clients are evicted as they
-			// are within the budget.
+			// The budget should prevent this. Something else in the process holds the descriptors, so idle clients are
+			// evicted, as they are when the budget is exhausted.
 			if !exhausted {
 				exhausted = true
 				s.log.Warn("descriptors exhausted", zap.Error(err), advice(err))
@@ -59,7 +60,7 @@
 			s.evictIdle()
 			time.Sleep(s.limits.AcceptRetryDelay)
 		default:
-			// A client that left the queue, or a shortage that passes: the listener itself is sound.
+			// A client has left the accept queue, or a resource is short for now. The listener itself still works.
 			s.log.Warn("accept failed", zap.Error(err), advice(err))
 			time.Sleep(s.limits.AcceptRetryDelay)
 		}
@@ -74,15 +75,15 @@
 	delete(s.listeners, listener)
 }
 
-// emptyListener accepts what is in a listener's queue, and closes the listener. Closed with connections in its queue
-// it would reset them, with requests that the kernel has received for this node; an accept whose deadline has passed
-// does not look into the queue.
-func (s *Server) emptyListener(listener net.Listener, config *Gateway) {
+// drainListener accepts the connections in a listener's queue, then closes the listener. Closing it earlier would reset
+// these connections, and lose the requests that the kernel has received over them. It uses socket.Accept, since the
+// listener's Accept fails without a look at the queue once its deadline has passed.
+func (s *Server) drainListener(listener net.Listener, config *Gateway) {
 	for {
-		raw, err := socket.Accept(listener)
+		netConn, err := socket.Accept(listener)
 		switch {
-		case raw != nil:
-			s.handleAccepted(raw, config)
+		case netConn != nil:
+			s.handleAccepted(netConn, config)
 		case err != nil && !s.aborting():
 			if socket.Exhausted(err) {
 				s.evictIdle()
@@ -95,7 +96,7 @@
 	}
 }
 
-// interruptAccept makes a listener's Accept return at once.
+// interruptAccept makes a listener's Accept return at once. It closes a listener that has no deadlines.
 func interruptAccept(listener net.Listener) {
 	if l, ok := listener.(interface{ SetDeadline(time.Time) error }); ok {
 		l.SetDeadline(pastDeadline)
@@ -104,7 +105,7 @@
 	}
 }
 
-// CloseListeners closes each listener once what is in its queue has been accepted. Drain waits for that.
+// CloseListeners closes each listener after the connections in its queue have been accepted. Drain waits for that.
 func (s *Server) CloseListeners() {
 	s.closingListeners.Store(true)
 	s.mu.Lock()
@@ -114,30 +115,31 @@
 	}
 }
 
-// handleAccepted serves a connection, or sends it on to the process that takes connections over from this one.
-func (s *Server) handleAccepted(raw net.Conn, config *Gateway) {
+// handleAccepted serves a new connection, or sends it to the successor process while connections are transferred.
+func (s *Server) handleAccepted(netConn net.Conn, config *Gateway) {
 	s.mu.Lock()
 	transfer := s.transfer
 	s.mu.Unlock()
-	if transfer != nil && config == nil && transfer(raw, false) == nil {
-		raw.Close()
+	if transfer != nil && config == nil && transfer(netConn, false) == nil {
+		netConn.Close()
 		return
 	}
-	s.adopt(raw, false, config)
+	s.adopt(netConn, false, config)
 }
 
-// Adopt serves a connection that another process had; hasRequested is whether it has had a request there.
-func (s *Server) Adopt(raw net.Conn, hasRequested bool) { s.adopt(raw, hasRequested, nil) }
+// Adopt serves a connection that the predecessor process accepted. hasRequested is true if a request was read from it
+// there.
+func (s *Server) Adopt(netConn net.Conn, hasRequested bool) { s.adopt(netConn, hasRequested, nil) }
 
-// adopt waits for capacity for a connection, and serves it. Where there is none an idle connection is evicted; where
-// none is idle the new one waits for another to end, since its request may be in the kernel already.
-func (s *Server) adopt(raw net.Conn, hasRequested bool, config *Gateway) {
+// adopt waits until there is capacity for a connection, then serves it. Until then it evicts idle connections. It never
+// rejects the new connection, since the kernel may already have received a request over it.
+func (s *Server) adopt(netConn net.Conn, hasRequested bool, config *Gateway) {
 	acceptedAt := s.clock()
 	for !s.hasConnCapacity() || !s.budget.AcquireForClient() {
 		s.evictIdle()
 		time.Sleep(s.limits.FinalReadWindow)
 	}
-	c := s.newConn(raw)
+	c := s.newConn(netConn)
 	if c == nil {
 		return
 	}
@@ -150,8 +152,8 @@
 	s.register(c)
 }
 
-// hasConnCapacity reports whether clients may have one connection more. It leaves as many descriptors for servers as
-// requests can be active.
+// hasConnCapacity reports whether another client connection may be accepted. MaxClientConnections leaves a descriptor
+// for a server connection of each request that can be active.
 func (s *Server) hasConnCapacity() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,8 +161,8 @@
 	return len(s.conns) < s.limits.MaxClientConnections
 }
 
-// logConnLimit logs once that the limit of connections is reached, and once that it is over: when half are in use.
-// The mutex is held.
+// logConnLimit logs once when the limit of client connections is reached, and once when no more than half of it is in
+// use again. The caller must hold s.mu.
 func (s *Server) logConnLimit() {
 	count, limit := len(s.conns), s.limits.MaxClientConnections
 	switch {
@@ -173,37 +175,38 @@
 	}
 }
 
-// newConn returns the record of a connection that has a descriptor of the budget. It closes one that is no socket, and
-// returns nil.
-func (s *Server) newConn(raw net.Conn) *conn {
-	c := &conn{Conn: raw, server: s, createdAt: s.clock()}
+// newConn returns the record of a connection whose descriptor was acquired from the budget. If the connection is not a
+// socket, newConn closes it, releases the descriptor and returns nil.
+func (s *Server) newConn(netConn net.Conn) *conn {
+	c := &conn{Conn: netConn, server: s, createdAt: s.clock()}
 	c.serving.firstRequest = true
 	c.managed.member.Owner = c
 	c.managed.timer.Payload = c
-	err := fmt.Errorf("%T is no socket", raw)
-	if socketConn, ok := raw.(syscall.Conn); ok {
+	err := fmt.Errorf("expected a connection that is a syscall.Conn, found a %T", netConn)
+	if socketConn, ok := netConn.(syscall.Conn); ok {
 		c.raw, err = socketConn.SyscallConn()
 	}
 	if err != nil {
 		s.log.Warn("watch connection failed", zap.Error(err))
-		raw.Close()
+		netConn.Close()
 		s.budget.ReleaseForClient()
 		return nil
 	}
 	return c
 }
 
-// register makes a connection one of the server's, and has the poller watch it.
+// register adds a connection to the server and to the poller.
 func (s *Server) register(c *conn) {
 	s.running.Add(1)
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	if !c.managed.hasRequested {
-		s.unproven.push(c)
+		s.withoutRequest.push(c)
 	}
 	s.suspend(c, stateIdle, s.initialTimeout(c))
 	s.mu.Unlock()
-	// An event before the registration is known finds the connection idle, and served it is removed only at its end.
+	// The connection is idle before it is watched, so its first event may be handled before the registration is stored
+	// below. If the connection has been closed by then, the registration is removed here.
 	registration, err := s.watch(c)
 	s.mu.Lock()
 	c.registration = registration
@@ -214,27 +217,27 @@
 		s.poller.Remove(&registration)
 	case err != nil:
 		s.log.Warn("watch connection failed", zap.Error(err), advice(err))
-		s.closeConns([]*conn{c}, telemetry.NotWatched) // but what has arrived by now is served
+		s.closeConns([]*conn{c}, telemetry.NotWatched) // a request that has already arrived is served
 	}
 }
 
-// initialTimeout returns how long a new connection may be idle. The mutex is held.
+// initialTimeout returns how long a new connection may be idle. The caller must hold s.mu.
 func (s *Server) initialTimeout(c *conn) time.Duration {
 	switch {
 	case s.draining:
 		return s.limits.EvictableAfter
 	case s.lameDuckDraining:
 		return s.limits.ShutdownAcceptTime
-	case !c.managed.hasRequested: // against clients that connect and send nothing
+	case !c.managed.hasRequested: // limits clients that connect and send nothing
 		return s.limits.ClientReadTimeout
 	}
 	return s.limits.ClientIdleTimeout
 }
 
-// watch registers a connection with the poller. It repeats that for a while where the kernel lacks something.
+// watch registers a connection with the poller. It retries after transient errors, such as a lack of kernel memory.
 func (s *Server) watch(c *conn) (poller.Registration, error) {
 	r, err := s.poller.Add(c.raw, c, true)
-	for attempt := 0; attempt < maxWatchAttempts; attempt++ {
+	for attempt := 0; attempt < maxWatchRetries; attempt++ {
 		if !socket.Classify(err).Transient() || s.aborting() {
 			break
 		}
--- a/internal/dataplane/frontend/capacity.go
+++ b/internal/dataplane/frontend/capacity.go
@@ -11,7 +11,8 @@
 	trimInterval  = time.Second
 )
 
-// admitWaiting serves the waiting connections whose turn it is. The mutex is held.
+// admitWaiting starts the waiting connections that the admission controller admits or rejects now. The caller must hold
+// s.mu.
 func (s *Server) admitWaiting() {
 	for s.admission.WaitingCount() > 0 {
 		member, verdict := s.admission.Next(s.clock())
@@ -26,8 +27,8 @@
 	}
 }
 
-// scheduleAdmit has admitWaiting called in a while: a connection that waits too long has to be rejected. The mutex
-// is held.
+// scheduleAdmit schedules a call of admitWaiting after admitInterval, since a connection that waits too long must be
+// rejected. The caller must hold s.mu.
 func (s *Server) scheduleAdmit() {
 	if s.admitScheduled {
 		return
@@ -41,7 +42,8 @@
 	})
 }
 
-// scheduleTrim has the idle goroutines of the worker pool ended in a while. The mutex is held.
+// scheduleTrim schedules trims of the worker pool every trimInterval, until it has no idle goroutine. The caller must
+// hold s.mu.
 func (s *Server) scheduleTrim() {
 	if s.trimScheduled {
 		return
@@ -58,8 +60,8 @@
 	})
 }
 
-// beginRequest counts a request as active, until endRequest. It returns false if as many are active as the node has
-// descriptors for.
+// beginRequest counts a request as active until endRequest is called. It returns false if MaxRequests requests are
+// active, for which the descriptors suffice.
 func (s *Server) beginRequest() bool {
 	if s.activeRequests.Add(1) <= int64(s.limits.MaxRequests) {
 		return true
@@ -70,19 +72,19 @@
 
 func (s *Server) endRequest() { s.activeRequests.Add(-1) }
 
-// markSlow counts a connection whose request arrives in pieces as slow. Where there are too many slow ones one of them
-// is evicted, which may be this one.
+// markSlow counts a connection as slow, since its request arrives in pieces. If too many connections are slow, one of
+// them is evicted, possibly this one.
 func (s *Server) markSlow(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if member := s.admission.MarkSlow(&c.managed.member, s.clock()); member != nil {
-		slowest := member.Owner.(*conn)
-		slowest.managed.evictedAsSlow = true
-		slowest.cancelRead()
+		evicted := member.Owner.(*conn)
+		evicted.managed.evictedAsSlow = true
+		evicted.cancelRead()
 	}
 }
 
-// markComplete ends what markSlow began: the request is complete.
+// markComplete undoes markSlow when the request is complete.
 func (s *Server) markComplete(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +98,8 @@
 	return c.managed.evictedAsSlow
 }
 
-// markRequested notes that a connection has had a request, which only its own goroutine does.
+// markRequested records that a request was read from a connection. Only the goroutine that serves the connection may
+// call it.
 func (s *Server) markRequested(c *conn) {
 	if c.managed.hasRequested {
 		return
@@ -109,7 +112,8 @@
 	}
 }
 
-// markRejected notes whether the last request of a connection was rejected, which only its own goroutine does.
+// markRejected records whether the last request of a connection was rejected. Only the goroutine that serves the
+// connection may call it.
 func (s *Server) markRejected(c *conn, rejected bool) {
 	if c.managed.lastRejected == rejected {
 		return
--- a/internal/dataplane/frontend/close.go
+++ b/internal/dataplane/frontend/close.go
@@ -5,9 +5,10 @@
 	"robincart/internal/system/telemetry"
 )
 
-// closeConn closes a connection for good, once. One that was handed over lives on in the other process.
+// closeConn closes a connection and records the reason, unless the connection was closed before. A connection that was
+// handed over stays open in the other process.
 func (s *Server) closeConn(c *conn, reason telemetry.Reason) {
-	last, registration, ok := s.forget(c)
+	lastState, registration, ok := s.unregister(c)
 	if !ok {
 		return
 	}
@@ -16,20 +17,20 @@
 	} else {
 		s.poller.Remove(&registration)
 	}
-	s.recordClose(c, last, reason)
+	s.recordClose(c, lastState, reason)
 	c.Conn.Close()
 	s.budget.ReleaseForClient()
 	s.running.Done()
 }
 
-// forget takes a connection out of all that the server has of it. It returns the state in which the connection was and
-// its registration with the poller; false: somebody else has closed it.
-func (s *Server) forget(c *conn) (connState, poller.Registration, bool) {
+// unregister removes a connection from the server, its lists, its timers and its admission controller. It returns the
+// last state of the connection and its registration with the poller; false: the connection was closed before.
+func (s *Server) unregister(c *conn) (connState, poller.Registration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := c.state.load()
-	if last == stateClosed {
-		return last, poller.Registration{}, false
+	lastState := c.state.load()
+	if lastState == stateClosed {
+		return lastState, poller.Registration{}, false
 	}
 	c.state.set(stateClosed)
 	s.timers.Remove(&c.managed.timer)
@@ -40,14 +41,14 @@
 	delete(s.conns, c)
 	s.admitWaiting()
 	s.scheduleTrim()
-	return last, c.registration, true
+	return lastState, c.registration, true
 }
 
-// recordClose records that a connection is closed in a state, and a violation if a response was pending whose client
-// still waits.
-func (s *Server) recordClose(c *conn, last connState, reason telemetry.Reason) {
+// recordClose records that a connection was closed in its last state. It also records a violation if a response was
+// pending and the client still waits for it.
+func (s *Server) recordClose(c *conn, lastState connState, reason telemetry.Reason) {
 	s.telemetry.Record(telemetry.Event{Kind: telemetry.ClientConnectionClosed, Reason: reason})
-	if !last.responsePending() || c.shared.clientClosed.Load() {
+	if !lastState.responsePending() || c.shared.clientClosed.Load() {
 		return
 	}
 	if reason == telemetry.PeerClosed || reason == telemetry.WriteFailed {
--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -15,11 +15,11 @@
 	"robincart/internal/system/timingwheel"
 )
 
-// conn is a client's connection. Between requests it is this record, which the poller watches. While requests are
-// served it is a goroutine's, the only one that reads requests from it and writes to it. Times are those of the
-// server's clock.
+// conn is a client's connection. Between requests it consists of this record only, and the poller watches it. While
+// requests are served one goroutine owns it: only that goroutine reads requests and writes responses. Times are those
+// of the server's clock.
 //
-// Thousands of connections are idle at once, so the record is to stay small: TestConn_Size bounds it.
+// Thousands of connections may be idle at once, so the record must stay small; TestConn_Size limits its size.
 type conn struct {
 	net.Conn
 	server       *Server
@@ -36,51 +36,52 @@
 
 // sharedStatus is the part of a connection that any goroutine may use at any time.
 type sharedStatus struct {
-	rpc          atomic.Pointer[node.RPC] // in flight, and not yet notified that its client has gone
+	rpc          atomic.Pointer[node.RPC] // in flight, and not yet notified that its client has left
 	checkedAt    atomic.Int64             // when the kernel was last asked whether the client has closed; nanoseconds
 	clientClosed atomic.Bool              // the client has closed its side
-	readCanceled atomic.Bool              // a read was given up: its deadline must not be put off
+	readCanceled atomic.Bool              // a read was canceled: its deadline must not be extended
 }
 
-// servingStatus is the part of a connection that belongs to the goroutine that serves it; while there is none, to
-// whoever holds the server's mutex.
+// servingStatus is the part of a connection that only the goroutine that serves it may use. While no goroutine serves
+// it, the server's mutex guards this part.
 type servingStatus struct {
 	reader        *httpwire.Reader // nil: no goroutine serves the connection
-	arrivedAt     time.Duration    // when what is read next arrived, or a new connection; 0: unknown
+	arrivedAt     time.Duration    // arrival of the bytes to read next, or of a new connection; 0: unknown
 	requestStart  time.Duration    // when the request that is being read began
 	lastReadAt    time.Duration
-	deadlineSetAt time.Duration    // of the read deadline
-	deadlineBytes int              // that had been read of the request when its deadline was set
-	readCount     uint32           // of reads that brought bytes
-	deadlineSet   bool             // a read deadline is set, since the request comes in pieces
-	nonblocking   bool             // the next read must not wait
-	firstRequest  bool             // the first request is still to come
+	deadlineSetAt time.Duration    // when the read deadline was set
+	deadlineBytes int              // bytes of the request that were read when its deadline was set
+	readCount     uint32           // reads that returned bytes
+	deadlineSet   bool             // a read deadline is set, since the request arrives in pieces
+	nonblocking   bool             // the next read must not block
+	firstRequest  bool             // the first request was not read yet
 	lastResponse  bool             // the next response closes the connection
 	queueTimeout  bool             // the connection waited too long for capacity: its request is rejected
-	lingerOnClose bool             // what the client still sends is to be discarded before the close
-	closeReason   telemetry.Reason // for which the connection is closed next
+	lingerOnClose bool             // further input must be discarded before the close
+	closeReason   telemetry.Reason // recorded when the connection is closed
 }
 
-// managedStatus is the part of a connection that the server's mutex guards. What only the goroutine that serves the
-// connection sets, that goroutine reads without the mutex.
+// managedStatus is the part of a connection that the server's mutex guards. Some fields are set only by the goroutine
+// that serves the connection; that goroutine may read them without the mutex.
 type managedStatus struct {
 	member        admission.Member
-	timer         timingwheel.Timer // in the states in which the connection is closable
+	timer         timingwheel.Timer // set while the connection is closable
 	idleSince     time.Duration
-	list          *connList // that the connection is in, or nil
-	older, newer  *conn     // in the list
+	list          *connList // contains the connection; nil: none
+	older, newer  *conn     // neighbors in the list
 	readableAt    time.Duration
-	lingerBytes   int  // that the client may still send while its connection lingers
-	readable      bool // there was an event at readableAt, while a goroutine served the connection
-	hasRequested  bool // there was a request; set by the goroutine that serves the connection
+	lingerBytes   int  // bytes that may still be discarded while the connection lingers
+	readable      bool // an event came at readableAt and was not handled yet
+	hasRequested  bool // a request was read; set by the goroutine that serves the connection
 	lastRejected  bool // the last request was rejected; set by the goroutine that serves the connection
-	evicted       bool // the connection ends with what is in flight
-	evictedAsSlow bool // the request came too slowly for the capacity that there is
+	evicted       bool // the connection is closed after the request in flight
+	evictedAsSlow bool // evicted since its request arrived slowly and capacity was short
 }
 
 var readers = sync.Pool{New: func() any { return &httpwire.Reader{} }}
 
-// Run serves the requests that have arrived, one after another, and leaves the connection idle.
+// Run serves the requests that have arrived, one after another. The connection is then idle, lingering, closed or
+// handed over to another process.
 func (c *conn) Run() {
 	reader := readers.Get().(*httpwire.Reader)
 	c.setReader(reader)
@@ -91,7 +92,7 @@
 	if step == stepClose {
 		c.finish()
 	}
-	// The connection may be another goroutine's by now.
+	// Another goroutine may own the connection from here on.
 	reader.Reset()
 	readers.Put(reader)
 }
@@ -106,7 +107,7 @@
 	c.serving.reader = reader
 }
 
-// serveNext serves one request, and finds out what is next.
+// serveNext serves one request and returns the next step.
 func (c *conn) serveNext(reader *httpwire.Reader) nextStep {
 	c.serving.nonblocking = !reader.HasBuffered()
 	if !c.serveRequest() {
@@ -118,7 +119,7 @@
 	return c.server.afterResponse(c)
 }
 
-// finish closes the connection, after it has lingered where that is needed.
+// finish closes the connection, or has it linger first if lingerOnClose is set.
 func (c *conn) finish() {
 	if c.serving.lingerOnClose && c.server.startLinger(c) {
 		return
--- a/internal/dataplane/frontend/connlist.go
+++ b/internal/dataplane/frontend/connlist.go
@@ -1,7 +1,7 @@
 package frontend
 
-// connList holds connections in the order in which they were pushed, linked through themselves. A connection is in
-// one list at a time. The server's mutex guards it.
+// connList is a linked list of connections in the order in which they were pushed. The links are fields of the
+// connections, so a connection can be in one list at a time. The server's mutex guards it.
 type connList struct{ head conn }
 
 func (l *connList) init() {
@@ -37,8 +37,8 @@
 	return oldest
 }
 
-// takeWhile moves the oldest connections, at most a number of them, to the end of a slice, until it comes to one for
-// which the condition does not hold.
+// takeWhile removes the oldest connections from the list and appends them to taken. It stops after limit connections,
+// or at the first one for which the condition does not hold.
 func (l *connList) takeWhile(limit int, taken []*conn, condition func(*conn) bool) []*conn {
 	for ; limit > 0; limit-- {
 		c := l.first()
--- a/internal/dataplane/frontend/drain.go
+++ b/internal/dataplane/frontend/drain.go
@@ -8,13 +8,13 @@
 	"robincart/internal/system/telemetry"
 )
 
-// BeginShutdown begins the graceful shutdown: each response closes its connection from now on. New connections are
-// still accepted, since the front that distributes them learns of the shutdown only later.
+// BeginShutdown begins the graceful shutdown: from now on each response closes its connection. New connections are
+// still accepted, since the load balancer in front of the nodes learns of the shutdown only later.
 func (s *Server) BeginShutdown() { s.stopping.Store(true) }
 
-// SetLameDuck enters or leaves the lame duck mode. In it the node reports that it is not ready, serves what arrives
-// all the same, and closes each connection with its response; idle ones are closed once the front has had time to
-// stop sending.
+// SetLameDuck enters or leaves the lame duck mode. In this mode the node reports that it is not ready, still serves
+// requests, and closes each connection with its response. Idle connections are closed after ShutdownAcceptTime, so that
+// the load balancer in front of the nodes has time to stop sending.
 func (s *Server) SetLameDuck(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,7 +31,8 @@
 	time.AfterFunc(s.limits.ShutdownAcceptTime, func() { s.drainLameDuck(count) })
 }
 
-// drainLameDuck closes idle connections, unless the lame duck mode has been left since it was entered with a count.
+// drainLameDuck closes idle connections, unless the lame duck mode was left or entered again since lameDuckCount had
+// the given value.
 func (s *Server) drainLameDuck(count int) {
 	s.mu.Lock()
 	var idle []*conn
@@ -43,8 +44,8 @@
 	s.closeConns(idle, telemetry.Draining)
 }
 
-// Drain closes idle connections, and those in use as they become idle, and waits for the last. When the context ends
-// the requests in flight are aborted: the end of the process would leave them without any response.
+// Drain closes idle connections, and those in use when they become idle, and waits until all are closed. When the
+// context ends, it aborts the requests in flight, so that they get a response before the process ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.closeIdleForDrain()
 	drained := make(chan struct{})
@@ -67,10 +68,10 @@
 	case <-time.After(s.limits.ShutdownWriteTime):
 		s.forceClose(drained)
 	}
-	return fmt.Errorf("%d connections were still in use", count)
+	return fmt.Errorf("drain interrupted: expected 0 open client connections, found %d", count)
 }
 
-// closeIdleForDrain sends idle connections to the process that takes them over, if there is one, and closes the rest.
+// closeIdleForDrain sends idle connections to the successor process, if there is one, and closes the others.
 func (s *Server) closeIdleForDrain() {
 	s.mu.Lock()
 	transfer := s.transfer
@@ -85,9 +86,9 @@
 	s.closeConns(idle, telemetry.Draining)
 }
 
-// forceClose closes what is left, but first only connections without a pending response: on a busy machine the last
-// responses may take long, and whoever kills the process costs them no more than a close would. A client that reads
-// nothing has the time that a response has.
+// forceClose closes the remaining connections. Those with a pending response are closed only after ClientWriteTimeout,
+// since on a busy machine the last responses may take long. If the process is killed in the meantime, no more responses
+// are lost than by closing at once. A client that does not read its response has the same time as for any response.
 func (s *Server) forceClose(drained <-chan struct{}) {
 	s.forceCloseConns(func(c *conn) bool { return !c.state.load().responsePending() })
 	select {
@@ -97,7 +98,7 @@
 	}
 }
 
-// forceCloseConns closes the sockets of connections, whoever serves them.
+// forceCloseConns closes the sockets of the connections that meet a condition, even while a goroutine serves them.
 func (s *Server) forceCloseConns(condition func(*conn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,7 @@
 	}
 }
 
-// aborting reports whether the requests in flight are being aborted; no further one is begun then.
+// aborting reports whether requests in flight are being aborted. No request is admitted from then on.
 func (s *Server) aborting() bool {
 	select {
 	case <-s.abort:
@@ -122,7 +123,7 @@
 // closesConns reports whether each response closes its connection.
 func (s *Server) closesConns() bool { return s.stopping.Load() || s.lameDuck.Load() }
 
-// closableConns returns the connections that no goroutine serves. The mutex is held.
+// closableConns returns the connections that no goroutine serves. The caller must hold s.mu.
 func (s *Server) closableConns() []*conn {
 	var closable []*conn
 	for c := range s.conns {
@@ -133,8 +134,9 @@
 	return closable
 }
 
-// drainableConns returns the connections that are to be closed now. One that has only just come has its first request
-// on the way, which the close would cross: its timer ends it a little later. The mutex is held.
+// drainableConns returns the connections to close now. It excludes those that are younger than EvictableAfter and have
+// had no request: the first request may be on its way, and the close would lose it. Their timers close them at that
+// age. The caller must hold s.mu.
 func (s *Server) drainableConns() []*conn {
 	var drainable []*conn
 	for _, c := range s.closableConns() {
--- a/internal/dataplane/frontend/evict.go
+++ b/internal/dataplane/frontend/evict.go
@@ -7,16 +7,16 @@
 	"robincart/internal/system/telemetry"
 )
 
-// pastDeadline makes whoever reads from a connection or accepts from a listener return at once.
+// pastDeadline is a deadline in the past. It makes a pending read or accept return at once.
 var pastDeadline = time.Unix(1, 0)
 
-// longIdleEvictionDivisor limits how many connections are evicted at once for being idle for long, to that part of all
-// connections: thousands may be idle for long by right.
+// longIdleEvictionDivisor limits how many long-idle connections are evicted at once: the number of all connections
+// divided by it, plus 1. Thousands of connections may be idle for long in normal operation.
 const longIdleEvictionDivisor = 16
 
-// evictIdle makes room for other connections. Their clients open new ones when they need them. All candidates go at
-// once, since a usual client waits in the listener's queue behind hundreds that connect and send nothing, send half a
-// request, or ask for readiness and stay.
+// evictIdle evicts idle connections to make room for new ones. Their clients reconnect when they need to. All
+// candidates are evicted at once: hundreds of clients that connect and send nothing, send half a request, or probe
+// readiness and stay connected may be ahead of a normal client in the listener's queue.
 func (s *Server) evictIdle() {
 	now := s.clock()
 	var closable []*conn
@@ -33,21 +33,24 @@
 	s.closeConns(closable, telemetry.Evicted)
 }
 
-// takeEvictionCandidates takes the connections that are to be evicted off their lists: those that have had no request
-// for a while (one that has only just come may have its request on the way), a part of those idle for long, and those
-// whose last request was rejected, which would else hold the capacity that clients of other services wait for. Where
-// none was rejected the one idle longest is evicted, too. The mutex is held.
+// takeEvictionCandidates removes the connections to evict from their lists and returns them:
+//   - those older than EvictableAfter without a request; the first request of a newer one may be on its way
+//   - of those that have been idle for LongIdle or more, as many as longIdleEvictionDivisor allows
+//   - those whose last request was rejected, since clients of other services wait for the capacity that they hold
+//   - if none was rejected, the one that has been idle longest, if that is at least EvictableAfter
+//
+// The caller must hold s.mu.
 func (s *Server) takeEvictionCandidates(now time.Duration) []*conn {
-	all := len(s.conns)
-	rejecting := s.rejected.first() != nil
-	candidates := s.unproven.takeWhile(all, nil, func(c *conn) bool {
+	total := len(s.conns)
+	hasRejected := s.rejected.first() != nil
+	candidates := s.withoutRequest.takeWhile(total, nil, func(c *conn) bool {
 		return now-c.createdAt >= s.limits.EvictableAfter
 	})
-	candidates = s.idle.takeWhile(all/longIdleEvictionDivisor+1, candidates, func(c *conn) bool {
+	candidates = s.idle.takeWhile(total/longIdleEvictionDivisor+1, candidates, func(c *conn) bool {
 		return now-c.managed.idleSince >= s.limits.LongIdle
 	})
-	candidates = s.rejected.takeWhile(all, candidates, func(*conn) bool { return true })
-	if rejecting {
+	candidates = s.rejected.takeWhile(total, candidates, func(*conn) bool { return true })
+	if hasRejected {
 		return candidates
 	}
 	return s.idle.takeWhile(1, candidates, func(c *conn) bool {
@@ -55,8 +58,8 @@
 	})
 }
 
-// closeConns closes connections that no goroutine serves. A request that has arrived on one meanwhile is served as its
-// last.
+// closeConns closes connections that no goroutine serves. If a request has arrived on one in the meantime, it is served
+// as the last request of its connection.
 func (s *Server) closeConns(conns []*conn, reason telemetry.Reason) {
 	for _, c := range conns {
 		s.mu.Lock()
--- a/internal/dataplane/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -9,7 +9,7 @@
 	"robincart/internal/system/telemetry"
 )
 
-// OnEvent is called by the poller's goroutine when something happened on the connection.
+// OnEvent handles an event on the connection. The poller's goroutine calls it.
 func (c *conn) OnEvent(event poller.Event) {
 	s := c.server
 	c.shared.checkedAt.Store(int64(s.poller.EventTime().Sub(s.started)))
@@ -18,7 +18,7 @@
 		c.notifyClientGone()
 	}
 	state := s.handleEvent(c)
-	if c.gateway != nil { // a gateway may abort the request that is in flight
+	if c.gateway != nil { // the input may be an abort of the request in flight
 		c.notifyClientGone()
 	}
 	if state == stateLingering && !s.discardInput(c) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// handleEvent wakes an idle connection, and notes the event for a goroutine that serves it. It returns the state in
-// which the event found the connection.
+// handleEvent wakes an idle connection. For a connection that is served, or is about to be, it records the event. It
+// returns the state that the connection had.
 func (s *Server) handleEvent(c *conn) connState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +43,7 @@
 	return state
 }
 
-// takeReadable reports whether there was an event while a goroutine served the connection, and forgets that.
+// takeReadable reports whether an event was recorded for the goroutine that serves the connection, and clears it.
 func (s *Server) takeReadable(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,17 +52,17 @@
 	return readable
 }
 
-// wake asks for capacity to serve a connection on which something has arrived. The mutex is held.
+// wake requests capacity to serve a connection on which input has arrived. The caller must hold s.mu.
 func (s *Server) wake(c *conn) {
 	now := s.clock()
 	c.managed.readable = false
 	c.serving.queueTimeout = false
 	if !c.serving.firstRequest || now-c.createdAt >= s.limits.FinalReadWindow {
-		c.serving.arrivedAt = now // else it may have been in the socket while the connection waited for a descriptor
+		c.serving.arrivedAt = now // otherwise the input may have arrived while the connection waited for a descriptor
 	}
 	s.timers.Remove(&c.managed.timer)
 	regular := c.managed.hasRequested && now-c.managed.idleSince < s.limits.LongIdle
-	if c.managed.list != nil && c.managed.list != &s.unproven {
+	if c.managed.list != nil && c.managed.list != &s.withoutRequest {
 		c.managed.list.remove(c)
 	}
 	switch s.admission.Arrive(&c.managed.member, regular, now) {
@@ -75,13 +75,13 @@
 	}
 }
 
-// suspend leaves a connection to the poller and to its timer, in a state in which no goroutine serves it. The mutex is
-// held.
+// suspend sets a state in which no goroutine serves a connection, and starts its timer. The poller reports its next
+// event. The caller must hold s.mu.
 func (s *Server) suspend(c *conn, state connState, timeout time.Duration) {
 	c.state.set(state)
 	c.managed.idleSince = s.clock()
 	switch {
-	case c.managed.list != nil: // the unproven stay in theirs
+	case c.managed.list != nil: // a connection without a request stays in its list
 	case c.managed.lastRejected:
 		s.rejected.push(c)
 	default:
@@ -91,13 +91,13 @@
 	s.armTimers()
 }
 
-// setIdle makes a connection idle that a goroutine has served. The mutex is held.
+// setIdle makes a connection idle that a goroutine has served. The caller must hold s.mu.
 func (s *Server) setIdle(c *conn) {
 	c.serving.reader.ReleaseBuffer()
 	c.serving.reader = nil
 	s.admission.Leave(&c.managed.member)
 	timeout := s.limits.ClientIdleTimeout
-	if c.serving.firstRequest { // it has sent nothing yet
+	if c.serving.firstRequest { // no request was read yet
 		timeout = max(0, c.createdAt+s.limits.ClientReadTimeout-s.clock())
 	}
 	s.suspend(c, stateIdle, timeout)
@@ -105,18 +105,18 @@
 	s.scheduleTrim()
 }
 
-// nextStep is what is next for a connection that a goroutine serves.
+// nextStep is what a goroutine does next with the connection that it serves.
 type nextStep uint8
 
 const (
-	stepServe nextStep = iota // something has arrived
-	stepIdle                  // it is idle, or another process's: its goroutine has nothing more to do with it
+	stepServe nextStep = iota // serve the next request
+	stepIdle                  // leave it: it is idle, or was handed over to another process
 	stepClose
 )
 
-// afterResponse finds out what is next for a connection whose last request has its response.
+// afterResponse returns the next step for a connection whose last request has its response.
 func (s *Server) afterResponse(c *conn) nextStep {
-	mayHaveMore := c.serving.reader.FilledBuffer() // the kernel may have more, of which there is no event
+	mayHaveMore := c.serving.reader.FilledBuffer() // the kernel may have more input, without a further event
 	if c.gateway != nil {
 		if !c.gateway.releaseBuffers() {
 			return stepServe
@@ -133,7 +133,7 @@
 			return stepIdle
 		}
 		if transfer == nil {
-			c.takeArrival()
+			c.takeArrivalTime()
 		}
 		s.mu.Unlock()
 		if transfer != nil {
@@ -160,8 +160,8 @@
 	}
 }
 
-// shutdownReason returns why a connection is to be closed now that its last request has its response, or NoReason. The
-// mutex is held.
+// shutdownReason returns the reason to close a connection whose last request has its response, or NoReason. The caller
+// must hold s.mu.
 func (s *Server) shutdownReason(c *conn) telemetry.Reason {
 	switch {
 	case s.draining || s.lameDuckDraining:
@@ -172,7 +172,8 @@
 	return telemetry.NoReason
 }
 
-// transferOf returns what sends a connection to another process between two requests, or nil. The mutex is held.
+// transferOf returns the function that sends a connection to another process between two requests, or nil if the
+// connection stays. The caller must hold s.mu.
 func (s *Server) transferOf(c *conn) TransferFunc {
 	if c.managed.evicted || c.serving.lastResponse || c.gateway != nil {
 		return nil
@@ -180,8 +181,9 @@
 	return s.transfer
 }
 
-// takeArrival takes over when the bytes arrived that are read next, if there was an event of them. The mutex is held.
-func (c *conn) takeArrival() {
+// takeArrivalTime sets arrivedAt, for the bytes that are read next, to the time of the recorded event, or to 0 if there
+// is none. It clears the event. The caller must hold s.mu.
+func (c *conn) takeArrivalTime() {
 	c.serving.arrivedAt = 0
 	if c.managed.readable {
 		c.serving.arrivedAt = c.managed.readableAt
--- a/internal/dataplane/frontend/linger.go
+++ b/internal/dataplane/frontend/linger.go
@@ -14,9 +14,9 @@
 	return &buffer
 }}
 
-// startLinger shuts the sending side of a connection down and discards what its client is still sending: closed with
-// bytes unread the connection would be reset, and the last response lost with it. It needs neither capacity nor a
-// goroutine meanwhile. It returns false if the connection is to be closed at once.
+// startLinger shuts down the sending side of a connection and discards further input. A close with unread bytes would
+// reset the connection, and the last response would be lost. A lingering connection uses neither capacity nor a
+// goroutine. startLinger returns false if the connection must be closed at once.
 func (s *Server) startLinger(c *conn) bool {
 	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || halfCloser.CloseWrite() != nil {
@@ -29,26 +29,26 @@
 	s.suspend(c, stateLingering, s.limits.LingerTimeout)
 	s.admitWaiting()
 	s.mu.Unlock()
-	// Also what has arrived by now, of which there may be no further event.
+	// Discard the input that has already arrived: there may be no further event for it.
 	return s.discardInput(c)
 }
 
-// discardInput reads what has arrived, and reports whether to wait for more. The bytes are limited: an endless body,
-// sent at full speed, would take the processor from all others.
+// discardInput reads and discards the input that has arrived, and reports whether to wait for more. The number of bytes
+// is limited: an endless body, sent at full speed, would take the processor from all other connections.
 func (s *Server) discardInput(c *conn) bool {
 	buffer := discardBuffers.Get().(*[]byte)
 	defer discardBuffers.Put(buffer)
 	for {
 		n, err := 0, error(nil)
-		outer := c.raw.Read(func(fd uintptr) bool {
+		connErr := c.raw.Read(func(fd uintptr) bool {
 			n, err = socket.Read(fd, *buffer)
 			return true
 		})
 		switch {
-		case outer != nil:
+		case connErr != nil:
 			return false
 		case err == syscall.EAGAIN || socket.Classify(err) == socket.Memory:
-			return true // what is left is read at the next event, or not at all
+			return true // the rest is read at the next event, or not at all
 		case err != nil || n == 0:
 			return false
 		}
--- a/internal/dataplane/frontend/methods.go
+++ b/internal/dataplane/frontend/methods.go
@@ -14,14 +14,15 @@
 
 // method is a method that requests may name.
 type method struct {
-	slot        int // in the settings
+	slot        int // index in the settings
 	idempotency decide.Idempotency
-	validUntil  time.Duration // 0: for good
+	validUntil  time.Duration // 0: without end
 	former      []formerIdempotency
-	streamed    *atomic.Bool // the last response was: the next request counts as streamed from its start
+	streamed    *atomic.Bool // the last response was streamed: the next request counts as streamed from its start
 }
 
-// formerIdempotency is one that a method had before: requests may still have the form that it requires.
+// formerIdempotency is an idempotency that a method had before. Until validUntil requests may have the form that it
+// requires.
 type formerIdempotency struct {
 	idempotency decide.Idempotency
 	validUntil  time.Duration
@@ -29,14 +30,14 @@
 
 // tenant is a tenant that requests may name.
 type tenant struct {
-	slot       int           // in the settings
-	validUntil time.Duration // 0: for good
+	slot       int           // index in the settings
+	validUntil time.Duration // 0: without end
 }
 
 func newMethods(instance *settings.Instance) map[string]method {
 	methods := map[string]method{}
 	for i, name := range instance.MethodNames {
-		if name != "" { // else a slot that a removed method has left
+		if name != "" { // an empty name marks the slot of a removed method
 			methods[name] = method{
 				slot:        i,
 				idempotency: instance.Methods[i].Idempotency,
@@ -57,21 +58,22 @@
 	return tenants
 }
 
-// alwaysIdempotent reports whether a request of the method may be repeated, whatever settings its client goes by.
+// alwaysIdempotent reports whether the method is idempotent in the current settings and in all former ones that its
+// clients may still use, so that any request of it may be repeated.
 func (m *method) alwaysIdempotent() bool {
 	return m.idempotency == decide.Idempotent && len(m.former) == 0
 }
 
-// accepts reports whether the method is in force at a time.
-func (m *method) accepts(now time.Duration) bool { return m.validUntil == 0 || now <= m.validUntil }
+// validAt reports whether requests may name the method at a time.
+func (m *method) validAt(now time.Duration) bool { return m.validUntil == 0 || now <= m.validUntil }
 
-func (t *tenant) accepts(now time.Duration) bool { return t.validUntil == 0 || now <= t.validUntil }
+func (t *tenant) validAt(now time.Duration) bool { return t.validUntil == 0 || now <= t.validUntil }
 
-// keepFormerMethods adds the methods that were accepted before. What is over is not handed on from settings to
-// settings.
+// keepFormerMethods adds the methods, and the idempotencies of methods, that the service before accepted. It does not
+// add those that have expired.
 func (s *Service) keepFormerMethods(before map[string]method, now, until time.Duration) {
 	for name, formerMethod := range before {
-		if !formerMethod.accepts(now) {
+		if !formerMethod.validAt(now) {
 			continue
 		}
 		validUntil := until
@@ -98,7 +100,7 @@
 
 func (s *Service) keepFormerTenants(before map[string]tenant, now, until time.Duration) {
 	for name, former := range before {
-		if _, ok := s.tenants[name]; ok || !former.accepts(now) {
+		if _, ok := s.tenants[name]; ok || !former.validAt(now) {
 			continue
 		}
 		if former.validUntil == 0 {
@@ -108,14 +110,14 @@
 	}
 }
 
-// check finds the method and the tenant's slot that a request names, or the response to one that can't be accepted.
-// That is never 429 or 503, which would promise that repeating it helps.
+// check returns the method and the tenant's slot that a request names, or the response that rejects the request. Its
+// status is never 429 or 503, which would promise that a retry helps.
 func (s *Service) check(
 	request *httpwire.Request, l *limits.Limits, now time.Duration,
 ) (method, int, *httpwire.ClientResponse) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(request.Path, "/"), "/")
 	m, ok := s.methods[name]
-	if !ok || !m.accepts(now) {
+	if !ok || !m.validAt(now) {
 		return m, 0, &httpwire.ClientResponse{Status: 404}
 	}
 	switch m.checkForm(request, now) {
@@ -135,7 +137,7 @@
 // tenantSlot returns the slot of a tenant. A service without tenants accepts any name.
 func (s *Service) tenantSlot(name string, now time.Duration) (int, bool) {
 	t, ok := s.tenants[name]
-	if ok && t.accepts(now) {
+	if ok && t.validAt(now) {
 		return t.slot, true
 	}
 	return t.slot, len(s.tenants) == 0
@@ -145,8 +147,8 @@
 	return request.HasTimeLeft && request.TimeLeft <= l.MaxTimeLeft
 }
 
-// checkForm returns the status of the response to a request that does not have the form of the method, now or
-// formerly; 0: it has.
+// checkForm returns 0 if a request has the form that the method requires or formerly required. Otherwise it returns the
+// status of the rejection.
 func (m *method) checkForm(request *httpwire.Request, now time.Duration) int {
 	fitsFormer := func(f formerIdempotency) bool {
 		return now < f.validUntil && checkIdempotency(f.idempotency, request) == 0
@@ -157,8 +159,8 @@
 	return checkIdempotency(m.idempotency, request)
 }
 
-// checkIdempotency returns the status of the response to a request that does not have the form of an idempotency; 0:
-// it has.
+// checkIdempotency returns 0 if a request has the form that an idempotency requires. Otherwise it returns the status of
+// the rejection.
 func checkIdempotency(i decide.Idempotency, request *httpwire.Request) int {
 	switch {
 	case request.Verb != verbOf(i):
--- a/internal/dataplane/frontend/orders.go
+++ b/internal/dataplane/frontend/orders.go
@@ -10,10 +10,10 @@
 	"robincart/internal/system/telemetry"
 )
 
-// maxDeadlineExtension is by how much the time that an attempt is given may be more than what its client has left.
+// maxDeadlineExtension is how much later than its client's deadline an RPC's deadline may be.
 const maxDeadlineExtension = 150 * time.Millisecond
 
-// awaitResponse carries out the core's orders until one of them is the response. It returns nil if the client has gone.
+// awaitResponse carries out the core's orders until one of them is the response. It returns nil if the client has left.
 func (x *exchange) awaitResponse() *httpwire.ClientResponse {
 	for {
 		order, ok := x.nextOrder()
@@ -27,8 +27,9 @@
 	}
 }
 
-// nextOrder waits for the next order. It returns false if the request is aborted and nothing is ordered any more. The
-// abort goes before what is ordered, so that nothing more is sent, but a response that is there is not thrown away.
+// nextOrder waits for the next order. It returns false if the request is aborted and there are no more orders. It
+// checks for an abort before it takes an order, so that no further attempt is sent, but it still returns a response
+// that was already ordered.
 func (x *exchange) nextOrder() (node.Order, bool) {
 	for {
 		x.checkAbort()
@@ -49,8 +50,8 @@
 	}
 }
 
-// checkAbort aborts the request if its quota was revoked or a shutdown aborts what is in flight: the core orders
-// nothing more then.
+// checkAbort aborts the request if its quota was revoked or a shutdown aborts the requests in flight. The core orders
+// nothing more afterwards.
 func (x *exchange) checkAbort() {
 	if x.aborted {
 		return
@@ -65,8 +66,8 @@
 	x.service.core.ClientGone(x.rpc)
 }
 
-// abortedResponse is the response to a request that was aborted before the core ordered one. It offers a retry where
-// that is harmless.
+// abortedResponse returns the response to a request that was aborted before the core ordered one. It is 503 with
+// Retry-After if a retry is harmless, otherwise 504.
 func (x *exchange) abortedResponse() *httpwire.ClientResponse {
 	response := &httpwire.ClientResponse{Status: 504}
 	if !x.sent || x.method.alwaysIdempotent() {
@@ -82,7 +83,7 @@
 	return response
 }
 
-// carryOut carries out an order. If the order is final it returns the response, or nil if the client has gone.
+// carryOut carries out an order. If the order is final, it returns the response, or nil if the client has left.
 func (x *exchange) carryOut(order node.Order) (response *httpwire.ClientResponse, final bool) {
 	switch order.Kind {
 	case node.OrderSend:
@@ -114,8 +115,8 @@
 	x.service.attempts.Start(attempt, x.request)
 }
 
-// servedResponse is a server's response. Whether it is streamed is noted for the method's next requests, which are
-// counted among the streamed ones from their start.
+// servedResponse returns the response to the client for a server's response. It records whether the response is
+// streamed: the method's next requests then count as streamed from their start.
 func (x *exchange) servedResponse(served *node.Response) *httpwire.ClientResponse {
 	response := &httpwire.ClientResponse{
 		Status:      200,
@@ -130,7 +131,7 @@
 	if x.method.streamed.Load() != streamed {
 		x.method.streamed.Store(streamed)
 	}
-	if streamed && !x.streamed { // unexpected, but passed on all the same
+	if streamed && !x.streamed { // not counted as streamed at the start, but still forwarded
 		x.streamed = true
 		x.conn.server.streamedRequests.Add(1)
 	}
@@ -138,7 +139,8 @@
 	return response
 }
 
-// checkDeadline records a violation if the request's first attempt is given more time than its client has left.
+// checkDeadline records a violation if the request's first attempt would have more time than the client has left, by
+// more than maxDeadlineExtension.
 func (x *exchange) checkDeadline() {
 	extension := x.rpc.Deadline - (x.sentAt + x.request.TimeLeft)
 	if extension <= maxDeadlineExtension {
@@ -147,11 +149,11 @@
 	x.conn.server.telemetry.Violation(telemetry.Violation{
 		Rule:    telemetry.DeadlineExtended,
 		Request: x.request.TraceID,
-		Detail:  extension.String() + " more than its client has",
+		Detail:  extension.String() + " later than the client's deadline",
 	})
 }
 
-// abandon ends an RPC whose client has gone, and the attempts that were ordered meanwhile and that nobody starts.
+// abandon ends an RPC whose client has left, and discards the orders that no goroutine will carry out.
 func (s *Service) abandon(rpc *node.RPC, responseMemory limits.MemoryPool) {
 	s.core.ClientGone(rpc)
 	for {
--- a/internal/dataplane/frontend/read.go
+++ b/internal/dataplane/frontend/read.go
@@ -11,20 +11,20 @@
 	"robincart/internal/system/telemetry"
 )
 
-// errNoInput is the result of a read that found nothing: its event was of bytes that had been read already.
-var errNoInput = errors.New("nothing has arrived")
+// errNoInput is returned by a read that found no bytes, since an earlier read had taken the bytes of its event.
+var errNoInput = errors.New("expected a request, found no input")
 
-var errClientClosed = errors.New("the client has closed")
+var errClientClosed = errors.New("expected input, found that the client has closed the connection")
 
 const (
-	// deadlineByteStep is how many bytes of a request put its read deadline off at once.
+	// deadlineByteStep is the number of further bytes of a request after which its read deadline is extended.
 	deadlineByteStep = 8 << 10
-	// deadlineTimeStep is for how long a read deadline is not put off: where a request arrives in small pieces, most
-	// reads need not set it.
+	// deadlineTimeStep is the time after which a read deadline is extended, even for fewer bytes. With both steps most
+	// reads of a request that arrives in small pieces need not set the deadline.
 	deadlineTimeStep = 100 * time.Millisecond
 )
 
-// Read is what the reader of requests reads from.
+// Read is called by the reader of requests. For a gateway it returns the input translated to HTTP/1.1.
 func (c *conn) Read(to []byte) (int, error) {
 	if c.gateway != nil {
 		return c.gateway.Read(to)
@@ -32,8 +32,8 @@
 	return c.readRaw(to)
 }
 
-// readRaw reads what the client sends, through a shortage of memory that passes. The first bytes of a request have
-// arrived already, or else the read does not wait.
+// readRaw reads bytes from the client, and retries while the kernel is short of memory. It does not block for the first
+// bytes of a request, since these have arrived unless an earlier read has taken them.
 func (c *conn) readRaw(to []byte) (int, error) {
 	n, err := c.readOnce(to)
 	if err != nil && err != errNoInput && socket.Classify(err) == socket.Memory {
@@ -61,15 +61,15 @@
 		return c.Conn.Read(to)
 	}
 	n, err := 0, error(nil)
-	outer := c.raw.Read(func(fd uintptr) bool {
+	connErr := c.raw.Read(func(fd uintptr) bool {
 		n, err = socket.Read(fd, to)
 		return true
 	})
-	if outer != nil {
-		return 0, outer
+	if connErr != nil {
+		return 0, connErr
 	}
 	if socket.Classify(err) == socket.Memory {
-		return 0, err // what has arrived is not known
+		return 0, err // unknown whether input has arrived: the next read must not block either
 	}
 	c.serving.nonblocking = false
 	switch {
@@ -83,25 +83,26 @@
 	return n, nil
 }
 
-// queueingTime returns how long a request that has just been read had been unread: in the socket, while its connection
-// waited for capacity or served an earlier one, or behind that in the buffer. readCount is the number of reads before
-// it.
+// queueingTime returns how long a request waited until it was read: in the socket, while its connection waited for
+// capacity or served an earlier request, or in the buffer after that request. It returns 0 if that is unknown.
+// readCount is the number of reads before those of the request.
 func (c *conn) queueingTime(readCount uint32) time.Duration {
 	reads := c.serving.readCount - readCount
 	arrivedAt := c.serving.arrivedAt
 	c.serving.arrivedAt = 0
 	switch {
-	case reads == 0: // it came with the one before
+	case reads == 0: // it was received together with the request before
 		arrivedAt = c.serving.lastReadAt
-	case c.serving.deadlineSet || reads > 1 || arrivedAt == 0: // its end has only just come, or nothing is known
+	case c.serving.deadlineSet || reads > 1 || arrivedAt == 0: // its end has just arrived, or the time is unknown
 		return 0
 	}
 	return max(0, c.server.clock()-arrivedAt)
 }
 
-// Progress is called before each further read of a request that does not arrive in one piece. Such a request has a
-// deadline, a later one if it is large, and the capacity for such requests is limited. However much has arrived, each
-// wait for more has a timeout of its own.
+// Progress is called before each further read of a request that does not arrive in one piece. It sets the read deadline
+// to the sooner of two times: ClientReadTimeout from now, and ClientReadTimeout plus the transfer time of the bytes
+// read so far, from the start of the request. It also marks the connection as slow, since the capacity for such
+// requests is limited.
 func (c *conn) Progress(bool) {
 	s, status := c.server, &c.serving
 	now := s.clock()
@@ -115,9 +116,9 @@
 	status.deadlineSet = true
 	status.deadlineSetAt = now
 	status.deadlineBytes = bytes
-	complete := status.requestStart + s.limits.ClientReadTimeout + s.limits.TransferTime(bytes)
-	c.SetReadDeadline(s.started.Add(min(complete, now+s.limits.ClientReadTimeout)))
-	if c.shared.readCanceled.Load() { // just now
+	completeBy := status.requestStart + s.limits.ClientReadTimeout + s.limits.TransferTime(bytes)
+	c.SetReadDeadline(s.started.Add(min(completeBy, now+s.limits.ClientReadTimeout)))
+	if c.shared.readCanceled.Load() { // cancelRead was called in the meantime
 		c.SetReadDeadline(pastDeadline)
 	}
 	if first {
@@ -125,7 +126,7 @@
 	}
 }
 
-// completeRead ends what Progress began: the request is complete.
+// completeRead clears the read deadline and the slow mark, which Progress has set, when the request is complete.
 func (c *conn) completeRead() {
 	if !c.serving.deadlineSet {
 		return
@@ -136,13 +137,14 @@
 	c.SetReadDeadline(time.Time{})
 }
 
-// cancelRead interrupts whoever reads from the connection.
+// cancelRead interrupts a read from the connection by another goroutine.
 func (c *conn) cancelRead() {
 	c.shared.readCanceled.Store(true)
 	c.SetReadDeadline(pastDeadline)
 }
 
-// stopBody ends a body that was passed on as it came: nobody reads from the connection any more.
+// stopBody stops the forwarding of a streamed body. No other goroutine reads from the connection afterwards. If the
+// body is incomplete, it sets lingerOnClose.
 func (c *conn) stopBody(body *httpwire.BodyStream) {
 	body.Stop(c.cancelRead)
 	c.shared.readCanceled.Store(false)
@@ -154,14 +156,14 @@
 	}
 }
 
-// writeContinue sends the response that a client waits for before it sends its body.
+// writeContinue sends the informational response that a client expects before it sends its body.
 func (c *conn) writeContinue() {
 	c.setWriteDeadline()
 	socket.Write(c.Conn, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 }
 
-// handleReadError responds to what could not be read as a request, and returns whether the connection can be used
-// again. The framing is lost, so it can't; but where nothing had arrived it can.
+// handleReadError responds to a request that could not be read, and returns whether the connection can be used again.
+// It can if no input had arrived. After any other error it can't, since the end of the request is unknown.
 func (c *conn) handleReadError(err error) bool {
 	if err == errNoInput {
 		c.serving.reader.ReleaseBuffer()
@@ -178,11 +180,12 @@
 		Status: response.Status,
 	})
 	c.writeResponse(response, false)
-	c.serving.lingerOnClose = response.Status != 408 // else there is nothing to discard
+	c.serving.lingerOnClose = response.Status != 408 // after a timeout there is nothing to discard
 	return false
 }
 
-// readErrorResponse returns the response to what could not be read, or nil, and why the connection ends.
+// readErrorResponse returns the response to a read error, or nil for none, and the reason for which the connection is
+// closed.
 func (c *conn) readErrorResponse(err error) (*httpwire.ClientResponse, telemetry.Reason) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		if c.server.wasEvictedAsSlow(c) {
--- a/internal/dataplane/frontend/request.go
+++ b/internal/dataplane/frontend/request.go
@@ -8,24 +8,24 @@
 	"robincart/internal/system/telemetry"
 )
 
-// exchange is one request of a client, and what is held for it until its response is written.
+// exchange is a request of a client, and what is held for it until its response is written.
 type exchange struct {
 	conn    *conn
 	request *httpwire.Request
 	service *Service
 	method  method
-	tenant  int // the slot
+	tenant  int // slot of the tenant
 
-	// sentAt is when the client sent the last byte that the request was read with, as far as that is known, by the
-	// cores' clock. The client's time runs from there.
+	// sentAt is when the client sent the last byte that was read with the request, as far as that is known, by the
+	// cores' clock. The client's deadline is sentAt + TimeLeft.
 	sentAt time.Duration
 
 	rpc     *node.RPC
 	revoked <-chan struct{} // closed when the owner of a borrowed quota needs it; nil: never
 	sent    bool            // an attempt was started
-	aborted bool            // the core was notified that nobody waits for a server's response any more
+	aborted bool            // the core was notified that the response is no longer needed
 
-	// To be released:
+	// Released by release:
 	requestID        uint64
 	hasRequestID     bool
 	active           bool // counted as an active request
@@ -34,14 +34,14 @@
 	responseReserved int // bytes of the response's memory
 }
 
-// rejection is a response that the node gives by itself, with no attempt. Without a response there is none.
+// rejection is a response that the node gives without an attempt. If the response is nil, the request is not rejected.
 type rejection struct {
 	response *httpwire.ClientResponse
 	reason   telemetry.Reason
 }
 
-// serveRequest is the life of a request: it is read, routed and admitted, its orders are carried out, and the client
-// gets the one response. It returns whether the connection can be used again.
+// serveRequest serves one request: it reads, routes and admits the request, carries out the core's orders and writes
+// the response. It returns whether the connection can be used again.
 func (c *conn) serveRequest() bool {
 	x := exchange{conn: c}
 	if err := x.read(); err != nil {
@@ -54,7 +54,7 @@
 	if r := x.route(); r.response != nil {
 		return c.reject(x.request, r)
 	}
-	if c.shared.clientClosed.Load() { // it left while its request waited for capacity or behind another
+	if c.shared.clientClosed.Load() { // it left while its request waited for capacity or for an earlier request
 		c.serving.closeReason = telemetry.PeerClosed
 		return false
 	}
@@ -77,13 +77,13 @@
 	return c.respond(x.request, response)
 }
 
-// read reads the request. The client's time runs from the last byte on: it may take seconds to send, and what it has
-// sent may have waited here.
+// read reads the request and sets sentAt. The client's deadline counts from its last byte: sending may take seconds,
+// and the bytes may have waited here before they were read.
 func (x *exchange) read() error {
 	c := x.conn
 	c.serving.requestStart = c.server.clock()
 	if c.serving.firstRequest {
-		c.serving.requestStart = c.createdAt // who sends nothing, then half a request, has no more time than others
+		c.serving.requestStart = c.createdAt // an idle start does not extend the time to send the request
 	}
 	readCount := c.serving.readCount
 	request, err := c.serving.reader.ReadRequest()
@@ -95,7 +95,7 @@
 	waited := c.queueingTime(readCount)
 	x.sentAt = c.server.coreClock()
 	c.serving.firstRequest = false
-	if request.BodyStream == nil { // else it is still sending
+	if request.BodyStream == nil { // otherwise the client is still sending
 		x.sentAt -= waited
 		c.completeRead()
 	}
@@ -113,7 +113,7 @@
 	return rejection{response, telemetry.Unroutable}
 }
 
-// registerRequestID rejects a request whose ID is in use or was lately.
+// registerRequestID registers the request's ID. It rejects the request if the ID is in use or was used recently.
 func (x *exchange) registerRequestID() rejection {
 	x.requestID, x.hasRequestID = x.conn.server.requestIDs.begin(x.request.TraceID)
 	if !x.hasRequestID {
@@ -122,8 +122,8 @@
 	return rejection{}
 }
 
-// admit counts the request among the active ones and, where its body or probably its response is passed on as it
-// arrives, among the streamed ones.
+// admit counts the request as active. It also counts the request as streamed if its body is forwarded as it arrives, or
+// if its response probably will be.
 func (x *exchange) admit() rejection {
 	s := x.conn.server
 	if reason := x.rejectReason(); reason != telemetry.NoReason {
@@ -141,7 +141,7 @@
 	return rejection{}
 }
 
-// rejectReason counts the request as active, or returns why it can't be.
+// rejectReason counts the request as active, or returns the reason to reject it.
 func (x *exchange) rejectReason() telemetry.Reason {
 	switch {
 	case x.conn.serving.queueTimeout:
@@ -159,7 +159,7 @@
 	return &httpwire.ClientResponse{Status: 503, RetryAfter: retryAfter, Close: closes}
 }
 
-// acquireQuota takes the request's part of what services share.
+// acquireQuota acquires a lease of the service's quota for the request, or rejects the request.
 func (x *exchange) acquireQuota() rejection {
 	if x.service.quota == nil {
 		return rejection{}
@@ -176,7 +176,7 @@
 	return rejection{}
 }
 
-// start hands the request to the core, and has the RPC notified when its client goes.
+// start passes the request to the core and watches its client.
 func (x *exchange) start() {
 	c, request := x.conn, x.request
 	request.Client = c
@@ -193,8 +193,9 @@
 	c.watchClient(x.rpc)
 }
 
-// stop ends what start began. The request is no longer active before its response is written, since the client may
-// send the next one elsewhere at once; but one whose response is streamed uses its server's connection until then.
+// stop ends the watch of the client, and the RPC if the client has left. The request stops counting as active before
+// its response is written, since the client may then send its next request over another connection at once. A request
+// whose response is streamed counts until the response is written, since it uses a server connection until then.
 func (x *exchange) stop(response *httpwire.ClientResponse) {
 	c := x.conn
 	c.shared.rpc.Store(nil)
@@ -207,7 +208,7 @@
 	}
 }
 
-// deactivate takes the request off the active ones, once.
+// deactivate stops counting the request as active. A second call has no effect.
 func (x *exchange) deactivate() {
 	if x.active {
 		x.active = false
@@ -215,7 +216,7 @@
 	}
 }
 
-// release gives back all that is held for the request, the last acquired first.
+// release returns all resources that are held for the request, those acquired last first.
 func (x *exchange) release() {
 	s := x.conn.server
 	x.deactivate()
@@ -242,7 +243,7 @@
 	}
 }
 
-// reject writes a response that the node gives by itself.
+// reject writes a response that the node gives without an attempt.
 func (c *conn) reject(request *httpwire.Request, r rejection) bool {
 	c.server.telemetry.Record(telemetry.Event{
 		Kind:    telemetry.RequestRejected,
--- a/internal/dataplane/frontend/requestids.go
+++ b/internal/dataplane/frontend/requestids.go
@@ -9,25 +9,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// requestIDs remembers the IDs of the requests that are in flight and of those that ended lately, by their hashes. A
-// client gives each request a new ID, so one that comes again is a copy by somebody else. Forwarded, it would be
-// rejected by one server after another, since they know that ID, and sound servers would be taken for failing ones.
+// requestIDs remembers the hashes of the IDs of requests that are in flight or have ended recently. A client uses a new
+// ID for each request, so a request with a known ID is a copy by another client. If the copy were forwarded, one server
+// after another would reject it, since they know the ID, and healthy servers would count as failing.
 //
-// Ended requests are in two generations. The older one is forgotten when the recent one is full, or as old as the TTL.
+// The hashes of ended requests are kept in two generations. The older one is dropped when the recent one is full, or as
+// old as the TTL.
 type requestIDs struct {
-	maxEnded int // in each generation: a flood must not fill the memory
+	maxEnded int // in each generation: limits the memory during a flood of requests
 
 	mu sync.Mutex
-	// seed is that of the hashes; a successor takes it over. Whoever finds two IDs of one hash can only have himself
-	// rejected: to hit another's he has to know that one, and could copy it.
+	// seed is the seed of the hashes; a successor process takes it over. A client that finds two IDs with the same hash
+	// can only cause the rejection of its own requests. To cause the rejection of another client's request it would
+	// have to know the ID of that request, and could then copy the ID.
 	seed          uint64
-	ttl           time.Duration // for which an ended one is remembered at least
+	ttl           time.Duration // for which the ID of an ended request is remembered, unless a generation fills up
 	inFlight      map[uint64]struct{}
 	recent, older map[uint64]struct{}
-	rotatedAt     time.Duration // when recent became the recent one
+	rotatedAt     time.Duration // when the recent generation began
 }
 
-const hashBytes = 8 // of an exported ID
+const hashBytes = 8 // size of an exported hash
 
 func newRequestIDs(ttl time.Duration, maxEnded int) *requestIDs {
 	return &requestIDs{
@@ -39,8 +41,8 @@
 	}
 }
 
-// begin notes that a request with an ID is in flight, and returns the ID's hash, by which it is to be ended. It returns
-// false if the ID is known already.
+// begin records that a request with an ID is in flight, and returns the hash of the ID for end. It returns false if the
+// ID is already known.
 func (r *requestIDs) begin(id string) (uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +59,7 @@
 	return hash, true
 }
 
-// end notes that the request with an ID has ended.
+// end records the end of a request, given by the hash of its ID.
 func (r *requestIDs) end(hash uint64, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +84,7 @@
 	r.seed = seed
 }
 
-// export returns the hashes of all known IDs, big-endian one after another.
+// export returns the hashes of all known IDs, big-endian, one after another.
 func (r *requestIDs) export() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +97,7 @@
 	return exported
 }
 
-// importAll adds the IDs that another process exported, as ended now.
+// importAll adds the hashes that another process exported, as those of requests that end now.
 func (r *requestIDs) importAll(exported []byte, now time.Duration) {
 	for ; len(exported) >= hashBytes; exported = exported[hashBytes:] {
 		r.end(binary.BigEndian.Uint64(exported), now)
--- a/internal/dataplane/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -1,13 +1,12 @@
-// Package frontend is the side of the node that clients reach. It accepts their connections, reads requests over HTTP
-// and FastCGI, carries out what the core orders for each, and writes the responses.
+// Package frontend serves the clients of a node. It accepts their connections, reads requests over HTTP and FastCGI,
+// carries out the core's orders for each request, and writes the responses.
 //
-// A Server owns the listeners and the clients' connections. A connection between two requests is a record that a
-// poller watches, with neither goroutine nor buffer; while requests are served one goroutine of a worker pool has it.
-// The life of a request is conn.serveRequest, the states of a connection are those of connState.
+// A Server owns the listeners and the clients' connections. Between two requests a connection is a record that a poller
+// watches, without a goroutine or a buffer. While requests are served, one goroutine of a worker pool owns the
+// connection. The steps of a request are in conn.serveRequest, the states of a connection in connState.
 //
-// Which server a request goes to, and whether it is tried again, is decided by the core; the attempts are carried out
-// by an AttemptStarter. This package knows neither servers nor endpoint lists, and which service a request belongs to
-// it takes from a Table.
+// The core decides which server a request is sent to and whether it is retried. An AttemptStarter carries out the
+// attempts. This package knows neither servers nor endpoint lists. A Table tells it which service a request belongs to.
 package frontend
 
 import (
@@ -29,7 +28,7 @@
 	"robincart/internal/system/workerpool"
 )
 
-// Core is the part of the node's core that a request needs.
+// Core is the part of the node's core that requests use.
 type Core interface {
 	Arrived(node.Arrival) *node.RPC
 	ClientGone(*node.RPC)
@@ -46,15 +45,15 @@
 	timerSlots       = 4096
 )
 
-// Server accepts clients' connections and serves their requests by the Table in force. A request sees one table from
-// its beginning to its end.
+// Server accepts clients' connections and serves their requests by the current Table. Each request uses one table from
+// its start to its end.
 type Server struct {
 	limits         limits.Limits
 	budget         *limits.Budget
 	requestMemory  limits.MemoryPool    // for request bodies
 	responseMemory limits.MemoryPool    // for response bodies
-	coreClock      func() time.Duration // the time of the cores
-	started        time.Time            // the server's own clock counts from here
+	coreClock      func() time.Duration // returns the time of the cores
+	started        time.Time            // the server's clock counts from here
 	log            *zap.Logger
 	telemetry      *telemetry.Recorder // may be nil
 	requestIDs     *requestIDs
@@ -67,34 +66,34 @@
 	stopping         atomic.Bool
 	lameDuck         atomic.Bool
 	closingListeners atomic.Bool  // each listener closes once its queue is empty
-	activeRequests   atomic.Int64 // admitted, and without a response
-	streamedRequests atomic.Int64 // whose body or response is passed on as it arrives
+	activeRequests   atomic.Int64 // admitted requests without a response
+	streamedRequests atomic.Int64 // requests whose body or response is forwarded as it arrives
 
 	mu        sync.Mutex
 	conns     map[*conn]struct{}
 	listeners map[net.Listener]struct{}
 	admission *admission.Controller
-	transfer  TransferFunc // not nil: connections go to another process between requests
+	transfer  TransferFunc // sends connections to another process between requests; nil: they stay
 
-	// Connections that may be evicted, by what they have shown so far.
-	unproven connList // those that have had no request, since they were accepted
-	idle     connList // others, since they became idle
-	rejected connList // others whose last request was rejected, since they became idle
+	// Connections that may be evicted, in the order in which they became idle:
+	withoutRequest connList // without a request so far, in the order in which they were accepted
+	idle           connList // with requests, of which the last was not rejected
+	rejected       connList // with requests, of which the last was rejected
 
 	timers       *timingwheel.Wheel // of the connections that no goroutine serves
 	timersDue    time.Duration      // when the wheel is advanced next; 0: not scheduled
-	timersPaused bool               // many ended at once, and the wheel waits before the next ones
+	timersPaused bool               // many timers ended at once, and the wheel pauses before the next batch
 
-	connLimitReached bool // logged, and not yet logged as over
+	connLimitReached bool // the limit was logged as reached, and not yet as cleared
 	draining         bool // idle connections are closed from now on
-	lameDuckDraining bool // the same, until the lame duck mode is left
+	lameDuckDraining bool // as draining, until the lame duck mode is left
 	lameDuckCount    int  // how often the lame duck mode was entered or left
 	admitScheduled   bool
 	trimScheduled    bool
 }
 
-// New returns a server that serves nothing yet: SetTable gives it its services, and Serve its listeners. The poller
-// notifies it of events on connections that no goroutine reads.
+// New returns a server without services and listeners: SetTable sets the services, and Serve adds a listener. The
+// poller notifies the server of events on its connections.
 func New(
 	l limits.Limits, budget *limits.Budget, coreClock func() time.Duration, log *zap.Logger, p *poller.Poller,
 ) *Server {
@@ -114,7 +113,7 @@
 		admission:      admission.New(admissionConfig(&l)),
 		timers:         timingwheel.New(timerGranularity, 0, timerSlots),
 	}
-	s.unproven.init()
+	s.withoutRequest.init()
 	s.idle.init()
 	s.rejected.init()
 	return s
@@ -133,13 +132,13 @@
 	}
 }
 
-// clock returns the server's own time.
+// clock returns the time since the server was created.
 func (s *Server) clock() time.Duration { return time.Since(s.started) }
 
-// SetRecorder has events and violations recorded. It is called before anything is served.
+// SetRecorder sets the recorder of events and violations. It must be called before anything is served.
 func (s *Server) SetRecorder(r *telemetry.Recorder) { s.telemetry = r }
 
-// SetTable replaces the table. Requests that were routed by the table before end in its services.
+// SetTable replaces the table. Requests that the previous table has routed finish in its services.
 func (s *Server) SetTable(t *Table) { s.table.Store(t) }
 
 // SetRequestIDTTL sets how long the IDs of ended requests are remembered.
@@ -148,11 +147,11 @@
 // RequestIDSeed returns the seed that request IDs are hashed with.
 func (s *Server) RequestIDSeed() uint64 { return s.requestIDs.seed }
 
-// SetRequestIDSeed takes over the seed of another process. It is called before anything is served.
+// SetRequestIDSeed sets the seed to that of another process. It must be called before anything is served.
 func (s *Server) SetRequestIDSeed(seed uint64) { s.requestIDs.setSeed(seed) }
 
-// ExportRequestIDs returns the IDs that are in use here or were lately, for another process that serves from now on.
+// ExportRequestIDs returns the IDs that are or recently were in use, as hashes, for the process that takes over.
 func (s *Server) ExportRequestIDs() []byte { return s.requestIDs.export() }
 
-// ImportRequestIDs adds the IDs that another process exported: a request with one of them is a copy.
+// ImportRequestIDs adds the IDs that another process exported. A request with one of them is a copy.
 func (s *Server) ImportRequestIDs(exported []byte) { s.requestIDs.importAll(exported, s.coreClock()) }
--- a/internal/dataplane/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -7,21 +7,22 @@
 	"robincart/internal/protocol/settings"
 )
 
-// Quota is a service's part of what services share.
+// Quota is a service's share of the resources that all services use.
 type Quota interface {
-	// Acquire takes a request's part, or returns the time after which to try again.
+	// Acquire returns a lease for a request of a tenant, given by its slot, with a body of so many bytes. If it returns
+	// false, the client may retry after the wait.
 	Acquire(tenant, body int) (lease Lease, wait time.Duration, ok bool)
 }
 
-// Lease is what a request holds of its service's quota.
+// Lease is the part of its service's quota that a request holds.
 type Lease interface {
-	// Revoked is closed when the request has to end at once.
+	// Revoked returns a channel that is closed when the request must end at once.
 	Revoked() <-chan struct{}
 	Release()
 }
 
-// Service is one service as its clients see it: the methods and tenants that requests may name, and the core that
-// decides on them. It knows nothing of other services.
+// Service is a service as its clients see it: the methods and tenants that requests may name, and the core that decides
+// on the requests. It does not know other services.
 type Service struct {
 	Name string
 
@@ -53,18 +54,20 @@
 	return s
 }
 
-// KeepFormerSettings has the service accept, until a time, the methods and tenants that another service accepted before
-// it, and in either form the methods whose idempotency has changed: clients learn of new settings later than the node.
-// What that service still accepted from the settings before its own is accepted for as long as there: settings may
-// change again before clients know of the last change.
+// KeepFormerSettings makes the service also accept, until a time, the methods and tenants that the service before it
+// accepted. A method whose idempotency has changed is accepted in either form. Clients learn of new settings later than
+// the node.
+//
+// If the service before still accepted names or forms of earlier settings, their ends stay as they were: settings may
+// change again before clients have learned of the last change.
 func (s *Service) KeepFormerSettings(before *Service, now, until time.Duration) *Service {
 	s.keepFormerMethods(before.methods, now, until)
 	s.keepFormerTenants(before.tenants, now, until)
 	return s
 }
 
-// acquire counts a request as active. It returns false if the service is closed: whoever has an old table has to look
-// into the new one.
+// acquire counts a request as active. It returns false if the service is closed. The caller then has to look the
+// service up in the new table.
 func (s *Service) acquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +85,7 @@
 	s.closeIfDrained()
 }
 
-// Close has the service accept no further request. The channel that it returns is closed when none is active.
+// Close makes the service accept no further request. The channel that it returns is closed when no request is active.
 func (s *Service) Close() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +96,7 @@
 	return s.drained
 }
 
-// closeIfDrained closes the channel when the last request of a closed service has ended. The mutex is held.
+// closeIfDrained closes the channel when the last request of a closed service has ended. The caller must hold s.mu.
 func (s *Service) closeIfDrained() {
 	if s.closed && s.active == 0 {
 		close(s.drained)
--- a/internal/dataplane/frontend/stream.go
+++ b/internal/dataplane/frontend/stream.go
@@ -10,21 +10,22 @@
 	"robincart/internal/system/socket"
 )
 
-// maxChunkHead is the space for the frame of one piece of a streamed body.
+// maxChunkHead is the size of the buffer for the line with a chunk's size, in bytes.
 const maxChunkHead = 16
 
-// streamWriter writes a response whose body is passed on as it comes.
+// streamWriter writes a response whose body is forwarded as it arrives.
 type streamWriter struct {
 	conn     *conn
 	response *httpwire.ClientResponse
 	chunked  bool
-	frame    []byte        // buffer for the frames of chunks
+	frame    []byte        // buffer for the lines with the chunks' sizes
 	written  int           // bytes
-	waited   time.Duration // for the client to read them
+	waited   time.Duration // total time of the writes
 }
 
-// writeStreamed passes a response on as it comes, at its client's pace. One that breaks off looks broken: the
-// connection ends short of the length, without the last chunk or, where the response has neither, by a reset.
+// writeStreamed forwards a response as it arrives, at the speed of its client. The client must be able to detect an
+// incomplete response: the connection ends before the announced length or without the last chunk. If the response has
+// neither, the connection is reset.
 func (c *conn) writeStreamed(response *httpwire.ClientResponse) bool {
 	w := streamWriter{
 		conn:     c,
@@ -53,7 +54,7 @@
 	return w.write(net.Buffers{head})
 }
 
-// writeBody writes what the response was begun with, and the rest as it comes.
+// writeBody writes the first part of the body, which was received with the head, and then the rest as it arrives.
 func (w *streamWriter) writeBody() bool {
 	if len(w.response.Body) > 0 && !w.writePiece(w.response.Body) {
 		return false
@@ -89,8 +90,8 @@
 	return w.write(httpwire.FrameChunk(piece, w.chunked, w.frame))
 }
 
-// write writes one piece. Its client may stop reading for a while, but nobody may be slower than the minimal rate in
-// the long run: its capacity would be held for hours. The time that the server takes is not the client's.
+// write writes one piece. The client may stop reading for ClientStallTimeout, but must reach MinTransferRate in the
+// long run: otherwise it would hold its capacity for hours. The time that the server takes is not counted.
 func (w *streamWriter) write(buffers net.Buffers) bool {
 	limits := &w.conn.server.limits
 	size := 0
--- a/internal/dataplane/frontend/table.go
+++ b/internal/dataplane/frontend/table.go
@@ -2,15 +2,15 @@
 
 import "robincart/internal/protocol/httpwire"
 
-// Table is one version of the services that are served.
+// Table is one version of the services that the node serves.
 type Table struct {
-	// Only is the service of all requests, whatever host and path they name, where Find is nil.
+	// Only is the service of all requests, for any host and path, if Find is nil.
 	Only *Service
-	// Find returns the service of a request, or the response to one that belongs to none.
+	// Find returns the service of a request, or the response to a request that belongs to no service.
 	Find func(*httpwire.Request) (*Service, *httpwire.ClientResponse)
 }
 
-// service returns the service of a request, or the response to one that belongs to none.
+// service returns the service of a request, or the response to a request that belongs to no service.
 func (t *Table) service(request *httpwire.Request) (*Service, *httpwire.ClientResponse) {
 	if t.Find == nil {
 		return t.Only, nil
@@ -18,7 +18,8 @@
 	return t.Find(request)
 }
 
-// findService finds the service of a request, and counts the request as active there.
+// findService returns the service of a request and counts the request as active there. If the service was closed in the
+// meantime, it looks in the new table.
 func (s *Server) findService(request *httpwire.Request) (*Service, *httpwire.ClientResponse) {
 	for {
 		service, response := s.table.Load().service(request)
--- a/internal/dataplane/frontend/timers.go
+++ b/internal/dataplane/frontend/timers.go
@@ -7,11 +7,11 @@
 	"robincart/internal/system/timingwheel"
 )
 
-// maxTimersAtOnce is how many connections are closed in one go: a moment in which the timers of all of them end must
-// not stop those at work.
+// maxTimersAtOnce is the maximum number of connections that are closed in one batch. Otherwise very many timers that
+// end at once would delay the active connections.
 const maxTimersAtOnce = 64
 
-// armTimers has the timers expired when the next one ends. The mutex is held.
+// armTimers schedules expireTimers for the end of the next timer. The caller must hold s.mu.
 func (s *Server) armTimers() {
 	next, ok := s.timers.Next()
 	if !ok || s.timersPaused {
@@ -24,7 +24,8 @@
 	time.AfterFunc(max(0, next-s.clock()), func() { s.expireTimers(next) })
 }
 
-// expireTimers closes the connections whose timers have ended, unless the timers have been armed for another time.
+// expireTimers closes the connections whose timers have ended, unless the timers were armed for another time in the
+// meantime.
 func (s *Server) expireTimers(due time.Duration) {
 	s.mu.Lock()
 	if s.timersDue != due {
--- a/internal/dataplane/frontend/transfer.go
+++ b/internal/dataplane/frontend/transfer.go
@@ -6,11 +6,12 @@
 	"robincart/internal/system/telemetry"
 )
 
-// TransferFunc sends a client's connection to another process; hasRequested is whether it has had a request.
-type TransferFunc func(raw net.Conn, hasRequested bool) error
+// TransferFunc sends a client's connection to another process. hasRequested is true if a request was read from it.
+type TransferFunc func(netConn net.Conn, hasRequested bool) error
 
-// TransferTo sends connections to another process from now on: idle ones at once, and others after their response.
-// With nil they stay again. Clients notice nothing: what they send next is in the socket, which both processes hold.
+// TransferTo sends connections to another process from now on: idle ones at once, and others after their response. With
+// nil, connections stay in this process again. Clients do not notice the transfer: the bytes that they send next are in
+// the socket, which both processes hold.
 func (s *Server) TransferTo(transfer TransferFunc) {
 	for _, c := range s.beginTransfer(transfer) {
 		if !s.transferConn(c, transfer) {
@@ -19,8 +20,8 @@
 	}
 }
 
-// beginTransfer sets where connections go, and returns those that are idle, in the state in which nobody else closes
-// or serves them.
+// beginTransfer sets the transfer function and returns the idle connections. It sets them to a state in which no other
+// goroutine closes or serves them.
 func (s *Server) beginTransfer(transfer TransferFunc) []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +40,8 @@
 	return idle
 }
 
-// transferConn sends a connection that no goroutine reads any more to another process, and forgets it.
+// transferConn sends a connection that no goroutine reads to another process, and closes it here. It returns false if
+// the connection could not be sent.
 func (s *Server) transferConn(c *conn, transfer TransferFunc) bool {
 	if err := transfer(c.Conn, c.managed.hasRequested); err != nil {
 		return false
@@ -48,7 +50,7 @@
 	return true
 }
 
-// resumeAfterTransfer serves a connection that could not be sent: nobody was notified of what has arrived meanwhile.
+// resumeAfterTransfer serves a connection that could not be sent. An event in the meantime has not woken it.
 func (s *Server) resumeAfterTransfer(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +59,7 @@
 	}
 }
 
-// stopTransfer keeps connections here again: the other process has gone.
+// stopTransfer keeps connections in this process again, since the other process is gone.
 func (s *Server) stopTransfer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/frontend/write.go
+++ b/internal/dataplane/frontend/write.go
@@ -13,11 +13,12 @@
 
 const (
 	responseBufferSize = 1 << 10
-	// maxPooledBuffer is the largest buffer that is used again: a gateway's response has its body in it.
+	// maxPooledBuffer is the largest buffer that is reused, in bytes. A response to a gateway is buffered with its
+	// body, and may be large.
 	maxPooledBuffer = 4 << 10
 )
 
-// responseBuffers are buffers that responses are written from.
+// responseBuffers are the buffers from which responses are written.
 var responseBuffers = sync.Pool{New: func() any {
 	buffer := make([]byte, 0, responseBufferSize)
 	return &buffer
@@ -28,8 +29,8 @@
 	body := request.BodyStream
 	response.Close = response.Close || c.closesAfter(request)
 	if response.Close && (body == nil || body.Complete()) && c.hasUnread() {
-		// Closed with bytes unread the connection would be reset, and the response lost with it. Of a body that is
-		// still coming stopBody knows.
+		// A close with unread bytes would reset the connection, and the response would be lost. If the body is still
+		// arriving, stopBody sets lingerOnClose.
 		c.serving.lingerOnClose = true
 	}
 	if c.gateway != nil && body != nil { // an attempt may still read the body, and with it the gateway's records
@@ -50,7 +51,7 @@
 	return written && !response.Close
 }
 
-// closesAfter reports whether the response to a request closes the connection, whatever the response is.
+// closesAfter reports whether the connection is closed after a request, with any response.
 func (c *conn) closesAfter(request *httpwire.Request) bool {
 	switch {
 	case request.Close || c.serving.lastResponse || c.server.closesConns():
@@ -61,12 +62,13 @@
 	return c.gateway != nil && !c.gateway.keepAlive
 }
 
-// hasUnread reports whether the client has sent more than was read as requests.
+// hasUnread reports whether the client has sent more than the requests that were read.
 func (c *conn) hasUnread() bool {
 	return c.serving.reader.HasBuffered() || socket.StateOfRaw(c.raw) == socket.StateReadable
 }
 
-// writeResponse writes a complete response. Nearly always the kernel takes all of it, and no deadline is set.
+// writeResponse writes a complete response. It first writes without a deadline, since the kernel nearly always accepts
+// the whole response at once.
 func (c *conn) writeResponse(response *httpwire.ClientResponse, headOnly bool) bool {
 	buffer := responseBuffers.Get().(*[]byte)
 	defer responseBuffers.Put(buffer)
@@ -102,8 +104,8 @@
 	return socket.WriteBuffers(c.Conn, &remaining) == nil
 }
 
-// writeNow writes as much as the kernel takes at once, and returns how much that was. What fails here fails again in
-// the write that follows.
+// writeNow writes as much as the kernel accepts at once, and returns the number of bytes. An error recurs in the write
+// that follows.
 func (c *conn) writeNow(message []byte) int {
 	n := 0
 	c.raw.Write(func(fd uintptr) bool {
