--- a/internal/dataplane/frontend/attempts_test.go
+++ b/internal/dataplane/frontend/attempts_test.go
@@ -28,11 +28,11 @@
 	"robincart/internal/testutil"
 )
 
-// A client that has gone gets no attempt, first or retry, however late the node is to notice. The poller, which notices
-// that clients go, is blocked here from before the client goes, as on a processor with thousands of other things to do;
-// the core, which is notified by it, allows everything. All sockets are real.
+// These tests check that no attempt, first or retry, is sent for a client that has left, even if the node notices late.
+// The poller, which detects that clients leave, is blocked before the client leaves, as on a busy machine with
+// thousands of other events. The core learns of it from the poller, so it allows each attempt. All sockets are real.
 
-// testNode is a node without decisions: the test orders each attempt and lets it go, and a real pool carries it out.
+// testNode is a node without decisions: the test orders and starts each attempt, and a real pool carries it out.
 type testNode struct {
 	*fakeCore
 	*upstream.Pool
@@ -41,8 +41,8 @@
 	upstreamAddr net.Addr
 	starts       chan func()        // each starts an attempt
 	results      chan decide.Result // of attempts
-	received     chan string        // what reaches the upstream server, a read each
-	responses    chan string        // what it responds
+	received     chan string        // what the upstream server receives, one element per read
+	responses    chan string        // responses of the upstream server
 	onBind       func()
 }
 
@@ -69,7 +69,7 @@
 func (n *testNode) BodyReceived(*node.Attempt, time.Duration) {}
 func (n *testNode) OnServersUnavailable(func([]*node.Server)) {}
 
-// serveUpstream serves as the upstream server.
+// serveUpstream runs the upstream server.
 func (n *testNode) serveUpstream(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -96,7 +96,8 @@
 	}
 }
 
-// startNode serves until the test ends; gateways if there is a configuration for them, else HTTP.
+// startNode starts a node that serves until the test ends. With a config its clients are gateways, otherwise they speak
+// HTTP.
 func startNode(t *testing.T, l limits.Limits, config *Gateway) *testNode {
 	const many = 99
 	leaks := goleak.IgnoreCurrent()
@@ -125,7 +126,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 		defer cancel()
 		n.server.Drain(ctx)
-		close(n.responses) // whoever still waits for one gets an end
+		close(n.responses) // ends the upstream connections that still wait for one
 		n.Pool.Close()
 		upstreamListener.Close()
 		n.server.poller.Close()
@@ -134,7 +135,7 @@
 	return n
 }
 
-// conn returns the only connection that there is.
+// conn returns the only client connection.
 func (n *testNode) conn(t *testing.T) *conn {
 	n.server.mu.Lock()
 	defer n.server.mu.Unlock()
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// order orders an attempt, and returns what starts it.
+// order orders an attempt, and returns the function that starts it.
 func (n *testNode) order(t *testing.T, rpc *node.RPC) func() {
 	rpc.Orders <- node.Order{Kind: node.OrderSend, Attempt: &node.Attempt{Server: &node.Server{}}}
 	return testutil.Receive(t, n.starts)
@@ -158,13 +159,13 @@
 	case result := <-n.results:
 		assert.Equal(t, decide.NotSent, result)
 	case text := <-n.received:
-		t.Fatalf("the server got %.40q", text)
+		t.Fatalf("expected no byte at the upstream server, found %.40q", text)
 	case <-time.After(eventTimeout):
-		t.Fatal("the attempt has no result")
+		t.Fatal("expected a result of the attempt, found none within eventTimeout")
 	}
 }
 
-// peerHasClosed reports what the kernel knows, of which the node may not have been notified.
+// peerHasClosed reports whether the kernel has received the peer's close. The node may not have been notified of it.
 func peerHasClosed(raw syscall.RawConn) (closed bool) {
 	raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -186,14 +187,14 @@
 
 // blockingWatcher blocks its poller at its first event, until it is released.
 type blockingWatcher struct {
-	conn    net.Conn // a write makes the event
-	entered chan struct{}
-	leave   chan struct{}
+	conn     net.Conn // a write to it causes the event
+	entered  chan struct{}
+	released chan struct{}
 }
 
 func (b *blockingWatcher) OnEvent(poller.Event) {
 	close(b.entered)
-	<-b.leave
+	<-b.released
 }
 
 func newBlockingWatcher(t *testing.T, p *poller.Poller) *blockingWatcher {
@@ -205,7 +206,7 @@
 	require.NoError(t, err)
 	raw, err := accepted.(syscall.Conn).SyscallConn()
 	require.NoError(t, err)
-	b := &blockingWatcher{conn: conn, entered: make(chan struct{}), leave: make(chan struct{})}
+	b := &blockingWatcher{conn: conn, entered: make(chan struct{}), released: make(chan struct{})}
 	registration, err := p.Add(raw, b, true)
 	require.NoError(t, err)
 	t.Cleanup(func() {
@@ -217,14 +218,14 @@
 	return b
 }
 
-// trigger has the poller blocked once it comes to this watcher.
+// trigger causes the event at which the watcher blocks the poller.
 func (b *blockingWatcher) trigger() { b.conn.Write([]byte{1}) }
 
 func (b *blockingWatcher) release() {
 	select {
-	case <-b.leave:
+	case <-b.released:
 	default:
-		close(b.leave)
+		close(b.released)
 	}
 }
 
@@ -235,7 +236,7 @@
 	testutil.Receive(t, b.entered)
 }
 
-// protocol is one that clients speak.
+// protocol is a protocol that clients speak, with example requests and the ways in which a client leaves.
 type protocol struct {
 	gateway    *Gateway // nil: HTTP
 	find       string   // a complete request
@@ -278,7 +279,7 @@
 		c.Close()
 	}
 	leave["aborted"] = func(c *client) { c.Write(fcgi.AppendAbort(nil, 1)) }
-	leave["aborted amid more"] = func(c *client) { c.Write(append(fcgi.AppendAbort(nil, 1), another...)) }
+	leave["aborted before another request"] = func(c *client) { c.Write(append(fcgi.AppendAbort(nil, 1), another...)) }
 	return protocol{
 		gateway:    &Gateway{},
 		find:       string(request("GET", "find")),
@@ -289,14 +290,15 @@
 
 const failedResponse = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 
-// leaveMoment is when a client leaves. It has what is ordered wait until the kernel knows that the client has left.
-type leaveMoment struct {
+// leaveCase is a time at which a client leaves. run orders an attempt and starts it only after the kernel has received
+// the client's close or abort.
+type leaveCase struct {
 	name     string
 	streamed bool // the request's body
-	play     func(t *testing.T, n *testNode, rpc *node.RPC, leave func())
+	run      func(t *testing.T, n *testNode, rpc *node.RPC, leave func())
 }
 
-var leaveMoments = []leaveMoment{
+var leaveCases = []leaveCase{
 	{"first attempt", false, leaveBeforeAttempt},
 	{"streamed body", true, leaveBeforeAttempt},
 	{"retry", false, func(t *testing.T, n *testNode, rpc *node.RPC, leave func()) {
@@ -312,15 +314,15 @@
 		leaveBeforeAttempt(t, n, rpc, leave)
 	}},
 	{"connect", false, func(t *testing.T, n *testNode, rpc *node.RPC, leave func()) {
-		bound, goOn := make(chan struct{}), make(chan struct{})
+		bound, proceed := make(chan struct{}), make(chan struct{})
 		n.onBind = func() {
 			close(bound)
-			<-goOn
+			<-proceed
 		}
 		n.order(t, rpc)()
 		testutil.Receive(t, bound)
 		leave()
-		close(goOn)
+		close(proceed)
 	}},
 }
 
@@ -332,28 +334,28 @@
 
 func TestServer_NoAttemptForGoneClient(t *testing.T) {
 	for name, protocol := range protocols() {
-		for _, moment := range leaveMoments {
+		for _, testCase := range leaveCases {
 			for way, leave := range protocol.leaveFuncs {
-				t.Run(fmt.Sprint(name, "/", moment.name, "/", way), func(t *testing.T) {
+				t.Run(fmt.Sprint(name, "/", testCase.name, "/", way), func(t *testing.T) {
 					aborted := strings.HasPrefix(way, "aborted")
-					checkNoAttempt(t, protocol, moment, leave, aborted)
+					checkNoAttempt(t, protocol, testCase, leave, aborted)
 				})
 			}
 		}
 	}
 }
 
-func checkNoAttempt(t *testing.T, p protocol, moment leaveMoment, leave func(*client), aborted bool) {
+func checkNoAttempt(t *testing.T, p protocol, testCase leaveCase, leave func(*client), aborted bool) {
 	n := startNode(t, testLimits(), p.gateway)
 	c := dial(t, n.address)
-	if moment.streamed {
+	if testCase.streamed {
 		io.WriteString(c, p.put)
 	} else {
 		io.WriteString(c, p.find)
 	}
 	rpc := testutil.Receive(t, n.arrived)
 	raw := n.conn(t).raw
-	moment.play(t, n, rpc, func() {
+	testCase.run(t, n, rpc, func() {
 		n.blockPoller(t)
 		unread := unreadBytes(raw)
 		leave(c)
@@ -365,18 +367,19 @@
 		}
 	})
 	n.requireNotSent(t)
-	assert.Same(t, rpc, testutil.Receive(t, n.gone), "the poller has notified nobody yet")
-	if aborted && !moment.streamed {
+	assert.Same(t, rpc, testutil.Receive(t, n.gone), "notified by the attempt's check, while the poller is blocked")
+	if aborted && !testCase.streamed {
 		requireEndOfAborted(t, c)
 		c.Close()
 	} else {
 		requireConnCount(t, n.server, 0)
 	}
 	assert.Empty(t, n.received)
-	assert.Empty(t, n.arrived, "nobody waits for what it had requested next")
+	assert.Empty(t, n.arrived, "the next request of a client that has left is not served")
 }
 
-// requireEndOfAborted checks that a gateway gets the end of the request that it aborted: its connection goes on.
+// requireEndOfAborted checks that a gateway receives the end of a request that it has aborted, over a connection that
+// stays open.
 func requireEndOfAborted(t *testing.T, c *client) {
 	t.Helper()
 	buffer := make([]byte, 99)
@@ -385,7 +388,8 @@
 	assert.Contains(t, string(buffer[:count]), string(fcgi.AppendEnd(nil, 1, 1, fcgi.StatusComplete)))
 }
 
-// The first request's attempt is in flight as the client leaves, and it gets its response before the node notices.
+// The client leaves while the attempt of its first request is in flight. That request gets its response before the node
+// notices that the client has left. The requests behind it must not be sent.
 func TestServer_PipelinedRequestOfGoneClient(t *testing.T) {
 	for way, leave := range leaveFuncs {
 		t.Run(way, func(t *testing.T) {
@@ -402,7 +406,7 @@
 			rpc.Orders <- served("well")
 			for more := true; more; {
 				select {
-				case rpc := <-n.arrived: // it is admitted, and the client is looked for before its first byte
+				case rpc := <-n.arrived: // admitted; the attempt checks the client before its first byte
 					n.order(t, rpc)()
 					assert.Same(t, rpc, testutil.Receive(t, n.gone))
 				case <-time.After(time.Millisecond):
@@ -415,7 +419,7 @@
 	}
 }
 
-// The request and the end are in the socket as the connection comes from another process.
+// The socket contains a request and the client's close when the connection is adopted from another process.
 func TestAdopt_ClientGone(t *testing.T) {
 	for way, leave := range leaveFuncs {
 		t.Run(way, func(t *testing.T) {
@@ -437,7 +441,8 @@
 	}
 }
 
-// A gateway's abort arrives with the request itself: there is no event of it, and nothing is in the kernel.
+// A gateway's abort arrives in the same read as the request: there is no further event, and no unread input in the
+// kernel.
 func TestGateway_AbortArrivesWithRequest(t *testing.T) {
 	p := fastCGIProtocol()
 	l := testLimits()
@@ -459,8 +464,8 @@
 	assert.Empty(t, n.received)
 }
 
-// The kernel reports a request, and the poller is blocked before it handles that event; the client leaves meanwhile.
-// What the poller reports then is as old as the kernel's answer.
+// The kernel reports a request, and the poller is blocked before it handles the event. The client leaves in the
+// meantime. The event must count as a check at the time of the report, not at the time when it is handled.
 func TestStillWaiting_PollerDelayed(t *testing.T) {
 	l := testLimits()
 	l.ClientCheckInterval = 50 * time.Millisecond
@@ -469,21 +474,21 @@
 	requireConnCount(t, n.server, 1)
 	raw := n.conn(t).raw
 	p := n.server.poller
-	first, before, behind := newBlockingWatcher(t, p), newBlockingWatcher(t, p), newBlockingWatcher(t, p)
+	first, second, third := newBlockingWatcher(t, p), newBlockingWatcher(t, p), newBlockingWatcher(t, p)
 	first.trigger()
 	testutil.Receive(t, first.entered)
-	// The kernel keeps the order in which they come.
-	before.trigger()
+	// The kernel reports the events in the order in which they occur.
+	second.trigger()
 	c.sendRequest()
 	require.Eventually(t, func() bool { return unreadBytes(raw) > 0 }, eventTimeout, pollInterval)
-	behind.trigger()
+	third.trigger()
 	first.release()
-	testutil.Receive(t, before.entered)
+	testutil.Receive(t, second.entered)
 	c.Close()
 	requirePeerClosed(t, raw)
 	time.Sleep(2 * l.ClientCheckInterval)
-	before.release()
-	testutil.Receive(t, behind.entered)
+	second.release()
+	testutil.Receive(t, third.entered)
 	rpc := testutil.Receive(t, n.arrived)
 	n.order(t, rpc)()
 	assert.Equal(t, decide.NotSent, testutil.Receive(t, n.results))
--- a/internal/dataplane/frontend/bench_test.go
+++ b/internal/dataplane/frontend/bench_test.go
@@ -17,7 +17,7 @@
 
 var benchmarkProtocols = map[string]*Gateway{"http": nil, "fastcgi": {}}
 
-// instantCore has a response to each RPC at once.
+// instantCore orders a response to each RPC at once.
 type instantCore struct{ fakeCore }
 
 func (*instantCore) Arrived(node.Arrival) *node.RPC {
@@ -64,7 +64,7 @@
 	}
 }
 
-// newGatewaySender returns what sends a request as a gateway does, each time with another ID.
+// newGatewaySender returns a function that sends a request as a gateway does, with a new ID at each call.
 func newGatewaySender(conn net.Conn) func() {
 	const firstID = "t0000000000"
 	request := gatewayRequest(1, "REQUEST_METHOD", "GET", "REQUEST_URI", "/find", "HTTP_X_QOS", "find",
@@ -83,7 +83,8 @@
 	}
 }
 
-// BenchmarkStillWaiting measures what an attempt pays for the look at its client, right before its first byte.
+// BenchmarkStillWaiting measures the check that an attempt makes right before its first byte: whether its client still
+// waits.
 func BenchmarkStillWaiting(b *testing.B) {
 	for name, interval := range map[string]time.Duration{"recent": time.Hour, "asks the kernel": 0} {
 		for protocol, gateway := range benchmarkProtocols {
@@ -112,7 +113,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if !request.Client.StillWaiting(request) {
-			b.Fatal("it has not left")
+			b.Fatal("expected a waiting client, found that it has left")
 		}
 	}
 }
--- a/internal/dataplane/frontend/clientgone_test.go
+++ b/internal/dataplane/frontend/clientgone_test.go
@@ -22,12 +22,12 @@
 			rpc.Orders <- send
 			requireIdle(t, server)
 			assert.Empty(t, core.startedRequests())
-			assert.Empty(t, core.arrived, "nobody waits for what it had requested next")
+			assert.Empty(t, core.arrived, "the next request of a client that has left is not served")
 		})
 	}
 }
 
-// Nothing is accepted until the client has left: the kernel has received its request.
+// The client sends a request and leaves while its connection is still in the listener's queue.
 func TestServer_ClientLeftInListenQueue(t *testing.T) {
 	for way, leave := range leaveFuncs {
 		t.Run(way, func(t *testing.T) {
@@ -37,18 +37,18 @@
 			gone := dial(t, listener.Addr().String())
 			gone.sendRequest()
 			leave(gone)
-			waits := dial(t, listener.Addr().String())
-			waits.sendRequest()
+			waiting := dial(t, listener.Addr().String())
+			waiting.sendRequest()
 			server.Serve(listener)
 			testutil.Receive(t, core.arrived).Orders <- pushBack
-			waits.requireStatus(t, 503)
+			waiting.requireStatus(t, 503)
 			requireConnCount(t, server, 1)
 			assert.Empty(t, core.arrived)
 		})
 	}
 }
 
-// There is no capacity until the client, whose request waits for it, has left.
+// The client leaves while its request waits for capacity.
 func TestServer_ClientLeftWhileWaiting(t *testing.T) {
 	for way, leave := range leaveFuncs {
 		t.Run(way, func(t *testing.T) {
@@ -88,9 +88,10 @@
 	return count
 }
 
-// An end that the client's kernel holds back behind a flood has not reached the node: what is in flight is responded
-// to, to nobody, and nothing in the flood is taken for a request.
-func TestServer_FloodBehindRequest(t *testing.T) {
+// The client floods the connection after its request and closes it. Its kernel holds the close back behind the flood,
+// so the node does not see it: the request in flight gets a response that nobody reads, and no byte of the flood is
+// taken for a request.
+func TestServer_FloodAfterRequest(t *testing.T) {
 	server, core, address := startServer(t)
 	c := dial(t, address)
 	c.sendRequest()
--- a/internal/dataplane/frontend/conn_test.go
+++ b/internal/dataplane/frontend/conn_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Thousands of connections are idle at once. The allocator has 320 bytes for this record: a few bytes more cost each
-// of them 32.
+// Thousands of connections may be idle at once. The allocator's size class for this record is 320 bytes: a few more
+// bytes would cost each connection 32.
 func TestConn_Size(t *testing.T) {
 	assert.LessOrEqual(t, unsafe.Sizeof(conn{}), uintptr(320))
 }
--- a/internal/dataplane/frontend/eviction_test.go
+++ b/internal/dataplane/frontend/eviction_test.go
@@ -29,16 +29,16 @@
 	for range 6 {
 		idle = append(idle, dial(t, address))
 	}
-	idle[0].requireEnd(t) // the oldest one, and not by a reset
+	idle[0].requireEnd(t) // the oldest one is closed, without a reset
 	last := idle[5]
 	last.sendRequest()
 	testutil.Receive(t, core.arrived).Orders <- abort
 	last.requireStatus(t, 504)
 	rpc.Orders <- abort
-	busy.requireStatus(t, 504) // one in use is not evicted
+	busy.requireStatus(t, 504) // a connection in use is not evicted
 }
 
-// limitedListener is a listener of a process that has descriptors for so many connections.
+// limitedListener is a listener of a process with a limited number of descriptors.
 type limitedListener struct {
 	net.Listener
 	available func() int
@@ -51,11 +51,11 @@
 	return l.Listener.Accept()
 }
 
-// Whatever holds the other descriptors of the process, an idle connection is evicted for a new one, and one in use is
-// not.
+// The descriptors of the process run out, for whatever reason. An idle connection is then evicted for a new one, and a
+// connection in use is not.
 func TestServer_EvictsWhenDescriptorsExhausted(t *testing.T) {
 	l := testLimits()
-	l.ClientIdleTimeout = time.Hour // it is evicted for no other reason
+	l.ClientIdleTimeout = time.Hour // so that it is closed by an eviction only
 	server, core, _ := startServerWith(t, l)
 	listener := newListener(t)
 	defer listener.Close()
@@ -78,8 +78,8 @@
 	busy.requireStatus(t, 504)
 }
 
-// Clients that send slowly hold little of the capacity: others whose requests come in pieces take it over, and complete
-// requests never wait for it.
+// Clients that send slowly may hold only a part of the capacity. A further request that arrives in pieces evicts one of
+// them, and complete requests never wait for that part.
 func TestServer_EvictsSlowClients(t *testing.T) {
 	const maxSlow = 2
 	l := testLimits()
@@ -90,7 +90,7 @@
 		c := dial(t, address)
 		io.WriteString(c, "POST /find HTTP/1.1\r\nContent-Length: 60\r\n\r\nx")
 		slow = append(slow, c)
-		// The first has to be the older one at the admission, too.
+		// The admission controller must also see the first connection as the older one.
 		counted := func() bool {
 			server.mu.Lock()
 			defer server.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// memoryInUse returns the bytes of the heap that are alive, and those of stacks.
+// memoryInUse returns the bytes of the live heap and those of stacks.
 func memoryInUse() (heap, stacks int64) {
 	runtime.GC()
 	runtime.GC()
@@ -125,8 +125,8 @@
 	return int64(m.HeapAlloc), int64(m.StackInuse)
 }
 
-// idleMemoryLimits are limits under which thousands of clients may send a request at once, and none is rejected with a
-// close: not for its wait, however the machine stalls, and not with capacity that is only there to reject.
+// idleMemoryLimits returns limits under which thousands of clients may send a request at once and none is rejected with
+// a close: the maximum wait is long, even for a machine that stalls, and no capacity is reserved for rejections.
 func idleMemoryLimits() limits.Limits {
 	l := testLimits()
 	l.OverloadRetryAfter = time.Minute
@@ -138,7 +138,7 @@
 	return l
 }
 
-// idleConnCount returns the number of connections that are a record only.
+// idleConnCount returns the number of idle connections that have no reader.
 func idleConnCount(s *Server) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +150,7 @@
 	return count
 }
 
-// dialAndExchange opens connections, each with one request and its response behind it.
+// dialAndExchange opens connections and exchanges one request and response over each.
 func dialAndExchange(t *testing.T, address string, conns []net.Conn) {
 	for i := range conns {
 		conn, err := net.Dial("tcp", address)
@@ -166,17 +166,22 @@
 	}
 }
 
-// Idle connections are records: no goroutine and no buffer each. Bytes are compared with room to spare, and no times.
+// An idle connection is a record, without a goroutine or a buffer. The limits of bytes have a margin, and no times are
+// compared.
 func TestServer_IdleConnectionMemory(t *testing.T) {
 	const (
-		count         = 2000
-		maxBytes      = 2048 // a connection; both of its sides are in this process
-		maxHeapBytes  = 1850 // of these; that differs by some 40 bytes between runs, whatever else the machine does
-		descriptors   = 5000
-		workersEndFor = 30 * time.Second
+		count             = 2000
+		maxBytes          = 2048 // per connection; both of its ends are in this process
+		maxHeapBytes      = 1850 // of these in the heap; varies by about 40 bytes between runs, under any load
+		descriptors       = 5000
+		workersEndTimeout = 30 * time.Second
 	)
 	leaks := goleak.IgnoreCurrent()
-	core := &fakeCore{orders: []node.Order{abort}, arrived: make(chan *node.RPC, 2*count), gone: make(chan *node.RPC, 99)}
+	core := &fakeCore{
+		orders:  []node.Order{abort},
+		arrived: make(chan *node.RPC, 2*count),
+		gone:    make(chan *node.RPC, 99),
+	}
 	server := newTestServer(t, idleMemoryLimits(), limits.NewBudget(descriptors, 0, nil))
 	server.SetTable(&Table{Only: newTestService(core, decide.Idempotent)})
 	listener := newListener(t)
@@ -188,13 +193,14 @@
 	dialAndExchange(t, listener.Addr().String(), conns)
 	allIdle := func() bool { return idleConnCount(server) == count }
 	require.Eventually(t, allIdle, eventTimeout, pollInterval)
-	// The worker pool keeps the goroutines that served the requests, and ends them within two seconds or so. Their
-	// stacks are no part of a record: 64 of 8 KiB would be 262 bytes of each. Eventually calls in a goroutine of its own.
+	// The worker pool keeps the goroutines that served the requests, and ends them within about two seconds. Their
+	// stacks do not belong to the records: 64 stacks of 8 KiB would add 262 bytes per connection. 1 is subtracted for
+	// the goroutine in which Eventually calls this function.
 	workersEnded := func() bool { return runtime.NumGoroutine()-1 <= goroutinesBefore }
-	require.Eventually(t, workersEnded, workersEndFor, 10*time.Millisecond, "idle workers end")
+	require.Eventually(t, workersEnded, workersEndTimeout, 10*time.Millisecond, "idle workers end")
 	heap, stacks := memoryInUse()
-	assert.Less(t, (heap+stacks-heapBefore-stacksBefore)/count, int64(maxBytes), "bytes a connection")
-	assert.Less(t, (heap-heapBefore)/count, int64(maxHeapBytes), "bytes of the heap a connection")
+	assert.Less(t, (heap+stacks-heapBefore-stacksBefore)/count, int64(maxBytes), "bytes per connection")
+	assert.Less(t, (heap-heapBefore)/count, int64(maxHeapBytes), "bytes of the heap per connection")
 
 	for _, conn := range conns {
 		conn.Close()
@@ -204,7 +210,7 @@
 		defer server.mu.Unlock()
 		return len(server.conns) == 0 && server.timers.Len() == 0
 	}
-	require.Eventually(t, noneLeft, eventTimeout, pollInterval, "no record is left of clients that closed")
+	require.Eventually(t, noneLeft, eventTimeout, pollInterval, "expected no record or timer of a closed connection")
 	listener.Close()
 	assert.NoError(t, drain(server, eventTimeout))
 	server.poller.Close()
--- a/internal/dataplane/frontend/gateway_test.go
+++ b/internal/dataplane/frontend/gateway_test.go
@@ -15,13 +15,13 @@
 	"robincart/internal/resources/limits"
 )
 
-// discardConn is a connection that takes everything.
+// discardConn is a connection that discards what is written to it.
 type discardConn struct{ net.Conn }
 
 func (discardConn) Write(p []byte) (int, error)      { return len(p), nil }
 func (discardConn) SetWriteDeadline(time.Time) error { return nil }
 
-// gatewayRequest returns a request with params, by names and values in turn, and without a body.
+// gatewayRequest returns a request without a body. params are names and values in turn.
 func gatewayRequest(id uint16, params ...string) []byte {
 	var list []byte
 	for i := 0; i+1 < len(params); i += 2 {
@@ -33,8 +33,8 @@
 	return fcgi.AppendStreamEnd(request, fcgi.TypeStdin, id)
 }
 
-// Whatever a gateway sends, an HTTP message that is read of it is one request of it, from its first byte to its last:
-// nothing in params or bodies begins another.
+// FuzzGateway checks that, for any input of a gateway, each HTTP request that is read is one FastCGI request, from its
+// first byte to its last: nothing in params or bodies begins another request.
 func FuzzGateway(f *testing.F) {
 	f.Add(gatewayRequest(1, "REQUEST_METHOD", "GET", "REQUEST_URI", "/find",
 		"HTTP_X_QOS", "find\r\n\r\nGET / HTTP/1.1\r\n\r\n"))
@@ -48,17 +48,17 @@
 	f.Fuzz(func(t *testing.T, input []byte) {
 		count := readAllRequests(t, server, input)
 		if limit := bytes.Count(input, []byte{1, 1}); count > limit {
-			t.Fatalf("%d requests of %d BEGINs at most", count, limit)
+			t.Fatalf("found %d requests, expected at most %d, one for each BEGIN record", count, limit)
 		}
-		// What came before takes nothing from a request, and adds nothing to one, where it was complete.
+		// A complete request before the second one must not change it.
 		twice := bytes.HasSuffix(input, good) && bytes.HasPrefix(input, good) && len(input) == 2*len(good)
 		if twice && count != 2 {
-			t.Fatalf("%d requests of 2", count)
+			t.Fatalf("found %d requests, expected 2", count)
 		}
 	})
 }
 
-// readAllRequests reads requests until one can't be read, and returns how many there were.
+// readAllRequests reads requests until one can't be read, and returns how many were read.
 func readAllRequests(t *testing.T, server *Server, input []byte) int {
 	c := &conn{Conn: discardConn{}, server: server}
 	g := newGateway(c, &Gateway{})
@@ -73,7 +73,7 @@
 			return count
 		}
 		if reader.HasBuffered() || !g.complete || g.offset != len(g.pending) {
-			t.Fatalf("%q is not the complete request", request.Target)
+			t.Fatalf("expected request %q to end with its FastCGI request, found more input or no end", request.Target)
 		}
 		g.appendResponseEnd(nil, 0, fcgi.StatusComplete)
 	}
--- a/internal/dataplane/frontend/helpers_test.go
+++ b/internal/dataplane/frontend/helpers_test.go
@@ -27,15 +27,15 @@
 )
 
 const (
-	eventTimeout = 20 * time.Second // for what happens at once on a machine that is not busy
+	eventTimeout = 20 * time.Second // for events that are immediate on a machine that is not busy
 	pollInterval = time.Millisecond
 	drainTimeout = 200 * time.Millisecond
 
 	testDescriptors = 9
-	coreTime        = time.Minute // the cores' clock stands still
+	coreTime        = time.Minute // constant time of the cores' clock
 )
 
-// fakeCore orders the same for each RPC, and notes what it is notified of. It starts attempts, too.
+// fakeCore gives the same orders for each RPC, and records its calls. It is also the AttemptStarter.
 type fakeCore struct {
 	arrived chan *node.RPC
 	gone    chan *node.RPC
@@ -115,24 +115,30 @@
 		MaxRequests:          2,
 		OverloadConnections:  1,
 		MaxClientConnections: 3,
-		Wire:                 httpwire.Sizes{BufferSize: 256, ReadSize: 64, MaxHead: 4096, MaxBody: 4096, MaxChunkLine: 64},
-		ClientIdleTimeout:    5 * time.Second,
-		EvictableAfter:       20 * time.Millisecond,
-		FinalReadWindow:      5 * time.Millisecond,
-		ClientReadTimeout:    20 * time.Second,
-		OverloadRetryAfter:   500 * time.Millisecond,
-		ClientWriteTimeout:   time.Second,
-		LingerTimeout:        500 * time.Millisecond,
-		MaxLingerBytes:       1 << 23,
-		LongIdle:             time.Second,
-		MaxTimeLeft:          time.Hour,
-		RequestIDTTL:         time.Minute,
-		MaxRequestIDs:        99,
-		ShutdownWriteTime:    50 * time.Millisecond,
+		Wire: httpwire.Sizes{
+			BufferSize:   256,
+			ReadSize:     64,
+			MaxHead:      4096,
+			MaxBody:      4096,
+			MaxChunkLine: 64,
+		},
+		ClientIdleTimeout:  5 * time.Second,
+		EvictableAfter:     20 * time.Millisecond,
+		FinalReadWindow:    5 * time.Millisecond,
+		ClientReadTimeout:  20 * time.Second,
+		OverloadRetryAfter: 500 * time.Millisecond,
+		ClientWriteTimeout: time.Second,
+		LingerTimeout:      500 * time.Millisecond,
+		MaxLingerBytes:     1 << 23,
+		LongIdle:           time.Second,
+		MaxTimeLeft:        time.Hour,
+		RequestIDTTL:       time.Minute,
+		MaxRequestIDs:      99,
+		ShutdownWriteTime:  50 * time.Millisecond,
 	}
 }
 
-// newTestService returns a service with the method "find" of an idempotency.
+// newTestService returns a service whose method "find" has the given idempotency.
 func newTestService(core *fakeCore, idempotency decide.Idempotency) *Service {
 	instance := &settings.Instance{MethodNames: []string{"find"}}
 	instance.Methods = []decide.Method{{Idempotency: idempotency}}
@@ -151,7 +157,8 @@
 	return listener
 }
 
-// startServer serves until the test ends; then nothing may be left. It returns the address.
+// startServer starts a server that serves until the test ends, and returns its address. At the end no goroutine,
+// descriptor or request may be left.
 func startServer(t *testing.T, orders ...node.Order) (*Server, *fakeCore, string) {
 	return startServerWith(t, testLimits(), orders...)
 }
@@ -165,14 +172,14 @@
 	server.Serve(listener)
 	t.Cleanup(func() {
 		listener.Close()
-		if !server.aborting() { // else the test has drained it
+		if !server.aborting() { // otherwise the test has drained it
 			ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 			defer cancel()
 			server.Drain(ctx)
 		}
 		server.poller.Close()
 		goleak.VerifyNone(t, leaks)
-		assert.Equal(t, testDescriptors, server.budget.Available(), "each connection's descriptor is given back")
+		assert.Equal(t, testDescriptors, server.budget.Available(), "the descriptor of each connection is released")
 		assert.Zero(t, server.activeRequests.Load())
 		assert.Zero(t, server.streamedRequests.Load())
 	})
@@ -197,7 +204,7 @@
 	require.Eventually(t, idle, eventTimeout, pollInterval)
 }
 
-// client is the other side of a connection.
+// client is the client's end of a connection.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
@@ -211,16 +218,16 @@
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-var lastRequest atomic.Int64
+var lastRequestID atomic.Int64
 
-func newRequestID() string { return fmt.Sprint("t", lastRequest.Add(1)) }
+func newRequestID() string { return fmt.Sprint("t", lastRequestID.Add(1)) }
 
-// findRequest is a request for the method "find".
+// findRequest returns a request for the method "find".
 func findRequest(id string) string {
 	return "GET /find HTTP/1.1\r\nX-Qos: find\r\nX-Trace-Id: " + id + "\r\nX-Expires-In-Ms: 1000\r\n\r\n"
 }
 
-// sendRequest sends a request with an ID of its own.
+// sendRequest sends a request with a new ID.
 func (c *client) sendRequest() { c.sendRequestWithID(newRequestID()) }
 
 func (c *client) sendRequestWithID(id string) { io.WriteString(c, findRequest(id)) }
@@ -240,7 +247,7 @@
 	require.Equal(t, status, c.receive(t).StatusCode)
 }
 
-// requireEnd checks that the connection ends, and not by a reset.
+// requireEnd checks that the server closes the connection without a reset.
 func (c *client) requireEnd(t *testing.T) {
 	t.Helper()
 	_, err := c.reader.ReadByte()
@@ -256,7 +263,7 @@
 	c.Close()
 }
 
-// flood sends as much as the kernel takes while nobody reads it.
+// flood sends for 50 ms, which fills the kernel's buffers while the node does not read.
 func (c *client) flood() {
 	c.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 	for buffer := make([]byte, 1<<16); ; {
@@ -266,11 +273,11 @@
 	}
 }
 
-// leaveFuncs are the ways in which a client leaves.
+// leaveFuncs are the ways in which a client leaves, by name.
 var leaveFuncs = map[string]func(*client){
-	"closed": func(c *client) { c.Close() },
-	"half":   func(c *client) { c.halfClose() },
-	"reset":  func(c *client) { c.reset() },
+	"closed":      func(c *client) { c.Close() },
+	"half-closed": func(c *client) { c.halfClose() },
+	"reset":       func(c *client) { c.reset() },
 	"sent another request": func(c *client) {
 		io.WriteString(c, findRequest("another"))
 		c.Close()
--- a/internal/dataplane/frontend/methods_test.go
+++ b/internal/dataplane/frontend/methods_test.go
@@ -14,7 +14,7 @@
 	"robincart/internal/resources/limits"
 )
 
-// requestOf returns a request of the method "a" in the form that an idempotency requires.
+// requestOf returns a request of the method "a" in the form that the given idempotency requires.
 func requestOf(i decide.Idempotency) *httpwire.Request {
 	request := &httpwire.Request{Verb: "POST", Path: "/a", Method: "a", TraceID: "id", HasTimeLeft: true}
 	switch i {
@@ -26,7 +26,7 @@
 	return request
 }
 
-// serviceOf returns a service whose method "a" has an idempotency.
+// serviceOf returns a service whose method "a" has the given idempotency.
 func serviceOf(i decide.Idempotency) *Service {
 	instance := &settings.Instance{MethodNames: []string{"a"}}
 	instance.Methods = []decide.Method{{Idempotency: i}}
@@ -40,7 +40,8 @@
 	return 200
 }
 
-// Clients learn of new settings later than the node, which accepts what either may send until then.
+// Clients learn of new settings later than the node. Until then the node accepts requests in the old and in the new
+// form.
 func TestKeepFormer_IdempotencyChanges(t *testing.T) {
 	idempotencies := []decide.Idempotency{decide.Idempotent, decide.Deduplicated, decide.NonIdempotent}
 	for _, old := range idempotencies {
@@ -63,14 +64,14 @@
 )
 
 func checkIdempotencyChange(t *testing.T, old, current decide.Idempotency) {
-	without := statusOf(serviceOf(current), old, changedAt)
+	statusWithoutFormer := statusOf(serviceOf(current), old, changedAt)
 	service := serviceOf(current).KeepFormerSettings(serviceOf(old), changedAt, validUntil)
 	assert.Equal(t, 200, statusOf(service, old, validUntil-1))
-	assert.Equal(t, without, statusOf(service, old, validUntil), "over")
+	assert.Equal(t, statusWithoutFormer, statusOf(service, old, validUntil), "the former idempotency has expired")
 	assert.Equal(t, 200, statusOf(service, current, validUntil))
 
 	next := serviceOf(current).KeepFormerSettings(service, changedAt, validUntil+1)
-	assert.Equal(t, without, statusOf(next, old, validUntil), "what is over is not handed on")
+	assert.Equal(t, statusWithoutFormer, statusOf(next, old, validUntil), "an expired idempotency is not taken over")
 }
 
 // Settings change once more before clients have learned of the first change.
@@ -83,7 +84,7 @@
 	removed := &Service{methods: map[string]method{}, tenants: map[string]tenant{}}
 	removed = removed.KeepFormerSettings(serviceOf(old), changedAt, validUntil)
 	service = serviceOf(next).KeepFormerSettings(removed, changedAt+1, validUntil+1)
-	assert.Equal(t, 200, statusOf(service, old, validUntil-1), "removed between")
+	assert.Equal(t, 200, statusOf(service, old, validUntil-1), "the method was removed in between")
 }
 
 func TestKeepFormer_TenantRemoved(t *testing.T) {
@@ -99,7 +100,7 @@
 
 	_, slot, response := service.check(request, &limits.Limits{}, 9)
 	require.Nil(t, response)
-	assert.Equal(t, 1, slot, "the one that it had")
+	assert.Equal(t, 1, slot, "the tenant keeps its former slot")
 	_, _, response = service.check(request, &limits.Limits{}, 10)
 	assert.Equal(t, 400, response.Status)
 }
--- a/internal/dataplane/frontend/requestids_test.go
+++ b/internal/dataplane/frontend/requestids_test.go
@@ -33,18 +33,19 @@
 		ids.end(hash, time.Duration(i)*time.Hour)
 	}
 	requireKnown(t, ids, "flood99", false)
-	requireKnown(t, ids, "in flight", true) // one in flight is never forgotten
+	requireKnown(t, ids, "in flight", true) // the ID of a request in flight is never dropped
 
 	successor := newRequestIDs(time.Minute, maxEnded)
 	successor.setSeed(ids.seed)
-	successor.importAll(append(ids.export(), 1), time.Second) // and a byte too many
+	successor.importAll(append(ids.export(), 1), time.Second) // with an extra byte at the end
 	requireKnown(t, successor, "in flight", true)
 	requireKnown(t, successor, "later8", true)
 	requireKnown(t, successor, "another", false)
 	ids.end(inFlight, 9*time.Hour)
 }
 
-// A hostile client copies the IDs of others. A copy that is forwarded is rejected by one sound server after another.
+// A hostile client copies the ID of another client's request. If the copy were forwarded, one healthy server after
+// another would reject it.
 func TestServer_DuplicateRequestID(t *testing.T) {
 	_, core, address := startServer(t)
 	owner, copier := dial(t, address), dial(t, address)
@@ -57,6 +58,6 @@
 
 	copier = dial(t, address)
 	copier.sendRequestWithID("mine")
-	copier.requireStatus(t, 409) // nor after the response
+	copier.requireStatus(t, 409) // also after the response
 	assert.Empty(t, core.arrived)
 }
--- a/internal/dataplane/frontend/server_test.go
+++ b/internal/dataplane/frontend/server_test.go
@@ -29,16 +29,16 @@
 	assert.Equal(t, []string{"t1", "t1"}, core.startedRequests())
 }
 
-// The client's time runs from when its request arrived, and not from when it was read: here the cores' clock stands
-// still, but for that wait. On a new connection the request may have been there since the accept, which is before the
-// client has its connection.
+// The client's deadline counts from the arrival of its request, not from when it was read. The cores' clock is constant
+// here, so only the wait between them changes the deadline. On a new connection the request may have arrived right
+// after the accept, and the accept may precede the end of the client's dial.
 func TestServer_DeadlineFromArrival(t *testing.T) {
 	const timeLeft = time.Second
 	_, core, address := startServer(t, pushBack)
 	dialedAt := time.Now()
 	c := dial(t, address)
 	for i := range 3 {
-		// The accept is before the first request, by less than the time in which a connection counts as new.
+		// The first request follows the accept within FinalReadWindow, in which a connection counts as new.
 		time.Sleep(2 * time.Millisecond)
 		arrivedAfter := time.Now()
 		c.sendRequest()
@@ -60,7 +60,7 @@
 	first := testutil.Receive(t, core.arrived)
 	time.Sleep(20 * time.Millisecond)
 	assert.Empty(t, core.arrived)
-	assert.Empty(t, core.gone, "more bytes are no end")
+	assert.Empty(t, core.gone, "more input does not mean that the client has left")
 	first.Orders <- served("one")
 	c.requireStatus(t, 200)
 	testutil.Receive(t, core.arrived).Orders <- abort
@@ -98,7 +98,7 @@
 	a.requireStatus(t, 504) // there is capacity again
 }
 
-// Read to the last byte of its buffer a connection may hold more, of which there is no further event.
+// After a read that fills its buffer the socket may hold more input, without a further event.
 func TestServer_RequestFillsBuffer(t *testing.T) {
 	_, core, address := startServer(t, abort)
 	request := func(padding int) string {
@@ -139,7 +139,7 @@
 	assert.Empty(t, core.arrived)
 }
 
-// streamedBody is what is still to come of a large response.
+// streamedBody is the rest of a large response.
 type streamedBody struct {
 	io.Reader
 	closed chan bool // whether all of it was read
@@ -149,7 +149,7 @@
 
 func (s streamedBody) Close(complete bool) { s.closed <- complete }
 
-// Small requests have to get through among large responses, and nobody holds capacity by reading next to nothing.
+// Small requests must be served during large responses, and a client that reads very slowly must not hold capacity.
 func TestServer_StreamedResponses(t *testing.T) {
 	l := testLimits()
 	l.MaxRequests, l.MaxStreamedRequests, l.MaxClientConnections = 3, 1, 6
@@ -161,18 +161,18 @@
 	rpc := testutil.Receive(t, core.arrived)
 	response := &node.Response{Body: []byte("begun"), BodyStream: body}
 	rpc.Orders <- node.Order{Kind: node.OrderServed, Response: response}
-	line, err := slow.reader.ReadString('\n') // the rest is not read, or a byte at a time
+	line, err := slow.reader.ReadString('\n') // the rest is read one byte at a time
 	require.NoError(t, err)
 	assert.Contains(t, line, "200")
 
 	next := dial(t, address)
 	next.sendRequest()
-	next.requireStatus(t, 503) // the next response of the method would most likely be as large
+	next.requireStatus(t, 503) // the next response of the method is expected to be streamed, too
 
 	assert.False(t, readSlowly(t, slow, body.closed))
 	streamed := func() int64 { return server.streamedRequests.Load() }
 	require.Eventually(t, func() bool { return streamed() == 0 }, eventTimeout, pollInterval)
-	for _, count := range []int64{1, 0} { // until a small response is seen
+	for _, count := range []int64{1, 0} { // until the method has a small response
 		next.sendRequest()
 		rpc := testutil.Receive(t, core.arrived)
 		assert.Equal(t, count, streamed())
@@ -197,7 +197,8 @@
 	}
 }
 
-// A close over unread bytes resets a connection, and small writes that the kernel held back would be lost with it.
+// Connections must have TCP_NODELAY: a close with unread bytes resets a connection, and small writes that the kernel
+// has delayed would be lost.
 func TestServer_NoDelay(t *testing.T) {
 	server, _, address := startServer(t)
 	dial(t, address)
@@ -205,7 +206,7 @@
 	listener := newListener(t)
 	defer listener.Close()
 	dial(t, listener.Addr().String())
-	raw, err := socket.Accept(listener) // out of the queue of a listener that closes, and as from another process
+	raw, err := socket.Accept(listener) // as from the queue of a listener that closes, or from another process
 	require.NoError(t, err)
 	require.NotNil(t, raw)
 	server.Adopt(raw, true)
@@ -227,7 +228,7 @@
 
 func TestServer_AttemptOrderedForGoneClient(t *testing.T) {
 	_, core, address := startServer(t)
-	core.onClientGone = func(rpc *node.RPC) { rpc.Orders <- send } // ordered as the core was notified
+	core.onClientGone = func(rpc *node.RPC) { rpc.Orders <- send } // ordered while the core is notified
 	c := dial(t, address)
 	c.sendRequest()
 	rpc := testutil.Receive(t, core.arrived)
--- a/internal/dataplane/frontend/shutdown_test.go
+++ b/internal/dataplane/frontend/shutdown_test.go
@@ -19,15 +19,15 @@
 	"robincart/internal/testutil"
 )
 
-// drain drains a server, and aborts what is in flight after a time.
+// drain drains a server, and aborts the requests in flight after a timeout.
 func drain(s *Server, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return s.Drain(ctx)
 }
 
-// A client that connects right before idle connections are closed has its request on the way: the close must not cross
-// it.
+// A client connects right before idle connections are closed, and its first request is on its way. The connection must
+// not be closed before the request arrives.
 func TestServer_DrainServesNewConnections(t *testing.T) {
 	for name, startDraining := range map[string]func(*Server){
 		"lame duck": func(s *Server) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// A request can be on its way to a connection that the server has just chosen to close, before its event is handled.
-func TestServer_ServesRequestThatCrossesClose(t *testing.T) {
+// A request arrives on a connection that the server has already chosen to close, and its event is not handled yet.
+func TestServer_RequestRacesWithClose(t *testing.T) {
 	server, core, _ := startServer(t)
 	listener := newListener(t)
 	defer listener.Close()
@@ -83,8 +83,8 @@
 	assert.True(t, r.Close)
 }
 
-// One client has the only connection, the next is in the hands of the accept loop, and the last ones are known to the
-// kernel alone when the listener is to close.
+// When the listener is to close, the first client has the only connection, the accept loop holds the second connection,
+// and the others are in the listener's queue.
 func TestCloseListeners_ServesQueue(t *testing.T) {
 	l := testLimits()
 	l.MaxClientConnections, l.EvictableAfter = 1, 20*time.Second
@@ -111,7 +111,7 @@
 	}
 	assert.NoError(t, testutil.Receive(t, ended))
 	_, err := net.Dial("tcp", address)
-	assert.Error(t, err, "the listener is closed in the end")
+	assert.Error(t, err, "the listener is closed at the end")
 }
 
 func TestServer_LastResponseWithUnreadInput(t *testing.T) {
@@ -129,19 +129,19 @@
 	assert.Empty(t, core.arrived)
 }
 
-// With all connections in use the next one waits for its turn. It must not keep the process from its end.
+// All connections are in use, and a new one waits for capacity. It must not delay the end of the process.
 func TestDrain_AtConnectionLimit(t *testing.T) {
 	server, core, address := startServer(t)
-	a, b, half := dial(t, address), dial(t, address), dial(t, address)
-	half.sendRequest()
+	a, b, partial := dial(t, address), dial(t, address), dial(t, address)
+	partial.sendRequest()
 	testutil.Receive(t, core.arrived).Orders <- served("")
-	half.receive(t) // one that has had no request yet would be evicted
+	partial.receive(t) // a connection without a request would be evicted
 	a.sendRequest()
 	testutil.Receive(t, core.arrived)
 	b.sendRequest()
 	testutil.Receive(t, core.arrived)
-	io.WriteString(half, "GET /fi")
-	// Only now: one more connection evicts those that have had no request by then.
+	io.WriteString(partial, "GET /fi")
+	// Dialed last, since a further connection evicts those without a request.
 	waiting := dial(t, address)
 	waiting.sendRequest()
 	server.BeginShutdown()
@@ -157,7 +157,7 @@
 		orders      []node.Order
 		status      int
 	}{
-		"sent, non-idempotent":   {decide.NonIdempotent, []node.Order{send}, 504}, // it may have run
+		"sent, non-idempotent":   {decide.NonIdempotent, []node.Order{send}, 504}, // the server may have processed it
 		"sent, deduplicated":     {decide.Deduplicated, []node.Order{send}, 504},
 		"sent, idempotent":       {decide.Idempotent, []node.Order{send}, 503},
 		"unsent, non-idempotent": {decide.NonIdempotent, nil, 503},
@@ -182,8 +182,8 @@
 	}
 }
 
-// startAborting starts a server that aborts what is in flight as the first RPC arrives. Its response has time to be
-// written.
+// startAborting starts a server that aborts the requests in flight when the first RPC arrives. There is enough time to
+// write its response.
 func startAborting(t *testing.T, orders ...node.Order) (*Server, *fakeCore, string) {
 	l := testLimits()
 	l.ShutdownWriteTime = 20 * time.Second
@@ -197,7 +197,7 @@
 	return server, core, address
 }
 
-// Go chooses at random among what is ready, so one run would not tell.
+// A select chooses at random among the cases that are ready, so a single run could pass by chance.
 func TestDrain_AbortPrefersResponseToAttempt(t *testing.T) {
 	for range 20 {
 		server, core, address := startAborting(t, send, served("well"))
@@ -207,7 +207,7 @@
 		c.Close()
 		requireConnCount(t, server, 0)
 		assert.Empty(t, core.startedRequests())
-		assert.Equal(t, []decide.Result{decide.NotSent}, core.attemptResults(), "its server's count is released")
+		assert.Equal(t, []decide.Result{decide.NotSent}, core.attemptResults(), "the attempt count is released")
 	}
 }
 
@@ -221,17 +221,17 @@
 	testutil.Receive(t, core.arrived)
 	c.Close()
 	requireConnCount(t, server, 0)
-	assert.Empty(t, core.arrived, "a request that is read after the abort is not begun")
+	assert.Empty(t, core.arrived, "a request that is read after the abort is not started")
 	assert.Empty(t, core.startedRequests())
 }
 
-// On a busy machine the last responses may take longer than they are given: a connection with a pending response is not
-// closed over it.
+// On a busy machine the last responses may take longer than ShutdownWriteTime. A connection with a pending response
+// must not be closed then.
 func TestDrain_LateResponse(t *testing.T) {
 	l := testLimits()
 	l.ShutdownWriteTime = time.Millisecond
 	server, core, address := startServerWith(t, l)
-	core.onClientGone = func(*node.RPC) { time.Sleep(100 * time.Millisecond) } // the response follows it
+	core.onClientGone = func(*node.RPC) { time.Sleep(100 * time.Millisecond) } // delays the response
 	idle, c := dial(t, address), dial(t, address)
 	idle.sendRequest()
 	testutil.Receive(t, core.arrived).Orders <- pushBack
