--- a/internal/dataplane/frontend/accept.go
+++ b/internal/dataplane/frontend/accept.go
@@ -15,8 +15,7 @@
 	"robincart/internal/system/telemetry"
 )
 
-// maxWatchRetries is how many times the registration of a connection with the poller is retried after transient
-// errors.
+// maxWatchRetries limits how often the registration of a connection with the poller is retried after transient errors.
 const maxWatchRetries = 100
 
 // Serve starts a goroutine that accepts connections of HTTP clients until the listener is closed. Several listeners may
--- a/internal/dataplane/frontend/connstate.go
+++ b/internal/dataplane/frontend/connstate.go
@@ -41,8 +41,8 @@
 	stateClosed                        // closed, or handed over to another process
 )
 
-// closable reports whether no goroutine serves the connection or is about to. Any holder of the server's mutex may
-// close it then. Its timer runs in these states.
+// closable reports whether any holder of the server's mutex may close the connection: no goroutine serves it or is
+// about to. Its timer runs in these states.
 func (s connState) closable() bool { return s == stateIdle || s == stateLingering }
 
 // responsePending reports whether a request was read and its response is not written yet.
--- a/internal/dataplane/frontend/gatewayparams.go
+++ b/internal/dataplane/frontend/gatewayparams.go
@@ -267,8 +267,8 @@
 	return false
 }
 
-// isHeaderParam reports whether a param has a name that CGI derives from the name of a header. Any other name could end
-// the header line.
+// isHeaderParam reports whether a param has a name that CGI derives from the name of a header. Other names may contain
+// bytes that end the header line.
 func isHeaderParam(name []byte) bool {
 	if !bytes.HasPrefix(name, []byte(headerParamPrefix)) || len(name) == len(headerParamPrefix) {
 		return false
--- a/internal/dataplane/frontend/request.go
+++ b/internal/dataplane/frontend/request.go
@@ -216,7 +216,7 @@
 	}
 }
 
-// release returns all resources that are held for the request, those acquired last first.
+// release releases everything that is held for the request, in reverse order of acquisition.
 func (x *exchange) release() {
 	s := x.conn.server
 	x.deactivate()
--- a/internal/dataplane/frontend/timers.go
+++ b/internal/dataplane/frontend/timers.go
@@ -7,8 +7,8 @@
 	"robincart/internal/system/timingwheel"
 )
 
-// maxTimersAtOnce is the maximum number of connections that are closed in one batch. Otherwise very many timers that
-// end at once would delay the active connections.
+// maxTimersAtOnce limits how many connections are closed in one batch, so that many timers that end at once do not
+// delay the active connections.
 const maxTimersAtOnce = 64
 
 // armTimers schedules expireTimers for the end of the next timer. The caller must hold s.mu.
--- a/internal/dataplane/frontend/transfer.go
+++ b/internal/dataplane/frontend/transfer.go
@@ -50,7 +50,8 @@
 	return true
 }
 
-// resumeAfterTransfer serves a connection that could not be sent. An event in the meantime has not woken it.
+// resumeAfterTransfer serves a connection that could not be sent. It does not wait for an event, since the poller does
+// not repeat one that came during the transfer.
 func (s *Server) resumeAfterTransfer(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
