--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A burst is pushed back before the first late answer.
+// A burst must be pushed back before the first late answer.
 func TestBalancer_AdmissionBurst(t *testing.T) {
 	h, _ := newTestBalancer(4, nil)
 	_, pushedBack := h.offerLoad(20, 0.05, constantLatency(0.5))
@@ -16,13 +16,13 @@
 	assert.Greater(t, pushedBack, admitted)
 }
 
-// A slowdown of all servers does not leave them idle.
+// A slowdown of all servers must not lower the limit so far that servers are idle.
 func TestBalancer_AdmissionSlowdown(t *testing.T) {
 	h, _ := newTestBalancer(4, nil)
 	h.offerLoad(20, 0.05, constantLatency(0.5))
-	usual := h.balancer.admission.usualOpen
+	baseline := h.balancer.admission.baselineOpen
 	h.offerLoad(20, 0.05, constantLatency(2.2))
-	assert.GreaterOrEqual(t, h.balancer.admission.limit, usual*0.2)
+	assert.GreaterOrEqual(t, h.balancer.admission.limit, baseline*0.2)
 	assert.NotEmpty(t, h.pushedBack)
 }
 
@@ -34,7 +34,8 @@
 	assert.Empty(t, h.pushedBack, "a pushback would waste the work of the tiers above")
 }
 
-// Hundreds of nodes before servers that never answer do not hold two RPCs each.
+// Hundreds of nodes send to servers that never answer. They must not keep two open RPCs each: a minimum per node adds
+// up to an overload that never ends.
 func TestBalancer_AdmissionOverload(t *testing.T) {
 	const nodes, interval = 200, 0.8
 	open := 0
@@ -46,7 +47,7 @@
 		h.offerLoad(40, interval, constantLatency(-1))
 		open += h.balancer.openRPCs
 	}
-	assert.Less(t, open, 300, "a minimum at each node adds up to an overload that never ends")
+	assert.Less(t, open, 300, "a minimum per node adds up to an overload that never ends")
 }
 
 func TestBalancer_AdmissionLowRate(t *testing.T) {
@@ -64,10 +65,10 @@
 		}
 		pushedBack += len(h.pushedBack)
 	}
-	assert.Less(t, pushedBack, arrived/40, "one or two open by chance are no overload")
+	assert.Less(t, pushedBack, arrived/40, "one or two RPCs that are open at random are not an overload")
 }
 
-// At a node with little traffic the prior of the mean wait does not hide that all RPCs are late.
+// At a node with little traffic the prior of the mean wait must not hide that all RPCs are late.
 func TestBalancer_MeanWaitAtLowRate(t *testing.T) {
 	h, _ := newTestBalancer(100, func(s *Settings) { s.Instances = 300 })
 	for range 8 {
@@ -77,9 +78,9 @@
 	assert.Greater(t, h.balancer.admission.meanWait(h.now), waitGoal)
 }
 
-// With more nodes than some fourteen times the servers the limit at the start was below one, and every node rejected all
-// that it got, for good: 440 nodes before 20 servers sent nothing. After an overload it was so from five nodes a server
-// on.
+// A limit below one must not reject every RPC forever. The limit at the start is below one if there are more than about
+// fourteen nodes per server: 440 nodes with 20 servers then sent nothing. After an overload the same happened with five
+// or more nodes per server.
 func TestBalancer_ConcurrencyLimitBelowOne(t *testing.T) {
 	const latency = 0.1
 	f := newFleet(fleetShape{nodes: 440, servers: 20, capacity: 10, load: 0.5, seed: 1, latency: latency})
@@ -94,7 +95,7 @@
 		}
 		return nodes
 	}
-	assert.Less(t, nodesWithoutAnswers(), 20, "from the start; the quietest get an RPC every 7 s")
+	assert.Less(t, nodesWithoutAnswers(), 20, "after the start; the nodes with the least traffic get one RPC every 7 s")
 	f.shape.latency = 40 * latency
 	f.demand = func(int, float64) float64 { return 3 }
 	f.advanceTo(f.now + 20)
--- a/decide/attempts.go
+++ b/decide/attempts.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// attemptRateHalfLife is the half-life of the number of attempts sent lately, in seconds.
+// attemptRateHalfLife is the half-life, in seconds, of the decaying count of attempts sent.
 const attemptRateHalfLife = 5.0
 
 // send sends an RPC's next attempt to a server.
@@ -10,7 +10,7 @@
 	a := b.newAttempt(r, s, now)
 	b.slowStart.sent(&s.slowStart, s.startedAt, now)
 	if r.firstMayHaveRun == nil {
-		r.firstMayHaveRun = a // until its result proves that it did not
+		r.firstMayHaveRun = a // assumed until its result proves that it did not
 	}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
@@ -25,7 +25,7 @@
 	}
 }
 
-// newAttempt makes an attempt with what is expected of it.
+// newAttempt creates an attempt and records the latency expected of it.
 func (b *Balancer) newAttempt(r *RPC, s *Server, now float64) *Attempt {
 	typical := b.methods[r.Method].typicalLatency(now)
 	row := b.qTable.row(r.Method, r.Tenant, len(s.inFlight))
@@ -37,7 +37,8 @@
 		row:             row,
 		expectedLatency: expected,
 		extraLatency:    extra,
-		// Where answers take next to nothing, the node's own pauses would pass for hung servers.
+		// Where latencies are very short, the lower bound keeps pauses of the node itself from counting as late
+		// answers.
 		lateAfter:     max(lateLatencyFactor*(expected+max(extra, 0)), negligibleWait*r.rules.LatencyObjective),
 		withoutReport: b.loadReports.sent(s.load.freshness(typical, now), now),
 	}}
@@ -45,8 +46,8 @@
 	return a
 }
 
-// ResponseStarted is a streamed answer that has begun: from now on the client owns the attempt, and the others of its
-// RPC are canceled.
+// ResponseStarted handles the start of a streamed answer. From now on the RPC neither expires nor is hedged, and its
+// other attempts are canceled.
 func (b *Balancer) ResponseStarted(a *Attempt) {
 	a.RPC.streaming = true
 	for _, other := range a.RPC.attempts {
@@ -56,8 +57,8 @@
 	}
 }
 
-// AttemptDone is an attempt's result after so many seconds, with the server's load report if it gave one. With rpcEnded
-// set the RPC has ended, by this result or earlier.
+// AttemptDone handles an attempt's result. took is the attempt's duration in seconds, and load is the server's load
+// report or nil. rpcEnded says that the RPC has ended, by this result or earlier.
 func (b *Balancer) AttemptDone(a *Attempt, result Result, rpcEnded bool, took float64, load *LoadReport) {
 	now := b.host.Now()
 	r := a.RPC
@@ -78,7 +79,7 @@
 	}
 }
 
-// removeInFlight takes an attempt that has ended out of what is in flight.
+// removeInFlight removes an attempt that has ended from the attempts in flight.
 func (b *Balancer) removeInFlight(a *Attempt) {
 	a.inFlight = false
 	a.RPC.inFlight--
@@ -87,7 +88,7 @@
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(o *Attempt) bool { return o == a })
 }
 
-// cancel cancels an attempt that is in flight, where that is allowed.
+// cancel cancels an attempt that is in flight, if cancels are allowed.
 func (b *Balancer) cancel(a *Attempt) {
 	if a.inFlight && b.mayCancel {
 		b.host.Cancel(a)
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -2,52 +2,52 @@
 
 import "math/rand"
 
-// Balancer decides for one instance. It composes the decisions: each has its state and its rules in a type of its own.
-// Its methods must not be called concurrently.
+// Balancer makes the decisions of one instance. It is composed of one type for each decision, with that decision's
+// state and rules. Its methods must not be called concurrently.
 type Balancer struct {
 	host Host
 	rng  *rand.Rand
 
-	// Settings, by the slots of methods and tenants.
-	zone            int
-	innerTier       bool    // other nodes send to this one, not clients
-	nodeShare       float64 // this node's part of its tier's nodes
+	// Settings. Methods and tenants are indexed by slot.
+	zone            int     // of this node
+	innerTier       bool    // nodes of the previous stage send to this node, not clients
+	nodeShare       float64 // 1 / number of nodes in the tier
 	hedging         bool
 	mayCancel       bool
 	maxRetryAfter   float64 // seconds
-	overQuotaWeight float64 // times its weight, for an RPC beyond its tenant's quota
-	crossZoneCost   float64
+	overQuotaWeight float64 // factor on the weight of an RPC that exceeds its tenant's quota
+	crossZoneCost   float64 // Settings.CrossZoneCost
 	methods         []methodState
 	tenants         []tenantQuota
 
-	// RPCs and attempts.
+	// RPCs and attempts of this node.
 	admission        admission
 	openRPCs         int
 	attemptsInFlight int
-	attemptsSent     decayingValue
+	attemptsSent     decayingValue // decaying count, half-life attemptRateHalfLife
 	hedgeBudget      hedgeBudget
 
 	// The endpoint list.
 	watch        watchBackoff
-	listVersion  int // counts watch events
-	servers      []*Server
+	listVersion  int       // number of watch events applied
+	servers      []*Server // those listed, and those with attempts in flight
 	readyServers int
 	meanWeight   float64 // of the ready servers
 
-	// What is expected of servers.
-	qTable            qTable
-	fleetPace         pace    // of all servers tried
-	unknownServerPace float64 // as of the last search
-	loadReports       loadReports
-	idleConnections   idleConnections
-	slowStart         slowStart
+	// Estimates.
+	qTable             qTable
+	fleetLatencyRatio  latencyRatio // over all servers that got attempts
+	unknownServerPrior float64      // prior for servers without samples, as of the last search
+	loadReports        loadReports
+	idleConnections    idleConnections
+	slowStart          slowStart
 
-	// The choice of a server.
+	// Selection of servers.
 	subset     subset
-	candidates []candidate // of the last search; the next one uses their memory again
+	candidates []candidate // of the last search; the next search reuses the memory
 }
 
-// New starts an instance. All its random choices follow from the seed.
+// New creates the Balancer of an instance. The seed determines all its random choices.
 func New(host Host, settings Settings, seed int64) *Balancer {
 	b := &Balancer{host: host, rng: rand.New(rand.NewSource(seed))}
 	b.applySettings(&settings)
@@ -58,7 +58,7 @@
 	return b
 }
 
-// TimerFired is the end of a timer that was set with Host.StartTimer.
+// TimerFired handles the end of a timer that was set with Host.StartTimer.
 func (b *Balancer) TimerFired(payload any) {
 	now := b.host.Now()
 	switch p := payload.(type) {
--- a/decide/configure.go
+++ b/decide/configure.go
@@ -2,14 +2,15 @@
 
 import "math"
 
-// methodRules are a method's settings as they apply to its RPCs. An RPC keeps the rules under which it arrived.
+// methodRules holds a method's settings in the form that applies to its RPCs. An RPC keeps the rules that applied at
+// its arrival.
 type methodRules struct {
 	Method
-	relativeWeight float64 // its priority weight as a part of the highest
-	maxAttempts    int     // of an RPC; fewer for methods of less weight
+	relativeWeight float64 // PriorityWeight divided by the highest of all methods
+	maxAttempts    int     // per RPC: 1 + ceil((Settings.MaxAttempts - 1) * cbrt(relativeWeight))
 }
 
-// newMethodRules makes the rules of a method, for the highest priority weight of all methods.
+// newMethodRules derives the rules of a method. highestWeight is the highest priority weight of all methods.
 func newMethodRules(method Method, highestWeight float64, maxAttempts int) *methodRules {
 	rules := &methodRules{Method: method, relativeWeight: 1}
 	if highestWeight > 0 {
@@ -20,8 +21,7 @@
 	return rules
 }
 
-// UpdateSettings takes other settings. What was learnt stays; RPCs that are open keep the rules under which they
-// arrived.
+// UpdateSettings replaces the settings. All estimates are kept. Open RPCs keep the rules that applied at their arrival.
 func (b *Balancer) UpdateSettings(settings Settings) {
 	b.applySettings(&settings)
 	for _, s := range b.servers {
@@ -29,10 +29,11 @@
 	}
 }
 
-// Method is the settings under which RPCs of the method in a slot arrive now, also of one that has left the settings.
+// Method returns the settings that apply to new RPCs of the method in a slot, also of a method that is no longer in the
+// settings.
 func (b *Balancer) Method(slot int) Method { return b.methods[slot].Method }
 
-// applySettings makes settings take effect.
+// applySettings puts the settings into effect.
 func (b *Balancer) applySettings(settings *Settings) {
 	b.zone = settings.Zone
 	b.innerTier = settings.Stage > 0
@@ -47,8 +48,8 @@
 	b.qTable.addTenants(max(1, len(b.tenants)))
 }
 
-// configureMethods gives methods their rules by their slots. A method that is empty has left the settings: its slot
-// keeps the rules that its last RPCs need.
+// configureMethods sets the rules of the methods by slot. An empty method is one that is no longer in the settings: its
+// slot keeps its rules for its last RPCs.
 func (b *Balancer) configureMethods(settings *Settings) {
 	highestWeight := 0.0
 	for _, m := range settings.Methods {
@@ -65,7 +66,7 @@
 	}
 }
 
-// configureTenants gives tenants their quotas by their slots.
+// configureTenants sets the quotas of the tenants by slot.
 func (b *Balancer) configureTenants(tenants []Tenant) {
 	missing := max(0, len(tenants)-len(b.tenants))
 	b.tenants = append(b.tenants, make([]tenantQuota, missing)...)
--- a/decide/connections.go
+++ b/decide/connections.go
@@ -3,20 +3,20 @@
 import "math"
 
 const (
-	idleHalfLife       = 10.0 // seconds in which the longest idle time doubles again after it was cut
-	idleSafety         = 0.7  // the part of an idle time that was too long which is trusted from then on
-	silentServerWindow = 20.0 // seconds within which two servers must fall silent to make idle times the cause
-	setupHalfLife      = 20.0 // seconds; of what opening a connection costs
+	idleHalfLife       = 10.0 // seconds; half-life of longestWorking, and the time in which maxIdle doubles
+	idleDecreaseFactor = 0.7  // times an idle time that was too long: the new maximum
+	timeoutWindow      = 20.0 // seconds; idle connections are the cause if attempts at two servers time out within it
+	setupHalfLife      = 20.0 // seconds; of the mean cost of opening a connection
 )
 
-// serverConnections is what the node knows of its connections to one server.
+// serverConnections is the state of the node's connections to one server.
 type serverConnections struct {
-	open       bool    // there is one
-	idleBroken bool    // an idle one has swallowed an attempt
-	lastUsedAt float64 // seconds; when one last carried something; 0: never
+	open       bool    // there is an open connection
+	idleStale  bool    // an attempt on an idle connection got no answer
+	lastUsedAt float64 // seconds; when a connection was last used; 0: never
 }
 
-// ended notes an attempt's result: an answer leaves a connection that can be used again.
+// ended records an attempt's result: an answer leaves a connection that can be reused.
 func (c *serverConnections) ended(result Result) {
 	switch result {
 	case OK:
@@ -26,17 +26,17 @@
 	}
 }
 
-// used notes that a connection has just carried something.
+// used records that a connection has just been used.
 func (c *serverConnections) used(now float64) { c.lastUsedAt = now }
 
-// closed notes that the idle ones have been closed.
-func (c *serverConnections) closed() { c.idleBroken, c.open = false, false }
+// closed records that the idle connections have been closed.
+func (c *serverConnections) closed() { c.idleStale, c.open = false, false }
 
-// broke notes that an idle one has swallowed an attempt.
-func (c *serverConnections) broke() { c.idleBroken, c.open = true, false }
+// markStale records that an attempt on an idle connection got no answer.
+func (c *serverConnections) markStale() { c.idleStale, c.open = true, false }
 
-// idleTime is how long the connection has been idle that an attempt would reuse. Reuse is possible where one has been
-// used before and there is no other attempt in flight.
+// idleTime returns how long the connection that an attempt would reuse has been idle, in seconds. A connection is
+// reused if one was used before and no other attempt is in flight.
 func (c *serverConnections) idleTime(othersInFlight int, now float64) (idle float64, reuse bool) {
 	if c.lastUsedAt == 0 || othersInFlight > 0 {
 		return 0, false
@@ -44,55 +44,57 @@
 	return now - c.lastUsedAt, true
 }
 
-// idleConnections decides how long an idle connection is trusted. Where idle connections are dropped unseen, what is
-// sent on one gets no answer, whatever the state of the server.
+// idleConnections decides how long a connection may be idle and still be reused. Idle connections may be dropped
+// without being closed. An attempt on such a connection gets no answer, whatever the state of the server.
 type idleConnections struct {
-	setup        decayingMean  // seconds that attempts took longer which opened a connection
-	maxIdle      float64       // seconds at maxIdleAt, doubles in each idleHalfLife; 0: all are trusted
-	maxIdleAt    float64       // seconds
-	longestGood  decayingValue // seconds; the longest idle time after which a connection still worked
-	lastSilent   *Server       // the server whose idle connection last swallowed an attempt
-	lastSilentAt float64       // seconds
+	setup          decayingMean  // seconds by which attempts that opened a connection took longer than expected
+	maxIdle        float64       // seconds; longest idle time for reuse, as of maxIdleAt; 0: no limit
+	maxIdleAt      float64       // seconds; time of the last decrease of maxIdle
+	longestWorking decayingValue // seconds; decaying maximum of the idle times after which a connection still worked
+	lastTimedOut   *Server       // the last server at which an attempt on an idle connection got no answer
+	lastTimedOutAt float64       // seconds; when that attempt timed out
 }
 
-// setupTime is what a new connection adds to an answer, in seconds.
+// setupTime returns the mean time in seconds that a new connection adds to an answer.
 func (c *idleConnections) setupTime(now float64) float64 {
 	return c.setup.read(now, setupHalfLife, 0, 1)
 }
 
-// opened notes what an attempt that opened a connection took longer than expected, in seconds.
+// opened adds a sample: the time in seconds by which an attempt that opened a connection took longer than expected.
 func (c *idleConnections) opened(extra, now float64) { c.setup.add(max(0, extra), now, setupHalfLife) }
 
-// worked notes that a connection which had been idle has carried an answer.
-func (c *idleConnections) worked(idle, now float64) { c.longestGood.raiseTo(idle, now, idleHalfLife) }
+// worked records that a connection carried an answer after it had been idle for the given seconds.
+func (c *idleConnections) worked(idle, now float64) {
+	c.longestWorking.raiseTo(idle, now, idleHalfLife)
+}
 
-// isTooLong reports whether a connection idle for so many seconds is not to be trusted.
+// isTooLong reports whether a connection that has been idle for the given seconds must not be reused. The longest
+// allowed time is maxIdle * 2^(age/idleHalfLife), where age is the time since maxIdleAt.
 func (c *idleConnections) isTooLong(idle, now float64) bool {
 	return c.maxIdle > 0 && idle > c.maxIdle*math.Exp2((now-c.maxIdleAt)/idleHalfLife)
 }
 
-// fellSilent notes an attempt that got no answer after its connection had been idle, and reports whether the connection
-// may be the cause. Where that happens with two servers within a short time, idle connections of that age are no longer
-// trusted.
-func (c *idleConnections) fellSilent(s *Server, idle, now float64) bool {
-	longestGood := c.longestGood.read(now, idleHalfLife)
-	if idle <= longestGood {
+// timedOut records an attempt that got no answer on a connection that had been idle, and reports whether the connection
+// may be the cause. If that happens at two servers within timeoutWindow, the longest idle time for reuse is reduced.
+func (c *idleConnections) timedOut(s *Server, idle, now float64) bool {
+	longestWorking := c.longestWorking.read(now, idleHalfLife)
+	if idle <= longestWorking {
 		return false
 	}
-	if c.lastSilent != nil && c.lastSilent != s && now < c.lastSilentAt+silentServerWindow {
-		c.maxIdle = max(idleSafety*idle, longestGood)
+	if c.lastTimedOut != nil && c.lastTimedOut != s && now < c.lastTimedOutAt+timeoutWindow {
+		c.maxIdle = max(idleDecreaseFactor*idle, longestWorking)
 		c.maxIdleAt = now
 	}
-	c.lastSilent, c.lastSilentAt = s, now
+	c.lastTimedOut, c.lastTimedOutAt = s, now
 	return true
 }
 
-// prepareConnection closes a server's idle connections where they are not to be trusted with the attempt, which is
-// already in flight.
+// prepareConnection closes a server's idle connections if the attempt must not reuse them. The attempt already counts
+// as in flight.
 func (b *Balancer) prepareConnection(a *Attempt, now float64) {
 	s := a.Server
 	idle, reuse := s.connections.idleTime(len(s.inFlight)-1, now)
-	if reuse && (s.connections.idleBroken || b.idleConnections.isTooLong(idle, now)) {
+	if reuse && (s.connections.idleStale || b.idleConnections.isTooLong(idle, now)) {
 		b.host.CloseIdleConnections(s)
 		s.connections.closed()
 		idle = 0
--- a/decide/connections_test.go
+++ b/decide/connections_test.go
@@ -6,13 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// On parkvej-dk a connection idle for a second swallowed half of the attempts while idle ones were dropped unseen.
-func TestBalancer_BrokenIdleConnections(t *testing.T) {
+// The network may drop idle connections without closing them: attempts on them get no answer. While that happened, half
+// of the attempts on connections that had been idle for one second were lost.
+func TestBalancer_StaleIdleConnections(t *testing.T) {
 	h, _ := newTestBalancer(4, func(s *Settings) { s.Hedging = false })
 	h.answerOneByOne(200, constantLatency(0.05)) // never idle for long
 	assert.Empty(t, h.closedIdle)
-	silent := map[*Server]bool{}
-	for range 8 { // what is sent on an idle connection gets no answer
+	timedOut := map[*Server]bool{}
+	for range 8 { // an attempt on an idle connection gets no answer
 		h.advanceTo(h.now + 3)
 		h.arrive(lookup)
 		a := h.lastSent()
@@ -21,17 +22,17 @@
 			h.finish(a, OK) // on a new connection
 			continue
 		}
-		silent[a.Server] = true
+		timedOut[a.Server] = true
 		h.advanceTo(h.now + 2.6)
 		if a.inFlight {
 			h.finish(a, Canceled)
 		}
 	}
-	assert.LessOrEqual(t, len(silent), 4, "two set the longest idle time; the others are sent to on new connections")
+	assert.LessOrEqual(t, len(timedOut), 4, "two time-outs set the longest idle time")
 	assert.NotEmpty(t, h.closedIdle)
 	closed := len(h.closedIdle)
 	h.answerOneByOne(100, constantLatency(0.05))
-	assert.LessOrEqual(t, len(h.closedIdle)-closed, 4, "connections in use are left alone")
+	assert.LessOrEqual(t, len(h.closedIdle)-closed, 4, "connections in use are not closed")
 }
 
 func TestIdleConnections(t *testing.T) {
@@ -39,12 +40,12 @@
 	first, second := &Server{}, &Server{}
 	var c idleConnections
 	c.worked(1, now)
-	assert.False(t, c.fellSilent(first, 0.5, now), "a shorter idle time than one that worked is not the cause")
-	assert.True(t, c.fellSilent(first, 4, now))
-	assert.True(t, c.fellSilent(first, 4, now))
-	assert.False(t, c.isTooLong(1000, now), "one server alone may be at fault")
-	assert.True(t, c.fellSilent(second, 4, now))
+	assert.False(t, c.timedOut(first, 0.5, now), "an idle time shorter than one that worked is not the cause")
+	assert.True(t, c.timedOut(first, 4, now))
+	assert.True(t, c.timedOut(first, 4, now))
+	assert.False(t, c.isTooLong(1000, now), "a single server may itself be the cause")
+	assert.True(t, c.timedOut(second, 4, now))
 	assert.True(t, c.isTooLong(3, now))
 	assert.False(t, c.isTooLong(2.5, now))
-	assert.False(t, c.isTooLong(3, now+idleHalfLife), "longer times are tried again")
+	assert.False(t, c.isTooLong(3, now+idleHalfLife), "longer idle times are allowed again")
 }
--- a/decide/decaying.go
+++ b/decide/decaying.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// decayingValue halves with each half-life. It is brought up to date when it is read. All calls on one value take the
-// same half-life, in seconds. The zero value is 0.
+// decayingValue is a value that decays exponentially: after t seconds it is value * 2^(-t/halfLife). It is updated when
+// it is read. All calls on one value must pass the same half-life, in seconds. The zero value is 0.
 type decayingValue struct {
 	value     float64
 	updatedAt float64 // seconds
 }
 
-// read is the value now.
+// read returns the current value.
 func (d *decayingValue) read(now, halfLife float64) float64 {
 	if now > d.updatedAt {
 		d.value *= math.Exp2((d.updatedAt - now) / halfLife)
@@ -18,21 +18,21 @@
 	return d.value
 }
 
-// peek is the value now, as read has it, without bringing it up to date.
+// peek returns what read would return, without updating the value.
 func (d *decayingValue) peek(now, halfLife float64) float64 {
 	return d.value * math.Exp2((d.updatedAt-now)/halfLife)
 }
 
-// add makes the value a decaying sum.
+// add adds x to the value, which makes it a decaying sum.
 func (d *decayingValue) add(x, now, halfLife float64) { d.value = d.read(now, halfLife) + x }
 
-// raiseTo makes the value a decaying maximum.
+// raiseTo raises the value to x if it is lower, which makes it a decaying maximum.
 func (d *decayingValue) raiseTo(x, now, halfLife float64) { d.value = max(d.read(now, halfLife), x) }
 
-// decayingMean is a mean of samples whose weights halve with each half-life. The zero value has no samples.
+// decayingMean is a mean of samples whose weights halve in each half-life. The zero value has no samples.
 type decayingMean struct {
 	sum    decayingValue
-	weight decayingValue // of all samples; a new one has a weight of one
+	weight decayingValue // of all samples; a new sample has a weight of one
 }
 
 // add adds a sample.
@@ -41,10 +41,10 @@
 	m.weight.add(1, now, halfLife)
 }
 
-// samples is the weight of all samples.
+// samples returns the total weight of all samples; a new sample has a weight of one.
 func (m *decayingMean) samples(now, halfLife float64) float64 { return m.weight.read(now, halfLife) }
 
-// read is the mean, in which a prior counts as much as priorWeight new samples.
+// read returns (sum + prior*priorWeight) / (weight + priorWeight): the prior counts as priorWeight new samples.
 func (m *decayingMean) read(now, halfLife, prior, priorWeight float64) float64 {
 	const minWeight = 1e-9 // with neither samples nor prior the mean is 0
 	return (m.sum.read(now, halfLife) + prior*priorWeight) / max(m.samples(now, halfLife)+priorWeight, minWeight)
--- a/decide/decaying_test.go
+++ b/decide/decaying_test.go
@@ -12,7 +12,7 @@
 	var d decayingValue
 	d.add(8, 100, halfLife)
 	assert.InDelta(t, 4, d.peek(100+halfLife, halfLife), 1e-9)
-	assert.InDelta(t, 8, d.read(100, halfLife), 1e-9, "peek changes nothing")
+	assert.InDelta(t, 8, d.read(100, halfLife), 1e-9, "peek does not change the value")
 	assert.InDelta(t, 2, d.read(100+2*halfLife, halfLife), 1e-9)
 	d.raiseTo(1, 100+2*halfLife, halfLife)
 	assert.InDelta(t, 2, d.read(100+2*halfLife, halfLife), 1e-9)
@@ -20,7 +20,7 @@
 	assert.InDelta(t, 5, d.read(100+3*halfLife, halfLife), 1e-9)
 }
 
-// A mean lies between the lowest and the highest of its samples and its prior.
+// A mean must lie between the lowest and the highest of its samples and its prior.
 func TestDecayingMean(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.Float64Range(0, 100)
--- a/decide/ejection_test.go
+++ b/decide/ejection_test.go
@@ -33,20 +33,20 @@
 func TestOutlierState(t *testing.T) {
 	const now = 100.0
 	var o outlierState
-	for range ejectAfter - 1 {
+	for range ejectionThreshold - 1 {
 		o.failed(now)
 		assert.True(t, o.isHealthy(1, now))
 	}
 	o.failed(now)
 	assert.True(t, o.isEjected(now))
 	o.failed(now + minEjectionTime/2)
-	assert.Equal(t, now+minEjectionTime, o.ejectedUntil, "a failure while it is ejected changes nothing")
+	assert.Equal(t, now+minEjectionTime, o.ejectedUntil, "a failure during the ejection does not extend it")
 
 	trial := now + minEjectionTime
-	assert.True(t, o.isHealthy(0, trial), "a single attempt at a time")
+	assert.True(t, o.isHealthy(0, trial), "a half-open server gets one attempt at a time")
 	assert.False(t, o.isHealthy(1, trial))
 	o.failed(trial)
-	assert.Equal(t, trial+2*minEjectionTime, o.ejectedUntil, "the time doubles")
+	assert.Equal(t, trial+2*minEjectionTime, o.ejectedUntil, "the ejection time doubles")
 	for range 5 {
 		o.failed(o.ejectedUntil)
 	}
@@ -54,8 +54,8 @@
 
 	o.succeeded()
 	assert.True(t, o.isHealthy(1, o.ejectedUntil))
-	for range ejectAfter {
+	for range ejectionThreshold {
 		o.failed(o.ejectedUntil)
 	}
-	assert.Equal(t, minEjectionTime, o.ejectionTime, "an answer starts the times anew")
+	assert.Equal(t, minEjectionTime, o.ejectionTime, "an answer resets the ejection time")
 }
--- a/decide/estimator_test.go
+++ b/decide/estimator_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestBalancer_UnknownServerPace(t *testing.T) {
+func TestBalancer_UnknownServerLatencyRatio(t *testing.T) {
 	h, s := newTestBalancer(100, func(s *Settings) { s.Instances = 300 })
 	tried := map[*Server]bool{}
 	for range 60 {
@@ -17,17 +17,16 @@
 		h.finish(h.lastSent(), OK)
 		h.advanceTo(h.now + 0.5)
 	}
-	assert.Less(t, len(tried), 30, "each of hundreds of nodes would try every server in overload and keep it there")
+	assert.Less(t, len(tried), 30, "hundreds of nodes that each try every overloaded server would keep it overloaded")
 
 	started := &Server{}
 	b := h.balancer
 	b.UpdateEndpoints([]EndpointUpdate{{Server: started, Weight: 1, StartedAt: h.now}}, false)
-	assert.Less(t, b.rankingPace(started, 0.5, h.now), b.rankingPace(s[99], 0.5, h.now),
-		"one that has just started cannot be in overload")
+	assert.Less(t, b.rankingLatencyRatio(started, 0.5, h.now), b.rankingLatencyRatio(s[99], 0.5, h.now),
+		"a server that has just started cannot be overloaded")
 }
 
-// A half-life stretched to the time in which a node sent to all servers outlived its use when nodes began to send to a
-// subset.
+// The half-life of an entry's weight must not grow with the number of servers, since a node sends to a subset only.
 func TestBalancer_EntryHalfLife(t *testing.T) {
 	for _, n := range []int{8, 200} {
 		t.Run(fmt.Sprintf("%d servers", n), func(t *testing.T) {
@@ -38,7 +37,7 @@
 			row := b.qTable.row(lookup, 0, len(s.inFlight))
 			aboveMean := func() float64 {
 				timeToGo, _ := b.estimate(r, s, typical, h.now)
-				return timeToGo - b.qTable.mean(row, typical)*b.rankingPace(s, typical, h.now)
+				return timeToGo - b.qTable.mean(row, typical)*b.rankingLatencyRatio(s, typical, h.now)
 			}
 			state := attemptState{row: row, expectedLatency: 0.1}
 			b.learn(&Attempt{RPC: r, Server: s, attemptState: state}, 1.5, false, h.now)
@@ -49,25 +48,25 @@
 	}
 }
 
-// A heavy RPC is no sign of a slow server.
+// The longer latency of an RPC with a high work hint must not count as a slow server.
 func TestBalancer_WorkHint(t *testing.T) {
 	h, _ := newTestBalancer(2, nil)
 	method := &h.balancer.methods[lookup]
-	play := func(work, latency float64) {
+	answer := func(work, latency float64) {
 		h.balancer.Arrived(&RPC{WorkHint: work, Deadline: h.now + testDeadline})
 		h.advanceTo(h.now + latency)
 		h.finish(h.lastSent(), OK)
 	}
 	for range 60 {
-		play(1, 0.1)
+		answer(1, 0.1)
 	}
 	before := method.typicalLatency(h.now)
 	for range 5 {
-		play(5, 0.4) // five times the work, about as much longer
+		answer(5, 0.4) // five times the work, four times the latency
 	}
 	assert.Less(t, method.typicalLatency(h.now), 1.5*before)
 
 	r := &RPC{WorkHint: 1e9, Deadline: h.now + testDeadline}
 	h.balancer.Arrived(r)
-	assert.False(t, r.extraWork > 5, "a hint is rough: no more than five times the mean is believed")
+	assert.False(t, r.extraWork > 5, "hints are rough: no work counts as more than maxRelativeWork times the mean")
 }
--- a/decide/fakehost_test.go
+++ b/decide/fakehost_test.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// The methods of a test's Balancer. All have a latency objective of 2.5 s and a deadline of 6 s.
+// The methods of a test Balancer. All have a latency objective of 2.5 s and a deadline of 6 s.
 const (
 	lookup = iota // idempotent
 	book          // deduplicated by all servers for 10 s
@@ -10,10 +10,10 @@
 	charge        // non-idempotent
 )
 
-// testDeadline is the time in seconds that each RPC of a test has.
+// testDeadline is the time from an RPC's arrival to its deadline, in seconds.
 const testDeadline = 6
 
-// fakeHost carries nothing: it records what the balancer does and fires its timers as its clock is advanced.
+// fakeHost records the Balancer's calls and sends nothing. It fires timers when its clock is advanced.
 type fakeHost struct {
 	balancer   *Balancer
 	now        float64
@@ -65,14 +65,14 @@
 	f.now = t
 }
 
-// arrive takes a new RPC.
+// arrive passes a new RPC of a method to the Balancer.
 func (f *fakeHost) arrive(method int) *RPC {
 	r := &RPC{Method: method, Deadline: f.now + testDeadline}
 	f.balancer.Arrived(r)
 	return r
 }
 
-// lastSent is the attempt that was sent last.
+// lastSent returns the attempt that was sent last.
 func (f *fakeHost) lastSent() *Attempt { return f.sent[len(f.sent)-1] }
 
 // isPushedBack reports whether an RPC was pushed back.
@@ -81,12 +81,12 @@
 	return is
 }
 
-// finish ends an attempt. An answer ends its RPC, as on the wire.
+// finish ends an attempt with a result. An answer also ends the RPC, as in the real hosts.
 func (f *fakeHost) finish(a *Attempt, result Result) {
 	f.balancer.AttemptDone(a, result, result == OK || !a.RPC.open, f.now-a.sentAt, nil)
 }
 
-// finishCanceled ends the attempts that the balancer has canceled.
+// finishCanceled ends the attempts that the Balancer has canceled.
 func (f *fakeHost) finishCanceled() {
 	for _, a := range f.canceled {
 		if a.inFlight {
@@ -96,8 +96,8 @@
 	f.canceled = nil
 }
 
-// answerAfter answers the attempts in flight that are as old as their servers' latency. A negative latency stands for a
-// server that never answers.
+// answerAfter answers the attempts in flight whose age has reached their server's latency in seconds. A negative
+// latency stands for a server that never answers.
 func (f *fakeHost) answerAfter(latency func(*Server) float64) {
 	for _, a := range f.sent {
 		if d := latency(a.Server); a.inFlight && d >= 0 && f.now-a.sentAt >= d {
@@ -106,7 +106,8 @@
 	}
 }
 
-// answerOneByOne plays n RPCs one after another, each answered in its server's latency, and counts them by server.
+// answerOneByOne passes n RPCs to the Balancer, one after another. Each is answered after its server's latency in
+// seconds. It returns the number of RPCs by server.
 func (f *fakeHost) answerOneByOne(n int, latency func(*Server) float64) map[*Server]int {
 	answered := map[*Server]int{}
 	for range n {
@@ -117,12 +118,13 @@
 		if a.inFlight {
 			f.finish(a, OK)
 		}
-		f.finishCanceled() // a hedged request
+		f.finishCanceled() // hedged requests
 	}
 	return answered
 }
 
-// offerLoad plays some seconds in which an RPC arrives in every interval, whatever was answered before.
+// offerLoad passes one RPC per interval to the Balancer for some seconds, whether or not earlier RPCs were answered. It
+// returns the numbers of RPCs that were admitted and pushed back.
 func (f *fakeHost) offerLoad(seconds, interval float64, latency func(*Server) float64) (admitted, pushedBack int) {
 	end := f.now + seconds
 	for f.now < end {
@@ -138,7 +140,7 @@
 	return admitted, pushedBack
 }
 
-// recordAnswer teaches the balancer an answer to a lookup of a tenant, with what was expected and what it took.
+// recordAnswer records an answer to a lookup of a tenant. The expected latency and the latency are in seconds.
 func (f *fakeHost) recordAnswer(s *Server, tenant int, expected, took float64) {
 	b := f.balancer
 	r := &RPC{}
@@ -147,22 +149,22 @@
 	b.recordSuccess(&Attempt{RPC: r, Server: s, attemptState: state}, took, f.now)
 }
 
-// constantLatency is the same latency for all servers.
+// constantLatency returns a latency function with the same value for all servers.
 func constantLatency(seconds float64) func(*Server) float64 {
 	return func(*Server) float64 { return seconds }
 }
 
-// readyUpdate is the entry of a ready server in a watch event.
+// readyUpdate returns the entry of a ready server in a watch event.
 func readyUpdate(s *Server, zone int) EndpointUpdate {
 	return EndpointUpdate{Server: s, Weight: 1, Zone: zone}
 }
 
-// newTestBalancer starts a balancer over n servers, which alternate between two zones. edit may change its settings.
+// newTestBalancer creates a Balancer with n servers, which alternate between two zones. edit may change its settings.
 func newTestBalancer(n int, edit func(*Settings)) (*fakeHost, []*Server) {
 	return newSeededBalancer(1, n, edit)
 }
 
-// newSeededBalancer is newTestBalancer with another seed.
+// newSeededBalancer does the same as newTestBalancer, with the given seed.
 func newSeededBalancer(seed int64, n int, edit func(*Settings)) (*fakeHost, []*Server) {
 	settings := testSettings()
 	if edit != nil {
@@ -180,7 +182,7 @@
 	return h, servers
 }
 
-// testSettings are the settings of a test's Balancer.
+// testSettings returns the settings of a test Balancer.
 func testSettings() Settings {
 	method := Method{LatencyObjective: 2.5, Deadline: testDeadline, PriorityWeight: 10}
 	methods := []Method{lookup: method, book: method, commit: method, charge: method}
--- a/decide/feedback.go
+++ b/decide/feedback.go
@@ -1,20 +1,20 @@
 package decide
 
-const minLatencyShare = 0.2 // of what an attempt took that is left when its work hint is taken off
+const minLatencyShare = 0.2 // lower bound of a latency without its work hint's part, as a fraction of the latency
 
-// recordResult learns from an attempt's result.
+// recordResult updates the estimates with an attempt's result.
 func (b *Balancer) recordResult(a *Attempt, result Result, took, now float64) {
 	switch result {
 	case OK:
 		b.recordSuccess(a, took, now)
 	case Canceled:
-		// A cancel teaches nothing, unless the attempt was late by then: a server that swallows attempts, each canceled
-		// when its hedged request is answered, would keep its low estimate and draw the next one.
+		// A canceled attempt is ignored unless it was late: a server that never answers, and whose attempts are
+		// canceled whenever the hedged request is answered, would keep its low estimate and get the next attempt.
 		b.recordLateness(a, now)
 	case NotSent:
 	case TimedOut:
 		if !a.countedLate && a.Server.lastAnswerAt < a.sentAt {
-			b.recordSilence(a, now)
+			b.recordTimeout(a, now)
 		}
 	case Rejected:
 		a.Server.lastAnswerAt = now
@@ -24,7 +24,7 @@
 	}
 }
 
-// recordLoad notes the load report that came with an attempt's result, if there was one.
+// recordLoad stores the load report that came with an attempt's result, if there was one.
 func (b *Balancer) recordLoad(a *Attempt, report *LoadReport, now float64) {
 	if report == nil || report.InFlight < 0 {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// recordConnection learns what opening a connection costs, and whether the server has one.
+// recordConnection updates the estimated cost of a new connection, and whether the server has an open connection.
 func (b *Balancer) recordConnection(a *Attempt, result Result, took, now float64) {
 	if a.opensConnection && (result == OK || result == ConnectFailed) {
 		b.idleConnections.opened(took-a.expectedLatency, now)
@@ -44,7 +44,7 @@
 	a.Server.connections.ended(result)
 }
 
-// recordSuccess learns from an answer that took so many seconds.
+// recordSuccess updates the estimates with an answer that took the given seconds.
 func (b *Balancer) recordSuccess(a *Attempt, took, now float64) {
 	s, m := a.Server, &b.methods[a.RPC.Method]
 	s.lastAnswerAt = now
@@ -58,43 +58,44 @@
 		fractions += b.slowStart.capacityFraction(o.startedAt, now)
 	}
 	b.slowStart.answered(fractions, now)
-	b.recordPace(a, min(took, maxPaceSample*a.expectedLatency), now)
+	b.recordLatencyRatio(a, min(took, maxRatioSample*a.expectedLatency), now)
 	b.learn(a, took, false, now)
 }
 
-// recordFailure counts a failure against its server. Ejection goes by the server alone: the Q-table would send each
-// method and tenant into the same fault once more.
+// recordFailure records a failure of the attempt's server. Ejection counts failures per server, over all methods and
+// tenants: with the Q-table alone each method and tenant would run into the same fault again.
 func (b *Balancer) recordFailure(a *Attempt, now float64) {
-	b.recordPace(a, maxPaceSample*a.expectedLatency, now)
+	b.recordLatencyRatio(a, maxRatioSample*a.expectedLatency, now)
 	b.learn(a, a.RPC.rules.Deadline, true, now)
 	a.Server.outlier.failed(now)
 }
 
-// recordSilence counts an attempt that got no answer as a failure of its server. Where the server has answered nothing
-// since, its idle connection may be the cause.
-func (b *Balancer) recordSilence(a *Attempt, now float64) {
+// recordTimeout records an attempt without an answer as a failure of its server. If the server has answered nothing
+// since the attempt was sent, the idle connection that the attempt used may be the cause.
+func (b *Balancer) recordTimeout(a *Attempt, now float64) {
 	b.recordFailure(a, now)
 	s := a.Server
 	if s.lastAnswerAt >= a.sentAt {
 		return
 	}
-	if b.idleConnections.fellSilent(s, a.connectionIdle, now) {
-		s.connections.broke()
+	if b.idleConnections.timedOut(s, a.connectionIdle, now) {
+		s.connections.markStale()
 	}
 }
 
-// recordLateness counts a late attempt before its end: by its age, or as a failure where its server has answered
-// nothing since. A hung server would look sound until its time-outs land.
+// recordLateness records a late attempt before its result: with its age as the latency, or as a time-out if its server
+// has answered nothing since the attempt was sent. Otherwise a hung server would keep its low estimate until its
+// attempts time out.
 func (b *Balancer) recordLateness(a *Attempt, now float64) {
-	const timerTolerance = 0.99 // of the age from which it is late: timers are rounded
+	const timerTolerance = 0.99 // factor on lateAfter, since timers are rounded
 	if a.countedLate || a.RPC.BodyPending || now-a.sentAt < a.lateAfter*timerTolerance {
 		return
 	}
 	a.countedLate = true
 	if a.Server.lastAnswerAt < a.sentAt {
-		b.recordSilence(a, now)
+		b.recordTimeout(a, now)
 		return
 	}
-	b.recordPace(a, min(now-a.sentAt, maxPaceSample*a.expectedLatency), now)
+	b.recordLatencyRatio(a, min(now-a.sentAt, maxRatioSample*a.expectedLatency), now)
 	b.learn(a, now-a.sentAt, false, now)
 }
--- a/decide/feedback_test.go
+++ b/decide/feedback_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A hung server is left before its time-outs land.
+// A hung server must stop getting attempts before its first attempts time out.
 func TestBalancer_HungServer(t *testing.T) {
 	h, s := newTestBalancer(4, nil)
 	h.answerOneByOne(100, constantLatency(0.1))
@@ -26,10 +26,10 @@
 		}
 	}
 	assert.Less(t, inFlight, 8)
-	assert.LessOrEqual(t, len(h.pushedBack), 3, "the few for which the hedge budget was spent")
+	assert.LessOrEqual(t, len(h.pushedBack), 3, "only RPCs for which the hedge budget was exhausted")
 }
 
-// A server in overload whose late attempts are all canceled loses its low estimate.
+// An overloaded server whose late attempts are all canceled must lose its low estimate.
 func TestBalancer_LateCanceledAttempts(t *testing.T) {
 	h, servers := newTestBalancer(4, nil)
 	latency := func(first float64) func(*Server) float64 {
@@ -52,7 +52,7 @@
 	assert.Less(t, sentToFirst, len(h.sent[before:])/5)
 }
 
-// An RPC that expires counts as a time-out of its server.
+// An RPC that expires must count as a time-out of its server.
 func TestBalancer_ExpiryCountsAsTimeout(t *testing.T) {
 	h, s := newTestBalancer(2, func(s *Settings) { s.Hedging = false })
 	h.answerOneByOne(20, constantLatency(1.5))
@@ -60,6 +60,6 @@
 		h.arrive(lookup)
 		h.advanceTo(h.now + 2.6)
 	}
-	assert.Positive(t, s[0].outlier.failuresInRow+s[1].outlier.failuresInRow)
+	assert.Positive(t, s[0].outlier.consecutiveFailures+s[1].outlier.consecutiveFailures)
 	assert.Greater(t, max(s[0].outlier.ejectedUntil, s[1].outlier.ejectedUntil), 0.0)
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -6,16 +6,16 @@
 	"math/rand"
 )
 
-// The slow start of a fleet's servers.
+// The slow-start settings of a fleet's servers.
 const (
-	overloadMultiple  = 2.5
-	overloadWindow    = 3.0 // seconds
-	slowStartFraction = 0.14
+	overloadMultiple  = 2.5  // times the current capacity
+	overloadWindow    = 3.0  // seconds
+	slowStartFraction = 0.14 // of the capacity
 	slowStartDuration = 24.0 // seconds
 )
 
-// fleet is many balancers in one virtual time, all before the same servers. It records when the servers in slow start
-// are sent attempts.
+// fleet simulates many Balancers that send to the same servers, in virtual time. It records when attempts are sent to
+// servers in slow start.
 type fleet struct {
 	now           float64
 	events        eventQueue
@@ -23,30 +23,30 @@
 	rng           *rand.Rand
 	shape         fleetShape
 	nodes         []*fleetNode
-	trafficShares []float64                           // by node
+	trafficShares []float64                           // fractions of the fleet's traffic, by node
 	demand        func(node int, now float64) float64 // times the usual traffic; nil: 1
 	startedAt     []float64                           // by server; 0: long ago
-	received      [][]float64                         // by server; when it was sent attempts by nodes that knew of its start
-	newServers    bool                                // what starts is another server, in place of one that has gone
+	received      [][]float64                         // by server; times of attempts from nodes notified of its start
+	newServers    bool                                // a start adds a new server in place of one that has gone
 }
 
-// fleetShape is the size of a fleet. Rates are a second, times in seconds.
+// fleetShape is the size and the load of a fleet. Rates are per second, times in seconds.
 type fleetShape struct {
 	nodes, servers int
-	capacity       float64 // of one warm server
-	load           float64 // the part of the warm servers' capacity that clients ask for
+	capacity       float64 // of one warm server, in attempts per second
+	load           float64 // clients' requests as a fraction of the warm servers' capacity
 	seed           int64
-	latency        float64 // mean
+	latency        float64 // mean of an attempt
 }
 
-// fleetEvent is something that happens later.
+// fleetEvent is a scheduled function.
 type fleetEvent struct {
 	at  float64
-	id  int // of two events at the same time the one with the lower id comes first
+	id  int // events at the same time run in the order of their ids
 	run func()
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []fleetEvent
 
 func (e eventQueue) Len() int { return len(e) }
@@ -69,7 +69,7 @@
 	return event
 }
 
-// newFleet starts a fleet whose servers have all been up for long.
+// newFleet starts a fleet whose servers all started long ago.
 func newFleet(shape fleetShape) *fleet {
 	f := &fleet{
 		now:       100,
@@ -83,7 +83,7 @@
 		f.nodes = append(f.nodes, f.startNode(shape.seed*1000+int64(i)))
 		weight := 1.0
 		if i%5 == 0 {
-			weight = 4 // uneven: some get several times the mean
+			weight = 4 // uneven traffic: some nodes get several times the mean
 		}
 		f.trafficShares = append(f.trafficShares, weight)
 		sum += weight
@@ -95,7 +95,7 @@
 	return f
 }
 
-// after runs something after a delay in seconds.
+// after schedules a function after a delay in seconds.
 func (f *fleet) after(delay float64, run func()) {
 	f.lastEventID++
 	heap.Push(&f.events, fleetEvent{f.now + delay, f.lastEventID, run})
@@ -111,7 +111,7 @@
 	f.now = t
 }
 
-// runClients is a Poisson process of a node's arrivals, thinned by the demand.
+// runClients schedules a node's arrivals: a Poisson process at the highest demand, thinned to the current demand.
 func (f *fleet) runClients(node int) {
 	const maxDemand = 3
 	rate := maxDemand * f.trafficShares[node] * f.shape.load * f.shape.capacity * float64(f.shape.servers)
@@ -127,12 +127,12 @@
 	})
 }
 
-// arrive sends a node an RPC.
+// arrive passes a new RPC to a node.
 func (f *fleet) arrive(node int) {
 	f.nodes[node].balancer.Arrived(&RPC{Deadline: f.now + testDeadline})
 }
 
-// restartServer starts a server anew. The nodes are notified within so many seconds, each at a time of its own.
+// restartServer restarts a server. Each node is notified at a random time within notifiedWithin seconds.
 func (f *fleet) restartServer(server int, notifiedWithin float64) {
 	f.startedAt[server] = f.now
 	if f.newServers {
@@ -145,19 +145,19 @@
 	}
 }
 
-// restartAll starts all servers anew and plays their slow start.
+// restartAll restarts all servers and runs the fleet until the end of their slow start.
 func (f *fleet) restartAll() {
 	for i := range f.shape.servers {
 		f.restartServer(i, 0)
 	}
-	f.playSlowStart()
+	f.runSlowStart()
 }
 
-// playSlowStart plays the whole slow start of a server that starts now.
-func (f *fleet) playSlowStart() { f.advanceTo(f.now + slowStartDuration) }
+// runSlowStart runs the fleet until the end of the slow start of a server that starts now.
+func (f *fleet) runSlowStart() { f.advanceTo(f.now + slowStartDuration) }
 
-// playBurst starts a server in an idle fleet in which each node is then sent some RPCs in one moment.
-func (f *fleet) playBurst(rpcs int) {
+// runBurst restarts a server in an idle fleet. After a pause each node gets the given number of RPCs at the same time.
+func (f *fleet) runBurst(rpcs int) {
 	const idle = 16 // seconds
 	end := f.now + slowStartDuration
 	busyAt := f.now + idle
@@ -177,12 +177,13 @@
 	f.advanceTo(end)
 }
 
-// capacityFraction is what the settings say of a server of an age.
+// capacityFraction returns the fraction of its capacity that a server has at an age in seconds, by the settings.
 func capacityFraction(age float64) float64 {
 	return min(1, slowStartFraction+(1-slowStartFraction)*age/slowStartDuration)
 }
 
-// budget is how many attempts the settings allow a server from one age to another.
+// budget returns the number of attempts that the settings allow a server between two ages in seconds: overloadMultiple
+// * capacity * mean capacity fraction * time.
 func (s fleetShape) budget(from, to float64) float64 {
 	const steps = 30
 	sum := 0.0
@@ -192,15 +193,15 @@
 	return overloadMultiple * s.capacity * sum / steps * (to - from)
 }
 
-// slowStartWindow is what a server in slow start was sent in a window that ends at an age.
+// slowStartWindow is the number of attempts that a server in slow start received in the window that ends at an age.
 type slowStartWindow struct {
-	age      float64
-	received float64
-	budget   float64
-	excess   float64 // over the budget and what is allowed by chance
+	age      float64 // seconds
+	received float64 // attempts
+	budget   float64 // attempts
+	excess   float64 // attempts above the budget and the allowance for random variation
 }
 
-// receivedInSlowStart is the ages at which a server in slow start was sent attempts.
+// receivedInSlowStart returns the server's age in seconds at each attempt that it received in slow start.
 func (f *fleet) receivedInSlowStart(server int) []float64 {
 	var ages []float64
 	for _, at := range f.received[server] {
@@ -211,7 +212,7 @@
 	return ages
 }
 
-// worstWindow is the overload window of a server's slow start with the highest excess.
+// worstWindow returns the window of overloadWindow seconds with the highest excess in a server's slow start.
 func (f *fleet) worstWindow(server int) slowStartWindow {
 	worst := slowStartWindow{excess: math.Inf(-1)}
 	ages := f.receivedInSlowStart(server)
--- a/decide/fleetnode_test.go
+++ b/decide/fleetnode_test.go
@@ -1,15 +1,15 @@
 package decide
 
-// fleetNode is one node of a fleet, and its balancer's host.
+// fleetNode is one node of a fleet. It is the Host of its Balancer.
 type fleetNode struct {
 	fleet     *fleet
 	balancer  *Balancer
 	servers   []*Server
-	startedAt []float64 // by server, as this node was notified
+	startedAt []float64 // by server, as last notified
 	ended     bool      // its process has ended
 }
 
-// startNode starts a node that knows the servers.
+// startNode starts a node and sends it a snapshot of the servers.
 func (f *fleet) startNode(seed int64) *fleetNode {
 	n := &fleetNode{fleet: f, startedAt: make([]float64, f.shape.servers)}
 	n.balancer = New(n, Settings{
@@ -25,7 +25,7 @@
 	return n
 }
 
-// notify sends the node a snapshot with the servers' starts.
+// notify sends the node a snapshot of the servers with the given start times.
 func (f *fleetNode) notify(startedAt []float64) {
 	var list []EndpointUpdate
 	copy(f.startedAt, startedAt)
@@ -65,7 +65,7 @@
 	f.fleet.after(latency, func() { f.finish(a, OK) })
 }
 
-// finish ends an attempt that has not ended yet.
+// finish ends an attempt, unless it or the node has ended before.
 func (f *fleetNode) finish(a *Attempt, result Result) {
 	if a.HostData != nil || f.ended {
 		return
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -1,18 +1,19 @@
 package decide
 
 const (
-	lateLatencyFactor     = 2.5  // times the expected latency: an attempt that has lasted longer is late
-	patienceFactor        = 1.2  // times the expected latency: a younger attempt is not given up on
-	hedgeShare            = 0.02 // of the attempts: hedged requests must not carry a slowdown into overload
-	hedgesAtOncePerServer = 0.25 // over all nodes, beside that share: a quiet node would have none
-	hedgeHalfLife         = 5.0  // seconds
+	lateLatencyFactor    = 2.5  // times the expected latency: an older attempt is late
+	allowedLatencyFactor = 1.2  // times the expected latency: lowest age for a recheck or a time-out
+	hedgeShare           = 0.02 // hedged requests per attempt: more could turn a slowdown into an overload
+	hedgeBurstPerServer  = 0.25 // hedged requests per ready server, over all nodes, in addition to hedgeShare
+	hedgeHalfLife        = 5.0  // seconds; of the decaying count of hedged requests
 )
 
-// hedgeBudget bounds the hedged requests.
+// hedgeBudget limits the number of hedged requests.
 type hedgeBudget struct{ hedges decayingValue }
 
-// allows reports whether one more is within the limit, for a random number in [0, 1). A part of a hedged request is
-// sent by chance: one always allowed would be hundreds at once over hundreds of nodes.
+// allows reports whether one more hedged request is within the limit. random is drawn from [0, 1), so a remainder of
+// less than one request is allowed with that probability. If one were always allowed, hundreds of nodes would send
+// hundreds at once.
 func (h *hedgeBudget) allows(limit, random, now float64) bool {
 	return h.hedges.read(now, hedgeHalfLife)+random <= limit
 }
@@ -20,29 +21,32 @@
 // sent counts a hedged request.
 func (h *hedgeBudget) sent(now float64) { h.hedges.add(1, now, hedgeHalfLife) }
 
-// hedgeLimit is how many hedged requests the node may have sent lately.
+// hedgeLimit returns the limit of the decaying count of hedged requests: hedgeShare * attempts sent + burst. The burst
+// is hedgeBurstPerServer * ready servers * nodeShare, at most 1. Without it a node with little traffic would have no
+// hedged requests.
 func (b *Balancer) hedgeLimit(now float64) float64 {
-	atOnce := min(1, hedgesAtOncePerServer*float64(b.readyServers)*b.nodeShare)
-	return hedgeShare*b.attemptsSent.read(now, attemptRateHalfLife) + atOnce
+	burst := min(1, hedgeBurstPerServer*float64(b.readyServers)*b.nodeShare)
+	return hedgeShare*b.attemptsSent.read(now, attemptRateHalfLife) + burst
 }
 
-// recheckDelay is the age in seconds at which to look at an attempt again: when it is late, or when another could just
-// still be in time.
+// recheckDelay returns the age in seconds at which an attempt is checked again: when it is late, or before that, when
+// another attempt can only just be in time. It is at least allowedLatencyFactor * expected latency.
 func (b *Balancer) recheckDelay(a *Attempt, now float64) float64 {
-	patience := patienceFactor * a.expectedLatency
-	return max(min(a.lateAfter, a.RPC.usefulUntil-now-patience), patience)
+	allowed := allowedLatencyFactor * a.expectedLatency
+	return max(min(a.lateAfter, a.RPC.usefulUntil-now-allowed), allowed)
 }
 
-// recheck looks at an attempt that should have been answered by now. If its server has answered nothing since, a hedged
-// request is sent elsewhere; a server that answers others will most likely answer this one, too.
+// recheck checks an attempt that should have been answered by now. If its server has answered nothing since the attempt
+// was sent, a hedged request goes to another server. A server that answers other attempts will most likely answer this
+// one, too.
 func (b *Balancer) recheck(a *Attempt, now float64) {
 	r := a.RPC
 	if !a.inFlight || !r.open || r.streaming {
 		return
 	}
-	silent := a.Server.lastAnswerAt < a.sentAt
+	unresponsive := a.Server.lastAnswerAt < a.sentAt
 	b.recordLateness(a, now)
-	if !silent || !b.hedging {
+	if !unresponsive || !b.hedging {
 		return
 	}
 	limit := b.hedgeLimit(now)
--- a/decide/hedging_test.go
+++ b/decide/hedging_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestBalancer_HedgingByIdempotency(t *testing.T) {
-	// play has a method's attempt become late, and is that attempt and the number of hedged requests.
-	play := func(method int) (h *fakeHost, first *Attempt, hedges int) {
+	// runLate lets an attempt of a method become late. It returns the attempt and the number of hedged requests.
+	runLate := func(method int) (h *fakeHost, first *Attempt, hedges int) {
 		h, _ = newTestBalancer(6, nil)
 		h.answerOneByOne(200, constantLatency(0.1))
 		h.advanceTo(h.now + 0.01)
@@ -19,19 +19,19 @@
 		return h, first, len(h.sent) - before
 	}
 	t.Run("idempotent", func(t *testing.T) {
-		h, first, hedges := play(lookup)
+		h, first, hedges := runLate(lookup)
 		assert.LessOrEqual(t, hedges, 4)
-		assert.Positive(t, hedges, "an attempt at a silent server is hedged")
+		assert.Positive(t, hedges, "an attempt is hedged if its server answers nothing")
 		assert.NotSame(t, first.Server, h.lastSent().Server)
 	})
 	t.Run("deduplicated inside a zone", func(t *testing.T) {
-		h, first, hedges := play(commit)
+		h, first, hedges := runLate(commit)
 		assert.LessOrEqual(t, hedges, 1)
 		assert.Equal(t, first.Server.zone, h.lastSent().Server.zone)
 	})
 	t.Run("non-idempotent", func(t *testing.T) {
-		_, _, hedges := play(charge)
-		assert.Zero(t, hedges, "never two at once")
+		_, _, hedges := runLate(charge)
+		assert.Zero(t, hedges, "never two attempts in flight")
 	})
 }
 
@@ -47,7 +47,7 @@
 		hedges += len(h.sent) - 6
 	}
 	assert.Positive(t, hedges)
-	assert.Less(t, hedges, attempts/20, "a slowdown of all servers makes every node's attempt late at once")
+	assert.Less(t, hedges, attempts/20, "a slowdown of all servers makes the attempts of all nodes late at once")
 }
 
 func TestBalancer_NoHedgeWhileServerAnswers(t *testing.T) {
--- a/decide/host.go
+++ b/decide/host.go
@@ -1,25 +1,28 @@
 package decide
 
-// Host is what a Balancer acts through. All calls take effect at Now, in the order made.
+// Host is the interface through which a Balancer acts. All calls take effect at Now, in the order in which they are
+// made.
 type Host interface {
-	// Now is the instance's only clock, in seconds from an arbitrary start.
+	// Now returns the time in seconds from an arbitrary start. It is the instance's only clock.
 	Now() float64
-	// Send starts an attempt; its result comes back through Balancer.AttemptDone. A timeout of 0 lasts until the
-	// client's deadline.
+	// Send starts an attempt; its result is passed to Balancer.AttemptDone. The timeout is in seconds; with 0 the
+	// attempt may last until the client's deadline.
 	Send(a *Attempt, timeout float64)
-	// Cancel gives an attempt up. Its result still comes back through Balancer.AttemptDone.
+	// Cancel cancels an attempt. Its result is still passed to Balancer.AttemptDone.
 	Cancel(a *Attempt)
-	// CloseIdleConnections closes the connections to a server that carry nothing.
+	// CloseIdleConnections closes the idle connections to a server.
 	CloseIdleConnections(s *Server)
-	// PushBack ends an RPC with the promise that a retry is harmless. It advises to wait for so many seconds first.
+	// PushBack ends an RPC and promises the client that a retry is harmless. The client is advised to wait for
+	// retryAfter seconds before the retry.
 	PushBack(r *RPC, retryAfter float64)
-	// Abort ends an RPC and promises nothing.
+	// Abort ends an RPC without that promise.
 	Abort(r *RPC)
-	// StartTimer calls Balancer.TimerFired with the payload once the delay in seconds has passed. A timer cannot be
-	// stopped; the host may leave out that of an RPC that has ended, or of an attempt whose result has come, since
-	// TimerFired does nothing then.
+	// StartTimer calls Balancer.TimerFired with the payload after the delay in seconds. A timer cannot be stopped. The
+	// host may drop the timer of an RPC that has ended, or of an attempt whose result is known, since TimerFired does
+	// nothing for them.
 	StartTimer(delay float64, payload any)
-	// WatchEndpoints subscribes to the endpoint list. Balancer.UpdateEndpoints or Balancer.EndpointWatchFailed answers.
+	// WatchEndpoints subscribes to the endpoint list. The host responds with Balancer.UpdateEndpoints or
+	// Balancer.EndpointWatchFailed.
 	WatchEndpoints()
 }
 
@@ -28,8 +31,8 @@
 
 // The states of a server.
 const (
-	Ready    State = iota // it may be sent to
-	Draining              // it gets nothing new
+	Ready    State = iota // it may get attempts
+	Draining              // it gets no new attempts
 	Gone                  // it has left the list
 )
 
@@ -39,8 +42,8 @@
 	State     State
 	Zone      int
 	Cell      int
-	Weight    float64 // its capacity beside that of others
-	StartedAt float64 // seconds on Host.Now's clock; 0: long ago
+	Weight    float64 // its capacity relative to other servers
+	StartedAt float64 // start of its process, in seconds on Host.Now's clock; 0: long ago
 }
 
 // Result is how an attempt or a probe ended.
@@ -49,21 +52,21 @@
 // The results of an attempt.
 const (
 	OK            Result = iota // answered
-	Failed                      // answered with an error, or with what cannot be read
+	Failed                      // answered with an error or with a malformed response
 	Rejected                    // rejected by the server before it had any effect
-	TimedOut                    // not answered in the attempt's time
-	ConnectFailed               // no connection, so it had no effect
-	Reset                       // the connection broke after the attempt was sent
-	Canceled                    // given up with Host.Cancel
-	NotSent                     // never begun
+	TimedOut                    // no answer within the time allowed for the attempt
+	ConnectFailed               // no connection could be opened, so it had no effect
+	Reset                       // the connection closed after the attempt was sent
+	Canceled                    // canceled with Host.Cancel
+	NotSent                     // never started
 )
 
 // NeverRan reports whether the result proves that the attempt had no effect.
 func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// LoadReport is what a server reports of its load with an answer.
+// LoadReport is the load that a server reports with an answer.
 type LoadReport struct {
-	// InFlight is the number of RPCs that the server had in flight, the one answered and those of other nodes included;
-	// negative if unknown.
+	// InFlight is the number of RPCs that the server had in flight, including the one that it answered and those of
+	// other nodes. A negative value means unknown.
 	InFlight float64
 }
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -1,31 +1,32 @@
 package decide
 
 const (
-	latencyHalfLife   = 5.0  // seconds; of a method's typical latency
-	firstLatency      = 0.3  // of the latency objective: the typical latency before there are answers
-	workHintHalfLife  = 20.0 // seconds
-	minRelativeWork   = 0.2  // times the mean work of the method: a hint is rough
-	maxRelativeWork   = 5.0  // times the mean work of the method
-	paceHalfLife      = 6.0  // seconds; of a server's pace, long enough for a few samples at an inner node
-	fleetPaceHalfLife = 20.0 // seconds; of the pace of all servers tried, those in overload included
-	pacePriorSamples  = 2.0  // samples of the typical latency that hold a pace near its prior
-	maxPaceSample     = 4.0  // times the expected: no sample counts as more, one slow answer is no verdict
+	latencyHalfLife      = 5.0  // seconds; of a method's typical latency
+	priorLatencyShare    = 0.3  // prior of the typical latency, as a fraction of the latency objective
+	workHintHalfLife     = 20.0 // seconds; of a method's mean work hint
+	minRelativeWork      = 0.2  // lower bound of an RPC's work, times the method's mean work: hints are rough
+	maxRelativeWork      = 5.0  // upper bound of an RPC's work, times the method's mean work
+	latencyRatioHalfLife = 6.0  // seconds; of a server's latency ratio: long enough for a few samples at an inner node
+	fleetRatioHalfLife   = 20.0 // seconds; of the latency ratio of all servers tried, including overloaded ones
+	ratioPriorSamples    = 2.0  // weight of the prior of a latency ratio, in samples of the typical latency
+	maxRatioSample       = 4.0  // times the expected latency: highest sample, since one slow answer must not dominate
 )
 
-// methodState is a method's rules of now and what its RPCs take.
+// methodState holds a method's current rules and the means of its RPCs.
 type methodState struct {
 	*methodRules
-	latency  decayingMean // seconds that answers took, less what their work hints explain
-	workHint decayingMean
+	latency  decayingMean // seconds; latency of answers without the part that is due to their work hints
+	workHint decayingMean // mean hint, in the unit of the hints
 }
 
-// typicalLatency is what an RPC of the method takes on average, in seconds. Half-lives and other times are given in it.
+// typicalLatency returns the decaying mean of the method's latency in seconds. Its prior is priorLatencyShare * latency
+// objective. Some half-lives and costs are multiples of the typical latency.
 func (m *methodState) typicalLatency(now float64) float64 {
-	return m.latency.read(now, latencyHalfLife, firstLatency*m.LatencyObjective, 1)
+	return m.latency.read(now, latencyHalfLife, priorLatencyShare*m.LatencyObjective, 1)
 }
 
-// extraWork notes an RPC's work hint and is what its work has beyond the method's mean, as a part of that. Without a
-// hint it is 0.
+// extraWork adds an RPC's work hint to the mean and returns hint/mean - 1, where hint/mean is kept between
+// minRelativeWork and maxRelativeWork. Without a hint it returns 0.
 func (m *methodState) extraWork(hint, now float64) float64 {
 	if hint <= 0 {
 		return 0
@@ -35,21 +36,22 @@
 	return min(max(hint/mean, minRelativeWork), maxRelativeWork) - 1
 }
 
-// pace compares what attempts took with what their rows of the Q-table led to expect, over all methods and tenants:
-// each row alone is rarely sampled.
-type pace struct {
-	observed decayingValue // seconds
-	expected decayingValue // seconds
+// latencyRatio is the ratio of the observed to the expected latency of attempts. It is taken over all methods and
+// tenants, because a single row of the Q-table has too few samples.
+type latencyRatio struct {
+	observed decayingValue // seconds; decaying sum
+	expected decayingValue // seconds; decaying sum of the means of the rows
 }
 
-// add adds an attempt's observed and expected latency.
-func (p *pace) add(observed, expected, now, halfLife float64) {
-	p.observed.add(observed, now, halfLife)
-	p.expected.add(expected, now, halfLife)
+// add adds the observed and the expected latency of an attempt, in seconds.
+func (r *latencyRatio) add(observed, expected, now, halfLife float64) {
+	r.observed.add(observed, now, halfLife)
+	r.expected.add(expected, now, halfLife)
 }
 
-// ratio is the observed over the expected latency: 1 is as expected, more is slower. Without samples it is the prior.
-func (p *pace) ratio(prior, typical, now, halfLife float64) float64 {
-	doubt := pacePriorSamples * typical
-	return (p.observed.read(now, halfLife) + doubt*prior) / (p.expected.read(now, halfLife) + doubt)
+// value returns the latency ratio: 1 is as expected, a higher value is slower. It is
+// (observed + w*prior) / (expected + w), where w is ratioPriorSamples * typical.
+func (r *latencyRatio) value(prior, typical, now, halfLife float64) float64 {
+	priorWeight := ratioPriorSamples * typical
+	return (r.observed.read(now, halfLife) + priorWeight*prior) / (r.expected.read(now, halfLife) + priorWeight)
 }
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-const minWeight = 0.01 // a server's weight divides what own attempts in flight add to its estimate
+const minWeight = 0.01 // lower bound of a server's weight, since estimate divides by the weight
 
-// UpdateEndpoints applies a watch event: a delta, or with full set a snapshot, without the servers that have gone.
+// UpdateEndpoints applies a watch event: a snapshot if full is set, otherwise a delta. A snapshot omits the servers
+// that have gone.
 func (b *Balancer) UpdateEndpoints(list []EndpointUpdate, full bool) {
 	now := b.host.Now()
 	b.listVersion++
@@ -33,12 +34,13 @@
 	s.listVersion = b.listVersion
 }
 
-// isListed reports whether a server is in the list after the last watch event.
+// isListed reports whether a server is in the endpoint list after the last watch event.
 func (b *Balancer) isListed(s *Server, full bool) bool {
 	return !full || s.listVersion == b.listVersion
 }
 
-// removeGone forgets the servers that have gone and have nothing in flight: a day of deploys would fill the memory.
+// removeGone removes the servers that have gone and have no attempt in flight. A day of deploys would otherwise fill
+// the memory.
 func (b *Balancer) removeGone(full bool, now float64) {
 	b.servers = slices.DeleteFunc(b.servers, func(s *Server) bool {
 		if !b.isListed(s, full) {
@@ -53,7 +55,7 @@
 	})
 }
 
-// countReady counts the ready servers and averages their weights.
+// countReady counts the ready servers and computes the mean of their weights.
 func (b *Balancer) countReady() {
 	b.readyServers, b.meanWeight = 0, 0
 	for _, s := range b.servers {
@@ -65,27 +67,28 @@
 	b.meanWeight /= float64(max(1, b.readyServers))
 }
 
-// resetServer forgets what was learnt of the process that ran before. All nodes are notified of a start at once: a
-// random part of a token keeps their first attempts apart.
+// resetServer drops the estimates for the server's previous process. All nodes are notified of a start at the same
+// time: a random initial fraction of a token spreads their first attempts over time.
 func (b *Balancer) resetServer(s *Server, now float64) {
 	b.dropEntries(s)
-	s.pace = pace{}
+	s.latencyRatio = latencyRatio{}
 	s.outlier = outlierState{}
 	s.load.forget()
 	s.slowStart = slowStartBudget{tokens: b.rng.Float64(), updatedAt: now}
 }
 
-// dropEntries forgets what the Q-table has of a server.
+// dropEntries drops a server's entries in the Q-table.
 func (b *Balancer) dropEntries(s *Server) {
 	for row := range s.entries {
 		b.qTable.drop(s.entries, row)
 	}
 }
 
-// EndpointWatchFailed watches the list again after a wait that grows while failures say that discovery is overloaded.
-// With resetBackoff set this one does not: there had been watch events for a while, or there was no call that could
-// fail. The longest wait that may be drawn is at least minWait, which keeps a fleet from polling a busy discovery too
-// soon, and at most maxWait, since what discovery had meanwhile binds in time.
+// EndpointWatchFailed watches the endpoint list again after a random wait. The wait grows with each failure, because
+// failures are a sign of an overloaded discovery service. resetBackoff starts again with the shortest wait; it is set
+// if watch events had been arriving for a while, or if no call was made that could fail. The longest possible wait is
+// at least minWait seconds, so that a fleet does not poll a busy discovery service too soon. It is at most maxWait
+// seconds, because changes in the endpoint list must take effect in time.
 func (b *Balancer) EndpointWatchFailed(resetBackoff bool, minWait, maxWait float64) {
 	if resetBackoff {
 		b.watch.reset()
--- a/decide/membership_test.go
+++ b/decide/membership_test.go
@@ -15,8 +15,8 @@
 	assert.Equal(t, 50, answered[s[1]])
 }
 
-// Under deploys all day the servers that have gone must cost neither memory nor a walk over them.
-func TestBalancer_GoneServersForgotten(t *testing.T) {
+// With many deploys in a day, servers that have gone must take neither memory nor time in a search.
+func TestBalancer_GoneServersRemoved(t *testing.T) {
 	h, s := newTestBalancer(2, nil)
 	b := h.balancer
 	for range 200 {
@@ -41,6 +41,6 @@
 
 	b.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Gone, Weight: 1}}, false)
 	b.UpdateEndpoints([]EndpointUpdate{readyUpdate(s[0], 0)}, false)
-	assert.Len(t, b.servers, 2, "one that comes back starts anew")
+	assert.Len(t, b.servers, 2, "a server that comes back is added as a new one")
 	h.answerOneByOne(9, constantLatency(0.3))
 }
--- a/decide/qtable.go
+++ b/decide/qtable.go
@@ -6,39 +6,39 @@
 )
 
 const (
-	alpha            = 0.7  // the paper's learning rate
+	alpha            = 0.7  // learning rate, from the paper
 	loadLevels       = 5    // by own attempts in flight at the server: 0, 1-2, 3-6, 7-14, 15 and more
-	entryLifetime    = 60.0 // seconds after which an entry that was not updated is dropped
-	entryHalfLife    = 8.0  // typical latencies after which half of an entry's difference from its row counts
-	maxEntryHalfLife = 4.0  // seconds: a slow server may have recovered by then
-	rowPriorSamples  = 2.0  // samples of the typical latency that count in each row's mean
-	firstUpdate      = 1e-9 // seconds; the earliest time of an update, since 0 stands for none
+	entryLifetime    = 60.0 // seconds; an entry is dropped if its last update is older
+	entryHalfLife    = 8.0  // typical latencies; half-life of an entry's weight
+	maxEntryHalfLife = 4.0  // seconds; upper bound of that half-life: a slow server may have recovered by then
+	rowPriorSamples  = 2.0  // samples of the typical latency that may be mixed into a row's mean
+	minUpdatedAt     = 1e-9 // seconds; lowest updatedAt of an updated entry, since 0 means no update
 )
 
-// qTable is the paper's Q-table: estimates of the time to go by method, tenant and load level (a row) and by server (an
-// entry of the row). A server has its entries with it; the table has the rows' means.
+// qTable is the Q-table of the paper: estimates of the time to go by method, tenant and load level (a row) and by
+// server (an entry of the row). Each server stores its own entries; the table stores the rows' sums.
 type qTable struct {
 	rows      []qRow
-	firstRows [][]int // by method and tenant; the rows of their load levels follow
+	firstRows [][]int // index of the row of load level 0, by method and tenant; the rows of the other levels follow it
 }
 
-// qRow sums the entries of the servers whose last answer was a success.
+// qRow is the sum over the entries of servers whose last answer was a success.
 type qRow struct {
 	sum   float64 // seconds
 	count int
 }
 
-// qEntry is the estimate of one row at one server.
+// qEntry is the estimate for one row at one server.
 type qEntry struct {
-	q         float64 // seconds
-	updatedAt float64 // seconds; 0: nothing learnt yet
+	q         float64 // seconds; the estimated time to go
+	updatedAt float64 // seconds; 0: no update yet
 	failed    bool    // the last answer was a failure
 }
 
-// addMethod makes place for one more method.
+// addMethod adds a method that has no rows yet.
 func (t *qTable) addMethod() { t.firstRows = append(t.firstRows, nil) }
 
-// addTenants makes place for so many tenants of each method.
+// addTenants adds rows so that each method has the given number of tenants.
 func (t *qTable) addTenants(tenants int) {
 	for method := range t.firstRows {
 		for len(t.firstRows[method]) < tenants {
@@ -48,22 +48,23 @@
 	}
 }
 
-// newEntries are the entries of a server that nothing is known of. They are never nil.
+// newEntries returns empty entries for a server. The slice is never nil.
 func (t *qTable) newEntries() []qEntry { return make([]qEntry, len(t.rows)) }
 
-// grow gives a server's entries the length of the table.
+// grow extends a server's entries to the current number of rows.
 func (t *qTable) grow(entries []qEntry) []qEntry {
 	return append(entries, make([]qEntry, len(t.rows)-len(entries))...)
 }
 
-// row is the row of a method and tenant at a server that has so many own attempts in flight.
+// row returns the index of the row for a method and tenant at a server with inFlight own attempts in flight.
 func (t *qTable) row(method, tenant, inFlight int) int {
 	level := bits.Len(uint(inFlight+1)) - 1
 	return t.firstRows[method][tenant] + min(level, loadLevels-1)
 }
 
-// mean is the mean of a row's entries, where a new entry starts. A few slow answers are no verdict on all servers:
-// samples of the typical latency are mixed in where that lowers the mean.
+// mean returns the mean of a row's entries in seconds, which is also the initial value of a new entry. A few slow
+// answers must not raise the estimates of all servers: if it lowers the mean, rowPriorSamples samples of the typical
+// latency are mixed in.
 func (t *qTable) mean(row int, typical float64) float64 {
 	r := &t.rows[row]
 	if r.count == 0 {
@@ -73,8 +74,8 @@
 	return min(r.sum/count, (r.sum+rowPriorSamples*typical)/(count+rowPriorSamples))
 }
 
-// update is equation 5 of the paper: it moves an entry towards the cost of an attempt. An entry that is new starts at
-// what was expected of the attempt. All three are in seconds.
+// update applies equation 5 of the paper, q = (1-alpha)*q + alpha*cost. For a new entry, q starts at the latency that
+// was expected of the attempt. expected, cost and now are in seconds.
 func (t *qTable) update(entries []qEntry, row int, expected, cost float64, failed bool, now float64) {
 	entry := &entries[row]
 	q := expected
@@ -82,14 +83,14 @@
 		q = entry.q
 	}
 	t.drop(entries, row)
-	*entry = qEntry{q: (1-alpha)*q + alpha*cost, updatedAt: max(now, firstUpdate), failed: failed}
+	*entry = qEntry{q: (1-alpha)*q + alpha*cost, updatedAt: max(now, minUpdatedAt), failed: failed}
 	if !failed {
 		t.rows[row].sum += entry.q
 		t.rows[row].count++
 	}
 }
 
-// drop forgets an entry and takes it out of its row's mean.
+// drop clears an entry and removes it from its row's sum.
 func (t *qTable) drop(entries []qEntry, row int) {
 	entry := &entries[row]
 	if entry.isLearnt() && !entry.failed {
@@ -97,20 +98,21 @@
 		r.sum -= entry.q
 		r.count--
 		if r.count == 0 {
-			r.sum = 0 // what rounding has left
+			r.sum = 0 // removes the rounding error
 		}
 	}
 	*entry = qEntry{}
 }
 
-// isLearnt reports whether the entry has been updated since it was last dropped.
+// isLearnt reports whether the entry has been updated since it was created or last dropped.
 func (e *qEntry) isLearnt() bool { return e.updatedAt > 0 }
 
-// isExpired reports whether the entry is too old to be used.
+// isExpired reports whether the entry is older than entryLifetime.
 func (e *qEntry) isExpired(now float64) bool { return now-e.updatedAt > entryLifetime }
 
-// weight is the part of the entry's difference from its row's mean that still holds. One sample makes up most of an
-// entry (alpha), so an old one misleads.
+// weight returns the fraction of the entry's difference from its row's mean that still applies: 2^(-age/halfLife),
+// where halfLife is min(entryHalfLife*typical, maxEntryHalfLife). An old entry misleads, since a single sample makes up
+// most of it (alpha).
 func (e *qEntry) weight(typical, now float64) float64 {
 	return math.Exp2((e.updatedAt - now) / min(entryHalfLife*typical, maxEntryHalfLife))
 }
--- a/decide/qtable_test.go
+++ b/decide/qtable_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// A row counts the entries of the servers whose last answer was a success, whatever was learnt and dropped before.
+// A row must be the sum over the entries of servers whose last answer was a success, after any sequence of updates and
+// drops.
 func TestQTable_RowSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table qTable
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -2,20 +2,23 @@
 
 import "math"
 
-// quotaHalfLife is the half-life of a tenant's rate, in seconds: short enough for a burst, long enough for chance.
+// quotaHalfLife is the half-life, in seconds, of the decaying count of a tenant's RPCs: short enough to notice a burst,
+// long enough to average out random variation.
 const quotaHalfLife = 3.0
 
-// tenantQuota compares what a tenant sends to this node with this node's share of the tenant's quota.
+// tenantQuota compares a tenant's RPCs at this node with this node's share of the tenant's quota.
 type tenantQuota struct {
-	rate     float64 // this node's share, in RPCs a second; 0: no quota
-	arrivals decayingValue
+	rate     float64       // this node's share, in RPCs per second; 0: no quota
+	arrivals decayingValue // decaying count of RPCs
 }
 
-// configure gives the tenant a quota over all nodes, in RPCs a second.
+// configure sets the tenant's quota. quota is in RPCs per second over all nodes; nodeShare is this node's fraction of
+// it.
 func (t *tenantQuota) configure(quota, nodeShare float64) { t.rate = quota * nodeShare }
 
-// arrive counts an RPC and reports whether it is beyond the quota. A node's share of a small quota is less than one
-// RPC, and clients come by chance: what passes the share by one RPC and its root is still within.
+// arrive counts an RPC and reports whether the tenant exceeds its quota: its decaying count is above 1 + expected +
+// sqrt(expected), where expected is rate * quotaHalfLife / ln 2. The allowance is needed because a node's share of a
+// small quota is less than one RPC, and RPCs arrive at random.
 func (t *tenantQuota) arrive(now float64) (overQuota bool) {
 	t.arrivals.add(1, now, quotaHalfLife)
 	expected := t.rate * quotaHalfLife / math.Ln2
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -24,7 +24,7 @@
 	assert.Greater(t, pushedBack[0], 2*pushedBack[1])
 }
 
-// One RPC of a tenant with a small quota is not beyond it.
+// A single RPC of a tenant with a small quota must not exceed the quota.
 func TestBalancer_SmallQuota(t *testing.T) {
 	h, _ := newTestBalancer(4, func(s *Settings) {
 		s.Instances, s.OverQuotaWeight, s.Tenants = 300, 0.1, []Tenant{{Quota: 15}}
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -1,9 +1,10 @@
 package decide
 
-// deadlineMargin is the time in seconds before a deadline by which an answer must be on its way.
+// deadlineMargin is a safety margin in seconds. An answer must be sent that long before the RPC's deadline, and a
+// repeat that long before the end of the RPC's dedup window.
 const deadlineMargin = 0.01
 
-// Arrived takes a new RPC.
+// Arrived handles a new RPC: it sends the first attempt or rejects the RPC.
 func (b *Balancer) Arrived(r *RPC) {
 	now := b.host.Now()
 	method := &b.methods[r.Method]
@@ -22,8 +23,8 @@
 	b.sendOrGiveUp(r, now)
 }
 
-// effectiveWeight is an RPC's weight relative to the highest, which is less for what is beyond its tenant's quota.
-// Quotas are counted at the tier that clients reach.
+// effectiveWeight returns an RPC's weight relative to the highest, in [0, 1]. It is lower for RPCs that exceed their
+// tenant's quota. Quotas are counted only at the tier to which clients send.
 func (b *Balancer) effectiveWeight(r *RPC, now float64) float64 {
 	weight := r.rules.relativeWeight
 	if b.innerTier || r.Tenant >= len(b.tenants) {
@@ -35,7 +36,7 @@
 	return weight
 }
 
-// startClock starts the time that an RPC has.
+// startClock starts the RPC's clock: its wait, and the time within which an answer has a value, count from now.
 func (r *RPC) startClock(now float64) {
 	r.clockStart = now
 	r.usefulUntil = now + r.rules.LatencyObjective
@@ -45,8 +46,8 @@
 	r.usefulUntil = min(r.usefulUntil, r.Deadline-deadlineMargin)
 }
 
-// BodyReceived is the end of a body that was streamed while the attempt was in flight. Only now can the server begin,
-// so all times of the RPC start anew.
+// BodyReceived handles the end of a body that was streamed while the attempt was in flight. The server can only begin
+// now, so all times of the RPC are measured from now.
 func (b *Balancer) BodyReceived(r *RPC) {
 	now := b.host.Now()
 	r.BodyPending = false
@@ -60,27 +61,27 @@
 	}
 }
 
-// expire ends an RPC for which an answer would be worth nothing any more.
+// expire ends an RPC once an answer would have no value.
 func (b *Balancer) expire(r *RPC, now float64) {
 	if !r.open || r.streaming {
 		return
 	}
 	b.recordWait(r, now)
 	for _, a := range r.attempts {
-		// The attempt ends before it is late by its own measure: for its server that is a time-out. Were it only
-		// canceled, a server in overload would be sent the next RPC as before.
-		if a.inFlight && !a.countedLate && now-a.sentAt > patienceFactor*a.expectedLatency {
+		// The RPC expires before the attempt reaches its lateAfter. The attempt counts as a time-out of its server: if
+		// it were only canceled, an overloaded server would get the next RPC as before.
+		if a.inFlight && !a.countedLate && now-a.sentAt > allowedLatencyFactor*a.expectedLatency {
 			a.countedLate = true
-			b.recordSilence(a, now)
+			b.recordTimeout(a, now)
 		}
 	}
 	b.giveUp(r)
 }
 
-// ClientGone ends the RPC of a client that waits no longer.
+// ClientGone ends the RPC of a client that no longer waits for the answer.
 func (b *Balancer) ClientGone(r *RPC) { b.close(r) }
 
-// close ends an RPC and cancels what is in flight of it.
+// close ends an RPC and cancels its attempts in flight.
 func (b *Balancer) close(r *RPC) {
 	if r.open {
 		r.open = false
--- a/decide/requests_test.go
+++ b/decide/requests_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An RPC has one answer, also where its time-out, its attempts' results and its client's departure cross.
-func TestBalancer_OneAnswer(t *testing.T) {
+// An RPC must get exactly one answer, even if its time-out, its attempts' results and its client's disconnection
+// coincide.
+func TestBalancer_ExactlyOneAnswer(t *testing.T) {
 	h, _ := newTestBalancer(3, nil)
 	r := h.arrive(book)
 	h.advanceTo(h.now + testDeadline)
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// retryAfterShare is the part of the latency objective after which a client that was pushed back may retry: soon enough
-// that the retry can still be in time, since a later one would take capacity from RPCs that can.
+// retryAfterShare is the wait that a pushback advises, as a fraction of the latency objective. It is short enough for
+// the retry to be in time; a later retry would take capacity from RPCs that can be in time.
 const retryAfterShare = 0.1
 
-// sendOrGiveUp sends the RPC's next attempt or, where there is nowhere to send it, ends it.
+// sendOrGiveUp sends the RPC's next attempt. If that is not possible and no attempt is in flight, it ends the RPC.
 func (b *Balancer) sendOrGiveUp(r *RPC, now float64) {
 	inTime := r.BodyPending || now < r.usefulUntil
 	if inTime && b.mayRetry(r, now) {
@@ -20,7 +20,7 @@
 	}
 }
 
-// mayRetry reports whether the RPC may have one more attempt. It guards the rule that no effect happens twice.
+// mayRetry reports whether the RPC may have one more attempt. It ensures that no effect happens twice.
 func (b *Balancer) mayRetry(r *RPC, now float64) bool {
 	if r.inFlight > 0 && !b.hedging {
 		return false
@@ -41,12 +41,13 @@
 	}
 }
 
-// mayRunAt reports whether an attempt at a server has no second effect: it drops repeats of what may have run already.
+// mayRunAt reports whether an attempt at a server has no second effect: nothing may have run yet, or the server drops
+// repeats.
 func (r *RPC) mayRunAt(s *Server) bool {
 	return r.firstMayHaveRun == nil || r.rules.inDedupScope(s, r.firstMayHaveRun.Server)
 }
 
-// inDedupScope reports whether a server drops repeats of what may have run at the first one.
+// inDedupScope reports whether an RPC that may have run at the first server has no second effect at the server s.
 func (m *methodRules) inDedupScope(s, first *Server) bool {
 	if m.Idempotency == Idempotent || m.DedupScope == ScopeAll {
 		return true
@@ -57,7 +58,7 @@
 	return m.DedupScope == ScopeZone || s.cell == first.cell
 }
 
-// markNeverRan notes that an attempt is known to have had no effect.
+// markNeverRan records that an attempt had no effect, and finds the first attempt that may have had one.
 func (r *RPC) markNeverRan(a *Attempt) {
 	a.neverRan = true
 	r.firstMayHaveRun = nil
@@ -67,18 +68,18 @@
 	}
 }
 
-// hasAttempted reports whether a server has had an attempt of the RPC.
+// hasAttempted reports whether the RPC has had an attempt at a server.
 func (r *RPC) hasAttempted(s *Server) bool {
 	return slices.ContainsFunc(r.attempts, func(a *Attempt) bool { return a.Server == s })
 }
 
-// hasInFlightAt reports whether a server has an attempt of the RPC in flight.
+// hasInFlightAt reports whether the RPC has an attempt in flight at a server.
 func (r *RPC) hasInFlightAt(s *Server) bool {
 	return slices.ContainsFunc(r.attempts, func(a *Attempt) bool { return a.Server == s && a.inFlight })
 }
 
-// retryIsHarmless reports whether the RPC's client may retry until its deadline with no second effect. A deduplicated
-// RPC that may have run needs servers that all drop repeats until then.
+// retryIsHarmless reports whether the RPC's client may retry until its deadline without a second effect. If a
+// deduplicated RPC may have run, all servers must drop repeats until then.
 func (r *RPC) retryIsHarmless() bool {
 	first := r.firstMayHaveRun
 	if first == nil || r.rules.Idempotency == Idempotent {
@@ -90,7 +91,7 @@
 	return r.Deadline <= first.sentAt+r.rules.DedupWindow
 }
 
-// giveUp ends an RPC at once: with a pushback where a retry is harmless, else with an abort.
+// giveUp ends an RPC at once: with a pushback if a retry is harmless, otherwise with an abort.
 func (b *Balancer) giveUp(r *RPC) {
 	if r.retryIsHarmless() {
 		b.host.PushBack(r, b.retryAfter(r))
@@ -100,8 +101,8 @@
 	b.close(r)
 }
 
-// retryAfter is when a client that is pushed back may retry, in seconds: soon, or at the latest time that is allowed if
-// the RPC has been open for longer than that.
+// retryAfter returns the wait in seconds that a pushback advises: retryAfterShare * latency objective, at most
+// maxRetryAfter. If the RPC has been open for longer than the former, it returns maxRetryAfter.
 func (b *Balancer) retryAfter(r *RPC) float64 {
 	wait := retryAfterShare * r.rules.LatencyObjective
 	if b.host.Now()-r.clockStart > wait {
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -11,7 +11,7 @@
 	h, _ := newTestBalancer(3, nil)
 	r := h.arrive(charge)
 	h.finish(h.lastSent(), Rejected)
-	assert.Len(t, h.sent, 2, "an attempt that never ran may be followed by another")
+	assert.Len(t, h.sent, 2, "a retry is allowed after an attempt that never ran")
 	h.finish(h.lastSent(), Reset)
 	assert.Len(t, h.sent, 2)
 	assert.True(t, h.aborted[r])
@@ -27,11 +27,12 @@
 	assert.Equal(t, first.Server.zone, h.lastSent().Server.zone)
 	h.now += 1.2
 	h.finish(h.lastSent(), Failed)
-	assert.Len(t, h.sent, 2, "the zone drops repeats only for a second")
+	assert.Len(t, h.sent, 2, "the zone drops repeats for one second only")
 	assert.True(t, h.aborted[r])
 }
 
-// A pushback promises that a retry is harmless: not where servers forget before the client's deadline.
+// A pushback promises that a retry is harmless. It must not be sent if the servers stop dropping repeats before the
+// client's deadline.
 func TestBalancer_PushbackWithinDedupWindow(t *testing.T) {
 	for window, pushedBack := range map[float64]bool{1: false, 5.9: false, testDeadline: true, 10: true} {
 		t.Run(fmt.Sprintf("%g s", window), func(t *testing.T) {
@@ -49,5 +50,5 @@
 	h, _ := newTestBalancer(0, nil)
 	r := h.arrive(charge)
 	assert.Contains(t, h.pushedBack, r)
-	assert.InDelta(t, 0.25, h.pushedBack[r], 1e-9, "the next attempt can still be in time")
+	assert.InDelta(t, 0.25, h.pushedBack[r], 1e-9, "the retry can still be in time")
 }
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -3,33 +3,34 @@
 import "math"
 
 const (
-	explorationRate   = 0.01 // chance of a random server that is not in the subset
-	tieFactor         = 1.1  // times the lowest estimate: what lies below is tied with it
-	outsideCandidates = 4    // servers outside the subset that are looked at for an attempt
-	lateTolerance     = 1.2  // times the time left: latencies scatter, so less than that may still be in time
-	sendLateChance    = 0.02 // of being sent all the same: without attempts nothing is learnt of a recovery
+	explorationRate     = 0.01 // probability that an attempt explores: it goes to a random server outside the subset
+	tieFactor           = 1.1  // times the lowest estimate: candidates up to it are tied with the lowest
+	outsideCandidates   = 4    // random servers outside the subset that are candidates for an attempt
+	lateTolerance       = 1.2  // times the time left: latencies vary, so a slightly higher estimate may still be met
+	sendLateProbability = 0.02 // probability that a late attempt is sent: otherwise a recovery would go unnoticed
 )
 
-// serverSearch is the search of a server for one attempt.
+// serverSearch is the search for the server of one attempt.
 type serverSearch struct {
 	rpc            *RPC
 	now            float64
 	typical        float64 // seconds; the typical latency of the RPC's method
-	warmServerRate float64 // answers a second
-	exploring      bool    // any server outside the subset is taken, not the best
+	warmServerRate float64 // answers per second that a warm server gives this node
+	exploring      bool    // the attempt goes to a random server outside the subset, not to the best one
 	candidates     []candidate
-	lowest         float64 // seconds; the lowest time to go
-	lowestLatency  float64 // seconds; the latency expected there
+	lowest         float64 // seconds; the lowest time to go of all candidates
+	lowestLatency  float64 // seconds; the expected latency at that candidate
 }
 
-// candidate is a server that the attempt may be sent to.
+// candidate is a server that may get the attempt.
 type candidate struct {
 	server   *Server
 	timeToGo float64 // seconds
 }
 
-// chooseServer is the Q-router: the server with the lowest time to go at its present load, near ties and exploration at
-// random. It is nil where there is none, or where the attempt would be late.
+// chooseServer is the Q-router: it returns the server with the lowest time to go at its current load. It chooses at
+// random among servers with nearly the lowest time to go, and among all candidates when it explores. It returns nil if
+// no server may get the attempt, or if the answer would be late.
 func (b *Balancer) chooseServer(r *RPC, now float64) *Server {
 	search := serverSearch{
 		rpc:            r,
@@ -40,7 +41,7 @@
 		candidates:     b.candidates[:0],
 		lowest:         math.Inf(1),
 	}
-	b.unknownServerPace = b.paceOfUnknown(search.typical, now)
+	b.unknownServerPrior = b.unknownServerLatencyRatio(search.typical, now)
 	if !search.exploring {
 		b.considerAll(&search, b.subset.members, false)
 	}
@@ -59,8 +60,8 @@
 	return tied[b.rng.Intn(len(tied))].server
 }
 
-// considerOutside adds servers outside the subset at random: always where the subset is to grow, otherwise for a part
-// of the attempts.
+// considerOutside adds random servers outside the subset to the candidates: always while the subset may grow or the
+// node explores, otherwise for at most replacementShare of the attempts.
 func (b *Balancer) considerOutside(search *serverSearch) {
 	now := search.now
 	replacements := b.subset.recentReplacements(now) + b.rng.Float64()
@@ -77,15 +78,15 @@
 	}
 }
 
-// considerAll adds those of the servers that the attempt may be sent to.
+// considerAll adds those of the servers to the candidates that may get the attempt.
 func (b *Balancer) considerAll(search *serverSearch, servers []*Server, lastResort bool) {
 	for _, s := range servers {
 		b.consider(search, s, lastResort)
 	}
 }
 
-// consider adds a server if the attempt may be sent to it. As a last resort that includes ejected servers and those
-// that the RPC has tried: one of them is better than none, and where all fail the fault lies elsewhere.
+// consider adds a server to the candidates if it may get the attempt. As a last resort that includes ejected servers
+// and servers that had an attempt of the RPC before: if all servers fail, the cause is elsewhere.
 func (b *Balancer) consider(search *serverSearch, s *Server, lastResort bool) {
 	r, now := search.rpc, search.now
 	if s.state != Ready || !r.mayRunAt(s) {
@@ -107,23 +108,25 @@
 	search.candidates = append(search.candidates, candidate{server: s, timeToGo: timeToGo})
 }
 
-// rejectLate reports whether the attempt is not sent because even the best server known would answer late: it would
-// only keep others waiting. Inner tiers send it, since a pushback wastes the work of the tiers above.
+// rejectLate reports whether the attempt is not sent because the answer would be late even from the best candidate: its
+// expected latency exceeds lateTolerance * time left * admissionShare. Such an attempt would only delay other RPCs.
+// Inner tiers send it, since a pushback wastes the work of the tiers above.
 func (b *Balancer) rejectLate(search *serverSearch) bool {
 	if b.innerTier || search.exploring {
 		return false
 	}
 	r := search.rpc
 	late := search.lowestLatency > lateTolerance*(r.usefulUntil-search.now)*r.admissionShare
-	return late && b.rng.Float64() >= sendLateChance
+	return late && b.rng.Float64() >= sendLateProbability
 }
 
-// tied keeps the candidates whose estimates are next to the lowest; all of them where the node explores.
+// tied returns the candidates whose time to go is at most tieFactor times the lowest, or all candidates if the node
+// explores.
 func (s *serverSearch) tied() []candidate {
 	if s.exploring {
 		return s.candidates
 	}
-	highest := max(s.lowest, s.lowest*tieFactor) // an estimate may be below zero
+	highest := max(s.lowest, s.lowest*tieFactor) // an estimate may be negative
 	tied := s.candidates[:0]
 	for _, candidate := range s.candidates {
 		if candidate.timeToGo <= highest {
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// After any history of answers, failures, ejections, starts and watch events the choice keeps to what it may choose from:
-// ready servers, healthy ones as long as there are any, the dedup scope of an RPC that may have run.
+// After any sequence of answers, failures, ejections, starts and watch events, the chosen server must be ready, must be
+// healthy if the subset has a healthy server, and must be in the dedup scope of an RPC that may have run.
 func TestBalancer_ChooseServerInvariants(t *testing.T) {
 	chosen := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -20,7 +20,7 @@
 		})
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			h.advanceTo(h.now + float64(rapid.IntRange(0, 400).Draw(t, "ms"))/1000)
-			playRandomEvent(t, h, servers[rapid.IntRange(0, n-1).Draw(t, "server")])
+			applyRandomEvent(t, h, servers[rapid.IntRange(0, n-1).Draw(t, "server")])
 			checkSubset(t, h.balancer)
 			assert.LessOrEqual(t, len(h.balancer.subset.members), n)
 			r := drawRPC(t, h)
@@ -33,8 +33,8 @@
 	assert.Greater(t, chosen, 1000)
 }
 
-// playRandomEvent plays a watch event about a server, an arrival or a result.
-func playRandomEvent(t *rapid.T, h *fakeHost, s *Server) {
+// applyRandomEvent passes a watch event about a server, an arrival or a result to the Balancer.
+func applyRandomEvent(t *rapid.T, h *fakeHost, s *Server) {
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0:
 		state := State(rapid.IntRange(0, 2).Draw(t, "state"))
@@ -55,7 +55,7 @@
 	}
 }
 
-// checkSubset checks that the members are ready servers of the list, each once, and marked as members.
+// checkSubset checks that the members are listed, ready and marked as members, and that each is a member only once.
 func checkSubset(t *rapid.T, b *Balancer) {
 	members := map[*Server]bool{}
 	for _, s := range b.subset.members {
@@ -68,7 +68,7 @@
 	}
 }
 
-// drawRPC draws a new RPC, or that of the last attempt.
+// drawRPC returns a new RPC or that of the last attempt, at random.
 func drawRPC(t *rapid.T, h *fakeHost) *RPC {
 	r := &RPC{Method: rapid.IntRange(0, 3).Draw(t, "method of the choice"), Deadline: h.now + testDeadline}
 	if again := rapid.IntRange(0, 3).Draw(t, "again"); again == 0 && len(h.sent) > 0 {
@@ -80,22 +80,22 @@
 	return r
 }
 
-// checkChoice checks that an RPC may be sent to the server that was chosen for it.
+// checkChoice checks that the RPC may be sent to the chosen server.
 func checkChoice(t *rapid.T, h *fakeHost, r *RPC, chosen *Server) {
 	assert.Equal(t, Ready, chosen.state)
 	assert.False(t, r.hasInFlightAt(chosen))
 	assert.True(t, r.firstMayHaveRun == nil || r.rules.inDedupScope(chosen, r.firstMayHaveRun.Server))
 	for _, s := range h.balancer.subset.members {
-		healthy := h.now >= s.outlier.ejectedUntil && s.outlier.failuresInRow < ejectAfter
+		healthy := h.now >= s.outlier.ejectedUntil && s.outlier.consecutiveFailures < ejectionThreshold
 		warm := h.balancer.slowStart.capacityFraction(s.startedAt, h.now) == 1
 		inScope := r.firstMayHaveRun == nil || r.rules.inDedupScope(s, r.firstMayHaveRun.Server)
 		if healthy && warm && inScope && !r.hasAttempted(s) {
-			assert.GreaterOrEqual(t, h.now, chosen.outlier.ejectedUntil, "ejected while a member is healthy")
+			assert.GreaterOrEqual(t, h.now, chosen.outlier.ejectedUntil, "ejected, although a member is healthy")
 		}
 	}
 }
 
-// Among thousands the choice must find the usable servers, however few, and keep off the slow ones.
+// Among thousands of servers, the Balancer must find the usable ones, however few, and must avoid slow ones.
 func TestBalancer_ChooseServerAmongThousands(t *testing.T) {
 	h, servers := newTestBalancer(3000, nil)
 	fast := map[*Server]bool{}
@@ -139,11 +139,11 @@
 	assert.Greater(t, answered[s[0]], answered[s[1]]+answered[s[2]]+answered[s[3]])
 }
 
-// On big-1 of portail-rimouski servers that could not answer in time were sent to all the same, and worked for nobody.
+// An RPC must be rejected if no server can answer it in time. If it is sent nevertheless, the server's work is wasted.
 func TestBalancer_LateRPCsRejected(t *testing.T) {
 	h, servers := newTestBalancer(2, func(s *Settings) { s.MayCancel = false })
 	h.answerOneByOne(60, constantLatency(0.5))
-	for range 20 { // both are in overload: answers take four times the objective
+	for range 20 { // both are overloaded: answers take four times the objective
 		for _, s := range servers {
 			h.recordAnswer(s, 0, 10, 10)
 		}
@@ -153,8 +153,8 @@
 		before := len(h.sent)
 		r := h.arrive(lookup)
 		if h.isPushedBack(r) {
-			assert.Len(t, h.sent, before, "nothing was sent")
-			assert.InDelta(t, 0.25, h.pushedBack[r], 1e-9, "and the client knows when to retry")
+			assert.Len(t, h.sent, before, "a rejected RPC is not sent")
+			assert.InDelta(t, 0.25, h.pushedBack[r], 1e-9, "the pushback advises a wait")
 			pushedBack++
 		}
 	}
@@ -162,8 +162,8 @@
 	assert.Less(t, pushedBack, 51)
 }
 
-// A failure costs a whole deadline in the Q-table: with a single server it had led to the rejection of all that came
-// next.
+// A single failure must not cause rejections. It counts as the whole deadline in the Q-table, so that with only one
+// server all later RPCs seemed to be late.
 func TestBalancer_OneFailureRejectsNothing(t *testing.T) {
 	h, _ := newTestBalancer(1, nil)
 	h.answerOneByOne(20, constantLatency(0.1))
@@ -173,8 +173,8 @@
 	assert.NotContains(t, h.pushedBack, r)
 }
 
-// Nodes with little traffic have rows of one or two samples. By one slow answer there each of them had expected that no
-// server could answer in time: in calm weather 60 nodes rejected 80 to 140 of 7,100 RPCs, all for that.
+// One slow answer must not cause rejections at nodes with little traffic, whose rows have one or two samples. Such an
+// answer made all servers seem too slow: without any fault, 60 nodes rejected 80 to 140 of 7,100 RPCs for this reason.
 func TestBalancer_OneSlowAnswerRejectsNothing(t *testing.T) {
 	for seed := range int64(50) {
 		h, s := newSeededBalancer(seed, 4, func(s *Settings) { s.Tenants = []Tenant{{Quota: 1000}, {Quota: 1000}} })
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -1,16 +1,16 @@
 package decide
 
-// Idempotency says whether a method's RPC may be sent again once it may have run.
+// Idempotency says whether an RPC of a method may be sent again after an attempt of it may have run.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
 	Idempotent    Idempotency = iota // it may run any number of times
-	Deduplicated                     // servers drop repeats by its idempotency key, within a window and a scope
-	NonIdempotent                    // it must not run twice
+	Deduplicated                     // servers drop repeats by idempotency key, within DedupWindow and DedupScope
+	NonIdempotent                    // it must run at most once
 )
 
-// DedupScope is the group of servers that drops repeats of a deduplicated RPC.
+// DedupScope is the set of servers that drop repeats of a deduplicated RPC.
 type DedupScope int
 
 // The scopes of deduplication.
@@ -20,42 +20,42 @@
 	ScopeCell                   // the servers of one cell of a zone
 )
 
-// Method is the settings of one kind of RPC. Times are in seconds.
+// Method holds the settings of one method. Times are in seconds.
 type Method struct {
-	LatencyObjective float64 // an answer within it has the full weight
-	Deadline         float64
-	PriorityWeight   float64 // what an answer within the objective is worth
-	LateWeight       float64 // the part of PriorityWeight that an answer after the objective is worth
+	LatencyObjective float64 // an answer within it is worth PriorityWeight
+	Deadline         float64 // time allowed for an RPC; in the Q-table, the cost of a failure
+	PriorityWeight   float64 // value of an answer within LatencyObjective, relative to other methods
+	LateWeight       float64 // value of a later answer, as a fraction of PriorityWeight
 	Idempotency      Idempotency
-	DedupScope       DedupScope
-	DedupWindow      float64 // how long servers drop repeats, from the first attempt on
+	DedupScope       DedupScope // servers that drop repeats
+	DedupWindow      float64    // time from the first attempt on during which servers drop repeats
 }
 
-// Tenant is the settings of one customer.
+// Tenant holds the settings of one customer.
 type Tenant struct {
-	Quota float64 // RPCs a second over all nodes; 0: none
+	Quota float64 // RPCs per second over all nodes; 0: none
 }
 
 // Settings is the configuration of an instance. Times are in seconds.
 type Settings struct {
 	Methods []Method
 	Tenants []Tenant
-	Zone    int
-	Stage   int // 0: clients send to this instance; else nodes of the stage before do
+	Zone    int // zone of this node
+	Stage   int // 0: clients send to this instance; otherwise the nodes of the previous stage do
 
-	Instances         int     // nodes of the tier
-	MaxAttempts       int     // of an RPC
+	Instances         int     // number of nodes in the tier
+	MaxAttempts       int     // per RPC
 	MayCancel         bool    // attempts may be canceled
 	Hedging           bool    // an RPC may have several attempts in flight
-	MaxRetryAfter     float64 // the longest wait that a pushback may advise; 0: it advises none
-	OverQuotaWeight   float64 // the part of its weight that is left to traffic beyond a tenant's quota
-	CrossZoneCost     float64 // of an attempt in another zone
-	MustSubscribe     bool    // there are watch events only after Host.WatchEndpoints
-	MaxPollInterval   float64 // without a subscription, the endpoint list has to be polled for within it
-	MaxFirstPollDelay float64 // before the first poll, at most; 0: no bound
-
-	SlowStartFraction float64 // of its capacity that a server has when it starts
-	SlowStartDuration float64 // until it has all of it
-	OverloadMultiple  float64 // times its capacity of then that overloads a server in slow start
-	OverloadWindow    float64 // within which that many attempts overload it
+	MaxRetryAfter     float64 // longest wait that a pushback may advise; 0: it advises none
+	OverQuotaWeight   float64 // factor on the weight of RPCs that exceed their tenant's quota
+	CrossZoneCost     float64 // dimensionless; raises estimates for other zones, see crossZoneFactor
+	MustSubscribe     bool    // watch events arrive only after Host.WatchEndpoints
+	MaxPollInterval   float64 // longest time between polls of the endpoint list while there is no subscription
+	MaxFirstPollDelay float64 // longest delay of the first poll; 0: no bound
+
+	SlowStartFraction float64 // fraction of its capacity that a server has when it starts
+	SlowStartDuration float64 // time from a server's start until it has its full capacity
+	OverloadMultiple  float64 // a server in slow start is overloaded above this multiple of its current capacity
+	OverloadWindow    float64 // time over which that overload is measured
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -8,19 +8,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-var longForm = flag.Bool("long", false, "play the fleets with servers in slow start in all shapes, on five seeds")
+var longRun = flag.Bool("long", false, "simulate slow start in fleets of all shapes, with five seeds each")
 
-// slowStartScene is something that happens to a fleet whose servers start.
-type slowStartScene struct {
+// slowStartScenario is a sequence of events in a fleet in which servers start.
+type slowStartScenario struct {
 	name    string
-	shapes  int     // of slowStartShapes, from the first, that the short form plays
-	minUsed float64 // the part of the budget over the whole slow start that has to be used
-	play    func(*testing.T, *fleet)
+	shapes  int     // number of slowStartShapes, from the first, that run without -long
+	minUsed float64 // fraction of the budget over the whole slow start that must be used
+	run     func(*testing.T, *fleet)
 }
 
-// slowStartShapes are the fleets of the scenes. The long form fails with 440 nodes that each know a small subset, on a
-// surge (102 where the budget is 70) and with all servers starting (29 where it is 15): docs/design.md. It also fails
-// with the first shape and all servers starting, on one seed (14 where the budget is 6.4).
+// slowStartShapes are the fleets of the scenarios. With -long the test fails for 440 nodes that each know a small
+// subset: in a surge (102 attempts, budget 70) and with all servers starting (29 attempts, budget 15); see
+// docs/design.md. It also fails for the first shape with all servers starting, with one seed (14 attempts, budget 6.4).
 var slowStartShapes = []fleetShape{
 	{nodes: 30, servers: 20, capacity: 3},
 	{nodes: 5, servers: 20, capacity: 10},
@@ -28,60 +28,63 @@
 	{nodes: 440, servers: 60, capacity: 10},
 }
 
-// Clients ask of each server for 0.24 of its budget in slow start, on a surge for 0.48; half of that has to reach it.
-var slowStartScenes = []slowStartScene{
-	{"one starts", 1, 0, func(_ *testing.T, f *fleet) {
+// slowStartScenarios are run by TestBalancer_SlowStartBudget. Clients request 0.24 of each server's budget in slow
+// start, and 0.48 in a surge. Half of the latter must reach the server.
+var slowStartScenarios = []slowStartScenario{
+	{"one server starts", 1, 0, func(_ *testing.T, f *fleet) {
 		f.restartServer(0, 0)
-		f.playSlowStart()
+		f.runSlowStart()
 	}},
-	{"nodes notified apart", 1, 0, func(_ *testing.T, f *fleet) {
+	{"nodes notified at different times", 1, 0, func(_ *testing.T, f *fleet) {
 		f.restartServer(0, 6)
-		f.playSlowStart()
+		f.runSlowStart()
 	}},
-	{"surge", 3, 0.24, playSurge},
-	{"three start", 1, 0, func(_ *testing.T, f *fleet) {
+	{"surge", 3, 0.24, runSurge},
+	{"three servers start", 1, 0, func(_ *testing.T, f *fleet) {
 		for i := range 3 {
 			f.restartServer(i, 0)
 		}
-		f.playSlowStart()
+		f.runSlowStart()
 	}},
-	{"burst of one RPC a node", 1, 0, func(_ *testing.T, f *fleet) { f.playBurst(1) }},
-	{"burst of ten RPCs a node", 3, 0, func(_ *testing.T, f *fleet) { f.playBurst(10) }},
-	{"all restart", 1, 0.24, func(_ *testing.T, f *fleet) { f.restartAll() }},
-	{"all replaced", 3, 0.24, func(_ *testing.T, f *fleet) {
+	{"burst of one RPC per node", 1, 0, func(_ *testing.T, f *fleet) { f.runBurst(1) }},
+	{"burst of ten RPCs per node", 3, 0, func(_ *testing.T, f *fleet) { f.runBurst(10) }},
+	{"all servers restart", 1, 0.24, func(_ *testing.T, f *fleet) { f.restartAll() }},
+	{"all servers replaced", 3, 0.24, func(_ *testing.T, f *fleet) {
 		f.newServers = true
 		f.restartAll()
 	}},
-	{"six in ten start within 7 s", 1, 0, func(_ *testing.T, f *fleet) {
+	{"six in ten servers start within 7 s", 1, 0, func(_ *testing.T, f *fleet) {
 		for i := range f.shape.servers * 6 / 10 {
 			f.after(7*f.rng.Float64(), func() { f.restartServer(i, 0) })
 		}
-		f.playSlowStart()
+		f.runSlowStart()
 	}},
-	{"nodes restart", 1, 0, playNodeRestarts},
+	{"nodes restart", 1, 0, runNodeRestarts},
 }
 
-// A server in slow start is overloaded by the sum of what all nodes send it: in any overload window it gets at most what
-// the settings allow, and twice the root of that and two more by chance. Each node keeping to its share was not enough:
-// thirty nodes that were idle each sent a whole RPC at once (33 where the budget was 17), and where all servers were
-// replaced the nodes divided what the warm ones had answered by the fractions of those starting (43 where it was 15).
+// The attempts of all nodes together must not overload a server in slow start. In any overload window it may get the
+// budget of the settings, plus 2*sqrt(budget) + 2 attempts for random variation. A limit at each node alone was not
+// enough: thirty idle nodes each sent one RPC at the same time (33 attempts, budget 17). When all servers were
+// replaced, the nodes divided the answers of the warm servers by the capacity fractions of the starting ones (43
+// attempts, budget 15).
 func TestBalancer_SlowStartBudget(t *testing.T) {
-	for _, scene := range slowStartScenes {
-		t.Run(scene.name, func(t *testing.T) {
-			shapes, seeds := slowStartShapes[:scene.shapes], 1
-			if *longForm {
+	for _, scenario := range slowStartScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
+			shapes, seeds := slowStartShapes[:scenario.shapes], 1
+			if *longRun {
 				shapes, seeds = slowStartShapes, 5
 			}
 			for _, shape := range shapes {
-				name := fmt.Sprintf("%d nodes, %d servers of %g a second", shape.nodes, shape.servers, shape.capacity)
-				t.Run(name, func(t *testing.T) { checkSlowStart(t, scene, shape, seeds) })
+				name := fmt.Sprintf("%d nodes, %d servers of %g per second", shape.nodes, shape.servers, shape.capacity)
+				t.Run(name, func(t *testing.T) { checkSlowStart(t, scenario, shape, seeds) })
 			}
 		})
 	}
 }
 
-// checkSlowStart plays a scene on a number of seeds and checks what the servers in slow start received.
-func checkSlowStart(t *testing.T, scene slowStartScene, shape fleetShape, seeds int) {
+// checkSlowStart runs a scenario with a number of seeds and checks how many attempts the servers in slow start
+// received.
+func checkSlowStart(t *testing.T, scenario slowStartScenario, shape fleetShape, seeds int) {
 	t.Helper()
 	shape.load, shape.latency = 0.6, 0.1
 	used := 0.0
@@ -89,28 +92,29 @@
 		shape.seed = int64(seed) + 1
 		f := newFleet(shape)
 		f.advanceTo(f.now + 20)
-		scene.play(t, f)
+		scenario.run(t, f)
 		started, usedBySeed := 0.0, 0.0
 		for i, startedAt := range f.startedAt {
 			if startedAt == 0 {
 				continue
 			}
 			worst := f.worstWindow(i)
-			assert.LessOrEqual(t, worst.excess, 0.0, "seed %d: %g within %g s, the budget is %.1f, at an age of %.1f s",
+			assert.LessOrEqual(t, worst.excess, 0.0, "seed %d: %g attempts within %g s, budget %.1f, server age %.1f s",
 				shape.seed, worst.received, overloadWindow, worst.budget, worst.age)
 			started++
 			usedBySeed += float64(len(f.receivedInSlowStart(i))) / shape.budget(0, slowStartDuration)
 		}
 		used += usedBySeed / started / float64(seeds)
 	}
-	assert.GreaterOrEqual(t, used, scene.minUsed, "used of the budget")
-	if *longForm {
+	assert.GreaterOrEqual(t, used, scenario.minUsed, "fraction of the budget that was used")
+	if *longRun {
 		t.Logf("used %.2f of the budget", used)
 	}
 }
 
-// playSurge starts a server in a fleet with twice the usual traffic. Once it is warm it does as much as the others.
-func playSurge(t *testing.T, f *fleet) {
+// runSurge restarts a server while the fleet has twice its usual traffic. Once warm, the server must get at least half
+// of its part of the traffic.
+func runSurge(t *testing.T, f *fleet) {
 	const warmTime = 10 // seconds
 	f.demand = func(int, float64) float64 { return 2 }
 	f.restartServer(0, 0)
@@ -124,8 +128,8 @@
 	assert.Greater(t, float64(warm), 0.5*2*f.shape.load*f.shape.capacity*warmTime)
 }
 
-// playNodeRestarts starts a server while a quarter of the nodes restart every two seconds.
-func playNodeRestarts(_ *testing.T, f *fleet) {
+// runNodeRestarts restarts a server while a quarter of the nodes restart every two seconds.
+func runNodeRestarts(_ *testing.T, f *fleet) {
 	f.restartServer(0, 0)
 	for round := range 12 {
 		f.advanceTo(f.now + 2)
@@ -150,14 +154,14 @@
 	before := h.balancer.slowStart.warmServerRate(h.now)
 	h.advanceTo(h.now + 8)
 	assert.Greater(t, h.balancer.slowStart.warmServerRate(h.now), before*0.8,
-		"the rate of servers in overload would leave a starting one idle beside them")
+		"a lower rate during an overload would leave a starting server idle")
 }
 
-// After a release on portail-rimouski the new servers had a tenth of what they could do: a node's share was taken of all
-// servers, though each node sends to its subset only.
+// The rate of a warm server must be computed from the servers in the subset, since each node sends to its subset only.
+// Computed from all servers, new servers got a tenth of what they could answer after a release.
 func TestBalancer_WarmServerRateOfSubset(t *testing.T) {
 	h, _ := newTestBalancer(200, func(s *Settings) { s.Instances = 100 })
-	h.answerOneByOne(400, constantLatency(0.1)) // ten a second
+	h.answerOneByOne(400, constantLatency(0.1)) // ten per second
 	rate := h.balancer.slowStart.warmServerRate(h.now)
 	assert.Greater(t, rate, 10.0/float64(2*len(h.balancer.subset.members)))
 	assert.Less(t, rate, 10.0)
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -6,57 +6,59 @@
 )
 
 const (
-	minSubsetSize       = 4   // one may be ejected, and a retry needs another
+	minSubsetSize       = 4   // servers: one may be ejected, and a retry needs another
 	maxSubsetSize       = 128 // servers
-	subsetPerAttempt    = 2.5 // servers more for each attempt that the node has in flight on average
-	concurrencyHalfLife = 5.0 // seconds; of that average
-	replacementHalfLife = 5.0 // seconds
-	replacementShare    = 0.1 // of the attempts may bring a new member in place of another
+	serversPerAttempt   = 2.5 // additional servers per attempt that the node has in flight on average
+	concurrencyHalfLife = 5.0 // seconds; of the mean number of attempts in flight
+	replacementHalfLife = 5.0 // seconds; of the count of replaced members
+	replacementShare    = 0.1 // highest fraction of the attempts that may replace a member
 )
 
-// subset is the servers that the node mostly sends to, the neighbours of the paper's router: a node that sends to all
-// servers in turn hears too seldom from each. Its size follows the attempts in flight.
+// subset is the set of servers that get most of the node's attempts, called neighbours in the paper's router. A node
+// that sends to all servers in turn gets answers from each one too rarely for a current estimate. The size of the
+// subset follows the number of attempts in flight.
 type subset struct {
 	members      []*Server
-	inFlight     decayingMean  // attempts in flight when others were sent
-	replacements decayingValue // of one member by another
+	inFlight     decayingMean  // sampled when an attempt is sent
+	replacements decayingValue // decaying count of replaced members
 }
 
-// limit is how many servers the node's attempts need.
+// limit returns the size up to which the subset grows: minSubsetSize + serversPerAttempt * mean attempts in flight, at
+// most maxSubsetSize.
 func (s *subset) limit(now float64) int {
 	mean := s.inFlight.read(now, concurrencyHalfLife, 0, 0)
-	return min(minSubsetSize+int(subsetPerAttempt*mean), maxSubsetSize)
+	return min(minSubsetSize+int(serversPerAttempt*mean), maxSubsetSize)
 }
 
-// isFull reports whether a new member replaces another.
+// isFull reports whether a new member has to replace another.
 func (s *subset) isFull(now float64) bool { return len(s.members) >= s.limit(now) }
 
-// sent counts an attempt with which so many are in flight.
+// sent adds a sample of the attempts in flight, which include the one being sent.
 func (s *subset) sent(inFlight int, now float64) {
 	s.inFlight.add(float64(inFlight), now, concurrencyHalfLife)
 }
 
-// replaced counts a new member in place of another.
+// replaced counts the replacement of a member by another.
 func (s *subset) replaced(now float64) { s.replacements.add(1, now, replacementHalfLife) }
 
-// recentReplacements is how many members have lately been replaced.
+// recentReplacements returns the decaying count of replaced members.
 func (s *subset) recentReplacements(now float64) float64 {
 	return s.replacements.read(now, replacementHalfLife)
 }
 
-// add makes a server a member.
+// add adds a server to the subset.
 func (s *subset) add(server *Server) {
 	server.inSubset = true
 	s.members = append(s.members, server)
 }
 
-// remove takes out the member at an index.
+// remove removes the member at an index.
 func (s *subset) remove(i int) {
 	s.members[i].inSubset = false
 	s.members = slices.Delete(s.members, i, i+1)
 }
 
-// retain takes out the members for which keep does not hold.
+// retain removes the members for which keep returns false.
 func (s *subset) retain(keep func(*Server) bool) {
 	s.members = slices.DeleteFunc(s.members, func(server *Server) bool {
 		server.inSubset = keep(server)
@@ -64,8 +66,8 @@
 	})
 }
 
-// addToSubset makes the server of an RPC's first attempt a member. Where the subset is full, the members with the
-// highest estimates leave, with what the Q-table has of them.
+// addToSubset adds the server of an RPC's first attempt to the subset. If the subset is full, the members with the
+// highest estimates are removed, together with their entries in the Q-table.
 func (b *Balancer) addToSubset(r *RPC, s *Server, typical, now float64) {
 	b.subset.sent(b.attemptsInFlight+1, now)
 	if s.inSubset || len(r.attempts) > 0 {
@@ -82,7 +84,7 @@
 	b.subset.add(s)
 }
 
-// worstInSubset is the index of the member with the highest estimate; an ejected one counts as the highest.
+// worstInSubset returns the index of the member with the highest estimate; an ejected member counts as the highest.
 func (b *Balancer) worstInSubset(r *RPC, typical, now float64) int {
 	worst, highest := 0, -1.0
 	for i, s := range b.subset.members {
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// On portail-rimouski a node sent to 43 servers in 10 s with 90 attempts: what it knew of each was old when it was used.
+// A node must send most attempts to few servers. One that sent 90 attempts in 10 s to 43 servers had only outdated
+// estimates.
 func TestBalancer_Subset(t *testing.T) {
 	h, servers := newTestBalancer(200, func(s *Settings) { s.Instances = 100 })
 	b := h.balancer
@@ -18,10 +19,10 @@
 			byFew += n
 		}
 	}
-	assert.Greater(t, byFew, 300, "most attempts go to servers used often: %d were used", len(answered))
+	assert.Greater(t, byFew, 300, "most attempts go to servers used at least ten times, of %d", len(answered))
 	assert.LessOrEqual(t, len(b.subset.members), 8)
 
-	// An ejected member leaves first, however low its estimate.
+	// An ejected member is removed first, however low its estimate.
 	ejected, r := b.subset.members[0], &RPC{}
 	ejected.outlier.ejectedUntil, r.rules = h.now+5, b.methods[lookup].methodRules
 	for range 6 {
@@ -30,7 +31,7 @@
 	}
 	assert.False(t, ejected.inSubset)
 
-	// A draining member leaves at once.
+	// A draining member is removed at once.
 	draining := b.subset.members[0]
 	b.UpdateEndpoints([]EndpointUpdate{{Server: draining, State: Draining, Weight: 1}}, false)
 	assert.NotContains(t, b.subset.members, draining)
--- a/decide/watch.go
+++ b/decide/watch.go
@@ -1,20 +1,20 @@
 package decide
 
 const (
-	firstWatchPause  = 0.25 // seconds, after the first failure; doubles with each further one
-	maxWatchPause    = 4.0  // seconds
-	longestWatchWait = 1.5  // times the pause: waits are drawn at random from a third to the whole of it
+	minWatchPause   = 0.25 // seconds; backoff after the first failure, doubled for each further one
+	maxWatchPause   = 4.0  // seconds; upper bound of the backoff
+	watchWaitFactor = 1.5  // times the backoff: the longest wait, see next
 
-	firstWatchDelayPerNode = 0.1  // seconds; nodes that start together spread their first calls over their number
-	firstWatchDelayShare   = 0.25 // of the longest time between two calls, at most
+	firstWatchDelayPerNode = 0.1  // seconds per node of the tier: spreads the first calls of nodes that start together
+	firstWatchDelayShare   = 0.25 // fraction of Settings.MaxPollInterval that the delay may be at most
 )
 
-// maxFirstWatchDelay is how long a node may wait at most, in seconds, before it first watches the endpoint list. All
-// nodes of a fleet may start together, and discovery is one slow service: each waits a random part of that time.
+// maxFirstWatchDelay returns the longest delay in seconds before a node first watches the endpoint list. All nodes of a
+// fleet may start together, and discovery is a single slow service, so each node waits for a random part of the delay.
 func maxFirstWatchDelay(settings *Settings) float64 {
 	delay := min(settings.MaxPollInterval*firstWatchDelayShare, firstWatchDelayPerNode*float64(settings.Instances))
 	if settings.MaxFirstPollDelay > 0 {
-		delay = min(delay, settings.MaxFirstPollDelay) // what discovery had before the start binds in time, too
+		delay = min(delay, settings.MaxFirstPollDelay) // changes before the start must take effect in time, too
 	}
 	return delay
 }
@@ -22,21 +22,23 @@
 // watchTimer is the payload of the timer after which the endpoint list is watched again.
 type watchTimer struct{ id int }
 
-// watchBackoff spaces the attempts to watch the endpoint list: the pause doubles while they fail.
+// watchBackoff is the exponential backoff between calls to watch the endpoint list: the pause doubles with each
+// failure.
 type watchBackoff struct {
-	pause   float64 // seconds; 0: nothing has failed yet
-	timerID int     // of the timers set, only the last one counts
+	pause   float64 // seconds; 0: no failure yet
+	timerID int     // of the last timer; earlier timers are ignored
 }
 
-// reset begins anew with the shortest pause.
+// reset restarts the backoff with the shortest pause.
 func (w *watchBackoff) reset() { w.pause = 0 }
 
-// next is the wait before the next attempt, for a random number in [0, 1), and the timer that ends it. The longest wait
-// that it may draw is at least minWait and at most maxWait.
+// next returns the wait in seconds before the next call, and the timer that ends it. The longest wait is
+// watchWaitFactor * pause, but at least minWait and at most maxWait. random is drawn from [0, 1), so the wait is
+// uniform between a third of the longest wait and all of it.
 func (w *watchBackoff) next(minWait, maxWait, random float64) (float64, watchTimer) {
-	w.pause = min(max(firstWatchPause, w.pause*2), maxWatchPause)
+	w.pause = min(max(minWatchPause, w.pause*2), maxWatchPause)
 	w.timerID++
-	longest := min(max(longestWatchWait*w.pause, minWait), maxWait)
+	longest := min(max(watchWaitFactor*w.pause, minWait), maxWait)
 	return longest * (1 + 2*random) / 3, watchTimer{w.timerID}
 }
 
--- a/decide/watch_test.go
+++ b/decide/watch_test.go
@@ -16,19 +16,20 @@
 	h.advanceTo(106)
 	assert.Equal(t, 2, h.watches)
 	for range 6 {
-		h.balancer.UpdateEndpoints(nil, false) // watch events in between change nothing
+		h.balancer.UpdateEndpoints(nil, false) // watch events do not reset the backoff
 		h.balancer.EndpointWatchFailed(false, 0, math.Inf(1))
 	}
 	h.advanceTo(107)
-	assert.Equal(t, 2, h.watches, "an overloaded discovery is spared")
+	assert.Equal(t, 2, h.watches, "the backoff grows while discovery is overloaded")
 	h.balancer.EndpointWatchFailed(true, 0, math.Inf(1))
 	h.advanceTo(107.5)
-	assert.Equal(t, 3, h.watches, "one that was silent, or has had no call yet, is called soon")
+	assert.Equal(t, 3, h.watches, "after a reset the wait is short")
 	h.advanceTo(130)
-	assert.Equal(t, 3, h.watches, "several failures lead to one call")
+	assert.Equal(t, 3, h.watches, "several failures cause one call")
 }
 
-// What discovery has binds in time, so no wait is longer than the host allows; and a fleet must not call in one moment.
+// Changes in the endpoint list must take effect in time, so no wait may be longer than maxWait. The nodes of a fleet
+// must not call at the same time, so waits vary from a third of that to all of it.
 func TestBalancer_WatchPauseBounds(t *testing.T) {
 	waited := func(seed int64, maxWait float64) float64 {
 		h, _ := newSeededBalancer(seed, 1, nil)
@@ -72,9 +73,9 @@
 		shortest, timer := w.next(0, math.Inf(1), 0)
 		assert.InDelta(t, longest/3, shortest, 1e-9)
 		assert.True(t, w.isCurrent(timer))
-		assert.False(t, w.isCurrent(watchTimer{timer.id - 1}), "an earlier timer is void")
+		assert.False(t, w.isCurrent(watchTimer{timer.id - 1}), "an earlier timer is ignored")
 	}
 	w.reset()
 	wait, _ := w.next(5, math.Inf(1), 0)
-	assert.InDelta(t, 5.0/3, wait, 1e-9, "at least what the host wants")
+	assert.InDelta(t, 5.0/3, wait, 1e-9, "the longest wait is at least minWait")
 }
