--- a/decide/admission.go
+++ b/decide/admission.go
@@ -12,7 +12,7 @@
 	longWaitHalfLife      = 5.0  // seconds; of the long-term mean wait and of the mean number of open RPCs
 	recentWaitHalfLife    = 0.7  // seconds; of the recent mean wait
 	minWaitSamples        = 6.0  // if there are fewer recent waits, the long-term mean stands in for the missing ones
-	longWaitPriorSamples  = 2.0  // samples that the prior of the long-term mean counts for: few waits vary at random
+	longWaitPriorSamples  = 2.0  // samples of the long-term mean's prior: the lowest of a few waits is random
 )
 
 // The limit and its baseline are numbers of open RPCs; the baseline is the number that is usually open. A round of
@@ -22,19 +22,19 @@
 	maxLimitFactor      = 1.1  // times the baseline: a burst would fill a higher limit before the first late answer
 	minLimitFactor      = 0.5  // times the baseline: overloaded servers recover with that few open RPCs anyway
 	variationHalfAt     = 4.0  // open RPCs; baseline at which half of the allowance for random variation applies
-	limitIncrease       = 0.2  // fraction of the limit by which a round of answers raises it
-	limitDecrease       = 0.3  // higher than the increase, since overload costs more than an idle server
-	maxOverloadDecrease = 0.5  // highest decrease while the mean wait exceeds waitGoal: min(wait - waitGoal, this)
+	limitIncrease       = 0.2  // increase of the limit per round of answers, as a fraction of the limit
+	limitDecrease       = 0.3  // decrease per round; higher than the increase: overload costs more than an idle server
+	maxOverloadDecrease = 0.5  // above waitGoal the decrease per round is the mean wait - waitGoal, at most this
 	minUtilization      = 0.6  // the limit grows only while a higher fraction of it is in use
 	minRoundLength      = 4.0  // answers; lowest length of a round
-	minUnreportedShare  = 0.05 // lower bound of the divisor by which load reports raise the limit
+	minUnreportedShare  = 0.05 // lower bound of the unreported share, by which the limit is divided
 	zeroWeightShare     = 0.65 // fraction of the limit open to an RPC of weight 0; the rest is for RPCs of more weight
 )
 
 // admission is an adaptive concurrency limit: it bounds the open RPCs at the node so that the mean wait stays near
 // waitGoal. With more open RPCs all of them would be late, and the servers would be overloaded.
 type admission struct {
-	limit         float64 // highest number of open RPCs; 0: not started
+	limit         float64 // highest number of open RPCs that is allowed; 0: not started
 	baselineOpen  float64 // decaying maximum of the mean open RPCs while waits were near the base wait
 	baseWait      float64 // recent minimum of the long-term mean wait
 	baselineAt    float64 // seconds; last update of baselineOpen and baseWait
@@ -70,8 +70,9 @@
 	if open == 0 && wait < waitGoal {
 		return true
 	}
-	// The number of open RPCs varies at random by about its square root. One is subtracted from the root: at a node
-	// with a single open RPC the root would double the load, and hundreds of such nodes add up.
+	// The number of open RPCs varies at random; its standard deviation is about its square root. One is subtracted
+	// from the root: at a node with a single open RPC the root would double the load, and hundreds of such nodes add
+	// up.
 	return count <= limit+math.Sqrt(a.meanOpen(now))-1
 }
 
@@ -112,13 +113,16 @@
 	}
 }
 
-// boundLimit keeps the limit between minLimitFactor * baseline, or minLimit if that is higher, and maxLimitFactor *
-// baseline plus an allowance for random variation. The allowance is 2 * sqrt(baseline) * baseline / (baseline +
-// variationHalfAt).
+// boundLimit keeps the limit between two bounds:
+//
+//	lower: max(minLimit, minLimitFactor * baseline)
+//	upper: maxLimitFactor * baseline + 2 * sqrt(baseline) * baseline / (baseline + variationHalfAt)
+//
+// The second term of the upper bound is an allowance for random variation.
 func (a *admission) boundLimit(longWait, minLimit float64) {
 	variation := 2 * math.Sqrt(a.baselineOpen) * a.baselineOpen / (a.baselineOpen + variationHalfAt)
 	highest := maxLimitFactor*a.baselineOpen + variation
-	// While waits are negligible, the upper bound rises in proportion.
+	// If the long-term mean wait is below negligibleWait, the upper bound is multiplied by negligibleWait / wait.
 	a.limit = min(a.limit, highest*max(1, negligibleWait/longWait))
 	a.limit = max(a.limit, minLimit, minLimitFactor*a.baselineOpen)
 }
@@ -136,8 +140,11 @@
 	return a.openOnArrival.read(now, longWaitHalfLife, 0, 0)
 }
 
-// admissionShare returns the fraction of the limit, and of the time left, that an RPC may use: zeroWeightShare + (1 -
-// zeroWeightShare) * cbrt(relativeWeight). RPCs of low weight are thus rejected earlier.
+// admissionShare returns the fraction of the limit, and of the time left, that an RPC may use:
+//
+//	zeroWeightShare + (1 - zeroWeightShare) * cbrt(relativeWeight)
+//
+// RPCs of low weight are thus rejected earlier.
 func admissionShare(relativeWeight float64) float64 {
 	return zeroWeightShare + (1-zeroWeightShare)*math.Cbrt(relativeWeight)
 }
--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -67,9 +67,12 @@
 	return s.latencyRatio.value(prior, typical, now, latencyRatioHalfLife)
 }
 
-// unknownServerLatencyRatio returns the prior latency ratio of a server without samples: unknownServerFactor * max(1,
-// mean ratio of all servers tried recently, including failures). If the prior equaled the mean, each of hundreds of
-// nodes would try every overloaded server once, and together they would keep it overloaded.
+// unknownServerLatencyRatio returns the prior latency ratio of a server without samples:
+//
+//	unknownServerFactor * max(1, mean latency ratio of all servers tried)
+//
+// The mean is over recent attempts and includes failures. If the prior equaled the mean, each of hundreds of nodes
+// would try every overloaded server once, and together they would keep it overloaded.
 func (b *Balancer) unknownServerLatencyRatio(typical, now float64) float64 {
 	return unknownServerFactor * max(1, b.fleetLatencyRatio.value(1, typical, now, fleetRatioHalfLife))
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -182,8 +182,9 @@
 	return min(1, slowStartFraction+(1-slowStartFraction)*age/slowStartDuration)
 }
 
-// budget returns the number of attempts that the settings allow a server between two ages in seconds: overloadMultiple
-// * capacity * mean capacity fraction * time.
+// budget returns the number of attempts that the settings allow a server between two ages in seconds:
+//
+//	overloadMultiple * capacity * mean capacity fraction * time
 func (s fleetShape) budget(from, to float64) float64 {
 	const steps = 30
 	sum := 0.0
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -11,9 +11,9 @@
 // hedgeBudget limits the number of hedged requests.
 type hedgeBudget struct{ hedges decayingValue }
 
-// allows reports whether one more hedged request is within the limit. random is drawn from [0, 1), so a remainder of
-// less than one request is allowed with that probability. If one were always allowed, hundreds of nodes would send
-// hundreds at once.
+// allows reports whether one more hedged request is within the limit. random is drawn from [0, 1): the remaining
+// fraction of a request is allowed with a probability of that fraction. If one request were always allowed, hundreds of
+// nodes would send hundreds at once.
 func (h *hedgeBudget) allows(limit, random, now float64) bool {
 	return h.hedges.read(now, hedgeHalfLife)+random <= limit
 }
@@ -29,8 +29,8 @@
 	return hedgeShare*b.attemptsSent.read(now, attemptRateHalfLife) + burst
 }
 
-// recheckDelay returns the age in seconds at which an attempt is checked again: when it is late, or before that, when
-// another attempt can only just be in time. It is at least allowedLatencyFactor * expected latency.
+// recheckDelay returns the age in seconds at which an attempt is checked again: lateAfter or, if that is earlier, the
+// last moment at which another attempt could still be in time. It is at least allowedLatencyFactor * expected latency.
 func (b *Balancer) recheckDelay(a *Attempt, now float64) float64 {
 	allowed := allowedLatencyFactor * a.expectedLatency
 	return max(min(a.lateAfter, a.RPC.usefulUntil-now-allowed), allowed)
--- a/decide/loadreports.go
+++ b/decide/loadreports.go
@@ -47,9 +47,12 @@
 	l.others.add(load.others, now, reportedMeanHalfLife)
 }
 
-// othersInFlight returns the estimated number of RPCs that a server has in flight for other nodes: mean + (reported -
-// mean) * freshness. The mean is over the servers that were chosen without a fresh report. As a report ages, the
-// estimate returns to the mean, so that nodes do not herd to the servers with the lowest old reports.
+// othersInFlight returns the estimated number of RPCs that a server has in flight for other nodes:
+//
+//	mean + (reported - mean) * freshness
+//
+// The mean is over the servers that were chosen without a fresh report. As a report ages, the estimate returns to the
+// mean, so that nodes do not herd to the servers with the lowest old reports.
 func (l *loadReports) othersInFlight(load *serverLoad, freshness, now float64) float64 {
 	mean := l.others.read(now, reportedMeanHalfLife, 0, 0)
 	return mean + (load.others-mean)*freshness
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -16,9 +16,11 @@
 // it.
 func (t *tenantQuota) configure(quota, nodeShare float64) { t.rate = quota * nodeShare }
 
-// arrive counts an RPC and reports whether the tenant exceeds its quota: its decaying count is above 1 + expected +
-// sqrt(expected), where expected is rate * quotaHalfLife / ln 2. The allowance is needed because a node's share of a
-// small quota is less than one RPC, and RPCs arrive at random.
+// arrive counts an RPC and reports whether the tenant exceeds its quota, that is, whether the decaying count is above
+//
+//	1 + expected + sqrt(expected), expected = rate * quotaHalfLife / ln 2
+//
+// The allowance is needed because a node's share of a small quota is less than one RPC, and RPCs arrive at random.
 func (t *tenantQuota) arrive(now float64) (overQuota bool) {
 	t.arrivals.add(1, now, quotaHalfLife)
 	expected := t.rate * quotaHalfLife / math.Ln2
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -23,8 +23,8 @@
 	b.sendOrGiveUp(r, now)
 }
 
-// effectiveWeight returns an RPC's weight relative to the highest, in [0, 1]. It is lower for RPCs that exceed their
-// tenant's quota. Quotas are counted only at the tier to which clients send.
+// effectiveWeight returns an RPC's weight relative to the highest. It is multiplied by overQuotaWeight if the RPC
+// exceeds its tenant's quota. Quotas are counted only at the tier to which clients send.
 func (b *Balancer) effectiveWeight(r *RPC, now float64) float64 {
 	weight := r.rules.relativeWeight
 	if b.innerTier || r.Tenant >= len(b.tenants) {
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -5,8 +5,8 @@
 const (
 	explorationRate     = 0.01 // probability that an attempt explores: it goes to a random server outside the subset
 	tieFactor           = 1.1  // times the lowest estimate: candidates up to it are tied with the lowest
-	outsideCandidates   = 4    // random servers outside the subset that are candidates for an attempt
-	lateTolerance       = 1.2  // times the time left: latencies vary, so a slightly higher estimate may still be met
+	outsideCandidates   = 4    // servers drawn at random for an attempt; those outside the subset are candidates
+	lateTolerance       = 1.2  // times the time left: latencies vary, so a higher estimate may still be in time
 	sendLateProbability = 0.02 // probability that a late attempt is sent: otherwise a recovery would go unnoticed
 )
 
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -19,8 +19,8 @@
 	rateMultiple    float64 // highest rate of attempts, as a multiple of capacityFraction * warm server's rate
 	minRate         float64 // attempts per second; lower bound of a warm server's rate, used while nothing is known
 
-	answers  decayingValue // decaying count per warm server, half-life warmRateHalfLife
-	bestRate decayingValue // answers per second of a warm server; decaying maximum
+	answers  decayingValue // answers per warm server; decaying count, half-life warmRateHalfLife
+	bestRate decayingValue // answers per second per warm server; decaying maximum, half-life bestRateHalfLife
 }
 
 // slowStartBudget is the token bucket of the attempts that this node may send to one starting server.
@@ -57,8 +57,8 @@
 	s.answers.add(1/max(fractions, 1), now, warmRateHalfLife)
 }
 
-// currentRate returns the current rate at which a warm server answers this node, in answers per second: count * ln 2 /
-// half-life.
+// currentRate returns count * ln 2 / half-life: the rate at which a warm server answers this node now, in answers per
+// second.
 func (s *slowStart) currentRate(now float64) float64 {
 	return s.answers.read(now, warmRateHalfLife) * math.Ln2 / warmRateHalfLife
 }
@@ -92,8 +92,8 @@
 	budget.tokens += rate * (now - budget.updatedAt)
 	budget.updatedAt = now
 	// The capacity of the bucket is 1 + spare tokens. Unused tokens expire after half the overload window, otherwise
-	// all nodes of an idle fleet could spend one at the same time. Only whole tokens are removed: if each node earns
-	// less than one token in that time, only that fraction of the nodes holds one.
+	// all nodes of an idle fleet could spend one at the same time. Only whole tokens are removed: of nodes that earn a
+	// fraction f of a token in that time, a fraction f holds one.
 	spare := max(rate*unusedTokenLifetime, min(1, rate*s.overloadWindow/2))
 	budget.tokens -= max(0, math.Ceil(budget.tokens-1-spare))
 	return budget.tokens >= 1
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -158,7 +158,7 @@
 }
 
 // The rate of a warm server must be computed from the servers in the subset, since each node sends to its subset only.
-// Computed from all servers, new servers got a tenth of what they could answer after a release.
+// When it was computed from all servers, new servers got a tenth of what they could answer after a release.
 func TestBalancer_WarmServerRateOfSubset(t *testing.T) {
 	h, _ := newTestBalancer(200, func(s *Settings) { s.Instances = 100 })
 	h.answerOneByOne(400, constantLatency(0.1)) // ten per second
--- a/decide/state.go
+++ b/decide/state.go
@@ -64,7 +64,7 @@
 	sentAt          float64 // time of its sending, or of the end of its RPC's streamed body
 	row             int     // index of its row in the Q-table
 	expectedLatency float64 // the row's mean: the latency expected for the method's mean work
-	extraLatency    float64 // expected in addition, because of the RPC's work hint; may be negative
+	extraLatency    float64 // extraWork * typical latency; negative for a small work hint
 	lateAfter       float64 // age above which it is late
 	connectionIdle  float64 // how long its connection had been idle; 0: the connection was in use, or is new
 	opensConnection bool    // it opens a new connection
