--- a/decide/selection.go
+++ b/decide/selection.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// considerAll adds those of the servers to the candidates that may get the attempt.
+// considerAll adds to the candidates those of the given servers that may get the attempt.
 func (b *Balancer) considerAll(search *serverSearch, servers []*Server, lastResort bool) {
 	for _, s := range servers {
 		b.consider(search, s, lastResort)
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -19,7 +19,7 @@
 // subset follows the number of attempts in flight.
 type subset struct {
 	members      []*Server
-	inFlight     decayingMean  // sampled when an attempt is sent
+	inFlight     decayingMean  // attempts in flight, sampled when an attempt is sent
 	replacements decayingValue // decaying count of replaced members
 }
 
