--- a/internal/controlplane/fanout/fanout_test.go
+++ b/internal/controlplane/fanout/fanout_test.go
@@ -44,11 +44,11 @@
 	return list, listener.Addr().String()
 }
 
-// watcher follows a list as a node does.
+// watcher is a client that watches a list, as a node does.
 type watcher struct {
 	conn      net.Conn
 	lines     *bufio.Scanner
-	phases    map[string]string // by ID
+	phases    map[string]string // members' phases by ID
 	revision  int64
 	snapshots int
 }
@@ -67,7 +67,7 @@
 	return &watcher{conn: conn, lines: lines, phases: map[string]string{}, revision: since}
 }
 
-// read applies the next message; heartbeats are passed over.
+// read applies and returns the next message. It skips heartbeats.
 func (w *watcher) read(t testing.TB) message {
 	for w.lines.Scan() {
 		if len(w.lines.Bytes()) == 0 {
@@ -108,7 +108,7 @@
 	return Member{ID: fmt.Sprint("s", i), HostPort: "127.0.0.1:80", Locality: "a", Phase: phase, Size: 1}
 }
 
-// newLongMember is a member that takes half a kilobyte.
+// newLongMember returns a member whose encoding takes half a kilobyte.
 func newLongMember(i, address int) Member {
 	member := newMember(i, "ready")
 	member.HostPort = fmt.Sprintf("%0500d:80", address)
@@ -138,17 +138,17 @@
 	url := "http://" + address + "/registry/instances"
 	requireStatus(t, http.StatusServiceUnavailable, url) // before the first snapshot
 	list.PublishSnapshot(100, newMembers(50))
-	present := startWatch(t, address, 0)
-	present.readUntil(t, 100)
-	assert.Len(t, present.phases, 50)
+	connected := startWatch(t, address, 0)
+	connected.readUntil(t, 100)
+	assert.Len(t, connected.phases, 50)
 	for i := range 30 {
 		list.PublishDelta([]Member{newMember(i, "draining")})
 		if i%2 == 0 {
 			list.PublishDelta([]Member{newMember(i, "gone")})
 		}
 	}
-	present.readUntil(t, 145)
-	assert.Len(t, present.phases, 35)
+	connected.readUntil(t, 145)
+	assert.Len(t, connected.phases, 35)
 
 	t.Run("revision in the history", func(t *testing.T) {
 		watcher := startWatch(t, address, 120)
@@ -159,18 +159,18 @@
 		watcher := startWatch(t, address, 3)
 		watcher.read(t)
 		assert.Equal(t, 1, watcher.snapshots)
-		assert.Equal(t, present.phases, watcher.phases)
+		assert.Equal(t, connected.phases, watcher.phases)
 	})
 	t.Run("revision that the list never had", func(t *testing.T) {
 		watcher := startWatch(t, address, 9_000_000)
 		watcher.revision = 0
 		watcher.read(t)
 		assert.Equal(t, 1, watcher.snapshots)
-		assert.Equal(t, present.phases, watcher.phases)
+		assert.Equal(t, connected.phases, watcher.phases)
 	})
 	t.Run("latest revision", func(t *testing.T) {
 		watcher := startWatch(t, address, 145)
-		assert.Empty(t, watcher.read(t).Members, "an empty delta comes at once")
+		assert.Empty(t, watcher.read(t).Members, "an empty delta is sent at once")
 	})
 	t.Run("request without a watch", func(t *testing.T) {
 		response, err := http.Get(url)
@@ -188,7 +188,7 @@
 	})
 }
 
-// A watcher that does not read delays no other, costs no backlog, and is disconnected.
+// A watcher that does not read delays no other watcher, causes no backlog in memory, and is disconnected.
 func TestList_SlowWatcher(t *testing.T) {
 	config := DefaultConfig()
 	config.WriteTimeout, config.BatchDelay, config.History = 2*time.Second, 0, 100
@@ -204,7 +204,7 @@
 	const deltas = 3000
 	for i := range deltas {
 		list.PublishDelta([]Member{newLongMember(i%400, i)})
-		if i%100 == 99 { // it reads meanwhile: where the machine stalls it would else be slow itself
+		if i%100 == 99 { // without reads during the loop, this watcher could be too slow on a busy machine
 			watcher.readUntil(t, int64(i+2))
 		}
 	}
@@ -213,10 +213,10 @@
 	assert.LessOrEqual(t, len(list.history), 100)
 	list.mu.Unlock()
 
-	// The kernel may buffer some megabytes for the slow one first.
+	// The kernel may buffer some megabytes for the slow watcher before writes to it block.
 	revision := int64(deltas + 1)
 	for deadline := time.Now().Add(eventTimeout); list.watchers.Load() != 1; {
-		require.True(t, time.Now().Before(deadline), "it is disconnected")
+		require.True(t, time.Now().Before(deadline), "the slow watcher is disconnected in time")
 		for i := range 50 {
 			list.PublishDelta([]Member{newLongMember(i, int(revision))})
 			revision++
@@ -236,11 +236,12 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(eventTimeout))
-	response, _ := io.ReadAll(conn) // it may end with a reset
+	response, _ := io.ReadAll(conn) // the connection may be reset after the answer
 	assert.Contains(t, string(response), "503")
 }
 
-// BenchmarkFanOut measures from a delta to the last watcher. The watchers share the machine with the list.
+// BenchmarkFanOut measures the time from a delta until the last watcher has read it. The watchers run on the same
+// machine as the list.
 func BenchmarkFanOut(b *testing.B) {
 	for _, servers := range []int{1000, 20000} {
 		for _, watchers := range []int{1, 100, 1000, 5000} {
@@ -271,14 +272,14 @@
 	}
 }
 
-// startWatches starts watchers that have read the snapshot. What they remember of it is dropped, to save memory.
+// startWatches starts watchers that have read the snapshot. The phases that they read are dropped to save memory.
 func startWatches(b *testing.B, address string, count int) []*watcher {
-	const lanes = 32
+	const workers = 32
 	watchers := make([]*watcher, count)
 	var started sync.WaitGroup
-	for lane := range lanes {
+	for worker := range workers {
 		started.Go(func() {
-			for i := lane; i < count; i += lanes {
+			for i := worker; i < count; i += workers {
 				watchers[i] = startWatch(b, address, 0)
 				watchers[i].readUntil(b, 1)
 				watchers[i].phases = map[string]string{}
--- a/internal/controlplane/fanout/golden_test.go
+++ b/internal/controlplane/fanout/golden_test.go
@@ -1,7 +1,7 @@
 package fanout
 
-// The files under testdata were written by the code at commit 0cdd5b2. They are the forms that nodes of any
-// version read: a test that fails here has found a changed wire form. Never regenerate them to follow a rename.
+// The files under testdata were written by the code at commit 0cdd5b2. They have the wire format that nodes of any
+// version read: a test that fails here has found a change of that format. Never regenerate the files after a rename.
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 	"go.uber.org/zap"
 )
 
-// goldenMembers are the servers of the golden lists: two with each field set, and one with none.
+// goldenMembers returns the servers of the golden lists: two with all fields set, and one with none.
 func goldenMembers() []Member {
 	return []Member{
 		{
@@ -35,7 +35,7 @@
 	}
 }
 
-// goldenDelta is a server that drains and one that is gone.
+// goldenDelta returns changes with a server that drains and one that is gone.
 func goldenDelta() []Member {
 	member := goldenMembers()[0]
 	member.Phase = "draining"
@@ -54,14 +54,16 @@
 
 func TestStatus_Golden(t *testing.T) {
 	for name, want := range map[string]Status{
-		"status.json":      {Revision: 41, Servers: 2, Watchers: 3, Rejected: 4, Snapshots: 5, SecondsSinceSourceSeen: 6.5},
+		"status.json": {
+			Revision: 41, Servers: 2, Watchers: 3, Rejected: 4, Snapshots: 5, SecondsSinceSourceSeen: 6.5,
+		},
 		"status-zero.json": {},
 	} {
 		t.Run(name, func(t *testing.T) { golden.JSON(t, name, want) })
 	}
 }
 
-// goldenList holds the golden members at revision 41. It sends no heartbeats.
+// goldenList returns a list of the golden members at revision 41. It sends no heartbeats.
 func goldenList() *List {
 	config := DefaultConfig()
 	config.HeartbeatInterval = time.Hour
@@ -70,8 +72,8 @@
 	return list
 }
 
-// exchange sends a request to the list. What is read from the connection is copied to raw; end closes the connection
-// and waits for the list's side of it.
+// exchange sends a request to the list. The bytes that are read from reader are copied to raw. end closes the
+// connection and waits for the end of serveConn.
 func exchange(t *testing.T, list *List, request string) (reader io.Reader, raw *bytes.Buffer, end func()) {
 	t.Helper()
 	client, server := net.Pipe()
--- a/internal/controlplane/fanout/list.go
+++ b/internal/controlplane/fanout/list.go
@@ -1,9 +1,9 @@
-// Package fanout publishes lists of servers to nodes by the discovery protocol that nodes speak: a snapshot on request,
-// or a watch with revisions and a heartbeat, which is an empty line every two seconds.
+// Package fanout publishes lists of servers to nodes by the nodes' discovery protocol: a snapshot on request, or a
+// watch with revisions and a heartbeat, which is an empty line every two seconds.
 //
-// A List owns the members of one service, the history of its deltas and the connections of its watchers. Each delta is
-// encoded once for all watchers. A watcher is a position in the history; one that falls behind gets a snapshot, so that
-// no watcher has a backlog. What the members are is decided elsewhere.
+// A List has the members of one service, the history of its deltas and the connections of its watchers. Each delta is
+// encoded once for all watchers. A watcher's state is its position in the history, so no watcher has a backlog of its
+// own; one that lags too far is sent a snapshot. The callers of PublishSnapshot and PublishDelta decide on the members.
 package fanout
 
 import (
@@ -17,15 +17,14 @@
 )
 
 const (
-	// maxDeltasBehind is how many deltas a watcher may lack to be sent them one by one. One that lacks more is better
-	// off with a snapshot.
+	// maxDeltasBehind is the largest number of missing deltas that a watcher is sent one by one. A watcher that lacks
+	// more is sent a snapshot instead.
 	maxDeltasBehind = 64
-	// staleOrderSlack is how many IDs of members that have gone the order may have before it is compacted, beside one
-	// for each member.
+	// staleOrderSlack is a constant part of the limit at which List.order is compacted: 2*members + staleOrderSlack.
 	staleOrderSlack = 16
 )
 
-// List is the list of one service. Its methods may be called concurrently.
+// List is the server list of one service. Its methods may be called concurrently.
 type List struct {
 	config Config
 	log    *zap.Logger
@@ -33,33 +32,35 @@
 	mu       sync.Mutex
 	revision int64
 	members  map[string]Member // by ID; nil before the first snapshot
-	// order has the members' IDs as they first appeared. An ID may be in it twice, or be of a member that has gone.
+	// order has the members' IDs in the order of their first appearance. It may have duplicates, and IDs of removed
+	// members.
 	order         []string
 	history       []delta
-	snapshot      []byte        // at revision, encoded; nil: not encoded yet
-	changed       chan struct{} // closed with the next change
-	pending       []Member      // changes that wait for the batch to end
-	batchTimer    *time.Timer   // nil: no batch has begun
-	sourceAliveAt time.Time     // when the source of the list last showed that it lives
+	snapshot      []byte        // encoded snapshot of revision; nil: not encoded yet
+	changed       chan struct{} // closed at the next change
+	pending       []Member      // changes of the current batch
+	batchTimer    *time.Timer   // ends the current batch; nil: no batch has begun
+	sourceAliveAt time.Time     // when the source of the list was last known to be alive
 
 	watchers      atomic.Int64
 	rejected      atomic.Int64
 	snapshotsSent atomic.Int64
 }
 
-// delta is an encoded step of the history, from one revision to the next.
+// delta has the encoded changes from one revision to the next.
 type delta struct {
 	from, to int64
 	chunk    []byte
 }
 
-// New returns a list that has no snapshot. Until PublishSnapshot is called for the first time requests are answered
-// with 503, so that nodes keep the list they have.
+// New returns a list without a snapshot. Until the first call of PublishSnapshot, requests are answered with 503, so
+// that nodes keep their current list.
 func New(config Config, log *zap.Logger) *List {
 	return &List{config: config, log: log, changed: make(chan struct{})}
 }
 
-// PublishSnapshot replaces the members, at a revision that is above all that nodes have seen.
+// PublishSnapshot replaces the members. The revision has to be above all that nodes have received; it is raised to the
+// list's next revision if it is lower.
 func (l *List) PublishSnapshot(revision int64, members []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,8 +75,8 @@
 	l.notifyWatchers()
 }
 
-// PublishDelta applies changes. Servers that leave are published at once, with all that is pending. Servers that become
-// ready wait for BatchDelay, so that the start of thousands is a few messages.
+// PublishDelta applies changes. Changes that are urgent (see hasUrgent) are published at once, with all pending ones.
+// Servers that become ready are collected for BatchDelay, so that the start of thousands of servers takes few messages.
 func (l *List) PublishDelta(changes []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// hasUrgent reports whether a server leaves.
+// hasUrgent reports whether a change is to a phase other than ready, as when a server drains or is gone.
 func hasUrgent(changes []Member) bool {
 	for _, member := range changes {
 		if member.Phase != phaseReady {
@@ -106,14 +107,15 @@
 	return false
 }
 
-// MarkSourceAlive notes that the source of the list can still be reached, for the status.
+// MarkSourceAlive stores the current time as the last at which the source of the list could be reached, for Status.
 func (l *List) MarkSourceAlive() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sourceAliveAt = time.Now()
 }
 
-// flush publishes the pending changes, all of them in their order: a drain that was undone is sent, too.
+// flush publishes all pending changes in their order, also those that a later one of them undoes, such as a drain. The
+// mutex is held.
 func (l *List) flush() {
 	if l.batchTimer != nil {
 		l.batchTimer.Stop()
@@ -134,7 +136,8 @@
 	}
 	l.history = append(l.history, delta{from: l.revision, to: next, chunk: newChunk(text)})
 	if len(l.history) > l.config.History {
-		// Copied, so that the old array and its chunks can be freed; by half, so that it is not done each time.
+		// The copy lets the old array and its chunks be freed. Half of the history is dropped at once, so that not
+		// every delta causes a copy.
 		l.history = append([]delta(nil), l.history[len(l.history)-l.config.History/2:]...)
 	}
 	l.revision = next
@@ -175,15 +178,15 @@
 	l.changed = make(chan struct{})
 }
 
-// update is what a node is to be sent.
+// update is the next data to send to a node.
 type update struct {
-	chunk    []byte          // nil: nothing
-	revision int64           // that the node has with it
-	changed  <-chan struct{} // closed once there may be more
+	chunk    []byte          // nil: nothing to send
+	revision int64           // the node's revision after this update
+	changed  <-chan struct{} // closed when a further update may exist
 }
 
-// firstUpdate returns what a node that has a revision is to be sent at first. One that has the latest gets an empty
-// delta. Nothing is sent before the first snapshot.
+// firstUpdate returns the first update for a node that has the revision since. For a node with the latest revision,
+// that is an empty delta. Before the first snapshot there is nothing to send.
 func (l *List) firstUpdate(since int64) update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,14 +197,15 @@
 	return l.updateSince(since)
 }
 
-// nextUpdate returns what a watcher that has a revision is to be sent next; nothing if it has the latest.
+// nextUpdate returns the next update for a watcher that has the revision since. There is nothing to send if that is the
+// latest revision.
 func (l *List) nextUpdate(since int64) update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.updateSince(since)
 }
 
-// snapshotUpdate returns a snapshot, whatever revision a node has.
+// snapshotUpdate returns a snapshot, independent of the node's revision.
 func (l *List) snapshotUpdate() update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -216,19 +220,19 @@
 	if l.members == nil || since == l.revision || l.isLaterEpoch(since) {
 		return nothing
 	}
-	if step := l.deltaSince(since); step != nil {
-		return update{chunk: step.chunk, revision: step.to, changed: l.changed}
+	if next := l.deltaSince(since); next != nil {
+		return update{chunk: next.chunk, revision: next.to, changed: l.changed}
 	}
 	return l.snapshotSince(since)
 }
 
-// isLaterEpoch reports whether a revision is of a later epoch than the list's. A node that has it follows a newer
-// leader than this replica does, and must not be taken back.
+// isLaterEpoch reports whether a revision is of a later epoch than the list's revision. A node with such a revision has
+// a list of a newer leader than this replica's, and must not be sent the older list.
 func (l *List) isLaterEpoch(revision int64) bool {
 	return l.config.EpochOf != nil && l.config.EpochOf(revision) > l.config.EpochOf(l.revision)
 }
 
-// deltaSince returns the delta that begins at a revision; nil: a snapshot is to be sent.
+// deltaSince returns the delta that starts at a revision, or nil if a snapshot has to be sent instead.
 func (l *List) deltaSince(revision int64) *delta {
 	if revision <= 0 || len(l.history) == 0 || revision < l.history[0].from || revision >= l.revision {
 		return nil
@@ -242,7 +246,7 @@
 	return nil
 }
 
-// snapshotSince returns all members, encoded once for each revision, to a node that has a revision.
+// snapshotSince returns a snapshot for a node that has the revision since. The snapshot is encoded once per revision.
 func (l *List) snapshotSince(since int64) update {
 	if l.snapshot == nil {
 		snapshot := message{Revision: l.revision, Complete: true, Members: make([]Member, 0, len(l.members))}
@@ -260,17 +264,17 @@
 	return update{chunk: l.snapshot, revision: l.revision, changed: l.changed}
 }
 
-// Status is the state of a list as the controller's status page shows it.
+// Status is the state of a list, as shown on the controller's status page.
 type Status struct {
 	Revision               int64   `json:"revision"`
 	Servers                int     `json:"servers"`
 	Watchers               int64   `json:"watchers"`
 	Rejected               int64   `json:"refused"`
 	Snapshots              int64   `json:"whole_lists_sent"`
-	SecondsSinceSourceSeen float64 `json:"heard_seconds_ago"` // since the source showed that it lives; -1: it never did
+	SecondsSinceSourceSeen float64 `json:"heard_seconds_ago"` // since the source was last known to be alive; -1: never
 }
 
-// Status returns the present state of the list.
+// Status returns the current state of the list.
 func (l *List) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/fanout/message.go
+++ b/internal/controlplane/fanout/message.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// Phases of a member that the package tells apart. Others are only passed on.
+// Phases of a member that the package handles differently from others.
 const (
 	phaseReady = "ready"
-	phaseGone  = "gone" // it leaves the list
+	phaseGone  = "gone" // the member is removed from the list
 )
 
 // Member is a server in a list, in the form of the discovery protocol.
@@ -19,20 +19,20 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// message is a snapshot, which has all members, or a delta, which has those that changed.
+// message is a snapshot, which has all members, or a delta, which has the changed ones.
 type message struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"` // it is a snapshot
+	Complete bool     `json:"complete"` // true: a snapshot
 	Members  []Member `json:"members"`
 }
 
-// chunkTrailer ends a chunk of a chunked HTTP body, behind the line that the chunk holds.
+// chunkTrailer ends a chunk of a chunked HTTP body. It follows the line in the chunk.
 const chunkTrailer = "\r\n"
 
-// heartbeat is the empty line that shows a watcher that the controller lives.
+// heartbeat is a chunk with an empty line, which shows a watcher that the controller is alive.
 var heartbeat = newChunk(nil)
 
-// newChunk frames a line as a chunk of a chunked HTTP body.
+// newChunk encodes a line, and a line break after it, as a chunk of a chunked HTTP body.
 func newChunk(line []byte) []byte {
 	chunk := strconv.AppendInt(nil, int64(len(line)+1), 16)
 	chunk = append(chunk, "\r\n"...)
--- a/internal/controlplane/fanout/server.go
+++ b/internal/controlplane/fanout/server.go
@@ -18,14 +18,15 @@
 const (
 	listPath = "/registry/instances"
 
-	// requestTimeout bounds the time until a request has been read, and over TLS its handshake.
+	// requestTimeout bounds the time for reading a request, and for the handshake over TLS.
 	requestTimeout = 5 * time.Second
-	// maxRequestBytes bounds a request.
+	// maxRequestBytes bounds the size of a request.
 	maxRequestBytes   = 8 << 10
 	requestBufferSize = 1 << 10
-	// rejectTimeout bounds the answer to a connection beyond MaxWatchers, for which the accept loop waits.
+	// rejectTimeout bounds the time for the answer to a connection beyond MaxWatchers, during which the accept loop
+	// waits.
 	rejectTimeout = 100 * time.Millisecond
-	// acceptBackoff is the time between attempts to accept where the machine has run out of something.
+	// acceptBackoff is the pause after a failed accept, which happens when the machine lacks a resource.
 	acceptBackoff = 5 * time.Millisecond
 )
 
@@ -48,7 +49,8 @@
 	watchHeader = "HTTP/1.1 " + statusOK + "\r\n" + headerJSON + "Transfer-Encoding: chunked\r\n\r\n"
 )
 
-// Serve answers nodes on a listener until the context ends, and waits for its goroutines. Its error is always nil.
+// Serve answers nodes' requests on a listener until the context ends, and waits for its goroutines. Its error is always
+// nil.
 func (l *List) Serve(ctx context.Context, listener net.Listener) error {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -78,8 +80,8 @@
 	}
 }
 
-// reject closes a connection beyond MaxWatchers, with an answer if it is plain TCP: over TLS the handshake would come
-// first, for which all others would have to wait.
+// reject closes a connection beyond MaxWatchers. It sends an answer only over plain TCP: over TLS, all other
+// connections would have to wait for the handshake before the answer.
 func reject(conn net.Conn) {
 	if _, plain := conn.(*net.TCPConn); plain {
 		conn.SetWriteDeadline(time.Now().Add(rejectTimeout))
@@ -88,10 +90,10 @@
 	conn.Close()
 }
 
-// listRequest is what a node asks for.
+// listRequest is a node's request for the list.
 type listRequest struct {
-	since  int64 // the revision that it has; 0: none
-	follow bool  // a watch is requested
+	since  int64 // the node's revision; 0: none
+	follow bool  // true: a watch is requested
 }
 
 // errorResponse is the answer to an invalid request.
@@ -100,9 +102,9 @@
 	headers string
 }
 
-// serveConn serves one connection: one request, and its watch if it asks for one.
+// serveConn serves one connection: one request, and a watch if the request is for one.
 func (l *List) serveConn(ctx context.Context, conn net.Conn) {
-	conn.SetDeadline(time.Now().Add(requestTimeout)) // of writes too: over TLS the first read makes the handshake
+	conn.SetDeadline(time.Now().Add(requestTimeout)) // for writes too: over TLS the first read does the handshake
 	reader := bufio.NewReaderSize(io.LimitReader(conn, maxRequestBytes), requestBufferSize)
 	httpRequest, err := http.ReadRequest(reader)
 	if err != nil {
@@ -127,7 +129,7 @@
 	}
 }
 
-// parseRequest returns what a request asks for, or the answer to one that is invalid.
+// parseRequest decodes a request, or returns the answer to an invalid one.
 func parseRequest(request *http.Request) (listRequest, *errorResponse) {
 	query := request.URL.Query()
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
@@ -152,7 +154,7 @@
 }
 
 // watch sends updates and heartbeats until the node closes the connection, a write fails, or the context ends. A node
-// that is too slow is disconnected: it connects again with its revision.
+// that reads too slowly is disconnected by the write timeout, and connects again with its revision.
 func (l *List) watch(ctx context.Context, conn net.Conn, next update) {
 	closed, stopReading := detectClose(conn)
 	defer stopReading()
@@ -189,8 +191,8 @@
 	return err
 }
 
-// detectClose reads from a connection on which nothing more is expected. The channel is closed once the peer has closed
-// the connection. The function closes the connection, and waits for the read to end.
+// detectClose reads from a connection on which no more data is expected. The returned channel is closed when the peer
+// has closed the connection. The returned function closes the connection and waits for the end of the read.
 func detectClose(conn net.Conn) (<-chan struct{}, func()) {
 	conn.SetReadDeadline(time.Time{})
 	closed := make(chan struct{})
