--- a/internal/controlplane/endpoints/address_test.go
+++ b/internal/controlplane/endpoints/address_test.go
@@ -16,7 +16,7 @@
 	"robincart/internal/testutil"
 )
 
-// manualClock advances when a test steps it.
+// manualClock advances only when a test calls step or advance.
 type manualClock struct {
 	mu     sync.Mutex
 	now    time.Duration
@@ -40,6 +40,7 @@
 	m.timers = append(m.timers, manualTimer{m.now + d, f})
 }
 
+// step advances the clock by 1 ms and calls the functions that are due.
 func (m *manualClock) step() {
 	for _, f := range m.advance(time.Millisecond) {
 		f()
@@ -64,7 +65,7 @@
 	return due
 }
 
-// failureRecorder is a real core that tells a test of each failed poll whether it resets the backoff.
+// failureRecorder is a real core that also sends to a channel, for each failed poll, whether it resets the backoff.
 type failureRecorder struct {
 	*node.Core
 	resets chan bool
@@ -75,8 +76,8 @@
 	f.resets <- failure.ResetBackoff
 }
 
-// The Watcher reports the failure at each new address; the core still requests one poll, not one for each.
-func TestWatcher_MovesWhileDownCauseOnePoll(t *testing.T) {
+// The Watcher reports a failure for each new address, but the core requests one poll for all of them.
+func TestWatcher_AddressChangesWhileDownCauseOnePoll(t *testing.T) {
 	s, err := settings.Parse([]byte(`{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],` +
 		`"RegistryMode":"subscribe","Rules":{"MustAskInMs":1}}`))
 	require.NoError(t, err)
@@ -87,7 +88,7 @@
 		resets: make(chan bool, 9),
 	}
 	t.Cleanup(core.Close)
-	w := New(freeAddress(t), nil, limits.Limits{
+	w := New(unusedAddress(t), nil, limits.Limits{
 		DiscoveryConnectTimeout: time.Second,
 		FirstMessageTimeout:     time.Second,
 		MaxUpdateDelay:          time.Second,
@@ -99,7 +100,7 @@
 	w.RequestWatch()
 	assert.False(t, testutil.Receive(t, core.resets))
 	for range 3 {
-		w.SetAddress(freeAddress(t))
+		w.SetAddress(unusedAddress(t))
 		assert.True(t, testutil.Receive(t, core.resets))
 	}
 	for range 10_000 {
--- a/internal/controlplane/endpoints/backoff_test.go
+++ b/internal/controlplane/endpoints/backoff_test.go
@@ -10,7 +10,7 @@
 	"robincart/internal/resources/limits"
 )
 
-// Pauses after rejections fall while the list grows old.
+// The longest pause after a rejection falls with the age of the list, and rises again after long rejections.
 func TestMaxPauseAfterRejection(t *testing.T) {
 	l := limits.Limits{
 		MaxPollInterval:     3 * time.Second,
--- a/internal/controlplane/endpoints/descriptors.go
+++ b/internal/controlplane/endpoints/descriptors.go
@@ -6,19 +6,19 @@
 	"robincart/internal/resources/limits"
 )
 
-// descriptorReserve takes the descriptors of polls from the process's budget. It keeps one from poll to poll: if it
-// were given back while discovery is down, it would be gone when discovery is back, since connections to servers take
-// every free descriptor for as long as servers hang.
+// descriptorReserve takes the descriptors of polls from the process's budget. It keeps one descriptor between polls.
+// Without it, no descriptor might be free when discovery comes back after an outage: connections to servers take every
+// free descriptor while servers hang.
 type descriptorReserve struct {
 	budget *limits.Budget
 
 	mu       sync.Mutex
-	reserved int // taken from the budget
-	inUse    int // of these, by polls
+	reserved int // descriptors taken from the budget
+	inUse    int // those of them that polls use
 }
 
-// acquire takes a descriptor for a poll, and returns false if none is left. Only one goroutine may call it: between
-// its two sections release may run, but not another acquire.
+// acquire takes a descriptor for a poll, and returns false if none is left. Only one goroutine may call it: release may
+// run between its two critical sections, another acquire may not.
 func (d *descriptorReserve) acquire() bool {
 	d.mu.Lock()
 	needsAnother := d.reserved <= d.inUse
@@ -49,14 +49,14 @@
 	}
 }
 
-// reserve takes the descriptor that is kept, if one is free.
+// reserve takes the descriptor that is kept between polls, if one is free in the budget.
 func (d *descriptorReserve) reserve() {
 	if d.acquire() {
 		d.release()
 	}
 }
 
-// close returns everything to the budget. No poll uses a descriptor any more.
+// close returns all descriptors to the budget. It is called when no poll uses one any more.
 func (d *descriptorReserve) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/endpoints/errors.go
+++ b/internal/controlplane/endpoints/errors.go
@@ -7,14 +7,15 @@
 	"robincart/internal/system/socket"
 )
 
-// RejectedError means that discovery answered a poll with another HTTP status than 200.
+// RejectedError means that discovery answered a poll with an HTTP status other than 200.
 type RejectedError struct {
-	Status int // of HTTP
+	Status int // HTTP status
 }
 
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("discovery answered %d: the current endpoint list stays in force and the poll is retried; "+
-		"if this lasts, look at discovery's load and at the number of nodes that poll it", e.Status)
+	return fmt.Sprintf("discovery answered with HTTP status %d, expected 200: the current endpoint list stays in "+
+		"force and the poll is retried; if this lasts, check discovery's load and the number of nodes that poll it",
+		e.Status)
 }
 
 // EntryLimitError means that a message has more entries than are accepted. The current list stays in force.
@@ -23,11 +24,11 @@
 }
 
 func (e *EntryLimitError) Error() string {
-	return fmt.Sprintf("endpoint list: %d entries, %d at most are accepted: whoever fills discovery has lost count; "+
-		"remove entries that do not exist, or split the service", e.Entries, MaxMembers)
+	return fmt.Sprintf("endpoint list: found %d entries, expected at most %d: remove entries of servers that do not "+
+		"exist from discovery, or split the service", e.Entries, MaxMembers)
 }
 
-// ConflictError means that a snapshot names one server in two phases. The current list stays in force.
+// ConflictError means that a snapshot lists one server in two phases. The current list stays in force.
 type ConflictError struct {
 	ID          string
 	FirstPhase  string
@@ -35,44 +36,47 @@
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("endpoint list: %.100q is named as %s and as %s in one snapshot: two processes have one name, "+
-		"or discovery holds an old entry; take one out", e.ID, e.FirstPhase, e.SecondPhase)
+	return fmt.Sprintf("endpoint list: server %.100q has the phases %s and %s in one snapshot, expected one phase: "+
+		"two processes have the same id, or discovery has an outdated entry; remove one of the two entries",
+		e.ID, e.FirstPhase, e.SecondPhase)
 }
 
-// MalformedError means that a message is not one of discovery's protocol. The current list stays in force.
+// MalformedError means that a message does not follow discovery's protocol. The current list stays in force.
 type MalformedError struct {
 	Cause error
 }
 
 func (e *MalformedError) Error() string {
-	return fmt.Sprintf("endpoint list: %v: what answers there is no discovery, or one of another version", e.Cause)
+	return fmt.Sprintf("endpoint list: malformed message: %v; check that discovery's address is right and that its "+
+		"version fits this node's", e.Cause)
 }
 
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// IncompleteTurnoverError means that the deltas of a watch have named more servers since the last snapshot than a
-// service may have. Many of them may be gone, which only a new snapshot can tell.
-type IncompleteTurnoverError struct{}
+// TurnoverLimitError means that the last snapshot and the deltas after it have more entries than a service may have
+// servers, without the entries in phase gone. Many of the servers may not exist any more, so a new snapshot is
+// requested to count them.
+type TurnoverLimitError struct{}
 
-func (e *IncompleteTurnoverError) Error() string {
-	return fmt.Sprintf("endpoint list: deltas named more than %d servers since the last snapshot; a new snapshot is "+
-		"requested; if this lasts, find out why servers are replaced so often", MaxMembers)
+func (e *TurnoverLimitError) Error() string {
+	return fmt.Sprintf("endpoint list: the last snapshot and the deltas after it have more than %d entries: a new "+
+		"snapshot is requested; if this recurs, find out why servers are replaced so often", MaxMembers)
 }
 
-// ShortageError means that this machine lacked the means for a poll. It never reached discovery, which is not to
-// blame.
-type ShortageError struct{ Cause error }
+// LocalResourceError means that this machine lacked a resource for the connection of a poll, such as a file descriptor
+// or a local port. The poll did not reach discovery.
+type LocalResourceError struct{ Cause error }
 
-func (e *ShortageError) Error() string {
-	return fmt.Sprintf("reaching discovery: %v; %s", e.Cause, socket.Classify(e.Cause).Advice())
+func (e *LocalResourceError) Error() string {
+	return fmt.Sprintf("connecting to discovery: %v; %s", e.Cause, socket.Classify(e.Cause).Advice())
 }
 
-func (e *ShortageError) Unwrap() error { return e.Cause }
+func (e *LocalResourceError) Unwrap() error { return e.Cause }
 
 var (
 	errNoDescriptor = errors.New(
-		"no descriptor left for discovery: raise the process's limit or limits.sockets")
-	errUnanswered      = errors.New("discovery has not answered yet")
-	errDropped         = errors.New("another poll was answered")
-	errMessageTooLarge = errors.New("endpoint list: a message larger than the limit for one list")
+		"no file descriptor left for the connection to discovery: raise the process's limit or limits.sockets")
+	errUnanswered      = errors.New("discovery has not answered the poll in time")
+	errDropped         = errors.New("the poll was dropped: another poll was answered")
+	errMessageTooLarge = errors.New("endpoint list: message is larger than the limit for one list")
 )
--- a/internal/controlplane/endpoints/fakediscovery_test.go
+++ b/internal/controlplane/endpoints/fakediscovery_test.go
@@ -16,12 +16,12 @@
 const (
 	noFault       fault = iota
 	down                // connections are refused, watches end
-	unreachable         // connections are never established, open ones are silent for ever
-	mute                // connections are established, polls are not answered, watches fall silent
-	rejecting           // polls get 503; watches end
-	resetting           // connections end behind a poll; watches end
-	truncating          // a watch brings half a message and no more
-	endingWatches       // a watch ends right behind its snapshot
+	unreachable         // connections are never established, open ones stay silent
+	unresponsive        // connections are established, polls are not answered, watches fall silent
+	rejecting           // polls are answered with 503, watches end
+	resetting           // connections are closed after the poll was read, watches end
+	truncating          // a watch sends half a message and nothing after it
+	endingWatches       // a watch ends right after its snapshot
 )
 
 const (
@@ -29,28 +29,29 @@
 	firstVersion      = 42
 )
 
-// fakeDiscovery is a discovery that answers polls one after another and rejects those that have waited too long. It
-// runs on synctest's clock.
+// fakeDiscovery is a discovery with one worker: it answers polls one after another and rejects those that have waited
+// too long. It runs on synctest's clock.
 type fakeDiscovery struct {
-	serviceTime  time.Duration // for one poll
-	queueTimeout time.Duration // that a poll waits
-	servesClosed bool          // polls whose connection was closed are worked on all the same
-	// A poll that would wait longer than maxWait is rejected at once, which costs the worker rejectionTime. 0: none is.
+	serviceTime  time.Duration // the worker's time for one poll
+	queueTimeout time.Duration // a poll that has waited longer is rejected
+	servesClosed bool          // the worker also serves polls whose connection was closed
+	// A poll that would wait longer than maxWait is rejected at once, which takes rejectionTime of the worker's time.
+	// 0: no poll is.
 	maxWait, rejectionTime time.Duration
 
 	mu       sync.Mutex
 	fault    fault
 	queue    []*queuedPoll
-	wake     chan struct{}     // of serveQueue
-	conns    map[net.Conn]bool // true: silent from now on
-	version  int               // of the list
-	changed  chan struct{}     // closed when it changes
-	idleAt   time.Time         // when the worker will have done all that it has
-	polls    int               // connects that were refused or lost included
-	maxQueue int               // the longest queue
-	timedOut int               // polls that had waited too long
-	wasted   int               // polls that were worked on though their connection was closed
-	rejected int               // polls rejected at once
+	wake     chan struct{}     // wakes serveQueue
+	conns    map[net.Conn]bool // open connections; true: nothing more is sent
+	version  int               // revision of the list
+	changed  chan struct{}     // closed when the list changes
+	idleAt   time.Time         // when the worker will have finished all accepted polls and rejections
+	polls    int               // polls so far, with connects that were refused or lost
+	maxQueue int               // the largest length of the queue
+	timedOut int               // polls rejected after queueTimeout
+	wasted   int               // polls served though their connection was closed
+	rejected int               // polls rejected at once for maxWait
 }
 
 // queuedPoll is a poll that waits for its answer.
@@ -60,11 +61,11 @@
 	done   bool // answered or rejected
 }
 
-// verdict is what becomes of a poll that was read.
-type verdict int
+// admitResult is the result of admit.
+type admitResult int
 
 const (
-	admitted verdict = iota
+	admitted admitResult = iota
 	ignored
 	rejectedAtOnce
 	resetAtOnce
@@ -87,7 +88,7 @@
 	defer f.mu.Unlock()
 	f.fault = x
 	for c := range f.conns {
-		if x == unreachable || x == mute {
+		if x == unreachable || x == unresponsive {
 			f.conns[c] = true
 		} else if x != noFault && x != truncating && x != endingWatches {
 			c.Close()
@@ -108,7 +109,7 @@
 	f.changed = make(chan struct{})
 }
 
-// dropWatches makes all open watches silent, or ends them; polls are answered as before.
+// dropWatches makes all open watches silent, or closes them. New polls are answered as before.
 func (f *fakeDiscovery) dropWatches(silent bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,12 +146,12 @@
 		return nil, ctx.Err()
 	}
 	client, server := net.Pipe()
-	f.conns[server] = f.fault == mute
+	f.conns[server] = f.fault == unresponsive
 	go f.servePoll(server)
 	return client, nil
 }
 
-// servePoll reads a poll and queues it, until it is answered or the node closes the connection.
+// servePoll reads a poll and queues it, or rejects it. It returns when the node has closed the connection.
 func (f *fakeDiscovery) servePoll(c net.Conn) {
 	reader := bufio.NewReader(c)
 	for line := ""; line != "\r\n"; {
@@ -183,8 +184,8 @@
 	}
 }
 
-// admit puts a poll into the queue, if neither a fault nor the load is in the way.
-func (f *fakeDiscovery) admit(poll *queuedPoll) verdict {
+// admit puts a poll into the queue, unless a fault or maxWait prevents it.
+func (f *fakeDiscovery) admit(poll *queuedPoll) admitResult {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch silent := f.conns[poll.conn]; {
@@ -203,7 +204,8 @@
 	return admitted
 }
 
-// scheduleWork takes a poll into the worker's time, or the time that its rejection costs. The mutex is held.
+// scheduleWork adds a poll to the worker's time, and returns true. If the poll would wait longer than maxWait, it adds
+// the time for the rejection and returns false. The mutex is held.
 func (f *fakeDiscovery) scheduleWork() bool {
 	now := time.Now()
 	if f.idleAt.Before(now) {
@@ -217,7 +219,7 @@
 	return true
 }
 
-// timeOut rejects a poll that has waited too long.
+// timeOut rejects a poll that is still in the queue after queueTimeout.
 func (f *fakeDiscovery) timeOut(poll *queuedPoll) {
 	f.mu.Lock()
 	late := !poll.done && !poll.closed
@@ -252,7 +254,7 @@
 	}
 }
 
-// nextPoll takes the next poll to answer out of the queue; nil if there is none.
+// nextPoll removes the next poll to answer from the queue and returns it; nil if there is none.
 func (f *fakeDiscovery) nextPoll() *queuedPoll {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -271,7 +273,8 @@
 	return nil
 }
 
-// timeForPoll is how long the worker has to do with the poll that it has just taken.
+// timeForPoll returns how long the worker is busy with the poll that it has just removed from the queue. With maxWait
+// set, that includes the time for rejections.
 func (f *fakeDiscovery) timeForPoll() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -281,7 +284,7 @@
 	return max(f.serviceTime, time.Until(f.idleAt)-time.Duration(len(f.queue))*f.serviceTime)
 }
 
-// serveWatch answers a poll with a watch, until the connection ends or falls silent.
+// serveWatch answers a poll with a watch. It returns when the connection is closed or silent.
 func (f *fakeDiscovery) serveWatch(c net.Conn) {
 	f.mu.Lock()
 	x, version, changed := f.fault, f.version, f.changed
@@ -308,7 +311,7 @@
 	}
 }
 
-// write writes to a watch that is open and not silent.
+// write writes to a connection that is open and not silent, and reports whether it succeeded.
 func (f *fakeDiscovery) write(c net.Conn, text string) bool {
 	f.mu.Lock()
 	silent, open := f.conns[c]
--- a/internal/controlplane/endpoints/fleet_test.go
+++ b/internal/controlplane/endpoints/fleet_test.go
@@ -12,50 +12,58 @@
 	"robincart/internal/resources/limits"
 )
 
-// outage is what a whole fleet recovers from.
+// outage is a fault of discovery that affects a whole fleet, and discovery's capacity after it.
 type outage struct {
-	name         string
-	fault        fault         // for 8 s; noFault: all watches are reset instead
-	loadTime     time.Duration // that discovery needs for as many polls as there are nodes
-	queueTimeout time.Duration
-	servesClosed bool
+	name          string
+	fault         fault         // lasts 8 s; noFault: all watches are reset instead
+	fleetPollTime time.Duration // discovery's time for one poll of each node
+	queueTimeout  time.Duration
+	servesClosed  bool
 }
 
-// recovery is how a fleet recovered.
+// recovery has the measurements of one recovery of a fleet.
 type recovery struct {
 	pollsDuringOutage, pollsAfter int
-	updated                       int           // nodes
-	half, last                    time.Duration // until half of the nodes, and all of them, were updated
+	updated                       int           // nodes that were updated
+	timeToHalf, timeToAll         time.Duration // until half of the nodes, and all of them, were updated
 }
 
-// A fleet whose discovery was away, or whose watches all ended, recovers together.
+// All nodes of a fleet recover in time, with a bounded number of polls, after an outage of discovery or the end of all
+// watches.
 func TestFleet_Recovers(t *testing.T) {
 	for _, nodes := range []int{20, 300} {
 		for _, x := range []outage{
 			{"down, quick", down, 500 * time.Millisecond, 2 * time.Second, false},
 			{"down", down, 3 * time.Second, 2 * time.Second, false},
 			{"down, slow", down, 4500 * time.Millisecond, 2 * time.Second, false},
-			{"down, patient and blind", down, 4500 * time.Millisecond, 10 * time.Second, true},
+			{"down, long queue timeout, serves closed polls", down, 4500 * time.Millisecond, 10 * time.Second, true},
 			{"down, overloaded", down, 15 * time.Second, 2 * time.Second, false},
-			{"unreachable, patient and blind", unreachable, 4500 * time.Millisecond, 10 * time.Second, true},
+			{
+				"unreachable, long queue timeout, serves closed polls",
+				unreachable, 4500 * time.Millisecond, 10 * time.Second, true,
+			},
 			{"rejecting", rejecting, 3 * time.Second, 2 * time.Second, false},
 			{"watches reset", noFault, 3 * time.Second, 2 * time.Second, false},
-			{"watches reset, patient and blind", noFault, 4500 * time.Millisecond, 10 * time.Second, true},
+			{
+				"watches reset, long queue timeout, serves closed polls",
+				noFault, 4500 * time.Millisecond, 10 * time.Second, true,
+			},
 			{"watches reset, overloaded", noFault, 15 * time.Second, 2 * time.Second, false},
 		} {
 			t.Run(fmt.Sprint(nodes, " ", x.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					got := recoverFleet(t, nodes, x)
-					assert.Equal(t, nodes, got.updated, "all have the list again")
-					// Pauses of 0.25 s and twice as long each time, up to two thirds of what the bound allows: six polls
-					// in 8 s. A discovery that could update them all in time gets half as many polls again for that at
-					// most; one that can't times the others out over and over, and a poll in its queue starts no other.
+					assert.Equal(t, nodes, got.updated, "all nodes have the list again")
+					// Pauses begin with 0.25 s and double up to two thirds of the bound, which makes six polls in 8 s.
+					// A discovery that can update all nodes in time gets at most 1.5 polls per node after the outage.
+					// One that can't rejects the other polls with time-outs again and again, and a node with a poll in
+					// its queue starts no other.
 					assert.LessOrEqual(t, got.pollsDuringOutage, 6*nodes)
-					if x.loadTime < maxUpdateDelay {
-						assert.LessOrEqual(t, got.last, maxUpdateDelay)
+					if x.fleetPollTime < maxUpdateDelay {
+						assert.LessOrEqual(t, got.timeToAll, maxUpdateDelay)
 						assert.LessOrEqual(t, got.pollsAfter, 3*nodes/2)
 					} else {
-						assert.LessOrEqual(t, got.last, x.loadTime+maxUpdateDelay)
+						assert.LessOrEqual(t, got.timeToAll, x.fleetPollTime+maxUpdateDelay)
 						assert.LessOrEqual(t, got.pollsAfter, 4*nodes)
 					}
 				})
@@ -80,7 +88,7 @@
 		time.Sleep(8 * time.Second)
 	}
 	d.mu.Lock()
-	d.serviceTime, d.queueTimeout, d.servesClosed = x.loadTime/time.Duration(nodes), x.queueTimeout, x.servesClosed
+	d.serviceTime, d.queueTimeout, d.servesClosed = x.fleetPollTime/time.Duration(nodes), x.queueTimeout, x.servesClosed
 	got := recovery{pollsDuringOutage: d.polls}
 	d.polls, d.timedOut, d.wasted, d.maxQueue = 0, 0, 0, 0
 	d.mu.Unlock()
@@ -94,9 +102,9 @@
 				got.updated++
 			}
 		}
-		got.last = time.Since(recovered)
-		if got.half == 0 && 2*got.updated >= nodes {
-			got.half = got.last
+		got.timeToAll = time.Since(recovered)
+		if got.timeToHalf == 0 && 2*got.updated >= nodes {
+			got.timeToHalf = got.timeToAll
 		}
 	}
 	time.Sleep(10 * time.Second)
@@ -105,28 +113,31 @@
 	got.pollsAfter = d.polls
 	t.Logf("polls during the outage %4d, after %4d, timed out %4d, wasted %4d, queue %3d, "+
 		"half updated %5.2f s, last %5.2f s", got.pollsDuringOutage, got.pollsAfter, d.timedOut, d.wasted, d.maxQueue,
-		got.half.Seconds(), got.last.Seconds())
+		got.timeToHalf.Seconds(), got.timeToAll.Seconds())
 	return got
 }
 
-// A discovery that can just update the whole fleet in time, but rejects polls at once that would have to wait, must
-// neither idle while the last nodes wait out long pauses nor be kept busy with rejections. The watches fall silent
-// together, as on the operators' days on which this failed: a third of a second for a poll, 18 nodes, and two thirds
-// of a second that a poll may wait.
+// A discovery that is just fast enough to update the whole fleet in time, but immediately rejects polls that would have
+// to wait, must neither idle while the last nodes are in long pauses nor be kept busy with rejections. All watches fall
+// silent at the same time. The sizes are those of an operator's fleet in which this failed: 18 nodes, a third of a
+// second of service time for a poll, and up to two thirds of a second that a poll may wait.
 func TestFleet_BusyDiscoveryRejects(t *testing.T) {
 	const runs = 20
 	for _, x := range []struct {
 		name                       string
 		nodes                      int
 		serviceTime, rejectionTime time.Duration
-		maxMeanLast                time.Duration // from the silence to the last node's update
-		maxMeanPolls               float64       // of a node
+		maxMeanRecovery            time.Duration // mean time from the silence to the last node's update
+		maxMeanPolls               float64       // mean number of polls per node
 	}{
 		{"slower than the bound", 18, 444 * time.Millisecond, 28 * time.Millisecond, 10500 * time.Millisecond, 3},
-		{"just able", 18, 340 * time.Millisecond, 20 * time.Millisecond, 7800 * time.Millisecond, 2.3},
-		{"with some to spare", 18, 250 * time.Millisecond, 20 * time.Millisecond, 5900 * time.Millisecond, 1.7},
+		{"just fast enough", 18, 340 * time.Millisecond, 20 * time.Millisecond, 7800 * time.Millisecond, 2.3},
+		{"with spare capacity", 18, 250 * time.Millisecond, 20 * time.Millisecond, 5900 * time.Millisecond, 1.7},
 		{"large fleet", 300, 18 * time.Millisecond, time.Millisecond, 7150 * time.Millisecond, 1.9},
-		{"rejections cost a third of a poll", 18, 250 * time.Millisecond, 80 * time.Millisecond, 7300 * time.Millisecond, 2.2},
+		{
+			"rejections take a third of the time of a poll",
+			18, 250 * time.Millisecond, 80 * time.Millisecond, 7300 * time.Millisecond, 2.2,
+		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			total, worst, polls := time.Duration(0), time.Duration(0), 0
@@ -154,16 +165,17 @@
 				})
 			}
 			mean, meanPolls := total/runs, float64(polls)/float64(runs*x.nodes)
-			t.Logf("the last node %.2f s after the silence in the mean, %.2f s at most; %.2f polls a node",
+			t.Logf("last node updated after %.2f s on average, %.2f s at most; %.2f polls per node",
 				mean.Seconds(), worst.Seconds(), meanPolls)
-			assert.LessOrEqual(t, mean, x.maxMeanLast)
+			assert.LessOrEqual(t, mean, x.maxMeanRecovery)
 			assert.LessOrEqual(t, meanPolls, x.maxMeanPolls)
 		})
 	}
 }
 
-// Where all nodes move to another discovery, which rejects many of them, the node with the oldest list gets ahead.
-func TestFleet_OldestListGoesFirst(t *testing.T) {
+// When all nodes change to another discovery, which rejects many of their polls, the node with the oldest list is
+// updated sooner than the others.
+func TestFleet_OldestListIsUpdatedFirst(t *testing.T) {
 	const nodes, runs = 18, 100
 	var oldest, others time.Duration
 	for run := range runs {
@@ -187,16 +199,16 @@
 				}))
 			}
 			time.Sleep(13 * time.Second)
-			moved := make([]time.Time, nodes)
+			movedAt := make([]time.Time, nodes)
 			for _, i := range rand.New(rand.NewSource(int64(run))).Perm(nodes) {
-				moved[i] = time.Now()
+				movedAt[i] = time.Now()
 				fleet[i].watcher.SetAddress(nextAddress)
 				time.Sleep(100 * time.Millisecond)
 			}
-			// The lists of the first discoveries were received before the move, so a later one is of the next.
+			// The first discoveries' lists arrived before the address change, so a later list is the next discovery's.
 			for i, n := range fleet {
-				n.awaitUpdate(moved[i].Add(time.Millisecond), time.Minute)
-				took := n.updatedAt().Sub(moved[i])
+				n.awaitUpdate(movedAt[i].Add(time.Millisecond), time.Minute)
+				took := n.updatedAt().Sub(movedAt[i])
 				if i == 0 {
 					oldest += took
 				} else {
@@ -206,89 +218,91 @@
 		})
 	}
 	oldest, others = oldest/runs, others/(runs*(nodes-1))
-	t.Logf("the oldest list is renewed %.2f s after the move in the mean, the others %.2f s",
+	t.Logf("mean time from the address change to the update: oldest list %.2f s, others %.2f s",
 		oldest.Seconds(), others.Seconds())
 	assert.Less(t, oldest, others*7/10)
 }
 
-// disturbance is what happened to a node before a change that has to arrive in time.
+// disturbance is a series of faults before a change that has to arrive in time.
 type disturbance struct {
 	name string
-	// begin runs for the duration, with a node that was started 40 s before.
-	begin func(d *fakeDiscovery, n *testNode, r *rand.Rand, duration time.Duration)
+	// apply causes the faults for the duration, at a node that was started 40 s before.
+	apply func(d *fakeDiscovery, n *testNode, r *rand.Rand, duration time.Duration)
 }
 
-// faultsInTurn is a disturbance of faults that share the duration.
+// faultsInTurn returns a disturbance that causes faults one after another, each for an equal part of the duration.
 func faultsInTurn(name string, faults ...fault) disturbance {
 	return disturbance{name, func(d *fakeDiscovery, _ *testNode, _ *rand.Rand, duration time.Duration) {
 		for _, x := range faults {
 			d.setFault(x)
-			d.dropWatches(x == unreachable || x == mute)
+			d.dropWatches(x == unreachable || x == unresponsive)
 			time.Sleep(duration / time.Duration(len(faults)))
 		}
 	}}
 }
 
-// randomPart is a part of a duration, up to the end of a disturbance.
-func randomPart(r *rand.Rand, longest time.Duration, end time.Time) time.Duration {
+// randomDuration returns a random duration of at most longest, which does not go beyond the end of a disturbance.
+func randomDuration(r *rand.Rand, longest time.Duration, end time.Time) time.Duration {
 	return min(time.Until(end), time.Duration(r.Float64()*float64(longest)))
 }
 
 func randomFault(r *rand.Rand) fault { return fault(1 + r.Intn(int(endingWatches))) }
 
+// randomFaults causes random faults, each for up to 3 s.
 func randomFaults(d *fakeDiscovery, _ *testNode, r *rand.Rand, duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		d.setFault(randomFault(r))
-		time.Sleep(randomPart(r, 3*time.Second, end))
+		time.Sleep(randomDuration(r, 3*time.Second, end))
 	}
 }
 
-func moves(d *fakeDiscovery, n *testNode, r *rand.Rand, duration time.Duration) {
+// changeAddresses changes discovery's address again and again during a random fault.
+func changeAddresses(d *fakeDiscovery, n *testNode, r *rand.Rand, duration time.Duration) {
 	d.setFault(randomFault(r))
 	end := time.Now().Add(duration)
 	for i := 2; time.Now().Before(end); i++ {
 		n.watcher.SetAddress(fmt.Sprintf("127.0.0.1:%d", i))
-		time.Sleep(randomPart(r, 5*time.Second, end))
+		time.Sleep(randomDuration(r, 5*time.Second, end))
 	}
 }
 
-// changeRuns is how often each disturbance is played, each time for longer.
+// changeRuns is the number of runs of each disturbance. Each run has a longer disturbance than the one before.
 const changeRuns = 40
 
-// disturbanceOf is the duration of a run's disturbance, and the random numbers that it uses.
+// disturbanceOf returns the duration of a run's disturbance, and the random number generator for it.
 func disturbanceOf(run int) (time.Duration, *rand.Rand) {
 	return time.Duration(run) * 397 * time.Millisecond, rand.New(rand.NewSource(int64(run)))
 }
 
-// Whatever came before, a change arrives in time.
+// A change arrives in time after each kind of disturbance.
 func TestFleet_ChangeArrivesInTime(t *testing.T) {
 	for _, x := range []disturbance{
 		faultsInTurn("down", down),
 		faultsInTurn("unreachable", unreachable),
-		faultsInTurn("mute", mute),
+		faultsInTurn("unresponsive", unresponsive),
 		faultsInTurn("rejecting", rejecting),
 		faultsInTurn("resetting", resetting),
 		faultsInTurn("half a message", truncating),
 		faultsInTurn("ending watches", endingWatches),
-		faultsInTurn("down, then mute", down, mute),
+		faultsInTurn("down, then unresponsive", down, unresponsive),
 		faultsInTurn("rejecting, then unreachable", rejecting, unreachable),
-		{"fallen silent", func(d *fakeDiscovery, _ *testNode, _ *rand.Rand, duration time.Duration) {
+		{"silent watches", func(d *fakeDiscovery, _ *testNode, _ *rand.Rand, duration time.Duration) {
 			time.Sleep(duration)
 			d.dropWatches(true)
 		}},
-		{"one after another", randomFaults},
-		{"moves", moves},
-		{"no descriptor to spare", func(d *fakeDiscovery, n *testNode, _ *rand.Rand, duration time.Duration) {
+		{"random faults", randomFaults},
+		{"address changes", changeAddresses},
+		{"no free descriptor", func(d *fakeDiscovery, n *testNode, _ *rand.Rand, duration time.Duration) {
 			assert.True(t, n.budget.Acquire())
 			d.dropWatches(false)
 			synctest.Wait()
-			assert.False(t, n.budget.Acquire(), "the watcher keeps its own")
+			assert.False(t, n.budget.Acquire(), "the watcher keeps its descriptor")
 			time.Sleep(duration)
 			n.budget.Release()
 		}},
 		{"one descriptor", func(d *fakeDiscovery, n *testNode, _ *rand.Rand, duration time.Duration) {
 			assert.True(t, n.budget.Acquire())
-			d.setFault(mute)
+			d.setFault(unresponsive)
 			time.Sleep(duration)
 		}},
 	} {
@@ -297,7 +311,7 @@
 				n := s.startNode(nodeOptions{dial: d.dial, seed: int64(run), instances: 300})
 				time.Sleep(40 * time.Second)
 				duration, r := disturbanceOf(run)
-				x.begin(d, n, r, duration)
+				x.apply(d, n, r, duration)
 				return n
 			})
 		})
@@ -329,7 +343,7 @@
 	})
 }
 
-// checkChangesArrive publishes a change after each run of a disturbance, which ends with it.
+// checkChangesArrive ends each run's disturbance, publishes a change, and checks that it arrives within maxUpdateDelay.
 func checkChangesArrive(t *testing.T, disturb func(s *simulation, d *fakeDiscovery, run int) *testNode) {
 	t.Helper()
 	worst, late := time.Duration(0), 0
@@ -348,13 +362,13 @@
 			}
 		})
 	}
-	t.Logf("late %2d of %d, the longest %5.2f s", late, changeRuns, worst.Seconds())
+	t.Logf("%2d of %d changes late, longest delay %5.2f s", late, changeRuns, worst.Seconds())
 	assert.LessOrEqual(t, worst, maxUpdateDelay)
 }
 
-// A watch may end instead of bringing a change, which has to arrive soon after its end, however often polls had failed
-// before it and however short it was.
-func TestFleet_WatchEndsInsteadOfChange(t *testing.T) {
+// A watch may end before it has sent a published change. The change has to arrive soon after the end of the watch, even
+// if many polls had failed before the watch or the watch was short.
+func TestFleet_WatchEndsBeforeChange(t *testing.T) {
 	const maxDelay, serviceTime = 2 * time.Second, 300 * time.Millisecond
 	worst := time.Duration(0)
 	for run := range 40 {
@@ -374,12 +388,12 @@
 			worst = max(worst, n.awaitUpdate(ended, time.Hour))
 		})
 	}
-	t.Logf("the longest %.2f s", worst.Seconds())
+	t.Logf("longest delay %.2f s", worst.Seconds())
 	assert.Less(t, worst, maxDelay)
 }
 
-// A discovery that ends each watch right behind its snapshot is polled no oftener than one that fails: by pauses that
-// grow up to what the bound allows, of which the shortest is a third.
+// A discovery that ends each watch right after its snapshot is polled no more often than one whose polls fail: the
+// pauses grow up to the bound, and from then on each is at least a third of it.
 func TestFleet_EndingWatchesKeepBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t)
@@ -392,7 +406,7 @@
 		d.mu.Unlock()
 		time.Sleep(time.Minute)
 		l := n.watcher.limits
-		assert.True(t, n.updatedSince(time.Now().Add(-l.MaxPollInterval)), "each snapshot is taken")
+		assert.True(t, n.updatedSince(time.Now().Add(-l.MaxPollInterval)), "each snapshot is applied")
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		t.Logf("%d polls in a minute", d.polls)
--- a/internal/controlplane/endpoints/golden_test.go
+++ b/internal/controlplane/endpoints/golden_test.go
@@ -1,9 +1,8 @@
 package endpoints
 
-// The files under testdata pin the list as it is read from discovery. The lists were written by hand, and what is
-// expected of them was measured with the code at commit 0cdd5b2; skipped-entries.txt and watch-request.http were
-// written by that code. Never change or regenerate them to follow a rename: the names in them belong to the
-// protocol.
+// The files under testdata fix the format of the lists that are read from discovery. The lists were written by hand.
+// The expected results are those of the code at commit 0cdd5b2, which also wrote skipped-entries.txt and
+// watch-request.http. Never change or regenerate the files after a rename: the names in them belong to the protocol.
 
 import (
 	"bytes"
@@ -35,7 +34,7 @@
 	return list
 }
 
-func TestParse_WholeList(t *testing.T) {
+func TestParse_Snapshot(t *testing.T) {
 	list := parseGolden(t, "whole.json")
 	assert.Equal(t, &List{Revision: 41, Complete: true, Members: []member{
 		{
@@ -67,7 +66,7 @@
 	}, list.Endpoints(goldenZones, zap.NewNop()))
 }
 
-func TestParse_OddForms(t *testing.T) {
+func TestParse_UnusualEntries(t *testing.T) {
 	list := parseGolden(t, "odd.json")
 	assert.EqualValues(t, 42, list.Revision)
 	assert.False(t, list.Complete)
@@ -95,7 +94,7 @@
 	golden.Check(t, "skipped-entries.txt", skipped.Bytes())
 }
 
-func TestParse_OddMessages(t *testing.T) {
+func TestParse_UnusualMessages(t *testing.T) {
 	for text, want := range map[string]*List{
 		`{}`:                         {},
 		`null`:                       {},
@@ -114,15 +113,15 @@
 		``, `[]`, `{"revision":-1}`, `{"revision":1.5}`, `{"revision":"1"}`, `{"complete":1}`, `{"members":{}}`, `{}{}`,
 		`{"complete":true,"members":[{"id":"pod-1","phase":"ready"},{"id":"pod-1","phase":"draining"}]}`,
 	} {
-		t.Run("refused "+text, func(t *testing.T) {
+		t.Run("rejected "+text, func(t *testing.T) {
 			_, err := Parse([]byte(text))
 			assert.Error(t, err)
 		})
 	}
 }
 
-// What the controller writes is what a node reads: the golden lists of package fanout.
-func TestParse_ListsOfTheController(t *testing.T) {
+// A node can read the lists that the controller writes: the golden files of package fanout.
+func TestParse_ControllerLists(t *testing.T) {
 	const whole, change = "../fanout/testdata/whole.json", "../fanout/testdata/change.json"
 	for _, test := range []struct {
 		file string
--- a/internal/controlplane/endpoints/helpers_test.go
+++ b/internal/controlplane/endpoints/helpers_test.go
@@ -24,7 +24,7 @@
 	emptySnapshot = `{"revision":41,"complete":true,"members":[]}`
 )
 
-// update is what a receiver was called with.
+// update has the arguments of one call of a receiver.
 type update struct {
 	entries      []node.Endpoint
 	full         bool
@@ -32,7 +32,7 @@
 	resetBackoff bool
 }
 
-// fakeReceiver hands updates to a test.
+// fakeReceiver sends its calls to a test.
 type fakeReceiver chan update
 
 func (f fakeReceiver) UpdateEndpoints(e []node.Endpoint, full bool) {
@@ -66,7 +66,7 @@
 		`"size":1.5,"up_since_ms":1800000000000}`, id, phase)
 }
 
-// snapshotOf is a snapshot of n entries.
+// snapshotOf returns a snapshot of n entries.
 func snapshotOf(n int, entry func(i int) string) []byte {
 	all := make([]string, n)
 	for i := range all {
@@ -93,7 +93,7 @@
 	}
 }
 
-func freeAddress(t *testing.T) string {
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -101,12 +101,12 @@
 	return listener.Addr().String()
 }
 
-// send answers a poll and leaves the connection open.
+// send returns an answer to a poll that leaves the connection open.
 func send(parts ...string) func(net.Conn) {
 	return func(c net.Conn) { io.WriteString(c, strings.Join(parts, "")) }
 }
 
-// sendAndClose answers a poll and closes the connection.
+// sendAndClose returns an answer to a poll that closes the connection.
 func sendAndClose(parts ...string) func(net.Conn) {
 	return func(c net.Conn) {
 		io.WriteString(c, strings.Join(parts, ""))
@@ -114,8 +114,9 @@
 	}
 }
 
-// startWatcher starts a Watcher at a discovery that answers each poll by the next of the answers, and all further ones
-// by the last. The request lines of the polls are sent to the channel.
+// startWatcher starts a Watcher with a discovery that answers each poll with the next of the answers, and all further
+// polls with the last one. known is the list that the node has at the start. The request lines of the polls are sent to
+// the returned channel.
 func startWatcher(t *testing.T, known string, answers ...func(net.Conn)) (fakeReceiver, *Watcher, chan string) {
 	t.Helper()
 	return startWatcherWith(t, testLimits(), known, answers...)
@@ -141,9 +142,9 @@
 	return receiver, w, requests
 }
 
-// answerPolls serves discovery's side until the listener is closed.
+// answerPolls answers polls, as startWatcher describes, until the listener is closed.
 func answerPolls(listener net.Listener, requests chan<- string, answers []func(net.Conn)) {
-	var open []net.Conn // an unreferenced connection would be closed by the collector: an end, and no silence
+	var open []net.Conn // the garbage collector would close unreferenced connections, which have to stay silent
 	defer func() {
 		for _, c := range open {
 			c.Close()
@@ -170,7 +171,7 @@
 	return strings.TrimSpace(requestLine)
 }
 
-// runWatcher runs a Watcher until the test ends, and returns what ends it before.
+// runWatcher runs a Watcher until the test ends, or until stop is called.
 func runWatcher(t *testing.T, w *Watcher) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controlplane/endpoints/list.go
+++ b/internal/controlplane/endpoints/list.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// MaxMembers is how many entries a message may have, and how many servers a service. A fleet of the target size
-	// has 440 in all; a source that lists more than this has lost count, and each entry would cost the node a record.
+	// MaxMembers is the largest number of entries in a message, and of servers of a service. A fleet of the target size
+	// has 440 servers in all. A list above this limit is an error at its source, and each entry would take memory.
 	MaxMembers = 20_000
 
-	// maxSkippedLogged is how many skipped entries of one message are logged one by one; of the others only the
-	// number is.
+	// maxSkippedLogged is the number of skipped entries of one message that are logged one by one. If there are more,
+	// their total number is logged as well.
 	maxSkippedLogged = 10
 
-	// maxLoggedBytes is how much of a skipped entry is logged.
+	// maxLoggedBytes is the largest number of bytes of a skipped entry that are logged.
 	maxLoggedBytes = 1000
 
 	maxPort = 65535
 
-	// maxStartMillis is the end of plausible start times, in milliseconds of Unix time: some 30,000 years ahead.
-	// Later ones are ignored.
+	// maxStartMillis is the upper bound of plausible start times, in milliseconds of Unix time: some 30,000 years from
+	// now. Later ones are ignored.
 	maxStartMillis = 1e15
 )
 
@@ -55,11 +55,12 @@
 	Size     float64 `json:"size"`
 	UpSince  float64 `json:"up_since_ms"`
 
-	err  error  // why it can't be decoded; nil: it was
-	text []byte // the begin of what can't be decoded
+	err  error  // the decoding error; nil: the entry was decoded
+	text []byte // the first bytes of an entry that can't be decoded
 }
 
-// UnmarshalJSON never fails: one malformed entry must not cost the others. The error is kept in the entry.
+// UnmarshalJSON never returns an error, so that a malformed entry does not prevent the decoding of the others. The
+// error is kept in the entry.
 func (m *member) UnmarshalJSON(text []byte) error {
 	type fields member
 	m.err = json.Unmarshal(text, (*fields)(m))
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// Parse decodes one message. It returns an error only where the message as a whole can't be used; entries that can't
-// be used are left to Entries.
+// Parse decodes one message. It returns an error only if the message as a whole can't be used. Entries that can't be
+// used are skipped later, by Endpoints.
 func Parse(text []byte) (*List, error) {
 	l := &List{}
 	if err := json.Unmarshal(text, l); err != nil {
@@ -80,7 +81,7 @@
 		return nil, &EntryLimitError{Entries: len(l.Members)}
 	}
 	if l.Revision < 0 {
-		return nil, &MalformedError{Cause: fmt.Errorf("revision %d", l.Revision)}
+		return nil, &MalformedError{Cause: fmt.Errorf("found revision %d, expected 0 or more", l.Revision)}
 	}
 	if l.Complete {
 		if err := l.checkPhases(); err != nil {
@@ -90,14 +91,15 @@
 	return l, nil
 }
 
-// checkPhases finds a server that a snapshot names in two phases. A delta may: its entries follow one another.
+// checkPhases returns a ConflictError if a snapshot lists one server in two phases. In a delta that is valid: its
+// entries are successive changes.
 func (l *List) checkPhases() error {
 	phaseOf := make(map[string]string, len(l.Members))
 	for _, m := range l.Members {
 		if m.err != nil {
 			continue
 		}
-		if phase, named := phaseOf[m.ID]; named && phase != m.Phase {
+		if phase, listed := phaseOf[m.ID]; listed && phase != m.Phase {
 			return &ConflictError{ID: m.ID, FirstPhase: phase, SecondPhase: m.Phase}
 		}
 		if m.ID != "" {
@@ -149,7 +151,8 @@
 	return e
 }
 
-// logField is the entry as the log shows it: as it was received, as far as that is known.
+// logField returns the log field for a skipped entry: the received text of an entry that can't be decoded, or else the
+// decoded fields as JSON.
 func (m *member) logField() zap.Field {
 	text := m.text
 	if m.err == nil {
@@ -158,7 +161,7 @@
 	return zap.ByteString("entry", text[:min(len(text), maxLoggedBytes)])
 }
 
-// state returns the server's state, or why the entry can't be used.
+// state returns the server's state, or an error if the entry can't be used.
 func (m *member) state() (decide.State, error) {
 	if m.err != nil {
 		return 0, m.err
@@ -166,11 +169,11 @@
 	state, known := phases[m.Phase]
 	switch {
 	case m.ID == "":
-		return 0, errors.New("no id")
+		return 0, errors.New("id: found none, expected the server's id")
 	case !known:
-		return 0, fmt.Errorf("phase %q", m.Phase)
+		return 0, fmt.Errorf("phase: found %q, expected ready, draining or gone", m.Phase)
 	case state == decide.Gone:
-		return state, nil // nothing is sent there: its address does not matter
+		return state, nil // no request is sent to it, so its address is not checked
 	}
 	return state, checkAddress(m.HostPort)
 }
@@ -178,13 +181,13 @@
 func checkAddress(hostPort string) error {
 	host, port, err := net.SplitHostPort(hostPort)
 	if err != nil {
-		return fmt.Errorf("address: %w", err)
+		return fmt.Errorf("host_port: expected an IP address and a port: %w", err)
 	}
 	if net.ParseIP(host) == nil {
-		return fmt.Errorf("address: %q is no IP", host)
+		return fmt.Errorf("host_port: found host %q, expected an IP address", host)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > maxPort {
-		return fmt.Errorf("address: %q is no port", port)
+		return fmt.Errorf("host_port: found port %q, expected a number from 1 to %d", port, maxPort)
 	}
 	return nil
 }
--- a/internal/controlplane/endpoints/list_test.go
+++ b/internal/controlplane/endpoints/list_test.go
@@ -21,27 +21,30 @@
 
 func TestParse_MaxMembers(t *testing.T) {
 	_, err := Parse(snapshotOf(MaxMembers+1, func(int) string { return "7" }))
-	assert.ErrorContains(t, err, "20001 entries, 20000 at most")
-	const tenTimesTheTarget = 10 * 440
-	l, err := Parse(snapshotOf(tenTimesTheTarget, func(i int) string { return memberJSON(fmt.Sprint("a", i), "ready") }))
+	assert.ErrorContains(t, err, "found 20001 entries, expected at most 20000")
+	const tenTimesTargetSize = 10 * 440
+	l, err := Parse(snapshotOf(tenTimesTargetSize, func(i int) string {
+		return memberJSON(fmt.Sprint("a", i), "ready")
+	}))
 	require.NoError(t, err)
-	assert.Len(t, l.Endpoints(nil, zap.NewNop()), tenTimesTheTarget)
+	assert.Len(t, l.Endpoints(nil, zap.NewNop()), tenTimesTargetSize)
 }
 
-// A server in two phases makes a snapshot useless; a delta may name a server as often as it changed.
+// A snapshot with a server in two phases is rejected. A delta may have one entry for each change of a server.
 func TestParse_ServerInTwoPhases(t *testing.T) {
 	parse := func(complete bool, phases ...string) error {
 		entries := []string{memberJSON("a", "ready")}
 		for _, phase := range phases {
 			entries = append(entries, memberJSON("b", phase))
 		}
-		_, err := Parse(fmt.Appendf(nil, `{"revision":9,"complete":%v,"members":[%s]}`, complete, strings.Join(entries, ",")))
+		_, err := Parse(fmt.Appendf(nil, `{"revision":9,"complete":%v,"members":[%s]}`, complete,
+			strings.Join(entries, ",")))
 		return err
 	}
 	var conflict *ConflictError
 	require.ErrorAs(t, parse(true, "ready", "draining"), &conflict)
 	assert.Equal(t, ConflictError{ID: "b", FirstPhase: "ready", SecondPhase: "draining"}, *conflict)
-	assert.ErrorContains(t, conflict, "take one out")
+	assert.ErrorContains(t, conflict, "remove one of the two entries")
 	assert.NoError(t, parse(true, "draining", "draining"))
 	assert.NoError(t, parse(false, "draining", "gone", "ready"))
 }
@@ -63,7 +66,7 @@
 	}
 }
 
-func TestEntries_MalformedEntries(t *testing.T) {
+func TestEndpoints_MalformedEntries(t *testing.T) {
 	l, err := Parse([]byte(`{"revision":1,"complete":true,"members":[` + strings.Join([]string{
 		memberJSON("good", "ready"),
 		memberJSON("phase", "resting"),
@@ -83,7 +86,7 @@
 	assert.Equal(t, node.Endpoint{ID: "bare", Addr: "[::1]:80", Zone: -1, Weight: 1, Revision: 1}, got[2])
 }
 
-func TestEntries_SkippedEntriesDoNotFillTheLog(t *testing.T) {
+func TestEndpoints_LoggedEntriesAreLimited(t *testing.T) {
 	l, err := Parse(snapshotOf(5000, func(int) string { return `"` + strings.Repeat("x", 2000) + `"` }))
 	require.NoError(t, err)
 	core, logs := observer.New(zapcore.WarnLevel)
@@ -110,7 +113,7 @@
 	})
 }
 
-// frozenClock is a clock that does not advance.
+// frozenClock is a clock that does not advance, and never calls a function.
 type frozenClock struct{}
 
 func (frozenClock) Now() time.Duration              { return 0 }
@@ -124,7 +127,7 @@
 	return node.New(s, 1, frozenClock{}, time.Now(), func() {})
 }
 
-// indentedSnapshot is a snapshot as discovery may write it, over many lines.
+// indentedSnapshot returns a snapshot in indented JSON, which discovery may send.
 func indentedSnapshot(t testing.TB, servers int, phase string) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -133,7 +136,7 @@
 	return out.Bytes()
 }
 
-// Neither a message nor a service is capped below the size of the operators' fleets.
+// The limits for a message and for a service allow the largest fleets of operators.
 func TestParse_ThousandServers(t *testing.T) {
 	const servers = 1024
 	core := frozenCore(t)
@@ -143,11 +146,11 @@
 	assert.Len(t, core.Endpoints(), servers)
 	assert.GreaterOrEqual(t, MaxMembers, servers)
 	size := len(strings.TrimSpace(string(indentedSnapshot(t, servers, "ready"))))
-	assert.Less(t, size, 4<<20, "an indented snapshot of them fits into limits.ListBytes")
+	assert.Less(t, size, 4<<20, "an indented snapshot of them fits into limits.MaxListLine")
 }
 
-// BenchmarkDelivery is what lies between the last byte of a snapshot and the moment from which no attempt begins at a
-// server that it removes: cutting the message out of its stream, decoding it, and the core's step under its lock.
+// BenchmarkDelivery measures the time from the last byte of a snapshot until no more attempts start at the servers that
+// it removes: extracting the message from the stream, decoding it, and updating the core under its lock.
 func BenchmarkDelivery(b *testing.B) {
 	for _, servers := range []int{1, 30, 300, 1024, 20_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/internal/controlplane/endpoints/messages.go
+++ b/internal/controlplane/endpoints/messages.go
@@ -5,28 +5,28 @@
 	"io"
 )
 
-// reuseFactor bounds the memory that a messageReader keeps from one message to the next, in sizes of its read buffer.
-// Snapshots are large and rare, deltas are short.
+// reuseFactor bounds the message memory that a messageReader reuses for the next message, as a multiple of the size of
+// its read buffer. Snapshots are large and rare, deltas are short, so the memory of a snapshot is not worth keeping.
 const reuseFactor = 16
 
-// messageReader cuts the body of a watch response into messages, one JSON object each. It finds them by their braces
-// and not by line breaks, since discovery may write indented JSON.
+// messageReader splits the body of a watch response into messages, one JSON object each. It finds their ends by the
+// braces and not by line breaks, since discovery may write indented JSON.
 type messageReader struct {
 	source     io.Reader
 	maxMessage int    // bytes
 	onAlive    func() // called after white space between two messages, and after each complete message
-	buffer     []byte // of one read
+	buffer     []byte // holds the bytes of one read
 
-	position int // in buffer: bytes before it were scanned
-	filled   int // in buffer: bytes before it were read
-	message  []byte
-	depth    int  // of open braces and brackets
-	inString bool // the position is inside a JSON string
-	escaped  bool // the byte before the position is the string's backslash
+	position int    // index in buffer of the next byte to scan
+	filled   int    // number of bytes in buffer
+	message  []byte // the scanned part of the current message
+	depth    int    // number of open braces and brackets
+	inString bool   // the position is inside a JSON string
+	escaped  bool   // the byte before the position is a backslash in a string that escapes the next byte
 }
 
-// next returns the next message, which is valid until the call after it. Bytes of an incomplete message do not count
-// as a sign of life: a discovery that hangs in the middle of a message would otherwise never time out.
+// next returns the next message, which is valid until the following call. It does not call onAlive for the bytes of an
+// incomplete message: a discovery that hangs in the middle of a message has to time out.
 func (m *messageReader) next() ([]byte, error) {
 	if cap(m.message) > reuseFactor*len(m.buffer) {
 		m.message = nil
@@ -47,7 +47,7 @@
 	}
 }
 
-// fill reads more bytes once all those in the buffer were scanned.
+// fill reads more bytes into the buffer if all of its bytes have been scanned.
 func (m *messageReader) fill() error {
 	if m.position < m.filled {
 		return nil
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// scan appends the buffered bytes to the message up to its end, and returns whether it reached that.
+// scan appends the buffered bytes to the message, up to its end, and reports whether the message is complete.
 func (m *messageReader) scan() (complete bool, err error) {
 	start := m.position
 	alive := false
@@ -73,7 +73,7 @@
 			continue
 		}
 		if m.depth == 0 && c != '{' {
-			return false, fmt.Errorf("endpoint list: %q where a message should begin", c)
+			return false, fmt.Errorf("endpoint list: found %q, expected the opening brace of a message", c)
 		}
 		m.track(c)
 		if m.depth == 0 {
@@ -89,7 +89,7 @@
 	return false, nil
 }
 
-// track follows strings and nesting over one byte of a message.
+// track updates the nesting depth and the string state for one byte of a message.
 func (m *messageReader) track(c byte) {
 	switch {
 	case m.escaped:
--- a/internal/controlplane/endpoints/poll.go
+++ b/internal/controlplane/endpoints/poll.go
@@ -14,36 +14,36 @@
 	"robincart/internal/system/socket"
 )
 
-// pollState is what the Watcher makes of a poll. Whether its goroutine has ended is shown by poll.done.
+// pollState is the Watcher's state of a poll. poll.done tells whether the poll's goroutine has ended.
 type pollState int
 
 const (
-	// pollPending: no message was received yet. The first poll with a message becomes the watch.
+	// pollPending: no message has been received yet. The first poll that receives one becomes the watch.
 	pollPending pollState = iota
-	// pollUnanswered: still pending, but for so long that another poll may be started beside it.
+	// pollUnanswered: no message was received within FirstMessageTimeout. The poll goes on, but another one may start.
 	pollUnanswered
-	// pollWatching: it is the watch.
+	// pollWatching: the poll has become the watch.
 	pollWatching
-	// pollDropped: it was canceled. Its messages are ignored and its end is not reported.
+	// pollDropped: the poll was canceled. Its messages are ignored and its end is not reported.
 	pollDropped
 )
 
 // poll is one request to discovery, and the watch that it becomes when it is answered.
 type poll struct {
 	addr      string
-	since     int64 // the revision from which on changes are requested
+	since     int64 // changes after this revision are requested
 	startedAt time.Time
 	cancel    context.CancelFunc
 
-	done chan struct{} // closed at its end
-	// Written by the poll's goroutine, to be read once done is closed:
+	done chan struct{} // closed when the poll has ended
+	// Written by the poll's goroutine; others read them only after done is closed.
 	err       error
-	delivered bool // a snapshot or a delta was received; false for a poll that never was the watch
+	delivered bool // a snapshot or a delta was received; always false for a poll that did not become the watch
 
-	// Under the Watcher's mutex.
+	// Guarded by the Watcher's mutex.
 	state       pollState
-	lastMessage time.Time // startedAt before the first one
-	reported    bool      // its failure was reported to the core, or is about to be
+	lastMessage time.Time // time of the last message; startedAt before the first one
+	reported    bool      // the poll's failure was reported to the core, or is about to be
 }
 
 // drop cancels a poll that is not needed any more.
@@ -61,20 +61,21 @@
 	}
 }
 
-// runPoll is the life of one poll, and of the watch that it becomes. It returns why it ended, which is never nil.
+// runPoll sends a poll and reads the watch that answers it. It returns the reason why the poll or the watch ended,
+// which is never nil.
 func (w *Watcher) runPoll(ctx context.Context, p *poll) error {
 	raw, err := w.connect(ctx, p.addr)
 	if err != nil {
 		return err
 	}
 	defer raw.Close()
-	conn, err := w.encrypt(ctx, raw, p.addr)
+	conn, err := w.startTLS(ctx, raw, p.addr)
 	if err != nil {
 		return err
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 
-	// A poll that waits in discovery's queue would lose its turn if it were given up at FirstUpdateTimeout.
+	// The deadline is later than FirstMessageTimeout: a poll that is canceled loses its place in discovery's queue.
 	conn.SetDeadline(p.startedAt.Add(w.limits.MaxUpdateDelay))
 	status, stream, err := w.sendRequest(conn, p)
 	if err != nil {
@@ -92,63 +93,63 @@
 	defer cancel()
 	conn, err := w.dial(dialCtx, "tcp", addr)
 	if socket.Classify(err).Transient() {
-		return nil, &ShortageError{Cause: err}
+		return nil, &LocalResourceError{Cause: err}
 	}
 	if err != nil {
-		return nil, fmt.Errorf("reaching discovery: %w", err)
+		return nil, fmt.Errorf("connecting to discovery: %w", err)
 	}
 	return conn, nil
 }
 
-// encrypt starts TLS on a connection, where discovery speaks it.
-func (w *Watcher) encrypt(ctx context.Context, conn net.Conn, addr string) (net.Conn, error) {
+// startTLS starts TLS on a connection if TLS is configured.
+func (w *Watcher) startTLS(ctx context.Context, conn net.Conn, addr string) (net.Conn, error) {
 	if w.tlsConfig == nil {
 		return conn, nil
 	}
 	secure := tls.Client(conn, w.tlsConfig(addr))
 	conn.SetDeadline(time.Now().Add(w.limits.DiscoveryConnectTimeout))
 	if err := secure.HandshakeContext(ctx); err != nil {
-		return nil, fmt.Errorf("discovery's keys: %w", err)
+		return nil, fmt.Errorf("TLS handshake with discovery: %w", err)
 	}
 	return secure, nil
 }
 
-// sendRequest requests a watch and reads the head of the response.
+// sendRequest requests a watch and reads the head of the response. It returns the HTTP status and the response body.
 func (w *Watcher) sendRequest(conn net.Conn, p *poll) (int, *httpwire.Stream, error) {
 	_, err := fmt.Fprintf(conn, "GET %s?%s=1&%s=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
 		httpwire.PathEndpoints, httpwire.QueryWatch, httpwire.QuerySince, p.since, p.addr)
 	if err != nil {
-		return 0, nil, fmt.Errorf("polling discovery: %w", err)
+		return 0, nil, fmt.Errorf("sending the poll to discovery: %w", err)
 	}
 	status, stream, err := httpwire.NewReader(conn, w.limits.Wire).ReadStream()
 	if err != nil {
-		return 0, nil, fmt.Errorf("reading discovery: %w", err)
+		return 0, nil, fmt.Errorf("reading discovery's response: %w", err)
 	}
 	return status, stream, nil
 }
 
-// readWatch delivers the messages of a response until it ends. A discovery that was cut off is silent; one that works
-// sends at least an empty line every other second.
+// readWatch delivers the messages of a response until it ends. Silence for WatchSilenceTimeout ends it: a working
+// discovery sends at least an empty line every 2 s, one that can't be reached any more sends nothing.
 func (w *Watcher) readWatch(conn net.Conn, stream *httpwire.Stream, p *poll) error {
 	messages := messageReader{
 		source:     stream,
 		maxMessage: w.limits.MaxListLine,
 		buffer:     make([]byte, w.limits.Wire.BufferSize),
 		onAlive: func() {
-			w.noteMessage(p)
+			w.markMessageReceived(p)
 			conn.SetReadDeadline(time.Now().Add(w.limits.WatchSilenceTimeout))
 		},
 	}
 	for {
 		text, err := messages.next()
 		if err != nil {
-			return fmt.Errorf("watching discovery: %w", err)
+			return fmt.Errorf("reading the watch of discovery: %w", err)
 		}
 		list, err := Parse(text)
 		if err != nil {
 			return err
 		}
-		if !w.noteMessage(p) {
+		if !w.markMessageReceived(p) {
 			return errDropped
 		}
 		if err := w.checkTurnover(list); err != nil {
@@ -157,14 +158,15 @@
 		w.deliver(list)
 		if !p.delivered {
 			p.delivered = true
-			w.noteEstablished(p, list)
+			w.markEstablished(p, list)
 		}
 	}
 }
 
-// noteMessage notes that a poll has received something. The first poll that does becomes the watch, and the others
-// are dropped. It returns false for a poll that was dropped itself.
-func (w *Watcher) noteMessage(p *poll) bool {
+// markMessageReceived stores the time at which a poll received a message, or white space between messages. The first
+// poll that receives one becomes the watch, and the other polls are dropped. It returns false if p itself was dropped
+// before.
+func (w *Watcher) markMessageReceived(p *poll) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if p.state == pollDropped {
@@ -185,8 +187,8 @@
 	return true
 }
 
-// noteEstablished notes the first snapshot or delta of a watch.
-func (w *Watcher) noteEstablished(p *poll, list *List) {
+// markEstablished resets the failure state after the first snapshot or delta of a watch, and logs it.
+func (w *Watcher) markEstablished(p *poll, list *List) {
 	w.mu.Lock()
 	w.failing, w.newAddress = false, false
 	w.rejectedSince = time.Time{}
--- a/internal/controlplane/endpoints/polls.go
+++ b/internal/controlplane/endpoints/polls.go
@@ -7,7 +7,8 @@
 	"go.uber.org/zap"
 )
 
-// startPoll starts a poll, if one was requested or discovery's address has changed.
+// startPoll starts a poll if discovery's address has changed, or if one was requested and no other one may still be
+// answered in time.
 func (w *Watcher) startPoll(ctx context.Context) {
 	w.mu.Lock()
 	requested, addressChanged := w.pollRequested, w.addressChanged
@@ -33,16 +34,16 @@
 		w.endPoll(p, errNoDescriptor)
 		return
 	}
-	firstUpdate := time.AfterFunc(w.limits.FirstMessageTimeout, func() { w.markUnanswered(p) })
+	unansweredTimer := time.AfterFunc(w.limits.FirstMessageTimeout, func() { w.markUnanswered(p) })
 	go func() {
 		err := w.runPoll(pollCtx, p)
-		firstUpdate.Stop()
+		unansweredTimer.Stop()
 		w.descriptors.release()
 		w.endPoll(p, err)
 	}()
 }
 
-// answerExpected returns whether a watch lasts, or a poll may still be answered in time. The mutex is held.
+// answerExpected reports whether a watch is open, or a poll may still be answered in time. The mutex is held.
 func (w *Watcher) answerExpected() bool {
 	for _, p := range w.polls {
 		if p.state == pollPending || p.state == pollWatching {
@@ -52,28 +53,29 @@
 	return false
 }
 
-// addPoll adds a poll of the current address.
+// addPoll adds a poll of the current address to the list of polls.
 func (w *Watcher) addPoll(cancel context.CancelFunc) *poll {
 	now := time.Now()
 	p := &poll{startedAt: now, lastMessage: now, cancel: cancel, done: make(chan struct{})}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.polledAddr != w.addr {
-		// Another discovery may count revisions otherwise: by the old one's, its changes would look old.
+		// Another discovery may count revisions differently: compared with the revision of the old one, its changes
+		// could look outdated.
 		w.polledAddr, w.revision = w.addr, 0
 		w.failing, w.newAddress = false, true
 		w.rejectedSince = time.Time{}
 		w.log.Info("discovery address changed", zap.String("discovery", w.polledAddr))
 	}
 	p.addr, p.since = w.polledAddr, w.revision
-	if w.addressChanged { // again, since startPoll looked
+	if w.addressChanged { // again, after startPoll read it
 		p.drop()
 	}
 	w.polls = append(w.polls, p)
 	return p
 }
 
-// endPoll ends a poll and has Run look at it.
+// endPoll ends a poll and wakes Run, which reports its failure.
 func (w *Watcher) endPoll(p *poll, cause error) {
 	p.err = cause
 	p.cancel()
@@ -81,7 +83,8 @@
 	w.signal()
 }
 
-// markUnanswered has another poll started beside one that was not answered in time.
+// markUnanswered marks a poll that is still pending after FirstMessageTimeout, and wakes Run, which reports it as
+// failed. The poll itself goes on while another one is started.
 func (w *Watcher) markUnanswered(p *poll) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -115,7 +118,7 @@
 	}
 }
 
-// failedPolls returns the polls whose failure has to be reported, and removes those that have ended.
+// failedPolls returns the polls whose failure has to be reported, and removes ended polls from the list.
 func (w *Watcher) failedPolls() []*poll {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -136,7 +139,7 @@
 	return failed
 }
 
-// reportFailure reports a failed poll to the core and, if it is the first one in a row, to the log.
+// reportFailure reports a failed poll to the core, and logs the first of consecutive failures.
 func (w *Watcher) reportFailure(p *poll) {
 	cause, lasted := errUnanswered, false
 	if p.ended() {
@@ -145,7 +148,8 @@
 	}
 	w.mu.Lock()
 	if w.watch != nil || p.state == pollDropped {
-		// Meanwhile another poll was answered, whose end will be reported, or the address changed, which starts one.
+		// No other poll is needed: another one has been answered since, and its end will be reported, or the address
+		// has changed, which starts one.
 		w.mu.Unlock()
 		return
 	}
--- a/internal/controlplane/endpoints/simulation_test.go
+++ b/internal/controlplane/endpoints/simulation_test.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// maxUpdateDelay is the operators' bound: whatever is allowed after a poll that failed, was rejected or given up,
-	// a change has to be in force so long after discovery had it and could be reached.
+	// maxUpdateDelay is the longest time that a change may take to come into force, from when discovery has it and can
+	// be reached. It holds after polls that failed, were rejected or were canceled, too.
 	maxUpdateDelay = 6 * time.Second
 
-	// pollTime is how long a discovery that works needs for a poll here: STANDING.md allows a poll to wait as long.
+	// pollTime is the time that a working discovery takes for a poll: the longest wait that it is allowed.
 	pollTime = 2 * time.Second
 
-	// checkInterval is how often a simulation looks whether a list has arrived.
+	// checkInterval is the time between checks whether a list has arrived.
 	checkInterval = 10 * time.Millisecond
 
 	noQueueTimeout = time.Hour
@@ -33,8 +33,8 @@
 	nextAddress  = "127.0.0.1:2"
 )
 
-// simulation runs in a synctest bubble: real Watchers and real cores with their decisions, at fakeDiscoveries behind
-// dialers of their own. What it measures is the same on any machine.
+// simulation runs in a synctest bubble. It has real Watchers and cores, which connect to fakeDiscoveries by the
+// fakeDiscoveries' own dial functions. Its measurements are the same on any machine.
 type simulation struct {
 	t           *testing.T
 	ctx         context.Context
@@ -52,7 +52,7 @@
 	return s
 }
 
-// close ends everything, and has the timers that are left run out.
+// close ends all watchers and discoveries, and waits until the remaining timers have expired.
 func (s *simulation) close() {
 	s.cancel()
 	for _, d := range s.discoveries {
@@ -69,7 +69,7 @@
 	return d
 }
 
-// nodeOptions describe one node of a simulation.
+// nodeOptions configures one node of a simulation.
 type nodeOptions struct {
 	dial      DialFunc
 	seed      int64
@@ -77,7 +77,7 @@
 	budget    *limits.Budget // nil: two descriptors
 }
 
-// testNode is one node: its watcher and its core.
+// testNode is a node of a simulation, with its watcher and its core.
 type testNode struct {
 	updateRecorder
 	watcher *Watcher
@@ -108,7 +108,7 @@
 	return n
 }
 
-// startFleet starts nodes at one discovery.
+// startFleet starts nodes that all use one discovery.
 func (s *simulation) startFleet(d *fakeDiscovery, nodes int, firstSeed int64) []*testNode {
 	s.t.Helper()
 	fleet := make([]*testNode, nodes)
@@ -118,17 +118,17 @@
 	return fleet
 }
 
-// bubbleClock is the core's clock on that of the bubble.
+// bubbleClock is a core's clock that follows the synctest bubble's clock.
 type bubbleClock struct{ began time.Time }
 
 func (b bubbleClock) Now() time.Duration { return time.Since(b.began) }
 
-// AfterFunc never fires at once: with -race, a timer of a bubble that is due when it is set crashes Go 1.26's runtime.
+// AfterFunc waits at least 1 ns: with -race, Go 1.26's runtime crashes at a bubble's timer that is due when it is set.
 func (b bubbleClock) AfterFunc(d time.Duration, f func()) {
 	time.AfterFunc(max(d, time.Nanosecond), f)
 }
 
-// updateRecorder is a real core that notes when it was last updated.
+// updateRecorder is a real core that stores the time of its last update.
 type updateRecorder struct {
 	*node.Core
 	mu         sync.Mutex
@@ -150,16 +150,16 @@
 
 func (u *updateRecorder) updatedSince(since time.Time) bool { return !u.updatedAt().Before(since) }
 
-// awaitUpdate waits for an update at or after a time, and gives up after a while. It returns how long after that time
-// it stopped waiting.
-func (u *updateRecorder) awaitUpdate(since time.Time, giveUpAfter time.Duration) time.Duration {
-	for !u.updatedSince(since) && time.Since(since) < giveUpAfter {
+// awaitUpdate waits until the core has been updated at since or later, or until the timeout, which counts from since.
+// It returns the time from since to the end of the wait.
+func (u *updateRecorder) awaitUpdate(since time.Time, timeout time.Duration) time.Duration {
+	for !u.updatedSince(since) && time.Since(since) < timeout {
 		time.Sleep(checkInterval)
 	}
 	return time.Since(since)
 }
 
-// dialByAddress dials one discovery at the next address, and another one everywhere else.
+// dialByAddress returns a DialFunc that connects to next at nextAddress, and to otherwise at any other address.
 func dialByAddress(next, otherwise *fakeDiscovery) DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr == nextAddress {
--- a/internal/controlplane/endpoints/watcher.go
+++ b/internal/controlplane/endpoints/watcher.go
@@ -1,11 +1,11 @@
 // Package endpoints follows the endpoint list of one service at discovery: the servers, with their addresses, states
 // and weights.
 //
-// A Watcher polls discovery over HTTP; an answered poll becomes a watch, a response without end that brings snapshots
-// and deltas as JSON objects. The package owns the connections to discovery, the decoding and validation of messages,
-// and the revision that was reached. When to poll again after a failure is decided by the receiver, package node's
-// core, which calls RequestWatch; the package only bounds the pause (see backoff.go). It keeps no list itself: the
-// receiver does. Discovery's side of the protocol is package fanout.
+// A Watcher polls discovery over HTTP. A poll that is answered becomes a watch: an open-ended response that carries
+// snapshots and deltas as JSON objects. The package manages the connections to discovery, decodes and validates the
+// messages, and stores the revision of the current list. The list itself is stored by the receiver, the core of package
+// node. After a failure, the receiver decides when to poll again and calls RequestWatch; this package only bounds the
+// pause (see backoff.go). Package fanout is discovery's side of the protocol.
 package endpoints
 
 import (
@@ -22,49 +22,51 @@
 	"robincart/internal/resources/limits"
 )
 
-// maxPolls is how many polls run at once. A poll that is still unanswered when a third one starts has had as long as
-// changes may take to take effect.
+// maxPolls is the largest number of polls that run at once. A poll that is still unanswered when a third one starts has
+// waited for as long as a change may take to come into force; it is dropped.
 const maxPolls = 2
 
-// Receiver takes what a Watcher finds; package node's Core is one.
+// Receiver receives a Watcher's endpoint lists and failures. Package node's Core implements it.
 type Receiver interface {
 	// UpdateEndpoints puts a snapshot (full) or a delta in force.
 	UpdateEndpoints(entries []node.Endpoint, full bool)
 	// EndpointWatchFailed reports that a watch has ended, could not be established, or was not established in time,
-	// so that another poll is needed. The Receiver calls RequestWatch when that is due.
+	// so that another poll is needed. The Receiver calls RequestWatch when that poll is due.
 	EndpointWatchFailed(node.WatchFailure)
 }
 
-// DialFunc connects, as net.Dialer.DialContext does.
+// DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Watcher keeps one watch at discovery: it polls when it is requested to, and as soon as discovery's address changes.
-// A poll that is not answered may wait in discovery's queue, or be lost: it goes on beside the next one, and the first
-// that receives something becomes the watch.
+// Watcher maintains one watch of discovery. It polls on request, and as soon as discovery's address changes. A poll
+// that is not answered may wait in discovery's queue or be lost. It therefore goes on while the next one runs, and the
+// first of them that receives a message becomes the watch.
 type Watcher struct {
 	zones       []string
 	limits      limits.Limits
 	log         *zap.Logger
 	descriptors descriptorReserve
-	wake        chan struct{}                       // of Run
+	wake        chan struct{}                       // wakes Run
 	tlsConfig   func(serverAddr string) *tls.Config // nil: discovery speaks plain TCP
 	dial        DialFunc
 	receiver    Receiver
 
 	mu             sync.Mutex
 	addr           string
-	pollRequested  bool    // and not yet looked at by Run
-	addressChanged bool    // and not yet looked at by Run
+	pollRequested  bool    // RequestWatch was called, and Run has not handled it yet
+	addressChanged bool    // addr has changed, and Run has not handled it yet
 	polls          []*poll // the oldest first
-	watch          *poll   // of polls, the one that won; nil: none
-	polledAddr     string  // of the latest poll
-	revision       int64   // of the current list, as the discovery at polledAddr counts them
-	failing        bool    // the latest poll failed, which was logged
-	newAddress     bool    // no poll of polledAddr has failed yet, and another address was polled before
-
-	rejectedSince        time.Time // the first of the polls rejected in a row; zero: the latest one was not rejected
-	lastMessage          time.Time // of any watch; the start before the first one
-	entriesSinceSnapshot int       // and in it: the service has no more servers than this
+	watch          *poll   // the one of polls that has become the watch; nil: none
+	polledAddr     string  // address of the latest poll
+	revision       int64   // of the current list, as the discovery at polledAddr counts revisions
+	failing        bool    // the latest poll has failed, and the failure was logged
+	newAddress     bool    // another address was polled before, and no poll of polledAddr has failed or become a watch
+
+	rejectedSince time.Time // first of the consecutive rejections; zero: the latest poll was not rejected
+	lastMessage   time.Time // last message of any watch; before the first message, the Watcher's creation
+	// entriesSinceSnapshot counts the entries of the last snapshot and of the deltas after it, except those in phase
+	// gone. The service has at most as many servers.
+	entriesSinceSnapshot int
 }
 
 // New creates a Watcher; Run starts it.
@@ -82,24 +84,25 @@
 	}
 }
 
-// SetDialer has discovery reached by another way than the machine's network. It is called before Run.
+// SetDialer replaces the function that opens connections to discovery. It is called before Run.
 func (w *Watcher) SetDialer(d DialFunc) { w.dial = d }
 
-// SetTLS has discovery reached over TLS, with a configuration for each connection. It is called before Run.
+// SetTLS makes the Watcher connect to discovery over TLS. config returns the configuration for each connection. SetTLS
+// is called before Run.
 func (w *Watcher) SetTLS(config func(serverAddr string) *tls.Config) { w.tlsConfig = config }
 
-// SetReceiver sets the receiver where no list from before the start is known. It is called before Run.
+// SetReceiver sets the receiver if the node has no list from before its start. It is called before Run.
 func (w *Watcher) SetReceiver(r Receiver) { w.receiver = r }
 
-// SetInitialList sets the receiver and hands it the list that the node had before its start, which may be old. It is
-// called before Run.
+// SetInitialList sets the receiver and delivers to it the list that the node had before its start, which may be
+// outdated. It is called before Run.
 func (w *Watcher) SetInitialList(r Receiver, known *List) {
 	w.receiver = r
 	w.deliver(known)
 }
 
-// RequestWatch requests a watch. It never blocks. Where a watch lasts, or a poll may still be answered in time, it has
-// no effect.
+// RequestWatch requests a watch. It never blocks. It has no effect while a watch is open or a poll may still be
+// answered in time.
 func (w *Watcher) RequestWatch() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -107,8 +110,9 @@
 	w.signal()
 }
 
-// SetAddress changes discovery's address. The new one is polled at once: the pauses between polls spare an overloaded
-// discovery, and this one has had no poll yet. The current list stays in force until the new discovery answers.
+// SetAddress changes discovery's address. The new address is polled without a pause: pauses reduce the load of an
+// overloaded discovery, and this one has not been polled yet. The current list stays in force until the new discovery
+// answers.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -130,7 +134,8 @@
 	}
 }
 
-// Run watches until the context ends. It returns after all polls have ended and their descriptors were returned.
+// Run maintains the watch until the context ends. It returns after all polls have ended and their descriptors have been
+// returned to the budget.
 func (w *Watcher) Run(ctx context.Context) {
 	w.descriptors.reserve()
 	defer w.descriptors.close()
@@ -148,8 +153,8 @@
 	}
 }
 
-// checkTurnover bounds the number of servers that deltas can bring, a few at a time: past it, a snapshot has to show
-// how many there are.
+// checkTurnover bounds the number of servers that a series of deltas can add. Beyond MaxMembers entries it returns an
+// error, and the next poll requests a snapshot, which tells the actual number of servers.
 func (w *Watcher) checkTurnover(l *List) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -165,11 +170,11 @@
 		return nil
 	}
 	w.revision, w.entriesSinceSnapshot = 0, 0
-	return &IncompleteTurnoverError{}
+	return &TurnoverLimitError{}
 }
 
-// deliver hands a message to the receiver. A delta that is older than the current list would bring back servers that
-// are gone: of that, the receiver only learns that discovery has answered.
+// deliver passes a message to the receiver. Of a delta that is not newer than the current list the entries are left
+// out, since they could bring back servers that are gone; the receiver is only told that discovery has answered.
 func (w *Watcher) deliver(l *List) {
 	w.mu.Lock()
 	outdated := !l.Complete && l.Revision <= w.revision
--- a/internal/controlplane/endpoints/watcher_test.go
+++ b/internal/controlplane/endpoints/watcher_test.go
@@ -44,30 +44,31 @@
 func TestWatcher_OutdatedDelta(t *testing.T) {
 	receiver, _, _ := startWatcher(t, emptySnapshot, send(
 		responseHead,
-		messageChunk(40, false, memberJSON("gone long ago", "ready")),
+		messageChunk(40, false, memberJSON("removed before", "ready")),
 		messageChunk(41, false, memberJSON("known", "ready")),
 		messageChunk(42, false, memberJSON("new", "ready")),
 	))
-	assert.Equal(t, update{}, receiver.next(t), "that discovery answered is reported all the same")
+	assert.Equal(t, update{}, receiver.next(t), "an outdated delta is reported without entries")
 	assert.Equal(t, update{}, receiver.next(t))
 	assert.Equal(t, "new", receiver.next(t).entries[0].ID)
 }
 
-// However a watch fails, the failure is reported, and the next poll goes on from the current revision.
+// Each kind of failure of a watch is reported, and the next poll requests the changes after the current revision.
 func TestWatcher_WatchFailures(t *testing.T) {
 	endless := []string{responseHead, chunk("{\"members\":[\""), strings.Repeat(chunk(strings.Repeat("x", 4096)), 20)}
 	for name, answer := range map[string]func(net.Conn){
-		"rejected":       sendAndClose(rejection),
-		"reset":          func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"no answer":      func(net.Conn) {},
-		"ended":          sendAndClose(responseHead, "0\r\n\r\n"),
-		"broken off":     sendAndClose(responseHead, "ff\r\n{\"rev"),
-		"malformed":      send(responseHead, chunk("{\"revision\":}\n")),
-		"not chunked":    send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
-		"silence":        send(responseHead, chunk("\n")),
-		"no message":     send(responseHead, chunk("null\n")),
-		"no end":         send(endless...),
-		"two phases":     send(responseHead, messageChunk(42, true, memberJSON("b", "ready"), memberJSON("b", "draining"))),
+		"rejected":    sendAndClose(rejection),
+		"reset":       func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
+		"no answer":   func(net.Conn) {},
+		"ended":       sendAndClose(responseHead, "0\r\n\r\n"),
+		"truncated":   sendAndClose(responseHead, "ff\r\n{\"rev"),
+		"malformed":   send(responseHead, chunk("{\"revision\":}\n")),
+		"not chunked": send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
+		"silence":     send(responseHead, chunk("\n")),
+		"no message":  send(responseHead, chunk("null\n")),
+		"no end":      send(endless...),
+		"two phases": send(responseHead,
+			messageChunk(42, true, memberJSON("b", "ready"), memberJSON("b", "draining"))),
 		"half a message": send(responseHead, messageChunk(41, false), chunk("{\"revision\":42,")),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -82,7 +83,7 @@
 			w.RequestWatch()
 			assert.Contains(t, testutil.Receive(t, requests), "since=41")
 			assert.Contains(t, testutil.Receive(t, requests), "since=41")
-			assert.Equal(t, "a", receiver.next(t).entries[0].ID, "the next watch has a descriptor again")
+			assert.Equal(t, "a", receiver.next(t).entries[0].ID, "the failed watch has released its descriptor")
 		})
 	}
 }
@@ -100,8 +101,9 @@
 	assert.Len(t, requests, 1)
 }
 
-// Another discovery counts its revisions by itself, and must not wait for the core's backoff.
-func TestWatcher_DiscoveryMoves(t *testing.T) {
+// After a change of discovery's address, the new discovery is polled with revision 0, since it counts its own
+// revisions, and without the core's backoff.
+func TestWatcher_AddressChange(t *testing.T) {
 	next, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { next.Close() })
@@ -116,7 +118,7 @@
 	assert.Equal(t, "a", receiver.next(t).entries[0].ID)
 	testutil.Receive(t, requests)
 	w.SetAddress(next.Addr().String())
-	assert.NoError(t, testutil.Receive(t, ended), "the old watch and its descriptor are given back")
+	assert.NoError(t, testutil.Receive(t, ended), "the connection of the old watch is closed")
 	c, err := next.Accept()
 	require.NoError(t, err)
 	requestLine, _ := bufio.NewReader(c).ReadString('\n')
@@ -124,33 +126,34 @@
 	io.WriteString(c, responseHead+messageChunk(7, false, memberJSON("b", "ready")))
 	assert.Equal(t, "b", receiver.next(t).entries[0].ID)
 	c.Close()
-	assert.True(t, receiver.next(t).failed, "the next poll is up to the core")
+	assert.True(t, receiver.next(t).failed, "the failure is reported, and the core decides on the next poll")
 	assert.Empty(t, receiver)
 }
 
-// A node whose backoff has grown while discovery was down must not wait as long for a new one whose first poll fails:
-// the new one's changes bind the node seconds after the move. However many polls fail while the core waits, it starts
-// one (decide's own test).
-func TestWatcher_DiscoveryMovesWhileDown(t *testing.T) {
+// After a change of discovery's address, the first failed poll of the new address resets a backoff that has grown
+// during an outage of the old one: the new discovery's changes must come into force within seconds. If several polls
+// fail while the core waits, the core starts only one poll (tested in package decide).
+func TestWatcher_AddressChangeWhileDown(t *testing.T) {
 	receiver, w, requests := startWatcher(t, emptySnapshot, sendAndClose("no"))
 	assert.Equal(t, update{failed: true}, receiver.next(t))
 	testutil.Receive(t, requests)
 	first := w.addr
 	for range 3 {
-		w.SetAddress(freeAddress(t))
+		w.SetAddress(unusedAddress(t))
 		assert.Equal(t, update{failed: true, resetBackoff: true}, receiver.next(t))
 	}
 	w.SetAddress(first)
 	assert.Contains(t, testutil.Receive(t, requests), "since=0")
 	assert.Equal(t, update{failed: true, resetBackoff: true}, receiver.next(t))
 	w.RequestWatch()
-	assert.Equal(t, update{failed: true}, receiver.next(t), "this discovery was polled before")
+	assert.Equal(t, update{failed: true}, receiver.next(t), "the address has not changed since the last failure")
 }
 
-// Seen in the bench's calm+brink: a poll was pending when all watches fell silent, and its node had no watch for 6 s.
+// A poll that is not answered in time must not delay the next ones. In an experiment, a poll was pending when all
+// watches fell silent, and its node had no watch for 6 s.
 func TestWatcher_UnansweredPoll(t *testing.T) {
-	mute := func(net.Conn) {}
-	receiver, w, requests := startWatcher(t, emptySnapshot, sendAndClose(rejection), mute, mute,
+	noAnswer := func(net.Conn) {}
+	receiver, w, requests := startWatcher(t, emptySnapshot, sendAndClose(rejection), noAnswer, noAnswer,
 		send(responseHead, messageChunk(42, false, memberJSON("a", "draining"))))
 	first := testutil.Receive(t, requests)
 	assert.Equal(t, update{failed: true}, receiver.next(t))
@@ -164,9 +167,9 @@
 	assert.Equal(t, decide.Draining, receiver.next(t).entries[0].State)
 }
 
-// Discovery answers polls in turn: one that waits in its queue must not lose its turn for being late, and further ones
-// must not make the queue longer without end.
-func TestWatcher_QueuedPollBesideTheNext(t *testing.T) {
+// A poll that waits in discovery's queue must not lose its place there when it is late, and further polls must not make
+// the queue grow without bound: at most two run at once.
+func TestWatcher_QueuedPollRunsWithNext(t *testing.T) {
 	conns := make(chan net.Conn, 9)
 	receiver, w, requests := startWatcher(t, emptySnapshot, func(c net.Conn) { conns <- c })
 	var polls []net.Conn
@@ -183,20 +186,20 @@
 		_, err := c.Read(make([]byte, 1))
 		return errors.Is(err, io.EOF)
 	}
-	assert.True(t, closed(polls[0]), "two polls at most")
+	assert.True(t, closed(polls[0]), "at most two polls run at once")
 	assert.True(t, closed(polls[1]))
 	io.WriteString(polls[2], responseHead+messageChunk(42, true, memberJSON("a", "draining")))
-	assert.Equal(t, decide.Draining, receiver.next(t).entries[0].State, "the earlier one is answered first")
-	assert.True(t, closed(polls[3]), "and the other one leaves the queue")
+	assert.Equal(t, decide.Draining, receiver.next(t).entries[0].State, "the poll answered first is the watch")
+	assert.True(t, closed(polls[3]), "the other poll is canceled")
 	io.WriteString(polls[2], messageChunk(43, true, memberJSON("b", "ready")))
 	assert.Equal(t, "b", receiver.next(t).entries[0].ID)
 	polls[2].Close()
-	assert.True(t, receiver.next(t).failed, "the watch's end is reported, though its poll was reported as unanswered")
+	assert.True(t, receiver.next(t).failed, "its poll was reported as unanswered, its end is reported, too")
 	assert.Empty(t, requests)
 }
 
-// A snapshot resets the backoff only if its watch lasted: a discovery that ends each watch right behind its snapshot
-// is overloaded.
+// A watch resets the backoff only if it stayed open for WatchSilenceTimeout: a discovery that ends each watch right
+// after its snapshot is overloaded.
 func TestWatcher_ShortWatchKeepsBackoff(t *testing.T) {
 	l := testLimits()
 	l.WatchSilenceTimeout = time.Hour
@@ -212,7 +215,7 @@
 		c.Close()
 	})
 	receiver.next(t)
-	assert.Equal(t, update{failed: true, resetBackoff: true}, receiver.next(t), "it has lasted")
+	assert.Equal(t, update{failed: true, resetBackoff: true}, receiver.next(t), "the watch stayed open for long enough")
 }
 
 func TestWatcher_IndentedMessagesInAnyChunks(t *testing.T) {
@@ -240,7 +243,7 @@
 		FirstMessageTimeout:     time.Second,
 		MaxUpdateDelay:          time.Second,
 	}
-	w := New(freeAddress(t), nil, l, limits.NewBudget(1, 0, nil), zap.NewNop())
+	w := New(unusedAddress(t), nil, l, limits.NewBudget(1, 0, nil), zap.NewNop())
 	receiver := make(fakeReceiver, 2)
 	w.SetReceiver(receiver)
 	runWatcher(t, w)
@@ -251,7 +254,7 @@
 func TestWatcher_NoDescriptor(t *testing.T) {
 	budget := limits.NewBudget(1, 0, nil)
 	require.True(t, budget.Acquire())
-	w := New(freeAddress(t), nil, limits.Limits{}, budget, zap.NewNop())
+	w := New(unusedAddress(t), nil, limits.Limits{}, budget, zap.NewNop())
 	receiver := make(fakeReceiver, 2)
 	w.SetReceiver(receiver)
 	runWatcher(t, w)
@@ -259,10 +262,11 @@
 	assert.Equal(t, update{failed: true, resetBackoff: true}, receiver.next(t), "discovery was not polled")
 }
 
-// Discovery is down, and each poll fails. Other connections take every descriptor that they can get meanwhile.
+// While discovery is down and each poll fails, the Watcher keeps one descriptor, even if other connections take all
+// free ones.
 func TestWatcher_KeepsDescriptorBetweenPolls(t *testing.T) {
 	budget := limits.NewBudget(3, 0, nil)
-	w := New(freeAddress(t), nil, testLimits(), budget, zap.NewNop())
+	w := New(unusedAddress(t), nil, testLimits(), budget, zap.NewNop())
 	receiver := make(fakeReceiver, 9)
 	w.SetReceiver(receiver)
 	stop := runWatcher(t, w)
@@ -272,12 +276,12 @@
 		free = budget.Acquire()
 	}
 	w.RequestWatch()
-	assert.Equal(t, update{failed: true}, receiver.next(t), "it has a descriptor, and discovery is polled")
+	assert.Equal(t, update{failed: true}, receiver.next(t), "the Watcher has a descriptor and polls discovery")
 	stop()
-	assert.Equal(t, 1, budget.Available(), "it comes back at the end")
+	assert.Equal(t, 1, budget.Available(), "the descriptor is returned when Run ends")
 }
 
-// Deltas can't bring more servers than a service may have: past that, a snapshot is requested.
+// After deltas with more entries than a service may have servers, a snapshot is requested.
 func TestWatcher_TurnoverRequestsSnapshot(t *testing.T) {
 	const batch = 1000
 	w := New("", nil, limits.Limits{}, limits.NewBudget(1, 0, nil), zap.NewNop())
@@ -299,9 +303,9 @@
 		accepted++
 		err = w.checkTurnover(ready)
 	}
-	var turnover *IncompleteTurnoverError
+	var turnover *TurnoverLimitError
 	assert.ErrorAs(t, err, &turnover)
 	assert.Equal(t, MaxMembers/batch-1, accepted)
 	assert.Zero(t, w.revision, "the next poll requests a snapshot")
-	require.NoError(t, w.checkTurnover(ready), "the count begins anew")
+	require.NoError(t, w.checkTurnover(ready), "the count restarts at 0")
 }
