--- a/internal/controlplane/endpoints/backoff.go
+++ b/internal/controlplane/endpoints/backoff.go
@@ -12,8 +12,9 @@
 // maxQueueTime is the longest time that a poll may wait in the queue of a working discovery.
 const maxQueueTime = 2 * time.Second
 
-// maxPauseAfterRejection returns the longest pause after a poll that discovery rejected. age is the age of the current
-// list, rejected the time since the first of the consecutive rejections.
+// maxPauseAfterRejection returns the longest pause after a poll that discovery rejected. age is the time since
+// discovery's last message, which is the age of the current list; rejected is the time since the first of the
+// consecutive rejections.
 //
 // When a whole fleet polls at once, discovery rejects the polls that would have to wait. At first it rejects nearly all
 // of them, and short pauses would only keep it busy with rejections. When few nodes are left, long pauses would leave
--- a/internal/controlplane/endpoints/descriptors.go
+++ b/internal/controlplane/endpoints/descriptors.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// reserve takes the descriptor that is kept between polls, if one is free in the budget.
+// reserve takes a descriptor from the budget, if one is free, and keeps it for later polls.
 func (d *descriptorReserve) reserve() {
 	if d.acquire() {
 		d.release()
--- a/internal/controlplane/endpoints/errors.go
+++ b/internal/controlplane/endpoints/errors.go
@@ -53,9 +53,8 @@
 
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// TurnoverLimitError means that the last snapshot and the deltas after it have more entries than a service may have
-// servers, without the entries in phase gone. Many of the servers may not exist any more, so a new snapshot is
-// requested to count them.
+// TurnoverLimitError means that the last snapshot and the deltas after it have more than MaxMembers entries, not
+// counting those in phase gone. Many of the servers may not exist any more, so a new snapshot is requested.
 type TurnoverLimitError struct{}
 
 func (e *TurnoverLimitError) Error() string {
--- a/internal/controlplane/endpoints/polls.go
+++ b/internal/controlplane/endpoints/polls.go
@@ -7,8 +7,8 @@
 	"go.uber.org/zap"
 )
 
-// startPoll starts a poll if discovery's address has changed, or if one was requested and no other one may still be
-// answered in time.
+// startPoll starts a poll if discovery's address has changed, or if a poll was requested and none of the earlier ones
+// is expected to be answered (see answerExpected).
 func (w *Watcher) startPoll(ctx context.Context) {
 	w.mu.Lock()
 	requested, addressChanged := w.pollRequested, w.addressChanged
--- a/internal/controlplane/endpoints/simulation_test.go
+++ b/internal/controlplane/endpoints/simulation_test.go
@@ -18,10 +18,10 @@
 
 const (
 	// maxUpdateDelay is the longest time that a change may take to come into force, from when discovery has it and can
-	// be reached. It holds after polls that failed, were rejected or were canceled, too.
+	// be reached. The bound also holds after polls that failed, were rejected or were canceled.
 	maxUpdateDelay = 6 * time.Second
 
-	// pollTime is the time that a working discovery takes for a poll: the longest wait that it is allowed.
+	// pollTime is the time that discovery takes for a poll: the longest that a working discovery is allowed to take.
 	pollTime = 2 * time.Second
 
 	// checkInterval is the time between checks whether a list has arrived.
@@ -150,8 +150,8 @@
 
 func (u *updateRecorder) updatedSince(since time.Time) bool { return !u.updatedAt().Before(since) }
 
-// awaitUpdate waits until the core has been updated at since or later, or until the timeout, which counts from since.
-// It returns the time from since to the end of the wait.
+// awaitUpdate waits until the core has been updated at the time since or later, or until the timeout, which counts from
+// since. It returns the time from since to the end of the wait.
 func (u *updateRecorder) awaitUpdate(since time.Time, timeout time.Duration) time.Duration {
 	for !u.updatedSince(since) && time.Since(since) < timeout {
 		time.Sleep(checkInterval)
--- a/internal/controlplane/endpoints/watcher.go
+++ b/internal/controlplane/endpoints/watcher.go
@@ -1,4 +1,4 @@
-// Package endpoints follows the endpoint list of one service at discovery: the servers, with their addresses, states
+// Package endpoints receives the endpoint list of one service from discovery: the servers, with their addresses, states
 // and weights.
 //
 // A Watcher polls discovery over HTTP. A poll that is answered becomes a watch: an open-ended response that carries
@@ -39,8 +39,8 @@
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Watcher maintains one watch of discovery. It polls on request, and as soon as discovery's address changes. A poll
-// that is not answered may wait in discovery's queue or be lost. It therefore goes on while the next one runs, and the
-// first of them that receives a message becomes the watch.
+// that is not answered in time may be lost or may still wait in discovery's queue. It is therefore kept open while the
+// next one runs, and the first of them that receives a message becomes the watch.
 type Watcher struct {
 	zones       []string
 	limits      limits.Limits
@@ -58,12 +58,12 @@
 	polls          []*poll // the oldest first
 	watch          *poll   // the one of polls that has become the watch; nil: none
 	polledAddr     string  // address of the latest poll
-	revision       int64   // of the current list, as the discovery at polledAddr counts revisions
-	failing        bool    // the latest poll has failed, and the failure was logged
+	revision       int64   // of the current list; each discovery counts its own revisions, and this is one of polledAddr
+	failing        bool    // the latest poll has failed; the first of consecutive failures was logged
 	newAddress     bool    // another address was polled before, and no poll of polledAddr has failed or become a watch
 
-	rejectedSince time.Time // first of the consecutive rejections; zero: the latest poll was not rejected
-	lastMessage   time.Time // last message of any watch; before the first message, the Watcher's creation
+	rejectedSince time.Time // time of the first of consecutive rejections; zero: the latest poll was not rejected
+	lastMessage   time.Time // time of the last message of any watch; before the first message, the Watcher's creation
 	// entriesSinceSnapshot counts the entries of the last snapshot and of the deltas after it, except those in phase
 	// gone. The service has at most as many servers.
 	entriesSinceSnapshot int
@@ -173,8 +173,8 @@
 	return &TurnoverLimitError{}
 }
 
-// deliver passes a message to the receiver. Of a delta that is not newer than the current list the entries are left
-// out, since they could bring back servers that are gone; the receiver is only told that discovery has answered.
+// deliver passes a message to the receiver. A delta that is not newer than the current list is passed without its
+// entries, which could bring back servers that are gone; it only shows the receiver that discovery has answered.
 func (w *Watcher) deliver(l *List) {
 	w.mu.Lock()
 	outdated := !l.Complete && l.Revision <= w.revision
