--- a/internal/controlplane/endpoints/watcher.go
+++ b/internal/controlplane/endpoints/watcher.go
@@ -58,7 +58,7 @@
 	polls          []*poll // the oldest first
 	watch          *poll   // the one of polls that has become the watch; nil: none
 	polledAddr     string  // address of the latest poll
-	revision       int64   // of the current list; each discovery counts its own revisions, and this is one of polledAddr
+	revision       int64   // of the current list, from the discovery at polledAddr: each discovery counts its own
 	failing        bool    // the latest poll has failed; the first of consecutive failures was logged
 	newAddress     bool    // another address was polled before, and no poll of polledAddr has failed or become a watch
 
