--- a/internal/record/record/change.go
+++ b/internal/record/record/change.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// AnyRevision as a change's ExpectedRevision applies the change whatever revision the entry has.
+// AnyRevision, as the ExpectedRevision of a change, disables the comparison with the entry's revision.
 const AnyRevision = -1
 
 // Change is a request to write or delete one entry.
 type Change struct {
 	Key
-	ExpectedRevision int64           `json:"Expect"` // of the entry; 0: there is none, or a deleted one; or AnyRevision
+	ExpectedRevision int64           `json:"Expect"` // of the entry; 0: none or a deleted one; or AnyRevision
 	Delete           bool            `json:"Delete"`
 	Writer           string          `json:"By"`
-	IdempotencyKey   string          `json:"Mark"` // unique to a change; a retry carries the same one
+	IdempotencyKey   string          `json:"Mark"` // unique to a change; a retry has the same key
 	WrittenAt        int64           `json:"At"`
 	Value            json.RawMessage `json:"Value"`
 }
@@ -32,10 +32,10 @@
 	return fmt.Sprintf("%s %q: %s", e.Key.Kind, e.Key.Name, e.Reason)
 }
 
-// ConflictError rejects a change because the entry does not have the expected revision: another writer was faster.
+// ConflictError rejects a change because the entry does not have the expected revision: another writer changed it.
 type ConflictError struct {
 	Change  Change `json:"Change"`
-	Current Entry  `json:"Now"` // Revision 0: there is none
+	Current Entry  `json:"Now"` // Revision 0: there is no entry
 }
 
 func (e *ConflictError) Error() string {
@@ -58,7 +58,7 @@
 		e.Change.Kind, e.Change.Name, e.Current.Revision, e.Current.Value)
 }
 
-// Rejection returns the entry in favor of which a store rejected a change, if err is or wraps a *ConflictError or a
+// Rejection returns the current entry that made a store reject a change, if err is or wraps a *ConflictError or a
 // *StaleError.
 func Rejection(err error) (Entry, bool) {
 	var conflict *ConflictError
@@ -72,7 +72,7 @@
 	return Entry{}, false
 }
 
-// Validate checks a change's form, without regard to what is stored. Its error is an *InvalidChangeError.
+// Validate checks the fields of a change without comparing them to a stored entry. Its error is an *InvalidChangeError.
 func (c *Change) Validate() error {
 	reason := c.invalidField()
 	if reason == "" && !c.Delete {
@@ -84,7 +84,8 @@
 	return &InvalidChangeError{Key: c.Key, Reason: reason}
 }
 
-// Validate checks a stored entry's form, as the change that would write it. Its error is an *InvalidChangeError.
+// Validate checks a stored entry's fields by the rules for a change that writes them. Its error is an
+// *InvalidChangeError.
 func (e Entry) Validate() error {
 	change := Change{
 		Key:            e.Key,
@@ -96,35 +97,38 @@
 	return change.Validate()
 }
 
-// invalidField returns what is wrong with the fields that every change has, or an empty string.
+// invalidField checks the fields that changes of all kinds have. It returns the reason why one is invalid, or an empty
+// string.
 func (c *Change) invalidField() string {
 	switch {
 	case !slices.Contains(Kinds, c.Kind):
 		return "unknown kind"
 	case !validName(c.Name):
-		return fmt.Sprintf("the name is empty, longer than %d bytes or not printable", MaxNameLength)
+		return fmt.Sprintf("the name is empty, longer than %d bytes, or has control characters or invalid UTF-8",
+			MaxNameLength)
 	case c.IdempotencyKey == "":
 		return "the idempotency key is missing"
 	case len(c.IdempotencyKey) > MaxNameLength || len(c.Writer) > MaxNameLength:
 		return fmt.Sprintf("the idempotency key or the writer's name is longer than %d bytes", MaxNameLength)
 	case c.ExpectedRevision < AnyRevision:
-		return "the expected revision is out of range"
+		return fmt.Sprintf("the expected revision is %d, below %d", c.ExpectedRevision, AnyRevision)
 	}
 	return ""
 }
 
 func validName(name string) bool {
-	const replacementCharacter = 0xfffd // what invalid UTF-8 decodes to
+	const replacementCharacter = 0xfffd // the decoder's substitute for invalid UTF-8
 	if name == "" || len(name) > MaxNameLength {
 		return false
 	}
 	return !strings.ContainsFunc(name, func(char rune) bool { return char < ' ' || char == replacementCharacter })
 }
 
-// invalidValue returns what is wrong with a value and the name that goes with it, or an empty string.
+// invalidValue checks a change's value, and its name's form by kind. It returns the reason why one is invalid, or an
+// empty string.
 func (c *Change) invalidValue() string {
 	if len(c.Value) > MaxValueSize {
-		return fmt.Sprintf("the value is longer than %d bytes", MaxValueSize)
+		return fmt.Sprintf("the value has %d bytes, more than %d", len(c.Value), MaxValueSize)
 	}
 	if !json.Valid(c.Value) {
 		return "the value is not valid JSON"
@@ -160,7 +164,8 @@
 		return err.Error()
 	}
 	if drain.Since < 0 || drain.Start < 0 || drain.Until < 0 {
-		return "a time is before 1970"
+		return fmt.Sprintf("a time is before 1970: since_ms %d, start_ms %d, until_ms %d",
+			drain.Since, drain.Start, drain.Until)
 	}
 	return ""
 }
@@ -172,12 +177,13 @@
 const (
 	OutcomeWrite          Outcome = iota
 	OutcomeAlreadyApplied         // an earlier attempt was written: its idempotency key is stored
-	OutcomeUnchanged              // the entry already says so
+	OutcomeUnchanged              // the entry already has the requested state
 )
 
-// Evaluate decides what a change does to the current entry, nil if there is none. Stores call it inside their
-// transaction, so that all of them enforce the same rules: compare-and-set by revision, and no older change undoes a
-// drain or a newer process. It returns an *InvalidChangeError, a *ConflictError or a *StaleError.
+// Evaluate decides whether a change is written over the current entry, nil if there is none. Every store calls it
+// inside its transaction, so that all stores enforce the same rules: compare-and-set by revision, and no outdated
+// change undoes a drain or replaces the observation of a later process. Its error is an *InvalidChangeError, a
+// *ConflictError or a *StaleError.
 func Evaluate(current *Entry, change *Change) (Outcome, error) {
 	if err := change.Validate(); err != nil {
 		return 0, err
@@ -209,7 +215,7 @@
 	return OutcomeWrite, nil
 }
 
-// checkRevision is the compare of compare-and-set.
+// checkRevision returns a *ConflictError if the entry does not have the revision that the change expects.
 func checkRevision(current *Entry, change *Change) error {
 	if change.ExpectedRevision == AnyRevision {
 		return nil
@@ -228,8 +234,8 @@
 	return conflict
 }
 
-// evaluateDrain replaces a drain by one that covers more. Of two drains of one process the one that expires later
-// wins, unless an operator ended it: an end names the revision that it ends.
+// evaluateDrain accepts a drain that covers more than the stored one. Of two drains of one process the one that expires
+// later is kept, unless an operator ended it. A change that ends a drain expects the revision of the drain's entry.
 func evaluateDrain(current *Entry, change *Change) (Outcome, error) {
 	stored, ok := current.drain()
 	if !ok {
@@ -238,7 +244,7 @@
 	var requested Drain
 	json.Unmarshal(change.Value, &requested) // Validate has decoded it
 	if requested.equivalent(stored) {
-		// All nodes are notified of a drain, each at its own time: the first of them is the one that stays.
+		// All nodes are notified of the same drain, at different times. The first one that was written stays.
 		return OutcomeUnchanged, nil
 	}
 	superseded := requested.weakerThan(stored)
@@ -251,7 +257,8 @@
 	return OutcomeWrite, nil
 }
 
-// evaluateObservation replaces an observation by one of a later process or phase, or of the same with other data.
+// evaluateObservation accepts an observation of a later process or phase, or one of the same process and phase with
+// other data.
 func evaluateObservation(current *Entry, change *Change) (Outcome, error) {
 	stored, ok := current.observation()
 	if !ok {
--- a/internal/record/record/change_test.go
+++ b/internal/record/record/change_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A change is accepted or rejected, and never panics; an accepted one obeys compare-and-set, and no drain covers less
-// than the one before.
+// Evaluate accepts or rejects a change and never panics. An accepted change obeys compare-and-set. It replaces a drain
+// by one that covers less only if the drain had ended or the change expected its revision.
 func TestEvaluate_Invariants(t *testing.T) {
 	key := drainKey("s/a")
 	rapid.Check(t, func(t *rapid.T) {
@@ -40,13 +40,14 @@
 				assert.Equal(t, before, after)
 				continue
 			}
-			asExpected := change.ExpectedRevision == before.Revision
-			assert.True(t, change.ExpectedRevision == AnyRevision || asExpected)
+			revisionMatches := change.ExpectedRevision == before.Revision
+			assert.True(t, change.ExpectedRevision == AnyRevision || revisionMatches)
 			if existed {
-				var was, is Drain
-				json.Unmarshal(before.Value, &was)
-				json.Unmarshal(after.Value, &is)
-				assert.True(t, !is.weakerThan(was) || was.Ended || asExpected, "%+v after %+v", is, was)
+				var previous, updated Drain
+				json.Unmarshal(before.Value, &previous)
+				json.Unmarshal(after.Value, &updated)
+				allowed := !updated.weakerThan(previous) || previous.Ended || revisionMatches
+				assert.True(t, allowed, "%+v after %+v", updated, previous)
 			}
 		}
 	})
--- a/internal/record/record/golden_test.go
+++ b/internal/record/record/golden_test.go
@@ -1,8 +1,8 @@
 package record
 
-// The golden files under testdata were written by the program's text at commit 0cdd5b2. Stores, snapshots and peers
-// of that version hold and send these bytes. They must never be written anew to follow a rename: a test that fails
-// here says that a stored form, or one that is sent, has changed.
+// The golden files under testdata were written by the code of commit 0cdd5b2. Stores, snapshots and peers of that
+// version contain and send these bytes. Never regenerate the files after a rename: a test that fails here has found a
+// change of a stored or transmitted encoding.
 
 import (
 	"bytes"
@@ -63,7 +63,7 @@
 	}
 }
 
-// entryOfEachKind pins the names of the kinds as well.
+// entryOfEachKind returns an entry of each kind, so that the golden files pin the names of the kinds as well.
 func entryOfEachKind() []Entry {
 	return []Entry{
 		{Key: Key{Kind: KindDrain, Name: "shop/a1"}, Revision: 1, Writer: "alice", IdempotencyKey: "m1", WrittenAt: 11,
@@ -81,8 +81,8 @@
 func TestGolden_JSON(t *testing.T) {
 	meta := Meta{Epoch: "epoch-1", Revision: 44}
 	t.Run("meta", func(t *testing.T) { golden.FullJSON(t, "meta.json", meta) })
-	t.Run("fact", func(t *testing.T) { golden.FullJSON(t, "fact.json", goldenEntry()) })
-	t.Run("fact zero", func(t *testing.T) { golden.JSON(t, "fact_zero.json", Entry{}) })
+	t.Run("entry", func(t *testing.T) { golden.FullJSON(t, "fact.json", goldenEntry()) })
+	t.Run("entry zero", func(t *testing.T) { golden.JSON(t, "fact_zero.json", Entry{}) })
 	t.Run("change", func(t *testing.T) { golden.FullJSON(t, "change.json", goldenChange()) })
 	t.Run("conflict", func(t *testing.T) {
 		golden.FullJSON(t, "conflict.json", ConflictError{Change: goldenChange(), Current: goldenEntry()})
@@ -90,13 +90,13 @@
 	t.Run("stale", func(t *testing.T) {
 		golden.FullJSON(t, "stale.json", StaleError{Change: goldenChange(), Current: goldenEntry()})
 	})
-	t.Run("sighting", func(t *testing.T) {
-		// Service and ID are of the entry's name and stay out of its value: FullJSON passes over them.
+	t.Run("observation", func(t *testing.T) {
+		// Service and ID are part of the entry's name and not encoded in its value; FullJSON skips them.
 		golden.FullJSON(t, "sighting.json", goldenObservation())
 	})
-	t.Run("sighting zero", func(t *testing.T) { golden.JSON(t, "sighting_zero.json", Observation{}) })
-	t.Run("drained", func(t *testing.T) { golden.FullJSON(t, "drained.json", goldenDrain()) })
-	t.Run("drained zero", func(t *testing.T) { golden.JSON(t, "drained_zero.json", Drain{}) })
+	t.Run("observation zero", func(t *testing.T) { golden.JSON(t, "sighting_zero.json", Observation{}) })
+	t.Run("drain", func(t *testing.T) { golden.FullJSON(t, "drained.json", goldenDrain()) })
+	t.Run("drain zero", func(t *testing.T) { golden.JSON(t, "drained_zero.json", Drain{}) })
 	t.Run("page", func(t *testing.T) {
 		golden.FullJSON(t, "page.json", Page{Meta: meta, Complete: true, Entries: entryOfEachKind()})
 	})
@@ -113,7 +113,7 @@
 	t.Run("snapshot zero", func(t *testing.T) { golden.JSON(t, "snapshot_zero.json", Snapshot{}) })
 }
 
-// A change without a value is written with null, and read with that as its value.
+// A change without a value is encoded with null, and decoded with null as its value.
 func TestGolden_ChangeWithoutValue(t *testing.T) {
 	golden.JSON(t, "change_zero.json", Change{Value: json.RawMessage("null")})
 	written, err := json.Marshal(Change{})
@@ -129,22 +129,22 @@
 	golden.Check(t, "sighting.json", append(written, '\n'))
 }
 
-// What a node writes to the store of its own accord: observations in each phase, discovery's drain and an operator's,
-// and the deletion of an observation.
+// Checks the changes that a view queues: observations in each phase, a drain by discovery and one by an operator, and
+// the deletion of an observation.
 func TestGolden_PendingChanges(t *testing.T) {
 	keys := 0
 	view := NewView("node-1", 100, func() string {
 		keys++
 		return fmt.Sprintf("mark-%d", keys)
 	})
-	leftLongAgo := Entry{
+	goneEntry := Entry{
 		Key:            Key{Kind: KindServer, Name: "shop/e5"},
 		Revision:       9,
 		IdempotencyKey: "m9",
 		WrittenAt:      1,
 		Value:          json.RawMessage(`{"addr":"10.0.0.5:80","phase":"gone","start_ms":1,"listed":1}`),
 	}
-	view.ApplyPage(Page{Meta: Meta{Epoch: "epoch-1", Revision: 9}, Complete: true, Entries: []Entry{leftLongAgo}}, 1_000)
+	view.ApplyPage(Page{Meta: Meta{Epoch: "epoch-1", Revision: 9}, Complete: true, Entries: []Entry{goneEntry}}, 1_000)
 	view.ApplyDiscovery("shop", []Observation{
 		{ID: "c3", Addr: "10.0.0.3:80", Phase: "ready", Start: 3, ListRevision: 70},
 	}, true, 2_000)
--- a/internal/record/record/memorystore_test.go
+++ b/internal/record/record/memorystore_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// memoryStore is a store without a database.
+// memoryStore is an in-memory store.
 type memoryStore struct {
 	meta    Meta
 	entries map[Key]Entry
@@ -79,7 +79,7 @@
 	return ok && !entry.Deleted
 }
 
-// sync does what the cache of a node does: it reads what is new and writes what is pending.
+// sync synchronizes a view with a store as a node's cache does: it reads new entries and writes pending changes.
 func (v *View) sync(store *memoryStore, now int64) {
 	v.ApplyPage(store.page(v.NextRead(store.meta)), now)
 	for _, change := range v.Pending(1000) {
--- a/internal/record/record/record.go
+++ b/internal/record/record/record.go
@@ -1,11 +1,11 @@
-// Package record holds the rules of the store of record, the database in which a fleet's nodes keep what must outlast
-// a process: drained servers, the servers that discovery listed, and the services, routes and tenants that operators
-// configured there.
+// Package record defines the data model and the write rules of the store of record. The store is a database for state
+// that must outlive a node's process: drained servers, the servers that discovery listed, and the services, routes and
+// tenants that operators configured there.
 //
-// Evaluate decides what a change may do to an entry; every store calls it inside its transaction. View merges what the
-// store, discovery and a node's own memory know, and queues what the node has to write. The package owns the stored
-// and transmitted forms of entries and changes. It does no I/O, starts no goroutine and reads no clock: times are
-// handed in as milliseconds since 1970.
+// Evaluate decides whether a change is written over an entry; every store calls it inside its transaction. View merges
+// the store's entries, discovery's endpoint lists and the drains that a node was notified of, and queues the changes
+// that the node has to write. The package defines the stored and transmitted encodings of entries and changes. It does
+// no I/O, starts no goroutine and reads no clock: callers pass times in milliseconds since 1970.
 package record
 
 import (
@@ -29,7 +29,7 @@
 	KindDrain   Kind = "drain"  // named SERVICE/SERVER; its value is a Drain
 )
 
-// Kinds lists all kinds in the order in which entries are written: drains come first.
+// Kinds lists all kinds in the order in which entries are written, drains first.
 var Kinds = []Kind{KindDrain, KindService, KindTenant, KindRoute, KindServer}
 
 // Limits of a change's fields, in bytes.
@@ -38,8 +38,8 @@
 	MaxValueSize  = 64 << 10
 )
 
-// Limits of a record that is copied into memory, ten times what the largest fleet needs with all servers that left
-// lately. A follower does not follow a store beyond them, and keeps the copy that it has.
+// Limits of a record that a follower copies into memory. They are ten times the need of the largest fleet, including
+// the servers that left recently. If a store exceeds them, the follower stops reading from it and keeps its last copy.
 const (
 	MaxEntries = 100_000  // deleted ones included
 	MaxBytes   = 64 << 20 // of names and values
@@ -53,14 +53,14 @@
 
 func drainKey(name string) Key { return Key{Kind: KindDrain, Name: name} }
 
-// Entry is one stored object. WrittenAt, in milliseconds since 1970 by the writer's clock, is for people to read;
-// revisions alone order entries.
+// Entry is one stored object. WrittenAt is in milliseconds since 1970 by the writer's clock. It does not order entries;
+// only revisions do.
 type Entry struct {
 	Key
 	Revision       int64           `json:"revision"`          // assigned by the store; unique to this write
 	Deleted        bool            `json:"deleted,omitempty"` // a tombstone, so that followers learn of the deletion
 	Writer         string          `json:"by"`
-	IdempotencyKey string          `json:"mark"` // of the last write: a writer without an answer looks for it here
+	IdempotencyKey string          `json:"mark"` // of the last write; a writer that got no answer checks it
 	WrittenAt      int64           `json:"at_ms"`
 	Value          json.RawMessage `json:"value,omitempty"`
 }
@@ -93,7 +93,8 @@
 	return entries
 }
 
-// Meta is the position of a record. A position orders reads and writes within its epoch only.
+// Meta is a position of the record: the state after the write with that revision. Positions of different epochs can't
+// be compared.
 type Meta struct {
 	Epoch    string `json:"epoch"` // replaced whenever the record is created, restored or imported
 	Revision int64  `json:"revision"`
@@ -106,27 +107,29 @@
 	Entries  []Entry `json:"Facts"`
 }
 
-// ReadRange is what a follower of a record has to read next.
+// ReadRange is the range of entries that a follower of a record has to read next.
 type ReadRange struct {
-	After    int64 // entries with a higher revision
-	Complete bool  // read the complete record, in place of what the follower has
+	After    int64 // read the entries with a higher revision
+	Complete bool  // read all entries, to replace the follower's copy
 }
 
 // Errors of a record as a whole.
 var (
-	// ErrTooLarge is returned by a follower whose store has more than MaxEntries or MaxBytes.
+	// ErrTooLarge is returned by a follower if the store's record exceeds MaxEntries or MaxBytes.
 	ErrTooLarge = fmt.Errorf("the record has more than %d entries or %d MB", MaxEntries, MaxBytes>>20)
 
-	// ErrEpochMismatch rejects a write or a read that continues another epoch of the record than the store's: the
-	// record was restored, imported or created anew in between. Read it again before writing.
-	ErrEpochMismatch = errors.New("the record has another epoch: it was restored, imported or created anew")
+	// ErrEpochMismatch rejects a write or a read whose epoch differs from the store's: the record was restored,
+	// imported or recreated since the caller read it. The caller has to read it again before it writes.
+	ErrEpochMismatch = errors.New("the epoch does not match the record's: " +
+		"the record was restored, imported or recreated")
 
-	// ErrRolledBack ends a watch on a replica whose store went back to an older revision or to another epoch. The
-	// follower has to read the complete record, even if the revisions assigned since exceed those it has seen.
-	ErrRolledBack = errors.New("the record was rolled back or has another epoch: read it again completely")
+	// ErrRolledBack ends a watch on a replica whose store was rolled back to an older revision or changed its epoch.
+	// The follower has to read the complete record, even if the store has since assigned revisions above those that
+	// the follower has seen.
+	ErrRolledBack = errors.New("the record was rolled back or its epoch changed: read the complete record again")
 
-	// ErrReplicaBehind is returned by a replica whose copy is older than the caller's while the store that could
-	// bring it up to date is unreachable.
+	// ErrReplicaBehind is returned by a replica whose copy is older than the caller's and can't be updated, because
+	// the store is unreachable.
 	ErrReplicaBehind = errors.New("this replica's copy of the record is older than the caller's, " +
 		"and the store is unreachable")
 )
--- a/internal/record/record/view.go
+++ b/internal/record/record/view.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// SyncState is the relation of a node's copy to its store.
+// SyncState is the state of a node's copy relative to its store.
 type SyncState int
 
 // The states of a copy.
 const (
-	NeverSynced  SyncState = iota // no store was reached since the start
+	NeverSynced  SyncState = iota // no store has been reached since the node started
 	Following                     // the copy is up to date with the store
 	RolledBack                    // the store, in the same epoch, is older than the copy: a backup was restored
-	EpochChanged                  // the store was created anew, restored or imported since the copy was read
-	Disconnected                  // the store became unreachable; the copy is from before
+	EpochChanged                  // the store was recreated, restored or imported since the copy was read
+	Disconnected                  // the store became unreachable after the copy was read
 )
 
 // String returns the state as the status page shows it.
@@ -22,24 +22,24 @@
 	return []string{"never reached", "follows", "went back", "another epoch", "lost"}[s]
 }
 
-// View is a node's copy of the record, merged with what the node learned itself: the endpoint lists of discovery and
-// the drains it was notified of. Its methods take the inputs; Servers, Entries and Pending return the results. It is
-// not safe for concurrent use.
+// View is a node's copy of the record, merged with discovery's endpoint lists and the drains that the node was notified
+// of. Methods such as ApplyPage, ApplyDiscovery and AddDrain take the inputs; Servers, Entries and Pending return the
+// results. A View is not safe for concurrent use.
 type View struct {
-	MaxStaleness int64 // milliseconds for which servers known from a disconnected copy alone are used; 0: no limit
+	MaxStaleness int64 // milliseconds for which servers known only from a disconnected copy are used; 0: no limit
 	MaxPending   int   // limit of pending changes other than drains
 
 	Meta        Meta // of the last page that was applied
 	SyncState   SyncState
 	LastContact int64 // when the store was last reached
-	LatestTime  int64 // the latest time handed in; the machine's clock may be set back
+	LatestTime  int64 // the latest time passed in, since the machine's clock may be set back
 	Dropped     int   // observations that were not queued because the queue was full
 
 	writer            string
 	newIdempotencyKey func() string
 
-	// writtenRevision is the highest revision that this node has written: the store was there, whether or not it
-	// was read since.
+	// writtenRevision is the highest revision that this node has written, or has restored from a snapshot. The store
+	// has reached it, even if the node has not read that far.
 	writtenRevision int64
 
 	entries        map[Key]Entry
@@ -64,19 +64,19 @@
 	}
 }
 
-// advanceClock takes the time that an input comes with, and returns the latest so far.
+// advanceClock updates LatestTime with the time of an input, and returns it.
 func (v *View) advanceClock(now int64) int64 {
 	v.LatestTime = max(v.LatestTime, now)
 	return v.LatestTime
 }
 
-// Snapshot is the part of a view that outlasts the process, in a file of the node.
+// Snapshot is the part of a view that a node saves in a file and restores when it restarts.
 type Snapshot struct {
 	Meta        Meta             `json:"meta"`
 	LastContact int64            `json:"at_ms"`
 	LatestTime  int64            `json:"clock_ms"`
 	Entries     []Entry          `json:"facts"`
-	Drains      map[string]Drain `json:"drains"` // this node was notified of them; they may not be recorded yet
+	Drains      map[string]Drain `json:"drains"` // of which this node was notified; they may not be stored yet
 }
 
 // Snapshot returns a copy of the view's persistent part.
@@ -105,7 +105,7 @@
 	}
 }
 
-// Entries returns the entries of a kind that are not deleted, by name.
+// Entries returns the entries of a kind that are not deleted, sorted by name.
 func (v *View) Entries(kind Kind) []Entry {
 	var entries []Entry
 	for _, entry := range v.entries {
--- a/internal/record/record/view_pending.go
+++ b/internal/record/record/view_pending.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Pending returns the changes to be written next, drains first and at most a limit.
+// Pending returns the changes to be written next, drains first, and at most limit of them.
 func (v *View) Pending(limit int) []Change {
 	byKind := map[Kind][]Change{}
 	for key, change := range v.pending {
@@ -23,7 +23,7 @@
 // PendingCount returns how many changes are to be written.
 func (v *View) PendingCount() int { return len(v.pending) }
 
-// UnrecordedDrains returns how many drains are known to this node alone.
+// UnrecordedDrains returns how many drains are queued and not yet in the store.
 func (v *View) UnrecordedDrains() int {
 	count := 0
 	for key := range v.pending {
@@ -34,8 +34,8 @@
 	return count
 }
 
-// MarkWritten notes that a change was stored as an entry. An entry with Revision 0 says that the store rejected the
-// change in favor of something newer.
+// MarkWritten removes a change from the queue and updates the copy with the entry that the store returned for it. An
+// entry with Revision 0 means that the store wrote nothing, for example because a newer entry superseded the change.
 func (v *View) MarkWritten(change Change, entry Entry) {
 	queued, ok := v.pending[change.Key]
 	if ok && queued.IdempotencyKey == change.IdempotencyKey {
@@ -51,8 +51,9 @@
 	}
 }
 
-// Prune queues the deletion of servers that left longer ago than a retention time. Without it the record would grow
-// with every server name there has been; until then an old endpoint list can't bring such a server back.
+// Prune queues the deletion of entries of servers that left more than retention milliseconds ago. Without it the record
+// would keep an entry for every server name that was ever used. Until it is deleted, the entry keeps an old endpoint
+// list from adding the server again.
 func (v *View) Prune(now, retention int64) {
 	now = v.advanceClock(now)
 	for key, entry := range v.entries {
@@ -72,8 +73,8 @@
 	}
 }
 
-// queueObservation queues an observation that adds something to the copy. If the queue is full it is dropped: the next
-// endpoint list brings it again.
+// queueObservation queues an observation unless the copy already implies it. If the queue is full the observation is
+// dropped; the next endpoint list has it again.
 func (v *View) queueObservation(observation Observation) {
 	key := Key{Kind: KindServer, Name: observation.Service + "/" + observation.ID}
 	value, _ := json.Marshal(observation) // a struct of strings and numbers is always encoded
@@ -87,8 +88,8 @@
 	v.enqueue(Change{Key: key, ExpectedRevision: AnyRevision, Value: value})
 }
 
-// queueDrain queues a drain, whatever the queue's length. A change that is already queued with the same value keeps
-// its idempotency key: it may have been written.
+// queueDrain queues a drain, even if the queue is full. If a change with the same value is already queued it stays,
+// with its idempotency key, since an earlier attempt may have been written.
 func (v *View) queueDrain(name string, drain Drain) {
 	key := drainKey(name)
 	value, _ := json.Marshal(drain) // a struct of strings and numbers is always encoded
@@ -99,7 +100,8 @@
 	v.enqueue(Change{Key: key, ExpectedRevision: AnyRevision, Value: value})
 }
 
-// enqueue completes a change and puts it into the queue, in place of an earlier one of the same key.
+// enqueue sets a change's writer, idempotency key and time, and queues it in place of an earlier change of the same
+// key.
 func (v *View) enqueue(change Change) {
 	change.Writer = v.writer
 	change.IdempotencyKey = v.newIdempotencyKey()
--- a/internal/record/record/view_servers.go
+++ b/internal/record/record/view_servers.go
@@ -9,16 +9,16 @@
 // discoveryWriter is the By of a drain that discovery reported.
 const discoveryWriter = "discovery"
 
-// reasonStaleCopy is why a server is draining that is known from a copy older than MaxStaleness alone.
-const reasonStaleCopy = "known from an old copy only"
+// reasonStaleCopy is the Reason of a draining server that is known only from a copy older than MaxStaleness.
+const reasonStaleCopy = "known only from a stale copy of the record"
 
 // ListedServer is a server in the list that the node uses.
 type ListedServer struct {
 	Observation
-	Reason string // why Phase is not what discovery reported; empty: it is
+	Reason string // why Phase differs from the observed phase; empty: it does not
 }
 
-// ApplyDiscovery takes a service's endpoint list: complete, or the servers that changed.
+// ApplyDiscovery merges an endpoint list of a service: the complete list, or only the servers that changed.
 func (v *View) ApplyDiscovery(service string, list []Observation, complete bool, now int64) {
 	v.advanceClock(now)
 	previous := v.discovered[service]
@@ -47,7 +47,7 @@
 	}
 }
 
-// observeMissing queues the departure of servers that a complete list no longer has.
+// observeMissing queues observations in PhaseGone of the servers that a complete list no longer has.
 func (v *View) observeMissing(previous, current map[string]Observation) {
 	for id, observation := range previous {
 		if _, listed := current[id]; !listed {
@@ -57,8 +57,8 @@
 	}
 }
 
-// drainByDiscovery gives a drain that discovery reports an entry of its own: a later list from an older source must
-// not undo it.
+// drainByDiscovery adds a drain for a server that discovery reports as draining, so that an outdated list that arrives
+// later does not undo it.
 func (v *View) drainByDiscovery(observation Observation, now int64) {
 	name := observation.Service + "/" + observation.ID
 	if drain, ok := v.drain(name); ok && drain.covers(observation.Start, v.LatestTime) {
@@ -67,7 +67,7 @@
 	v.AddDrain(name, Drain{Start: observation.Start, Since: now, By: discoveryWriter}, now)
 }
 
-// AddDrain takes a drain that this node is notified of. It is in force before it is recorded.
+// AddDrain adds a drain that this node is notified of. It takes effect at once, before it is written to the store.
 func (v *View) AddDrain(name string, drain Drain, now int64) {
 	v.advanceClock(now)
 	drain.Supersedes = max(drain.Supersedes, v.entries[drainKey(name)].Revision)
@@ -86,7 +86,7 @@
 	v.queueDrain(name, drain)
 }
 
-// drain returns a server's drain: of the recorded one and this node's own, the one that covers more.
+// drain returns a server's drain. If both the record and this node have one, it returns the one that covers more.
 func (v *View) drain(name string) (Drain, bool) {
 	entry := v.entries[drainKey(name)]
 	recorded, isRecorded := entry.drain()
@@ -97,8 +97,8 @@
 	return recorded, isRecorded
 }
 
-// Servers returns a service's servers as the node is to use them now, by ID. The list of discovery is the base or,
-// until a complete one has arrived, the recorded observations. Drains apply to both.
+// Servers returns a service's servers, sorted by ID, in the phases in which the node has to use them. They are those
+// of discovery's list and, until a complete list has arrived, of the recorded observations. Drains apply to both.
 func (v *View) Servers(service string, now int64) []ListedServer {
 	now = v.advanceClock(now)
 	servers := map[string]ListedServer{}
@@ -121,7 +121,8 @@
 	return list
 }
 
-// addRecordedServers adds a service's servers as the copy has them. If the copy is too old they get no new requests.
+// addRecordedServers adds a service's servers from the copy. If the copy is stale they are listed as draining, so that
+// they get no new requests.
 func (v *View) addRecordedServers(servers map[string]ListedServer, service string, now int64) {
 	stale := v.isStale(now)
 	for key, entry := range v.entries {
--- a/internal/record/record/view_sync.go
+++ b/internal/record/record/view_sync.go
@@ -1,11 +1,11 @@
 package record
 
-// Position returns how far this node has read or written the record.
+// Position returns the highest position up to which this node has read or written the record.
 func (v *View) Position() Meta {
 	return Meta{Epoch: v.Meta.Epoch, Revision: max(v.Meta.Revision, v.writtenRevision)}
 }
 
-// NextRead returns what to read from a store at a position.
+// NextRead returns the range to read from a store that is at a position.
 func (v *View) NextRead(store Meta) ReadRange {
 	position := v.Position()
 	if store.Epoch != position.Epoch || store.Revision < position.Revision {
@@ -28,8 +28,8 @@
 	return size
 }
 
-// ApplyPage merges a page read from the store. It never forgets a drain that this node knows: a drain that the store
-// lacks is queued to be written again.
+// ApplyPage merges a page read from the store. A drain that this node knows and the store has lost is kept and queued
+// to be written again.
 func (v *View) ApplyPage(page Page, now int64) {
 	v.advanceClock(now)
 	v.SyncState = v.stateAtPage(page.Meta)
@@ -49,7 +49,7 @@
 	v.LastContact = now
 }
 
-// stateAtPage returns the copy's state towards a store that returned a page at a position.
+// stateAtPage returns the copy's state, given the position of a page that the store returned.
 func (v *View) stateAtPage(store Meta) SyncState {
 	switch {
 	case v.Meta.Epoch == "":
@@ -73,8 +73,8 @@
 	return drains
 }
 
-// mergeEntries puts a page's entries into the copy. Entries that are newer than those of a store that was rolled back
-// stay until the store has passed them.
+// mergeEntries merges a page's entries into the copy. If the store was rolled back, an entry of the copy stays until
+// the store has a higher revision of it.
 func (v *View) mergeEntries(page Page) {
 	rolledBack := v.SyncState == RolledBack
 	if page.Complete && !rolledBack {
@@ -89,9 +89,9 @@
 	}
 }
 
-// dropImpliedObservation takes a pending change to a server out of the queue if the stored entry already says the
-// same. All nodes learn of a server at once: if each of them wrote it, a node far from the store might never get
-// through its queue of changes that change nothing within the time of one call.
+// dropImpliedObservation removes a pending change to a server from the queue if the stored entry makes it redundant.
+// All nodes learn of a server at the same time. If each of them wrote it, a node far from the store might never
+// complete its queue of redundant changes within the time limit of one call.
 func (v *View) dropImpliedObservation(entry Entry) {
 	change, queued := v.pending[entry.Key]
 	if !queued || entry.Kind != KindServer {
@@ -109,8 +109,9 @@
 	}
 }
 
-// adoptLostDrains makes drains that the store has lost this node's own, so that they are written again: those that a
-// complete page lacks (a drain that was deleted is in it as deleted), and in a new epoch those written differently.
+// adoptLostDrains adds drains that the store has lost to the local drains, so that they are written again. These are
+// the drains that a complete page lacks and, in a new epoch, those whose entries have another idempotency key. A drain
+// that was deleted is not lost: the page has a tombstone of it.
 func (v *View) adoptLostDrains(recorded map[string]Entry, complete bool, inPage map[Key]bool) {
 	for name, entry := range recorded {
 		missing := complete && !inPage[entry.Key]
@@ -124,13 +125,13 @@
 	}
 }
 
-// reconcileLocalDrains forgets this node's own drains once the record has them, and queues those that it lacks.
+// reconcileLocalDrains removes local drains that the record has, and queues those that it lacks.
 func (v *View) reconcileLocalDrains(inPage map[Key]bool) {
 	for name, drain := range v.localDrains {
 		key := drainKey(name)
 		entry, exists := v.entries[key]
 		stored, ok := entry.drain()
-		inStore := v.SyncState == Following || inPage[entry.Key] // and not in a copy of what the store has lost
+		inStore := v.SyncState == Following || inPage[entry.Key] // not only in entries that the store has lost
 		if exists && ok && inStore && !drain.extends(stored, entry.Revision) {
 			if stored.Ended || stored.lastStart() > drain.lastStart() || stored == drain {
 				delete(v.localDrains, name)
@@ -140,15 +141,15 @@
 		}
 		_, queued := v.pending[key]
 		if exists && entry.Deleted && v.SyncState == Following && entry.Revision > 0 && !queued {
-			delete(v.localDrains, name) // it had been recorded; an operator deleted it since
+			delete(v.localDrains, name) // it was recorded, and an operator has deleted it since
 			continue
 		}
 		v.queueDrain(name, drain)
 	}
 }
 
-// MarkSynced notes the position of a store that was rolled back or changed its epoch, once the changes that it lacked
-// have been written. From there the store is followed.
+// MarkSynced sets the position of a store that was rolled back or changed its epoch, once the changes that it lacked
+// have been written. The view follows the store from that position.
 func (v *View) MarkSynced(store Meta) {
 	if len(v.pending) > 0 && store.Revision < v.Meta.Revision {
 		return
@@ -158,7 +159,7 @@
 	v.SyncState = Following
 }
 
-// MarkDisconnected notes that the store is unreachable.
+// MarkDisconnected sets the state of a copy whose store is unreachable.
 func (v *View) MarkDisconnected() {
 	if v.SyncState != NeverSynced {
 		v.SyncState = Disconnected
--- a/internal/record/record/view_test.go
+++ b/internal/record/record/view_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// drainScenario plays events around one drain of the server a, between one node and its store.
+// drainScenario applies events around one drain of the server a to one node and its store.
 type drainScenario struct {
 	t        *testing.T
 	order    []string
@@ -35,7 +35,7 @@
 	view.ApplyDiscovery("s", []Observation{readyServer("a", start)}, true, now)
 }
 
-func (s *drainScenario) play(event string, now int64) {
+func (s *drainScenario) apply(event string, now int64) {
 	switch event {
 	case "notify":
 		s.view.AddDrain("s/a", Drain{Start: 5, Since: now, By: "op"}, now)
@@ -69,8 +69,9 @@
 	return local || hasDrain(s.view.entries, "s/a")
 }
 
-// checkEnd lets the node and the store exchange what they know, and a second node join.
-func (s *drainScenario) checkEnd() {
+// checkFinalState synchronizes the node with the store and adds a second node. If the node or the store still has the
+// drain, it checks that both nodes list the process as draining, and a new process as ready.
+func (s *drainScenario) checkFinalState() {
 	if !s.notified || !s.nodeKnowsDrain() && !s.store.hasDrain("s/a") {
 		return
 	}
@@ -89,10 +90,10 @@
 	assert.Equal(s.t, PhaseReady, phaseOf(s.view, "a", 100), "%v: a new process", s.order)
 }
 
-// Every order of six of eight events around a drain: the notification, a write, a crash with and without a snapshot
-// before it, a store restored from a backup, a new epoch, a list by a discovery that never learned of the drain. From
-// the notification on, as long as the node or the store remembers, the process stays drained, and a new process under
-// its name is not.
+// Runs every order of six of eight events around a drain: a notification, a write, a crash with and without a snapshot
+// before it, a store restored from a backup, a new epoch, and a list from a discovery service that does not know the
+// drain. After the notification, the process stays drained as long as the node or the store has the drain, and a new
+// process under its name is not drained.
 func TestView_DrainSurvivesEveryOrderOfEvents(t *testing.T) {
 	events := []string{"notify", "sync", "snapshot", "crash", "backup", "restore", "epoch", "list"}
 	const length = 6
@@ -101,9 +102,9 @@
 		count++
 		scenario := newDrainScenario(t, order)
 		for i, event := range order {
-			scenario.play(event, int64(10+i))
+			scenario.apply(event, int64(10+i))
 		}
-		scenario.checkEnd()
+		scenario.checkFinalState()
 	}
 	var extend func(order, left []string)
 	extend = func(order, left []string) {
@@ -119,8 +120,8 @@
 	assert.Equal(t, 8*7*6*5*4*3, count)
 }
 
-// Whatever arrives in whatever order at several nodes with one store, they end with the same list, and no process that
-// was drained or had left is ready again.
+// Several nodes with one store receive random events in random order. They converge to the same list, and no process
+// that was drained or has left becomes ready again.
 func TestView_NodesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := newMemoryStore("e")
@@ -132,7 +133,7 @@
 			now++
 			view := nodes[rapid.IntRange(0, 2).Draw(t, "node")]
 			id := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "id")
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				view.sync(store, now)
 			case 1:
@@ -188,7 +189,7 @@
 	view.Restore(snapshot, now)
 }
 
-func TestView_StaleCopyExpiresButItsDrainsHold(t *testing.T) {
+func TestView_StaleCopyKeepsDrains(t *testing.T) {
 	store := newMemoryStore("e")
 	view := newView("n")
 	view.MaxStaleness = 1000
@@ -202,12 +203,12 @@
 	restarted.Restore(view.Snapshot(), 900)
 	assert.Equal(t, PhaseReady, phaseOf(restarted, "a", 900))
 	assert.Equal(t, PhaseDraining, phaseOf(restarted, "b", 900))
-	assert.Equal(t, PhaseDraining, phaseOf(restarted, "a", 2000), "the copy alone is too old")
+	assert.Equal(t, PhaseDraining, phaseOf(restarted, "a", 2000), "the server is known only from a stale copy")
 	restarted.ApplyDiscovery("s", servers, true, 2000)
 	assert.Equal(t, PhaseReady, phaseOf(restarted, "a", 2000))
 	assert.Equal(t, PhaseDraining, phaseOf(restarted, "b", 2000))
 	assert.Equal(t, PhaseReady, phaseOf(restarted, "b", 600_000), "the drain has expired")
-	assert.Equal(t, PhaseReady, phaseOf(restarted, "b", 3), "and a clock set back does not bring it back")
+	assert.Equal(t, PhaseReady, phaseOf(restarted, "b", 3), "a clock set back does not revive the expired drain")
 }
 
 func TestView_FullQueueKeepsDrains(t *testing.T) {
@@ -244,15 +245,15 @@
 	assert.False(t, store.entries[Key{KindServer, "s/b"}].Deleted)
 }
 
-// A drain of any process under a name outlasts one of a single process. Ended by an operator it can be set again by a
-// node that knows of the end, and not by an old snapshot.
+// A drain of all processes under a name has precedence over a drain of one process. After an operator has ended it, a
+// node that has read the end can set a drain again, and an old snapshot can't.
 func TestView_DrainOfNameEndsAndReopens(t *testing.T) {
 	store := newMemoryStore("e")
-	view, behind := newView("a"), newView("old")
+	view, outdated := newView("a"), newView("old")
 	view.AddDrain("s/x", Drain{Since: 1, By: "op"}, 1)
 	view.sync(store, 1)
-	behind.sync(store, 1)
-	behind.localDrains["s/x"] = Drain{Since: 1, By: "op"} // as from a snapshot of that time
+	outdated.sync(store, 1)
+	outdated.localDrains["s/x"] = Drain{Since: 1, By: "op"} // as restored from a snapshot of that time
 	view.ApplyDiscovery("s", []Observation{{ID: "x", Addr: "x:1", Phase: PhaseDraining, Start: 7}}, true, 2)
 	view.sync(store, 2)
 	view.ApplyDiscovery("s", []Observation{readyServer("x", 9)}, true, 3)
@@ -268,21 +269,21 @@
 	})
 	assert.NoError(t, err)
 	view.sync(store, 4)
-	behind.sync(store, 4)
-	behind.ApplyDiscovery("s", []Observation{readyServer("x", 9)}, true, 4)
+	outdated.sync(store, 4)
+	outdated.ApplyDiscovery("s", []Observation{readyServer("x", 9)}, true, 4)
 	assert.Equal(t, PhaseReady, phaseOf(view, "x", 4))
-	assert.Equal(t, PhaseReady, phaseOf(behind, "x", 4))
-	assert.Zero(t, behind.PendingCount(), "an old snapshot writes nothing")
+	assert.Equal(t, PhaseReady, phaseOf(outdated, "x", 4))
+	assert.Zero(t, outdated.PendingCount(), "a drain from an old snapshot is not written")
 
 	view.AddDrain("s/x", Drain{Start: 9, Since: 5, By: "op"}, 5)
 	assert.Equal(t, PhaseDraining, phaseOf(view, "x", 5), "before it is recorded")
 	view.sync(store, 5)
-	behind.sync(store, 6)
+	outdated.sync(store, 6)
 	assert.Equal(t, PhaseDraining, phaseOf(view, "x", 6))
-	assert.Equal(t, PhaseDraining, phaseOf(behind, "x", 6))
+	assert.Equal(t, PhaseDraining, phaseOf(outdated, "x", 6))
 }
 
-// All nodes learn of a server; what another one has recorded is not written again.
+// All nodes observe a server. An observation that another node has recorded is not written again.
 func TestView_StoredObservationIsNotPending(t *testing.T) {
 	view := newView("n")
 	view.ApplyDiscovery("s", []Observation{
@@ -302,10 +303,10 @@
 	deleted := stored("e", 5, Observation{Addr: "e:1", Phase: PhaseReady, Start: 6})
 	deleted.Deleted = true
 	view.ApplyPage(Page{Meta: Meta{"x", 5}, Entries: []Entry{
-		// the same, by another replica's revision
+		// equal apart from ListRevision, which another replica assigned
 		stored("a", 1, Observation{Addr: "a:1", Phase: PhaseReady, Start: 5, ListRevision: 9_000}),
-		stored("b", 2, Observation{Addr: "b:1", Phase: PhaseReady, Start: 5}), // it has left since
-		stored("c", 3, Observation{Addr: "c:1", Phase: PhaseGone, Start: 6}),  // newer than what this node knows
+		stored("b", 2, Observation{Addr: "b:1", Phase: PhaseReady, Start: 5}), // the server has left since
+		stored("c", 3, Observation{Addr: "c:1", Phase: PhaseGone, Start: 6}),  // newer than this node's observation
 		stored("d", 4, Observation{Addr: "d:2", Phase: PhaseReady, Start: 6}), // at another address
 		deleted,
 	}}, 2)
@@ -316,8 +317,9 @@
 	assert.Equal(t, []string{"s/b", "s/d", "s/e"}, pending)
 }
 
-// All nodes of a fleet are notified of the same, each at its own time and many by a replica of discovery that numbers
-// its lists by itself. The first of them writes it; if each wrote its own form, all would be notified of each.
+// All nodes of a fleet are notified of the same event, at different times and by replicas of discovery that assign
+// their own list revisions. Only the first node's change is written; otherwise each node's write would notify all
+// nodes.
 func TestView_SharedNotificationIsWrittenOnce(t *testing.T) {
 	store := newMemoryStore("e")
 	var views []*View
@@ -326,7 +328,7 @@
 		view.ApplyPage(store.page(ReadRange{Complete: true}), 1)
 		views = append(views, view)
 	}
-	// notifyAll returns how many revisions it costs that all nodes list the server in a phase.
+	// notifyAll lists the server in a phase at all nodes, and returns how many revisions the store assigned for that.
 	notifyAll := func(phase string, now int64) int64 {
 		before := store.meta.Revision
 		for i, view := range views {
@@ -334,7 +336,7 @@
 			server.ListRevision = int64(1000 * (i%3 + 1))
 			view.ApplyDiscovery("s", []Observation{server}, true, now+int64(i))
 		}
-		for _, view := range views { // none has read the others' writes
+		for _, view := range views { // no view has read the others' writes
 			store.writePending(t, view)
 		}
 		for _, view := range views {
@@ -349,7 +351,7 @@
 		assert.Equal(t, PhaseDraining, phaseOf(view, "a", 300))
 	}
 
-	// A drain with another effect is written: another end, another process, a new drain after an end.
+	// A drain with another effect is written: another process, another expiry, an end, a new drain after the end.
 	write := func(expectedRevision int64, drain Drain) {
 		before := store.meta.Revision
 		value, err := json.Marshal(drain)
@@ -366,14 +368,14 @@
 	}
 	write(AnyRevision, Drain{Start: 6, Since: 7, By: "op", Until: 900})
 	write(AnyRevision, Drain{Start: 6, Since: 8, By: "op", Until: 950})
-	latest := store.meta.Revision // robincart record undrain writes the next one so
+	latest := store.meta.Revision // the next change is the one that robincart record undrain writes
 	write(latest, Drain{Start: 6, Since: 8, By: "op", Until: 950, Ended: true, Supersedes: latest})
 	write(AnyRevision, Drain{Start: 6, Since: 9, By: "op", Until: 950, Supersedes: store.meta.Revision})
 }
 
-// A store that was rolled back to just what a node had read last, behind what that node has written since, has lost
-// that write: the node detects it, and writes it again.
-func TestView_DetectsRollbackBehindOwnWrite(t *testing.T) {
+// A store is rolled back to the revision that a node had read last, and so loses a change that the node has written
+// since. The node detects the rollback and writes the change again.
+func TestView_DetectsRollbackOfOwnWrite(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		t.Run(fmt.Sprintf("restarted=%t", restarted), func(t *testing.T) {
 			store := newMemoryStore("e")
