--- a/internal/record/replica/access.go
+++ b/internal/record/replica/access.go
@@ -6,14 +6,14 @@
 	"robincart/internal/record/record"
 )
 
-// Limits of a node's write.
+// Limits of a node's write call.
 const (
 	MaxChangesPerCall = 1000
-	MaxValueSize      = 4 << 10 // bytes: observations and drains are short
+	MaxValueSize      = 4 << 10 // in bytes; observations and drains are short
 )
 
-// ForbiddenChangeError reports a change that nodes may not make: services, routes and tenants are configured by
-// operators and the controller's leader, at the store.
+// ForbiddenChangeError reports a change that nodes may not make. Services, routes and tenants are written by operators
+// and the controller's leader only, directly to the store.
 type ForbiddenChangeError struct {
 	Key record.Key
 }
@@ -23,11 +23,11 @@
 		e.Key.Kind, e.Key.Name)
 }
 
-// CheckAllowed returns an error if a node may not make one of the changes: if it is not one of a server or a drain, or
-// beyond the limits.
+// CheckAllowed returns an error if a node may not make one of the changes: it is invalid or exceeds a limit, or it is
+// neither a write or deletion of a server nor a write of a drain.
 func CheckAllowed(epoch string, changes []record.Change) error {
 	if len(changes) > MaxChangesPerCall {
-		return fmt.Errorf("%d changes in one call are more than %d", len(changes), MaxChangesPerCall)
+		return fmt.Errorf("the call has %d changes, more than %d", len(changes), MaxChangesPerCall)
 	}
 	if len(epoch) > record.MaxNameLength {
 		return record.ErrEpochMismatch
@@ -45,7 +45,7 @@
 		return err
 	}
 	if len(change.Value) > MaxValueSize {
-		return fmt.Errorf("%s %s: a value of %d bytes is more than %d",
+		return fmt.Errorf("%s %s: the value has %d bytes, more than %d",
 			change.Kind, change.Name, len(change.Value), MaxValueSize)
 	}
 	switch change.Kind {
--- a/internal/record/replica/copy.go
+++ b/internal/record/replica/copy.go
@@ -1,7 +1,7 @@
-// Package replica has the rules by which a replica of the controller answers nodes in place of the store of record.
-// Copy decides what the replica's copy can answer, CheckAllowed which changes a node may make, and Queue merges the
-// equal changes of many nodes into one write. It has no clock, no socket and no database, and starts no goroutine;
-// package recordserver has those.
+// Package replica implements the rules by which a replica of the controller serves nodes in place of the store of
+// record. Copy decides which calls the replica can answer from its copy, CheckAllowed decides which changes a node may
+// make, and Queue merges equal changes of many nodes into one write. The package has no clock, no socket and no
+// database, and starts no goroutine; package recordserver has those.
 package replica
 
 import (
@@ -13,13 +13,14 @@
 	"robincart/internal/record/record"
 )
 
-// Copy is the record as the replica has last read it. Its zero value is empty. It is not safe for concurrent use.
+// Copy is a replica's copy of the record, as of its last read. Its zero value is empty. It is not safe for concurrent
+// use.
 type Copy struct {
 	meta            record.Meta
-	writtenRevision int64 // highest revision this replica has written since the last read: the store was there
+	writtenRevision int64 // highest revision this replica has written since the last read; the store has reached it
 	entries         map[record.Key]record.Entry
-	bytes           int            // of entries
-	byRevision      []record.Entry // entries in order; nil: to be sorted again
+	bytes           int            // size of entries, as limited by record.MaxBytes
+	byRevision      []record.Entry // entries sorted by revision; nil: to be sorted again
 }
 
 // Meta returns the copy's position. Its epoch is empty until the first read.
@@ -28,7 +29,7 @@
 // Len returns the number of entries, deleted ones included.
 func (c *Copy) Len() int { return len(c.entries) }
 
-// NextRead returns what to read from a store at a position, and whether there is anything to read.
+// NextRead returns the range to read from a store that is at a position, and whether there is anything to read.
 func (c *Copy) NextRead(store record.Meta) (record.ReadRange, bool) {
 	if store.Epoch != c.meta.Epoch || store.Revision < c.position() {
 		return record.ReadRange{Complete: true}, true
@@ -39,11 +40,12 @@
 	return record.ReadRange{After: c.meta.Revision}, true
 }
 
-// position returns the highest revision at which the store is known to have been.
+// position returns the highest revision that the store is known to have reached.
 func (c *Copy) position() int64 { return max(c.meta.Revision, c.writtenRevision) }
 
-// Apply merges a page read from the store, all of it or, with record.ErrTooLarge, nothing. It returns whether the
-// record was rolled back or has another epoch: then nodes that follow the copy have to be notified.
+// Apply merges a page read from the store. If the copy would become too large, it merges nothing and returns
+// record.ErrTooLarge. It returns true if the record was rolled back or changed its epoch: the nodes that follow the
+// copy then have to be notified.
 func (c *Copy) Apply(page record.Page) (bool, error) {
 	var err error
 	if page.Complete {
@@ -100,18 +102,18 @@
 	return nil
 }
 
-// size returns what an entry counts towards record.MaxBytes.
+// size returns the number of bytes by which an entry counts towards record.MaxBytes.
 func size(entry record.Entry) int {
 	return len(entry.Name) + len(entry.Value) + len(entry.Writer) + len(entry.IdempotencyKey)
 }
 
-// NoteWritten notes an entry that the store returned for a write.
+// NoteWritten records the revision of an entry that the store returned for a write.
 func (c *Copy) NoteWritten(entry record.Entry) {
 	c.writtenRevision = max(c.writtenRevision, entry.Revision)
 }
 
-// IsCurrentFor reports whether the copy can answer a node at a position. A node that is further, or in another epoch,
-// was answered by a replica that may know more.
+// IsCurrentFor reports whether the copy is recent enough for a node that has read up to a position. A node at a higher
+// revision or in another epoch has read from a replica whose copy may be newer.
 func (c *Copy) IsCurrentFor(node record.Meta) bool {
 	if c.meta.Epoch == "" {
 		return false
@@ -119,7 +121,7 @@
 	return node.Epoch == "" || node.Epoch == c.meta.Epoch && node.Revision <= c.meta.Revision
 }
 
-// Since returns what changed after a revision, as a store does: at most limit entries, in the order of revisions.
+// Since returns the entries that changed after a revision, as a store does: at most limit entries, sorted by revision.
 func (c *Copy) Since(after int64, limit int) record.Page {
 	if c.byRevision == nil {
 		c.byRevision = slices.SortedFunc(maps.Values(c.entries), func(a, b record.Entry) int {
@@ -141,12 +143,12 @@
 
 // Resolution is the outcome of a change that needs no write.
 type Resolution struct {
-	Entry record.Entry // that is stored
+	Entry record.Entry // the stored entry
 	Err   error        // a *record.ConflictError or *record.StaleError, if the store would reject the change
 }
 
-// Resolve returns a change's outcome if the copy knows it. A change that would be written has to be sent to the store,
-// and so has one whose writer has seen more than the copy.
+// Resolve returns a change's outcome if it can be decided from the copy. It returns false for a change that has to be
+// sent to the store: one that would be written, or one that expects a revision newer than the copy.
 func (c *Copy) Resolve(change *record.Change) (Resolution, bool) {
 	current, exists := c.entries[change.Key]
 	if !exists || change.ExpectedRevision > c.meta.Revision {
--- a/internal/record/replica/copy_test.go
+++ b/internal/record/replica/copy_test.go
@@ -24,7 +24,7 @@
 	return record.Page{Meta: meta, Complete: true, Entries: entries}
 }
 
-func TestCopy_AnswersAsTheStore(t *testing.T) {
+func TestCopy_AnswersLikeStore(t *testing.T) {
 	c := &Copy{}
 	apply := func(page record.Page, wantRolledBack bool, message ...any) {
 		t.Helper()
@@ -45,7 +45,7 @@
 		assert.False(t, needed)
 	}
 
-	assert.False(t, c.IsCurrentFor(record.Meta{}), "nothing was read")
+	assert.False(t, c.IsCurrentFor(record.Meta{}), "nothing was read yet")
 	first := record.Meta{Epoch: "e", Revision: 4}
 	wantRead(first, complete)
 	apply(completePage(first,
@@ -82,7 +82,7 @@
 	other := record.Meta{Epoch: "f", Revision: 9}
 	apply(completePage(other), true, "another epoch")
 	c.NoteWritten(serverEntry("s/a", 10, `{}`))
-	wantRead(other, complete, "the store was rolled back behind a write")
+	wantRead(other, complete, "the store was rolled back to before a write")
 	apply(completePage(other), true)
 	wantNoRead(other)
 }
@@ -153,9 +153,9 @@
 		assert.ErrorAs(t, resolution.Err, &conflict)
 	})
 	for name, change := range map[string]record.Change{
-		"another phase":  observe("s/a", record.PhaseDraining, 2),
-		"another server": observe("s/c", record.PhaseReady, 2),
-		"writer that has seen more than the copy": deletion(9),
+		"another phase":                observe("s/a", record.PhaseDraining, 2),
+		"another server":               observe("s/c", record.PhaseReady, 2),
+		"revision newer than the copy": deletion(9),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, known := c.Resolve(&change)
@@ -164,13 +164,14 @@
 	}
 }
 
-// followingNode is a node that reads copies, and checks that none of them takes it back to something older.
+// followingNode is a node that reads from copies and checks that it never reads an older state than before.
 type followingNode struct {
 	position  record.Meta
 	revisions map[record.Key]int64
 }
 
-// read reads a copy, which is brought up to date first if it is behind the node and the store is reachable.
+// read reads from a copy. A copy that is behind the node is updated first; if the store is unreachable, nothing is
+// read.
 func (n *followingNode) read(t *rapid.T, c *Copy, storeReachable bool, update func(*Copy)) {
 	if !c.IsCurrentFor(n.position) {
 		if !storeReachable {
@@ -185,19 +186,19 @@
 	page := c.Since(n.position.Revision, 1000)
 	for _, entry := range page.Entries {
 		if entry.Revision < n.revisions[entry.Key] {
-			t.Fatalf("taken back to %d from %d", entry.Revision, n.revisions[entry.Key])
+			t.Fatalf("%s: read revision %d after %d", entry.Name, entry.Revision, n.revisions[entry.Key])
 		}
 		n.revisions[entry.Key] = entry.Revision
 	}
 	if page.Meta.Epoch == n.position.Epoch && page.Meta.Revision < n.position.Revision {
-		t.Fatalf("taken back to %+v from %+v", page.Meta, n.position)
+		t.Fatalf("read position %+v after %+v", page.Meta, n.position)
 	}
 	n.position = page.Meta
 }
 
-// Nodes that go from copy to copy, each of which lags as it likes and some of which lose the store for a while, are
-// never taken back; and once all copies are up to date, the nodes have what the store has.
-func TestCopy_ChangingReplicasTakesNoNodeBack(t *testing.T) {
+// Nodes read from random copies. The copies lag behind the store by random amounts, and the store is unreachable at
+// times. No node reads an older state than before, and once all copies are up to date the nodes have the store's state.
+func TestCopy_NodesChangingReplicasNeverReadOlderState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		meta := record.Meta{Epoch: "e0"}
 		entries := map[record.Key]record.Entry{}
@@ -219,9 +220,9 @@
 		copies := []*Copy{{}, {}, {}}
 		nodes := []*followingNode{{revisions: map[record.Key]int64{}}, {revisions: map[record.Key]int64{}}}
 		epochs := 0
-		order := map[string]int{"": -1, "e0": 0} // a later epoch is never left for an earlier one
+		order := map[string]int{"": -1, "e0": 0} // of the epochs; a node never returns to an earlier one
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2: // a write
 				meta.Revision++
 				entry := serverEntry(fmt.Sprint("s/", rapid.IntRange(0, 3).Draw(t, "key")), meta.Revision, `{}`)
@@ -240,7 +241,7 @@
 				c := rapid.SampledFrom(copies).Draw(t, "copy")
 				node.read(t, c, rapid.Bool().Draw(t, "reachable"), update)
 				if order[node.position.Epoch] < order[before.Epoch] {
-					t.Fatalf("from %+v to %+v", before, node.position)
+					t.Fatalf("read epoch of %+v after %+v", node.position, before)
 				}
 			}
 		}
@@ -250,7 +251,7 @@
 			}
 			node.read(t, copies[0], true, update)
 			if node.position != meta || len(node.revisions) != len(entries) {
-				t.Fatalf("%+v of %+v", node, meta)
+				t.Fatalf("node has %+v, expected position %+v and %d entries", node, meta, len(entries))
 			}
 		}
 	})
--- a/internal/record/replica/queue.go
+++ b/internal/record/replica/queue.go
@@ -6,10 +6,10 @@
 	"robincart/internal/record/record"
 )
 
-// MaxPendingWrites is the limit of the writes that wait for the store.
+// MaxPendingWrites is the maximum number of writes that wait for the store.
 const MaxPendingWrites = 10_000
 
-// PendingWrite is one change on its way to the store, for all nodes that asked for it.
+// PendingWrite is a change that is queued for the store, on behalf of all nodes that requested it.
 type PendingWrite struct {
 	Change record.Change
 	Epoch  string
@@ -24,14 +24,14 @@
 	Merged int // changes that were merged with an earlier one
 
 	waiting []*PendingWrite
-	byKey   map[record.Key][]*PendingWrite // those that wait and those that were taken but not completed
+	byKey   map[record.Key][]*PendingWrite // writes that wait, or were taken but not completed
 }
 
 // Len returns how many writes wait.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Add queues a change. If an equal one waits, or was taken but not completed, it returns that. If the queue is full it
-// returns nil.
+// Add queues a change and returns its write. If an equal change waits, or was taken but not completed, Add returns that
+// one's write instead. If the queue is full it returns nil.
 func (q *Queue) Add(epoch string, change record.Change) *PendingWrite {
 	for _, write := range q.byKey[change.Key] {
 		if write.Epoch == epoch && equal(&write.Change, &change) {
@@ -51,8 +51,9 @@
 	return write
 }
 
-// Next takes the next writes, at most limit: of one epoch, each key once, in the order in which they were added. Drains
-// come first and by themselves, so that they do not wait for a large batch.
+// Next takes a batch of at most limit writes from the queue, in the order in which they were added. A batch has writes
+// of one epoch only, and one write per key. Drains are taken first, in batches of their own, so that they do not wait
+// for a large batch.
 func (q *Queue) Next(limit int) []*PendingWrite {
 	if batch := q.take(limit, true); len(batch) > 0 {
 		return batch
@@ -60,9 +61,9 @@
 	return q.take(limit, false)
 }
 
-// take takes the next writes that are drains, or those that are not.
+// take takes the next batch of drains or, if drains is false, the next batch of other writes.
 func (q *Queue) take(limit int, drains bool) []*PendingWrite {
-	var batch, left []*PendingWrite
+	var batch, remaining []*PendingWrite
 	seen := map[record.Key]bool{} // a later write of a key waits for the earlier one
 	for _, write := range q.waiting {
 		key := write.Change.Key
@@ -70,26 +71,26 @@
 		if fits && !seen[key] && (key.Kind == record.KindDrain) == drains {
 			batch = append(batch, write)
 		} else {
-			left = append(left, write)
+			remaining = append(remaining, write)
 		}
 		seen[key] = true
 	}
 	if len(batch) > 0 {
-		q.waiting = left
+		q.waiting = remaining
 	}
 	return batch
 }
 
-// Complete removes writes that were taken and that the store has answered.
+// Complete removes writes that were taken and that the store has answered. Later equal changes are queued anew.
 func (q *Queue) Complete(batch []*PendingWrite) {
 	for _, write := range batch {
 		key := write.Change.Key
-		left := slices.DeleteFunc(q.byKey[key], func(other *PendingWrite) bool { return other == write })
-		if len(left) == 0 {
+		remaining := slices.DeleteFunc(q.byKey[key], func(other *PendingWrite) bool { return other == write })
+		if len(remaining) == 0 {
 			delete(q.byKey, key)
 			continue
 		}
-		q.byKey[key] = left
+		q.byKey[key] = remaining
 	}
 }
 
--- a/internal/record/replica/queue_test.go
+++ b/internal/record/replica/queue_test.go
@@ -59,5 +59,5 @@
 		require.Less(t, n, MaxPendingWrites)
 		q.Complete(batch)
 	}
-	assert.Empty(t, q.byKey, "nothing is held of what was completed")
+	assert.Empty(t, q.byKey, "completed writes are removed")
 }
--- a/internal/record/store/controllers.go
+++ b/internal/record/store/controllers.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	controllersScheme = "controllers:" // of the address of a store that is read through controllers
+	controllersScheme = "controllers:" // of the address of a store that is accessed through controllers
 	maxControllers    = 8
 )
 
-// ParseControllers returns the addresses of the controller's replicas in a store's address, nearest first, and whether
-// the address has that form at all.
+// ParseControllers returns the addresses of the controller's replicas in a store's address, nearest first. It returns
+// false if the address does not begin with "controllers:".
 func ParseControllers(address string) ([]string, bool, error) {
 	list, ok := strings.CutPrefix(address, controllersScheme)
 	if !ok {
@@ -30,28 +30,28 @@
 	}
 	addresses := strings.Split(list, ",")
 	if len(addresses) > maxControllers {
-		return nil, true, fmt.Errorf("%d controllers are more than %d", len(addresses), maxControllers)
+		return nil, true, fmt.Errorf("found %d controllers, more than %d", len(addresses), maxControllers)
 	}
 	for i, replica := range addresses {
 		if host, port, err := net.SplitHostPort(replica); err != nil || host == "" || port == "" {
 			return nil, true, fmt.Errorf("%q is no address with a port", replica)
 		}
 		if slices.Contains(addresses[:i], replica) {
-			return nil, true, fmt.Errorf("%s stands twice", replica)
+			return nil, true, fmt.Errorf("%s is listed twice", replica)
 		}
 	}
 	return addresses, true, nil
 }
 
 const (
-	maxResponseSize = 64 << 20 // bytes, of a replica
+	maxResponseSize = 64 << 20 // bytes, of a replica's response
 	dialTimeout     = 1500 * time.Millisecond
 	minBackoff      = 50 * time.Millisecond
 	maxBackoff      = 2 * time.Second
 )
 
-// controllersClient is a ReplicaClient. It watches one replica of the controller, which notifies it of the record's
-// position, and makes its calls to that one.
+// controllersClient is a ReplicaClient. It watches one replica of the controller, receives the record's position from
+// it, and sends its calls to it.
 type controllersClient struct {
 	addresses       []string // nearest first
 	connect         func(ctx context.Context, address string) (net.Conn, error)
@@ -60,26 +60,26 @@
 
 	cancel   context.CancelFunc
 	watcher  sync.WaitGroup
-	notified wait.Signal // something may have been written
+	notified wait.Signal // set when the record may have changed
 
 	mu             sync.Mutex
 	watched        watchedReplica
 	confirmedAt    time.Time     // when the store itself confirmed the position
 	callerPosition record.Meta   // set by the caller
-	watchError     error         // of the last watch, while there is none
+	watchError     error         // of the last watch, while no replica is watched
 	rolledBack     bool          // a replica reported a rollback
 	changed        chan struct{} // closed and replaced when the watched replica or its position changes
 }
 
-// watchedReplica is the replica that is watched.
+// watchedReplica is the replica that is watched at present.
 type watchedReplica struct {
-	address  string // empty: none is
+	address  string // empty: none is watched
 	position record.Meta
-	number   int // of the watch, in the order in which they began
+	number   int // sequence number of the watch
 }
 
-// DialControllers returns the record as the controller's replicas have it: it uses the first that is reachable and not
-// behind. Secure, if set, returns the TLS configuration for a connection.
+// DialControllers returns a store that is accessed through the controller's replicas. It uses the first replica that is
+// reachable and not behind. The argument secure, if not nil, returns the TLS configuration for a replica's address.
 func DialControllers(addresses []string, secure func(address string) *tls.Config) Store {
 	dialer := net.Dialer{KeepAlive: -1}
 	connect := func(ctx context.Context, address string) (net.Conn, error) {
@@ -88,7 +88,7 @@
 	return DialControllersWith(connect, addresses, secure)
 }
 
-// DialControllersWith is DialControllers over connections that are made by a function.
+// DialControllersWith is DialControllers with connections made by the function connect.
 func DialControllersWith(
 	connect func(ctx context.Context, address string) (net.Conn, error),
 	addresses []string, secure func(address string) *tls.Config,
@@ -102,7 +102,7 @@
 		cancel:          cancel,
 		notified:        wait.NewSignal(),
 		changed:         make(chan struct{}),
-		watchError:      errors.New("not reached yet"),
+		watchError:      errors.New("not connected yet"),
 	}
 	c.watcher.Go(func() { c.run(ctx) })
 	return c
@@ -124,7 +124,7 @@
 		if time.Since(begin) > heartbeatTimeout {
 			backoff = minBackoff
 		}
-		// Jitter: clients that lost one replica must not meet the next one at once.
+		// Jitter: clients that lost one replica must not all connect to the next one at the same time.
 		wait.Sleep(ctx, backoff/2+time.Duration(rand.Int63n(int64(backoff))))
 		next++
 		if next == len(c.addresses) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// endWatch notes that no replica is watched.
+// endWatch records that no replica is watched, and the error that ended the last watch.
 func (c *controllersClient) endWatch(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,7 +146,8 @@
 	c.notifyChange()
 }
 
-// notifyChange wakes those who wait for the watched replica or its position. The mutex is held.
+// notifyChange wakes the goroutines that wait for a change of the watched replica or its position. The caller holds the
+// mutex.
 func (c *controllersClient) notifyChange() {
 	close(c.changed)
 	c.changed = make(chan struct{})
@@ -164,12 +165,12 @@
 	secured := tls.Client(connection, c.secure(address))
 	if err := secured.HandshakeContext(ctx); err != nil {
 		connection.Close()
-		return nil, fmt.Errorf("keys: %w", err)
+		return nil, fmt.Errorf("TLS handshake failed, check the keys: %w", err)
 	}
 	return secured, nil
 }
 
-// awaitReplica returns the watched replica and the caller's position, as soon as there is one.
+// awaitReplica waits until a replica is watched, and returns it and the caller's position.
 func (c *controllersClient) awaitReplica(ctx context.Context) (watchedReplica, record.Meta, error) {
 	for {
 		c.mu.Lock()
@@ -208,8 +209,8 @@
 	return answer, err
 }
 
-// advance notes the position of a replica when it answered a call, if that watch still lasts: the position may be
-// further than in the last notification.
+// advance raises the watched replica's position to the one in its answer to a call, which may be newer than that of the
+// last notification. It has no effect if the watch with that number has ended.
 func (c *controllersClient) advance(watchNumber int, position record.Meta) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -219,7 +220,7 @@
 	c.watched.position.Revision = max(c.watched.position.Revision, position.Revision)
 }
 
-// Meta implements Store: the watched replica's position.
+// Meta implements Store. It returns the watched replica's position.
 func (c *controllersClient) Meta(ctx context.Context) (record.Meta, error) {
 	watched, _, err := c.awaitReplica(ctx)
 	return watched.position, err
@@ -237,7 +238,7 @@
 ) ([]record.Entry, record.Meta, error) {
 	answer, err := c.call(ctx, request{Op: opWrite, Epoch: epoch, Changes: changes})
 	if err == nil && len(answer.Entries) != len(changes) {
-		err = fmt.Errorf("the controller answered %d of %d changes", len(answer.Entries), len(changes))
+		err = fmt.Errorf("the controller returned entries for %d of %d changes", len(answer.Entries), len(changes))
 	}
 	return answer.Entries, answer.Meta, err
 }
--- a/internal/record/store/controllers_test.go
+++ b/internal/record/store/controllers_test.go
@@ -224,7 +224,7 @@
 		"":                                `"" is no address`,
 		"10.0.0.5":                        "is no address",
 		":8600":                           "is no address",
-		"a:1,a:1":                         "stands twice",
+		"a:1,a:1":                         "listed twice",
 		"a:1,":                            "is no address",
 		"a:1" + strings.Repeat(",b:1", 8): "more than 8",
 	} {
--- a/internal/record/store/protocol.go
+++ b/internal/record/store/protocol.go
@@ -12,10 +12,11 @@
 	"robincart/internal/record/record"
 )
 
-// The protocol of a store in another process: a connection for each call, one line of JSON in each direction. The
-// answer to opFollow is a stream of lines: positions, empty lines as heartbeats, and a response at the end.
+// The protocol of a store in another process uses one connection per call, and one line of JSON in each direction: a
+// request and a response. The answer to opFollow is a stream of lines: positions, empty lines as heartbeats, and a
+// response at the end.
 
-// Calls, as on the wire.
+// Values of the field Op of a request.
 const (
 	opMeta   = "meta"
 	opSince  = "since"
@@ -25,35 +26,35 @@
 )
 
 const (
-	// maxMessageSize limits, in bytes, what a node and its store's process read of each other's calls.
+	// maxMessageSize is the maximum size, in bytes, of a request or response between a node and its store's process.
 	maxMessageSize = 256 << 20
-	// defaultCallTime is how long the callee may take if the caller has no deadline.
+	// defaultCallTime is the time limit of a call whose context has no deadline.
 	defaultCallTime = time.Minute
 )
 
-// request is a call, as on the wire.
+// request is a call, as it is transmitted.
 type request struct {
 	Op       string          `json:"op"`
 	After    int64           `json:"after,omitempty"` // of opSince
 	Limit    int             `json:"most,omitempty"`  // of opSince: entries; of opWait: milliseconds
 	Epoch    string          `json:"epoch,omitempty"`
 	Changes  []record.Change `json:"changes,omitempty"`
-	TimeLeft time.Duration   `json:"left"`         // for which the caller waits
+	TimeLeft time.Duration   `json:"left"`         // until the caller's deadline
 	Position *record.Meta    `json:"at,omitempty"` // of the caller, for a replica; a store's own process ignores it
 }
 
-// response is the result of a call, as on the wire.
+// response is the result of a call, as it is transmitted.
 type response struct {
 	Meta     record.Meta           `json:"meta"`
 	Page     record.Page           `json:"page"`
 	Entries  []record.Entry        `json:"facts,omitempty"`
 	Error    string                `json:"fault,omitempty"` // text, for people
-	Code     string                `json:"name,omitempty"`  // of one of errorCodes
+	Code     string                `json:"name,omitempty"`  // a key of errorCodes
 	Conflict *record.ConflictError `json:"conflict,omitempty"`
 	Stale    *record.StaleError    `json:"stale,omitempty"`
 }
 
-// errorCodes are the errors that the other side can tell apart, by their names on the wire.
+// errorCodes has the errors that a client can distinguish, by their transmitted codes.
 var errorCodes = map[string]error{
 	"foreign":   ErrForeign,
 	"newer":     ErrSchemaNewer,
@@ -102,7 +103,8 @@
 	return errors.New(r.Error)
 }
 
-// remoteError has the text of an error of the other process, and wraps the error of errorCodes that it is.
+// remoteError is an error of the other process. It has that error's text and wraps the error of errorCodes with its
+// code.
 type remoteError struct {
 	text string
 	kind error
@@ -111,13 +113,13 @@
 func (e *remoteError) Error() string { return e.text }
 func (e *remoteError) Unwrap() error { return e.kind }
 
-// roundTrip makes one call over a connection of its own, which it closes. It reads at most maxResponse bytes of the
-// answer. Peer names the other side in errors.
+// roundTrip makes one call over a connection and closes the connection. It reads at most maxResponse bytes of the
+// answer. In errors, peer is the name of the other side.
 func roundTrip(
 	ctx context.Context, connection net.Conn, call request, maxResponse int64, peer string,
 ) (response, error) {
 	defer connection.Close()
-	stop := context.AfterFunc(ctx, func() { connection.SetDeadline(time.Unix(1, 0)) }) // long ago
+	stop := context.AfterFunc(ctx, func() { connection.SetDeadline(time.Unix(1, 0)) }) // in the past: ends I/O
 	defer stop()
 	call.TimeLeft = defaultCallTime
 	if deadline, ok := ctx.Deadline(); ok {
@@ -134,7 +136,7 @@
 	if ctx.Err() != nil {
 		err = ctx.Err()
 	}
-	if call.Op == opWrite { // it may have been done
+	if call.Op == opWrite { // the store may have committed it
 		err = errors.Join(ErrOutcomeUnknown, err)
 	}
 	return response{}, fmt.Errorf("%s: %w", peer, err)
--- a/internal/record/store/remote.go
+++ b/internal/record/store/remote.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	remoteName = "the store's program" // in errors
-	// waitMargin is how much longer than a Wait its call may take.
+	remoteName = "the store's program" // the other side's name in errors
+	// waitMargin is the time by which the deadline of opWait exceeds the timeout of Wait.
 	waitMargin = time.Second
 )
 
--- a/internal/record/store/serve.go
+++ b/internal/record/store/serve.go
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// ServerLimits bound the clients of a store that is served.
+// ServerLimits limits the clients of a server and their calls.
 type ServerLimits struct {
 	MaxClients   int           // connections; 0: no limit
-	MaxCallBytes int64         // size of a call
-	CallTimeout  time.Duration // for a call to arrive
-	WriteTimeout time.Duration // for each line to a client that follows
-	AllowedCalls []string      // by their names on the wire; nil: all
+	MaxCallBytes int64         // size of a request
+	CallTimeout  time.Duration // for a request to arrive
+	WriteTimeout time.Duration // for each line sent to a client that watches
+	AllowedCalls []string      // values of a request's Op; nil: all
 }
 
 const (
-	localTimeout     = 10 * time.Second // of calls and writes between a node and its store's process
+	localTimeout     = 10 * time.Second // of requests and writes between a node and its store's process
 	acceptRetryDelay = 10 * time.Millisecond
 	maxCallTime      = time.Hour
-	responseTime     = 10 * time.Second // after a call's own time, for its response
+	responseTime     = 10 * time.Second // for sending the response, in addition to the call's time
 	maxSinceLimit    = 10_000           // entries in one response
 )
 
-// Serve answers calls to a store on a listener until the context ends. The clients are trusted: a node's process.
+// Serve answers calls to a store on a listener until the context ends. It trusts its client, a node's process.
 func Serve(ctx context.Context, listener net.Listener, store Store) {
 	ServeWithLimits(ctx, listener, store, ServerLimits{
 		MaxCallBytes: maxMessageSize,
@@ -74,7 +74,7 @@
 // server answers calls to a store.
 type server struct {
 	store   Store
-	replica Replica // the store, if it is one; else nil
+	replica Replica // the store, if it is a Replica; else nil
 	limits  ServerLimits
 }
 
@@ -90,7 +90,7 @@
 	callTime := min(max(call.TimeLeft, 0), maxCallTime)
 	connection.SetDeadline(time.Now().Add(callTime + responseTime))
 	var cancel context.CancelFunc
-	if s.isWatch(call) { // it ends with the client
+	if s.isWatch(call) { // it has no time limit
 		ctx, cancel = context.WithCancel(ctx)
 	} else {
 		ctx, cancel = context.WithTimeout(ctx, callTime)
@@ -117,11 +117,11 @@
 
 func respond(connection net.Conn, answer response, err error) {
 	answer.setError(err)
-	json.NewEncoder(connection).Encode(answer) // a client that has left needs none
+	json.NewEncoder(connection).Encode(answer) // an error means that the client has disconnected
 }
 
-// cancelOnHangup cancels a call when its client closes the connection. The channel that it returns is closed when
-// nothing reads the connection any more.
+// cancelOnHangup cancels a call when its client closes the connection. The returned channel is closed when the
+// goroutine that reads the connection has ended.
 func cancelOnHangup(reader *bufio.Reader, cancel context.CancelFunc) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -132,10 +132,10 @@
 	return done
 }
 
-// isWatch reports whether a call lasts until its client leaves.
+// isWatch reports whether a call lasts until its client disconnects.
 func (s *server) isWatch(call request) bool { return call.Op == opFollow && s.replica != nil }
 
-// answer makes a call to the store.
+// answer executes a client's call on the store.
 func (s *server) answer(ctx context.Context, connection net.Conn, call request) (response, error) {
 	var answer response
 	if s.replica != nil && call.Position != nil && call.Op != opWrite {
@@ -165,7 +165,7 @@
 	return answer, err
 }
 
-// watch writes the replica's positions to a client, until that leaves or is too slow.
+// watch sends the replica's positions to a client until the client disconnects or is too slow.
 func (s *server) watch(ctx context.Context, connection net.Conn) error {
 	connection.SetReadDeadline(time.Time{})
 	err := s.replica.Watch(ctx, func(position *Position) error {
--- a/internal/record/store/watch.go
+++ b/internal/record/store/watch.go
@@ -17,12 +17,12 @@
 const (
 	maxLineSize      = 4 << 10                 // bytes, of a line in an answer to opFollow
 	heartbeatTimeout = 5 * time.Second         // a working replica sends a line every two seconds
-	maxPositionAge   = 4 * time.Second         // of a replica that is not left for one with a newer position
-	probeTimeout     = 1500 * time.Millisecond // of another replica's first line
-	maxAgeMillis     = 1 << 40                 // what a replica can claim
+	maxPositionAge   = 4 * time.Second         // above it, another replica is probed for a newer position
+	probeTimeout     = 1500 * time.Millisecond // for the first line of a probed replica
+	maxAgeMillis     = 1 << 40                 // milliseconds; larger ages of positions are reduced to it
 )
 
-// unreachableAge is the age of the position of a replica that does not answer.
+// unreachableAge is the age that probe returns for a replica that does not answer.
 const unreachableAge time.Duration = math.MaxInt64
 
 // fresherReplicaError ends a watch because another replica has a newer position of the store.
@@ -32,7 +32,7 @@
 	return "the controller at " + e.address + " has a newer position of the record"
 }
 
-// replicaWatch is one connection over which a replica notifies of its position.
+// replicaWatch is a connection over which a replica sends its position whenever it changes.
 type replicaWatch struct {
 	client         *controllersClient
 	address        string
@@ -81,7 +81,7 @@
 		if err := w.checkAge(ctx, position); err != nil {
 			return err
 		}
-		w.note(position)
+		w.updateClient(position)
 	}
 }
 
@@ -90,8 +90,9 @@
 	return json.NewEncoder(connection).Encode(call)
 }
 
-// checkAge probes one other replica if this one's position is old: it may be cut off from the store while another one
-// is not. It returns a *fresherReplicaError if that has a position of less than half the age.
+// checkAge probes one other replica if the watched one's position is older than maxPositionAge: the watched replica may
+// have lost the store while the other one has not. It returns a *fresherReplicaError if the age of the other replica's
+// position is less than half of the watched one's.
 func (w *replicaWatch) checkAge(ctx context.Context, position *Position) error {
 	addresses := w.client.addresses
 	if position == nil || position.age() <= maxPositionAge || len(addresses) == 1 {
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// note takes a position, or with nil a heartbeat.
-func (w *replicaWatch) note(position *Position) {
+// updateClient updates the client with a position that has arrived, or with nil for a heartbeat.
+func (w *replicaWatch) updateClient(position *Position) {
 	c := w.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +121,7 @@
 	c.confirmedAt = now.Add(-position.age())
 	isNewer := position.Meta.Epoch != c.watched.position.Epoch || position.Meta.Revision > c.watched.position.Revision
 	if w.isNotified && !isNewer {
-		return // a call that was answered while the line was on its way may have advanced the position
+		return // while the line was in transit, the answer to a call may have advanced the position
 	}
 	if !w.isNotified {
 		w.isNotified = true
@@ -131,7 +132,7 @@
 	c.notifyChange()
 }
 
-// probe returns the age of another replica's position.
+// probe returns the age of another replica's position, or unreachableAge.
 func (c *controllersClient) probe(ctx context.Context, address string, callerPosition record.Meta) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -181,7 +182,8 @@
 		return nil, err
 	}
 	if line.Meta.Epoch == "" || line.Meta.Revision < 0 || line.Age < 0 {
-		return nil, errors.New("invalid line: it has no position of the record")
+		return nil, fmt.Errorf("invalid line: it has no position of the record: epoch %q, revision %d, age %d ms",
+			line.Meta.Epoch, line.Meta.Revision, line.Age)
 	}
 	return &line.Position, nil
 }
