--- a/internal/record/store/controllers_test.go
+++ b/internal/record/store/controllers_test.go
@@ -23,14 +23,15 @@
 	eventPoll    = time.Millisecond
 )
 
-// verifyNoLeaks fails the test if a goroutine of it is left after all cleanups that are registered later.
+// verifyNoLeaks fails the test if one of its goroutines still runs after all cleanups that are registered later.
 func verifyNoLeaks(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, leaks) })
 }
 
-// peer answers calls by a function that gets the connection and the call's line. It returns its address.
-func peer(t *testing.T, answer func(connection net.Conn, line string)) string {
+// startPeer starts a server that handles each call by a function of the connection and the request line. It returns the
+// server's address.
+func startPeer(t *testing.T, answer func(connection net.Conn, line string)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var handlers sync.WaitGroup
@@ -75,7 +76,7 @@
 		"not read":           {`{"fault":"nothing was read of the record yet","name":"x"}` + "\n", "nothing was read"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := peer(t, func(connection net.Conn, _ string) { fmt.Fprint(connection, test.line) })
+			address := startPeer(t, func(connection net.Conn, _ string) { fmt.Fprint(connection, test.line) })
 			client := dialControllers(t, address)
 			ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
 			defer cancel()
@@ -87,7 +88,7 @@
 	}
 }
 
-// answeringPeer is a replica that notifies of the position e 7, and answers other calls with a line.
+// answeringPeer is a replica that sends the position of epoch e and revision 7, and answers other calls with a line.
 type answeringPeer struct {
 	mu      sync.Mutex
 	answer  string
@@ -121,7 +122,7 @@
 
 func TestControllersClient_Calls(t *testing.T) {
 	replica := &answeringPeer{}
-	address := peer(t, replica.handle)
+	address := startPeer(t, replica.handle)
 	client := dialControllers(t, address)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
@@ -146,18 +147,18 @@
 		_, err := client.Since(ctx, 1, 10)
 		require.NoError(t, err)
 		meta, _ := client.Meta(ctx)
-		assert.EqualValues(t, 8, meta.Revision, "and never takes it back")
+		assert.EqualValues(t, 8, meta.Revision, "an answer never lowers the position")
 	})
 	t.Run("endless answer", func(t *testing.T) {
 		replica.set(`{"fault":"`, true)
 		client.maxResponseSize = 2 << 20
 		_, err := client.Since(ctx, 1, 10)
 		assert.ErrorContains(t, err, address)
-		assert.NoError(t, ctx.Err(), "it ended by the limit of its size")
+		assert.NoError(t, ctx.Err(), "the limit of the response's size ended the call, not its deadline")
 	})
 }
 
-// agingPeers are replicas that notify of their positions all the time. The epoch is the replica's name.
+// agingPeers are replicas that send their positions continuously. The epoch is the replica's name.
 type agingPeers struct {
 	mu        sync.Mutex
 	ageMillis map[string]int // by name
@@ -170,7 +171,7 @@
 }
 
 func (p *agingPeers) start(t *testing.T, name string) string {
-	return peer(t, func(connection net.Conn, _ string) {
+	return startPeer(t, func(connection net.Conn, _ string) {
 		for {
 			p.mu.Lock()
 			age := p.ageMillis[name]
@@ -184,8 +185,8 @@
 	})
 }
 
-// A replica that is cut off from the store goes on notifying of an old position: it is left for one that has a newer
-// position, and not for one that has not.
+// A replica that has lost the store continues to send an old position. The client changes to another replica only if
+// that one's position is newer.
 func TestControllersClient_PrefersFresherReplica(t *testing.T) {
 	peers := &agingPeers{}
 	peers.setAges(0, 60_000)
@@ -198,7 +199,7 @@
 
 	peers.setAges(20_000, 60_000)
 	require.Eventually(t, func() bool { return client.Age() > 15*time.Second }, eventTimeout, eventPoll)
-	for range 20 { // it probes the other all the time, and stays
+	for range 20 { // the client probes the second replica and stays with the first
 		time.Sleep(10 * time.Millisecond)
 		require.Equal(t, "first", watched())
 	}
--- a/internal/record/store/golden_test.go
+++ b/internal/record/store/golden_test.go
@@ -1,8 +1,8 @@
 package store
 
-// The golden files under testdata were written by the program's text at commit 0cdd5b2: the lines that a node of that
-// version sends to its store's program and to the controller, and the lines that those answer. They must never be
-// written anew to follow a rename: a test that fails here says that the protocol has changed.
+// The golden files under testdata were written by the code of commit 0cdd5b2: the request lines that a node of that
+// version sends to its store's process and to the controller, and the lines with which these answer. Never regenerate
+// the files after a rename: a test that fails here has found a change of the protocol.
 
 import (
 	"bufio"
@@ -27,8 +27,8 @@
 	"robincart/internal/testutil/golden"
 )
 
-// patience bounds the wait for an answer that a changed form keeps away.
-const patience = 10 * time.Second
+// answerTimeout limits the wait for an answer that does not arrive because the protocol has changed.
+const answerTimeout = 10 * time.Second
 
 var (
 	goldenMeta  = record.Meta{Epoch: "epoch-1", Revision: 41}
@@ -72,7 +72,7 @@
 }
 
 func TestGolden_JSON(t *testing.T) {
-	t.Run("call", func(t *testing.T) {
+	t.Run("request", func(t *testing.T) {
 		golden.FullJSON(t, "call.json", request{
 			Op:       "write",
 			After:    11,
@@ -83,8 +83,8 @@
 			Position: &goldenKnown,
 		})
 	})
-	t.Run("call zero", func(t *testing.T) { golden.JSON(t, "call_zero.json", request{}) })
-	t.Run("reply", func(t *testing.T) {
+	t.Run("request zero", func(t *testing.T) { golden.JSON(t, "call_zero.json", request{}) })
+	t.Run("response", func(t *testing.T) {
 		golden.FullJSON(t, "reply.json", response{
 			Meta:     goldenMeta,
 			Page:     goldenPage(),
@@ -95,14 +95,14 @@
 			Stale:    goldenStale(),
 		})
 	})
-	t.Run("reply zero", func(t *testing.T) { golden.JSON(t, "reply_zero.json", response{}) })
-	t.Run("stand", func(t *testing.T) { golden.FullJSON(t, "stand.json", Position{Meta: goldenMeta, Age: 250}) })
-	t.Run("stand zero", func(t *testing.T) { golden.JSON(t, "stand_zero.json", Position{}) })
+	t.Run("response zero", func(t *testing.T) { golden.JSON(t, "reply_zero.json", response{}) })
+	t.Run("position", func(t *testing.T) { golden.FullJSON(t, "stand.json", Position{Meta: goldenMeta, Age: 250}) })
+	t.Run("position zero", func(t *testing.T) { golden.JSON(t, "stand_zero.json", Position{}) })
 }
 
-// Each side knows an error of the other by its code, whatever its text.
+// Each side identifies an error of the other side by its code, regardless of the text.
 func TestGolden_ErrorCodes(t *testing.T) {
-	names := map[string]error{
+	codes := map[string]error{
 		"foreign":   ErrForeign,
 		"newer":     ErrSchemaNewer,
 		"older":     ErrSchemaOlder,
@@ -117,28 +117,28 @@
 		"behind":    record.ErrReplicaBehind,
 		"back":      record.ErrRolledBack,
 	}
-	assert.Len(t, errorCodes, len(names))
-	for name, known := range names {
+	assert.Len(t, errorCodes, len(codes))
+	for code, known := range codes {
 		var written response
 		written.setError(known)
-		assert.Equal(t, name, written.Code)
-		read := response{Error: "a text", Code: name}
+		assert.Equal(t, code, written.Code)
+		read := response{Error: "a text", Code: code}
 		assert.ErrorIs(t, read.err(), known)
 	}
 }
 
-// recorder keeps the lines of calls.
+// recorder records the request lines of calls.
 type recorder struct {
 	mu    sync.Mutex
 	lines bytes.Buffer
 }
 
-// anyTime is the time that a caller waits, of a call with a deadline.
-var anyTime = regexp.MustCompile(`"left":\d+`)
+// timeLeftField is the field TimeLeft of a request, which varies for a call with a deadline.
+var timeLeftField = regexp.MustCompile(`"left":\d+`)
 
 func (r *recorder) add(line string) {
 	if strings.Contains(line, `"op":"wait"`) {
-		line = anyTime.ReplaceAllString(line, `"left":0`)
+		line = timeLeftField.ReplaceAllString(line, `"left":0`)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,10 +151,10 @@
 	return bytes.Clone(r.lines.Bytes())
 }
 
-// answerOnce serves the connections of a listener: each call's line is recorded, and answered with a golden reply.
-func (r *recorder) answerOnce(t *testing.T, listener net.Listener, replies map[string][]byte) {
-	var all sync.WaitGroup
-	all.Go(func() {
+// serve records the request line of each connection to a listener, and answers it with the golden response for its op.
+func (r *recorder) serve(t *testing.T, listener net.Listener, responses map[string][]byte) {
+	var server sync.WaitGroup
+	server.Go(func() {
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
@@ -162,14 +162,14 @@
 			}
 			line, _ := bufio.NewReader(connection).ReadString('\n')
 			r.add(line)
-			connection.Write(replies[opOf(line)])
+			connection.Write(responses[opOf(line)])
 			connection.Close()
 		}
 	})
-	t.Cleanup(func() { listener.Close(); all.Wait() })
+	t.Cleanup(func() { listener.Close(); server.Wait() })
 }
 
-// opOf reads a call's name off its line, by no type of the program.
+// opOf returns the op of a request line. It decodes none of the types under test.
 func opOf(line string) string {
 	var keys map[string]any
 	json.Unmarshal([]byte(line), &keys)
@@ -177,23 +177,23 @@
 	return op
 }
 
-// goldenLines are the lines of a golden file, each with its end.
+// goldenLines returns the lines of a golden file, each with its newline.
 func goldenLines(t *testing.T, name string) []string {
 	t.Helper()
 	return slices.Collect(strings.Lines(string(golden.Read(t, name))))
 }
 
-// The lines that a node sends to its store's program, and what it makes of the answers.
+// Checks the request lines that a node sends to its store's process, and the results that it decodes from the answers.
 func TestGolden_RemoteCalls(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "s")
 	listener, err := net.Listen("unix", socket)
 	require.NoError(t, err)
 	var calls recorder
-	replies := map[string][]byte{}
+	responses := map[string][]byte{}
 	for _, op := range []string{"meta", "since", "write", "wait"} {
-		replies[op] = golden.Read(t, "served_"+op+".json")
+		responses[op] = golden.Read(t, "served_"+op+".json")
 	}
-	calls.answerOnce(t, listener, replies)
+	calls.serve(t, listener, responses)
 
 	remote := Remote(socket)
 	meta, err := remote.Meta(t.Context())
@@ -210,7 +210,7 @@
 	golden.Check(t, "remote_calls.jsonl", calls.bytes())
 }
 
-// What a node makes of a rejection that comes with the stored entry.
+// Checks the errors that a node decodes from the answers to a rejected or failed write.
 func TestGolden_RemoteErrors(t *testing.T) {
 	for _, rejection := range []string{"conflict", "stale", "fault"} {
 		t.Run(rejection, func(t *testing.T) {
@@ -218,7 +218,7 @@
 			listener, err := net.Listen("unix", socket)
 			require.NoError(t, err)
 			var calls recorder
-			calls.answerOnce(t, listener, map[string][]byte{"write": golden.Read(t, "served_"+rejection+".json")})
+			calls.serve(t, listener, map[string][]byte{"write": golden.Read(t, "served_"+rejection+".json")})
 			_, _, err = Remote(socket).Write(t.Context(), "epoch-1", []record.Change{goldenChange()})
 			switch rejection {
 			case "conflict":
@@ -233,18 +233,18 @@
 	}
 }
 
-// The lines that a node sends to the controller, and what it makes of the answers.
+// Checks the request lines that a node sends to the controller, and the results that it decodes from the answers.
 func TestGolden_ControllerCalls(t *testing.T) {
 	var calls recorder
 	position := golden.Read(t, "stand.json")
 	since := golden.Read(t, "served_since.json")
 	write := golden.Read(t, "served_write.json")
-	address := peer(t, func(connection net.Conn, line string) {
+	address := startPeer(t, func(connection net.Conn, line string) {
 		calls.add(line)
 		switch opOf(line) {
 		case "follow":
 			connection.Write(position)
-			connection.Read(make([]byte, 1)) // until the caller leaves
+			connection.Read(make([]byte, 1)) // until the caller disconnects
 		case "since":
 			connection.Write(since)
 		case "write":
@@ -253,7 +253,7 @@
 	})
 	controllers := DialControllers([]string{address}, nil)
 	defer controllers.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), answerTimeout)
 	defer cancel()
 	meta, err := controllers.Meta(ctx)
 	require.NoError(t, err)
@@ -269,31 +269,31 @@
 	golden.Check(t, "controller_calls.jsonl", calls.bytes())
 }
 
-// fixedStore answers each call with the golden values, and notes the calls.
+// fixedStore answers each call with the golden values, and records the calls.
 type fixedStore struct {
 	Store
 	rejection error
 	calls     []string
 }
 
-func (s *fixedStore) note(format string, arguments ...any) {
+func (s *fixedStore) recordCall(format string, arguments ...any) {
 	s.calls = append(s.calls, fmt.Sprintf(format, arguments...))
 }
 
 func (s *fixedStore) Meta(context.Context) (record.Meta, error) {
-	s.note("meta")
+	s.recordCall("meta")
 	return goldenMeta, nil
 }
 
 func (s *fixedStore) Since(_ context.Context, after int64, limit int) (record.Page, error) {
-	s.note("since %d, %d at most", after, limit)
+	s.recordCall("since %d, %d at most", after, limit)
 	return goldenPage(), nil
 }
 
 func (s *fixedStore) Write(
 	_ context.Context, epoch string, changes []record.Change,
 ) ([]record.Entry, record.Meta, error) {
-	s.note("write %s, as expected: %t", epoch, assert.ObjectsAreEqual([]record.Change{goldenChange()}, changes))
+	s.recordCall("write %s, as expected: %t", epoch, assert.ObjectsAreEqual([]record.Change{goldenChange()}, changes))
 	if s.rejection != nil {
 		return nil, record.Meta{}, s.rejection
 	}
@@ -301,15 +301,15 @@
 }
 
 func (s *fixedStore) Wait(_ context.Context, timeout time.Duration) error {
-	s.note("wait %v", timeout)
+	s.recordCall("wait %v", timeout)
 	return nil
 }
 
-// fixedReplica notifies of two positions, with a heartbeat between, and then of a rollback.
+// fixedReplica sends two positions, with a heartbeat between them, and then the error of a rollback.
 type fixedReplica struct{ fixedStore }
 
-func (s *fixedReplica) CheckFresh(_ context.Context, at record.Meta) error {
-	s.note("knows %s %d", at.Epoch, at.Revision)
+func (s *fixedReplica) CheckFresh(_ context.Context, node record.Meta) error {
+	s.recordCall("check fresh for %q %d", node.Epoch, node.Revision)
 	return nil
 }
 
@@ -322,20 +322,20 @@
 	return &remoteError{"what went wrong", record.ErrRolledBack}
 }
 
-// exchange sends a call's line to a store that is served, and reads all of the answer.
+// exchange serves a store, sends it a request line, and returns the complete answer.
 func exchange(t *testing.T, served Store, line string) []byte {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
-	var all sync.WaitGroup
-	all.Go(func() { Serve(ctx, listener, served) })
-	defer all.Wait()
+	var server sync.WaitGroup
+	server.Go(func() { Serve(ctx, listener, served) })
+	defer server.Wait()
 	defer cancel()
 	connection, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer connection.Close()
-	require.NoError(t, connection.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, connection.SetDeadline(time.Now().Add(answerTimeout)))
 	_, err = io.WriteString(connection, line)
 	require.NoError(t, err)
 	answer, err := io.ReadAll(connection)
@@ -343,7 +343,7 @@
 	return answer
 }
 
-// What the program answers to the lines that a node of the golden's version sends.
+// Checks the answers to the request lines that a node of the golden files' version sends.
 func TestGolden_Served(t *testing.T) {
 	calls := map[string]string{
 		"meta":  "meta",
@@ -356,7 +356,7 @@
 	for _, line := range lines {
 		op := opOf(line)
 		if op == "wait" {
-			line = anyTime.ReplaceAllString(line, `"left":3500000000`)
+			line = timeLeftField.ReplaceAllString(line, `"left":3500000000`)
 		}
 		served := &fixedStore{}
 		golden.Check(t, "served_"+op+".json", exchange(t, served, line))
@@ -365,7 +365,7 @@
 }
 
 func TestGolden_ServedErrors(t *testing.T) {
-	// The texts are for people and may change: they are not the program's here.
+	// Error texts are for people and may change, so the golden files have texts of the test.
 	for name, rejection := range map[string]error{
 		"conflict": &remoteError{"what went wrong", goldenConflict()},
 		"stale":    &remoteError{"what went wrong", goldenStale()},
@@ -384,14 +384,14 @@
 	golden.Check(t, "served_since.json", exchange(t, served, lines[1]))
 	golden.Check(t, "served_write.json", exchange(t, served, lines[2]))
 	assert.Equal(t, []string{
-		"knows  0",
-		"knows epoch-2 42",
+		`check fresh for "" 0`,
+		`check fresh for "epoch-2" 42`,
 		"since 11, 12 at most",
 		"write epoch-1, as expected: true",
 	}, served.calls)
 }
 
-// What a node reads off the connection over which a replica notifies of the record's position.
+// Checks the positions and the error that a node decodes from the answer to opFollow.
 func TestGolden_FollowStream(t *testing.T) {
 	stream := bufio.NewReaderSize(bytes.NewReader(golden.Read(t, "follow_stream.jsonl")), maxLineSize)
 	for _, want := range []*Position{{Meta: goldenMeta, Age: 250}, nil, {Meta: goldenKnown}} {
--- a/internal/record/store/serve_test.go
+++ b/internal/record/store/serve_test.go
@@ -56,7 +56,7 @@
 	return line
 }
 
-// Clients may be too many, too slow, send too much, or make calls that are not allowed.
+// The server limits the number of clients, the size and duration of a request, and the calls that are allowed.
 func TestServeWithLimits(t *testing.T) {
 	verifyNoLeaks(t)
 	address := startServer(t, "tcp", "127.0.0.1:0", func(ctx context.Context, listener net.Listener) {
@@ -100,7 +100,7 @@
 	})
 }
 
-// A node's own store process serves no opFollow and ignores a caller's position, in this version and before.
+// A node's own store process does not serve opFollow and ignores a caller's position, as in earlier versions.
 func TestServe_LocalStore(t *testing.T) {
 	verifyNoLeaks(t)
 	path := startServer(t, "unix", filepath.Join(t.TempDir(), "s"), func(ctx context.Context, listener net.Listener) {
--- a/internal/record/store/sqlstore/admin.go
+++ b/internal/record/store/sqlstore/admin.go
@@ -31,7 +31,7 @@
 		return nil, d.wrapError(err)
 	}
 	if dryRun {
-		return steps, nil // all of it was tried, and is rolled back
+		return steps, nil // all steps were executed, and are rolled back
 	}
 	return steps, d.commit(tx)
 }
@@ -46,7 +46,8 @@
 	return version, err
 }
 
-// migrate brings the schema forward from a version, or creates the record. It returns what it did.
+// migrate migrates the schema from a version to schemaVersion, or creates the record if the version is 0. It returns
+// the steps that it did.
 func (d *database) migrate(ctx context.Context, tx *sql.Tx, version int64) ([]string, error) {
 	var steps []string
 	migrations := d.dialect.migrations()
@@ -56,7 +57,7 @@
 				return nil, err
 			}
 		}
-		steps = append(steps, fmt.Sprintf("schema %d to %d", from, from+1))
+		steps = append(steps, fmt.Sprintf("migrate the schema from version %d to %d", from, from+1))
 	}
 	if version == schemaVersion {
 		return steps, nil
@@ -66,14 +67,14 @@
 		_, err := tx.ExecContext(ctx, update, int64(schemaVersion))
 		return steps, err
 	}
-	steps = append(steps, "a new record, with an epoch of its own")
+	steps = append(steps, "create the record with a new epoch")
 	insert := "INSERT INTO record_meta (application, schema_version, epoch, revision) VALUES (" +
 		d.dialect.parameters(4) + ")"
 	_, err := tx.ExecContext(ctx, insert, application, int64(schemaVersion), newEpoch(), int64(0))
 	return steps, err
 }
 
-// Replace implements store.Database. It leaves deleted entries out: no follower of the new epoch has had them.
+// Replace implements store.Database. It omits deleted entries: no follower of the new epoch has them in its copy.
 func (d *database) Replace(ctx context.Context, entries []record.Entry) (record.Meta, error) {
 	tx, err := d.beginWrite(ctx)
 	if err != nil {
@@ -105,25 +106,25 @@
 
 // Verify implements store.Database.
 func (d *database) Verify(ctx context.Context) ([]string, error) {
-	wrong, err := d.verifyRevisions(ctx)
+	faults, err := d.verifyRevisions(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for page, err := range store.Pages(ctx, d.Since, 0, verifyPageSize) {
 		if err != nil {
-			return wrong, err
+			return faults, err
 		}
 		for _, entry := range page.Entries {
 			if err := entry.Validate(); err != nil {
-				wrong = append(wrong, fmt.Sprintf("revision %d: %v", entry.Revision, err))
+				faults = append(faults, fmt.Sprintf("revision %d: %v", entry.Revision, err))
 			}
 		}
 	}
-	return wrong, nil
+	return faults, nil
 }
 
-// verifyRevisions checks that no two entries share a revision, and that none is beyond the record's. Its texts are part
-// of a command's output, in which entries are facts.
+// verifyRevisions checks that no two entries have the same revision, and that no entry's revision is above the
+// record's. Its texts are part of a command's output, which calls entries facts.
 func (d *database) verifyRevisions(ctx context.Context) ([]string, error) {
 	meta, err := d.Meta(ctx)
 	if err != nil {
@@ -134,13 +135,13 @@
 	if err := row.Scan(&count, &highest, &distinct); err != nil {
 		return nil, d.wrapError(err)
 	}
-	var wrong []string
+	var faults []string
 	if highest > meta.Revision {
-		finding := fmt.Sprintf("a fact has revision %d, and the record stands at %d", highest, meta.Revision)
-		wrong = append(wrong, finding)
+		finding := fmt.Sprintf("a fact has revision %d, above the record's revision %d", highest, meta.Revision)
+		faults = append(faults, finding)
 	}
 	if distinct != count {
-		wrong = append(wrong, fmt.Sprintf("%d facts share %d revisions", count, distinct))
+		faults = append(faults, fmt.Sprintf("%d facts have only %d different revisions", count, distinct))
 	}
-	return wrong, nil
+	return faults, nil
 }
--- a/internal/record/store/sqlstore/database.go
+++ b/internal/record/store/sqlstore/database.go
@@ -11,7 +11,7 @@
 	"robincart/internal/record/store"
 )
 
-// database has what SQLite and PostgreSQL do alike: all of store.Database but Wait.
+// database implements store.Database, except Wait, for both SQLite and PostgreSQL.
 type database struct {
 	db         *sql.DB
 	dialect    dialect
@@ -22,13 +22,13 @@
 	return &database{db: db, dialect: d, statements: newStatements(&d)}
 }
 
-// wrapError adds the error of package store that a database error means, if there is one.
+// wrapError adds the error of package store that corresponds to a database error, if there is one.
 func (d *database) wrapError(err error) error {
 	if err == nil || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		return err
 	}
-	if meaning := d.dialect.errorMeaning(err); meaning != nil {
-		return fmt.Errorf("%w (%w)", meaning, err)
+	if known := d.dialect.classifyError(err); known != nil {
+		return fmt.Errorf("%w (%w)", known, err)
 	}
 	return err
 }
@@ -57,7 +57,7 @@
 	return meta, version, nil
 }
 
-// readCurrentMeta returns the record's position if its schema is this program's.
+// readCurrentMeta returns the record's position. It returns an error if the schema's version is not schemaVersion.
 func (d *database) readCurrentMeta(ctx context.Context, q querier) (record.Meta, error) {
 	meta, version, err := d.readMeta(ctx, q)
 	if err != nil {
@@ -93,7 +93,7 @@
 	value   string
 }
 
-// targets returns where the columns of an entry go, in the order of the statements.
+// targets returns the scan targets of an entry's columns, in the order of the statements.
 func (r *entryRow) targets() []any {
 	entry := &r.entry
 	return []any{&entry.Revision, &r.deleted, &entry.Writer, &entry.IdempotencyKey, &entry.WrittenAt, &r.value}
@@ -198,7 +198,8 @@
 	return entries, meta, d.commit(tx)
 }
 
-// apply makes a change in a transaction, under a revision if it writes, and returns the entry as it is then.
+// apply applies a change in a transaction and returns the resulting entry. If the change is written, the entry gets the
+// given revision.
 func (d *database) apply(
 	ctx context.Context, tx *sql.Tx, change *record.Change, revision int64,
 ) (record.Entry, error) {
@@ -255,8 +256,8 @@
 	return d.wrapError(err)
 }
 
-// advanceRevision sets the record's revision, by compare-and-set beside the lock: if a proxy or a failover loses the
-// lock, two writers must not assign one revision to two changes.
+// advanceRevision sets the record's revision by compare-and-set, in addition to the lock: if a proxy or a failover
+// loses the lock, two writers must not assign the same revision to two changes.
 func (d *database) advanceRevision(ctx context.Context, tx *sql.Tx, from record.Meta, revision int64) error {
 	result, err := tx.ExecContext(ctx, d.statements.advanceRevision, revision, from.Epoch, from.Revision)
 	if err != nil {
@@ -264,7 +265,8 @@
 	}
 	affected, err := result.RowsAffected()
 	if err != nil || affected != 1 {
-		return fmt.Errorf("another writer was faster: %w", errors.Join(err, record.ErrEpochMismatch))
+		return fmt.Errorf("expected the record at revision %d of epoch %s, but another writer has changed it: %w",
+			from.Revision, from.Epoch, errors.Join(err, record.ErrEpochMismatch))
 	}
 	if d.dialect.notify == "" {
 		return nil
@@ -273,15 +275,15 @@
 	return d.wrapError(err)
 }
 
-// commit commits a transaction. If that fails without an answer of the database the outcome is unknown.
+// commit commits a transaction. If it fails without an answer from the database, the error is store.ErrOutcomeUnknown.
 func (d *database) commit(tx *sql.Tx) error {
 	err := tx.Commit()
 	if err == nil {
 		return nil
 	}
-	meaning := d.dialect.errorMeaning(err)
-	if meaning != nil && !errors.Is(meaning, store.ErrOutcomeUnknown) {
-		return fmt.Errorf("%w (%w)", meaning, err)
+	known := d.dialect.classifyError(err)
+	if known != nil && !errors.Is(known, store.ErrOutcomeUnknown) {
+		return fmt.Errorf("%w (%w)", known, err)
 	}
 	return fmt.Errorf("%w: %w", store.ErrOutcomeUnknown, err)
 }
--- a/internal/record/store/sqlstore/linearizability_test.go
+++ b/internal/record/store/sqlstore/linearizability_test.go
@@ -24,13 +24,13 @@
 	idempotencyKey   string
 }
 
-// registerState is the route as a call returned it.
+// registerState is the state of the route that a call returned.
 type registerState struct {
 	revision       int64
 	idempotencyKey string
 }
 
-// registerModel is one route as a register with compare-and-set.
+// registerModel models one route as a register with compare-and-set.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(stateValue, input, output any) (bool, any) {
@@ -38,16 +38,16 @@
 		if !call.isWrite {
 			return result == state, state
 		}
-		won := call.expectedRevision == state.revision
+		revisionMatches := call.expectedRevision == state.revision
 		if result.idempotencyKey == call.idempotencyKey {
-			return won && result.revision > state.revision, result
+			return revisionMatches && result.revision > state.revision, result
 		}
-		return !won && result == state, state
+		return !revisionMatches && result == state, state
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// call makes a call to a database. Its error says that the outcome is unknown.
+// call executes the call on a database. After an error the outcome is unknown.
 func (c registerCall) call(ctx context.Context, database store.Database, epoch string) (registerState, error) {
 	if !c.isWrite {
 		page, err := database.Since(ctx, 0, 9)
@@ -80,8 +80,8 @@
 	operations []porcupine.Operation
 }
 
-// race makes calls of one writer, each until its outcome is known.
-func (h *history) race(ctx context.Context, writer int, database store.Database, epoch string, cut func(*rand.Rand)) {
+// run makes the calls of one writer, and repeats each until its outcome is known.
+func (h *history) run(ctx context.Context, writer int, database store.Database, epoch string, cut func(*rand.Rand)) {
 	random := rand.New(rand.NewSource(int64(writer)))
 	lastRevision := int64(0)
 	for i := range 25 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// acknowledgedWrites returns how many writes have won.
+// acknowledgedWrites returns how many writes were applied.
 func (h *history) acknowledgedWrites() int {
 	count := 0
 	for _, operation := range h.operations {
@@ -121,9 +121,9 @@
 	return count
 }
 
-// Writers race on one route, and some of their connections are cut: the history is linearizable, and what was
-// acknowledged is there.
-func TestDatabase_RacingWritersAreLinearizable(t *testing.T) {
+// Several writers change one route concurrently, and some of their connections are cut. The history is linearizable,
+// and each acknowledged write has a revision.
+func TestDatabase_ConcurrentWritersAreLinearizable(t *testing.T) {
 	forEachDatabase(t, func(t *testing.T, open func() store.Database, postgres *pgstand.Server) {
 		epoch := initRecord(t, open()).Epoch
 		cut := func(random *rand.Rand) {
@@ -135,7 +135,7 @@
 		var writers sync.WaitGroup
 		for writer := range 4 {
 			database := open()
-			writers.Go(func() { h.race(t.Context(), writer, database, epoch, cut) })
+			writers.Go(func() { h.run(t.Context(), writer, database, epoch, cut) })
 		}
 		writers.Wait()
 		result := porcupine.CheckOperationsTimeout(registerModel, h.operations, 30*time.Second)
@@ -143,6 +143,6 @@
 		meta, err := open().Meta(t.Context())
 		assert.NoError(t, err)
 		assert.EqualValues(t, h.acknowledgedWrites(), meta.Revision,
-			"each acknowledged change has a revision, and nothing else has")
+			"there is one revision per acknowledged change, and no other")
 	})
 }
--- a/internal/record/store/sqlstore/postgres.go
+++ b/internal/record/store/sqlstore/postgres.go
@@ -20,7 +20,7 @@
 	notifyChannel             = "robincart_record"
 	postgresConnectTimeout    = 3 * time.Second // unless the address has one
 	postgresCloseTimeout      = time.Second
-	postgresMaxConnections    = 2 // beside the one that listens
+	postgresMaxConnections    = 2 // in addition to the one that listens
 	postgresMaxConnectionIdle = time.Minute
 )
 
@@ -30,17 +30,17 @@
 	config *pgx.ConnConfig
 
 	mu       sync.Mutex
-	listener *pgx.Conn // listens to notifyChannel; nil: none, or Wait has it
+	listener *pgx.Conn // listens to notifyChannel; nil: not open, or in use by Wait
 }
 
-// openPostgres returns a pool of connections and, for Wait, one that listens. Statements are not prepared on the
-// server: a connection pooler may be in between.
+// openPostgres returns a database with a pool of connections; Wait opens one more to listen. Statements are not
+// prepared on the server, since a connection pooler may be between the client and the server.
 func openPostgres(address string, dial pgconn.DialFunc) (store.Database, error) {
 	config, err := pgx.ParseConfig(address)
 	if err != nil {
 		var parseError *pgconn.ParseConfigError
-		if errors.As(err, &parseError) { // its text has the password
-			return nil, fmt.Errorf("postgres: the address %q can't be read", store.Redact(address))
+		if errors.As(err, &parseError) { // its text contains the password
+			return nil, fmt.Errorf("postgres: the address %q is invalid", store.Redact(address))
 		}
 		return nil, fmt.Errorf("postgres: %w", err)
 	}
@@ -63,15 +63,16 @@
 		integerType: "BIGINT",
 		countTables: "SELECT COUNT(*) FROM information_schema.tables" +
 			" WHERE table_schema = current_schema() AND table_name = $1",
-		// One number for all records of a database. If the lock is lost, the compare-and-set of the revision holds.
-		lock:         "SELECT pg_advisory_xact_lock(7275051002)",
-		notify:       "SELECT pg_notify('" + notifyChannel + "', $1)",
-		isolation:    sql.LevelRepeatableRead,
-		errorMeaning: postgresErrorMeaning,
+		// One lock for all records of a database. If it is lost, the compare-and-set of the revision still excludes
+		// other writers.
+		lock:          "SELECT pg_advisory_xact_lock(7275051002)",
+		notify:        "SELECT pg_notify('" + notifyChannel + "', $1)",
+		isolation:     sql.LevelRepeatableRead,
+		classifyError: classifyPostgresError,
 	}
 }
 
-// SQLSTATE codes, and the prefixes of classes of them.
+// SQLSTATE codes, and the prefixes of their classes.
 const (
 	classConnectionException  = "08"
 	classInvalidAuthorization = "28"
@@ -87,11 +88,12 @@
 	codeLockNotAvailable      = "55P03"
 )
 
-// errRejected is any other error that the database answered with.
-var errRejected = errors.New("the database refused")
+// errRejected stands for all other errors that the database answered with.
+var errRejected = errors.New("the database rejected the operation")
 
-// postgresErrorMeaning returns what an error means, nil if it is not the database's answer.
-func postgresErrorMeaning(err error) error {
+// classifyPostgresError returns the error of package store for an error, or errRejected. It returns nil if the error is
+// not an answer of the database.
+func classifyPostgresError(err error) error {
 	var answer *pgconn.PgError
 	if !errors.As(err, &answer) {
 		return nil
@@ -118,8 +120,8 @@
 	return errRejected
 }
 
-// Wait implements store.Store. It returns on a notification or after the timeout. A notification can be lost with its
-// connection: a caller that polls as well loses nothing.
+// Wait implements store.Store. It returns on a notification or after the timeout. Notifications are lost when the
+// connection ends, so a caller has to poll as well.
 func (p *postgresDatabase) Wait(ctx context.Context, timeout time.Duration) error {
 	listener := p.takeListener()
 	if listener == nil {
@@ -128,7 +130,7 @@
 			return p.wrapError(err)
 		}
 		p.putListener(listener)
-		return nil // there was no notification of what was written before
+		return nil // writes before LISTEN were not notified
 	}
 	waiting, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/record/store/sqlstore/schema.go
+++ b/internal/record/store/sqlstore/schema.go
@@ -11,23 +11,23 @@
 // schemaVersion is the version of the tables that this program reads and writes.
 const schemaVersion = 2
 
-// application, in the table record_meta, tells a record from anything else.
+// application is stored in the table record_meta and identifies the tables as a record of robincart.
 const application = "robincart record"
 
 const metaTable = "record_meta"
 
-// dialect is what the two databases do differently.
+// dialect has the differences between SQLite and PostgreSQL.
 type dialect struct {
-	parameter    func(n int) string // the n-th parameter of a statement, from 1
-	integerType  string
-	countTables  string // query: how many tables have a name
-	lock         string // statement: excludes other writers until the transaction ends; empty: its begin does
-	notify       string // statement: notifies of the revision that a transaction writes; empty: none
-	isolation    sql.IsolationLevel
-	errorMeaning func(error) error // the error of package store that a database error means; nil: unknown
+	parameter     func(n int) string // the n-th parameter of a statement, from 1
+	integerType   string
+	countTables   string // query for the number of tables with a name
+	lock          string // statement that excludes other writers until the transaction ends; empty: BEGIN does
+	notify        string // statement that notifies listeners of a written revision; empty: no notification
+	isolation     sql.IsolationLevel
+	classifyError func(error) error // returns the error of package store for a database error; nil: there is none
 }
 
-// statements are all that are ever sent, beside those of Init.
+// statements has the SQL statements that both databases use, except those of Init.
 type statements struct {
 	selectMeta      string
 	selectEntry     string
@@ -61,7 +61,7 @@
 	}
 }
 
-// parameters returns the first parameters of a statement, as a list.
+// parameters returns the first count parameters of a statement, separated by commas.
 func (d *dialect) parameters(count int) string {
 	list := make([]string, count)
 	for i := range list {
@@ -70,8 +70,8 @@
 	return strings.Join(list, ", ")
 }
 
-// migrations returns the statements that bring the schema from each version to the next. Those of a released version
-// never change.
+// migrations returns, for each version from 0, the statements that migrate the schema to the next version. Those of a
+// released version never change.
 func (d *dialect) migrations() [][]string {
 	integer := d.integerType
 	return [][]string{
@@ -90,9 +90,9 @@
 func checkSchema(version int64) error {
 	switch {
 	case version > schemaVersion:
-		return fmt.Errorf("%w (schema %d; this program knows %d)", store.ErrSchemaNewer, version, schemaVersion)
+		return fmt.Errorf("%w (found schema version %d, expected %d)", store.ErrSchemaNewer, version, schemaVersion)
 	case version < schemaVersion:
-		return fmt.Errorf("%w (schema %d; this program writes %d)", store.ErrSchemaOlder, version, schemaVersion)
+		return fmt.Errorf("%w (found schema version %d, expected %d)", store.ErrSchemaOlder, version, schemaVersion)
 	}
 	return nil
 }
--- a/internal/record/store/sqlstore/sqlite.go
+++ b/internal/record/store/sqlstore/sqlite.go
@@ -17,17 +17,17 @@
 const (
 	sqliteMaxConnections = 2
 	sqlitePollInterval   = 50 * time.Millisecond
-	sqlitePrimaryCode    = 0xff // the bits of an error code that are not the extended code
+	sqlitePrimaryCode    = 0xff // mask of an error code without its extended part
 )
 
 // sqliteDatabase is a record in an SQLite file.
 type sqliteDatabase struct{ *database }
 
-// openSQLite opens a file. SQLite's own lock, taken when a transaction begins, excludes other writers; a commit is on
-// the disk before it returns.
+// openSQLite opens a file. SQLite's own lock, acquired when a transaction begins, excludes other writers. A commit
+// returns after its data is on the disk.
 func openSQLite(path string, create bool) (store.Database, error) {
 	if path == "" {
-		return nil, errors.New("sqlite: without a path")
+		return nil, errors.New("sqlite: the address has no path, expected sqlite:PATH")
 	}
 	options := url.Values{
 		"_txlock": {"immediate"},
@@ -43,17 +43,17 @@
 	}
 	db.SetMaxOpenConns(sqliteMaxConnections)
 	return &sqliteDatabase{newDatabase(db, dialect{
-		parameter:    func(n int) string { return fmt.Sprintf("?%d", n) },
-		integerType:  "INTEGER",
-		countTables:  "SELECT COUNT(*) FROM sqlite_master WHERE type = 'table' AND name = ?1",
-		isolation:    sql.LevelDefault,
-		errorMeaning: func(err error) error { return sqliteErrorMeaning(err, create) },
+		parameter:     func(n int) string { return fmt.Sprintf("?%d", n) },
+		integerType:   "INTEGER",
+		countTables:   "SELECT COUNT(*) FROM sqlite_master WHERE type = 'table' AND name = ?1",
+		isolation:     sql.LevelDefault,
+		classifyError: func(err error) error { return classifySQLiteError(err, create) },
 	})}, nil
 }
 
-// sqliteErrorMeaning returns what an error means. A file that can't be opened is one that does not exist, unless it
-// could have been created.
-func sqliteErrorMeaning(err error, create bool) error {
+// classifySQLiteError returns the error of package store for an error of SQLite, or nil. A file that can't be opened
+// does not exist, unless Open would have created it: then access is denied.
+func classifySQLiteError(err error, create bool) error {
 	var sqliteError *sqlite.Error
 	if !errors.As(err, &sqliteError) {
 		return nil
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// Wait implements store.Store. It polls the file's counter of changes by other connections.
+// Wait implements store.Store. It polls the file's data version, which changes when another connection commits.
 func (s *sqliteDatabase) Wait(ctx context.Context, timeout time.Duration) error {
 	connection, err := s.db.Conn(ctx)
 	if err != nil {
--- a/internal/record/store/sqlstore/sqlstore.go
+++ b/internal/record/store/sqlstore/sqlstore.go
@@ -1,5 +1,5 @@
-// Package sqlstore has the databases that a record is stored in, SQLite and PostgreSQL. What a change may do is decided
-// by package record; this package does it in one transaction, with the same statements for both databases.
+// Package sqlstore stores a record in SQLite or PostgreSQL. Package record decides whether a change is written; this
+// package makes the decision and the write in one transaction, with the same statements for both databases.
 package sqlstore
 
 import (
@@ -13,7 +13,7 @@
 	"robincart/internal/record/store"
 )
 
-// The beginnings of a store's address.
+// Prefixes of a store's address.
 const (
 	sqliteScheme      = "sqlite:"
 	postgresScheme    = "postgres://"
@@ -24,11 +24,11 @@
 // connect yet; an SQLite file that does not exist is created when it is first used.
 func Open(address string) (store.Database, error) { return open(address, true) }
 
-// OpenExisting is Open for a database that has to exist. A node that starts before its file is there must not create an
-// empty one in its place, which it would go on reading when the file is put back.
+// OpenExisting is Open for a database that has to exist. A node that starts while its file is missing must not create
+// an empty one: it would continue to read the empty file after the missing one is put back.
 func OpenExisting(address string) (store.Database, error) { return open(address, false) }
 
-// OpenWithDialer returns the database at a PostgreSQL address, to which connections are made by a function.
+// OpenWithDialer returns the database at a PostgreSQL address, with connections made by the function dial.
 func OpenWithDialer(
 	address string, dial func(ctx context.Context, network, address string) (net.Conn, error),
 ) (store.Database, error) {
@@ -48,7 +48,7 @@
 
 const epochSize = 12 // bytes
 
-// newEpoch returns the epoch of a record that is created or replaced.
+// newEpoch returns a random epoch for a record that is created or replaced.
 func newEpoch() string {
 	epoch := make([]byte, epochSize)
 	rand.Read(epoch)
--- a/internal/record/store/sqlstore/sqlstore_test.go
+++ b/internal/record/store/sqlstore/sqlstore_test.go
@@ -67,7 +67,7 @@
 	return database.(*postgresDatabase).db
 }
 
-// exec executes a statement beside the store.
+// exec executes a statement directly on the database, not through the store.
 func exec(t *testing.T, database store.Database, statement string) {
 	t.Helper()
 	_, err := sqlDB(database).Exec(statement)
@@ -95,7 +95,7 @@
 		assert.NoError(t, err)
 		assert.Len(t, steps, 3)
 		_, err = database.Meta(ctx)
-		assert.ErrorIs(t, err, store.ErrNoRecord, "a dry run leaves nothing")
+		assert.ErrorIs(t, err, store.ErrNoRecord, "a dry run creates nothing")
 
 		meta := initRecord(t, database)
 		assert.Len(t, meta.Epoch, 24)
@@ -142,11 +142,11 @@
 		_, _, err = write(routeChange("c", 0, "3", "1"), routeChange("a", 0, "4", "2"))
 		var conflict *record.ConflictError
 		require.ErrorAs(t, err, &conflict)
-		assert.JSONEq(t, `{"to":"x"}`, string(conflict.Current.Value), "the loser gets what won")
+		assert.JSONEq(t, `{"to":"x"}`, string(conflict.Current.Value), "a conflict has the stored entry")
 		page, err := database.Since(ctx, 0, 9)
 		require.NoError(t, err)
 		assert.True(t, page.Complete)
-		assert.Len(t, page.Entries, 2, "nothing of the rejected changes is there")
+		assert.Len(t, page.Entries, 2, "none of the rejected changes is written")
 		assert.Equal(t, entries, page.Entries)
 
 		deletion := record.Change{
@@ -161,7 +161,7 @@
 		page, err = database.Since(ctx, 2, 9)
 		require.NoError(t, err)
 		assert.False(t, page.Complete)
-		assert.Equal(t, entries, page.Entries, "deletions as well")
+		assert.Equal(t, entries, page.Entries, "deletions are included")
 		page, err = database.Since(ctx, 0, 1)
 		require.NoError(t, err)
 		assert.EqualValues(t, 3, page.Meta.Revision, "a page has the position of its last entry")
@@ -190,14 +190,14 @@
 		assert.NotEqual(t, epoch, replaced.Epoch)
 		_, _, err = database.Write(ctx, epoch, []record.Change{routeChange("a", 1, "8", "1")})
 		assert.ErrorIs(t, err, record.ErrEpochMismatch, "a writer that has not seen the new epoch writes nothing")
-		wrong, err := database.Verify(ctx)
+		faults, err := database.Verify(ctx)
 		assert.NoError(t, err)
-		assert.Empty(t, wrong)
+		assert.Empty(t, faults)
 
 		exec(t, database, "UPDATE record_fact SET kind = 'nonsense', revision = 99")
-		wrong, err = database.Verify(ctx)
+		faults, err = database.Verify(ctx)
 		assert.NoError(t, err)
-		assert.Len(t, wrong, 2)
+		assert.Len(t, faults, 2)
 	})
 }
 
@@ -291,8 +291,8 @@
 	}
 }
 
-// A commit whose outcome is unknown is repeated with its idempotency key: it is done once, whether the first was done
-// or not.
+// A write with an unknown outcome is repeated with the same idempotency key. It is applied once, whether or not the
+// first commit was done.
 func TestPostgres_CommitOfUnknownOutcome(t *testing.T) {
 	postgres := startPostgres(t)
 	database := openDatabase(t, postgres.Address())
@@ -318,9 +318,9 @@
 			require.Less(t, attempt, 5, err)
 		}
 	}
-	wrong, err := database.Verify(t.Context())
+	faults, err := database.Verify(t.Context())
 	assert.NoError(t, err)
-	assert.Empty(t, wrong)
+	assert.Empty(t, faults)
 	meta, err := database.Meta(t.Context())
 	assert.NoError(t, err)
 	assert.EqualValues(t, 8, meta.Revision)
