--- a/internal/record/record/change.go
+++ b/internal/record/record/change.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// AnyRevision, as the ExpectedRevision of a change, disables the comparison with the entry's revision.
+// AnyRevision is an ExpectedRevision that matches every revision of an entry.
 const AnyRevision = -1
 
 // Change is a request to write or delete one entry.
@@ -242,7 +242,7 @@
 		return OutcomeWrite, nil
 	}
 	var requested Drain
-	json.Unmarshal(change.Value, &requested) // Validate has decoded it
+	json.Unmarshal(change.Value, &requested) // can't fail: Validate has decoded it
 	if requested.equivalent(stored) {
 		// All nodes are notified of the same drain, at different times. The first one that was written stays.
 		return OutcomeUnchanged, nil
@@ -265,7 +265,7 @@
 		return OutcomeWrite, nil
 	}
 	var requested Observation
-	json.Unmarshal(change.Value, &requested) // Validate has decoded it
+	json.Unmarshal(change.Value, &requested) // can't fail: Validate has decoded it
 	if requested.equivalent(stored) {
 		return OutcomeUnchanged, nil
 	}
--- a/internal/record/record/change_test.go
+++ b/internal/record/record/change_test.go
@@ -46,8 +46,8 @@
 				var previous, updated Drain
 				json.Unmarshal(before.Value, &previous)
 				json.Unmarshal(after.Value, &updated)
-				allowed := !updated.weakerThan(previous) || previous.Ended || revisionMatches
-				assert.True(t, allowed, "%+v after %+v", updated, previous)
+				assert.True(t, !updated.weakerThan(previous) || previous.Ended || revisionMatches,
+					"%+v after %+v", updated, previous)
 			}
 		}
 	})
--- a/internal/record/record/record.go
+++ b/internal/record/record/record.go
@@ -60,7 +60,7 @@
 	Revision       int64           `json:"revision"`          // assigned by the store; unique to this write
 	Deleted        bool            `json:"deleted,omitempty"` // a tombstone, so that followers learn of the deletion
 	Writer         string          `json:"by"`
-	IdempotencyKey string          `json:"mark"` // of the last write; a writer that got no answer checks it
+	IdempotencyKey string          `json:"mark"` // of the last write; shows a writer without an answer that it was applied
 	WrittenAt      int64           `json:"at_ms"`
 	Value          json.RawMessage `json:"value,omitempty"`
 }
@@ -120,8 +120,7 @@
 
 	// ErrEpochMismatch rejects a write or a read whose epoch differs from the store's: the record was restored,
 	// imported or recreated since the caller read it. The caller has to read it again before it writes.
-	ErrEpochMismatch = errors.New("the epoch does not match the record's: " +
-		"the record was restored, imported or recreated")
+	ErrEpochMismatch = errors.New("the record's epoch does not match: the record was restored, imported or recreated")
 
 	// ErrRolledBack ends a watch on a replica whose store was rolled back to an older revision or changed its epoch.
 	// The follower has to read the complete record, even if the store has since assigned revisions above those that
--- a/internal/record/record/values.go
+++ b/internal/record/record/values.go
@@ -59,7 +59,7 @@
 		return true
 	}
 	stored.ListRevision = o.ListRevision
-	storedValue, _ := json.Marshal(stored) // a struct of strings and numbers is always encoded
+	storedValue, _ := json.Marshal(stored) // can't fail: a struct of strings and numbers
 	return string(storedValue) == string(value)
 }
 
--- a/internal/record/record/view_pending.go
+++ b/internal/record/record/view_pending.go
@@ -77,7 +77,7 @@
 // dropped; the next endpoint list has it again.
 func (v *View) queueObservation(observation Observation) {
 	key := Key{Kind: KindServer, Name: observation.Service + "/" + observation.ID}
-	value, _ := json.Marshal(observation) // a struct of strings and numbers is always encoded
+	value, _ := json.Marshal(observation) // can't fail: a struct of strings and numbers
 	if entry, ok := v.entries[key]; ok && observation.impliedBy(entry, value) {
 		return
 	}
@@ -92,7 +92,7 @@
 // with its idempotency key, since an earlier attempt may have been written.
 func (v *View) queueDrain(name string, drain Drain) {
 	key := drainKey(name)
-	value, _ := json.Marshal(drain) // a struct of strings and numbers is always encoded
+	value, _ := json.Marshal(drain) // can't fail: a struct of strings and numbers
 	queued, ok := v.pending[key]
 	if ok && string(queued.Value) == string(value) {
 		return
--- a/internal/record/replica/access.go
+++ b/internal/record/replica/access.go
@@ -23,8 +23,8 @@
 		e.Key.Kind, e.Key.Name)
 }
 
-// CheckAllowed returns an error if a node may not make one of the changes: it is invalid or exceeds a limit, or it is
-// neither a write or deletion of a server nor a write of a drain.
+// CheckAllowed returns an error if a node may not make one of the changes. A node may write and delete servers and
+// write drains, within the limits of a call.
 func CheckAllowed(epoch string, changes []record.Change) error {
 	if len(changes) > MaxChangesPerCall {
 		return fmt.Errorf("the call has %d changes, more than %d", len(changes), MaxChangesPerCall)
--- a/internal/record/replica/copy_test.go
+++ b/internal/record/replica/copy_test.go
@@ -175,7 +175,7 @@
 func (n *followingNode) read(t *rapid.T, c *Copy, storeReachable bool, update func(*Copy)) {
 	if !c.IsCurrentFor(n.position) {
 		if !storeReachable {
-			return // rejected as behind
+			return // a replica returns record.ErrReplicaBehind
 		}
 		update(c)
 	}
--- a/internal/record/store/controllers.go
+++ b/internal/record/store/controllers.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	controllersScheme = "controllers:" // of the address of a store that is accessed through controllers
+	controllersScheme = "controllers:" // prefix of the address of a store that is accessed through controllers
 	maxControllers    = 8
 )
 
@@ -79,7 +79,8 @@
 }
 
 // DialControllers returns a store that is accessed through the controller's replicas. It uses the first replica that is
-// reachable and not behind. The argument secure, if not nil, returns the TLS configuration for a replica's address.
+// reachable and not behind the caller. The argument secure, if not nil, returns the TLS configuration for a replica's
+// address.
 func DialControllers(addresses []string, secure func(address string) *tls.Config) Store {
 	dialer := net.Dialer{KeepAlive: -1}
 	connect := func(ctx context.Context, address string) (net.Conn, error) {
--- a/internal/record/store/golden_test.go
+++ b/internal/record/store/golden_test.go
@@ -365,7 +365,7 @@
 }
 
 func TestGolden_ServedErrors(t *testing.T) {
-	// Error texts are for people and may change, so the golden files have texts of the test.
+	// Error texts are for people and may change, so the golden files contain texts of this test.
 	for name, rejection := range map[string]error{
 		"conflict": &remoteError{"what went wrong", goldenConflict()},
 		"stale":    &remoteError{"what went wrong", goldenStale()},
--- a/internal/record/store/protocol.go
+++ b/internal/record/store/protocol.go
@@ -119,7 +119,7 @@
 	ctx context.Context, connection net.Conn, call request, maxResponse int64, peer string,
 ) (response, error) {
 	defer connection.Close()
-	stop := context.AfterFunc(ctx, func() { connection.SetDeadline(time.Unix(1, 0)) }) // in the past: ends I/O
+	stop := context.AfterFunc(ctx, func() { connection.SetDeadline(time.Unix(1, 0)) }) // a past deadline ends I/O
 	defer stop()
 	call.TimeLeft = defaultCallTime
 	if deadline, ok := ctx.Deadline(); ok {
--- a/internal/record/store/serve.go
+++ b/internal/record/store/serve.go
@@ -90,7 +90,7 @@
 	callTime := min(max(call.TimeLeft, 0), maxCallTime)
 	connection.SetDeadline(time.Now().Add(callTime + responseTime))
 	var cancel context.CancelFunc
-	if s.isWatch(call) { // it has no time limit
+	if s.isWatch(call) { // a watch has no time limit
 		ctx, cancel = context.WithCancel(ctx)
 	} else {
 		ctx, cancel = context.WithTimeout(ctx, callTime)
@@ -171,7 +171,7 @@
 	err := s.replica.Watch(ctx, func(position *Position) error {
 		var line []byte // empty: a heartbeat
 		if position != nil {
-			line, _ = json.Marshal(position) // a struct of strings and numbers is always encoded
+			line, _ = json.Marshal(position) // can't fail: a struct of strings and numbers
 		}
 		connection.SetWriteDeadline(time.Now().Add(s.limits.WriteTimeout))
 		_, err := connection.Write(append(line, '\n'))
--- a/internal/record/store/sqlstore/schema.go
+++ b/internal/record/store/sqlstore/schema.go
@@ -20,7 +20,7 @@
 type dialect struct {
 	parameter     func(n int) string // the n-th parameter of a statement, from 1
 	integerType   string
-	countTables   string // query for the number of tables with a name
+	countTables   string // query for the number of tables with a given name
 	lock          string // statement that excludes other writers until the transaction ends; empty: BEGIN does
 	notify        string // statement that notifies listeners of a written revision; empty: no notification
 	isolation     sql.IsolationLevel
--- a/internal/record/store/sqlstore/sqlstore_test.go
+++ b/internal/record/store/sqlstore/sqlstore_test.go
@@ -59,7 +59,7 @@
 	return meta
 }
 
-// sqlDB returns the connections of a database.
+// sqlDB returns the connection pool of a database.
 func sqlDB(database store.Database) *sql.DB {
 	if sqlite, ok := database.(*sqliteDatabase); ok {
 		return sqlite.db
--- a/internal/record/store/store.go
+++ b/internal/record/store/store.go
@@ -15,7 +15,7 @@
 	"robincart/internal/record/record"
 )
 
-// Errors of a store. Their texts tell an operator how to resolve them.
+// Errors of a store that an operator may have to resolve.
 var (
 	ErrForeign     = errors.New("the database does not contain a robincart record")
 	ErrSchemaNewer = errors.New("the record was written by a newer version of robincart: use that version, " +
--- a/internal/record/store/watch.go
+++ b/internal/record/store/watch.go
@@ -19,7 +19,7 @@
 	heartbeatTimeout = 5 * time.Second         // a working replica sends a line every two seconds
 	maxPositionAge   = 4 * time.Second         // above it, another replica is probed for a newer position
 	probeTimeout     = 1500 * time.Millisecond // for the first line of a probed replica
-	maxAgeMillis     = 1 << 40                 // milliseconds; larger ages of positions are reduced to it
+	maxAgeMillis     = 1 << 40                 // milliseconds; larger reported ages are reduced to it
 )
 
 // unreachableAge is the age that probe returns for a replica that does not answer.
