--- a/internal/record/record/record.go
+++ b/internal/record/record/record.go
@@ -60,7 +60,7 @@
 	Revision       int64           `json:"revision"`          // assigned by the store; unique to this write
 	Deleted        bool            `json:"deleted,omitempty"` // a tombstone, so that followers learn of the deletion
 	Writer         string          `json:"by"`
-	IdempotencyKey string          `json:"mark"` // of the last write; shows a writer without an answer that it was applied
+	IdempotencyKey string          `json:"mark"` // of the last write; a writer without an answer looks it up
 	WrittenAt      int64           `json:"at_ms"`
 	Value          json.RawMessage `json:"value,omitempty"`
 }
