--- a/cmd/robincart-controller/config_test.go
+++ b/cmd/robincart-controller/config_test.go
@@ -55,7 +55,8 @@
 			"without [keys] it has to be a loopback address, and 10.0.0.1 is none"},
 		{"negative bounds", "[fanout]\nhistory = -1\n[record]\ncallers = -1\n",
 			"record.callers: it must not be negative\nfanout: history and watchers must not be negative"},
-		{"membership", "[membership]\nshrink_at = 2.0\n", "membership: shrink_at 2 must be above 0 and at most 1"},
+		{"membership", "[membership]\nshrink_at = 2.0\n",
+			"membership: shrink_at is 2 and shrink_for is 60 s: expected 0 < shrink_at <= 1"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			path := writeFile(t, validFile+test.added)
--- a/internal/controlplane/membership/config.go
+++ b/internal/controlplane/membership/config.go
@@ -2,27 +2,29 @@
 
 import "fmt"
 
-// Config sets delays and bounds. Durations are seconds.
+// Config sets the delays and limits of a State. Durations are in seconds.
 type Config struct {
-	// FlapDelay is how long a server that lost its readiness and has it again waits before it is ready. The delay
-	// doubles with each loss, up to MaxFlapDelay.
+	// FlapDelay is the delay before a server that lost its readiness and regained it is listed as ready again. The
+	// delay doubles with each loss, up to MaxFlapDelay.
 	FlapDelay    float64
 	MaxFlapDelay float64
-	// MaxShrinkFraction is the fraction of a service's servers that may vanish from its slices at once and be believed.
-	// What vanishes beyond that stays in the list for ShrinkHold, unless the pods are known to end.
+	// MaxShrinkFraction is the largest fraction of a service's ready servers that are treated as gone if they vanish
+	// from its slices within ShrinkHold. If more vanish, they stay in the list for ShrinkHold, unless their pods are
+	// known to end.
 	MaxShrinkFraction float64
 	ShrinkHold        float64
-	// ForgetAfter is how long a server that is gone is remembered, so that a late event can't bring it back.
+	// ForgetAfter is how long the state of a server that is gone is kept, so that a late event can't make the server
+	// ready again.
 	ForgetAfter float64
 	// SlowStartDuration is how long a server is in slow start after its readiness gate was opened.
 	SlowStartDuration float64
 	// MaxSlowStartFraction is the fraction of a service's servers that may be in slow start at once.
 	MaxSlowStartFraction float64
-	// DrainCordoned drains the servers of cordoned nodes.
+	// DrainCordoned makes the servers on cordoned nodes drain.
 	DrainCordoned bool
 }
 
-// DefaultConfig returns the configuration that is used where nothing is set.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		FlapDelay:            1,
@@ -35,23 +37,23 @@
 	}
 }
 
-// Validate returns what is wrong with the configuration, by the keys of the operator's file.
+// Validate returns an error for the first invalid value. It names values by their keys in the configuration file.
 func (c Config) Validate() error {
 	switch {
 	case c.FlapDelay < 0 || c.MaxFlapDelay < c.FlapDelay:
-		return fmt.Errorf("flap %v and flap_most %v: both at least 0, the second not below the first",
+		return fmt.Errorf("flap is %v s and flap_most is %v s: expected 0 <= flap <= flap_most",
 			c.FlapDelay, c.MaxFlapDelay)
 	case !isFraction(c.MaxShrinkFraction) || c.ShrinkHold <= 0:
-		return fmt.Errorf("shrink_at %v must be above 0 and at most 1, shrink_for %v above 0",
+		return fmt.Errorf("shrink_at is %v and shrink_for is %v s: expected 0 < shrink_at <= 1 and shrink_for > 0",
 			c.MaxShrinkFraction, c.ShrinkHold)
 	case c.ForgetAfter < c.ShrinkHold:
-		return fmt.Errorf("forget %v must not be below shrink_for %v", c.ForgetAfter, c.ShrinkHold)
+		return fmt.Errorf("forget is %v s: expected at least shrink_for, which is %v s", c.ForgetAfter, c.ShrinkHold)
 	case !isFraction(c.MaxSlowStartFraction) || c.SlowStartDuration < 0:
-		return fmt.Errorf("cold_most %v must be above 0 and at most 1, cold_for %v not below 0",
+		return fmt.Errorf("cold_most is %v and cold_for is %v s: expected 0 < cold_most <= 1 and cold_for >= 0",
 			c.MaxSlowStartFraction, c.SlowStartDuration)
 	}
 	return nil
 }
 
-// isFraction reports whether a value is above 0 and at most 1; NaN is not.
+// isFraction reports whether a value is above 0 and at most 1. It returns false for NaN.
 func isFraction(value float64) bool { return value > 0 && value <= 1 }
--- a/internal/controlplane/membership/evaluate.go
+++ b/internal/controlplane/membership/evaluate.go
@@ -6,29 +6,30 @@
 	"slices"
 )
 
-// server is one process of a service: a pod, or an address for which no pod is known.
+// server is one server of a service: a pod, or an address whose pod is not known.
 type server struct {
 	Member
 	service   string
 	pod       string
 	node      string
 	endpoints map[string]Endpoint // by key of the slices that list it
-	published bool                // the list had it after the last change
+	published bool                // its last published phase is not Gone
 
-	// ending says that the process is known to end. It is never reset.
+	// ending is true once the server is known to end. It is never reset.
 	ending    bool
-	goneSince float64 // 0: it has not gone, or it was never in a list
-	// vanishedSince is since when no slice lists it although its end is not known; 0: it has not vanished.
+	goneSince float64 // 0: it is not gone, or it was never in a list
+	// vanishedSince is the time at which it disappeared from all slices without its end being known; 0: it has not
+	// vanished.
 	vanishedSince float64
 
 	readinessLost   bool    // it was ready, and has not become ready again
-	readinessLosses int     // how often it lost its readiness
-	readyNotBefore  float64 // when the delay after its last loss ends; 0: no delay has begun
+	readinessLosses int     // number of times it lost its readiness
+	readyNotBefore  float64 // end of the delay after its last loss; 0: no delay has begun
 }
 
-// settle evaluates the servers that an observation touched, and returns what changed: servers that drain first, so
-// that nodes stop sending them requests as early as possible.
-func (s *State) settle() []Change {
+// evaluateDirty evaluates the dirty servers and returns the changes. Draining servers come first, so that nodes stop
+// sending them requests as early as possible.
+func (s *State) evaluateDirty() []Change {
 	servers := slices.SortedFunc(maps.Keys(s.dirty), func(a, b *server) int {
 		return cmp.Or(cmp.Compare(a.service, b.service), cmp.Compare(a.ID, b.ID))
 	})
@@ -36,10 +37,10 @@
 	s.countVanished(servers)
 	var changes []Change
 	for _, server := range servers {
-		delete(s.waiting, server)
+		delete(s.timeDependent, server)
 		before := server.Member
 		s.evaluate(server)
-		s.forgetOrWait(server)
+		s.forgetOrRecheck(server)
 		neverPublished := !server.published && server.Phase == Gone
 		if server.Member == before || neverPublished {
 			continue
@@ -57,8 +58,9 @@
 
 func publishOrder(phase Phase) int { return slices.Index([]Phase{Draining, Gone, Ready}, phase) }
 
-// forgetOrWait drops a server that went long ago, or keeps it among those that time will change.
-func (s *State) forgetOrWait(server *server) {
+// forgetOrRecheck deletes a server that has been gone for longer than ForgetAfter and that no slice lists. A server
+// that has been gone for a shorter time is evaluated again on each Tick.
+func (s *State) forgetOrRecheck(server *server) {
 	if server.Phase != Gone || len(server.endpoints) > 0 {
 		return
 	}
@@ -68,7 +70,7 @@
 		removeFromIndex(s.serversByNode, server.node, server)
 		return
 	}
-	s.waiting[server] = true
+	s.timeDependent[server] = true
 }
 
 // evaluate sets a server's phase.
@@ -105,13 +107,14 @@
 	return len(s.endpoints) > 0, ready, terminating
 }
 
-// isEnding reports whether a server's pod ends or its node is being emptied.
+// isEnding reports whether the end of a server's pod was observed, or its node evicts its pods, or its node is cordoned
+// and DrainCordoned is set.
 func (s *State) isEnding(server *server) bool {
 	node := s.nodes[server.node]
 	return s.hasEnded(server) || node.Evicting || node.Cordoned && s.config.DrainCordoned
 }
 
-// drain keeps a server that ends in the list as draining while a slice lists it and its pod has not finished.
+// drain sets an ending server to Draining while a slice lists it and its pod has not finished, and to Gone after that.
 func (s *State) drain(server *server, listed bool) {
 	server.vanishedSince = 0
 	pod := s.pods[server.pod]
@@ -123,7 +126,7 @@
 	server.goneSince = 0
 }
 
-// remove takes a server out of the list.
+// remove sets a server to Gone, which removes it from the list.
 func (s *State) remove(server *server) {
 	if server.Phase != Gone || server.goneSince == 0 {
 		server.goneSince = s.now
@@ -132,7 +135,7 @@
 	server.vanishedSince = 0
 }
 
-// markNotReady drains a server that is listed as not ready. It stays out of the list if it was never ready.
+// markNotReady drains a server that slices list as not ready. A server that was never ready stays out of the list.
 func (s *server) markNotReady() {
 	s.vanishedSince, s.goneSince = 0, 0
 	switch {
@@ -143,15 +146,15 @@
 	}
 }
 
-// loseReadiness drains a ready server. It can come back, after a delay.
+// loseReadiness sets a ready server to Draining. The server can become ready again after a delay (see flapDelay).
 func (s *server) loseReadiness() {
 	s.Phase = Draining
 	s.readinessLost = true
 	s.readinessLosses++
 }
 
-// markReady makes a server ready that is listed as ready. One that lost its readiness waits first, longer each time. It
-// comes back as a server that has just started, since to nodes a draining process does not come back.
+// markReady sets a server that slices list as ready to Ready. A server that lost its readiness waits for flapDelay
+// first. It then gets a new start time, since nodes treat the drain of a process as final.
 func (s *State) markReady(server *server) {
 	server.vanishedSince, server.goneSince = 0, 0
 	if server.Phase == Ready {
@@ -160,11 +163,11 @@
 	if server.readinessLost {
 		if server.readyNotBefore == 0 {
 			server.readyNotBefore = s.now + s.flapDelay(server.readinessLosses)
-			s.waiting[server] = true
+			s.timeDependent[server] = true
 			return
 		}
 		if s.now < server.readyNotBefore {
-			s.waiting[server] = true
+			s.timeDependent[server] = true
 			return
 		}
 	}
@@ -178,10 +181,12 @@
 	server.readyNotBefore = 0
 }
 
-// maxDoublings bounds the exponent of the delay, which MaxFlapDelay bounds long before.
+// maxDoublings limits the exponent in flapDelay, so that the shift does not overflow. MaxFlapDelay normally limits the
+// delay at far fewer doublings.
 const maxDoublings = 20
 
-// flapDelay returns how long a server waits that has lost its readiness so often.
+// flapDelay returns the delay in seconds after a number of readiness losses: FlapDelay * 2^(losses-1), at most
+// MaxFlapDelay.
 func (s *State) flapDelay(losses int) float64 {
 	doublings := min(losses-1, maxDoublings)
 	return min(s.config.FlapDelay*float64(uint64(1)<<doublings), s.config.MaxFlapDelay)
--- a/internal/controlplane/membership/gates.go
+++ b/internal/controlplane/membership/gates.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// gateGroup is a service's pods that have a readiness gate.
+// gateGroup describes the pods of a service that have a readiness gate.
 type gateGroup struct {
 	total     int
 	slowStart int   // pods in slow start
 	waiting   []Pod // pods whose containers are ready and whose gate is closed
 }
 
-// OpenGates returns the UIDs of the pods whose readiness gates are to be opened now: their containers are ready, and
-// only a fraction of their service is in slow start at once. A cluster manager waits for the gates as it rolls a
-// deployment out, and so keeps that pace.
+// OpenGates returns the UIDs of the pods whose readiness gates are to be opened now, and records these gates as open.
+// The containers of the pods are ready, and only a fraction of a service's pods is in slow start at once (see
+// admissible). The cluster manager waits for the gates during a rollout, so they also limit the speed of the rollout.
 func (s *State) OpenGates(now float64) []string {
 	s.advance(now)
 	groups := s.gateGroups()
 	var opened []string
 	for _, serviceName := range slices.Sorted(maps.Keys(groups)) {
 		for _, pod := range groups[serviceName].admissible(s.config.MaxSlowStartFraction) {
-			s.gatedAt[pod.UID] = s.now
+			s.gateOpenTimes[pod.UID] = s.now
 			opened = append(opened, pod.UID)
 		}
 	}
 	return opened
 }
 
-// gateGroups returns the pods with gates by service.
+// gateGroups groups the pods that have a readiness gate by service.
 func (s *State) gateGroups() map[string]*gateGroup {
 	groups := make(map[string]*gateGroup)
 	for uid, pod := range s.pods {
@@ -53,10 +53,11 @@
 	return groups
 }
 
-// gateOpenedAt returns when a pod's gate was opened. A gate that an earlier leader opened is taken to have been opened
-// when the pod started, or, if that is not known, so long ago that its slow start is over. That time is kept.
+// gateOpenedAt returns the time at which a pod's gate was opened, and whether it is open. For a gate that an earlier
+// leader opened, the time is the start of the pod, or, if that is not known, so long ago that the slow start is over.
+// The time is stored in gateOpenTimes.
 func (s *State) gateOpenedAt(uid string, pod Pod) (float64, bool) {
-	openedAt, opened := s.gatedAt[uid]
+	openedAt, opened := s.gateOpenTimes[uid]
 	if opened || !pod.GateOpen {
 		return openedAt, opened
 	}
@@ -64,12 +65,12 @@
 	if pod.StartedAt != 0 {
 		openedAt = pod.StartedAt
 	}
-	s.gatedAt[uid] = openedAt
+	s.gateOpenTimes[uid] = openedAt
 	return openedAt, true
 }
 
-// admissible returns the pods whose gates may be opened now, those that started first before others. Where all pods of
-// the service wait, all may: none is there whose load could be spared.
+// admissible returns the pods whose gates may be opened now, in the order of their start. If all pods of the service
+// are waiting, all gates may be opened: no other pod could serve the load meanwhile.
 func (g *gateGroup) admissible(maxSlowStartFraction float64) []Pod {
 	slices.SortFunc(g.waiting, func(a, b Pod) int {
 		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.UID, b.UID))
--- a/internal/controlplane/membership/membership.go
+++ b/internal/controlplane/membership/membership.go
@@ -1,14 +1,14 @@
-// Package membership decides which servers a service has, and in which phase each of them is, from what a cluster
-// manager reports: endpoints of slices, pods and nodes. It also decides how many servers may be in slow start at once,
-// by pods' readiness gates.
+// Package membership derives the servers of each service and their phases from the objects that a cluster manager
+// reports: EndpointSlices, pods and nodes. It also limits how many servers are in slow start at once, through the
+// readiness gates of pods.
 //
-// The package is a pure state machine: State is given observations and the time, and returns what changed in the lists
-// of servers. It has no goroutine, no I/O and no clock. Times are seconds since a zero that the caller chooses.
+// The package is a pure state machine: State takes observations and the time, and returns the changes of the lists of
+// servers. It has no goroutine, no I/O and no clock. Times are in seconds since a start that the caller chooses.
 package membership
 
 // Endpoint is one endpoint of an EndpointSlice.
 type Endpoint struct {
-	Addr        string // with the port
+	Addr        string // HOST:PORT
 	Pod         string // UID of the pod; empty if the slice does not name one
 	Node        string
 	Zone        string
@@ -27,7 +27,7 @@
 // Pod is the state of a pod.
 type Pod struct {
 	UID             string
-	GatedService    string // service whose slow starts the pod's readiness gate paces; empty: it has no gate
+	GatedService    string // service for which the pod's readiness gate limits slow starts; empty: the pod has no gate
 	Deleting        bool
 	Finished        bool    // failed or succeeded
 	StartedAt       float64 // when the last of its containers started; 0: not known
@@ -43,13 +43,13 @@
 	Missing  bool // there is no such node
 }
 
-// Phase is the phase of a server. The discovery protocol has the same names.
+// Phase is the phase of a server. The discovery protocol uses the same names.
 type Phase string
 
 // Phases of a server.
 const (
 	Ready    Phase = "ready"
-	Draining Phase = "draining" // it takes no new requests; those in flight go on
+	Draining Phase = "draining" // it gets no new requests; requests in flight continue
 	Gone     Phase = "gone"
 )
 
@@ -62,7 +62,7 @@
 	StartedAt float64
 }
 
-// Change is a server that changed, and the revision that the lists have with it.
+// Change is a changed server of a service, with the revision of the lists after the change.
 type Change struct {
 	Revision int64
 	Service  string
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// readyEndpoint is the endpoint of a pod on the node "n1".
+// readyEndpoint returns the ready endpoint of a pod on the node "n1".
 func readyEndpoint(pod string) Endpoint {
 	return Endpoint{Addr: pod + ":80", Pod: pod, Node: "n1", Zone: "a", Ready: true}
 }
 
-// readyEndpoints are the endpoints of pods that are numbered from 0.
+// readyEndpoints returns the ready endpoints of pods that are numbered from 0.
 func readyEndpoints(prefix string, count int) []Endpoint {
 	var endpoints []Endpoint
 	for i := range count {
@@ -41,10 +41,10 @@
 	return ready
 }
 
-// observation is one report about the pod "p", which runs beside "q".
+// observation is one report about the pod "p" of a service that also has the pod "q".
 type observation struct {
 	name    string
-	ending  bool // it says that the pod ends
+	ending  bool // the report says that the pod ends
 	observe func(state *State, now float64) []Change
 }
 
@@ -74,27 +74,27 @@
 	{"time passes", false, func(state *State, now float64) []Change { return state.Tick(now) }},
 }
 
-// Whatever the order of reports about one pod's life, old ones that come again included: from the first report of its
-// end on it is never ready again.
+// In every order of observations, including old ones that are repeated, a pod is never ready after the first report of
+// its end.
 func TestState_EndedServerNeverReady(t *testing.T) {
 	const length = 5
 	orders := 0
-	var playAll func(order []int)
-	playAll = func(order []int) {
+	var runAllOrders func(order []int)
+	runAllOrders = func(order []int) {
 		if len(order) == length {
 			orders++
-			playOrder(t, order)
+			runOrder(t, order)
 			return
 		}
 		for i := range observations {
-			playAll(append(slices.Clone(order), i))
+			runAllOrders(append(slices.Clone(order), i))
 		}
 	}
-	playAll(nil)
+	runAllOrders(nil)
 	assert.Equal(t, 9*9*9*9*9, orders)
 }
 
-func playOrder(t *testing.T, order []int) {
+func runOrder(t *testing.T, order []int) {
 	state := New(DefaultConfig(), 0)
 	state.UpdateSlice("k", "s", []Endpoint{readyEndpoint("p"), readyEndpoint("q")}, 0)
 	state.UpdatePod(Pod{UID: "p"}, 0)
@@ -116,7 +116,7 @@
 		if ended {
 			assert.NotEqual(t, Ready, phases(state, "s")["p"], "%v", order[:i+1])
 		}
-		assert.Equal(t, phases(state, "s"), followed, "who follows the changes has the list: %v", order)
+		assert.Equal(t, phases(state, "s"), followed, "the changes must add up to the list: %v", order)
 	}
 }
 
@@ -138,25 +138,25 @@
 	notReady := readyEndpoint("p")
 	notReady.Ready = false
 	state.UpdateSlice("k", "s", []Endpoint{readyEndpoint("p")}, now)
-	assert.Equal(t, Ready, phases(state, "s")["p"], "the first time at once")
+	assert.Equal(t, Ready, phases(state, "s")["p"], "the first time without a delay")
 	for _, delay := range []float64{1, 2, 4, 8, 16, 30, 30} {
 		now += 100
 		state.UpdateSlice("k", "s", []Endpoint{notReady}, now)
-		assert.Equal(t, Draining, phases(state, "s")["p"], "a loss counts at once")
+		assert.Equal(t, Draining, phases(state, "s")["p"], "a loss of readiness takes effect at once")
 		now++
 		state.UpdateSlice("k", "s", []Endpoint{readyEndpoint("p")}, now)
 		state.Tick(now + delay - 0.01)
 		assert.Equal(t, Draining, phases(state, "s")["p"])
 		state.Tick(now + delay)
 		assert.Equal(t, Ready, phases(state, "s")["p"], "after %v", delay)
-		assert.Equal(t, now+delay, state.Members("s")[0].StartedAt, "as one that has just started")
+		assert.Equal(t, now+delay, state.Members("s")[0].StartedAt, "with a new start time")
 		now += delay
 	}
 	state.UpdatePod(Pod{UID: "p", Deleting: true}, now)
 	assert.Equal(t, Draining, phases(state, "s")["p"], "a drain is not delayed")
 }
 
-// tenPods is a service of ten ready pods.
+// tenPods returns the state of a service of ten ready pods.
 func tenPods() *State {
 	state := New(DefaultConfig(), 0)
 	for i := range 10 {
@@ -170,14 +170,14 @@
 	t.Run("all at once", func(t *testing.T) {
 		state := tenPods()
 		state.UpdateSlice("k", "s", nil, 1)
-		assert.Equal(t, 10, countReady(state), "a fault of the API: servers that it does not report live on")
+		assert.Equal(t, 10, countReady(state), "servers stay in the list during a fault of the API")
 		state.UpdateSlice("k", "s", readyEndpoints("p", 10), 2)
 		state.Tick(40)
 		assert.Equal(t, 10, countReady(state))
 		state.DeleteSlice("k", 50)
 		assert.Equal(t, 10, countReady(state))
 		state.Tick(111)
-		assert.Empty(t, phases(state, "s"), "after ShrinkHold it is believed")
+		assert.Empty(t, phases(state, "s"), "after ShrinkHold the servers are removed")
 	})
 	t.Run("scaled to zero", func(t *testing.T) {
 		state := tenPods()
@@ -188,17 +188,17 @@
 		state.UpdateSlice("k", "s", nil, 1.1)
 		assert.Empty(t, phases(state, "s"))
 	})
-	t.Run("all replaced while nobody watched", func(t *testing.T) {
+	t.Run("all replaced between two watches", func(t *testing.T) {
 		state := tenPods()
 		for i := range 10 {
 			state.MarkPodMissing(fmt.Sprint("p", i), 1)
 		}
-		assert.Equal(t, 10, countReady(state), "pods that a list lacks and slices have: nothing is concluded")
+		assert.Equal(t, 10, countReady(state), "pods that slices list keep their phase")
 		state.UpdateSlice("k", "s", readyEndpoints("new", 10), 1)
 		assert.Len(t, phases(state, "s"), 10)
 		assert.NotContains(t, phases(state, "s"), "p0")
 	})
-	t.Run("one alone", func(t *testing.T) {
+	t.Run("only one", func(t *testing.T) {
 		state := tenPods()
 		state.UpdateSlice("k", "s", readyEndpoints("p", 9), 1)
 		assert.Equal(t, Draining, phases(state, "s")["p9"], "it drains until the end of its pod is observed")
@@ -219,7 +219,7 @@
 			}, 0)
 		}
 		now := 0.0
-		for i := range total { // a rolling restart, as fast as the cluster manager likes
+		for i := range total { // a rolling restart with random pauses
 			now += rapid.Float64Range(0, 10).Draw(t, "pause")
 			state.UpdatePod(Pod{
 				UID: fmt.Sprint("new", i), GatedService: "s", ContainersReady: true, StartedAt: now,
@@ -254,8 +254,8 @@
 	})
 }
 
-// stateModel checks that whoever follows the changes has the list, that revisions rise by one, and that no server is
-// ready whose end was observed.
+// stateModel checks that the changes add up to the list, that revisions increase by one, and that no server is ready
+// after its end was observed.
 type stateModel struct {
 	state    *State
 	followed map[string]Member
@@ -266,7 +266,7 @@
 
 var modelPods = []string{"a", "b", "c", "d"}
 
-func TestState_ChangesAddUpToList(t *testing.T) {
+func TestState_ChangesReproduceList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &stateModel{
 			state:    New(DefaultConfig(), 7),
--- a/internal/controlplane/membership/shrink.go
+++ b/internal/controlplane/membership/shrink.go
@@ -1,19 +1,20 @@
 package membership
 
-// earliestVanish is the earliest time at which a server can have vanished, since 0 says that it has not.
-const earliestVanish = 1e-9
+// minVanishedSince is the smallest vanishedSince of a vanished server, since 0 means that the server has not vanished.
+const minVanishedSince = 1e-9
 
-// shrinkWindow counts the servers of a service that vanished from its slices lately, of which nothing says that they
-// end. Many at once look like a fault of the API (an empty slice, a list that lacks a page) and not like a scale-down,
-// where the end of each pod is observed. The window lasts for ShrinkHold from the first one.
+// shrinkWindow counts the servers of a service that vanished from its slices without their pods being known to end.
+// Many such servers indicate a fault of the API (an empty slice, a list that lacks a page): in a scale-down the end of
+// each pod is observed. The window lasts for ShrinkHold from the first such server.
 type shrinkWindow struct {
 	start        float64
 	vanished     int
-	readyAtStart int // ready servers when it began
-	alive        int // servers that slices list now and that do not end
+	readyAtStart int // ready servers at the start of the window
+	alive        int // servers that slices listed and that were not ending, at the last count
 }
 
-// countVanished counts the servers that vanish now, before any of them is evaluated.
+// countVanished adds the servers that have just vanished to the windows of their services. It must run before any of
+// them is evaluated, since the evaluation depends on the count.
 func (s *State) countVanished(servers []*server) {
 	shrunk := make(map[*service]bool)
 	for _, server := range servers {
@@ -25,10 +26,10 @@
 			owner.shrink = shrinkWindow{start: s.now, readyAtStart: owner.countReady()}
 		}
 		owner.shrink.vanished++
-		server.vanishedSince = max(s.now, earliestVanish)
+		server.vanishedSince = max(s.now, minVanishedSince)
 		shrunk[owner] = true
 	}
-	// Once for each service: counted for each server, a lost slice with thousands of servers would take minutes.
+	// Count once per service: with a count per server, a lost slice with thousands of servers would take minutes.
 	for owner := range shrunk {
 		owner.shrink.alive = s.countAlive(owner)
 	}
@@ -60,25 +61,25 @@
 	return alive
 }
 
-// evaluateVanished sets the phase of a server that no slice lists although its end is not known. If only a few vanished
-// they are believed; what is beyond that stays as it was until the end of the pods is observed, or ShrinkHold has
-// passed.
+// evaluateVanished sets the phase of a server that no slice lists although its end is not known. If the shrink is
+// accepted, a server whose pod is not known is removed, and one whose pod is known drains. Otherwise the server keeps
+// its phase. It is removed when the end of its pod is observed or ShrinkHold has passed.
 func (s *State) evaluateVanished(server *server) {
-	believed := s.believesShrink(s.services[server.service].shrink)
+	accepted := s.acceptsShrink(s.services[server.service].shrink)
 	podKnown := s.pods[server.pod].UID != ""
-	if s.now-server.vanishedSince > s.config.ShrinkHold || believed && !podKnown {
+	if s.now-server.vanishedSince > s.config.ShrinkHold || accepted && !podKnown {
 		s.remove(server)
 		return
 	}
-	if believed && server.Phase == Ready {
-		server.loseReadiness() // its pod lives; it is gone only when that ends
+	if accepted && server.Phase == Ready {
+		server.loseReadiness() // its pod still exists: the server is not gone before the pod ends
 	}
-	s.waiting[server] = true
+	s.timeDependent[server] = true
 }
 
-// believesShrink reports whether the servers that vanished are taken to have gone: only some of them did, or others are
-// listed in their places, which is a deployment and not a list that lacks servers.
-func (s *State) believesShrink(window shrinkWindow) bool {
+// acceptsShrink reports whether vanished servers are treated as gone: either only a few of the servers of the service
+// vanished, or enough others are listed, which indicates a deployment and not an incomplete list.
+func (s *State) acceptsShrink(window shrinkWindow) bool {
 	readyBefore := float64(window.readyAtStart)
 	few := float64(window.vanished) <= s.config.MaxShrinkFraction*readyBefore &&
 		window.vanished < window.readyAtStart
--- a/internal/controlplane/membership/state.go
+++ b/internal/controlplane/membership/state.go
@@ -5,68 +5,68 @@
 	"slices"
 )
 
-// MaxServers is how many servers of a service are tracked, those that left lately included: nodes accept no longer
-// list.
+// MaxServers is the maximum number of servers that are tracked per service, including servers that left within
+// ForgetAfter. Nodes do not accept longer lists.
 const MaxServers = 20_000
 
 // serverSet is a set of servers.
 type serverSet map[*server]bool
 
-// service is a service's servers, those included that have gone lately.
+// service holds the servers of a service, including servers that left within ForgetAfter.
 type service struct {
 	servers map[string]*server // by ID
 	shrink  shrinkWindow
 }
 
-// State is the state of one cluster as far as it has been observed. Each method that takes an observation returns what
-// changed in the lists by it, servers that drain first. A State is not safe for concurrent use.
+// State is the observed state of one cluster. Each method that takes an observation returns the resulting changes of
+// the lists, draining servers first. A State is not safe for concurrent use.
 type State struct {
 	config   Config
 	now      float64
 	revision int64
 
-	services map[string]*service
-	slices   map[string]map[string]Endpoint // by key of the slice, by server ID
-	owners   map[string]string              // the service of each slice
-	rejected map[string]int                 // by key of the slice: endpoints beyond MaxServers
-	pods     map[string]Pod                 // by UID
-	nodes    map[string]Node                // by name
-	endedAt  map[string]float64             // by pod: when its end was observed first
-	gatedAt  map[string]float64             // by pod: when its readiness gate was opened
+	services      map[string]*service
+	slices        map[string]map[string]Endpoint // by key of the slice, by server ID
+	sliceServices map[string]string              // name of the service, by key of the slice
+	rejected      map[string]int                 // by key of the slice: endpoints beyond MaxServers
+	pods          map[string]Pod                 // by UID
+	nodes         map[string]Node                // by name
+	endedAt       map[string]float64             // by UID of the pod: when its end was first observed
+	gateOpenTimes map[string]float64             // by UID of the pod: when its readiness gate was opened
 
 	serversByPod  map[string]serverSet
 	serversByNode map[string]serverSet
-	dirty         serverSet // to be evaluated by settle
-	waiting       serverSet // to be evaluated with each tick, since time alone changes them
+	dirty         serverSet // to be evaluated by evaluateDirty
+	timeDependent serverSet // to be evaluated on each Tick, since their phase also depends on time
 }
 
-// New returns a state that has observed nothing. Its first change has the revision after the given one.
+// New returns a state without observations. Its first change gets the revision after the given one.
 func New(config Config, revision int64) *State {
 	return &State{
 		config:        config,
 		revision:      revision,
 		services:      make(map[string]*service),
 		slices:        make(map[string]map[string]Endpoint),
-		owners:        make(map[string]string),
+		sliceServices: make(map[string]string),
 		rejected:      make(map[string]int),
 		pods:          make(map[string]Pod),
 		nodes:         make(map[string]Node),
 		endedAt:       make(map[string]float64),
-		gatedAt:       make(map[string]float64),
+		gateOpenTimes: make(map[string]float64),
 		serversByPod:  make(map[string]serverSet),
 		serversByNode: make(map[string]serverSet),
 		dirty:         make(serverSet),
-		waiting:       make(serverSet),
+		timeDependent: make(serverSet),
 	}
 }
 
 // Revision returns the revision of the latest change.
 func (s *State) Revision() int64 { return s.revision }
 
-// Rejected returns how many endpoints of a slice are left out since its service has MaxServers already.
+// Rejected returns the number of endpoints of a slice that are not tracked because the service already has MaxServers.
 func (s *State) Rejected(sliceKey string) int { return s.rejected[sliceKey] }
 
-// Members returns a service's list by ID, without servers that have gone.
+// Members returns the published servers of a service, sorted by ID. Servers that are gone are not included.
 func (s *State) Members(serviceName string) []Member {
 	var members []Member
 	if service := s.services[serviceName]; service != nil {
@@ -80,7 +80,8 @@
 	return members
 }
 
-// UpdateSlice observes a slice of a service. Servers that it no longer lists have vanished from it.
+// UpdateSlice records the endpoints of a slice of a service. Servers that the slice no longer lists have vanished from
+// it.
 func (s *State) UpdateSlice(key, serviceName string, endpoints []Endpoint, now float64) []Change {
 	s.advance(now)
 	owner := s.services[serviceName]
@@ -91,7 +92,7 @@
 	before := s.slices[key]
 	listed := mergeByID(endpoints)
 	s.slices[key] = listed
-	s.owners[key] = serviceName
+	s.sliceServices[key] = serviceName
 	delete(s.rejected, key)
 	for id, endpoint := range listed {
 		server := s.trackServer(owner, serviceName, id, endpoint.Pod)
@@ -104,11 +105,11 @@
 		s.dirty[server] = true
 	}
 	s.removeFromSlice(key, owner, before, listed)
-	return s.settle()
+	return s.evaluateDirty()
 }
 
-// mergeByID returns a slice's endpoints by server ID. Of two endpoints of one server the later one is taken, but the
-// server is ready only if both are, and terminates if either does.
+// mergeByID returns a slice's endpoints by server ID. If a server has two endpoints, the later one is used, but it is
+// ready only if both are ready, and terminating if either is terminating.
 func mergeByID(endpoints []Endpoint) map[string]Endpoint {
 	byID := make(map[string]Endpoint, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -121,7 +122,8 @@
 	return byID
 }
 
-// trackServer returns a service's server, a new one if the ID is not known; nil if the service has too many.
+// trackServer returns the server of a service with an ID, and adds it if it is not known. It returns nil if it would
+// have to add a server to a service that already has MaxServers.
 func (s *State) trackServer(owner *service, serviceName, id, pod string) *server {
 	if known := owner.servers[id]; known != nil {
 		return known
@@ -140,7 +142,7 @@
 	return added
 }
 
-// setNode notes the node that a server runs on.
+// setNode records the node that a server runs on.
 func (s *State) setNode(server *server, node string) {
 	if server.node == node {
 		return
@@ -150,16 +152,16 @@
 	server.node = node
 }
 
-// DeleteSlice observes that a slice was deleted.
+// DeleteSlice records the deletion of a slice.
 func (s *State) DeleteSlice(key string, now float64) []Change {
 	s.advance(now)
-	if owner := s.services[s.owners[key]]; owner != nil {
+	if owner := s.services[s.sliceServices[key]]; owner != nil {
 		s.removeFromSlice(key, owner, s.slices[key], nil)
 	}
 	delete(s.slices, key)
-	delete(s.owners, key)
+	delete(s.sliceServices, key)
 	delete(s.rejected, key)
-	return s.settle()
+	return s.evaluateDirty()
 }
 
 // removeFromSlice removes the endpoints of a slice that it had before and no longer lists.
@@ -174,7 +176,8 @@
 	}
 }
 
-// UpdatePod observes a pod. One whose end was observed stays ended, whatever a late event reports.
+// UpdatePod records the state of a pod. A pod whose end was observed stays ended, even if a late event reports it as
+// running.
 func (s *State) UpdatePod(pod Pod, now float64) []Change {
 	s.advance(now)
 	_, ended := s.endedAt[pod.UID]
@@ -183,59 +186,59 @@
 	}
 	s.pods[pod.UID] = pod
 	s.markDirty(s.serversByPod[pod.UID])
-	return s.settle()
+	return s.evaluateDirty()
 }
 
-// MarkPodMissing observes that a list lacks a pod: it was deleted while nobody watched, or the list is incomplete.
-// Nothing is concluded from that alone; where no slice lists the pod either, it has vanished.
+// MarkPodMissing records that a list of pods does not contain a known pod: the pod was deleted between two watches, or
+// the list is incomplete. The pod's server keeps its phase while a slice lists it. Otherwise it has vanished.
 func (s *State) MarkPodMissing(uid string, now float64) []Change {
 	s.advance(now)
 	delete(s.pods, uid)
 	s.markDirty(s.serversByPod[uid])
-	return s.settle()
+	return s.evaluateDirty()
 }
 
-// DeletePod observes that a pod was deleted.
+// DeletePod records the deletion of a pod.
 func (s *State) DeletePod(uid string, now float64) []Change {
 	s.advance(now)
 	pod, known := s.pods[uid]
 	if !known && s.serversByPod[uid] == nil {
-		return s.settle()
+		return s.evaluateDirty()
 	}
 	pod.UID = uid
 	pod.Finished = true
 	return s.UpdatePod(pod, now)
 }
 
-// UpdateNode observes a node.
+// UpdateNode records the state of a node.
 func (s *State) UpdateNode(name string, node Node, now float64) []Change {
 	s.advance(now)
 	if node.Missing {
-		delete(s.nodes, name) // the end of its pods is observed by itself
+		delete(s.nodes, name) // the end of its pods is observed separately
 	} else {
 		s.nodes[name] = node
 	}
 	s.markDirty(s.serversByNode[name])
-	return s.settle()
+	return s.evaluateDirty()
 }
 
-// Tick observes that time has passed. It is to be called some times a second.
+// Tick evaluates the servers whose phase depends on time. It should be called several times per second.
 func (s *State) Tick(now float64) []Change {
 	s.advance(now)
-	// Only here: evaluated with each observation, the servers that left in the last minutes would make all of them
-	// expensive.
-	s.markDirty(s.waiting)
+	// Evaluate these servers only here: they include all servers that left in the last minutes, and would make each
+	// observation expensive.
+	s.markDirty(s.timeDependent)
 	for uid, endedAt := range s.endedAt {
 		if s.now-endedAt > s.config.ForgetAfter && s.serversByPod[uid] == nil {
 			delete(s.endedAt, uid)
 			delete(s.pods, uid)
-			delete(s.gatedAt, uid)
+			delete(s.gateOpenTimes, uid)
 		}
 	}
-	return s.settle()
+	return s.evaluateDirty()
 }
 
-// advance sets the time. It never goes back: a clock that was set back must not undo a delay.
+// advance sets the time, which never decreases: a clock that was set back must not undo a delay.
 func (s *State) advance(now float64) { s.now = max(s.now, now) }
 
 func (s *State) markDirty(servers serverSet) {
