--- a/cmd/robincart-controller/api.go
+++ b/cmd/robincart-controller/api.go
@@ -7,8 +7,8 @@
 	"k8s.io/client-go/tools/clientcmd"
 )
 
-// apiTable is how the cluster manager's API is reached: by a kubeconfig, by a server's address, or, if neither is set,
-// as a pod of the cluster reaches it.
+// apiTable configures the connection to the cluster manager's API: by a kubeconfig, by a server's address, or, if
+// neither is set, by the in-cluster configuration that a pod has.
 type apiTable struct {
 	Server     string `toml:"server"`
 	TokenFile  string `toml:"token_file"`
@@ -23,7 +23,7 @@
 	switch {
 	case t.Kubeconfig != "":
 		if t.Server != "" {
-			found.add("api: kubeconfig and server exclude each other")
+			found.add("api: kubeconfig and server are both set: expected only one of them")
 		}
 		config, err := clientcmd.BuildConfigFromFlags("", t.Kubeconfig)
 		if err != nil {
@@ -40,13 +40,13 @@
 	default:
 		config, err := rest.InClusterConfig()
 		if err != nil {
-			found.add("api: neither server nor kubeconfig is set, and this is no pod of a cluster: %w", err)
+			found.add("api: neither server nor kubeconfig is set, and there is no in-cluster configuration: %w", err)
 		}
 		return config
 	}
 }
 
-// checkFiles adds a problem for each file that is named and can't be found.
+// checkFiles adds a problem for each configured file that can't be found.
 func (t *apiTable) checkFiles(found *problems) {
 	for _, file := range []struct{ key, path string }{
 		{"token_file", t.TokenFile},
--- a/cmd/robincart-controller/certs.go
+++ b/cmd/robincart-controller/certs.go
@@ -10,34 +10,34 @@
 	"robincart/internal/system/keys"
 )
 
-// defaultCertLife is how long test certificates are valid.
-const defaultCertLife = 30 * 24 * time.Hour
+// defaultCertLifetime is how long test certificates are valid.
+const defaultCertLifetime = 30 * 24 * time.Hour
 
-// newCertsCommand makes certificates for tests.
+// newCertsCommand returns the command that creates certificates for tests.
 func newCertsCommand() *cobra.Command {
 	var dir string
 	var names, hosts []string
-	var life time.Duration
+	var lifetime time.Duration
 	command := &cobra.Command{
 		Use:   "certs",
-		Short: "Make an authority and keys for tests and drills only: its own key is thrown away",
+		Short: "Create a certificate authority and certificates for tests only, and discard the authority's key",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if err := keys.Make(dir, names, hosts, life); err != nil {
+			if err := keys.Make(dir, names, hosts, lifetime); err != nil {
 				return err
 			}
-			until := time.Now().Add(life).UTC().Format(time.DateTime)
+			until := time.Now().Add(lifetime).UTC().Format(time.DateTime)
 			fmt.Fprintf(command.OutOrStdout(),
-				"%s: ca.pem, and NAME.pem and NAME.key for %s, until %s. For tests only.\n",
+				"%s: wrote ca.pem, and NAME.pem and NAME.key for %s, valid until %s UTC. For tests only.\n",
 				dir, strings.Join(names, ", "), until)
 			return nil
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&dir, "dir", ".", "the folder of the files")
+	flags.StringVar(&dir, "dir", ".", "directory that the files are written to")
 	flags.StringSliceVar(&names, "names", []string{"controller", "node"}, "names of the certificates")
 	flags.StringSliceVar(&hosts, "hosts", nil,
-		"names and addresses beside loopback that the certificates are valid for")
-	flags.DurationVar(&life, "for", defaultCertLife, "how long they are valid")
+		"host names and addresses that the certificates are valid for, in addition to loopback")
+	flags.DurationVar(&lifetime, "for", defaultCertLifetime, "how long the certificates are valid")
 	return command
 }
--- a/cmd/robincart-controller/check.go
+++ b/cmd/robincart-controller/check.go
@@ -12,7 +12,7 @@
 func newCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Read an operator's file and print what it configures, or every mistake in it",
+		Short: "Validate a configuration file, and print a summary of it or all errors in it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			config, err := readConfig(args[0])
@@ -25,16 +25,16 @@
 	}
 }
 
-// printConfig prints what a configuration puts in force.
+// printConfig prints a summary of a configuration.
 func printConfig(w io.Writer, config controller.Config) {
-	fmt.Fprintf(w, "%s follows %s in namespace %s, lease %s for %v\n",
+	fmt.Fprintf(w, "%s watches %s in namespace %s, with lease %s of duration %v\n",
 		config.Identity, config.API.Host, config.Namespace, config.LeaseName, config.LeaseDuration)
 	for _, service := range config.Services {
 		fmt.Fprintf(w, "list %s of service %s, port %q, at %s\n",
 			service.ListName, service.ServiceName, service.Port, service.Listen)
 	}
 	if config.RecordAddress != "" {
-		fmt.Fprintf(w, "the record for nodes at %s, %d of them at most\n",
+		fmt.Fprintf(w, "record served to nodes at %s, at most %d clients\n",
 			config.RecordAddress, config.MaxRecordClients)
 	}
 }
--- a/cmd/robincart-controller/config.go
+++ b/cmd/robincart-controller/config.go
@@ -17,7 +17,7 @@
 
 const (
 	maxFileBytes = 1 << 20
-	// maxServices is how many lists a controller publishes: each has a listener and its watchers.
+	// maxServices is the maximum number of lists that a controller publishes: each has its own listener and watchers.
 	maxServices = 1000
 
 	defaultNamespace        = "default"
@@ -27,7 +27,8 @@
 	minLeaseDuration        = time.Second
 )
 
-// file is the operator's file. docs/controller.md describes its keys, which are older than the fields' names.
+// file is the configuration file. docs/controller.md describes its keys. They differ from the fields' names because
+// existing files use them.
 type file struct {
 	Identity   string          `toml:"identity"`
 	Status     string          `toml:"status"`
@@ -35,7 +36,7 @@
 	Leader     leaderTable     `toml:"leader"`
 	Membership membershipTable `toml:"membership"`
 	Fanout     fanoutTable     `toml:"fanout"`
-	Keys       keys.Files      `toml:"keys"` // towards nodes
+	Keys       keys.Files      `toml:"keys"` // for connections from nodes
 	Record     recordTable     `toml:"record"`
 	Services   []serviceTable  `toml:"service"`
 }
@@ -45,7 +46,7 @@
 	LeaseDuration tomlfile.Duration `toml:"hold"`
 }
 
-// membershipTable holds what is set of membership.Config; nil: the default.
+// membershipTable holds the configured values of membership.Config; nil: the default.
 type membershipTable struct {
 	FlapDelay            *tomlfile.Duration `toml:"flap"`
 	MaxFlapDelay         *tomlfile.Duration `toml:"flap_most"`
@@ -75,7 +76,7 @@
 	Listen  string `toml:"listen"`
 }
 
-// problems are the mistakes in a file. All are collected, so that an operator sees them at once.
+// problems collects the errors in a file, so that an operator sees all of them at once.
 type problems []error
 
 func (p *problems) add(format string, args ...any) { *p = append(*p, fmt.Errorf(format, args...)) }
@@ -87,7 +88,7 @@
 	}
 }
 
-// readConfig reads and checks an operator's file. The error holds every mistake in it.
+// readConfig reads and validates a configuration file. The returned error holds all problems that were found.
 func readConfig(path string) (controller.Config, error) {
 	text, err := tomlfile.Read(path, maxFileBytes)
 	if err != nil {
@@ -98,7 +99,8 @@
 		return controller.Config{}, fmt.Errorf("%s:\n%w", path, err)
 	}
 	if len(f.Services) > maxServices {
-		return controller.Config{}, fmt.Errorf("%s:\nservice: %d are more than %d", path, len(f.Services), maxServices)
+		return controller.Config{}, fmt.Errorf("%s:\nservice: found %d tables, expected at most %d",
+			path, len(f.Services), maxServices)
 	}
 	f.setDefaults()
 	var found problems
@@ -121,7 +123,7 @@
 	}
 }
 
-// config returns what the file configures. It opens the store of record.
+// config returns the controller's configuration, and adds the problems that it finds. It opens the store of the record.
 func (f *file) config(found *problems) controller.Config {
 	config := controller.Config{
 		Namespace:        f.API.Namespace,
@@ -147,7 +149,7 @@
 	config.Membership = f.Membership.config(found)
 	config.Fanout = f.Fanout.config(found)
 	if config.LeaseDuration < minLeaseDuration {
-		found.add("leader.hold: %v is below %v", config.LeaseDuration, minLeaseDuration)
+		found.add("leader.hold: %v is below the minimum of %v", config.LeaseDuration, minLeaseDuration)
 	}
 	config.Services = serviceConfigs(f.Services, found)
 	if f.Status != "" {
@@ -157,21 +159,21 @@
 	return config
 }
 
-// check adds what is wrong with the address for nodes. Who connects there may write drains, so that without keys only
-// the machine itself may.
+// check adds the problems of the table. A client of the listen address may write drains, so without keys only a
+// loopback address is allowed.
 func (t *recordTable) check(keysEnabled bool, found *problems) {
 	if t.Listen != "" {
 		found.checkAddress("record.listen", t.Listen)
 		if t.Store == "" {
-			found.add("record.listen: there is no record.store to serve")
+			found.add("record.listen is set, but record.store is missing")
 		}
 		host, _, err := net.SplitHostPort(t.Listen)
 		if err == nil && !keysEnabled && !isLoopback(host) {
-			found.add("record.listen: without [keys] it has to be a loopback address, and %s is none", host)
+			found.add("record.listen: without [keys] expected a loopback address, found %s", host)
 		}
 	}
 	if t.MaxClients < 0 {
-		found.add("record.callers: it must not be negative")
+		found.add("record.callers: %d must not be negative", t.MaxClients)
 	}
 }
 
@@ -217,14 +219,14 @@
 		config.MaxWatchers = t.MaxWatchers
 	}
 	if t.History < 0 || t.MaxWatchers < 0 {
-		found.add("fanout: history and watchers must not be negative")
+		found.add("fanout: history %d and watchers %d must not be negative", t.History, t.MaxWatchers)
 	}
 	return config
 }
 
 func serviceConfigs(tables []serviceTable, found *problems) []controller.Service {
 	if len(tables) == 0 {
-		found.add("service: there is none")
+		found.add("service: found no [[service]] table, expected at least one")
 	}
 	names, services, addresses := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	var configs []controller.Service
@@ -247,7 +249,7 @@
 	return configs
 }
 
-// checkUnused adds a problem if a value was used before, and notes that it is used.
+// checkUnused adds a problem if a value is already in used, and adds the value to used.
 func (p *problems) checkUnused(used map[string]bool, key, value string) {
 	if used[value] {
 		p.add("%s: %s is used twice", key, value)
--- a/cmd/robincart-controller/config_test.go
+++ b/cmd/robincart-controller/config_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, defaultNamespace, config.Namespace)
 	assert.Equal(t, defaultLeaseName, config.LeaseName)
 	assert.Equal(t, defaultLeaseDuration, config.LeaseDuration)
-	assert.Equal(t, "booking", config.Services[0].ServiceName, "the list's name")
+	assert.Equal(t, "booking", config.Services[0].ServiceName, "the default is the name of the list")
 }
 
 func TestReadConfig_Problems(t *testing.T) {
@@ -48,13 +48,13 @@
 		{"no name", "[[service]]\nlisten = \"127.0.0.1:8501\"\n", "service[2].name is missing"},
 		{"no port", "[[service]]\nname = \"tables\"\nlisten = \"127.0.0.1\"\n",
 			`service[2].listen: "127.0.0.1" is not an address with a port`},
-		{"short lease", "[leader]\nhold = \"10ms\"\n", "leader.hold: 10ms is below 1s"},
+		{"short lease", "[leader]\nhold = \"10ms\"\n", "leader.hold: 10ms is below the minimum of 1s"},
 		{"record without store", "[record]\nlisten = \"127.0.0.1:8600\"\n",
-			"record.listen: there is no record.store to serve"},
+			"record.listen is set, but record.store is missing"},
 		{"record without keys", "[record]\nlisten = \"10.0.0.1:8600\"\n",
-			"without [keys] it has to be a loopback address, and 10.0.0.1 is none"},
+			"without [keys] expected a loopback address, found 10.0.0.1"},
 		{"negative bounds", "[fanout]\nhistory = -1\n[record]\ncallers = -1\n",
-			"record.callers: it must not be negative\nfanout: history and watchers must not be negative"},
+			"record.callers: -1 must not be negative\nfanout: history -1 and watchers 0 must not be negative"},
 		{"membership", "[membership]\nshrink_at = 2.0\n",
 			"membership: shrink_at is 2 and shrink_for is 60 s: expected 0 < shrink_at <= 1"},
 	} {
@@ -74,5 +74,5 @@
 		fmt.Fprintf(&text, "[[service]]\nname = \"s%d\"\nlisten = \"127.0.0.1:%d\"\n", i, 10_000+i)
 	}
 	_, err := readConfig(writeFile(t, text.String()))
-	assert.ErrorContains(t, err, "service: 1001 are more than 1000")
+	assert.ErrorContains(t, err, "service: found 1001 tables, expected at most 1000")
 }
--- a/cmd/robincart-controller/golden_test.go
+++ b/cmd/robincart-controller/golden_test.go
@@ -63,7 +63,7 @@
 func TestReadConfig_GoldenFile(t *testing.T) {
 	path, err := filepath.Abs("testdata/in-force.toml")
 	require.NoError(t, err)
-	t.Chdir(t.TempDir()) // the files that the configuration names are there
+	t.Chdir(t.TempDir()) // the configuration file names files in this directory
 	for _, name := range []string{"token", "ca.crt", "client.crt", "client.key", "record.db"} {
 		require.NoError(t, os.WriteFile(name, nil, 0o600))
 	}
--- a/cmd/robincart-controller/main.go
+++ b/cmd/robincart-controller/main.go
@@ -1,5 +1,5 @@
-// Command robincart-controller follows a cluster manager's API and publishes lists of servers to robincart's nodes, by
-// the discovery protocol that they speak. It reads the operator's file and wires what package controller needs.
+// Command robincart-controller watches a cluster manager's API and publishes lists of servers to robincart's nodes,
+// over the discovery protocol. It reads the configuration file and runs package controller.
 package main
 
 import (
@@ -31,18 +31,18 @@
 	runE := func(*cobra.Command, []string) error { return run(path) }
 	root := &cobra.Command{
 		Use:           "robincart-controller",
-		Short:         "Lists of servers from a cluster manager, for robincart's nodes",
+		Short:         "Publish lists of a cluster manager's servers to robincart's nodes",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
 		RunE:          runE,
 	}
-	root.PersistentFlags().StringVar(&path, "config", "", "the operator's file")
+	root.PersistentFlags().StringVar(&path, "config", "", "path of the configuration file")
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.AddCommand(
 		&cobra.Command{
 			Use:   "run",
-			Short: "Follow the API and serve nodes (the default command)",
+			Short: "Watch the API and serve nodes (the default command)",
 			Args:  cobra.NoArgs,
 			RunE:  runE,
 		},
@@ -55,7 +55,7 @@
 // run runs the controller until SIGTERM or an interrupt.
 func run(path string) error {
 	if path == "" {
-		return errors.New("--config is missing: it names the operator's file")
+		return errors.New("--config is missing: expected the path of the configuration file")
 	}
 	config, err := readConfig(path)
 	if err != nil {
@@ -66,7 +66,7 @@
 		return err
 	}
 	defer log.Sync()
-	// The client library's own log is dropped: the controller logs each lost watch once, not each attempt.
+	// Discard the client library's own log: the controller logs each lost watch once, not each attempt to restore it.
 	klog.SetOutput(io.Discard)
 	klog.LogToStderr(false)
 	replica, err := controller.New(config, log)
--- a/internal/controlplane/controller/apiclient.go
+++ b/internal/controlplane/controller/apiclient.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// apiCheckTimeout bounds the request that finds a wrong address or key at the start.
+	// apiCheckTimeout bounds the request by which checkAPI tests the API at startup.
 	apiCheckTimeout = 10 * time.Second
 	// apiCallTimeout bounds one write to the API.
 	apiCallTimeout = 5 * time.Second
@@ -23,7 +23,7 @@
 	apiRequestBurst      = 100
 )
 
-// apiClients are clients of the API's groups.
+// apiClients holds one REST client for each group of the API.
 type apiClients struct {
 	core         rest.Interface
 	discovery    rest.Interface
@@ -43,7 +43,7 @@
 	return clients, err
 }
 
-// newAPIClient returns a client of one group of the API.
+// newAPIClient returns a REST client for one group and version of the API.
 func newAPIClient(config *rest.Config, version schema.GroupVersion) (rest.Interface, error) {
 	config = rest.CopyConfig(config)
 	config.GroupVersion = &version
@@ -59,14 +59,15 @@
 	return rest.RESTClientFor(config)
 }
 
-// checkAPI sends one request to the API, so that a wrong address or key fails the start: reflectors would retry for
-// ever.
+// checkAPI sends one list request to the API and returns its error, so that a wrong address or wrong credentials make
+// the start fail. Reflectors would retry without end.
 func (c *Controller) checkAPI(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, apiCheckTimeout)
 	defer cancel()
 	request := c.clients.discovery.Get().Namespace(c.config.Namespace).Resource(kindEndpointSlices)
 	if err := request.Param("limit", "1").Do(ctx).Error(); err != nil {
-		return fmt.Errorf("the API at %s: %w", c.config.API.Host, err)
+		return fmt.Errorf("list %s in namespace %s at the API %s: %w",
+			kindEndpointSlices, c.config.Namespace, c.config.API.Host, err)
 	}
 	return nil
 }
--- a/internal/controlplane/controller/config.go
+++ b/internal/controlplane/controller/config.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"errors"
 	"fmt"
 	"time"
 
@@ -15,30 +14,31 @@
 
 // Service is a service of the cluster manager whose endpoints are published to nodes as one list.
 type Service struct {
-	ListName    string // name of the list in the status page and the log
+	ListName    string // name of the list on the status page and in the log
 	ServiceName string // name of the cluster manager's Service
-	Port        string // name or number of the port; empty: the first one
-	Listen      string // address at which nodes follow the list
+	Port        string // name or number of the port; empty: the first port
+	Listen      string // address at which the list is served to nodes
 }
 
 // Config configures one replica of the controller.
 type Config struct {
 	API           *rest.Config // connection to the cluster manager
 	Namespace     string
-	Identity      string // of this replica, as the holder of the lease
+	Identity      string // identity of this replica as the holder of the lease
 	LeaseName     string
 	LeaseDuration time.Duration
 	Membership    membership.Config
 	Fanout        fanout.Config
 	Services      []Service
 	StatusAddress string     // address of the status page; empty: no page
-	Keys          keys.Files // certificates towards nodes; none: plain TCP
-	// Store is the record that the API's Setting objects are written to; nil: they are not followed. Run closes it.
+	Keys          keys.Files // certificates for connections from nodes; not set: plain TCP
+	// Store is the store of the record that Setting objects are written to; nil: Setting objects are not watched. Run
+	// closes the store.
 	Store store.Store
 	// RecordAddress is the address at which this replica serves the record to nodes, so that they need not poll the
 	// store; empty: it is not served.
 	RecordAddress    string
-	MaxRecordClients int // nodes connected to RecordAddress at once
+	MaxRecordClients int // maximum number of nodes connected to RecordAddress at once
 }
 
 func (c *Config) validate() error {
@@ -46,8 +46,8 @@
 		return fmt.Errorf("membership: %w", err)
 	}
 	if c.RecordAddress != "" && c.Store == nil {
-		return errors.New("the record can't be served to nodes: there is no store; " +
-			"set one, or no address for the record")
+		return fmt.Errorf("record address %s is set, but there is no store: "+
+			"set a store or remove the record address", c.RecordAddress)
 	}
 	seen := make(map[string]bool, len(c.Services))
 	for _, service := range c.Services {
--- a/internal/controlplane/controller/connectivity.go
+++ b/internal/controlplane/controller/connectivity.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// disconnectionLogDelay is how long a kind has to be disconnected before that is logged: watches end and begin
-	// again all the time.
+	// disconnectionLogDelay is how long a kind must be disconnected before the loss of its watch is logged: watches end
+	// and are replaced often in normal operation.
 	disconnectionLogDelay = 2 * time.Second
-	// minWatchDuration is how long a watch has to last for its kind to count as connected: a watch over a connection
-	// that is closed at once looks like an ordinary one.
+	// minWatchDuration is how long a watch must last before its kind counts as connected: a watch whose connection is
+	// closed immediately is also established without an error.
 	minWatchDuration = 250 * time.Millisecond
 )
 
-// disconnection is a kind of object that is not watched at present. The last list stays published meanwhile.
+// disconnection is an outage of the watch of a kind. During the outage, the last list is still served.
 type disconnection struct {
 	since  time.Time
-	err    error // the last one; nil where the client library took the end of the watch for an ordinary one
+	err    error // last error; nil if the client library reported a normal end of the watch
 	logged bool
 }
 
-// trackWatches notes when a kind's watches begin and end. The client library can't be asked: it takes a closed
-// connection for a watch that has ended, and retries for tens of seconds before it returns an error.
+// trackWatches wraps the source of a kind to record when its watches begin and end. The client library does not report
+// this: it treats a closed connection as a normal end of the watch, and retries for tens of seconds before it returns
+// an error.
 func (c *Controller) trackWatches(kind string, source cache.ListerWatcher) cache.ListerWatcher {
 	listFunc := func(ctx context.Context, options metav1.ListOptions) (runtime.Object, error) {
 		return cache.ToListerWatcherWithContext(source).ListWithContext(ctx, options)
@@ -47,21 +48,21 @@
 	return &cache.ListWatch{ListWithContextFunc: listFunc, WatchFuncWithContext: watchFunc}
 }
 
-// trackedWatch is a watch whose end is noted.
+// trackedWatch is a watch that records its end.
 type trackedWatch struct {
 	watch.Interface
 	connected *time.Timer
 	ended     func()
 }
 
-// Stop ends the watch. The reflector calls it also after a watch that has ended by itself.
+// Stop ends the watch and records its end. The reflector also calls it if the connection ended first.
 func (w *trackedWatch) Stop() {
 	w.connected.Stop()
 	w.Interface.Stop()
 	w.ended()
 }
 
-// markConnected notes that a kind is followed.
+// markConnected records that the watch of a kind works, and logs the end of a logged outage.
 func (c *Controller) markConnected(kind string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,8 +76,8 @@
 	}
 }
 
-// markDisconnected notes that a kind's watch has ended, and why if that is known. The kind stays disconnected until
-// another watch lasts or an event or list comes in.
+// markDisconnected records that the watch of a kind has ended, with the error if there is one. The kind stays
+// disconnected until another watch has lasted for minWatchDuration, or an event or a list is received.
 func (c *Controller) markDisconnected(kind string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +91,7 @@
 	}
 }
 
-// logDisconnections logs each disconnection that has lasted, once.
+// logDisconnections logs each disconnection once, after it has lasted longer than disconnectionLogDelay.
 func (c *Controller) logDisconnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -1,11 +1,12 @@
-// Package controller follows a cluster manager's API and publishes lists of servers to nodes. It owns the connections
+// Package controller watches a cluster manager's API and publishes lists of servers to nodes. It owns the connections
 // to the API (reflectors, leader election, patches of readiness gates and of Setting objects' statuses), the listeners
 // for nodes and the status page.
 //
-// What the objects of the API mean for servers is decided by package membership, what Setting objects mean for the
-// record by package desiredstate; lists are sent to nodes by package fanout and the record by package recordserver.
+// Package membership derives the lists of servers from the objects of the API, and package desiredstate derives changes
+// to the record from Setting objects. Package fanout sends the lists to nodes, and package recordserver the record.
 //
-// All replicas follow the API and serve nodes. Only the leader writes: it opens readiness gates and keeps the record.
+// All replicas watch the API and serve nodes. Only the leader writes: it opens readiness gates, and updates the record
+// and the statuses of Setting objects.
 package controller
 
 import (
@@ -26,23 +27,23 @@
 	"robincart/internal/system/keys"
 )
 
-// tickInterval is the time between looks at what depends on time alone: delays of servers, readiness gates, watches
-// that stay lost.
+// tickInterval is the interval between evaluations of state that depends on time: delays of servers, readiness gates
+// and lost watches.
 const tickInterval = 100 * time.Millisecond
 
-// Controller is one replica.
+// Controller is one replica of the controller.
 type Controller struct {
 	config Config
 	log    *zap.Logger
-	// started is the zero of the times that package membership is given.
+	// started is the start of the times, in seconds, that are passed to package membership.
 	started time.Time
-	// synced is closed once every kind in requiredKinds has been listed, and so lists may be published.
+	// synced is closed once every kind in requiredKinds has been listed. Lists are published only after that.
 	synced chan struct{}
-	// revisionOffset is where this process begins to number its lists within an epoch. A node that reconnects sends
-	// only the revision it has: if each replica counted from one, another replica's revision would look like one of
-	// this replica's, and what changed between the two would never be sent.
+	// revisionOffset is the random number from which this process counts revisions within an epoch. A node that
+	// reconnects sends only its latest revision. If every replica counted from 1, a revision of another replica could
+	// equal one of this replica, and the node would never receive the changes between the two lists.
 	revisionOffset int64
-	lists          map[string]*fanout.List // by the name of the cluster manager's Service; fixed after New
+	lists          map[string]*fanout.List // by Service.ServiceName; not changed after New
 
 	// Set by Run before it starts a goroutine.
 	clients        apiClients
@@ -50,8 +51,8 @@
 	statusListener net.Listener // nil without a status page
 	recordListener net.Listener // nil where the record is not served
 
-	goroutines   sync.WaitGroup // all that Run starts
-	listenErrors chan error     // why a list can't be served
+	goroutines   sync.WaitGroup // all goroutines that Run starts
+	listenErrors chan error     // errors of the listeners for lists
 
 	mu           sync.Mutex
 	state        *membership.State
@@ -59,14 +60,14 @@
 	pods         map[string]podRecord
 	epoch        int64
 	leading      bool
-	skipped      map[string]string         // why an object is not used, by kind and key
+	skipped      map[string]string         // reason why an object is not used, by its kind and key
 	disconnected map[string]*disconnection // by kind
 	gatesOpened  int
 	recordWriter *recordWriter        // nil without a store
 	recordServer *recordserver.Server // nil where the record is not served
 }
 
-// New prepares a replica. Nothing is connected or opened before Run.
+// New creates a replica. Run opens its connections and listeners.
 func New(config Config, log *zap.Logger) (*Controller, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -92,8 +93,8 @@
 	return c, nil
 }
 
-// Run follows the API and serves nodes until the context ends. It must be called once. The error is what
-// prevented the start, or listening for nodes.
+// Run watches the API and serves nodes until the context ends. It must be called only once. It returns an error if the
+// replica can't start or can't listen for nodes.
 func (c *Controller) Run(ctx context.Context) error {
 	defer c.close()
 	if err := c.open(ctx); err != nil {
@@ -101,24 +102,24 @@
 	}
 	defer c.goroutines.Wait()
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // runs before the wait: the goroutines end with the context
+	defer cancel() // runs before goroutines.Wait: the goroutines end with the context
 	if err := c.start(ctx); err != nil {
 		return err
 	}
 	return c.tick(ctx)
 }
 
-// open acquires what a replica needs from its start on. What can be wrong with a configuration is found here, before
-// anything retries.
+// open opens the listeners, API clients and keys that a replica needs from its start on. Errors of the configuration
+// are returned here, before any goroutine starts to retry.
 func (c *Controller) open(ctx context.Context) error {
 	var err error
 	if c.config.StatusAddress != "" {
 		if c.statusListener, err = net.Listen("tcp", c.config.StatusAddress); err != nil {
-			return fmt.Errorf("listen: %w", err)
+			return fmt.Errorf("status page: %w", err)
 		}
 	}
 	if c.clients, err = newAPIClients(c.config.API); err != nil {
-		return fmt.Errorf("the API's client: %w", err)
+		return fmt.Errorf("create API clients: %w", err)
 	}
 	if err := c.checkAPI(ctx); err != nil {
 		return err
@@ -133,12 +134,12 @@
 		if err != nil {
 			return fmt.Errorf("record.listen: %w", err)
 		}
-		c.recordListener = c.secure(listener)
+		c.recordListener = c.withTLS(listener)
 	}
 	return nil
 }
 
-// close releases what open acquired, and the store.
+// close closes the status page's and the record's listener, and the store.
 func (c *Controller) close() {
 	for _, listener := range []net.Listener{c.statusListener, c.recordListener} {
 		if listener != nil {
@@ -150,7 +151,7 @@
 	}
 }
 
-// start begins the goroutines of a replica. They end with the context.
+// start starts the goroutines of a replica. They end with the context.
 func (c *Controller) start(ctx context.Context) error {
 	if c.keyRing != nil {
 		c.goroutines.Go(func() { c.keyRing.Run(ctx) })
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// tick does what depends on time alone, until the context ends or a list can't be served.
+// tick evaluates state that depends on time at each tickInterval, until the context ends or listening for a list fails.
 func (c *Controller) tick(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -192,8 +193,8 @@
 	}
 }
 
-// serveList serves a list to nodes once all kinds are synced: where several replicas share one address, a replica that
-// has just started would otherwise cost each node that reaches it a retry.
+// serveList serves a list to nodes once all required kinds have been listed. If it listened earlier and several
+// replicas shared one address, each node that reached a replica during its start would have to retry.
 func (c *Controller) serveList(ctx context.Context, service Service) {
 	select {
 	case <-ctx.Done():
@@ -202,10 +203,10 @@
 	}
 	listener, err := net.Listen("tcp", service.Listen)
 	if err != nil {
-		c.listenErrors <- fmt.Errorf("listen: %w", err)
+		c.listenErrors <- fmt.Errorf("list %s: %w", service.ListName, err)
 		return
 	}
-	c.lists[service.ServiceName].Serve(ctx, c.secure(listener))
+	c.lists[service.ServiceName].Serve(ctx, c.withTLS(listener))
 }
 
 // startRecordServer serves the record to nodes.
@@ -219,13 +220,13 @@
 	c.goroutines.Go(func() { store.ServeWithLimits(ctx, c.recordListener, server, limits) })
 }
 
-// secure puts TLS on a listener where keys are configured.
-func (c *Controller) secure(listener net.Listener) net.Listener {
+// withTLS wraps a listener in TLS if keys are configured.
+func (c *Controller) withTLS(listener net.Listener) net.Listener {
 	if c.keyRing == nil {
 		return listener
 	}
 	return tls.NewListener(listener, c.keyRing.Server())
 }
 
-// now is the present time as package membership counts it: in seconds since the start.
+// now returns the time in seconds since the start of the controller, as package membership expects it.
 func (c *Controller) now() float64 { return time.Since(c.started).Seconds() }
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -28,7 +28,7 @@
 	pollInterval = 5 * time.Millisecond
 )
 
-// cluster is a stand-in of the cluster manager's API, which replicas reach by the published client library.
+// cluster is a stand-in for the cluster manager's API, with the first replica that uses it through the client library.
 type cluster struct {
 	t     *testing.T
 	api   *apiserver.Server
@@ -38,11 +38,11 @@
 // replica is a running controller.
 type replica struct {
 	*Controller
-	list string // address at which nodes follow its list
+	list string // address at which its list is served to nodes
 	stop func() // ends Run and waits for it
 }
 
-// newCluster starts the API, with the objects that prepare sets, and the first replica.
+// newCluster starts the API, calls prepare to set objects, and starts the first replica.
 func newCluster(t *testing.T, prepare func(*apiserver.Server)) *cluster {
 	api := startAPI(t)
 	if prepare != nil {
@@ -67,7 +67,7 @@
 	return listener.Addr().String()
 }
 
-// testConfig is of a replica that publishes the service "s" at an address.
+// testConfig returns the configuration of a replica that serves the list of the service "s" at the address list.
 func testConfig(identity, list, api string) Config {
 	return Config{
 		API:           &rest.Config{Host: "http://" + api},
@@ -81,7 +81,7 @@
 	}
 }
 
-// startReplica runs a replica that reaches the API at an address.
+// startReplica starts a replica that connects to the API at the address api.
 func (c *cluster) startReplica(identity, list, api string) *replica {
 	controller, err := New(testConfig(identity, list, api), zap.NewNop())
 	require.NoError(c.t, err)
@@ -107,7 +107,7 @@
 	c.api.Set("pods", apiserver.Object{"metadata": metadata, "status": map[string]any{"phase": "Running"}})
 }
 
-// newSlice is an EndpointSlice of the service "s" with an endpoint for each pod.
+// newSlice returns an EndpointSlice of the service "s" with an endpoint for each pod.
 func newSlice(pods ...string) apiserver.Object {
 	var endpoints []apiserver.Object
 	for i, pod := range pods {
@@ -127,13 +127,14 @@
 	}
 }
 
-// snapshot is a list as a node gets it.
+// snapshot is a list as a node receives it.
 type snapshot struct {
 	phases   map[string]string // by pod
 	revision int64
 }
 
-// fetchSnapshot polls a replica as a node does. The snapshot is empty if there is no answer.
+// fetchSnapshot requests the list of a replica as a polling node does. It returns an empty snapshot if the request
+// fails.
 func fetchSnapshot(address string) snapshot {
 	response, err := (&http.Client{Timeout: time.Second}).Get("http://" + address + "/registry/instances")
 	if err != nil {
@@ -154,8 +155,8 @@
 	return snapshot{phases: phases, revision: message.Revision}
 }
 
-// followSince begins a watch from a revision, and returns the response with its first message unread. The caller closes
-// the body.
+// followSince starts to watch a list from a revision, and returns the response before any message is read. The caller
+// closes the body.
 func followSince(t *testing.T, address string, revision int64) *http.Response {
 	t.Helper()
 	client := http.Client{Timeout: eventTimeout}
@@ -169,7 +170,7 @@
 	require.Eventually(c.t, condition, eventTimeout, pollInterval, messageAndArguments...)
 }
 
-// requireList waits until the first replica's address serves the list.
+// requireList waits until the address of the first replica serves the list with the wanted phases, by pod.
 func (c *cluster) requireList(want map[string]string) {
 	c.t.Helper()
 	var got map[string]string
@@ -177,7 +178,7 @@
 		got = fetchSnapshot(c.first.list).phases
 		return assert.ObjectsAreEqual(want, got)
 	}, eventTimeout, pollInterval)
-	require.True(c.t, equal, "%v, not %v", got, want)
+	require.True(c.t, equal, "found the list %v, expected %v", got, want)
 }
 
 func TestController_DrainingServerStaysDraining(t *testing.T) {
@@ -212,7 +213,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.fault()
-			for range 20 { // it must not change, so there is no event to wait for
+			for range 20 { // the phase must not change, so there is no event to wait for
 				time.Sleep(10 * time.Millisecond)
 				assert.Equal(t, "draining", fetchSnapshot(c.first.list).phases["a"])
 			}
@@ -229,7 +230,7 @@
 		api.Hang(true)
 	})
 	time.Sleep(100 * time.Millisecond) // nothing must be published, so there is no event to wait for
-	assert.Nil(t, fetchSnapshot(c.first.list).phases, "an API that hangs does not lead to an empty list")
+	assert.Nil(t, fetchSnapshot(c.first.list).phases, "an API that hangs must not lead to an empty list")
 	c.api.Set("endpointslices", newSlice("a"))
 	c.api.Hang(false)
 	c.requireList(map[string]string{"a": "ready"})
@@ -260,12 +261,12 @@
 			int64(99)<<epochShift)
 		response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 		require.NoError(t, err)
-		assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "it is sent nothing older")
+		assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "the node must not be sent an older list")
 	})
 }
 
-// A node that changes replicas asks by the revision it had at the other one. The two number their lists differently, so
-// only a snapshot gives it what it lacks.
+// A node that changes replicas sends the revision that it received from the other replica. Replicas number their lists
+// differently, so the new replica must send a snapshot: a delta could lack changes.
 func TestController_NodeChangesReplicas(t *testing.T) {
 	c := newCluster(t, func(api *apiserver.Server) { api.Set("endpointslices", newSlice("a", "b")) })
 	c.requireList(map[string]string{"a": "ready", "b": "ready"})
@@ -275,8 +276,8 @@
 	for _, address := range []string{c.first.list, second.list} {
 		c.requireEventually(func() bool { return fetchSnapshot(address).phases["a"] == "draining" })
 	}
-	// A node of a later epoch gets nothing, where only one of the replicas has seen a leader change.
-	snapshotOrNothing := func(since int64) bool {
+	// A node of a later epoch is rejected: the epochs differ if only one of the replicas has seen a leader change.
+	isSnapshotOrRejection := func(since int64) bool {
 		response := followSince(t, second.list, since)
 		defer response.Body.Close()
 		var message struct{ Complete bool }
@@ -285,10 +286,10 @@
 	}
 	revision := fetchSnapshot(c.first.list).revision
 	for offset := int64(-3); offset <= 3; offset++ {
-		assert.True(t, snapshotOrNothing(revision+offset), "since %d", revision+offset)
+		assert.True(t, isSnapshotOrRejection(revision+offset), "since %d", revision+offset)
 	}
-	assert.Eventually(t, func() bool { return !snapshotOrNothing(fetchSnapshot(second.list).revision) },
-		eventTimeout, pollInterval, "its own revisions it knows")
+	assert.Eventually(t, func() bool { return !isSnapshotOrRejection(fetchSnapshot(second.list).revision) },
+		eventTimeout, pollInterval, "a delta must be sent for a revision of the same replica")
 }
 
 func TestController_UnusableObjectsSkipped(t *testing.T) {
@@ -301,10 +302,10 @@
 	withoutPort["ports"] = []map[string]any{}
 	c.api.Set("endpointslices", withoutPort)
 	c.requireList(map[string]string{"a": "ready"})
-	c.requireEventually(func() bool { return len(c.first.Status().Skipped) == 2 }, "the status names both")
+	c.requireEventually(func() bool { return len(c.first.Status().Skipped) == 2 }, "the status must show both")
 }
 
-func TestController_GatesOpenAFractionAtATime(t *testing.T) {
+func TestController_GatesOpenWithinSlowStartFraction(t *testing.T) {
 	const podCount, openBefore = 12, 8
 	podName := func(i int) string { return fmt.Sprint("p", i) }
 	c := newCluster(t, func(api *apiserver.Server) {
@@ -335,7 +336,7 @@
 	}
 	c.requireEventually(func() bool { return countOpen() == 11 })
 	time.Sleep(300 * time.Millisecond) // no other gate must open, so there is no event to wait for
-	assert.Equal(t, 11, countOpen(), "a quarter of twelve are in slow start; the last waits for them")
+	assert.Equal(t, 11, countOpen(), "while a quarter of the twelve pods is in slow start, the last gate stays closed")
 }
 
 func TestController_APIUnusable(t *testing.T) {
@@ -347,8 +348,8 @@
 		want   string
 	}{
 		{"wrong token", &rest.Config{Host: "http://" + api.Addr(), BearerToken: "wrong"}, "Unauthorized"},
-		{"nobody listens", &rest.Config{Host: "http://" + unusedAddress(t)}, "refused"},
-		{"no authority's file", &rest.Config{
+		{"connection refused", &rest.Config{Host: "http://" + unusedAddress(t)}, "refused"},
+		{"missing CA file", &rest.Config{
 			Host:            "https://" + api.Addr(),
 			TLSClientConfig: rest.TLSClientConfig{CAFile: filepath.Join(t.TempDir(), "none")},
 		}, ""},
@@ -364,8 +365,8 @@
 	}
 }
 
-// A leader that is cut off from the API goes on serving its list and shows how old its view is. Another replica becomes
-// leader, and no node goes back to the epoch before.
+// A leader that loses its connection to the API continues to serve its last list, and its status shows for how long
+// each watch has been lost. Another replica becomes leader, and no node is sent a list of an earlier epoch.
 func TestController_LeaderDisconnected(t *testing.T) {
 	c := newCluster(t, func(api *apiserver.Server) { api.Set("endpointslices", newSlice("a", "b")) })
 	c.requireList(map[string]string{"a": "ready", "b": "ready"})
@@ -374,7 +375,7 @@
 	firstEpoch := c.first.Status().Epoch
 	second := c.startReplica("two", unusedAddress(t), proxy.address())
 	c.requireEventually(func() bool { return second.Status().Synced })
-	c.first.stop() // it releases the lease, so that the replica behind the proxy leads
+	c.first.stop() // it releases the lease, so that the replica that uses the proxy becomes leader
 	c.requireEventually(func() bool { return second.Status().Leading && second.Status().Epoch > firstEpoch })
 	secondEpoch := second.Status().Epoch
 
@@ -384,25 +385,27 @@
 	c.requireEventually(func() bool {
 		status := second.Status()
 		return !status.Leading && status.Disconnected["endpointslices"] > 0 && status.Disconnected["pods"] > 0
-	}, "it shows what it can't follow: %v", statusPrinter{second})
+	}, "the status must show the lost watches: %v", statusPrinter{second})
 	c.api.Set("endpointslices", newSlice("b", "c"))
 	c.requireList(map[string]string{"b": "ready", "c": "ready"})
 	stale, current := fetchSnapshot(second.list), fetchSnapshot(third.list)
-	assert.Equal(t, map[string]string{"a": "ready", "b": "ready"}, stale.phases, "its last list goes on being served")
+	assert.Equal(t, map[string]string{"a": "ready", "b": "ready"}, stale.phases,
+		"the disconnected replica must serve its last list")
 	assert.Greater(t, epochOf(current.revision), epochOf(stale.revision))
 	response := followSince(t, second.list, current.revision)
 	response.Body.Close()
-	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "not to a node that has seen a later epoch")
+	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode,
+		"a node that has seen a later epoch must be rejected")
 
 	proxy.setCut(false)
 	require.Eventually(t, func() bool {
 		snapshot := fetchSnapshot(second.list)
 		return assert.ObjectsAreEqual(map[string]string{"b": "ready", "c": "ready"}, snapshot.phases) &&
 			epochOf(snapshot.revision) == epochOf(current.revision) && len(second.Status().Disconnected) == 0
-	}, 30*time.Second, pollInterval, "and it follows again")
+	}, 30*time.Second, pollInterval, "the replica must watch the API again")
 }
 
-// statusPrinter shows the status at the time of the failure's message.
+// statusPrinter formats the status of a replica when the failure message is formatted.
 type statusPrinter struct{ replica *replica }
 
 func (p statusPrinter) String() string { return fmt.Sprintf("%+v", p.replica.Status()) }
@@ -416,10 +419,10 @@
 	recordStore, err := sqlstore.Open("sqlite:" + filepath.Join(t.TempDir(), "record.db"))
 	require.NoError(t, err)
 
-	ofList := testConfig("one", address, api.Addr())
-	ofRecord := testConfig("one", unusedAddress(t), api.Addr())
-	ofRecord.RecordAddress, ofRecord.Store = address, recordStore
-	for name, config := range map[string]Config{"list": ofList, "record": ofRecord} {
+	listConfig := testConfig("one", address, api.Addr())
+	recordConfig := testConfig("one", unusedAddress(t), api.Addr())
+	recordConfig.RecordAddress, recordConfig.Store = address, recordStore
+	for name, config := range map[string]Config{"list": listConfig, "record": recordConfig} {
 		t.Run(name, func(t *testing.T) {
 			controller, err := New(config, zap.NewNop())
 			require.NoError(t, err)
@@ -429,7 +432,7 @@
 			case err := <-ended:
 				assert.ErrorContains(t, err, address)
 			case <-time.After(eventTimeout):
-				t.Fatal("it goes on without its list")
+				t.Fatal("Run did not fail although an address is in use")
 			}
 		})
 	}
@@ -439,5 +442,5 @@
 	_, err := New(Config{
 		RecordAddress: "127.0.0.1:8600", Membership: membership.DefaultConfig(), Fanout: fanout.DefaultConfig(),
 	}, zap.NewNop())
-	assert.ErrorContains(t, err, "there is no store")
+	assert.ErrorContains(t, err, "record address 127.0.0.1:8600 is set, but there is no store")
 }
--- a/internal/controlplane/controller/election.go
+++ b/internal/controlplane/controller/election.go
@@ -11,8 +11,8 @@
 	"k8s.io/client-go/tools/leaderelection/resourcelock"
 )
 
-// handleLease follows the lease of the leader. Each change of its holder begins an epoch, in which nodes are sent
-// snapshots with higher revisions than all earlier ones.
+// handleLease processes an event of the leader's lease. Each change of its holder starts a new epoch, which begins with
+// snapshots of the lists. Their revisions are higher than all earlier ones.
 func (c *Controller) handleLease(_ string, object any, event eventType) {
 	lease, ok := object.(*coordination.Lease)
 	if event != objectUpdated || !ok {
@@ -24,7 +24,7 @@
 	epoch := int64(*lease.Spec.LeaseTransitions) + 1
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if epoch <= c.epoch { // never back, also if the API was restored from a backup
+	if epoch <= c.epoch { // an epoch never decreases, even if the API was restored from a backup
 		return
 	}
 	c.epoch = epoch
@@ -34,7 +34,7 @@
 	}
 }
 
-// elect takes part in the election of the leader until the context ends.
+// elect takes part in the leader election until the context ends.
 func (c *Controller) elect(ctx context.Context) {
 	config := leaderelection.LeaderElectionConfig{
 		Lock: &resourcelock.LeaseLock{
@@ -51,7 +51,7 @@
 			OnStoppedLeading: func() { c.setLeading(false) },
 		},
 	}
-	for ctx.Err() == nil { // an elector ends with the lease that it loses
+	for ctx.Err() == nil { // an elector stops when it loses the lease
 		elector, err := leaderelection.NewLeaderElector(config)
 		if err != nil {
 			c.log.Error("leader election failed", zap.Error(err))
--- a/internal/controlplane/controller/gates.go
+++ b/internal/controlplane/controller/gates.go
@@ -12,14 +12,14 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// ReadinessGate is the condition type of the readiness gate that paces slow starts: a Pod that names it in
-// spec.readinessGates is ready only once the leader has set the condition.
+// ReadinessGate is the condition type of the readiness gate that limits concurrent slow starts: a Pod that names it in
+// spec.readinessGates is ready only after the leader has set the condition to true.
 const ReadinessGate = "robincart.dev/may-serve"
 
-// gateOpenReason is the reason that the condition of an open gate has.
+// gateOpenReason is the reason field of the condition of an open gate.
 const gateOpenReason = "LetIn"
 
-// gatePatch is a merge patch of a Pod's status. It replaces the list of conditions, so it has to hold all of them.
+// gatePatch is a merge patch of a Pod's status. It replaces the list of conditions, so it must contain all of them.
 type gatePatch struct {
 	Status gatePatchStatus `json:"status"`
 }
@@ -28,10 +28,12 @@
 	Conditions []core.PodCondition `json:"conditions"`
 }
 
-// openGates opens the readiness gates of the pods that may start to serve now. Only the leader does.
+// openGates opens the readiness gates of the pods that may start to serve now. It does nothing if this replica does not
+// lead.
 func (c *Controller) openGates(ctx context.Context) {
 	for _, uid := range c.podsToAdmit() {
-		// Looked up for each pod: a patch takes a while, and the conditions that it writes have to be the latest.
+		// Look up each pod just before its patch: earlier patches take time, and this one must contain the latest
+		// conditions.
 		c.mu.Lock()
 		pod := c.pods[uid]
 		c.mu.Unlock()
--- a/internal/controlplane/controller/golden_test.go
+++ b/internal/controlplane/controller/golden_test.go
@@ -40,7 +40,8 @@
 
 const fixedTime = "2024-04-13T09:00:00Z"
 
-// recentTime is a time that the clock gave, alone or in microseconds. Those of the golden objects are of 2024.
+// recentTime matches a time of the clock in JSON, with or without a fraction of a second. The times in the golden
+// objects are of 2024.
 var recentTime = regexp.MustCompile(`"20(2[5-9]|[3-9]\d)-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?Z"`)
 
 // apiRequest is one request as the API receives it.
@@ -49,18 +50,19 @@
 	body                      string
 }
 
-// String is the request as the golden files have it.
+// String returns the request in the form of the golden files.
 func (r apiRequest) String() string {
 	body := recentTime.ReplaceAllString(strings.TrimSuffix(r.body, "\n"), `"`+fixedTime+`"`)
 	return fmt.Sprintf("%s %s\nContent-Type: %s\n\n%s\n", r.method, r.path, r.contentType, body)
 }
 
-// fakeAPI keeps the requests that change something. It holds one object: the body of the last of them.
+// fakeAPI is an HTTP transport that records the requests that write. It stores one object: the body of the last of
+// them.
 type fakeAPI struct {
 	mu      sync.Mutex
 	object  string
 	written []apiRequest
-	changed chan struct{} // something was written
+	changed chan struct{} // signals a request that writes
 }
 
 func newFakeAPI() *fakeAPI { return &fakeAPI{changed: make(chan struct{}, 100)} }
@@ -98,14 +100,14 @@
 	}, nil
 }
 
-// requests are those that changed something.
+// requests returns the recorded requests.
 func (a *fakeAPI) requests() []apiRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.written
 }
 
-// goldenController is a replica that started at a fixed time and has listed nothing yet. Its requests go to api.
+// goldenController returns a replica that started at fixedTime, has not listed any kind, and sends its requests to api.
 func goldenController(t *testing.T, api *fakeAPI) *Controller {
 	t.Helper()
 	config := Config{
@@ -130,7 +132,7 @@
 	return object
 }
 
-// syncAll gives the replica objects of the required kinds, and marks the kinds as listed.
+// syncAll passes objects of the required kinds to the replica, and marks all required kinds as listed.
 func syncAll(t *testing.T, controller *Controller) {
 	t.Helper()
 	controller.handlePod("booking/booking-1", goldenObject[core.Pod](t, "pod.json"), objectUpdated)
@@ -143,7 +145,7 @@
 	}
 }
 
-// publishedMembers are a service's members as nodes get them.
+// publishedMembers returns the members of the service "booking-api" as nodes receive them.
 func publishedMembers(controller *Controller) []fanout.Member {
 	var members []fanout.Member
 	for _, member := range controller.state.Members("booking-api") {
@@ -157,11 +159,12 @@
 	syncAll(t, controller)
 	members := publishedMembers(controller)
 	require.Len(t, members, 2)
-	assert.Greater(t, members[1].UpSince, members[0].UpSince, "it is not known when the second one started")
+	assert.Greater(t, members[1].UpSince, members[0].UpSince,
+		"the start of the second server is not known, so its first observation is used")
 	members[1].UpSince = 1712998800456
 	golden.JSON(t, "list.json", members)
 	assert.EqualValues(t, 7<<40+5+controller.state.Revision()+1, controller.lists["booking-api"].Status().Revision,
-		"the epoch follows the lease's transitions")
+		"the epoch is one more than the transitions of the lease")
 
 	terminating := goldenObject[discovery.EndpointSlice](t, "endpointslice-terminating.json")
 	controller.handleEndpointSlice("booking/booking-api-1", terminating, objectUpdated)
@@ -169,8 +172,8 @@
 	members = publishedMembers(controller)
 	require.Len(t, members, 2)
 	assert.Equal(t, []string{"draining", "draining"}, []string{members[0].Phase, members[1].Phase},
-		"an endpoint that terminates, and a node with a taint")
-	assert.Equal(t, "zone-b", members[1].Locality, "of its node")
+		"the endpoint of the first is terminating, and the node of the second has a taint")
+	assert.Equal(t, "zone-b", members[1].Locality, "the zone of the server's node")
 }
 
 func TestHandleLease_OtherLeaseIgnored(t *testing.T) {
@@ -231,7 +234,8 @@
 	for _, change := range changes {
 		s.changes = append(s.changes, change)
 		s.entries = append(s.entries, record.Entry{
-			Key: change.Key, Revision: 7, Writer: change.Writer, IdempotencyKey: change.IdempotencyKey, Value: change.Value,
+			Key: change.Key, Revision: 7, Writer: change.Writer, IdempotencyKey: change.IdempotencyKey,
+			Value: change.Value,
 		})
 	}
 	return s.entries, record.Meta{}, nil
@@ -270,7 +274,8 @@
 	}, writer.settings["booking/acme-quota"])
 	odd := writer.settings["booking/odd"]
 	assert.NotEmpty(t, odd.Malformed)
-	assert.Equal(t, desiredstate.Status{Generation: -1}, odd.published, "a status that can't be read is written anew")
+	assert.Equal(t, desiredstate.Status{Generation: -1}, odd.published,
+		"a status that can't be decoded is published again")
 }
 
 func TestRecordWriter_GoldenStatusPatch(t *testing.T) {
@@ -296,7 +301,7 @@
 	} {
 		t.Run(test.golden, func(t *testing.T) {
 			writer, api, _ := goldenRecordWriter(t)
-			writer.nodesCountedAt = time.Now() // the number of nodes stays as it was published
+			writer.nodesCountedAt = time.Now() // keeps the published number of nodes
 			object := desiredstate.Object{Key: "booking/acme-quota", UID: "u", Generation: 3, Spec: test.spec}
 			settings := map[string]settingObject{
 				object.Key: {Object: object, namespace: "booking", name: "acme-quota", published: test.published},
@@ -322,8 +327,8 @@
 	assert.GreaterOrEqual(t, change.WrittenAt, started, "milliseconds of Unix time")
 	change.WrittenAt = 0
 	assert.Equal(t, record.Change{
-		Key: record.Key{Kind: "tenant", Name: "booking/acme"}, Writer: "controller", IdempotencyKey: "controller-1.boot.1",
-		Value: json.RawMessage(`{"quota":200,"weight":2}`),
+		Key: record.Key{Kind: "tenant", Name: "booking/acme"}, Writer: "controller",
+		IdempotencyKey: "controller-1.boot.1", Value: json.RawMessage(`{"quota":200,"weight":2}`),
 	}, change)
 }
 
@@ -335,11 +340,12 @@
 			Skipped:      map[string]string{"pod booking/odd": "it has no UID"},
 			GatesOpened:  8, RecordError: "the store is away",
 			RecordServer: &recordserver.Status{
-				Epoch: "5f2a9c", Revision: 9, Entries: 10, Watchers: 11, SecondsSinceContact: 12.5, Error: "no answer", Pending: 13,
-				Written: 14, Answered: 15, Merged: 16,
+				Epoch: "5f2a9c", Revision: 9, Entries: 10, Watchers: 11, SecondsSinceContact: 12.5, Error: "no answer",
+				Pending: 13, Written: 14, Answered: 15, Merged: 16,
 			},
 			Services: map[string]fanout.Status{
-				"booking": {Revision: 17, Servers: 18, Watchers: 19, Rejected: 20, Snapshots: 21, SecondsSinceSourceSeen: 22.5},
+				"booking": {Revision: 17, Servers: 18, Watchers: 19, Rejected: 20, Snapshots: 21,
+					SecondsSinceSourceSeen: 22.5},
 			},
 		},
 		"status-zero.json": {},
--- a/internal/controlplane/controller/objects.go
+++ b/internal/controlplane/controller/objects.go
@@ -15,10 +15,10 @@
 	"robincart/internal/controlplane/membership"
 )
 
-// gatedServiceLabel is the label of a Pod that names the service whose slow starts its readiness gate paces.
+// gatedServiceLabel is the label of a Pod that names the service for which its readiness gate limits slow starts.
 const gatedServiceLabel = "robincart.dev/service"
 
-// podRecord is what a patch of a Pod's readiness gate needs of the Pod.
+// podRecord holds the fields of a Pod that a patch of its readiness gate needs.
 type podRecord struct {
 	name       string
 	conditions []core.PodCondition
@@ -37,36 +37,37 @@
 	if index < 0 {
 		return
 	}
-	endpoints, problem := endpointsOf(slice, c.config.Services[index].Port)
+	endpoints, problem := convertEndpoints(slice, c.config.Services[index].Port)
 	c.update(func(state *membership.State, now float64) []membership.Change {
 		changes := state.UpdateSlice(key, serviceName, endpoints, now)
 		if rejected := state.Rejected(key); rejected > 0 {
 			problem = fmt.Sprintf(
-				"%d endpoints are left out: the service has more than %d servers, those that left lately included",
-				rejected, membership.MaxServers)
+				"%d endpoints rejected: service %s would have more than %d servers, recently left ones included",
+				rejected, serviceName, membership.MaxServers)
 		}
 		return changes
 	})
 	c.setSkipped("endpointslice "+key, problem)
 }
 
-// endpointsOf returns the usable endpoints of a slice, and what is wrong with the last unusable one; empty: all are
+// convertEndpoints returns the usable endpoints of a slice, and a description of the last unusable one; empty: all are
 // usable.
-func endpointsOf(slice *discovery.EndpointSlice, wantedPort string) ([]membership.Endpoint, string) {
-	port := portOf(slice, wantedPort)
+func convertEndpoints(slice *discovery.EndpointSlice, wantedPort string) ([]membership.Endpoint, string) {
+	port := selectPort(slice, wantedPort)
 	problem := ""
 	var endpoints []membership.Endpoint
 	for _, endpoint := range slice.Endpoints {
 		if len(endpoint.Addresses) == 0 || net.ParseIP(endpoint.Addresses[0]) == nil || port == 0 {
-			problem = fmt.Sprintf("an endpoint has no proper address or port: %v, port %d", endpoint.Addresses, port)
+			problem = fmt.Sprintf("endpoint without a usable IP address or port: found addresses %v, port %d",
+				endpoint.Addresses, port)
 			continue
 		}
-		endpoints = append(endpoints, endpointOf(endpoint, port))
+		endpoints = append(endpoints, convertEndpoint(endpoint, port))
 	}
 	return endpoints, problem
 }
 
-func endpointOf(endpoint discovery.Endpoint, port int32) membership.Endpoint {
+func convertEndpoint(endpoint discovery.Endpoint, port int32) membership.Endpoint {
 	conditions := endpoint.Conditions
 	result := membership.Endpoint{
 		Addr:        net.JoinHostPort(endpoint.Addresses[0], strconv.Itoa(int(port))),
@@ -85,8 +86,9 @@
 	return result
 }
 
-// portOf returns the port of a slice by its name or number, or the first one if none is wanted; 0: there is none.
-func portOf(slice *discovery.EndpointSlice, wanted string) int32 {
+// selectPort returns the port of a slice with the wanted name or number, or its first port if wanted is empty. It
+// returns 0 if there is no such port.
+func selectPort(slice *discovery.EndpointSlice, wanted string) int32 {
 	for _, port := range slice.Ports {
 		if port.Port == nil || *port.Port <= 0 || *port.Port > maxPort {
 			continue
@@ -127,12 +129,12 @@
 	c.mu.Lock()
 	c.pods[string(pod.UID)] = podRecord{name: pod.Name, conditions: pod.Status.Conditions}
 	c.mu.Unlock()
-	observed := podOf(pod, c.started)
+	observed := convertPod(pod, c.started)
 	c.update(func(state *membership.State, now float64) []membership.Change { return state.UpdatePod(observed, now) })
 }
 
-// podOf returns what counts of a Pod, with times in seconds since the controller's start.
-func podOf(pod *core.Pod, started time.Time) membership.Pod {
+// convertPod returns the state of a Pod for package membership, with times in seconds since the controller's start.
+func convertPod(pod *core.Pod, started time.Time) membership.Pod {
 	result := membership.Pod{
 		UID:      string(pod.UID),
 		Deleting: pod.DeletionTimestamp != nil,
@@ -160,8 +162,8 @@
 	return result
 }
 
-// forgetPod drops the record of a pod: with deployments all day the map would otherwise grow by every pod there has
-// been.
+// forgetPod deletes the podRecord of a pod. Otherwise the map would keep a record of every pod that ever existed, and
+// grow with each deployment.
 func (c *Controller) forgetPod(pod *core.Pod) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,14 +174,14 @@
 	node, ok := object.(*core.Node)
 	observed := membership.Node{Missing: true}
 	if event == objectUpdated && ok {
-		observed = nodeOf(node)
+		observed = convertNode(node)
 	}
 	c.update(func(state *membership.State, now float64) []membership.Change {
 		return state.UpdateNode(key, observed, now)
 	})
 }
 
-func nodeOf(node *core.Node) membership.Node {
+func convertNode(node *core.Node) membership.Node {
 	return membership.Node{
 		Zone:     node.Labels[core.LabelTopologyZone],
 		Cordoned: node.Spec.Unschedulable,
@@ -189,7 +191,8 @@
 	}
 }
 
-// setSkipped notes why an object can't be used; an empty reason says that it can. Other objects are not affected.
+// setSkipped records and logs the reason why an object can't be used; empty: the object is usable. Other objects are
+// not affected.
 func (c *Controller) setSkipped(object, reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/controller/proxy_test.go
+++ b/internal/controlplane/controller/proxy_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// proxy forwards connections from a replica to the API, and can be cut.
+// proxy forwards connections from a replica to the API, and can interrupt them.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -43,7 +43,7 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// setCut closes all connections, and each new one until it is undone.
+// setCut closes all connections if cut is true, and each new one until it is called with false.
 func (p *proxy) setCut(cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/controller/publish.go
+++ b/internal/controlplane/controller/publish.go
@@ -9,15 +9,15 @@
 	"robincart/internal/controlplane/membership"
 )
 
-// epochShift is the number of lower bits of a revision that count lists within an epoch. The bits above are the epoch,
-// so that every list of a leader has a higher revision than those of all earlier leaders.
+// epochShift is the number of low bits of a revision that count lists within an epoch. The bits above them are the
+// epoch, so that every list of an epoch has a higher revision than the lists of all earlier epochs.
 const epochShift = 40
 
 // epochOf returns the epoch of a revision.
 func epochOf(revision int64) int64 { return revision >> epochShift }
 
-// markListed notes that a kind's initial list has been read, and publishes the first lists once all required kinds
-// have been.
+// markListed records that the initial list of a kind has been read. It publishes the first lists of servers once all
+// required kinds have been listed.
 func (c *Controller) markListed(kind string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,7 +31,7 @@
 	close(c.synced)
 }
 
-// isSynced reports whether all required kinds have been listed. The mutex is held.
+// isSynced reports whether all required kinds have been listed. The caller holds the mutex.
 func (c *Controller) isSynced() bool {
 	for _, kind := range requiredKinds {
 		if !c.listed[kind] {
@@ -41,7 +41,7 @@
 	return true
 }
 
-// publishSnapshots publishes all lists in the present epoch. The mutex is held.
+// publishSnapshots publishes all lists in the current epoch. The caller holds the mutex.
 func (c *Controller) publishSnapshots() {
 	for serviceName, list := range c.lists {
 		var members []fanout.Member
@@ -52,7 +52,7 @@
 	}
 }
 
-// update applies an observation to the membership, and publishes what changed by it.
+// update applies an observation to the membership state, and publishes the resulting changes.
 func (c *Controller) update(observe func(state *membership.State, now float64) []membership.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// listMember returns a server in the form of the discovery protocol.
+// listMember converts a server to a member of the discovery protocol.
 func (c *Controller) listMember(member membership.Member) fanout.Member {
 	startedAt := c.started.Add(time.Duration(member.StartedAt * float64(time.Second)))
 	return fanout.Member{
--- a/internal/controlplane/controller/recordwriter.go
+++ b/internal/controlplane/controller/recordwriter.go
@@ -21,41 +21,42 @@
 )
 
 const (
-	// reconcileInterval is the time between looks at the record, which other writers change too.
+	// reconcileInterval is the interval between reconciliations of the record, which other writers change, too.
 	reconcileInterval = time.Second
 	// storeCallTimeout bounds one call to the store.
 	storeCallTimeout = 5 * time.Second
-	// nodeCountMaxAge is how old the number of nodes in a status may be: it changes with every deployment.
+	// nodeCountMaxAge is the interval at which the number of nodes in statuses is updated. The number changes with
+	// every deployment, and each update is a patch.
 	nodeCountMaxAge = 5 * time.Second
 
 	recordPageSize   = 2000
 	maxRecordEntries = 100_000
 )
 
-// recordWriter writes what Setting objects define to the record, and reports to each object what became of it. It is
-// level-triggered: each turn goes from all objects and the present record to what is missing, so a missed event or a
-// failed write is made good by the next turn.
+// recordWriter writes the entries that Setting objects define to the record, and publishes the result in the status of
+// each object. It is level-triggered: each reconciliation compares all objects with the current record, and so corrects
+// missed events and failed writes.
 type recordWriter struct {
 	controller *Controller
 	store      store.Store
 	api        dynamic.NamespaceableResourceInterface
-	// instance distinguishes this process's idempotency keys from those of others with its identity.
+	// instance distinguishes the idempotency keys of this process from those of other processes with its identity.
 	instance string
-	changed  chan struct{} // a setting has changed
+	changed  chan struct{} // signals that a setting has changed
 
-	// Used by run's goroutine only.
+	// Used only by the goroutine of run.
 	nodesCountedAt time.Time
 	keysIssued     int
 
 	// Guarded by the controller's mutex.
 	settings  map[string]settingObject // by NAMESPACE/NAME
-	lastError string                   // why the last turn failed; empty: it did not
+	lastError string                   // error of the last reconciliation; empty: it succeeded
 }
 
 func newRecordWriter(c *Controller, recordStore store.Store) (*recordWriter, error) {
 	client, err := dynamic.NewForConfig(c.config.API)
 	if err != nil {
-		return nil, fmt.Errorf("the API's client: %w", err)
+		return nil, fmt.Errorf("create API client for settings: %w", err)
 	}
 	return &recordWriter{
 		controller: c,
@@ -67,7 +68,8 @@
 	}, nil
 }
 
-// startRecordWriter follows Setting objects and writes them to the record while this replica leads.
+// startRecordWriter starts the goroutines that watch Setting objects, and that write them to the record while this
+// replica leads.
 func (c *Controller) startRecordWriter(ctx context.Context) error {
 	writer, err := newRecordWriter(c, c.config.Store)
 	if err != nil {
@@ -92,7 +94,7 @@
 	if event != objectUpdated || !ok {
 		delete(w.settings, key)
 	} else {
-		w.settings[key] = settingOf(key, content)
+		w.settings[key] = parseSetting(key, content)
 	}
 	select {
 	case w.changed <- struct{}{}:
@@ -100,7 +102,7 @@
 	}
 }
 
-// run reconciles the record whenever a setting changes, and at intervals, until the context ends.
+// run reconciles the record after each change of a setting and at each reconcileInterval, until the context ends.
 func (w *recordWriter) run(ctx context.Context) {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
@@ -116,12 +118,13 @@
 			continue
 		}
 		if err := w.reconcile(ctx, settings); ctx.Err() == nil {
-			w.noteResult(err)
+			w.updateLastError(err)
 		}
 	}
 }
 
-// snapshot returns the settings, and whether this replica may write them: it has to lead, and to have listed them all.
+// snapshot returns the settings, and whether this replica may write them: it must lead and must have listed all of
+// them.
 func (w *recordWriter) snapshot() (map[string]settingObject, bool) {
 	c := w.controller
 	c.mu.Lock()
@@ -129,8 +132,8 @@
 	return maps.Clone(w.settings), c.leading && c.listed[kindSettings]
 }
 
-// reconcile is one turn: it reads the record, writes what is missing, and publishes the settings' statuses. A change by
-// another writer meanwhile is found by the next turn.
+// reconcile reads the record, writes the changes that the settings require, and publishes the statuses of the settings.
+// A concurrent change by another writer is detected by the next reconciliation.
 func (w *recordWriter) reconcile(ctx context.Context, settings map[string]settingObject) error {
 	objects := make([]desiredstate.Object, 0, len(settings))
 	for _, setting := range settings {
@@ -142,7 +145,7 @@
 	}
 	changes, statuses := desiredstate.Reconcile(objects, true, entries, meta.Epoch, w.newIdempotencyKey)
 	err = w.writeChanges(ctx, meta.Epoch, changes)
-	if len(changes) > 0 && err == nil { // report what was written without waiting for the next turn
+	if len(changes) > 0 && err == nil { // publish the written revisions now, not after the next tick
 		if entries, meta, err = w.readRecord(ctx); err == nil {
 			_, statuses = desiredstate.Reconcile(objects, true, entries, meta.Epoch, w.newIdempotencyKey)
 		}
@@ -150,20 +153,20 @@
 	return errors.Join(err, w.publishStatuses(ctx, settings, statuses))
 }
 
-// writeChanges writes each change by itself, so that one that fails keeps no other from being written.
+// writeChanges writes each change in a call of its own, so that a failure of one does not prevent the others.
 func (w *recordWriter) writeChanges(ctx context.Context, epoch string, changes []record.Change) error {
 	var failures []error
 	for i := range changes {
 		changes[i].WrittenAt = time.Now().UnixMilli()
 		if err := w.writeChange(ctx, epoch, changes[i]); err != nil {
-			failures = append(failures, fmt.Errorf("%s %s: %w", changes[i].Kind, changes[i].Name, err))
+			failures = append(failures, fmt.Errorf("write %s %s: %w", changes[i].Kind, changes[i].Name, err))
 		}
 	}
 	return errors.Join(failures...)
 }
 
-// writeChange writes one change. A conflict is not an error: another writer was first, and the next turn reads what it
-// wrote.
+// writeChange writes one change. A conflict is not an error: another writer changed the entry first, and the next
+// reconciliation reads the new value.
 func (w *recordWriter) writeChange(ctx context.Context, epoch string, change record.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -175,7 +178,7 @@
 	return err
 }
 
-// publishStatuses patches the statuses that differ from what the API has.
+// publishStatuses patches the statuses that differ from those in the API.
 func (w *recordWriter) publishStatuses(
 	ctx context.Context, settings map[string]settingObject, statuses map[string]desiredstate.Status,
 ) error {
@@ -191,18 +194,18 @@
 			continue
 		}
 		if err := w.patchStatus(ctx, setting, status); err != nil {
-			failures = append(failures, fmt.Errorf("the status of %s: %w", key, err))
+			failures = append(failures, fmt.Errorf("patch status of setting %s: %w", key, err))
 		}
 	}
 	return errors.Join(failures...)
 }
 
-// withNodeCount adds to a service's status how many nodes follow its list, or what the API has of that if they are not
-// to be counted now.
+// withNodeCount adds the number of nodes that watch a service's list, and the list's revision, to the service's status.
+// If count is false, it adds the published values.
 func (w *recordWriter) withNodeCount(
 	status desiredstate.Status, setting settingObject, count bool,
 ) desiredstate.Status {
-	list := w.controller.listOf(setting.Spec)
+	list := w.controller.findList(setting.Spec)
 	if list == nil {
 		return status
 	}
@@ -215,8 +218,8 @@
 	return status
 }
 
-// listOf returns the list of the service that a setting defines; nil: this controller publishes none.
-func (c *Controller) listOf(spec desiredstate.Spec) *fanout.List {
+// findList returns the list of the service that a setting defines, or nil if this controller does not publish it.
+func (c *Controller) findList(spec desiredstate.Spec) *fanout.List {
 	if spec.Kind != string(record.KindService) {
 		return nil
 	}
@@ -227,13 +230,13 @@
 	return c.lists[c.config.Services[index].ServiceName]
 }
 
-// newIdempotencyKey returns a key that no other write to the record has.
+// newIdempotencyKey returns a key that is unique among the writes to the record.
 func (w *recordWriter) newIdempotencyKey() string {
 	w.keysIssued++
 	return w.controller.config.Identity + "." + w.instance + "." + strconv.Itoa(w.keysIssued)
 }
 
-// readRecord reads all entries of the record, at one epoch.
+// readRecord reads all entries of the record, page by page. It fails if the epoch changes between two pages.
 func (w *recordWriter) readRecord(ctx context.Context) ([]record.Entry, record.Meta, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -254,14 +257,16 @@
 			return entries, meta, nil
 		}
 		if len(entries) > maxRecordEntries {
-			return nil, record.Meta{}, fmt.Errorf("the record has more than %d entries", maxRecordEntries)
+			return nil, record.Meta{}, fmt.Errorf(
+				"read record: found at least %d entries, expected at most %d", len(entries), maxRecordEntries)
 		}
 		revision = page.Entries[recordPageSize-1].Revision
 	}
 }
 
-// noteResult keeps the result of a turn for the status page. The log gets the first failure and the recovery.
-func (w *recordWriter) noteResult(err error) {
+// updateLastError stores the result of a reconciliation for the status page. It logs the first failure and the
+// recovery.
+func (w *recordWriter) updateLastError(err error) {
 	w.controller.mu.Lock()
 	defer w.controller.mu.Unlock()
 	failedBefore := w.lastError != ""
--- a/internal/controlplane/controller/recordwriter_test.go
+++ b/internal/controlplane/controller/recordwriter_test.go
@@ -23,7 +23,7 @@
 	t          *testing.T
 	api        *apiserver.Server
 	controller *Controller
-	// operators is the record as other writers open it.
+	// operators is the store as other writers of the record open it.
 	operators store.Database
 }
 
@@ -78,7 +78,7 @@
 	require.Eventually(f.t, condition, eventTimeout, pollInterval, messageAndArguments...)
 }
 
-// recorded returns writer and value of the entries, by kind and name.
+// recorded returns "WRITER VALUE" of each entry that is not deleted, by "KIND NAME".
 func (f *recordFixture) recorded() map[string]string {
 	page, err := f.operators.Since(f.t.Context(), 0, 100)
 	require.NoError(f.t, err)
@@ -91,7 +91,7 @@
 	return entries
 }
 
-// writeQuota writes as an operator does.
+// writeQuota writes the value of a tenant to the record as an operator does.
 func (f *recordFixture) writeQuota(name, value string) {
 	meta, err := f.operators.Meta(f.t.Context())
 	require.NoError(f.t, err)
@@ -118,7 +118,7 @@
 	})
 	f.run()
 	f.requireEventually(func() bool { return f.controller.Status().RecordError != "" },
-		"the status says that there is no record yet")
+		"the status must show the error that there is no record yet")
 	_, err := f.operators.Init(t.Context(), false)
 	require.NoError(t, err)
 
@@ -147,7 +147,7 @@
 	assert.Contains(t, f.recorded(), "tenant front/acme")
 }
 
-// requireServedToNodes waits until the replica serves a record of one entry, which has the name.
+// requireServedToNodes waits until the replica serves a record whose only entry has the name.
 func (f *recordFixture) requireServedToNodes(name string) {
 	f.t.Helper()
 	served := store.DialControllers([]string{f.controller.config.RecordAddress}, nil)
--- a/internal/controlplane/controller/reflector.go
+++ b/internal/controlplane/controller/reflector.go
@@ -23,30 +23,30 @@
 	kindLeases         = "leases"
 )
 
-// requiredKinds have to be listed before anything is published: servers of half a view may be draining in its other
-// half.
+// requiredKinds must all be listed before lists are published: a server that seems ready by one kind may be draining by
+// another.
 var requiredKinds = []string{kindEndpointSlices, kindPods, kindNodes, kindLeases}
 
 const (
 	minWatchBackoff = 10 * time.Millisecond
 	maxWatchBackoff = 2 * time.Second
-	// watchBackoffReset is how long a watch has to last for the next one to begin with the least backoff.
+	// watchBackoffReset is how long a watch must last to reset the backoff to minWatchBackoff.
 	watchBackoffReset = time.Second
 )
 
-// eventType is what became of an object.
+// eventType says whether an object was updated, deleted or missing from a list.
 type eventType int
 
 const (
-	objectUpdated eventType = iota // it was added, changed, or listed
-	objectDeleted                  // a watch event says that it was deleted
-	objectMissing                  // a list lacks it: it was deleted while nobody watched, or the list is incomplete
+	objectUpdated eventType = iota // it was added, changed or listed
+	objectDeleted                  // a watch event reported its deletion
+	objectMissing                  // a list lacks it: it was deleted between two watches, or the list is incomplete
 )
 
-// eventHandler takes what became of one object.
+// eventHandler processes one event of an object.
 type eventHandler func(key string, object any, event eventType)
 
-// followCluster starts a reflector for each kind of object that servers are made of.
+// followCluster starts a reflector for each of requiredKinds.
 func (c *Controller) followCluster(ctx context.Context) {
 	follow := func(client rest.Interface, kind, namespace string, example any, handle eventHandler) {
 		source := cache.NewListWatchFromClient(client, kind, namespace, fields.Everything())
@@ -74,8 +74,9 @@
 	c.goroutines.Go(func() { c.runReflector(ctx, kind, reflector) })
 }
 
-// runReflector begins a watch that ended again. The first attempt comes almost at once, since events may be missed
-// meanwhile; after failures the backoff grows.
+// runReflector runs a reflector and restarts it when it returns, until the context ends. The first restart comes after
+// a short backoff, since no events are received meanwhile. The backoff doubles after each run that did not last longer
+// than watchBackoffReset.
 func (c *Controller) runReflector(ctx context.Context, kind string, reflector *cache.Reflector) {
 	backoff := minWatchBackoff
 	for ctx.Err() == nil {
@@ -96,7 +97,7 @@
 	}
 }
 
-// eventStore is the store that a reflector fills. It calls the kind's handler for each object that comes in.
+// eventStore is the store that a reflector writes to. It calls the handler of its kind for each received object.
 type eventStore struct {
 	cache.Store
 	controller *Controller
@@ -107,16 +108,20 @@
 	version uint64
 }
 
-// Add takes a watch event.
-func (s *eventStore) Add(object any) error { return s.take(object, objectUpdated, s.Store.Add) }
+// Add applies a watch event for an added object.
+func (s *eventStore) Add(object any) error { return s.applyEvent(object, objectUpdated, s.Store.Add) }
 
-// Update takes a watch event.
-func (s *eventStore) Update(object any) error { return s.take(object, objectUpdated, s.Store.Update) }
+// Update applies a watch event for a changed object.
+func (s *eventStore) Update(object any) error {
+	return s.applyEvent(object, objectUpdated, s.Store.Update)
+}
 
-// Delete takes a watch event.
-func (s *eventStore) Delete(object any) error { return s.take(object, objectDeleted, s.Store.Delete) }
+// Delete applies a watch event for a deleted object.
+func (s *eventStore) Delete(object any) error {
+	return s.applyEvent(object, objectDeleted, s.Store.Delete)
+}
 
-func (s *eventStore) take(object any, event eventType, store func(any) error) error {
+func (s *eventStore) applyEvent(object any, event eventType, store func(any) error) error {
 	s.controller.markConnected(s.kind)
 	if s.isStale(object) {
 		return nil
@@ -125,9 +130,9 @@
 	return store(object)
 }
 
-// Replace takes a list. Objects that it lacks are missing.
+// Replace applies a list. Known objects that the list lacks are dispatched as missing.
 func (s *eventStore) Replace(list []any, resourceVersion string) error {
-	// The list's version counts also where it is older than the latest: the API may have been restored from a backup.
+	// Set the version even if the list is older than the latest event: the API may have been restored from a backup.
 	s.version, _ = strconv.ParseUint(resourceVersion, 10, 64)
 	s.dispatchMissing(list)
 	for _, object := range list {
@@ -160,9 +165,10 @@
 	}
 }
 
-// isStale reports whether an event is older than the latest one. A watch sends a kind's events in the order of their
-// versions, so one that was resumed at the wrong place sends old ones again, by which a server that has just begun to
-// drain would come back. Versions are integers that rise; an object with any other version is taken as it comes.
+// isStale reports whether an event is older than the latest one. A watch sends the events of a kind in the order of
+// their resource versions. A watch that was resumed at a wrong version can repeat old events, which would make a server
+// that has just begun to drain ready again. Versions are increasing integers; an object with any other version is not
+// stale.
 func (s *eventStore) isStale(object any) bool {
 	accessor, err := meta.Accessor(object)
 	if err != nil {
--- a/internal/controlplane/controller/settings.go
+++ b/internal/controlplane/controller/settings.go
@@ -19,14 +19,14 @@
 // kindSettings is the kind of Setting objects. It is not among requiredKinds: lists do not depend on settings.
 const kindSettings = "settings"
 
-// settingsResource is the custom resource of services, routes and quotas: deploy/kubernetes/settings.yaml.
+// settingsResource is the custom resource that defines services, routes and quotas: deploy/kubernetes/settings.yaml.
 var settingsResource = schema.GroupVersionResource{Group: "robincart.dev", Version: "v1", Resource: kindSettings}
 
-// unreadableGeneration is the generation of a published status that can't be read. No status has it, so the status is
-// written again.
+// unreadableGeneration replaces the generation of a published status that can't be decoded. No new status has this
+// generation, so the status is published again.
 const unreadableGeneration = -1
 
-// settingObject is a Setting object of the API, with the status that the API has of it.
+// settingObject is a Setting object of the API, with its published status.
 type settingObject struct {
 	desiredstate.Object
 	namespace string
@@ -34,8 +34,8 @@
 	published desiredstate.Status
 }
 
-// settingOf reads a Setting object. What can't be read of its spec is noted in Malformed.
-func settingOf(key string, object *unstructured.Unstructured) settingObject {
+// parseSetting converts a Setting object. If its spec can't be decoded, Malformed holds the error.
+func parseSetting(key string, object *unstructured.Unstructured) settingObject {
 	result := settingObject{
 		Object: desiredstate.Object{
 			Key:        key,
@@ -64,7 +64,7 @@
 	return json.Unmarshal(text, target)
 }
 
-// newSettingsSource returns what a reflector of Setting objects lists and watches.
+// newSettingsSource returns the list and watch functions for a reflector of Setting objects.
 func newSettingsSource(api dynamic.ResourceInterface) cache.ListerWatcher {
 	listFunc := func(ctx context.Context, options metav1.ListOptions) (runtime.Object, error) {
 		return api.List(ctx, options)
@@ -75,8 +75,8 @@
 	return &cache.ListWatch{ListWithContextFunc: listFunc, WatchFuncWithContext: watchFunc}
 }
 
-// statusPatch is a merge patch of a Setting's status. It names every field, since a patch leaves a field that it does
-// not name as it is; null removes one.
+// statusPatch is a merge patch of a Setting's status. It contains every field, since a merge patch does not change
+// fields that it lacks; null removes a field.
 type statusPatch struct {
 	Status statusPatchFields `json:"status"`
 }
--- a/internal/controlplane/controller/status.go
+++ b/internal/controlplane/controller/status.go
@@ -22,15 +22,15 @@
 	Leading      bool                     `json:"leads"`
 	Epoch        int64                    `json:"epoch"`
 	Synced       bool                     `json:"whole"`
-	Disconnected map[string]float64       `json:"cut_seconds"` // seconds since a kind's watch was lost
-	Skipped      map[string]string        `json:"skipped"`     // why an object is not used
+	Disconnected map[string]float64       `json:"cut_seconds"` // by kind: seconds since its watch was lost
+	Skipped      map[string]string        `json:"skipped"`     // by object: reason why it is not used
 	GatesOpened  int                      `json:"gates_opened"`
-	RecordError  string                   `json:"record,omitempty"` // why settings can't be written to the record
+	RecordError  string                   `json:"record,omitempty"` // error of the last reconciliation of the record
 	RecordServer *recordserver.Status     `json:"relay,omitempty"`
 	Services     map[string]fanout.Status `json:"services"`
 }
 
-// Status returns the present state of the replica.
+// Status returns the current state of the replica.
 func (c *Controller) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +76,7 @@
 
 func (c *Controller) serveStatus(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || r.URL.Path != "/status" {
-		http.Error(w, "GET /status", http.StatusNotFound)
+		http.Error(w, "unknown request: expected GET /status", http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/controlplane/desiredstate/desiredstate.go
+++ b/internal/controlplane/desiredstate/desiredstate.go
@@ -1,8 +1,8 @@
-// Package desiredstate decides what the cluster manager's Setting objects, which define services, routes and quotas,
-// mean for the record: which entries are to be written, and which status each object gets.
+// Package desiredstate computes the changes to the record that Setting objects require, and the status of each object.
+// Setting objects belong to the cluster manager's API and define services, routes and quotas.
 //
-// It is level-triggered: from all objects and all entries to what is to be written. It has no I/O and no clock; package
-// controller reads the objects and the record, and writes what comes out.
+// The computation is level-triggered: it compares all objects with all entries of the record. The package has no I/O
+// and no clock: package controller reads the objects and the record, and writes the changes and statuses.
 package desiredstate
 
 import (
@@ -13,34 +13,35 @@
 	"robincart/internal/record/record"
 )
 
-// Writer is the writer of the entries that objects define. Entries of other writers are left as they are.
+// Writer is the writer of the entries that objects define. Entries of other writers are not changed.
 const Writer = "controller"
 
-// reasonPending is the reason of an object whose entry is being written.
+// reasonPending is the reason in the status of an object whose entry is being written.
 const reasonPending = "being written to the record"
 
-// reconciliation is one run of Reconcile.
+// reconciliation is the state of one call of Reconcile.
 type reconciliation struct {
-	present           map[record.Key]record.Entry // entries of the kinds that objects define
+	present           map[record.Key]record.Entry // entries of the kinds that objects can define
 	owners            map[record.Key]string       // the key of the object that defines an entry
 	epoch             string
 	newIdempotencyKey func() string
 	changes           []record.Change
 }
 
-// Reconcile returns what is to be written to the record, and each object's status by its key. An entry that no object
-// defines is deleted, but only if the list of objects is complete. The function has to return a new key each time.
+// Reconcile returns the changes to write to the record, and the status of each object by the object's key. If the list
+// of objects is complete, the changes also delete the entries of Writer that no object defines. newIdempotencyKey must
+// return a new key on each call.
 func Reconcile(
 	objects []Object, complete bool, entries []record.Entry, epoch string, newIdempotencyKey func() string,
 ) ([]record.Change, map[string]Status) {
 	r := &reconciliation{
-		present:           definable(entries),
+		present:           definableEntries(entries),
 		owners:            make(map[record.Key]string),
 		epoch:             epoch,
 		newIdempotencyKey: newIdempotencyKey,
 	}
 	statuses := make(map[string]Status, len(objects))
-	for _, object := range inOrderOfCreation(objects) {
+	for _, object := range sortedByCreation(objects) {
 		statuses[object.Key] = r.reconcile(object)
 	}
 	if complete {
@@ -50,8 +51,8 @@
 	return r.changes, statuses
 }
 
-// definable returns the entries of the kinds that objects define, by key.
-func definable(entries []record.Entry) map[record.Key]record.Entry {
+// definableEntries returns the entries of the kinds that objects can define, by key. Deleted entries are left out.
+func definableEntries(entries []record.Entry) map[record.Key]record.Entry {
 	byKey := make(map[record.Key]record.Entry, len(entries))
 	for _, entry := range entries {
 		switch entry.Kind {
@@ -64,15 +65,15 @@
 	return byKey
 }
 
-// inOrderOfCreation returns the objects so that of two which define the same entry the older one comes first, and
-// defines it.
-func inOrderOfCreation(objects []Object) []Object {
+// sortedByCreation returns the objects from the oldest to the newest: if two objects define the same entry, the older
+// one takes effect.
+func sortedByCreation(objects []Object) []Object {
 	return slices.SortedFunc(slices.Values(objects), func(a, b Object) int {
 		return cmp.Or(cmp.Compare(a.CreatedAt, b.CreatedAt), cmp.Compare(a.UID, b.UID))
 	})
 }
 
-// reconcile returns the status of one object, and notes the change that it needs.
+// reconcile returns the status of one object, and appends the change that it requires to r.changes.
 func (r *reconciliation) reconcile(object Object) Status {
 	status := Status{Generation: object.Generation}
 	desired, err := object.entry()
@@ -82,7 +83,7 @@
 	}
 	key := desired.Key
 	if owner, owned := r.owners[key]; owned {
-		status.Reason = fmt.Sprintf("%s %s is defined by %s already", key.Kind, key.Name, owner)
+		status.Reason = fmt.Sprintf("%s %s is already defined by object %s", key.Kind, key.Name, owner)
 		return status
 	}
 	r.owners[key] = object.Key
@@ -93,7 +94,7 @@
 		status.Revision = present.Revision
 		status.Epoch = r.epoch
 	case exists && present.Writer != Writer:
-		status.Reason = fmt.Sprintf("the record has another %s %s, by %s: take that out first",
+		status.Reason = fmt.Sprintf("the record already has a different %s %s, written by %s: remove that entry first",
 			key.Kind, key.Name, present.Writer)
 	default:
 		status.Reason = reasonPending
@@ -108,7 +109,7 @@
 	return status
 }
 
-// deleteUndefined notes the deletion of the entries that objects defined and none does any more.
+// deleteUndefined appends the deletion of the entries of Writer that no object defines any more.
 func (r *reconciliation) deleteUndefined() {
 	for key, entry := range r.present {
 		if _, owned := r.owners[key]; owned || entry.Writer != Writer {
@@ -124,7 +125,7 @@
 	}
 }
 
-// sortByDependency puts services before the routes and tenants that name them.
+// sortByDependency sorts services before the routes and tenants that refer to them.
 func sortByDependency(changes []record.Change) {
 	slices.SortFunc(changes, func(a, b record.Change) int {
 		return cmp.Or(
--- a/internal/controlplane/desiredstate/desiredstate_test.go
+++ b/internal/controlplane/desiredstate/desiredstate_test.go
@@ -28,8 +28,8 @@
 
 func newKey() string { return "m" }
 
-// recordedEntries are a service that an object defines, a route that none does any more, and entries that are not the
-// controller's to change.
+// recordedEntries returns a service that an object defines, a route that no object defines any more, and entries that
+// the controller must not change.
 func recordedEntries(t *testing.T) []record.Entry {
 	value, err := json.Marshal(tomlValue{TOML: serviceText})
 	require.NoError(t, err)
@@ -49,7 +49,7 @@
 		object Object
 		reason string
 	}{
-		{newObject("d/late", 9, "service", "s", serviceText), "d/first already"},
+		{newObject("d/late", 9, "service", "s", serviceText), "already defined by object d/first"},
 		{newObject("d/theirs", 1, "tenant", "s/mine", `{"quota":2,"weight":1}`), "by a person"},
 		{newObject("d/new", 1, "tenant", "s/new", `{"quota": 2, "weight": 1}`), "being written"},
 		{newObject("d/kind", 1, "drain", "s/x", "{}"), "spec.kind"},
@@ -88,9 +88,9 @@
 	assert.Empty(t, changes)
 }
 
-// Whatever the record had, it is as defined after one turn, entries of other writers are not touched, and the order of
-// the objects does not matter.
-func TestReconcile_OneTurnIsEnough(t *testing.T) {
+// For any content of the record, the changes of one call make it match the objects: a second call returns no changes.
+// Entries of other writers are not changed, and the order of the objects does not affect the statuses.
+func TestReconcile_ConvergesInOneRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		present := drawEntries(t)
 		objects := drawObjects(t)
--- a/internal/controlplane/desiredstate/golden_test.go
+++ b/internal/controlplane/desiredstate/golden_test.go
@@ -14,7 +14,7 @@
 	"robincart/internal/testutil/golden"
 )
 
-// goldenText is a service that has what an encoder may have to escape.
+// goldenText defines a service, with characters that an encoder may have to escape.
 const goldenText = "[[service]]\nname = \"tables\"\nservers = [\"10.1.0.1:8080\"]\n# <ü> & \\ \t\n" +
 	"[[service.method]]\nname = \"find-table\"\ndeadline = \"3s\"\n"
 
@@ -51,7 +51,8 @@
 	}{
 		{"fact-service.json", Spec{"service", "tables", goldenText}, record.Key{Kind: "service", Name: "tables"}},
 		{"fact-route.json", Spec{"route", "tables", goldenRoute}, record.Key{Kind: "route", Name: "tables"}},
-		{"fact-tenant.json", Spec{"tenant", "tables/acme", goldenQuota}, record.Key{Kind: "tenant", Name: "tables/acme"}},
+		{"fact-tenant.json", Spec{"tenant", "tables/acme", goldenQuota},
+			record.Key{Kind: "tenant", Name: "tables/acme"}},
 	} {
 		t.Run(test.golden, func(t *testing.T) {
 			object := Object{Spec: test.spec}
@@ -63,7 +64,7 @@
 	}
 }
 
-// A golden value that is in the record already is found again, and nothing is written.
+// An object whose golden value is already in the record is accepted without a write.
 func TestReconcile_GoldenEntryAccepted(t *testing.T) {
 	object := Object{
 		Key: "booking/tables", UID: "u", Generation: 3, CreatedAt: 1712998800123,
--- a/internal/controlplane/desiredstate/object.go
+++ b/internal/controlplane/desiredstate/object.go
@@ -16,14 +16,14 @@
 	Generation int64
 	CreatedAt  int64 // milliseconds of Unix time
 	Spec       Spec
-	Malformed  string // why the spec can't be read; empty: it can
+	Malformed  string // why the spec can't be decoded; empty: it was decoded
 }
 
 // Spec is what an object defines.
 type Spec struct {
 	Kind string `json:"kind"` // service, route or tenant
-	Name string `json:"name"` // of a tenant: SERVICE/TENANT
-	Text string `json:"text"` // as in the operator's file; of a tenant {"quota":..,"weight":..}
+	Name string `json:"name"` // for a tenant: SERVICE/TENANT
+	Text string `json:"text"` // TOML as in the configuration file; for a tenant the JSON {"quota":..,"weight":..}
 }
 
 // Status is the status of an object in the API.
@@ -31,9 +31,9 @@
 	Accepted   bool   `json:"accepted"` // the record has the entry
 	Reason     string `json:"reason,omitempty"`
 	Generation int64  `json:"observedGeneration"`
-	Revision   int64  `json:"recordRevision,omitempty"` // of the entry
+	Revision   int64  `json:"recordRevision,omitempty"` // revision of the entry
 	Epoch      string `json:"recordEpoch,omitempty"`
-	// Of a service that the controller publishes a list of: how many nodes follow that list at the leader, and the
+	// For a service whose list the controller publishes: the number of nodes that watch the list at the leader, and the
 	// list's revision.
 	Nodes        int64 `json:"nodes,omitempty"`
 	ListRevision int64 `json:"listRevision,omitempty"`
@@ -44,8 +44,8 @@
 	TOML string `json:"toml"`
 }
 
-// entry returns the entry that the object defines, with key and value only. It is valid by itself; whether it fits
-// together with other entries is not checked.
+// entry returns the entry that the object defines, with key and value only. The entry is validated alone: whether it
+// is consistent with other entries is not checked.
 func (o *Object) entry() (record.Entry, error) {
 	entry := record.Entry{Key: record.Key{Kind: record.Kind(o.Spec.Kind), Name: o.Spec.Name}}
 	if o.Malformed != "" {
@@ -70,7 +70,7 @@
 	return entry, nodeconfig.ValidateEntry(entry)
 }
 
-// sameJSON reports whether two values are the same JSON text but for the space between tokens.
+// sameJSON reports whether two values are the same JSON text apart from whitespace between tokens.
 func sameJSON(a, b json.RawMessage) bool {
 	var compactA, compactB bytes.Buffer
 	if json.Compact(&compactA, a) != nil || json.Compact(&compactB, b) != nil {
