--- a/internal/controlplane/controller/connectivity.go
+++ b/internal/controlplane/controller/connectivity.go
@@ -16,7 +16,7 @@
 	// and are replaced often in normal operation.
 	disconnectionLogDelay = 2 * time.Second
 	// minWatchDuration is how long a watch must last before its kind counts as connected: a watch whose connection is
-	// closed immediately is also established without an error.
+	// closed immediately looks like a working one at first.
 	minWatchDuration = 250 * time.Millisecond
 )
 
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -170,7 +170,7 @@
 			return err
 		}
 	}
-	c.followCluster(ctx)
+	c.startClusterReflectors(ctx)
 	c.goroutines.Go(func() { c.elect(ctx) })
 	return nil
 }
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -155,9 +155,9 @@
 	return snapshot{phases: phases, revision: message.Revision}
 }
 
-// followSince starts to watch a list from a revision, and returns the response before any message is read. The caller
+// watchSince starts to watch a list from a revision, and returns the response before any message is read. The caller
 // closes the body.
-func followSince(t *testing.T, address string, revision int64) *http.Response {
+func watchSince(t *testing.T, address string, revision int64) *http.Response {
 	t.Helper()
 	client := http.Client{Timeout: eventTimeout}
 	response, err := client.Get(fmt.Sprintf("http://%s/registry/instances?follow=1&since=%d", address, revision))
@@ -278,7 +278,7 @@
 	}
 	// A node of a later epoch is rejected: the epochs differ if only one of the replicas has seen a leader change.
 	isSnapshotOrRejection := func(since int64) bool {
-		response := followSince(t, second.list, since)
+		response := watchSince(t, second.list, since)
 		defer response.Body.Close()
 		var message struct{ Complete bool }
 		return response.StatusCode == http.StatusServiceUnavailable ||
@@ -392,7 +392,7 @@
 	assert.Equal(t, map[string]string{"a": "ready", "b": "ready"}, stale.phases,
 		"the disconnected replica must serve its last list")
 	assert.Greater(t, epochOf(current.revision), epochOf(stale.revision))
-	response := followSince(t, second.list, current.revision)
+	response := watchSince(t, second.list, current.revision)
 	response.Body.Close()
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode,
 		"a node that has seen a later epoch must be rejected")
--- a/internal/controlplane/controller/recordwriter.go
+++ b/internal/controlplane/controller/recordwriter.go
@@ -25,9 +25,9 @@
 	reconcileInterval = time.Second
 	// storeCallTimeout bounds one call to the store.
 	storeCallTimeout = 5 * time.Second
-	// nodeCountMaxAge is the interval at which the number of nodes in statuses is updated. The number changes with
+	// nodeCountInterval is the interval at which the number of nodes in statuses is updated. The number changes with
 	// every deployment, and each update is a patch.
-	nodeCountMaxAge = 5 * time.Second
+	nodeCountInterval = 5 * time.Second
 
 	recordPageSize   = 2000
 	maxRecordEntries = 100_000
@@ -82,7 +82,7 @@
 	example := &unstructured.Unstructured{}
 	example.SetAPIVersion(settingsResource.GroupVersion().String())
 	example.SetKind("Setting")
-	c.follow(ctx, kindSettings, source, example, writer.handleSetting)
+	c.startReflector(ctx, kindSettings, source, example, writer.handleSetting)
 	c.goroutines.Go(func() { writer.run(ctx) })
 	return nil
 }
@@ -182,7 +182,7 @@
 func (w *recordWriter) publishStatuses(
 	ctx context.Context, settings map[string]settingObject, statuses map[string]desiredstate.Status,
 ) error {
-	countNodes := time.Since(w.nodesCountedAt) >= nodeCountMaxAge
+	countNodes := time.Since(w.nodesCountedAt) >= nodeCountInterval
 	if countNodes {
 		w.nodesCountedAt = time.Now()
 	}
--- a/internal/controlplane/controller/recordwriter_test.go
+++ b/internal/controlplane/controller/recordwriter_test.go
@@ -128,7 +128,7 @@
 	assert.Len(t, f.recorded(), 1)
 	assert.Contains(t, f.recorded()["service front"], "127.0.0.1:1")
 	f.requireServedToNodes("front")
-	f.followList()
+	f.watchList()
 	f.requireStatus("front", "nodes:1")
 	f.requireStatus("front", "listRevision:")
 	assert.Empty(t, f.controller.Status().RecordError)
@@ -159,8 +159,8 @@
 	assert.Equal(f.t, 1, f.controller.Status().RecordServer.Watchers)
 }
 
-// followList watches the list as a node does, until the test ends.
-func (f *recordFixture) followList() {
+// watchList watches the list as a node does, until the test ends.
+func (f *recordFixture) watchList() {
 	node, err := net.Dial("tcp", f.controller.config.Services[0].Listen)
 	require.NoError(f.t, err)
 	f.t.Cleanup(func() { node.Close() })
--- a/internal/controlplane/controller/reflector.go
+++ b/internal/controlplane/controller/reflector.go
@@ -23,8 +23,8 @@
 	kindLeases         = "leases"
 )
 
-// requiredKinds must all be listed before lists are published: a server that seems ready by one kind may be draining by
-// another.
+// requiredKinds must all be listed before lists are published: a server that is ready according to one kind may be
+// draining according to another.
 var requiredKinds = []string{kindEndpointSlices, kindPods, kindNodes, kindLeases}
 
 const (
@@ -46,21 +46,21 @@
 // eventHandler processes one event of an object.
 type eventHandler func(key string, object any, event eventType)
 
-// followCluster starts a reflector for each of requiredKinds.
-func (c *Controller) followCluster(ctx context.Context) {
-	follow := func(client rest.Interface, kind, namespace string, example any, handle eventHandler) {
+// startClusterReflectors starts a reflector for each of requiredKinds.
+func (c *Controller) startClusterReflectors(ctx context.Context) {
+	start := func(client rest.Interface, kind, namespace string, example any, handle eventHandler) {
 		source := cache.NewListWatchFromClient(client, kind, namespace, fields.Everything())
-		c.follow(ctx, kind, source, example, handle)
+		c.startReflector(ctx, kind, source, example, handle)
 	}
 	namespace := c.config.Namespace
-	follow(c.clients.discovery, kindEndpointSlices, namespace, &discovery.EndpointSlice{}, c.handleEndpointSlice)
-	follow(c.clients.core, kindPods, namespace, &core.Pod{}, c.handlePod)
-	follow(c.clients.core, kindNodes, core.NamespaceAll, &core.Node{}, c.handleNode)
-	follow(c.clients.coordination, kindLeases, namespace, &coordination.Lease{}, c.handleLease)
+	start(c.clients.discovery, kindEndpointSlices, namespace, &discovery.EndpointSlice{}, c.handleEndpointSlice)
+	start(c.clients.core, kindPods, namespace, &core.Pod{}, c.handlePod)
+	start(c.clients.core, kindNodes, core.NamespaceAll, &core.Node{}, c.handleNode)
+	start(c.clients.coordination, kindLeases, namespace, &coordination.Lease{}, c.handleLease)
 }
 
-// follow starts a reflector of one kind, which ends with the context.
-func (c *Controller) follow(
+// startReflector starts a reflector of one kind, which ends with the context.
+func (c *Controller) startReflector(
 	ctx context.Context, kind string, source cache.ListerWatcher, example any, handle eventHandler,
 ) {
 	target := &eventStore{
--- a/internal/controlplane/membership/evaluate.go
+++ b/internal/controlplane/membership/evaluate.go
@@ -73,7 +73,7 @@
 	s.timeDependent[server] = true
 }
 
-// evaluate sets a server's phase.
+// evaluate sets a server's phase from the latest observations.
 func (s *State) evaluate(server *server) {
 	listed, ready, terminating := server.combineEndpoints()
 	if server.Zone == "" {
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -60,7 +60,7 @@
 		terminating.Terminating, terminating.Ready = true, false
 		return state.UpdateSlice("k", "s", []Endpoint{terminating, readyEndpoint("q")}, now)
 	}},
-	{"pod lives", false, func(state *State, now float64) []Change { return state.UpdatePod(Pod{UID: "p"}, now) }},
+	{"pod running", false, func(state *State, now float64) []Change { return state.UpdatePod(Pod{UID: "p"}, now) }},
 	{"pod deleting", true, func(state *State, now float64) []Change {
 		return state.UpdatePod(Pod{UID: "p", Deleting: true}, now)
 	}},
@@ -98,7 +98,7 @@
 	state := New(DefaultConfig(), 0)
 	state.UpdateSlice("k", "s", []Endpoint{readyEndpoint("p"), readyEndpoint("q")}, 0)
 	state.UpdatePod(Pod{UID: "p"}, 0)
-	followed := phases(state, "s")
+	rebuilt := phases(state, "s")
 	revision := state.Revision()
 	ended := false
 	for i, index := range order {
@@ -108,15 +108,15 @@
 			revision++
 			assert.Equal(t, revision, change.Revision)
 			if change.Phase == Gone {
-				delete(followed, change.ID)
+				delete(rebuilt, change.ID)
 			} else {
-				followed[change.ID] = change.Phase
+				rebuilt[change.ID] = change.Phase
 			}
 		}
 		if ended {
 			assert.NotEqual(t, Ready, phases(state, "s")["p"], "%v", order[:i+1])
 		}
-		assert.Equal(t, phases(state, "s"), followed, "the changes must add up to the list: %v", order)
+		assert.Equal(t, phases(state, "s"), rebuilt, "the changes must add up to the list: %v", order)
 	}
 }
 
@@ -258,7 +258,7 @@
 // after its end was observed.
 type stateModel struct {
 	state    *State
-	followed map[string]Member
+	rebuilt  map[string]Member
 	ended    map[string]bool
 	now      float64
 	revision int64
@@ -270,13 +270,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		model := &stateModel{
 			state:    New(DefaultConfig(), 7),
-			followed: map[string]Member{},
+			rebuilt:  map[string]Member{},
 			ended:    map[string]bool{},
 			revision: 7,
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			model.now += rapid.Float64Range(0, 20).Draw(t, "passed")
-			model.follow(t, model.step(t))
+			model.applyChanges(t, model.step(t))
 			model.check(t)
 		}
 	})
@@ -321,15 +321,15 @@
 	return endpoints
 }
 
-func (m *stateModel) follow(t *rapid.T, changes []Change) {
+func (m *stateModel) applyChanges(t *rapid.T, changes []Change) {
 	drainsOnly := true
 	for _, change := range changes {
 		m.revision++
 		assert.Equal(t, m.revision, change.Revision)
 		if change.Phase == Gone {
-			delete(m.followed, change.ID)
+			delete(m.rebuilt, change.ID)
 		} else {
-			m.followed[change.ID] = change.Member
+			m.rebuilt[change.ID] = change.Member
 		}
 		assert.True(t, drainsOnly || change.Phase != Draining, "servers that drain come first")
 		drainsOnly = drainsOnly && change.Phase == Draining
@@ -342,7 +342,7 @@
 		listed[member.ID] = member
 		assert.False(t, member.Phase == Ready && m.ended[member.ID], "%s has ended", member.ID)
 	}
-	assert.Equal(t, listed, m.followed)
+	assert.Equal(t, listed, m.rebuilt)
 }
 
 func TestUpdateSlice_MaxServers(t *testing.T) {
@@ -351,7 +351,7 @@
 	state.UpdateSlice("a", "web", endpoints, 1)
 	assert.Equal(t, 3, state.Rejected("a"))
 	assert.Len(t, phases(state, "web"), MaxServers)
-	state.UpdateSlice("b", "mail", endpoints[:4400], 1) // ten times the target
+	state.UpdateSlice("b", "mail", endpoints[:4400], 1) // ten times the targeted size
 	assert.Zero(t, state.Rejected("b"))
 	state.UpdateSlice("c", "web", endpoints[:5], 2)
 	state.UpdateSlice("c", "web", []Endpoint{readyEndpoint("new")}, 2)
--- a/internal/controlplane/membership/shrink.go
+++ b/internal/controlplane/membership/shrink.go
@@ -63,7 +63,7 @@
 
 // evaluateVanished sets the phase of a server that no slice lists although its end is not known. If the shrink is
 // accepted, a server whose pod is not known is removed, and one whose pod is known drains. Otherwise the server keeps
-// its phase. It is removed when the end of its pod is observed or ShrinkHold has passed.
+// its phase until the end of its pod is observed. In both cases it is removed once ShrinkHold has passed.
 func (s *State) evaluateVanished(server *server) {
 	accepted := s.acceptsShrink(s.services[server.service].shrink)
 	podKnown := s.pods[server.pod].UID != ""
