--- a/internal/core/node/attempt.go
+++ b/internal/core/node/attempt.go
@@ -9,18 +9,18 @@
 	"robincart/internal/system/timingwheel"
 )
 
-// Canceler is the exchange that executes an attempt. Cancel makes its blocking calls return at once, and does not
-// block itself.
+// Canceler is the exchange that executes an attempt. Cancel makes the exchange's blocking calls return at once. Cancel
+// itself does not block.
 type Canceler interface{ Cancel() }
 
-// attemptState is the state of an attempt. Whether the attempt has begun is in Attempt.begun, which is still needed
-// after the attempt is done.
+// attemptState is the state of an attempt. Whether the attempt has begun is in Attempt.begun instead, because the core
+// needs that information even after the attempt is done.
 type attemptState uint8
 
 const (
-	attemptOrdered  attemptState = iota // not begun yet, or in progress
-	attemptExpired                      // the deadline has passed, and the exchange was canceled
-	attemptCanceled                     // the Balancer has canceled it, and the exchange was canceled
+	attemptOrdered  attemptState = iota // waiting to begin, or in progress
+	attemptExpired                      // the attempt's deadline has passed, so the core has canceled the exchange
+	attemptCanceled                     // the Balancer has canceled the attempt, so the core has canceled the exchange
 	attemptDone                         // the result is known
 )
 
@@ -28,8 +28,8 @@
 type Attempt struct {
 	Server     *Server
 	LoadReport string // the server's load report in the response, undecoded; set by the exchange
-	// FreshConnection is set if idle connections to the server may be dead without having been closed. The attempt
-	// closes them and opens a new connection.
+	// FreshConnection tells the exchange to close the idle connections to the server and to open a new connection. It
+	// is set when the idle connections still look open but may be dead.
 	FreshConnection bool
 	Deadline        time.Duration // on the core's clock
 
@@ -37,19 +37,20 @@
 	decideAttempt *decide.Attempt
 	rpc           *RPC
 	canceler      Canceler          // nil until Bind or Begin
-	index         int               // in Core.attempts
-	orderedAt     time.Duration     // time of the order, or of BodyReceived if that was later
-	begunAt       time.Duration     // time of Begin
+	index         int               // index in Core.attempts
+	orderedAt     time.Duration     // when Send created the attempt; BodyReceived sets it to the time of its own call
+	begunAt       time.Duration     // when Begin allowed the attempt
 	timer         timingwheel.Timer // set by the Balancer through StartTimer
 	deadlineTimer timingwheel.Timer
 	state         attemptState
 	begun         bool             // Begin has allowed the first byte to be written
-	neverRan      bool             // the result proves that the request had no effect
+	neverRan      bool             // the result proves that the attempt had no effect
 	result        telemetry.Reason // set when the attempt is done
 }
 
-// Send orders an attempt. The attempt's deadline is its RPC's deadline, or the end of the timeout in seconds if that is
-// earlier; a timeout of 0 means none. It is part of decide.Host.
+// Send creates an attempt and tells the goroutine that serves the RPC to execute the attempt. The attempt's deadline is
+// the RPC's deadline, or the current time plus timeout if that time is earlier. The timeout is in seconds; 0 means no
+// timeout. Send is part of decide.Host.
 func (c *Core) Send(decided *decide.Attempt, timeout float64) {
 	r := decided.RPC.HostData.(*RPC)
 	s := decided.Server.HostData.(*Server)
@@ -70,7 +71,8 @@
 	decided.HostData = a
 	a.deadlineTimer.Payload = a
 	if r.decideRPC.BodyPending {
-		// BodyReceived sets the deadline. Until then the reader of the body limits how long the client may take.
+		// The attempt has no deadline until BodyReceived sets one. Before that, the reader of the request's body limits
+		// how long the client may take to send the body.
 		a.Deadline = math.MaxInt64
 	} else {
 		c.timers.Add(&a.deadlineTimer, a.Deadline)
@@ -90,7 +92,8 @@
 	r.Orders <- Order{Kind: OrderSend, Attempt: a}
 }
 
-// Cancel cancels an attempt: its exchange closes its connection. It is part of decide.Host.
+// Cancel cancels an attempt: the exchange that executes the attempt closes the connection. Cancel is part of
+// decide.Host.
 func (c *Core) Cancel(decided *decide.Attempt) {
 	a := decided.HostData.(*Attempt)
 	if a.state == attemptDone || a.state == attemptCanceled {
@@ -100,20 +103,21 @@
 	a.cancelExchange()
 }
 
-// cancelExchange cancels the exchange that executes an attempt, if one was bound.
+// cancelExchange cancels the exchange that executes an attempt. It does nothing if no exchange was bound yet.
 func (a *Attempt) cancelExchange() {
 	if a.canceler != nil {
 		a.canceler.Cancel()
 	}
 }
 
-// stillNeeded returns whether an attempt still has to be executed.
+// stillNeeded returns whether an attempt still has to be executed: the core is not closed, the attempt was not canceled
+// and has not ended, and its RPC is open.
 func (c *Core) stillNeeded(a *Attempt) bool {
 	return !c.closed && a.state == attemptOrdered && a.rpc.state == rpcOpen
 }
 
-// Bind sets the exchange that executes an attempt, before it connects. It returns false if the attempt no longer has to
-// be executed.
+// Bind sets the exchange that executes an attempt. It is called before the exchange connects. It returns false if the
+// attempt no longer has to be executed.
 func (c *Core) Bind(a *Attempt, canceler Canceler) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,9 +125,9 @@
 	return c.stillNeeded(a)
 }
 
-// Begin returns whether the first byte of an attempt may be written. It is called immediately before the write. Since
-// the attempt was ordered, its RPC may have ended or its server may have begun to drain: a connect can take longer than
-// the grace time of a drain.
+// Begin returns whether the first byte of an attempt may be written. It is called immediately before the write, because
+// the decision to send the attempt may be outdated by then: the RPC may have ended, or the server may have begun to
+// drain. A connect can take longer than the grace time of a drain.
 func (c *Core) Begin(a *Attempt, canceler Canceler) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +145,8 @@
 func (c *Core) TimeLeft(a *Attempt) time.Duration { return a.Deadline - c.clock.Now() }
 
 // AttemptDone reports an attempt's result, and the server's response if the result is OK. It is called once for each
-// attempt. After that the attempt's Canceler is not called. It returns whether the response is forwarded to the client.
+// attempt. After this call, the core no longer calls the attempt's Canceler. AttemptDone returns whether the response
+// is forwarded to the client.
 func (c *Core) AttemptDone(a *Attempt, res decide.Result, response *Response) (served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,8 +180,8 @@
 	return served
 }
 
-// effectiveResult corrects the result that an exchange reports for an attempt that the core has canceled: the exchange
-// may not know that it was canceled, or why.
+// effectiveResult corrects the result that an exchange reports for an attempt. If the core has canceled the exchange,
+// the exchange may not know that it was canceled, or may not know the reason.
 func (a *Attempt) effectiveResult(res decide.Result) decide.Result {
 	switch {
 	case res == decide.OK || res == decide.Rejected || res == decide.Failed:
@@ -189,7 +194,8 @@
 	return res
 }
 
-// removeAttempt removes an attempt that is done from the core's records.
+// removeAttempt removes an attempt from Core.attempts after its result has become known. It also stops the attempt's
+// timers.
 func (c *Core) removeAttempt(a *Attempt) {
 	c.timers.Remove(&a.timer)
 	c.timers.Remove(&a.deadlineTimer)
@@ -203,8 +209,9 @@
 	a.rpc.attemptsInFlight--
 }
 
-// loadReport decodes the server's load report. It returns nil for a malformed report, which must not make a valid
-// response fail.
+// loadReport decodes the load report that an attempt's server has sent with its response. It returns nil if the server
+// has sent none, or if the settings disable load reports. It also returns nil for a malformed report, so that a
+// malformed report does not make a valid response fail.
 func (c *Core) loadReport(a *Attempt) *decide.LoadReport {
 	if !c.settings.LoadReports || a.LoadReport == "" {
 		return nil
--- a/internal/core/node/bans.go
+++ b/internal/core/node/bans.go
@@ -6,19 +6,20 @@
 	"robincart/decide"
 )
 
-// An operator's ban of a server takes precedence over the endpoint list: until the operator attaches the server again,
-// its state is draining for the Balancer, whatever state the list has.
+// An operator's ban of a server takes precedence over the endpoint list. Until the operator attaches the server again,
+// the Balancer sees the server as draining, whatever state the server has in the list.
 
 // Ban records that an operator has detached a server.
 type Ban struct {
-	Since time.Time // on the wall clock of the process that executed the operator's call
-	// Started is the start time that the list had for the server at the time of the ban. The zero time means long ago.
-	// It is valid only if StartKnown is set.
+	Since time.Time // time of the detach call, on the wall clock of the process that executed the call
+	// Started is the server's start time as it was in the endpoint list at the detach call. The zero time means long
+	// ago. Started is valid only if StartKnown is set.
 	Started    time.Time
 	StartKnown bool
 }
 
-// Detach bans a server: no new attempts are sent to it. It returns false if the server was never listed.
+// Detach bans a server: the node sends no new attempts to a banned server. Detach returns false if the server was never
+// listed.
 func (c *Core) Detach(id string) bool {
 	u, known := c.detach(id)
 	u.report()
@@ -48,8 +49,8 @@
 	return u, true
 }
 
-// Attach ends the ban of a server, which then has the state that the endpoint list has for it. It returns false if the
-// server was never listed.
+// Attach ends the ban of a server. From then on, the server's state is the state that the endpoint list has for it.
+// Attach returns false if the server was never listed.
 func (c *Core) Attach(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,17 +64,19 @@
 		return true
 	}
 	if !c.restartListed(s, b) {
-		// The operator is assumed to have restarted the server, but the list has not shown a restart yet. If the
-		// server counted as warm, its full share of the traffic would overload it.
+		// The operator is assumed to have restarted the server during the ban, but the list does not show the restart
+		// yet. So the server counts as started now. If it counted as warm, its full share of the traffic would overload
+		// it.
 		s.attachedAt = c.Now()
 	}
 	c.refreshServer(s)
-	c.removeIfUnused(s) // the list may not contain it any more
+	c.removeIfUnused(s) // the server may have left the list during the ban
 	return true
 }
 
-// restartListed returns whether the list has shown a restart of a server since it was banned. It compares the listed
-// start time with the one at the time of the ban or, if that is unknown, with the time of the ban itself.
+// restartListed returns whether the endpoint list shows that a server has restarted since its ban. It compares the
+// server's listed start time with Ban.Started. If Ban.Started is unknown, it compares the listed start time with the
+// time of the ban.
 func (c *Core) restartListed(s *Server, b Ban) bool {
 	if b.StartKnown {
 		return !s.listed.StartedAt.Equal(b.Started)
@@ -81,8 +84,9 @@
 	return s.listed.StartedAt.After(b.Since.Add(-c.listClock.wallOffset))
 }
 
-// ExclusionReason returns why no attempts are sent to a server. It is empty if the server can be used, or was never
-// listed here. The texts are part of the answer to an operator's attach call.
+// ExclusionReason returns the reason why no attempts are sent to a server. The reason is empty if the server can be
+// used, or if it was never in this process's endpoint list. The reason is part of the answer to an operator's attach
+// call.
 func (c *Core) ExclusionReason(id string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,18 +103,21 @@
 	return ""
 }
 
-// everListed returns whether a server is or was listed. IDs that have dropped out of knownIDs count as never listed.
+// everListed returns whether a server is or was in the endpoint list. After a server has left the list and its ID has
+// dropped out of knownIDs, the server counts as never listed.
 func (c *Core) everListed(id string) bool { return c.servers[id] != nil || c.knownIDs.has(id) }
 
-// KnownServerIDs returns the IDs of the servers that were listed most recently, as many as the core remembers.
+// KnownServerIDs returns the server IDs that the core remembers: those of the servers that joined the endpoint list
+// most recently.
 func (c *Core) KnownServerIDs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.knownIDs.all()
 }
 
-// InheritBans adds the bans of another process of this node, and the IDs of the servers that were listed there. If both
-// processes have banned a server, this process's ban is kept.
+// InheritBans adds the bans of another process of this node. listed holds the IDs of the servers that were listed in
+// the other process; InheritBans adds them to the known IDs. If both processes have banned a server, this process keeps
+// its own ban.
 func (c *Core) InheritBans(bans map[string]Ban, listed []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,9 +136,10 @@
 	}
 }
 
-// effectiveState returns the state of a listed server with its ban taken into account. A banned server counts as
-// draining even if the list has it as gone: it is being restarted, and the Balancer needs its earlier statistics to
-// decide how much to send to it afterwards.
+// effectiveState returns the state that the Balancer sees for a list entry: draining if the server is banned, else the
+// listed state. A banned server counts as draining even if its listed state is gone, because it is assumed to be
+// restarting. The Balancer then keeps its statistics of the server. After the restart it needs them to decide how many
+// attempts the server gets.
 func (c *Core) effectiveState(e Endpoint) decide.State {
 	if _, banned := c.bans[e.ID]; banned {
 		return decide.Draining
--- a/internal/core/node/bans_test.go
+++ b/internal/core/node/bans_test.go
@@ -56,7 +56,7 @@
 	assert.True(t, c.Attach(banned))
 	assert.Empty(t, c.ExclusionReason(banned)+c.ExclusionReason("never"))
 	assert.Positive(t, c.endpointUpdate(c.servers[banned]).StartedAt,
-		"it counts as restarted and in slow start, although the list does not show a restart")
+		"the server counts as restarted and in slow start, although the list does not show a restart")
 	c.clock.now += time.Minute
 	c.UpdateEndpoints([]Endpoint{
 		{ID: banned, Addr: "x:80", State: decide.Ready, Weight: 1, StartedAt: c.wallNow()},
@@ -67,8 +67,8 @@
 }
 
 // A server that was restarted during its ban is in slow start, and its performance is unknown. After the ban it must
-// neither be overloaded nor be left unused. The test bans the server with the most attempts: a node that has sent most
-// of its attempts to the server before has to measure it anew first.
+// neither be overloaded nor be left unused. The test bans the server that has received the most attempts. The node must
+// measure even this server again before it sends as many attempts to the server as before.
 func TestAttach_RestartedServerGetsLimitedTraffic(t *testing.T) {
 	c := newCore(t, func(s *settings.Instance) { s.Instances = 9 })
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
--- a/internal/core/node/core.go
+++ b/internal/core/node/core.go
@@ -1,17 +1,18 @@
-// Package node is the core of a node. It records the node's RPCs, attempts and servers, and passes events to the
-// Balancer of package decide, which makes all decisions.
+// Package node is the core of a node. It keeps records of the node's RPCs, attempts and servers. It passes events to
+// the Balancer of package decide, and the Balancer makes all decisions.
 //
 // A Core does no I/O and reads time only from its Clock. It is called by the frontends (Arrived, ClientGone), by the
 // upstream connections (Bind, Begin, BodyReceived, AttemptDone), by the endpoint watcher (UpdateEndpoints,
-// EndpointWatchFailed) and by its timers. It notifies the Balancer and implements decide.Host, through which the
-// Balancer acts.
+// EndpointWatchFailed) and by its timers. It implements decide.Host: the Balancer calls the methods of that interface
+// to carry out its decisions.
 //
-// One mutex guards the Balancer and the core's records. No operation that may block runs while it is held: an order of
-// the Balancer for an RPC is sent to the RPC's buffered channel, and the goroutine that serves the RPC executes it.
+// One mutex guards the Balancer and the core's records. No operation that may block runs while the mutex is held. So
+// the core does not execute the Balancer's decisions about an RPC itself: it sends each decision as an Order to the
+// RPC's buffered channel, and the goroutine that serves the RPC executes the order.
 //
-// The core also checks invariants on its own records, independently of the Balancer's decisions (invariants.go), keeps
-// the operators' bans of servers (bans.go), and converts servers' start times, which another machine's clock has
-// assigned, to the Balancer's clock (starttimes.go).
+// The core also checks invariants on its own records, independently of the Balancer's decisions (invariants.go), and
+// keeps the operators' bans of servers (bans.go). The start times of servers come from the clock of another machine;
+// the core converts them to the Balancer's clock (starttimes.go).
 package node
 
 import (
@@ -33,37 +34,37 @@
 // Core drives one Balancer and is its decide.Host.
 type Core struct {
 	clock         Clock
-	wallOrigin    time.Time // the wall clock's time when clock was 0
+	wallOrigin    time.Time // wall-clock time at which clock.Now() was 0
 	requestWatch  func()
 	onUnavailable func([]*Server)
 
 	mu          sync.Mutex
 	balancer    *decide.Balancer
-	settings    *settings.Instance // in force; names are at the indices of their slots
-	maxAttempts int                // highest limit of all settings so far: RPCs of a removed method keep their limit
-	methods     []slot             // by the Balancer's method index
-	tenants     []slot             // by the Balancer's tenant index
+	settings    *settings.Instance // current settings; each name is at the index of its slot
+	maxAttempts int                // highest MaxAttempts so far, because RPCs of a removed method keep their limit
+	methods     []slot             // one slot per method, at the Balancer's method index
+	tenants     []slot             // one slot per tenant, at the Balancer's tenant index
 	closed      bool
 
 	servers   map[string]*Server // by ID; without servers that are gone and have no attempt in flight
 	updates   int                // number of endpoint list updates so far
 	bans      map[string]Ban     // by server ID
-	knownIDs  recentIDs          // IDs of the servers that were ever listed
+	knownIDs  recentIDs          // IDs of the servers that were listed so far; the oldest IDs are dropped
 	listClock listClock
 
 	openRPCs int        // number of RPCs in state rpcOpen
-	attempts []*Attempt // those without a result yet
+	attempts []*Attempt // attempts whose result is not known yet
 
 	timers   *timingwheel.Wheel
-	armedFor time.Duration // when the clock calls fireTimers; 0: no call is scheduled
+	armedFor time.Duration // time at which the clock will call fireTimers; 0: no call is scheduled
 
 	recorder     *telemetry.Recorder // nil: events are not recorded
-	answerReason telemetry.Reason    // for answers that the Balancer orders during the current call
+	answerReason telemetry.Reason    // recorded if the Balancer answers an RPC during the current call
 }
 
-// New creates a core. wall is the wall clock's current time; it is read only once, and the core adds the monotonic
-// clock's progress to it. The core calls requestWatch, with the mutex held, when the endpoint list has to be polled;
-// requestWatch must not block.
+// New creates a core. wall is the current wall-clock time. The core never reads the wall clock later; it adds the time
+// that has passed on clock, which is monotonic. The core calls requestWatch when the endpoint list has to be polled.
+// The mutex is held during that call, so requestWatch must not block.
 func New(s *settings.Instance, seed int64, clock Clock, wall time.Time, requestWatch func()) *Core {
 	c := &Core{
 		clock:        clock,
@@ -82,7 +83,7 @@
 	c.balancer = decide.New(c, s.Settings, seed)
 	c.arm()
 	if !s.MustSubscribe {
-		// The Balancer does not request a watch with these settings, so the core does.
+		// With these settings the Balancer does not request a watch, so the core does.
 		requestWatch()
 	}
 	return c
@@ -95,8 +96,9 @@
 	c.recorder = r
 }
 
-// OnServersUnavailable sets the function that is called, without the mutex held, with servers that have stopped
-// accepting new attempts or have changed their address. Idle connections to them can be closed.
+// OnServersUnavailable sets the function that is called with servers that have stopped accepting new attempts or have
+// changed their address. The function can close the idle connections to these servers. The core does not hold its mutex
+// during the call.
 func (c *Core) OnServersUnavailable(f func([]*Server)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,5 +122,6 @@
 	return c.openRPCs
 }
 
-// wallNow returns the current wall-clock time. Steps of the wall clock after the core's start do not change it.
+// wallNow returns the current wall-clock time, computed from wallOrigin and clock. It does not follow a step that the
+// wall clock makes after the core was created.
 func (c *Core) wallNow() time.Time { return c.wallOrigin.Add(c.clock.Now()) }
--- a/internal/core/node/endpoints.go
+++ b/internal/core/node/endpoints.go
@@ -11,26 +11,26 @@
 	ID        string       `json:"ID"`
 	Addr      string       `json:"Addr"`
 	State     decide.State `json:"State"`
-	Zone      int          `json:"Zone"` // index in the settings; -1: a zone that they do not name
+	Zone      int          `json:"Zone"` // index of the zone in the settings; -1: the settings do not name the zone
 	Cell      int          `json:"Cell"`
 	Weight    float64      `json:"Weight"`
 	StartedAt time.Time    `json:"Started"` // zero time: long ago
-	Revision  int64        `json:"Listed"`  // of the list that contained this entry; 0: unknown
+	Revision  int64        `json:"Listed"`  // revision of the list that contained this entry; 0: unknown
 }
 
-// WatchFailure describes how a poll or a watch of the endpoint list failed, as far as it affects the pause before the
-// next poll.
+// WatchFailure describes a failed poll or watch of the endpoint list. Its fields control the pause before the next
+// poll.
 type WatchFailure struct {
-	// ResetBackoff is set if the failure does not indicate that discovery is overloaded. The backoff then starts again
-	// with the shortest pause.
+	// ResetBackoff makes the backoff start again with the shortest pause. It is set if the failure does not indicate
+	// that the discovery service is overloaded.
 	ResetBackoff bool
-	// The longest pause grows with each failure and is kept between MinPause and MaxPause. The actual pause is drawn at
-	// random, between a third of the longest pause and all of it.
+	// The upper bound of the pause grows with each failure. It is at least MinPause and at most MaxPause. The actual
+	// pause is drawn at random between a third of the upper bound and the upper bound.
 	MinPause, MaxPause time.Duration
 }
 
-// unavailableServers are servers that have just become unavailable, with the function to notify once the mutex is
-// released.
+// unavailableServers holds servers that have stopped accepting new attempts or have changed their address. notify is
+// called with these servers after the core's mutex is released.
 type unavailableServers struct {
 	servers []*Server
 	notify  func([]*Server)
@@ -74,7 +74,7 @@
 	return unavailableServers{b.unavailable, c.onUnavailable}
 }
 
-// applyEntry applies one entry of the list to its server.
+// applyEntry applies one entry of an update to the server that the entry describes.
 func (c *Core) applyEntry(e Endpoint, b *endpointBatch) {
 	s := c.servers[e.ID]
 	state := c.effectiveState(e)
@@ -100,7 +100,7 @@
 	return s
 }
 
-// applyMissing marks the servers that a snapshot does not contain as gone.
+// applyMissing handles the servers that a snapshot does not contain. It marks them as gone, except banned servers.
 func (c *Core) applyMissing(b *endpointBatch) {
 	for _, s := range c.servers {
 		if s.lastUpdate == c.updates {
@@ -117,8 +117,8 @@
 			b.gone = append(b.gone, s)
 			continue
 		}
-		// The server is banned, and is missing because it is being restarted. An update as draining makes the
-		// Balancer keep its statistics of the server.
+		// The server is banned, and is assumed to be missing because it is being restarted. The core reports it to the
+		// Balancer as draining, so that the Balancer keeps its statistics of the server.
 		b.changes = append(b.changes, c.endpointUpdate(s))
 	}
 }
@@ -136,8 +136,8 @@
 	return out
 }
 
-// EndpointWatchFailed reports that a watch has ended or could not be established. The Balancer requests the next one
-// after a pause within the failure's bounds.
+// EndpointWatchFailed reports that a watch has ended or could not be established. The Balancer requests the next watch
+// after a pause that depends on f.
 func (c *Core) EndpointWatchFailed(f WatchFailure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/node/events.go
+++ b/internal/core/node/events.go
@@ -17,7 +17,8 @@
 	decide.NotSent:       telemetry.NotSent,
 }
 
-// retryReasons maps the reason with which an attempt ended to the reason with which the next attempt is ordered.
+// retryReasons maps the reason that is recorded for the end of an attempt to the reason that is recorded for the next
+// attempt of the RPC.
 var retryReasons = map[telemetry.Reason]telemetry.Reason{
 	telemetry.Failed:       telemetry.EarlierFailed,
 	telemetry.Rejected:     telemetry.EarlierRejected,
@@ -28,7 +29,7 @@
 	telemetry.NotSent:      telemetry.EarlierNotSent,
 }
 
-// attemptReason returns the reason with which the next attempt of an RPC is ordered.
+// attemptReason returns the reason to record for the next attempt of an RPC.
 func (r *RPC) attemptReason() telemetry.Reason {
 	if len(r.attempts) == 0 {
 		return telemetry.FirstAttempt
@@ -39,7 +40,7 @@
 	return telemetry.EarlierLate
 }
 
-// recordAnswer records that the final answer to an RPC is ordered now, and reports a violation if it is too late.
+// recordAnswer records that an RPC gets its final answer now. It reports a violation if the answer is too late.
 func (c *Core) recordAnswer(r *RPC, reason telemetry.Reason) {
 	now := c.clock.Now()
 	if late := now - r.Deadline; late > lateAnswerSlack && !r.decideRPC.BodyPending {
@@ -57,8 +58,9 @@
 	})
 }
 
-// recordStateChange records that a server changes to a state, or has restarted. e is the server's new list entry. The
-// caller updates s only after the call, so s.listed and s.state are still the previous ones.
+// recordStateChange records that a server changes to another state or has restarted. e is the server's new list entry,
+// and state is its new state. The caller updates s only after this call, so s.listed and s.state are still the previous
+// entry and the previous state.
 func (c *Core) recordStateChange(s *Server, e Endpoint, state decide.State) {
 	reason := telemetry.NoReason
 	wasListed := s.lastUpdate > 0
--- a/internal/core/node/helpers_test.go
+++ b/internal/core/node/helpers_test.go
@@ -14,7 +14,7 @@
 	"robincart/internal/system/telemetry"
 )
 
-// The methods of a coreTest.
+// The indices of the methods in the settings of a coreTest.
 const (
 	find   = iota // idempotent
 	book          // deduplicated
@@ -24,10 +24,10 @@
 // clientWait is how long the clients of a coreTest wait for an answer.
 const clientWait = 4 * time.Second
 
-// testStartTime is the wall clock's time when fakeClock is at 1 s, its value at the start of a test.
+// testStartTime is the wall-clock time at the start of a test. A fakeClock is then at 1 s.
 var testStartTime = time.UnixMilli(1_800_000_000_000)
 
-// fakeClock is a Clock that stands still until a test advances it. Advancing it calls the functions that are due.
+// fakeClock is a Clock whose time changes only when a test advances it. advance also calls the functions that are due.
 type fakeClock struct {
 	now    time.Duration
 	timers []fakeTimer
@@ -44,7 +44,8 @@
 	f.timers = append(f.timers, fakeTimer{f.now + d, call})
 }
 
-// advance moves the clock forward. It calls each timer that is due at the timer's own time.
+// advance moves the clock forward by d and calls the timers that are due. When it calls a due timer, the clock shows
+// the time at which that timer was due.
 func (f *fakeClock) advance(d time.Duration) { f.advanceTo(f.now + d) }
 
 func (f *fakeClock) advanceTo(t time.Duration) {
@@ -66,14 +67,15 @@
 
 func (f *fakeExchange) Cancel() { f.canceled = true }
 
-// coreTest is a core under test, with its clock and the number of endpoint watches that it has requested.
+// coreTest is a core under test, with its clock and the number of endpoint watches that the core has requested.
 type coreTest struct {
 	*Core
 	clock         *fakeClock
 	watchRequests int
 }
 
-// newCore creates a core with the default settings of these tests. edit, if not nil, changes the settings first.
+// newCore creates a core with the default settings of these tests. If edit is not nil, it changes the settings before
+// the core is created.
 func newCore(t *testing.T, edit func(*settings.Instance)) *coreTest {
 	t.Helper()
 	method := decide.Method{LatencyObjective: 2, Deadline: 5, PriorityWeight: 1}
@@ -127,7 +129,7 @@
 	return c.Arrived(Arrival{Method: method, Deadline: c.clock.now + clientWait})
 }
 
-// arriveWithBody is like arrive for a request whose body is forwarded to the server while it is received.
+// arriveWithBody is like arrive, but the body of the request is forwarded to the server while the node receives it.
 func (c *coreTest) arriveWithBody(method int) *RPC {
 	return c.Arrived(Arrival{Method: method, Deadline: c.clock.now + clientWait, BodyPending: true})
 }
@@ -139,7 +141,7 @@
 	assert.LessOrEqual(t, c.timers.Len(), 1, "only the timer of the Balancer's first watch request may be left")
 }
 
-// nextOrder receives an RPC's next order. The test fails if there is none.
+// nextOrder receives an RPC's next order. The test fails if the RPC has no pending order.
 func nextOrder(t *testing.T, r *RPC) Order {
 	t.Helper()
 	select {
--- a/internal/core/node/host.go
+++ b/internal/core/node/host.go
@@ -6,16 +6,17 @@
 	"robincart/decide"
 )
 
-// Core implements decide.Host: Send and Cancel are in attempt.go, PushBack and Abort in rpc.go, StartTimer in
-// timers.go, the other methods in this file. The Balancer calls them only while the core calls the Balancer, so the
-// core's mutex is held.
+// Core implements decide.Host. Send and Cancel are in attempt.go, PushBack and Abort in rpc.go, StartTimer in
+// timers.go, and the other methods in this file. The Balancer calls these methods only during a call that the core
+// makes to the Balancer, so the core's mutex is held.
 var _ decide.Host = (*Core)(nil)
 
-// balancerClockStart is the Balancer's time in seconds when the core's clock is 0. The Balancer treats a start time of
-// 0 as long ago. This value is high enough that a server that started before the node has a start time above 0.
+// balancerClockStart is the time on the Balancer's clock, in seconds, when the core's clock is 0. A start time of 0
+// means long ago to the Balancer. At one day above 0, the start time of a server that started shortly before the node
+// is still above 0.
 const balancerClockStart = 86_400.0
 
-// maxDuration limits the durations that are converted from the Balancer's seconds.
+// maxDuration is the upper bound of a duration that is converted from the Balancer's seconds.
 const maxDuration = 1e9 // seconds
 
 func seconds(d time.Duration) float64 { return d.Seconds() }
--- a/internal/core/node/invariants.go
+++ b/internal/core/node/invariants.go
@@ -9,21 +9,23 @@
 	"robincart/internal/system/telemetry"
 )
 
-// The invariants are checked on the core's own records of attempts, independently of the Balancer's decisions. Begin is
-// called for each attempt immediately before its first byte is written, and refuses an attempt that would break a rule.
-// recordAnswer is called for each final answer. An order that breaks a rule counts as a violation. An attempt that
-// became invalid only after it was ordered, by a slow connect or an update of its server, is refused by Begin and does
-// not count as a violation.
-
-// lateAnswerSlack is how long after its RPC's deadline an answer may be ordered before it counts as late. It allows for
+// The core checks invariants on its own records of attempts, independently of the Balancer's decisions.
+//
+// Send checks each attempt, and recordAnswer checks each final answer, when the Balancer makes the decision. A decision
+// that breaks a rule counts as a violation. Begin checks each attempt again immediately before its first byte is
+// written, and refuses an attempt that would break a rule. An attempt can become invalid between the two checks, by a
+// slow connect or by an update of its server. Begin refuses such an attempt, but it does not count as a violation.
+
+// lateAnswerSlack is the time after an RPC's deadline during which an answer does not count as late yet. It allows for
 // the resolution of timers and for short delays of the process.
 const lateAnswerSlack = 150 * time.Millisecond
 
-// mayHaveRun returns whether an attempt may have had an effect: it was begun, and its result does not prove that it
-// never ran.
+// mayHaveRun returns whether the server may have executed an attempt: Begin has allowed the attempt, and its result
+// does not exclude an execution.
 func (a *Attempt) mayHaveRun() bool { return a.begun && !a.neverRan }
 
-// firstPossibleRun returns the first attempt of an RPC, other than except, that may have run; nil if there is none.
+// firstPossibleRun returns the first attempt of an RPC that may have run. It ignores the attempt that is passed as
+// except. It returns nil if no other attempt may have run.
 func (r *RPC) firstPossibleRun(except *Attempt) *Attempt {
 	for _, a := range r.attempts {
 		if a != except && a.mayHaveRun() {
@@ -33,8 +35,9 @@
 	return nil
 }
 
-// mayRepeat returns whether an attempt may begin now, given the RPC's earlier attempts. Since the attempt was ordered,
-// the deduplication window may have ended during a slow connect, or the list may have moved the attempt's server to
+// mayRepeat returns whether an attempt may begin now: either no other attempt of the RPC may have run, or running the
+// request twice has no second effect. This can have changed since the Balancer decided to send the attempt. The
+// deduplication window may have ended during a slow connect. Or an update of the list may have moved the server to
 // another zone or cell, and so to another deduplication scope.
 func (a *Attempt) mayRepeat(now time.Duration) bool {
 	first := a.rpc.firstPossibleRun(a)
@@ -53,8 +56,8 @@
 	}
 }
 
-// checkRepeat reports a violation if an attempt is ordered now that must not follow the RPC's earlier attempts.
-// Attempts that are still in flight count as if they had run.
+// checkRepeat reports a violation if a new attempt of an RPC could have a second effect because an earlier attempt may
+// have run. An earlier attempt that is still in flight counts as if it had run.
 func (c *Core) checkRepeat(a *Attempt, now time.Duration) {
 	method := &a.rpc.method
 	for _, earlier := range a.rpc.attempts {
@@ -73,8 +76,8 @@
 	}
 }
 
-// sameDedupScope returns whether two servers are in the same deduplication scope: each drops repeats of the other's
-// requests.
+// sameDedupScope returns whether two servers are in the same deduplication scope: each server drops duplicates of the
+// requests that the other server has received.
 func sameDedupScope(scope decide.DedupScope, a, b *Server) bool {
 	switch scope {
 	case decide.ScopeZone:
@@ -86,10 +89,11 @@
 	}
 }
 
-// checkSlowStart reports a violation if this node begins too many attempts at a server in slow start. The limit follows
-// from OverloadMultiple times the rate that the server can take of this node, over OverloadWindow; the rate is
-// estimated from that of a warm server. The operators set this limit for all nodes together, so above it this node's
-// attempts alone are too many.
+// checkSlowStart reports a violation if this node begins too many attempts at a server in slow start. The limit applies
+// to the attempts of the last OverloadWindow. It is OverloadMultiple * rate * OverloadWindow, plus the margin that
+// slowStartBudget adds. rate is the number of attempts per second that the server can take from this node, estimated
+// from the rate of a warm server. The operators set this limit for all nodes together, so above it this node's attempts
+// alone are too many.
 func (c *Core) checkSlowStart(a *Attempt, now time.Duration) {
 	s := a.Server
 	rate, starting := c.balancer.SlowStartRate(s.decideServer)
@@ -109,9 +113,9 @@
 	}
 }
 
-// slowStartBudget returns how many requests may begin at a server in slow start if the expected number is the mean. The
-// margin above the mean allows for random variation. The operators' limit for servers in slow start defines the
-// numbers.
+// slowStartBudget returns the largest number of attempts that may begin at a server in slow start. expected is the mean
+// number of attempts. The margin above the mean allows for random variation. The constants in the formula are part of
+// the operators' limit for servers in slow start.
 func slowStartBudget(expected float64) float64 {
 	const fewRequests = 30
 	if expected < fewRequests {
@@ -120,8 +124,8 @@
 	return expected + 2*math.Sqrt(expected) + 2
 }
 
-// checkBegun reports a violation if the result shows that an attempt reached its server although Begin had not allowed
-// it.
+// checkBegun reports a violation if an attempt's result shows that the attempt reached its server although Begin had
+// not allowed the attempt.
 func (c *Core) checkBegun(a *Attempt, res decide.Result) {
 	switch res {
 	case decide.OK, decide.Failed, decide.Rejected, decide.Reset:
@@ -131,8 +135,7 @@
 	}
 }
 
-// retryIsHarmless returns whether a retry by the RPC's client, at any time up to the deadline, can have no second
-// effect.
+// retryIsHarmless returns whether the RPC's client can retry at any time up to the deadline without a second effect.
 func (r *RPC) retryIsHarmless() bool {
 	first := r.firstPossibleRun(nil)
 	switch {
@@ -157,7 +160,7 @@
 	})
 }
 
-// checkSecondAnswer reports a violation if an answer is ordered for an RPC that was answered already.
+// checkSecondAnswer reports a violation if the Balancer answers an RPC that was already answered.
 func (c *Core) checkSecondAnswer(r *RPC) {
 	if r.state == rpcAnswered {
 		c.recorder.Violation(telemetry.Violation{Rule: telemetry.AnsweredTwice, Request: r.requestID})
--- a/internal/core/node/invariants_test.go
+++ b/internal/core/node/invariants_test.go
@@ -12,7 +12,8 @@
 	"robincart/internal/system/telemetry"
 )
 
-// orderAndBegin orders an attempt without the Balancer, which might not order it, and calls Begin for it.
+// orderAndBegin sets the clock to the time at, and calls Send and Begin for a new attempt. It bypasses the Balancer,
+// which might not decide to send the attempt.
 func (c *coreTest) orderAndBegin(r *RPC, server string, at time.Duration) (begun bool) {
 	c.mu.Lock()
 	c.clock.now = at
@@ -24,12 +25,12 @@
 
 func shortDedupWindow(s *settings.Instance) { s.Methods[book].DedupWindow = 1 }
 
-// An attempt that breaks the rules on repeats counts as a violation and is not begun, even if it was ordered.
+// If an attempt could have a second effect, sending it counts as a violation, and Begin refuses the attempt.
 func TestInvariants_Repeats(t *testing.T) {
 	for name, test := range map[string]struct {
 		method     int
 		neverRan   bool          // the first attempt is known not to have run
-		after      time.Duration // from the begin of the first attempt to the order of the second
+		after      time.Duration // time from Begin of the first attempt to Send of the second attempt
 		rule       telemetry.Rule
 		violations int64
 	}{
@@ -63,8 +64,8 @@
 	}
 }
 
-// An attempt is ordered within the deduplication window, but the window ends during its connect. The attempt is not
-// begun, and the client is not told that a retry is safe.
+// The Balancer sends a second attempt within the deduplication window, but the window ends while the attempt connects.
+// Begin refuses the attempt, and the client is not told that a retry is safe.
 func TestBegin_ConnectOutlastsDedupWindow(t *testing.T) {
 	c, recorder := newRecordedCore(t, shortDedupWindow)
 	c.listReady("a", "b")
@@ -75,7 +76,7 @@
 	c.AttemptDone(first, decide.Reset, nil)
 	second := nextAttempt(t, r)
 	require.True(t, c.Bind(second, &fakeExchange{}))
-	c.clock.now += 150 * time.Millisecond // its connect
+	c.clock.now += 150 * time.Millisecond // duration of the connect
 	assert.False(t, c.Begin(second, &fakeExchange{}))
 	c.AttemptDone(second, decide.NotSent, nil)
 	assert.Equal(t, OrderAbort, nextOrder(t, r).Kind)
@@ -110,7 +111,7 @@
 	assert.EqualValues(t, 1, recorder.Violations(telemetry.AnsweredLate))
 }
 
-// The events of attempts and answers are recorded with the reason for which the attempt or answer was ordered.
+// The event of an attempt or of an answer contains the reason for that attempt or answer.
 func TestEvents_Reasons(t *testing.T) {
 	c, recorder := newRecordedCore(t, nil)
 	c.listReady("a", "b")
--- a/internal/core/node/knownids.go
+++ b/internal/core/node/knownids.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// maxRecentIDs is the number of IDs in each of the two sets of recentIDs.
+// maxRecentIDs is the largest number of IDs in each of the two sets of a recentIDs.
 const maxRecentIDs = 4096
 
-// recentIDs is a bounded set of the most recently added IDs: at least the last maxRecentIDs and at most twice as many.
-// Without a bound it would grow with each deploy, because new servers have new IDs.
+// recentIDs is a bounded set of the most recently added IDs. It holds at least the last maxRecentIDs IDs, and at most
+// twice as many. Without a bound it would grow with each deploy, because new servers have new IDs.
 type recentIDs struct{ current, previous map[string]struct{} }
 
 func (r *recentIDs) add(id string) {
--- a/internal/core/node/orders.go
+++ b/internal/core/node/orders.go
@@ -5,33 +5,33 @@
 // OrderKind is the kind of an Order.
 type OrderKind int
 
-// The kinds of orders. All except OrderSend end the RPC.
+// The kinds of orders. All kinds except OrderSend end the RPC.
 const (
 	OrderSend       OrderKind = iota // execute an attempt
 	OrderPushBack                    // answer with a rejection: a retry is safe
 	OrderAbort                       // answer with an error: a retry may not be safe
 	OrderServed                      // forward a server's response
-	OrderClientGone                  // stop: the client has gone; sent by the frontend, not by the core, at most once
+	OrderClientGone                  // stop, because the client has gone; sent by the frontend only, at most once
 )
 
-// Order is one operation that the goroutine that serves an RPC has to execute.
+// Order is one command to the goroutine that serves an RPC.
 type Order struct {
 	Kind       OrderKind
 	Attempt    *Attempt      // for OrderSend
-	RetryAfter time.Duration // for OrderPushBack: the pause before a retry that the client is advised to make
+	RetryAfter time.Duration // for OrderPushBack: how long the client is advised to wait before a retry
 	Response   *Response     // for OrderServed
 }
 
-// Response is a server's response, which is forwarded unchanged.
+// Response is a server's response. It is forwarded to the client unchanged.
 type Response struct {
 	ContentType   string
 	Body          []byte
-	BodyStream    BodyStream // the rest of the body, after Body; nil: Body is complete
-	ReservedBytes int        // reserved in the process's memory budget; released after the response was forwarded
+	BodyStream    BodyStream // the rest of the body, which follows Body; nil: Body is the whole body
+	ReservedBytes int        // number of bytes reserved in the process's memory budget until the response was forwarded
 }
 
 // BodyStream is the part of a response's body that had not been received when forwarding began. The receiver of the
-// response has to close it.
+// response has to close the stream.
 type BodyStream interface {
 	Read(to []byte) (int, error)
 	Remaining() int64
--- a/internal/core/node/rpc.go
+++ b/internal/core/node/rpc.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// nonSendOrders is how many orders besides OrderSend an RPC's channel has room for: an answer, OrderClientGone, and
-	// one spare.
+	// nonSendOrders is the number of orders of other kinds than OrderSend for which an RPC's channel has room: an
+	// answer, an OrderClientGone, and one spare.
 	nonSendOrders = 3
-	// maxBufferedAttempts is the largest number of OrderSend orders that an RPC's channel has room for. The goroutine
-	// that serves the RPC receives them as they are ordered, so a buffer for all attempts that the settings allow
-	// would waste memory.
+	// maxBufferedAttempts is the largest number of OrderSend orders for which an RPC's channel has room. The settings
+	// may allow more attempts, but a larger buffer would waste memory: the goroutine that serves the RPC receives the
+	// orders as they are sent.
 	maxBufferedAttempts = 61
 )
 
-// rpcState is the state of an RPC. It changes once, from rpcOpen to one of the others.
+// rpcState is the state of an RPC. It changes once, from rpcOpen to one of the other states.
 type rpcState uint8
 
 const (
-	rpcOpen       rpcState = iota // no answer was ordered yet
-	rpcAnswered                   // the final answer was ordered
-	rpcClientGone                 // the client stopped waiting before an answer was ordered
+	rpcOpen       rpcState = iota // the RPC has no final answer yet, and the client still waits
+	rpcAnswered                   // the final answer was sent to RPC.Orders
+	rpcClientGone                 // the client stopped waiting before there was a final answer
 )
 
 // RPC is one request that the node has accepted and has to answer.
 type RPC struct {
-	Orders   chan Order    // buffered, so that the core never blocks on a send
+	Orders   chan Order    // buffered, so that the core does not block when it sends an order
 	Deadline time.Duration // on the core's clock
 
 	// The core's mutex guards the fields below.
@@ -37,9 +37,9 @@
 	state            rpcState
 	slotsReleased    bool
 	requestID        string            // given by the client
-	method           decide.Method     // settings at the arrival of the request; a reload does not change them
-	attempts         []*Attempt        // all attempts that were ordered
-	attemptsInFlight int               // number of attempts without a result yet
+	method           decide.Method     // the method's settings when the request arrived; a reload does not change them
+	attempts         []*Attempt        // all attempts so far, in the order in which Send created them
+	attemptsInFlight int               // number of attempts whose result is not known yet
 	timer            timingwheel.Timer // set by the Balancer through StartTimer
 }
 
@@ -47,15 +47,18 @@
 type Arrival struct {
 	RequestID      string        // given by the client; used in telemetry
 	Method, Tenant int           // indices in the settings
-	Deadline       time.Duration // until when the client waits, on the core's clock
+	Deadline       time.Duration // time until which the client waits, on the core's clock
 	Retry          bool          // the client has marked the request as a retry
-	// BodyPending is set if the body is not complete yet: its rest is forwarded to the server as it is received. The
-	// RPC has no deadline until BodyReceived sets one.
+	// BodyPending is set if the node has not received the whole body yet. The rest of the body is forwarded to the
+	// server while it is received. Such an RPC has no deadline until BodyReceived sets one.
 	BodyPending bool
-	WorkHint    float64 // the client's hint of the request's cost, 0: none; ignored unless the settings enable hints
+	// WorkHint is the client's estimate of the request's cost. 0: none. It is ignored unless the settings enable work
+	// hints.
+	WorkHint float64
 }
 
-// Arrived registers a request and returns its RPC. The caller executes the orders that it receives from RPC.Orders.
+// Arrived registers a request and returns its RPC. The caller has to execute the orders that it receives from
+// RPC.Orders.
 func (c *Core) Arrived(a Arrival) *RPC {
 	r := &RPC{
 		Deadline:  a.Deadline,
@@ -90,8 +93,8 @@
 	return r
 }
 
-// BodyReceived reports that an attempt has written the last byte of a request whose body was pending. It sets the RPC's
-// deadline to the current time plus left.
+// BodyReceived reports that an attempt has written the last byte of a request whose body was pending. left is the time
+// from now to the new deadline, which BodyReceived sets for the RPC and the attempt.
 func (c *Core) BodyReceived(a *Attempt, left time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,14 +123,14 @@
 	c.releaseSlots(r)
 }
 
-// PushBack orders a rejection after which the client can safely retry. retryAfter is the pause that the client is
-// advised to make first, in seconds. It is part of decide.Host.
+// PushBack answers an RPC with a rejection, after which the client can safely retry. The client is advised to wait
+// retryAfter seconds before the retry. PushBack is part of decide.Host.
 func (c *Core) PushBack(r *decide.RPC, retryAfter float64) {
 	c.checkPushback(r.HostData.(*RPC))
 	c.answer(r, Order{Kind: OrderPushBack, RetryAfter: duration(retryAfter)})
 }
 
-// Abort orders an error answer, after which a retry may not be safe. It is part of decide.Host.
+// Abort answers an RPC with an error, after which a retry may not be safe. Abort is part of decide.Host.
 func (c *Core) Abort(r *decide.RPC) { c.answer(r, Order{Kind: OrderAbort}) }
 
 func (c *Core) answer(decided *decide.RPC, o Order) {
@@ -141,7 +144,7 @@
 	c.endRPC(r, rpcAnswered)
 }
 
-// endRPC ends an open RPC. Its attempts may still be in flight.
+// endRPC ends an open RPC. The RPC's attempts may still be in flight.
 func (c *Core) endRPC(r *RPC, state rpcState) {
 	r.state = state
 	c.openRPCs--
--- a/internal/core/node/rpc_test.go
+++ b/internal/core/node/rpc_test.go
@@ -12,7 +12,8 @@
 	"robincart/internal/protocol/settings"
 )
 
-// Work hints are used only if the settings enable them, also during a concurrent reload of the settings.
+// Work hints are used only if the settings enable work hints. This also holds while the settings are reloaded
+// concurrently.
 func TestArrived_WorkHints(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		t.Run(fmt.Sprint(used), func(t *testing.T) {
@@ -61,7 +62,7 @@
 	exchange := &fakeExchange{}
 	assert.True(t, c.Begin(a, exchange))
 	c.clock.advance(2*time.Second + timerResolution)
-	assert.Equal(t, OrderPushBack, nextOrder(t, r).Kind, "all servers drop repeats, so a retry is safe")
+	assert.Equal(t, OrderPushBack, nextOrder(t, r).Kind, "all servers drop duplicates, so a retry is safe")
 	assert.True(t, exchange.canceled, "the exchange has to close its connection")
 	assert.False(t, c.Begin(a, exchange), "the connect finished after the answer")
 	assert.Equal(t, 0, c.InFlight())
@@ -108,7 +109,7 @@
 	assert.False(t, exchange.canceled)
 	assert.False(t, c.Begin(a, exchange), "the client has gone, so an attempt that is not written yet must not begin")
 	c.AttemptDone(a, decide.OK, &Response{})
-	assert.Empty(t, r.Orders, "the client has gone, so no answer is ordered")
+	assert.Empty(t, r.Orders, "the client has gone, so the core sends no answer")
 	c.assertNothingInFlight(t)
 }
 
@@ -140,7 +141,7 @@
 	c.AttemptDone(a, decide.Reset, nil)
 }
 
-// The deadline of an RPC whose body is forwarded while it is received is set when the body is complete.
+// If a request's body is forwarded while the node receives it, the RPC gets its deadline when the body is complete.
 func TestBodyReceived(t *testing.T) {
 	t.Run("sets the deadline", func(t *testing.T) {
 		c := newCore(t, nil)
@@ -163,7 +164,8 @@
 		c.assertNothingInFlight(t)
 	})
 	t.Run("connect failed before", func(t *testing.T) {
-		// The request never ran. But the part of its body that was sent is lost, so no other server can receive it.
+		// The request never ran. But the part of the body that was already sent is lost, so the request cannot be sent
+		// to another server.
 		c := newCore(t, nil)
 		c.listReady("a", "b")
 		r := c.arriveWithBody(charge)
@@ -190,8 +192,8 @@
 	})
 }
 
-// The settings may allow any number of attempts, and fewer after a reload. The buffer of an RPC's orders is large
-// enough that the core does not block, but does not grow with the number of attempts beyond a limit.
+// The settings may allow any number of attempts, and a reload may lower that number. The buffer of RPC.Orders is large
+// enough that the core does not block. It does not grow beyond a limit, however many attempts are allowed.
 func TestArrived_BufferOfOrders(t *testing.T) {
 	for _, allowed := range []int{1, 5, 1 << 40} {
 		t.Run(fmt.Sprint(allowed), func(t *testing.T) {
--- a/internal/core/node/server.go
+++ b/internal/core/node/server.go
@@ -7,7 +7,7 @@
 	"robincart/decide"
 )
 
-// Server is one server of the tier below, with its entry in the endpoint list.
+// Server is one server to which the node can send attempts, with the server's entry in the endpoint list.
 type Server struct {
 	id           string
 	decideServer *decide.Server
@@ -16,19 +16,21 @@
 	// The core's mutex guards the fields below.
 	addr       string
 	state      decide.State // as listed, or decide.Draining during an operator's ban
-	listed     Endpoint     // its latest list entry
-	lastUpdate int          // value of Core.updates at the latest list update with this server; 0: none yet
+	listed     Endpoint     // latest list entry of the server
+	lastUpdate int          // value of Core.updates at the latest update that contained this server; 0: none yet
 	// attemptsInFlight may be above 0 after the server has left the list.
 	attemptsInFlight     int
 	idleConnectionsStale bool // the next attempt has to open a new connection
-	// attachedAt is when an operator ended a ban before the list had shown a restart, in seconds on the Balancer's
-	// clock. It counts as the server's start time until the list shows a later one. 0: none.
+	// attachedAt is the time of an operator's attach call, in seconds on the Balancer's clock. It is set only if the
+	// list had not shown a restart of the server since the ban. It counts as the server's start time until the list
+	// shows a later start time. 0: not set.
 	attachedAt float64
-	// startedAt is convertedStart in seconds on the Balancer's clock.
+	// startedAt is convertedStart, converted to seconds on the Balancer's clock.
 	startedAt float64
 	// convertedStart is the listed start time for which startedAt was computed.
 	convertedStart time.Time
-	// slowStartAttempts are the times within the last overload window at which attempts began during slow start.
+	// slowStartAttempts holds the times at which this server's attempts of the last OverloadWindow began. It is used
+	// only while the server is in slow start.
 	slowStartAttempts []time.Duration
 }
 
@@ -58,15 +60,15 @@
 	return s.listed.StartedAt, true
 }
 
-// removeIfUnused removes a server that is gone and has no attempt in flight, as the Balancer does. Otherwise the map
-// would grow with each deploy, because new servers have new IDs.
+// removeIfUnused removes a server from Core.servers if the server is gone and has no attempt in flight. The Balancer
+// does the same with its own data. Otherwise the map would grow with each deploy, because new servers have new IDs.
 func (c *Core) removeIfUnused(s *Server) {
 	if s.state == decide.Gone && s.attemptsInFlight == 0 && c.servers[s.id] == s {
 		delete(c.servers, s.id)
 	}
 }
 
-// endpointUpdate returns a server's current data in the form in which the Balancer takes it.
+// endpointUpdate returns a server's current data as an update for the Balancer.
 func (c *Core) endpointUpdate(s *Server) decide.EndpointUpdate {
 	return decide.EndpointUpdate{
 		Server:    s.decideServer,
@@ -78,7 +80,8 @@
 	}
 }
 
-// refreshServer recomputes a server's state after a change of its ban, and updates the Balancer.
+// refreshServer recomputes a server's state after the server's ban has begun or ended, and passes the new state to the
+// Balancer.
 func (c *Core) refreshServer(s *Server) {
 	s.setState(c.effectiveState(s.listed))
 	c.balancer.UpdateEndpoints([]decide.EndpointUpdate{c.endpointUpdate(s)}, false)
--- a/internal/core/node/slots.go
+++ b/internal/core/node/slots.go
@@ -6,13 +6,13 @@
 	"robincart/internal/protocol/settings"
 )
 
-// slotQuarantine is how long a slot is not reused after its name was removed. By then the Balancer's statistics for the
-// slot have decayed, and clients have learned that the name is gone.
+// slotQuarantine is the time for which a slot is not reused after its name was removed. After that time the Balancer's
+// statistics for the slot have decayed, and clients have learned that the name is gone.
 const slotQuarantine = 90 * time.Second
 
-// slot is the state of one index by which the Balancer identifies a method or a tenant.
+// slot is the state of one method index or tenant index. The Balancer identifies methods and tenants by these indices.
 type slot struct {
-	inFlight int           // RPCs of the slot that are open or have attempts in flight
+	inFlight int           // number of RPCs with this index that are open or have attempts in flight
 	freedAt  time.Duration // when the slot's name was removed from the settings
 }
 
@@ -20,8 +20,9 @@
 	return s.inFlight == 0 && now >= s.freedAt+slotQuarantine
 }
 
-// UpdateSettings replaces the settings and returns them with every name at the index of its slot. Open RPCs keep the
-// method settings with which they arrived, and the Balancer keeps its statistics of the servers.
+// UpdateSettings replaces the settings. It returns the new settings with each method and tenant at the index of its
+// slot. Open RPCs keep the method settings that were in force when the RPCs arrived. The Balancer keeps its statistics
+// of the servers.
 func (c *Core) UpdateSettings(s *settings.Instance) *settings.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,13 +52,15 @@
 	return slots
 }
 
-// acquireSlots marks the slots of an RPC's method and tenant as in use, so that they are not given to other names.
+// acquireSlots marks the slots of an RPC's method and tenant as in use, so that the slots are not reused for other
+// names.
 func (c *Core) acquireSlots(r *RPC) {
 	c.methods[r.decideRPC.Method].inFlight++
 	c.tenants[r.decideRPC.Tenant].inFlight++
 }
 
-// releaseSlots releases an RPC's slots once the RPC has ended and no attempt of it is in flight.
+// releaseSlots releases the slots of an RPC that has ended and has no attempt in flight. It does nothing for any other
+// RPC.
 func (c *Core) releaseSlots(r *RPC) {
 	if r.state == rpcOpen || r.attemptsInFlight > 0 || r.slotsReleased {
 		return
--- a/internal/core/node/slots_test.go
+++ b/internal/core/node/slots_test.go
@@ -13,7 +13,7 @@
 func TestUpdateSettings_OpenRPCsKeepTheirSettings(t *testing.T) {
 	c := newCore(t, func(s *settings.Instance) { s.MethodNames = []string{"find", "book", "charge"} })
 	c.listReady("a", "b", "c")
-	idempotent := c.arrive(find) // three attempts
+	idempotent := c.arrive(find) // the settings allow three attempts
 	first := nextAttempt(t, idempotent)
 	nonIdempotent := c.arrive(charge)
 	charged := nextAttempt(t, nonIdempotent)
@@ -23,7 +23,7 @@
 		c.AttemptDone(a, decide.OK, &Response{})
 	}
 
-	// From now on charge is idempotent, find is not, and pay takes the place of book.
+	// The new settings make charge idempotent and find non-idempotent, and replace book by pay.
 	method := decide.Method{LatencyObjective: 1, Deadline: 2, PriorityWeight: 1}
 	next := &settings.Instance{Settings: c.settings.Settings, MethodNames: []string{"charge", "pay", "find"}}
 	next.Methods, next.MaxAttempts = []decide.Method{method, method, method}, 2
--- a/internal/core/node/starttimes.go
+++ b/internal/core/node/starttimes.go
@@ -7,36 +7,39 @@
 )
 
 // The start times of servers are on the list's clock: the clock of the machine that fills the endpoint list. This
-// machine's wall clock may differ from it by seconds or by an hour, and may be stepped while the process runs. Two
-// facts still give the order of starts and the age of a server: no start time is in the future of the list's clock, and
-// the age of a start that happened while this process was watching is the time that its update took to arrive.
+// machine's wall clock may differ from the list's clock by seconds or by an hour, and may be stepped while the process
+// runs.
+//
+// The core estimates the offset between the two clocks from two facts. A start time is never later than the current
+// time on the list's clock. If a server starts while this process watches the list, the server's age when the process
+// first sees it is only the delay of the update that lists it.
 
 const (
-	// maxListingDelay is the longest normal time from a server's start to the first update that lists it: a server
-	// needs some time from its start until it is listed, and a working watch delivers a message every two seconds. If
-	// all observed starts seem older when they are first listed, this machine's wall clock is assumed to be ahead of
-	// the list's clock.
+	// maxListingDelay is the longest normal time from a server's start to the arrival of the first update that lists
+	// the server. A server needs some time from its start until it is listed, and a working watch delivers a message
+	// every two seconds. If, by this machine's wall clock, all observed servers are older than maxListingDelay when
+	// they are first listed, the wall clock is assumed to be ahead of the list's clock.
 	maxListingDelay = 2500 * time.Millisecond
 
-	// initialUpdates is how many updates at the beginning may contain starts from long ago: the list that the process
-	// starts with, and the first one that it receives itself.
+	// initialUpdates is the number of updates, counted from the start of the process, that may contain servers that
+	// started long ago: the list that the process starts with, and the first list that the process receives itself.
 	initialUpdates = 2
 
-	// minStartTime, in seconds on the Balancer's clock, replaces start times before 0 on that clock: 0 would mean long
-	// ago.
+	// minStartTime replaces start times before 0 on the Balancer's clock, because a start time of 0 would mean long
+	// ago. It is in seconds.
 	minStartTime = 1e-6
 )
 
 // listClock estimates the offset between this process's wall clock and the list's clock.
 type listClock struct {
-	wallOffset    time.Duration // estimate of the wall clock minus the list's clock; negative: the wall clock is behind
-	latestStart   time.Time     // latest start time that was ever listed
+	wallOffset    time.Duration // estimated wall-clock time minus list-clock time; negative: the wall clock is behind
+	latestStart   time.Time     // latest start time in all updates so far
 	updates       int           // number of updates observed
-	startObserved bool          // a server has started, and was listed, while this process was watching
-	minAge        time.Duration // lowest age of such a start by the wall clock, when it was first listed
+	startObserved bool          // a server started and was first listed while this process watched the list
+	minAge        time.Duration // lowest age of such a server when it was first listed, by the wall clock
 }
 
-// observe updates the estimate with the start times of an update. wall is the current wall-clock time.
+// observe corrects the estimated offset with the start times in an update. wall is the current wall-clock time.
 func (l *listClock) observe(entries []Endpoint, wall time.Time) {
 	startsAreNew := l.updates >= initialUpdates
 	latestBefore := l.latestStart
@@ -49,7 +52,8 @@
 		if e.StartedAt.After(l.latestStart) {
 			l.latestStart = e.StartedAt
 		}
-		l.wallOffset = min(l.wallOffset, age) // no start time is in the future of the list's clock
+		// The start time is not later than the current time on the list's clock, so the offset is at most age.
+		l.wallOffset = min(l.wallOffset, age)
 		if startsAreNew && (!l.startObserved || age < l.minAge) {
 			l.minAge, l.startObserved = age, true
 		}
@@ -63,8 +67,9 @@
 	}
 }
 
-// adopt sets the estimate from that of another process on this machine. list is the current time on the list's clock by
-// that process's estimate, wall the current wall-clock time. A difference of at most maxListingDelay is ignored.
+// adopt takes over the estimate of the list's clock from another process on this machine. list is the current time on
+// the list's clock according to that process, and wall is the current wall-clock time. If list and wall differ by at
+// most maxListingDelay, adopt changes nothing.
 func (l *listClock) adopt(list, wall time.Time) {
 	offset := wall.Sub(list)
 	if offset > maxListingDelay || offset < -maxListingDelay {
@@ -80,8 +85,8 @@
 	return c.wallNow().Add(-c.listClock.wallOffset)
 }
 
-// AdoptListClock sets the current time on the list's clock to another process's estimate. The zero time means that
-// there is none.
+// AdoptListClock takes over another process's estimate of the current time on the list's clock. If now is the zero
+// time, there is no estimate, and AdoptListClock does nothing.
 func (c *Core) AdoptListClock(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +95,7 @@
 	}
 }
 
-// startTime returns when a server started, in seconds on the Balancer's clock. 0 means long ago.
+// startTime returns a server's start time in seconds on the Balancer's clock. 0 means long ago.
 func (c *Core) startTime(s *Server) float64 {
 	if s.listed.StartedAt.IsZero() {
 		return max(0, s.attachedAt)
@@ -99,8 +104,8 @@
 	return max(s.startedAt, s.attachedAt)
 }
 
-// convertStart converts a server's listed start time to the Balancer's clock. It converts each start time only once: a
-// later correction of the list's clock must not look like a restart.
+// convertStart converts a server's listed start time to the Balancer's clock. It converts each start time only once,
+// because a later correction of the estimated offset must not look like a restart.
 func (c *Core) convertStart(s *Server) {
 	if s.convertedStart.Equal(s.listed.StartedAt) {
 		return
--- a/internal/core/node/starttimes_test.go
+++ b/internal/core/node/starttimes_test.go
@@ -18,13 +18,13 @@
 	return e
 }
 
-// age returns the age of a server by the start time that the Balancer has for it, in seconds.
+// age returns the age of a server in seconds, computed from the start time that the Balancer has for the server.
 func (c *coreTest) age(id string) float64 { return c.Now() - c.balancerStart(id) }
 
 func (c *coreTest) balancerStart(id string) float64 { return c.endpointUpdate(c.servers[id]).StartedAt }
 
 // The wall clock may be wrong when the process starts. A server that starts while the process runs must still have a
-// low age, and a server that started long before the process a high one.
+// low age, and a server that started long before the process must have a high age.
 func TestStartTimes_IndependentOfWallClockOffset(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
@@ -41,19 +41,19 @@
 			c.clock.now += 3 * time.Second
 			c.UpdateEndpoints([]Endpoint{c.endpointStarted("later", 0, offset)}, false) // a restart
 			assert.InDelta(t, 0, c.age("later"), 0.21)
-			assert.InDelta(t, 3.1, c.age("new"), 0.11, "its age grows with the monotonic clock")
+			assert.InDelta(t, 3.1, c.age("new"), 0.11, "the age grows with the monotonic clock")
 			if offset <= 0 {
 				assert.Greater(t, c.age("old"), 2400.0)
 			} else {
 				assert.Greater(t, c.age("old"), 1800.0,
-					"the first list shows that its clock is ahead, so its latest start time counts as its current time")
+					"if the first list has start times later than the wall clock, the latest of them counts as current")
 			}
 		})
 	}
 }
 
-// A correction of the estimated list's clock must not look like a restart: the Balancer would discard its statistics of
-// the server.
+// A correction of the estimated time on the list's clock must not look like a restart of a server, because the Balancer
+// would discard its statistics of the server.
 func TestStartTimes_AreConvertedOnce(t *testing.T) {
 	c := newCore(t, nil)
 	c.UpdateEndpoints([]Endpoint{c.endpointStarted("a", time.Hour, 0)}, true)
@@ -72,10 +72,12 @@
 		"the normal time from a start to its listing does not indicate a wrong clock")
 	assert.Equal(t, before, c.balancerStart("b"))
 	c.UpdateEndpoints([]Endpoint{c.endpointStarted("d", 30*time.Minute, 0)}, false)
-	assert.InDelta(t, 1800, c.age("d"), 0.1, "a start that is not the latest one was only listed late")
+	assert.InDelta(t, 1800, c.age("d"), 0.1,
+		"this start is earlier than the latest listed start, so it was only listed late")
 }
 
-// A process takes over the list's clock from its predecessor, even if the wall clock was stepped in between.
+// A process takes over its predecessor's estimate of the list's clock. The estimate stays valid if the wall clock is
+// stepped between the starts of the two processes.
 func TestAdoptListClock(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -89,8 +91,8 @@
 	}
 }
 
-// Whether the list has shown a restart since a ban is decided by comparing listed start times, independently of the
-// wall clock.
+// The core compares listed start times to detect whether a server has restarted since its ban. An offset between the
+// wall clock and the list's clock must not affect the result.
 func TestAttach_DetectsUnlistedRestartDespiteClockOffset(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Hour, 0, time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
@@ -99,13 +101,14 @@
 			assert.True(t, c.Detach("a"))
 			c.clock.now += time.Minute
 			assert.True(t, c.Attach("a"))
-			assert.InDelta(t, 0, c.age("a"), 0.01, "the list has not shown its restart")
+			assert.InDelta(t, 0, c.age("a"), 0.01, "the list has not shown the server's restart")
 		})
 	}
 }
 
-// One process may execute the operator's detach call, and another one the attach call. The ban is handed over with the
-// start time that was listed at the detach call, because the wall clock may be stepped before the attach call.
+// The detach call and the attach call for a server may be executed by different processes. The first process hands over
+// the ban with the server's start time as it was in the endpoint list at the detach call. The time of the ban itself
+// would not suffice, because the wall clock may be stepped before the attach call.
 func TestInheritBans_DetectsUnlistedRestartDespiteClockOffset(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Hour, 0, time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
@@ -118,7 +121,7 @@
 			}, nil)
 			c.clock.now += time.Minute
 			assert.True(t, c.Attach("a"))
-			assert.InDelta(t, 0, c.age("a"), 0.01, "the list has not shown its restart")
+			assert.InDelta(t, 0, c.age("a"), 0.01, "the list has not shown the server's restart")
 		})
 	}
 }
--- a/internal/core/node/timers.go
+++ b/internal/core/node/timers.go
@@ -10,14 +10,15 @@
 
 const (
 	timerResolution = time.Millisecond
-	timerSlots      = 1024 // of the timing wheel: one turn takes about a second
-	// maxTimersPerFire limits how many timers expire in one call, during which the mutex is held.
+	timerSlots      = 1024 // number of slots of the timing wheel; one turn of the wheel takes about a second
+	// maxTimersPerFire is the largest number of timers that one call of fireTimers handles. The core's mutex is held
+	// during that call.
 	maxTimersPerFire = 256
 )
 
-// StartTimer calls the Balancer's TimerFired with the payload after a delay in seconds. The timer of an RPC or an
-// attempt is removed when the RPC or attempt ends. Otherwise the timers of the RPCs of the last two seconds would be
-// most of what the node keeps in memory. It is part of decide.Host.
+// StartTimer calls the Balancer's TimerFired with the payload after delay, which is in seconds. The core removes the
+// timer of an RPC or an attempt when the RPC or the attempt ends. Otherwise the timers of the RPCs of the last two
+// seconds would take up most of the node's memory. StartTimer is part of decide.Host.
 func (c *Core) StartTimer(delay float64, payload any) {
 	var t *timingwheel.Timer
 	switch decided := payload.(type) {
@@ -46,7 +47,8 @@
 	c.clock.AfterFunc(max(0, at-c.clock.Now()), func() { c.fireTimers(at) })
 }
 
-// fireTimers fires the timers that have expired. It does nothing if arm has scheduled a call for another time since.
+// fireTimers handles the timers that have expired. at is the time for which arm has scheduled this call. The call does
+// nothing if arm has scheduled a call for another time since.
 func (c *Core) fireTimers(at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/routes/canonical.go
+++ b/internal/core/routes/canonical.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Host and Path reject input that has no unique canonical form. The load balancer and a server could interpret it
-// differently, and a request could bypass a route.
+// Host and Path return these errors for input that has no unique canonical form. The load balancer and a server could
+// interpret such input differently, and a request could bypass a route.
 var (
 	ErrInvalidHost = errors.New("not a host name")
 	ErrInvalidPath = errors.New("ambiguous or malformed path")
@@ -20,8 +20,8 @@
 	hexDigits = "0123456789ABCDEF"
 )
 
-// Host converts a Host header to its canonical form: lower case, without a port and without a trailing dot. IP
-// addresses are kept; an IPv6 address keeps its brackets.
+// Host converts a Host header to its canonical form: lower case, without a port and without a trailing dot. It accepts
+// IP addresses; an IPv6 address keeps its brackets.
 func Host(s string) (string, error) {
 	if strings.HasPrefix(s, "[") {
 		return hostIPv6(s)
@@ -74,7 +74,7 @@
 	return true
 }
 
-// isPortSuffix returns whether the text after a host name is empty, or a colon and a valid port.
+// isPortSuffix returns whether s, the text after a host name, is empty or consists of a colon and a valid port.
 func isPortSuffix(s string) bool {
 	if s == "" {
 		return true
@@ -110,9 +110,11 @@
 }
 
 // Path converts the path of a request target to its canonical form: percent-encoded characters that need no encoding
-// are decoded, and the remaining escapes are in upper case. It rejects paths that servers interpret in different ways:
-// those with empty segments, with dot segments (plain or percent-encoded), with percent-encoded slashes, backslashes or
-// control characters, and with a malformed escape. A trailing slash is kept and does not count as an empty segment.
+// are decoded, and the remaining escapes are in upper case. A trailing slash is kept.
+//
+// Path rejects paths that servers interpret in different ways: paths with empty segments, with dot segments (plain or
+// percent-encoded), with percent-encoded slashes, backslashes or control characters, or with a malformed escape. The
+// text after a trailing slash does not count as an empty segment.
 func Path(s string) (string, error) {
 	if s == "" || s[0] != '/' {
 		return "", ErrInvalidPath
@@ -147,7 +149,8 @@
 	return c > ' ' && c < 0x7f
 }
 
-// normalizeEscapes decodes percent-encoded characters that need no encoding, and converts other escapes to upper case.
+// normalizeEscapes decodes percent-encoded characters that need no encoding, and converts the remaining escapes to
+// upper case.
 func normalizeEscapes(s string) (string, error) {
 	out := make([]byte, 0, len(s))
 	for i := 0; i < len(s); i++ {
@@ -175,7 +178,7 @@
 	return string(out), nil
 }
 
-// hasNormalizedSegments returns whether a path has no dot segment and no empty segment besides the last one.
+// hasNormalizedSegments returns whether a path has no dot segment, and no empty segment except the last segment.
 func hasNormalizedSegments(path string) bool {
 	rest, more := path[1:], true
 	for more {
--- a/internal/core/routes/canonical_test.go
+++ b/internal/core/routes/canonical_test.go
@@ -56,7 +56,7 @@
 	})
 }
 
-// A canonical path does not change when it is converted again, and a rule's path matches only complete segments.
+// Path does not change a path that is already canonical, and a rule's path matches only complete segments.
 func FuzzPath(f *testing.F) {
 	for _, s := range []string{"/a/b", "/%61%2e", "/a%2fb", "/..%2f", "//", "/%C3%A9/"} {
 		f.Add(s)
--- a/internal/core/routes/lookup.go
+++ b/internal/core/routes/lookup.go
@@ -33,7 +33,7 @@
 	return t.anyHost.find(t.maxDepth, q)
 }
 
-// findByWildcard returns the matching rule with the longest wildcard host; nil if there is none.
+// findByWildcard returns the matching rule with the longest wildcard host, or nil if no rule matches.
 func (t *Table) findByWildcard(q *Request) *compiledRule {
 	_, suffix, found := strings.Cut(q.Host, ".")
 	for found {
@@ -51,7 +51,7 @@
 	if n == nil {
 		return nil
 	}
-	var matching [maxSegments + 1]*classIndex // rules on the request's path, shortest path first
+	var matching [maxSegments + 1]*classIndex // rules whose path the request matches, shortest path first
 	count := 0
 	if n.rules != nil {
 		matching[count] = n.rules
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// nextSegment splits a path into its first segment, without the slash, and the rest.
+// nextSegment splits a path into its first segment, without the leading slash, and the rest of the path.
 func nextSegment(path string) (segment, rest string) {
 	path = path[1:]
 	end := strings.IndexByte(path, '/')
@@ -97,14 +97,14 @@
 	return i.anyClass.find(q)
 }
 
-// find returns the matching rule of the index; nil if h is nil or no rule matches.
+// find returns the most specific matching rule of the index. It returns nil if h is nil or no rule matches.
 func (h *headerIndex) find(q *Request) *compiledRule {
 	if h == nil {
 		return nil
 	}
 	for i := range h.headers {
 		values := q.Header[h.headers[i].name]
-		if len(values) != 1 { // a repeated header matches no required value
+		if len(values) != 1 { // a header that occurs more than once matches no required value
 			continue
 		}
 		if c := h.headers[i].byValue[values[0]]; c != nil {
--- a/internal/core/routes/rule.go
+++ b/internal/core/routes/rule.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxSegments = 32  // in a rule's path
-	maxWeight   = 1e9 // of one service in a split
+	maxSegments = 32  // largest number of segments in a rule's path
+	maxWeight   = 1e9 // largest weight of one service in a split
 
 	wildcardPrefix = "*."
 )
@@ -25,12 +25,12 @@
 	splitByHeaderPrefix = "header:"
 )
 
-// Rule is one route. A request matches if it meets all conditions; an empty Host, Path, Class or Header is no
-// condition.
+// Rule is one route. A request matches a rule if it meets all conditions of the rule. An empty Host, Path, Class or
+// Header sets no condition.
 type Rule struct {
 	Name          string
 	Host          string // "booking.example.org", or "*.example.org" for any subdomain
-	Path          string // a prefix of complete segments: "/book" matches /book and /book/x, not /bookings
+	Path          string // a prefix that ends with a complete segment: "/book" matches /book and /book/x, not /bookings
 	Class         string
 	Header        string // name of a required header
 	Value         string // required value of the header
@@ -40,7 +40,8 @@
 	SplitBy string   // the key of a split: "trace", "tenant", "mark", "client" or "header:NAME"
 }
 
-// Weight is one service of a split, with its share of the requests relative to the other weights.
+// Weight is one service of a split and its weight. The service's share of the requests is its weight divided by the sum
+// of all weights of the split.
 type Weight struct {
 	Service int
 	Weight  float64
@@ -56,14 +57,14 @@
 
 func (e *RuleError) Unwrap() error { return e.Cause }
 
-// compiledRule is a rule in a table.
+// compiledRule is a rule that is part of a Table.
 type compiledRule struct {
 	Rule
-	index      int       // in Table.rules
-	cumulative []float64 // cumulative weights of the services of a split, as fractions; the last one is 1
+	index      int       // index in Table.rules
+	cumulative []float64 // result of cumulativeWeights: one upper bound for each service; the last bound is 1
 }
 
-// compile validates and compiles a rule. The error joins all problems of the rule.
+// compile validates and compiles a rule. services is the number of services. The error joins all problems of the rule.
 func (r Rule) compile(services int) (*compiledRule, error) {
 	err := errors.Join(
 		r.validateHost(),
@@ -175,7 +176,8 @@
 	return nil
 }
 
-// cumulativeWeights returns the upper bound of each service's part of a split, as fractions of 1.
+// cumulativeWeights returns an upper bound for each service of a split: the sum of the weights up to and including the
+// service's own, divided by the sum of all weights.
 func (r Rule) cumulativeWeights() []float64 {
 	sum := 0.0
 	for _, w := range r.To {
--- a/internal/core/routes/split.go
+++ b/internal/core/routes/split.go
@@ -3,14 +3,14 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// fractionBits is the number of bits of a hash that are converted to a fraction: a float64 holds as many exactly.
+	// fractionBits is the number of bits of a hash that are converted to a fraction: a float64 holds 53 bits exactly.
 	fractionBits = 53
 	hashBits     = 64
 )
 
-// choose returns the service of a request that the rule matches. It splits requests by the hash of a key: equal keys go
-// to the same service until the weights change, and then only keys between the old and the new bounds change their
-// service.
+// choose returns the service for a request that matches the rule. A split selects the service by the hash of the
+// request's key, so requests with equal keys go to the same service. When the weights change, a key goes to another
+// service only if its hash is between the old and the new bound of a service.
 func (c *compiledRule) choose(q *Request) int {
 	if len(c.To) == 1 {
 		return c.To[0].Service
@@ -25,7 +25,8 @@
 	return c.To[len(c.To)-1].Service
 }
 
-// splitKey returns the key of a request for the split; empty if the request has none.
+// splitKey returns a request's key for the split: the part of the request that SplitBy names. The key is empty if the
+// request does not have that part.
 func (c *compiledRule) splitKey(q *Request) string {
 	switch c.SplitBy {
 	case splitByTrace:
--- a/internal/core/routes/table.go
+++ b/internal/core/routes/table.go
@@ -1,9 +1,12 @@
 // Package routes selects the service of a request by the request's host, path, class and headers.
 //
-// It has no state besides its tables and no I/O: rules are validated and compiled into a Table once. A lookup reads
-// only the table and the request, and allocates no memory. Its cost grows with the number of labels in the request's
-// host and of segments in its path, not with the number of rules. The package also defines the canonical form that
-// hosts and paths must have in rules and in requests. Rules identify services by number only.
+// The package does no I/O and has no state besides its tables. Compile validates rules and compiles them into a Table
+// once. A lookup reads only the table and the request, and allocates no memory. The cost of a lookup grows with the
+// number of labels in the request's host and with the number of segments in the request's path. It does not grow with
+// the number of rules.
+//
+// The package also defines the canonical form that hosts and paths must have in rules and in requests. Rules identify
+// services by number only.
 package routes
 
 import (
@@ -14,20 +17,26 @@
 	"strings"
 )
 
-// maxHeaders is the largest number of different header names in the rules of one host, path and class.
+// maxHeaders is the largest number of different header names that all rules of one host, path and class together may
+// use.
 const maxHeaders = 16
 
 // Table is a compiled set of rules.
 //
-// Of the rules that match a request in host, path, class and header, the most specific one applies. Rules are compared
-// by host first (exact, then the longest wildcard, then none), then by path (the longest first), then by class (one
-// before none), then by header (a required value, then mere presence, then none; several of one kind in the order of
-// the header names).
+// If several rules match a request, the most specific rule applies. These criteria decide which rule is more specific.
+// A criterion counts only if the rules are equal by all criteria above it.
+//   - Host: an exact host is more specific than a wildcard, and a wildcard is more specific than no host. A longer
+//     wildcard is more specific than a shorter wildcard.
+//   - Path: a longer path is more specific than a shorter path.
+//   - Class: a class is more specific than no class.
+//   - Header: a required value is more specific than a header that only has to be present. Any header condition is more
+//     specific than none. If two rules have the same kind of header condition, the rule whose header name sorts first
+//     applies.
 type Table struct {
 	rules     []Rule
-	exact     map[string]*pathNode // by host
-	wildcards map[string]*pathNode // by the suffix after "*."
-	anyHost   *pathNode            // nil: each rule has a host
+	exact     map[string]*pathNode // path trees by host
+	wildcards map[string]*pathNode // path trees by the suffix after "*."
+	anyHost   *pathNode            // for the rules without a host; nil: each rule has a host
 	maxDepth  int                  // largest number of segments in the path of a rule
 }
 
@@ -56,8 +65,8 @@
 	anyValue *compiledRule
 }
 
-// Compile validates rules and creates a table. services is the number of services: rules identify them by 0 to
-// services-1. The error joins one RuleError for each invalid rule.
+// Compile validates rules and creates a table. services is the number of services. Rules identify a service by a number
+// from 0 to services-1. The error joins one RuleError for each invalid rule.
 func Compile(rules []Rule, services int) (*Table, error) {
 	t := &Table{rules: rules, exact: map[string]*pathNode{}, wildcards: map[string]*pathNode{}}
 	var errs []error
@@ -89,7 +98,8 @@
 // Rules returns the table's rules, as they were passed to Compile.
 func (t *Table) Rules() []Rule { return t.rules }
 
-// add adds a rule to the table. If a rule that matches the same requests exists, add returns that one instead.
+// add adds a rule to the table and returns nil. If the table already has a rule that matches the same requests, add
+// returns the existing rule and does not add the new one.
 func (t *Table) add(c *compiledRule) *compiledRule {
 	node, depth := t.root(c.Host), 0
 	for segment := range segments(c.Path) {
@@ -100,7 +110,7 @@
 	return node.headerIndex(c.Class).add(c)
 }
 
-// root returns the root of the tree of a host's paths, and creates it if it does not exist.
+// root returns the root of a host's path tree, and creates the tree if it does not exist.
 func (t *Table) root(host string) *pathNode {
 	if host == "" {
 		if t.anyHost == nil {
@@ -146,7 +156,8 @@
 	return n.rules.byClass[class]
 }
 
-// add adds a rule to the index. If a rule that matches the same requests exists, add returns that one instead.
+// add adds a rule to the index and returns nil. If the index already has a rule that matches the same requests, add
+// returns the existing rule and does not add the new one.
 func (h *headerIndex) add(c *compiledRule) *compiledRule {
 	if c.Header == "" {
 		return setIfNil(&h.noHeader, c)
@@ -162,7 +173,8 @@
 	return nil
 }
 
-// setIfNil sets *place to a rule if it is nil, else it returns the rule that is there.
+// setIfNil sets *target to a rule and returns nil, if *target is nil. Otherwise it returns *target and does not change
+// it.
 func setIfNil(target **compiledRule, c *compiledRule) *compiledRule {
 	if *target != nil {
 		return *target
@@ -171,8 +183,8 @@
 	return nil
 }
 
-// rulesForHeader returns the rules of a header name, and creates them if they do not exist. The pointer is valid until
-// another name is added.
+// rulesForHeader returns the rules of a header name. If the index has no entry for the name, rulesForHeader adds an
+// empty entry. The pointer is valid until the next entry is added.
 func (h *headerIndex) rulesForHeader(name string) *headerRules {
 	i := slices.IndexFunc(h.headers, func(r headerRules) bool { return r.name == name })
 	if i < 0 {
@@ -182,7 +194,7 @@
 	return &h.headers[i]
 }
 
-// headerIndexes returns the indexes of all hosts, paths and classes.
+// headerIndexes returns the header indexes of all combinations of host, path and class.
 func (t *Table) headerIndexes() []*headerIndex {
 	var all []*headerIndex
 	for _, roots := range []map[string]*pathNode{t.exact, t.wildcards} {
@@ -211,7 +223,7 @@
 	return all
 }
 
-// firstRule returns the rule of the index that comes first in the rules passed to Compile.
+// firstRule returns the rule in the index that was first in the list of rules passed to Compile.
 func (h *headerIndex) firstRule() *compiledRule {
 	first := h.noHeader
 	consider := func(c *compiledRule) {
--- a/internal/core/routes/table_test.go
+++ b/internal/core/routes/table_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// findNaively returns the index of the most specific rule that matches, or -1 if none does. It compares all rules as
-// the comment of Table says, without the code under test.
+// findNaively returns the index of the most specific rule that matches, or -1 if no rule matches. It compares all rules
+// by the criteria in the comment of Table, without the code under test.
 func findNaively(rules []Rule, q *Request) int {
 	best := -1
 	var bestRank []int
@@ -26,8 +26,8 @@
 	return best
 }
 
-// rankOf returns whether a rule matches and how specific it is: the most significant criterion comes first, and higher
-// values are more specific.
+// rankOf returns whether a rule matches, and a rank that tells how specific the rule is. The most significant criterion
+// is the first element of the rank. A higher value is more specific.
 func rankOf(r Rule, q *Request) (rank []int, matches bool) {
 	const exactHost = 1000 // above the length of every wildcard host
 	host := 0
@@ -60,7 +60,7 @@
 		if len(values) == 0 || !r.HeaderPresent && (len(values) != 1 || values[0] != r.Value) {
 			return nil, false
 		}
-		header, headerName = 1, -int(r.Header[len(r.Header)-1]) // header names differ in their last letter here
+		header, headerName = 1, -int(r.Header[len(r.Header)-1]) // header names here differ only in the last letter
 		if !r.HeaderPresent {
 			header = 2
 		}
@@ -141,8 +141,8 @@
 	})
 }
 
-// A split distributes keys by its weights. If the weights change, only keys of the service whose weight has decreased
-// go to another service.
+// A split distributes keys in proportion to its weights. If the weights change, only keys of the service whose weight
+// has decreased go to another service.
 func TestFind_SplitIsStable(t *testing.T) {
 	split := func(w float64) *Table {
 		table, err := Compile([]Rule{{Name: "s", To: []Weight{{0, 1 - w}, {1, w}}, SplitBy: "tenant"}}, 2)
