--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A burst must be pushed back before the first late answer.
+// RPCs of a burst must be pushed back before the first answer is late.
 func TestBalancer_AdmissionBurst(t *testing.T) {
 	h, _ := newTestBalancer(4, nil)
 	_, pushedBack := h.offerLoad(20, 0.05, constantLatency(0.5))
@@ -34,8 +34,8 @@
 	assert.Empty(t, h.pushedBack, "a pushback would waste the work of the tiers above")
 }
 
-// Hundreds of nodes send to servers that never answer. They must not keep two open RPCs each: a minimum per node adds
-// up to an overload that never ends.
+// Hundreds of nodes send to servers that never answer. The nodes must not each keep two RPCs open: over all nodes, two
+// per node add up to an overload that never ends.
 func TestBalancer_AdmissionOverload(t *testing.T) {
 	const nodes, interval = 200, 0.8
 	open := 0
@@ -78,9 +78,9 @@
 	assert.Greater(t, h.balancer.admission.meanWait(h.now), waitGoal)
 }
 
-// A limit below one must not reject every RPC forever. The limit at the start is below one if there are more than about
-// fourteen nodes per server: 440 nodes with 20 servers then sent nothing. After an overload the same happened with five
-// or more nodes per server.
+// A limit below one must not reject every RPC forever. With more than about fourteen nodes per server, the initial
+// limit is below one: 440 nodes with 20 servers sent nothing. With five or more nodes per server, the limit fell below
+// one in an overload, and the nodes sent nothing afterwards.
 func TestBalancer_ConcurrencyLimitBelowOne(t *testing.T) {
 	const latency = 0.1
 	f := newFleet(fleetShape{nodes: 440, servers: 20, capacity: 10, load: 0.5, seed: 1, latency: latency})
--- a/decide/attempts.go
+++ b/decide/attempts.go
@@ -10,7 +10,7 @@
 	a := b.newAttempt(r, s, now)
 	b.slowStart.sent(&s.slowStart, s.startedAt, now)
 	if r.firstMayHaveRun == nil {
-		r.firstMayHaveRun = a // assumed until its result proves that it did not
+		r.firstMayHaveRun = a // assumed until a result proves that the attempt had no effect
 	}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
@@ -25,7 +25,7 @@
 	}
 }
 
-// newAttempt creates an attempt and records the latency expected of it.
+// newAttempt creates an attempt, computes its expected latency and adds its server to the subset.
 func (b *Balancer) newAttempt(r *RPC, s *Server, now float64) *Attempt {
 	typical := b.methods[r.Method].typicalLatency(now)
 	row := b.qTable.row(r.Method, r.Tenant, len(s.inFlight))
@@ -37,8 +37,8 @@
 		row:             row,
 		expectedLatency: expected,
 		extraLatency:    extra,
-		// Where latencies are very short, the lower bound keeps pauses of the node itself from counting as late
-		// answers.
+		// The lower bound matters if latencies are very short: without it, a pause of the node itself would make
+		// attempts late.
 		lateAfter:     max(lateLatencyFactor*(expected+max(extra, 0)), negligibleWait*r.rules.LatencyObjective),
 		withoutReport: b.loadReports.sent(s.load.freshness(typical, now), now),
 	}}
@@ -46,8 +46,8 @@
 	return a
 }
 
-// ResponseStarted handles the start of a streamed answer. From now on the RPC neither expires nor is hedged, and its
-// other attempts are canceled.
+// ResponseStarted handles the start of a streamed answer. It cancels the RPC's other attempts. From now on the RPC does
+// not expire and is not hedged.
 func (b *Balancer) ResponseStarted(a *Attempt) {
 	a.RPC.streaming = true
 	for _, other := range a.RPC.attempts {
@@ -58,7 +58,7 @@
 }
 
 // AttemptDone handles an attempt's result. took is the attempt's duration in seconds, and load is the server's load
-// report or nil. rpcEnded says that the RPC has ended, by this result or earlier.
+// report or nil. rpcEnded is true if this result ends the RPC or if the RPC has ended before.
 func (b *Balancer) AttemptDone(a *Attempt, result Result, rpcEnded bool, took float64, load *LoadReport) {
 	now := b.host.Now()
 	r := a.RPC
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -2,15 +2,15 @@
 
 import "math/rand"
 
-// Balancer makes the decisions of one instance. It is composed of one type for each decision, with that decision's
-// state and rules. Its methods must not be called concurrently.
+// Balancer makes the decisions of one instance. Each kind of decision has a type of its own, which holds the state and
+// the rules. Its methods must not be called concurrently.
 type Balancer struct {
 	host Host
 	rng  *rand.Rand
 
 	// Settings. Methods and tenants are indexed by slot.
-	zone            int     // of this node
-	innerTier       bool    // nodes of the previous stage send to this node, not clients
+	zone            int     // zone of this node
+	innerTier       bool    // the nodes of the previous stage send RPCs to this node; clients do not
 	nodeShare       float64 // 1 / number of nodes in the tier
 	hedging         bool
 	mayCancel       bool
@@ -30,24 +30,24 @@
 	// The endpoint list.
 	watch        watchBackoff
 	listVersion  int       // number of watch events applied
-	servers      []*Server // those listed, and those with attempts in flight
+	servers      []*Server // the servers in the endpoint list, and removed servers with attempts in flight
 	readyServers int
-	meanWeight   float64 // of the ready servers
+	meanWeight   float64 // mean weight of the ready servers
 
 	// Estimates.
 	qTable             qTable
-	fleetLatencyRatio  latencyRatio // over all servers that got attempts
-	unknownServerPrior float64      // prior for servers without samples, as of the last search
+	fleetLatencyRatio  latencyRatio // latency ratio of all servers that got attempts
+	unknownServerPrior float64      // prior latency ratio of a server without samples; set by each server search
 	loadReports        loadReports
 	idleConnections    idleConnections
 	slowStart          slowStart
 
 	// Selection of servers.
 	subset     subset
-	candidates []candidate // of the last search; the next search reuses the memory
+	candidates []candidate // candidates of the last server search; the next search reuses the slice
 }
 
-// New creates the Balancer of an instance. The seed determines all its random choices.
+// New creates the Balancer of an instance. The seed determines all random choices of the Balancer.
 func New(host Host, settings Settings, seed int64) *Balancer {
 	b := &Balancer{host: host, rng: rand.New(rand.NewSource(seed))}
 	b.applySettings(&settings)
@@ -58,7 +58,7 @@
 	return b
 }
 
-// TimerFired handles the end of a timer that was set with Host.StartTimer.
+// TimerFired handles a timer that was started with Host.StartTimer and has fired.
 func (b *Balancer) TimerFired(payload any) {
 	now := b.host.Now()
 	switch p := payload.(type) {
--- a/decide/configure.go
+++ b/decide/configure.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// methodRules holds a method's settings in the form that applies to its RPCs. An RPC keeps the rules that applied at
-// its arrival.
+// methodRules holds a method's settings and the values derived from them. An RPC keeps the rules that were current when
+// it arrived.
 type methodRules struct {
 	Method
-	relativeWeight float64 // PriorityWeight divided by the highest of all methods
+	relativeWeight float64 // PriorityWeight divided by the highest PriorityWeight of all methods
 	maxAttempts    int     // per RPC: 1 + ceil((Settings.MaxAttempts - 1) * cbrt(relativeWeight))
 }
 
-// newMethodRules derives the rules of a method. highestWeight is the highest priority weight of all methods.
+// newMethodRules derives the rules of a method. highestWeight is the highest PriorityWeight of all methods, and
+// maxAttempts is Settings.MaxAttempts.
 func newMethodRules(method Method, highestWeight float64, maxAttempts int) *methodRules {
 	rules := &methodRules{Method: method, relativeWeight: 1}
 	if highestWeight > 0 {
@@ -21,7 +22,7 @@
 	return rules
 }
 
-// UpdateSettings replaces the settings. All estimates are kept. Open RPCs keep the rules that applied at their arrival.
+// UpdateSettings replaces the settings. All estimates are kept. Open RPCs keep their old rules.
 func (b *Balancer) UpdateSettings(settings Settings) {
 	b.applySettings(&settings)
 	for _, s := range b.servers {
@@ -29,8 +30,8 @@
 	}
 }
 
-// Method returns the settings that apply to new RPCs of the method in a slot, also of a method that is no longer in the
-// settings.
+// Method returns the settings for new RPCs of the method in a slot. If the method has been removed from the settings,
+// Method returns its last settings.
 func (b *Balancer) Method(slot int) Method { return b.methods[slot].Method }
 
 // applySettings puts the settings into effect.
@@ -48,8 +49,8 @@
 	b.qTable.addTenants(max(1, len(b.tenants)))
 }
 
-// configureMethods sets the rules of the methods by slot. An empty method is one that is no longer in the settings: its
-// slot keeps its rules for its last RPCs.
+// configureMethods sets the rules of the method in each slot. An empty Method stands for a method that has been removed
+// from the settings: the slot keeps the old rules for the last RPCs of the removed method.
 func (b *Balancer) configureMethods(settings *Settings) {
 	highestWeight := 0.0
 	for _, m := range settings.Methods {
@@ -66,7 +67,7 @@
 	}
 }
 
-// configureTenants sets the quotas of the tenants by slot.
+// configureTenants sets the quota of the tenant in each slot.
 func (b *Balancer) configureTenants(tenants []Tenant) {
 	missing := max(0, len(tenants)-len(b.tenants))
 	b.tenants = append(b.tenants, make([]tenantQuota, missing)...)
--- a/decide/connections.go
+++ b/decide/connections.go
@@ -3,20 +3,20 @@
 import "math"
 
 const (
-	idleHalfLife       = 10.0 // seconds; half-life of longestWorking, and the time in which maxIdle doubles
-	idleDecreaseFactor = 0.7  // times an idle time that was too long: the new maximum
-	timeoutWindow      = 20.0 // seconds; idle connections are the cause if attempts at two servers time out within it
-	setupHalfLife      = 20.0 // seconds; of the mean cost of opening a connection
+	idleHalfLife       = 10.0 // seconds; half-life of longestWorking; also the time in which the limit maxIdle doubles
+	idleDecreaseFactor = 0.7  // new maxIdle, as a multiple of an idle time that was too long
+	timeoutWindow      = 20.0 // seconds; if two servers have time-outs within it, idle connections may be the cause
+	setupHalfLife      = 20.0 // seconds; half-life of the mean time that it takes to open a connection
 )
 
 // serverConnections is the state of the node's connections to one server.
 type serverConnections struct {
-	open       bool    // there is an open connection
-	idleStale  bool    // an attempt on an idle connection got no answer
-	lastUsedAt float64 // seconds; when a connection was last used; 0: never
+	open       bool    // the node has an open connection to the server
+	idleStale  bool    // an attempt on an idle connection got no answer; idle connections must not be reused
+	lastUsedAt float64 // seconds; time at which a connection was last used; 0: never
 }
 
-// ended records an attempt's result: an answer leaves a connection that can be reused.
+// ended records an attempt's result. After an answer, the connection is open and can be reused.
 func (c *serverConnections) ended(result Result) {
 	switch result {
 	case OK:
@@ -35,8 +35,8 @@
 // markStale records that an attempt on an idle connection got no answer.
 func (c *serverConnections) markStale() { c.idleStale, c.open = true, false }
 
-// idleTime returns how long the connection that an attempt would reuse has been idle, in seconds. A connection is
-// reused if one was used before and no other attempt is in flight.
+// idleTime returns the idle time, in seconds, of the connection that an attempt would reuse. reuse is false if no
+// connection to the server has been used before, or if other attempts are in flight there.
 func (c *serverConnections) idleTime(othersInFlight int, now float64) (idle float64, reuse bool) {
 	if c.lastUsedAt == 0 || othersInFlight > 0 {
 		return 0, false
@@ -44,38 +44,40 @@
 	return now - c.lastUsedAt, true
 }
 
-// idleConnections decides how long a connection may be idle and still be reused. Idle connections may be dropped
-// without being closed. An attempt on such a connection gets no answer, whatever the state of the server.
+// idleConnections limits the idle time after which a connection may still be reused. The network may drop an idle
+// connection without closing it. An attempt on such a connection gets no answer, even if the server is healthy.
 type idleConnections struct {
 	setup          decayingMean  // seconds by which attempts that opened a connection took longer than expected
-	maxIdle        float64       // seconds; longest idle time for reuse, as of maxIdleAt; 0: no limit
+	maxIdle        float64       // seconds; longest idle time for reuse, at the time maxIdleAt; 0: no limit
 	maxIdleAt      float64       // seconds; time of the last decrease of maxIdle
 	longestWorking decayingValue // seconds; decaying maximum of the idle times after which a connection still worked
-	lastTimedOut   *Server       // the last server at which an attempt on an idle connection got no answer
-	lastTimedOutAt float64       // seconds; when that attempt timed out
+	lastTimedOut   *Server       // server of the last attempt on an idle connection that got no answer
+	lastTimedOutAt float64       // seconds; time at which this attempt timed out
 }
 
-// setupTime returns the mean time in seconds that a new connection adds to an answer.
+// setupTime returns the mean time in seconds that opening a connection adds to the latency of an attempt.
 func (c *idleConnections) setupTime(now float64) float64 {
 	return c.setup.read(now, setupHalfLife, 0, 1)
 }
 
-// opened adds a sample: the time in seconds by which an attempt that opened a connection took longer than expected.
+// opened adds a sample to the mean setup time. extra is the time in seconds by which an attempt that opened a
+// connection took longer than expected.
 func (c *idleConnections) opened(extra, now float64) { c.setup.add(max(0, extra), now, setupHalfLife) }
 
-// worked records that a connection carried an answer after it had been idle for the given seconds.
+// worked records an answer on a connection that had been idle for the given number of seconds before the attempt.
 func (c *idleConnections) worked(idle, now float64) {
 	c.longestWorking.raiseTo(idle, now, idleHalfLife)
 }
 
-// isTooLong reports whether a connection that has been idle for the given seconds must not be reused. The longest
-// allowed time is maxIdle * 2^(age/idleHalfLife), where age is the time since maxIdleAt.
+// isTooLong reports whether a connection that has been idle for the given number of seconds must not be reused. The
+// longest allowed idle time is maxIdle * 2^(t/idleHalfLife), where t is the time since maxIdleAt.
 func (c *idleConnections) isTooLong(idle, now float64) bool {
 	return c.maxIdle > 0 && idle > c.maxIdle*math.Exp2((now-c.maxIdleAt)/idleHalfLife)
 }
 
-// timedOut records an attempt that got no answer on a connection that had been idle, and reports whether the connection
-// may be the cause. If that happens at two servers within timeoutWindow, the longest idle time for reuse is reduced.
+// timedOut records an attempt that got no answer on a connection that had been idle, and reports whether the idle time
+// may be the cause. If it may be the cause at two servers within timeoutWindow, the longest idle time for reuse is
+// reduced.
 func (c *idleConnections) timedOut(s *Server, idle, now float64) bool {
 	longestWorking := c.longestWorking.read(now, idleHalfLife)
 	if idle <= longestWorking {
@@ -89,8 +91,8 @@
 	return true
 }
 
-// prepareConnection closes a server's idle connections if the attempt must not reuse them. The attempt already counts
-// as in flight.
+// prepareConnection closes a server's idle connections if the attempt must not reuse them. Server.inFlight already
+// includes the attempt.
 func (b *Balancer) prepareConnection(a *Attempt, now float64) {
 	s := a.Server
 	idle, reuse := s.connections.idleTime(len(s.inFlight)-1, now)
--- a/decide/connections_test.go
+++ b/decide/connections_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The network may drop idle connections without closing them: attempts on them get no answer. While that happened, half
-// of the attempts on connections that had been idle for one second were lost.
+// The network may drop idle connections without closing them. An attempt on such a connection gets no answer. During
+// this fault, half of the attempts on connections that had been idle for one second were lost.
 func TestBalancer_StaleIdleConnections(t *testing.T) {
 	h, _ := newTestBalancer(4, func(s *Settings) { s.Hedging = false })
-	h.answerOneByOne(200, constantLatency(0.05)) // never idle for long
+	h.answerOneByOne(200, constantLatency(0.05)) // no connection is idle for long
 	assert.Empty(t, h.closedIdle)
 	timedOut := map[*Server]bool{}
 	for range 8 { // an attempt on an idle connection gets no answer
--- a/decide/decaying.go
+++ b/decide/decaying.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// decayingValue is a value that decays exponentially: after t seconds it is value * 2^(-t/halfLife). It is updated when
-// it is read. All calls on one value must pass the same half-life, in seconds. The zero value is 0.
+// decayingValue is a value that decays exponentially: after t seconds it is value * 2^(-t/halfLife). Each read stores
+// the decayed value. All calls for the same value must pass the same half-life, in seconds. Initially the value is 0.
 type decayingValue struct {
 	value     float64
-	updatedAt float64 // seconds
+	updatedAt float64 // seconds; time of the last update
 }
 
 // read returns the current value.
@@ -23,16 +23,17 @@
 	return d.value * math.Exp2((d.updatedAt-now)/halfLife)
 }
 
-// add adds x to the value, which makes it a decaying sum.
+// add adds x to the decayed value. The result is a decaying sum of all x.
 func (d *decayingValue) add(x, now, halfLife float64) { d.value = d.read(now, halfLife) + x }
 
-// raiseTo raises the value to x if it is lower, which makes it a decaying maximum.
+// raiseTo sets the value to x if x is higher than the decayed value. The result is a decaying maximum of all x.
 func (d *decayingValue) raiseTo(x, now, halfLife float64) { d.value = max(d.read(now, halfLife), x) }
 
-// decayingMean is a mean of samples whose weights halve in each half-life. The zero value has no samples.
+// decayingMean is a weighted mean of samples. The weight of a sample is 1 at first and halves in each half-life.
+// Initially there are no samples.
 type decayingMean struct {
 	sum    decayingValue
-	weight decayingValue // of all samples; a new sample has a weight of one
+	weight decayingValue // sum of the weights of all samples
 }
 
 // add adds a sample.
@@ -41,11 +42,11 @@
 	m.weight.add(1, now, halfLife)
 }
 
-// samples returns the total weight of all samples; a new sample has a weight of one.
+// samples returns the sum of the weights of all samples.
 func (m *decayingMean) samples(now, halfLife float64) float64 { return m.weight.read(now, halfLife) }
 
 // read returns (sum + prior*priorWeight) / (weight + priorWeight): the prior counts as priorWeight new samples.
 func (m *decayingMean) read(now, halfLife, prior, priorWeight float64) float64 {
-	const minWeight = 1e-9 // with neither samples nor prior the mean is 0
+	const minWeight = 1e-9 // prevents a division by zero: without samples and without a prior, the mean is 0
 	return (m.sum.read(now, halfLife) + prior*priorWeight) / max(m.samples(now, halfLife)+priorWeight, minWeight)
 }
--- a/decide/decaying_test.go
+++ b/decide/decaying_test.go
@@ -20,7 +20,7 @@
 	assert.InDelta(t, 5, d.read(100+3*halfLife, halfLife), 1e-9)
 }
 
-// A mean must lie between the lowest and the highest of its samples and its prior.
+// A mean must lie between the lowest and the highest value among its samples and its prior.
 func TestDecayingMean(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.Float64Range(0, 100)
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -2,18 +2,18 @@
 
 const (
 	ejectionThreshold = 3   // consecutive failures that eject a server
-	minEjectionTime   = 1.0 // seconds; length of the first ejection, doubled for each further one until an answer
-	maxEjectionTime   = 8.0 // seconds; upper bound of that length
+	minEjectionTime   = 1.0 // seconds; length of the first ejection after an answer; each further one is twice as long
+	maxEjectionTime   = 8.0 // seconds; upper bound of the length of an ejection
 )
 
 // outlierState is the state of outlier detection for a server.
 type outlierState struct {
 	consecutiveFailures int
-	ejectedUntil        float64 // seconds
-	ejectionTime        float64 // seconds; length of the last ejection; 0: the server has answered since
+	ejectedUntil        float64 // seconds; time at which the ejection ends
+	ejectionTime        float64 // seconds; length of the last ejection; 0: none since the last answer
 }
 
-// succeeded records an answer, which resets the failures and the length of the next ejection.
+// succeeded records an answer. It resets the count of failures and the length of the next ejection.
 func (o *outlierState) succeeded() { o.consecutiveFailures, o.ejectionTime = 0, 0 }
 
 // failed counts a failure and ejects the server after ejectionThreshold consecutive failures.
--- a/decide/estimator_test.go
+++ b/decide/estimator_test.go
@@ -26,7 +26,8 @@
 		"a server that has just started cannot be overloaded")
 }
 
-// The half-life of an entry's weight must not grow with the number of servers, since a node sends to a subset only.
+// The half-life of an entry's weight must not grow with the number of servers, since a node sends most attempts to its
+// subset.
 func TestBalancer_EntryHalfLife(t *testing.T) {
 	for _, n := range []int{8, 200} {
 		t.Run(fmt.Sprintf("%d servers", n), func(t *testing.T) {
@@ -48,7 +49,7 @@
 	}
 }
 
-// The longer latency of an RPC with a high work hint must not count as a slow server.
+// RPCs with a high work hint take longer. Their latencies must not count in full in the method's typical latency.
 func TestBalancer_WorkHint(t *testing.T) {
 	h, _ := newTestBalancer(2, nil)
 	method := &h.balancer.methods[lookup]
--- a/decide/fakehost_test.go
+++ b/decide/fakehost_test.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// The methods of a test Balancer. All have a latency objective of 2.5 s and a deadline of 6 s.
+// The methods of a test Balancer. Each method has a latency objective of 2.5 s and a deadline of 6 s.
 const (
 	lookup = iota // idempotent
 	book          // deduplicated by all servers for 10 s
@@ -13,7 +13,7 @@
 // testDeadline is the time from an RPC's arrival to its deadline, in seconds.
 const testDeadline = 6
 
-// fakeHost records the Balancer's calls and sends nothing. It fires timers when its clock is advanced.
+// fakeHost records the Balancer's calls and sends nothing. advanceTo moves its clock and fires its timers.
 type fakeHost struct {
 	balancer   *Balancer
 	now        float64
@@ -96,8 +96,8 @@
 	f.canceled = nil
 }
 
-// answerAfter answers the attempts in flight whose age has reached their server's latency in seconds. A negative
-// latency stands for a server that never answers.
+// answerAfter answers each attempt in flight whose age is at least the latency of its server. latency returns a
+// server's latency in seconds, or a negative value for a server that never answers.
 func (f *fakeHost) answerAfter(latency func(*Server) float64) {
 	for _, a := range f.sent {
 		if d := latency(a.Server); a.inFlight && d >= 0 && f.now-a.sentAt >= d {
@@ -106,8 +106,8 @@
 	}
 }
 
-// answerOneByOne passes n RPCs to the Balancer, one after another. Each is answered after its server's latency in
-// seconds. It returns the number of RPCs by server.
+// answerOneByOne passes n RPCs to the Balancer, one after another. Each RPC is answered after the latency of its
+// server, in seconds. answerOneByOne returns the number of RPCs that each server got.
 func (f *fakeHost) answerOneByOne(n int, latency func(*Server) float64) map[*Server]int {
 	answered := map[*Server]int{}
 	for range n {
@@ -118,13 +118,13 @@
 		if a.inFlight {
 			f.finish(a, OK)
 		}
-		f.finishCanceled() // hedged requests
+		f.finishCanceled() // if a hedged request was sent
 	}
 	return answered
 }
 
-// offerLoad passes one RPC per interval to the Balancer for some seconds, whether or not earlier RPCs were answered. It
-// returns the numbers of RPCs that were admitted and pushed back.
+// offerLoad passes an RPC to the Balancer every interval seconds, for the given number of seconds, even while earlier
+// RPCs are unanswered. It returns how many RPCs were admitted and how many were pushed back.
 func (f *fakeHost) offerLoad(seconds, interval float64, latency func(*Server) float64) (admitted, pushedBack int) {
 	end := f.now + seconds
 	for f.now < end {
@@ -140,7 +140,8 @@
 	return admitted, pushedBack
 }
 
-// recordAnswer records an answer to a lookup of a tenant. The expected latency and the latency are in seconds.
+// recordAnswer records a server's answer to a lookup RPC of a tenant. expected is the expected latency and took the
+// actual latency, both in seconds.
 func (f *fakeHost) recordAnswer(s *Server, tenant int, expected, took float64) {
 	b := f.balancer
 	r := &RPC{}
@@ -159,7 +160,8 @@
 	return EndpointUpdate{Server: s, Weight: 1, Zone: zone}
 }
 
-// newTestBalancer creates a Balancer with n servers, which alternate between two zones. edit may change its settings.
+// newTestBalancer creates a Balancer with n servers, which are assigned alternately to two zones. edit may change the
+// settings; nil: no changes.
 func newTestBalancer(n int, edit func(*Settings)) (*fakeHost, []*Server) {
 	return newSeededBalancer(1, n, edit)
 }
--- a/decide/feedback_test.go
+++ b/decide/feedback_test.go
@@ -52,7 +52,7 @@
 	assert.Less(t, sentToFirst, len(h.sent[before:])/5)
 }
 
-// An RPC that expires must count as a time-out of its server.
+// An RPC that expires must count as a time-out of the server that got the attempt.
 func TestBalancer_ExpiryCountsAsTimeout(t *testing.T) {
 	h, s := newTestBalancer(2, func(s *Settings) { s.Hedging = false })
 	h.answerOneByOne(20, constantLatency(1.5))
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -8,10 +8,10 @@
 
 // The slow-start settings of a fleet's servers.
 const (
-	overloadMultiple  = 2.5  // times the current capacity
-	overloadWindow    = 3.0  // seconds
-	slowStartFraction = 0.14 // of the capacity
-	slowStartDuration = 24.0 // seconds
+	overloadMultiple  = 2.5  // a server is overloaded above this multiple of its current capacity
+	overloadWindow    = 3.0  // seconds over which the overload is measured
+	slowStartFraction = 0.14 // fraction of the full capacity
+	slowStartDuration = 24.0 // seconds from the start to the full capacity
 )
 
 // fleet simulates many Balancers that send to the same servers, in virtual time. It records when attempts are sent to
@@ -24,19 +24,19 @@
 	shape         fleetShape
 	nodes         []*fleetNode
 	trafficShares []float64                           // fractions of the fleet's traffic, by node
-	demand        func(node int, now float64) float64 // times the usual traffic; nil: 1
-	startedAt     []float64                           // by server; 0: long ago
-	received      [][]float64                         // by server; times of attempts from nodes notified of its start
-	newServers    bool                                // a start adds a new server in place of one that has gone
+	demand        func(node int, now float64) float64 // as a multiple of the usual traffic; nil: always 1
+	startedAt     []float64                           // last start of each server; 0: long ago
+	received      [][]float64                         // by server: times of attempts from nodes that know of its start
+	newServers    bool                                // restartServer replaces the server by a new one
 }
 
 // fleetShape is the size and the load of a fleet. Rates are per second, times in seconds.
 type fleetShape struct {
 	nodes, servers int
-	capacity       float64 // of one warm server, in attempts per second
+	capacity       float64 // capacity of one warm server, in attempts per second
 	load           float64 // clients' requests as a fraction of the warm servers' capacity
 	seed           int64
-	latency        float64 // mean of an attempt
+	latency        float64 // mean latency of an attempt
 }
 
 // fleetEvent is a scheduled function.
@@ -132,7 +132,7 @@
 	f.nodes[node].balancer.Arrived(&RPC{Deadline: f.now + testDeadline})
 }
 
-// restartServer restarts a server. Each node is notified at a random time within notifiedWithin seconds.
+// restartServer restarts a server. Each node is notified at a random time in the next notifiedWithin seconds.
 func (f *fleet) restartServer(server int, notifiedWithin float64) {
 	f.startedAt[server] = f.now
 	if f.newServers {
@@ -153,7 +153,7 @@
 	f.runSlowStart()
 }
 
-// runSlowStart runs the fleet until the end of the slow start of a server that starts now.
+// runSlowStart runs the fleet for slowStartDuration, in which a server that starts now completes its slow start.
 func (f *fleet) runSlowStart() { f.advanceTo(f.now + slowStartDuration) }
 
 // runBurst restarts a server in an idle fleet. After a pause each node gets the given number of RPCs at the same time.
@@ -177,14 +177,15 @@
 	f.advanceTo(end)
 }
 
-// capacityFraction returns the fraction of its capacity that a server has at an age in seconds, by the settings.
+// capacityFraction returns the fraction of its capacity that a server of the given age in seconds has, according to the
+// settings.
 func capacityFraction(age float64) float64 {
 	return min(1, slowStartFraction+(1-slowStartFraction)*age/slowStartDuration)
 }
 
-// budget returns the number of attempts that the settings allow a server between two ages in seconds:
+// budget returns the number of attempts that the settings allow a server between two ages, from and to, in seconds:
 //
-//	overloadMultiple * capacity * mean capacity fraction * time
+//	overloadMultiple * capacity * mean capacity fraction * (to - from)
 func (s fleetShape) budget(from, to float64) float64 {
 	const steps = 30
 	sum := 0.0
@@ -194,15 +195,16 @@
 	return overloadMultiple * s.capacity * sum / steps * (to - from)
 }
 
-// slowStartWindow is the number of attempts that a server in slow start received in the window that ends at an age.
+// slowStartWindow holds the number of attempts that a server in slow start received in a window of overloadWindow
+// seconds.
 type slowStartWindow struct {
-	age      float64 // seconds
-	received float64 // attempts
-	budget   float64 // attempts
+	age      float64 // seconds; age of the server at the end of the window
+	received float64 // attempts that the server received
+	budget   float64 // attempts that the settings allow
 	excess   float64 // attempts above the budget and the allowance for random variation
 }
 
-// receivedInSlowStart returns the server's age in seconds at each attempt that it received in slow start.
+// receivedInSlowStart returns the server's age in seconds at each attempt that the server received in slow start.
 func (f *fleet) receivedInSlowStart(server int) []float64 {
 	var ages []float64
 	for _, at := range f.received[server] {
--- a/decide/fleetnode_test.go
+++ b/decide/fleetnode_test.go
@@ -5,8 +5,8 @@
 	fleet     *fleet
 	balancer  *Balancer
 	servers   []*Server
-	startedAt []float64 // by server, as last notified
-	ended     bool      // its process has ended
+	startedAt []float64 // start of each server, from the last snapshot
+	ended     bool      // the node's process has ended
 }
 
 // startNode starts a node and sends it a snapshot of the servers.
@@ -65,7 +65,7 @@
 	f.fleet.after(latency, func() { f.finish(a, OK) })
 }
 
-// finish ends an attempt, unless it or the node has ended before.
+// finish ends an attempt, unless the attempt or the node has already ended.
 func (f *fleetNode) finish(a *Attempt, result Result) {
 	if a.HostData != nil || f.ended {
 		return
--- a/decide/host.go
+++ b/decide/host.go
@@ -1,7 +1,7 @@
 package decide
 
-// Host is the interface through which a Balancer acts. All calls take effect at Now, in the order in which they are
-// made.
+// Host is the interface through which a Balancer acts. The calls take effect in the order in which they are made, each
+// at the time that Now returns.
 type Host interface {
 	// Now returns the time in seconds from an arbitrary start. It is the instance's only clock.
 	Now() float64
@@ -12,14 +12,14 @@
 	Cancel(a *Attempt)
 	// CloseIdleConnections closes the idle connections to a server.
 	CloseIdleConnections(s *Server)
-	// PushBack ends an RPC and promises the client that a retry is harmless. The client is advised to wait for
-	// retryAfter seconds before the retry.
+	// PushBack ends an RPC and tells the client that a retry is safe. The client is advised to wait for retryAfter
+	// seconds before the retry.
 	PushBack(r *RPC, retryAfter float64)
-	// Abort ends an RPC without that promise.
+	// Abort ends an RPC without telling the client that a retry is safe.
 	Abort(r *RPC)
 	// StartTimer calls Balancer.TimerFired with the payload after the delay in seconds. A timer cannot be stopped. The
-	// host may drop the timer of an RPC that has ended, or of an attempt whose result is known, since TimerFired does
-	// nothing for them.
+	// host may drop a timer whose payload is an RPC that has ended or an attempt whose result is known, since
+	// TimerFired ignores such a timer.
 	StartTimer(delay float64, payload any)
 	// WatchEndpoints subscribes to the endpoint list. The host responds with Balancer.UpdateEndpoints or
 	// Balancer.EndpointWatchFailed.
@@ -33,7 +33,7 @@
 const (
 	Ready    State = iota // it may get attempts
 	Draining              // it gets no new attempts
-	Gone                  // it has left the list
+	Gone                  // it has left the endpoint list
 )
 
 // EndpointUpdate is one entry of a watch event.
@@ -42,20 +42,20 @@
 	State     State
 	Zone      int
 	Cell      int
-	Weight    float64 // its capacity relative to other servers
-	StartedAt float64 // start of its process, in seconds on Host.Now's clock; 0: long ago
+	Weight    float64 // capacity of the server, relative to other servers
+	StartedAt float64 // start of the server's process, in seconds on the clock of Host.Now; 0: long ago
 }
 
-// Result is how an attempt or a probe ended.
+// Result says how an attempt or a probe ended.
 type Result int
 
 // The results of an attempt.
 const (
 	OK            Result = iota // answered
 	Failed                      // answered with an error or with a malformed response
-	Rejected                    // rejected by the server before it had any effect
+	Rejected                    // rejected by the server before the attempt had any effect
 	TimedOut                    // no answer within the time allowed for the attempt
-	ConnectFailed               // no connection could be opened, so it had no effect
+	ConnectFailed               // no connection could be opened, so the attempt had no effect
 	Reset                       // the connection closed after the attempt was sent
 	Canceled                    // canceled with Host.Cancel
 	NotSent                     // never started
@@ -66,7 +66,7 @@
 
 // LoadReport is the load that a server reports with an answer.
 type LoadReport struct {
-	// InFlight is the number of RPCs that the server had in flight, including the one that it answered and those of
-	// other nodes. A negative value means unknown.
+	// InFlight is the number of RPCs that the server had in flight, including the answered RPC and the RPCs of other
+	// nodes. A negative value means unknown.
 	InFlight float64
 }
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -4,8 +4,8 @@
 
 const minWeight = 0.01 // lower bound of a server's weight, since estimate divides by the weight
 
-// UpdateEndpoints applies a watch event: a snapshot if full is set, otherwise a delta. A snapshot omits the servers
-// that have gone.
+// UpdateEndpoints applies a watch event: a snapshot if full is set, otherwise a delta. A server that is missing from a
+// snapshot has gone.
 func (b *Balancer) UpdateEndpoints(list []EndpointUpdate, full bool) {
 	now := b.host.Now()
 	b.listVersion++
@@ -34,13 +34,14 @@
 	s.listVersion = b.listVersion
 }
 
-// isListed reports whether a server is in the endpoint list after the last watch event.
+// isListed reports whether the last watch event leaves a server in the endpoint list: a snapshot (full is set) must
+// contain the server; a delta need not.
 func (b *Balancer) isListed(s *Server, full bool) bool {
 	return !full || s.listVersion == b.listVersion
 }
 
-// removeGone removes the servers that have gone and have no attempt in flight. A day of deploys would otherwise fill
-// the memory.
+// removeGone removes the servers that have gone and have no attempt in flight. Without the removal, the servers
+// replaced in a day of deploys would fill the memory.
 func (b *Balancer) removeGone(full bool, now float64) {
 	b.servers = slices.DeleteFunc(b.servers, func(s *Server) bool {
 		if !b.isListed(s, full) {
@@ -67,8 +68,9 @@
 	b.meanWeight /= float64(max(1, b.readyServers))
 }
 
-// resetServer drops the estimates for the server's previous process. All nodes are notified of a start at the same
-// time: a random initial fraction of a token spreads their first attempts over time.
+// resetServer drops the estimates of a server, since they describe its previous process. All nodes are notified of the
+// server's start at the same time. At each node, the slow-start bucket starts with a random fraction of a token, which
+// spreads the nodes' first attempts over time.
 func (b *Balancer) resetServer(s *Server, now float64) {
 	b.dropEntries(s)
 	s.latencyRatio = latencyRatio{}
@@ -85,10 +87,11 @@
 }
 
 // EndpointWatchFailed watches the endpoint list again after a random wait. The wait grows with each failure, because
-// failures are a sign of an overloaded discovery service. resetBackoff starts again with the shortest wait; it is set
-// if watch events had been arriving for a while, or if no call was made that could fail. The longest possible wait is
-// at least minWait seconds, so that a fleet does not poll a busy discovery service too soon. It is at most maxWait
-// seconds, because changes in the endpoint list must take effect in time.
+// failures are a sign of an overloaded discovery service. If resetBackoff is set, the backoff restarts with the
+// shortest pause. The host sets resetBackoff if watch events had been arriving for a while, or if it made no call that
+// could fail. The random wait has an upper bound. The bound is at least minWait seconds, so that a fleet does not poll
+// a busy discovery service too soon, and at most maxWait seconds, because changes in the endpoint list must take effect
+// in time.
 func (b *Balancer) EndpointWatchFailed(resetBackoff bool, minWait, maxWait float64) {
 	if resetBackoff {
 		b.watch.reset()
--- a/decide/membership_test.go
+++ b/decide/membership_test.go
@@ -15,7 +15,8 @@
 	assert.Equal(t, 50, answered[s[1]])
 }
 
-// With many deploys in a day, servers that have gone must take neither memory nor time in a search.
+// Servers that have gone must be removed. Otherwise, after many deploys in a day, they would take up memory and make
+// each server search longer.
 func TestBalancer_GoneServersRemoved(t *testing.T) {
 	h, s := newTestBalancer(2, nil)
 	b := h.balancer
@@ -24,7 +25,7 @@
 		inFlight := h.lastSent()
 		next := []*Server{{}, {}}
 		b.UpdateEndpoints([]EndpointUpdate{readyUpdate(next[0], 0), readyUpdate(next[1], 1)}, true)
-		assert.Contains(t, b.servers, inFlight.Server, "it has an attempt in flight")
+		assert.Contains(t, b.servers, inFlight.Server, "the server has an attempt in flight")
 		assert.LessOrEqual(t, len(b.servers), 4)
 		h.advanceTo(h.now + 0.3)
 		h.finish(inFlight, OK)
@@ -37,7 +38,7 @@
 	for _, row := range b.qTable.rows {
 		entries += row.count
 	}
-	assert.LessOrEqual(t, entries, len(s)*len(b.qTable.rows), "their entries do not count in the rows' means")
+	assert.LessOrEqual(t, entries, len(s)*len(b.qTable.rows), "entries of removed servers do not count in row means")
 
 	b.UpdateEndpoints([]EndpointUpdate{{Server: s[0], State: Gone, Weight: 1}}, false)
 	b.UpdateEndpoints([]EndpointUpdate{readyUpdate(s[0], 0)}, false)
--- a/decide/qtable.go
+++ b/decide/qtable.go
@@ -7,12 +7,12 @@
 
 const (
 	alpha            = 0.7  // learning rate, from the paper
-	loadLevels       = 5    // by own attempts in flight at the server: 0, 1-2, 3-6, 7-14, 15 and more
-	entryLifetime    = 60.0 // seconds; an entry is dropped if its last update is older
-	entryHalfLife    = 8.0  // typical latencies; half-life of an entry's weight
-	maxEntryHalfLife = 4.0  // seconds; upper bound of that half-life: a slow server may have recovered by then
-	rowPriorSamples  = 2.0  // samples of the typical latency that may be mixed into a row's mean
-	minUpdatedAt     = 1e-9 // seconds; lowest updatedAt of an updated entry, since 0 means no update
+	loadLevels       = 5    // by this node's attempts in flight at the server: 0, 1-2, 3-6, 7-14, 15 and more
+	entryLifetime    = 60.0 // seconds; an entry is dropped if it has not been updated for longer
+	entryHalfLife    = 8.0  // half-life of an entry's weight, as a multiple of the typical latency
+	maxEntryHalfLife = 4.0  // seconds; upper bound of the half-life: a slow server may have recovered after this time
+	rowPriorSamples  = 2.0  // number of samples with the typical latency that may be mixed into a row's mean
+	minUpdatedAt     = 1e-9 // seconds; lowest updatedAt of an updated entry, since 0 means that there was no update
 )
 
 // qTable is the Q-table of the paper: estimates of the time to go by method, tenant and load level (a row) and by
@@ -22,7 +22,7 @@
 	firstRows [][]int // index of the row of load level 0, by method and tenant; the rows of the other levels follow it
 }
 
-// qRow is the sum over the entries of servers whose last answer was a success.
+// qRow holds the sum and the number of those entries of a row whose last update was a success.
 type qRow struct {
 	sum   float64 // seconds
 	count int
@@ -32,7 +32,7 @@
 type qEntry struct {
 	q         float64 // seconds; the estimated time to go
 	updatedAt float64 // seconds; 0: no update yet
-	failed    bool    // the last answer was a failure
+	failed    bool    // the last update was a failure
 }
 
 // addMethod adds a method that has no rows yet.
@@ -56,15 +56,16 @@
 	return append(entries, make([]qEntry, len(t.rows)-len(entries))...)
 }
 
-// row returns the index of the row for a method and tenant at a server with inFlight own attempts in flight.
+// row returns the index of the row for a method and a tenant. inFlight is the number of this node's attempts in flight
+// at the server.
 func (t *qTable) row(method, tenant, inFlight int) int {
 	level := bits.Len(uint(inFlight+1)) - 1
 	return t.firstRows[method][tenant] + min(level, loadLevels-1)
 }
 
-// mean returns the mean of a row's entries in seconds, which is also the initial value of a new entry. A few slow
-// answers must not raise the estimates of all servers: if it lowers the mean, rowPriorSamples samples of the typical
-// latency are mixed in.
+// mean returns the mean of a row's entries in seconds, which is also the initial value of a new entry. If the mean is
+// above the typical latency, rowPriorSamples samples with the typical latency are mixed in, so that a few slow answers
+// do not raise the estimates of all servers.
 func (t *qTable) mean(row int, typical float64) float64 {
 	r := &t.rows[row]
 	if r.count == 0 {
@@ -74,8 +75,8 @@
 	return min(r.sum/count, (r.sum+rowPriorSamples*typical)/(count+rowPriorSamples))
 }
 
-// update applies equation 5 of the paper, q = (1-alpha)*q + alpha*cost. For a new entry, q starts at the latency that
-// was expected of the attempt. expected, cost and now are in seconds.
+// update applies equation 5 of the paper, q = (1-alpha)*q + alpha*cost. For a new entry, q starts at the expected
+// latency of the attempt. expected, cost and now are in seconds.
 func (t *qTable) update(entries []qEntry, row int, expected, cost float64, failed bool, now float64) {
 	entry := &entries[row]
 	q := expected
@@ -110,9 +111,9 @@
 // isExpired reports whether the entry is older than entryLifetime.
 func (e *qEntry) isExpired(now float64) bool { return now-e.updatedAt > entryLifetime }
 
-// weight returns the fraction of the entry's difference from its row's mean that still applies: 2^(-age/halfLife),
-// where halfLife is min(entryHalfLife*typical, maxEntryHalfLife). An old entry misleads, since a single sample makes up
-// most of it (alpha).
+// weight returns the fraction of the difference between the entry and its row's mean that still applies:
+// 2^(-age/halfLife), where halfLife is min(entryHalfLife*typical, maxEntryHalfLife). The difference must decay, since
+// most of an entry (the fraction alpha) comes from a single sample.
 func (e *qEntry) weight(typical, now float64) float64 {
 	return math.Exp2((e.updatedAt - now) / min(entryHalfLife*typical, maxEntryHalfLife))
 }
--- a/decide/qtable_test.go
+++ b/decide/qtable_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// A row must be the sum over the entries of servers whose last answer was a success, after any sequence of updates and
-// drops.
+// After any sequence of updates and drops, the sum of a row must include exactly the entries whose last update was a
+// success.
 func TestQTable_RowSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table qTable
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -1,7 +1,7 @@
 package decide
 
-// deadlineMargin is a safety margin in seconds. An answer must be sent that long before the RPC's deadline, and a
-// repeat that long before the end of the RPC's dedup window.
+// deadlineMargin is a safety margin in seconds. An answer must be sent at least this long before the RPC's deadline. A
+// retry or a hedge must be sent at least this long before the end of the RPC's dedup window.
 const deadlineMargin = 0.01
 
 // Arrived handles a new RPC: it sends the first attempt or rejects the RPC.
@@ -23,8 +23,9 @@
 	b.sendOrGiveUp(r, now)
 }
 
-// effectiveWeight returns an RPC's weight relative to the highest. It is multiplied by overQuotaWeight if the RPC
-// exceeds its tenant's quota. Quotas are counted only at the tier to which clients send.
+// effectiveWeight returns the priority weight of an RPC, relative to the highest of all methods. The weight is
+// multiplied by overQuotaWeight if the RPC exceeds its tenant's quota. Quotas apply only at the tier to which clients
+// send.
 func (b *Balancer) effectiveWeight(r *RPC, now float64) float64 {
 	weight := r.rules.relativeWeight
 	if b.innerTier || r.Tenant >= len(b.tenants) {
@@ -36,7 +37,7 @@
 	return weight
 }
 
-// startClock starts the RPC's clock: its wait, and the time within which an answer has a value, count from now.
+// startClock starts the RPC's clock: its wait and its latency objective are measured from now.
 func (r *RPC) startClock(now float64) {
 	r.clockStart = now
 	r.usefulUntil = now + r.rules.LatencyObjective
@@ -46,7 +47,7 @@
 	r.usefulUntil = min(r.usefulUntil, r.Deadline-deadlineMargin)
 }
 
-// BodyReceived handles the end of a body that was streamed while the attempt was in flight. The server can only begin
+// BodyReceived handles the end of an RPC's body that was streamed to the server. The server can begin its work only
 // now, so all times of the RPC are measured from now.
 func (b *Balancer) BodyReceived(r *RPC) {
 	now := b.host.Now()
@@ -68,8 +69,8 @@
 	}
 	b.recordWait(r, now)
 	for _, a := range r.attempts {
-		// The RPC expires before the attempt reaches its lateAfter. The attempt counts as a time-out of its server: if
-		// it were only canceled, an overloaded server would get the next RPC as before.
+		// The RPC expires before the attempt is late. The attempt is still recorded as a time-out of its server. If it
+		// were only canceled, an overloaded server would keep its low estimate and get the next RPC.
 		if a.inFlight && !a.countedLate && now-a.sentAt > allowedLatencyFactor*a.expectedLatency {
 			a.countedLate = true
 			b.recordTimeout(a, now)
--- a/decide/requests_test.go
+++ b/decide/requests_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An RPC must get exactly one answer, even if its time-out, its attempts' results and its client's disconnection
-// coincide.
+// An RPC must get exactly one answer, even if the RPC expires, its attempts end and its client disconnects at the same
+// time.
 func TestBalancer_ExactlyOneAnswer(t *testing.T) {
 	h, _ := newTestBalancer(3, nil)
 	r := h.arrive(book)
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// retryAfterShare is the wait that a pushback advises, as a fraction of the latency objective. It is short enough for
-// the retry to be in time; a later retry would take capacity from RPCs that can be in time.
+// retryAfterShare is the wait that a pushback advises, as a fraction of the latency objective. The wait is short enough
+// that the retry can be answered in time. A later retry would be answered too late, and would take capacity from RPCs
+// that can be answered in time.
 const retryAfterShare = 0.1
 
-// sendOrGiveUp sends the RPC's next attempt. If that is not possible and no attempt is in flight, it ends the RPC.
+// sendOrGiveUp sends the RPC's next attempt. If no attempt can be sent and none is in flight, it ends the RPC.
 func (b *Balancer) sendOrGiveUp(r *RPC, now float64) {
 	inTime := r.BodyPending || now < r.usefulUntil
 	if inTime && b.mayRetry(r, now) {
@@ -20,7 +21,8 @@
 	}
 }
 
-// mayRetry reports whether the RPC may have one more attempt. It ensures that no effect happens twice.
+// mayRetry reports whether the RPC may have one more attempt, as a retry or as a hedge. Once an attempt may have run,
+// the result depends on the method's idempotency, so that no effect happens twice.
 func (b *Balancer) mayRetry(r *RPC, now float64) bool {
 	if r.inFlight > 0 && !b.hedging {
 		return false
@@ -41,13 +43,14 @@
 	}
 }
 
-// mayRunAt reports whether an attempt at a server has no second effect: nothing may have run yet, or the server drops
-// repeats.
+// mayRunAt reports whether an attempt can be sent to the server s without causing a second effect: either no earlier
+// attempt can have run, or s is in the dedup scope of the first attempt that may have run.
 func (r *RPC) mayRunAt(s *Server) bool {
 	return r.firstMayHaveRun == nil || r.rules.inDedupScope(s, r.firstMayHaveRun.Server)
 }
 
-// inDedupScope reports whether an RPC that may have run at the first server has no second effect at the server s.
+// inDedupScope reports whether an RPC of the method can be sent to the server s without causing a second effect. The
+// parameter first is the server at which the RPC may have run. For an idempotent method the result is always true.
 func (m *methodRules) inDedupScope(s, first *Server) bool {
 	if m.Idempotency == Idempotent || m.DedupScope == ScopeAll {
 		return true
@@ -58,7 +61,8 @@
 	return m.DedupScope == ScopeZone || s.cell == first.cell
 }
 
-// markNeverRan records that an attempt had no effect, and finds the first attempt that may have had one.
+// markNeverRan records that an attempt had no effect, and sets firstMayHaveRun to the first attempt that may have had
+// an effect.
 func (r *RPC) markNeverRan(a *Attempt) {
 	a.neverRan = true
 	r.firstMayHaveRun = nil
@@ -78,8 +82,8 @@
 	return slices.ContainsFunc(r.attempts, func(a *Attempt) bool { return a.Server == s && a.inFlight })
 }
 
-// retryIsHarmless reports whether the RPC's client may retry until its deadline without a second effect. If a
-// deduplicated RPC may have run, all servers must drop repeats until then.
+// retryIsHarmless reports whether the client can retry the RPC at any time until the deadline without causing a second
+// effect. If a deduplicated RPC may have run, all servers must drop duplicates of the RPC until the deadline.
 func (r *RPC) retryIsHarmless() bool {
 	first := r.firstMayHaveRun
 	if first == nil || r.rules.Idempotency == Idempotent {
@@ -102,7 +106,8 @@
 }
 
 // retryAfter returns the wait in seconds that a pushback advises: retryAfterShare * latency objective, at most
-// maxRetryAfter. If the RPC has been open for longer than the former, it returns maxRetryAfter.
+// maxRetryAfter. If the RPC has been open for longer than retryAfterShare * latency objective, it returns
+// maxRetryAfter.
 func (b *Balancer) retryAfter(r *RPC) float64 {
 	wait := retryAfterShare * r.rules.LatencyObjective
 	if b.host.Now()-r.clockStart > wait {
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -27,12 +27,12 @@
 	assert.Equal(t, first.Server.zone, h.lastSent().Server.zone)
 	h.now += 1.2
 	h.finish(h.lastSent(), Failed)
-	assert.Len(t, h.sent, 2, "the zone drops repeats for one second only")
+	assert.Len(t, h.sent, 2, "the servers of the zone drop duplicates for one second only")
 	assert.True(t, h.aborted[r])
 }
 
-// A pushback promises that a retry is harmless. It must not be sent if the servers stop dropping repeats before the
-// client's deadline.
+// A pushback tells the client that a retry is safe. So no pushback may be sent if the servers stop dropping duplicates
+// of the request before the client's deadline.
 func TestBalancer_PushbackWithinDedupWindow(t *testing.T) {
 	for window, pushedBack := range map[float64]bool{1: false, 5.9: false, testDeadline: true, 10: true} {
 		t.Run(fmt.Sprintf("%g s", window), func(t *testing.T) {
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -4,10 +4,10 @@
 
 const (
 	explorationRate     = 0.01 // probability that an attempt explores: it goes to a random server outside the subset
-	tieFactor           = 1.1  // times the lowest estimate: candidates up to it are tied with the lowest
-	outsideCandidates   = 4    // servers drawn at random for an attempt; those outside the subset are candidates
-	lateTolerance       = 1.2  // times the time left: latencies vary, so a higher estimate may still be in time
-	sendLateProbability = 0.02 // probability that a late attempt is sent: otherwise a recovery would go unnoticed
+	tieFactor           = 1.1  // highest time to go of a tied candidate, as a multiple of the lowest time to go
+	outsideCandidates   = 4    // servers drawn at random per attempt; those outside the subset become candidates
+	lateTolerance       = 1.2  // highest expected latency, as a multiple of the time left; above 1 since latencies vary
+	sendLateProbability = 0.02 // probability that an attempt is sent although its answer is expected to be late
 )
 
 // serverSearch is the search for the server of one attempt.
@@ -19,7 +19,7 @@
 	exploring      bool    // the attempt goes to a random server outside the subset, not to the best one
 	candidates     []candidate
 	lowest         float64 // seconds; the lowest time to go of all candidates
-	lowestLatency  float64 // seconds; the expected latency at that candidate
+	lowestLatency  float64 // seconds; the expected latency at the candidate with the lowest time to go
 }
 
 // candidate is a server that may get the attempt.
@@ -28,9 +28,9 @@
 	timeToGo float64 // seconds
 }
 
-// chooseServer is the Q-router: it returns the server with the lowest time to go at its current load. It chooses at
-// random among servers with nearly the lowest time to go, and among all candidates when it explores. It returns nil if
-// no server may get the attempt, or if the answer would be late.
+// chooseServer is the Q-router: it returns the candidate with the lowest estimated time to go. If several candidates
+// are nearly tied, it chooses one of them at random. When it explores, it chooses at random from all candidates. It
+// returns nil if no server may get the attempt, or if the answer would be late.
 func (b *Balancer) chooseServer(r *RPC, now float64) *Server {
 	search := serverSearch{
 		rpc:            r,
@@ -60,8 +60,9 @@
 	return tied[b.rng.Intn(len(tied))].server
 }
 
-// considerOutside adds random servers outside the subset to the candidates: always while the subset may grow or the
-// node explores, otherwise for at most replacementShare of the attempts.
+// considerOutside adds random servers outside the subset to the candidates. It always does so if the attempt explores
+// or if the subset is not full. Otherwise a new server would replace a member; such replacements are limited to the
+// fraction replacementShare of the recent attempts.
 func (b *Balancer) considerOutside(search *serverSearch) {
 	now := search.now
 	replacements := b.subset.recentReplacements(now) + b.rng.Float64()
@@ -78,15 +79,15 @@
 	}
 }
 
-// considerAll adds to the candidates those of the given servers that may get the attempt.
+// considerAll adds each of the given servers to the candidates if the server may get the attempt.
 func (b *Balancer) considerAll(search *serverSearch, servers []*Server, lastResort bool) {
 	for _, s := range servers {
 		b.consider(search, s, lastResort)
 	}
 }
 
-// consider adds a server to the candidates if it may get the attempt. As a last resort that includes ejected servers
-// and servers that had an attempt of the RPC before: if all servers fail, the cause is elsewhere.
+// consider adds a server to the candidates if it may get the attempt. If lastResort is set, this includes ejected
+// servers and servers that already had an attempt of the RPC: if all servers fail, the cause is probably not a server.
 func (b *Balancer) consider(search *serverSearch, s *Server, lastResort bool) {
 	r, now := search.rpc, search.now
 	if s.state != Ready || !r.mayRunAt(s) {
@@ -108,9 +109,10 @@
 	search.candidates = append(search.candidates, candidate{server: s, timeToGo: timeToGo})
 }
 
-// rejectLate reports whether the attempt is not sent because the answer would be late even from the best candidate: its
-// expected latency exceeds lateTolerance * time left * admissionShare. Such an attempt would only delay other RPCs.
-// Inner tiers send it, since a pushback wastes the work of the tiers above.
+// rejectLate reports whether the attempt must not be sent because even the best candidate would answer too late: the
+// expected latency at this candidate exceeds lateTolerance * time left * admissionShare. Such an attempt would only
+// delay other RPCs. A few such attempts are sent nevertheless (sendLateProbability), because a recovery of the servers
+// would otherwise go unnoticed. Inner tiers send all of them, since a pushback would waste the work of the tiers above.
 func (b *Balancer) rejectLate(search *serverSearch) bool {
 	if b.innerTier || search.exploring {
 		return false
@@ -126,7 +128,7 @@
 	if s.exploring {
 		return s.candidates
 	}
-	highest := max(s.lowest, s.lowest*tieFactor) // an estimate may be negative
+	highest := max(s.lowest, s.lowest*tieFactor) // s.lowest may be negative; the product is then lower
 	tied := s.candidates[:0]
 	for _, candidate := range s.candidates {
 		if candidate.timeToGo <= highest {
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// After any sequence of answers, failures, ejections, starts and watch events, the chosen server must be ready, must be
-// healthy if the subset has a healthy server, and must be in the dedup scope of an RPC that may have run.
+// After any sequence of answers, failures, ejections, starts and watch events, the chosen server must be ready. If the
+// subset has a healthy server, the chosen server must be healthy. If the RPC may have run, the chosen server must be in
+// the RPC's dedup scope.
 func TestBalancer_ChooseServerInvariants(t *testing.T) {
 	chosen := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// checkSubset checks that the members are listed, ready and marked as members, and that each is a member only once.
+// checkSubset checks that each member of the subset is listed, ready, marked as a member, and in the subset only once.
 func checkSubset(t *rapid.T, b *Balancer) {
 	members := map[*Server]bool{}
 	for _, s := range b.subset.members {
@@ -68,7 +69,7 @@
 	}
 }
 
-// drawRPC returns a new RPC or that of the last attempt, at random.
+// drawRPC returns, at random, a new RPC or the RPC of the last attempt.
 func drawRPC(t *rapid.T, h *fakeHost) *RPC {
 	r := &RPC{Method: rapid.IntRange(0, 3).Draw(t, "method of the choice"), Deadline: h.now + testDeadline}
 	if again := rapid.IntRange(0, 3).Draw(t, "again"); again == 0 && len(h.sent) > 0 {
@@ -95,7 +96,8 @@
 	}
 }
 
-// Among thousands of servers, the Balancer must find the usable ones, however few, and must avoid slow ones.
+// Among thousands of servers, the Balancer must avoid the slow servers. If all but a few servers are ejected, it must
+// find those few.
 func TestBalancer_ChooseServerAmongThousands(t *testing.T) {
 	h, servers := newTestBalancer(3000, nil)
 	fast := map[*Server]bool{}
@@ -139,11 +141,11 @@
 	assert.Greater(t, answered[s[0]], answered[s[1]]+answered[s[2]]+answered[s[3]])
 }
 
-// An RPC must be rejected if no server can answer it in time. If it is sent nevertheless, the server's work is wasted.
+// An RPC must be rejected if no server can answer it in time. If the RPC were sent, the server's work would be wasted.
 func TestBalancer_LateRPCsRejected(t *testing.T) {
 	h, servers := newTestBalancer(2, func(s *Settings) { s.MayCancel = false })
 	h.answerOneByOne(60, constantLatency(0.5))
-	for range 20 { // both are overloaded: answers take four times the objective
+	for range 20 { // both servers are overloaded: answers take four times the objective
 		for _, s := range servers {
 			h.recordAnswer(s, 0, 10, 10)
 		}
@@ -162,8 +164,8 @@
 	assert.Less(t, pushedBack, 51)
 }
 
-// A single failure must not cause rejections. It counts as the whole deadline in the Q-table, so that with only one
-// server all later RPCs seemed to be late.
+// A single failure must not cause rejections. In the Q-table, the cost of a failure is the method's whole Deadline.
+// With only one server, all later RPCs were therefore expected to be late, and were rejected.
 func TestBalancer_OneFailureRejectsNothing(t *testing.T) {
 	h, _ := newTestBalancer(1, nil)
 	h.answerOneByOne(20, constantLatency(0.1))
@@ -173,12 +175,12 @@
 	assert.NotContains(t, h.pushedBack, r)
 }
 
-// One slow answer must not cause rejections at nodes with little traffic, whose rows have one or two samples. Such an
+// One slow answer must not cause rejections at nodes with little traffic, whose rows have one or two samples. One such
 // answer made all servers seem too slow: without any fault, 60 nodes rejected 80 to 140 of 7,100 RPCs for this reason.
 func TestBalancer_OneSlowAnswerRejectsNothing(t *testing.T) {
 	for seed := range int64(50) {
 		h, s := newSeededBalancer(seed, 4, func(s *Settings) { s.Tenants = []Tenant{{Quota: 1000}, {Quota: 1000}} })
-		h.answerOneByOne(200, constantLatency(0.1)) // of the first tenant
+		h.answerOneByOne(200, constantLatency(0.1)) // RPCs of the first tenant
 		h.recordAnswer(s[0], 1, 0.1, 5)
 		r := &RPC{Method: lookup, Tenant: 1, Deadline: h.now + testDeadline}
 		h.balancer.Arrived(r)
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -1,16 +1,16 @@
 package decide
 
-// Idempotency says whether an RPC of a method may be sent again after an attempt of it may have run.
+// Idempotency says whether an RPC of a method may be sent again once an earlier attempt may have run.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	Idempotent    Idempotency = iota // it may run any number of times
-	Deduplicated                     // servers drop repeats by idempotency key, within DedupWindow and DedupScope
-	NonIdempotent                    // it must run at most once
+	Idempotent    Idempotency = iota // an RPC may run any number of times
+	Deduplicated                     // servers drop duplicates by idempotency key, within DedupWindow and DedupScope
+	NonIdempotent                    // an RPC must run at most once
 )
 
-// DedupScope is the set of servers that drop repeats of a deduplicated RPC.
+// DedupScope is the set of servers that drop duplicates of a deduplicated RPC which one of them has received.
 type DedupScope int
 
 // The scopes of deduplication.
@@ -22,18 +22,18 @@
 
 // Method holds the settings of one method. Times are in seconds.
 type Method struct {
-	LatencyObjective float64 // an answer within it is worth PriorityWeight
-	Deadline         float64 // time allowed for an RPC; in the Q-table, the cost of a failure
+	LatencyObjective float64 // an answer within this time has the value PriorityWeight
+	Deadline         float64 // time allowed for an RPC; also the cost of a failure in the Q-table
 	PriorityWeight   float64 // value of an answer within LatencyObjective, relative to other methods
 	LateWeight       float64 // value of a later answer, as a fraction of PriorityWeight
 	Idempotency      Idempotency
-	DedupScope       DedupScope // servers that drop repeats
-	DedupWindow      float64    // time from the first attempt on during which servers drop repeats
+	DedupScope       DedupScope // servers that drop duplicates
+	DedupWindow      float64    // time after the first attempt during which servers drop duplicates
 }
 
 // Tenant holds the settings of one customer.
 type Tenant struct {
-	Quota float64 // RPCs per second over all nodes; 0: none
+	Quota float64 // RPCs per second over all nodes; 0: no quota
 }
 
 // Settings is the configuration of an instance. Times are in seconds.
@@ -41,21 +41,21 @@
 	Methods []Method
 	Tenants []Tenant
 	Zone    int // zone of this node
-	Stage   int // 0: clients send to this instance; otherwise the nodes of the previous stage do
+	Stage   int // 0: clients send RPCs to this instance; otherwise the nodes of the previous stage send them
 
 	Instances         int     // number of nodes in the tier
 	MaxAttempts       int     // per RPC
 	MayCancel         bool    // attempts may be canceled
 	Hedging           bool    // an RPC may have several attempts in flight
-	MaxRetryAfter     float64 // longest wait that a pushback may advise; 0: it advises none
+	MaxRetryAfter     float64 // longest wait that a pushback may advise; 0: no wait is advised
 	OverQuotaWeight   float64 // factor on the weight of RPCs that exceed their tenant's quota
 	CrossZoneCost     float64 // dimensionless; raises estimates for other zones, see crossZoneFactor
 	MustSubscribe     bool    // watch events arrive only after Host.WatchEndpoints
 	MaxPollInterval   float64 // longest time between polls of the endpoint list while there is no subscription
-	MaxFirstPollDelay float64 // longest delay of the first poll; 0: no bound
+	MaxFirstPollDelay float64 // longest delay of the first poll; 0: no upper bound
 
 	SlowStartFraction float64 // fraction of its capacity that a server has when it starts
 	SlowStartDuration float64 // time from a server's start until it has its full capacity
 	OverloadMultiple  float64 // a server in slow start is overloaded above this multiple of its current capacity
-	OverloadWindow    float64 // time over which that overload is measured
+	OverloadWindow    float64 // time over which the load of a server in slow start is measured
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -13,14 +13,15 @@
 // slowStartScenario is a sequence of events in a fleet in which servers start.
 type slowStartScenario struct {
 	name    string
-	shapes  int     // number of slowStartShapes, from the first, that run without -long
-	minUsed float64 // fraction of the budget over the whole slow start that must be used
+	shapes  int     // without -long, only this many of slowStartShapes are run, from the first
+	minUsed float64 // lowest fraction of the budget for the whole slow start that the servers must get
 	run     func(*testing.T, *fleet)
 }
 
-// slowStartShapes are the fleets of the scenarios. With -long the test fails for 440 nodes that each know a small
-// subset: in a surge (102 attempts, budget 70) and with all servers starting (29 attempts, budget 15); see
-// docs/design.md. It also fails for the first shape with all servers starting, with one seed (14 attempts, budget 6.4).
+// slowStartShapes are the fleets of the scenarios. With -long, TestBalancer_SlowStartBudget fails in three cases:
+//   - 440 nodes, each of which knows a small subset, in a surge: 102 attempts, budget 70; see docs/design.md
+//   - the same nodes when all servers start: 29 attempts, budget 15; see docs/design.md
+//   - the first shape when all servers start, with one of the seeds: 14 attempts, budget 6.4
 var slowStartShapes = []fleetShape{
 	{nodes: 30, servers: 20, capacity: 3},
 	{nodes: 5, servers: 20, capacity: 10},
@@ -28,8 +29,8 @@
 	{nodes: 440, servers: 60, capacity: 10},
 }
 
-// slowStartScenarios are run by TestBalancer_SlowStartBudget. Clients request 0.24 of each server's budget in slow
-// start, and 0.48 in a surge. Half of the latter must reach the server.
+// slowStartScenarios are run by TestBalancer_SlowStartBudget. The clients' requests amount to 0.24 of each server's
+// budget in slow start, and to 0.48 of it in a surge. At least half of the requests of a surge must reach the server.
 var slowStartScenarios = []slowStartScenario{
 	{"one server starts", 1, 0, func(_ *testing.T, f *fleet) {
 		f.restartServer(0, 0)
@@ -62,11 +63,11 @@
 	{"nodes restart", 1, 0, runNodeRestarts},
 }
 
-// The attempts of all nodes together must not overload a server in slow start. In any overload window it may get the
-// budget of the settings, plus 2*sqrt(budget) + 2 attempts for random variation. A limit at each node alone was not
-// enough: thirty idle nodes each sent one RPC at the same time (33 attempts, budget 17). When all servers were
-// replaced, the nodes divided the answers of the warm servers by the capacity fractions of the starting ones (43
-// attempts, budget 15).
+// The attempts of all nodes together must not overload a server in slow start. In any overload window, the server may
+// get the number of attempts that the settings allow (the budget), plus 2*sqrt(budget) + 2 attempts for random
+// variation. The test guards against two failures. Although each node kept its own limit, thirty idle nodes each sent
+// one RPC at the same time (33 attempts, budget 17). And when all servers were replaced, the nodes divided the answers
+// of the old, warm servers by the capacity fractions of the new servers in slow start (43 attempts, budget 15).
 func TestBalancer_SlowStartBudget(t *testing.T) {
 	for _, scenario := range slowStartScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -113,7 +114,7 @@
 }
 
 // runSurge restarts a server while the fleet has twice its usual traffic. Once warm, the server must get at least half
-// of its part of the traffic.
+// of an equal share of the traffic.
 func runSurge(t *testing.T, f *fleet) {
 	const warmTime = 10 // seconds
 	f.demand = func(int, float64) float64 { return 2 }
@@ -157,11 +158,12 @@
 		"a lower rate during an overload would leave a starting server idle")
 }
 
-// The rate of a warm server must be computed from the servers in the subset, since each node sends to its subset only.
-// When it was computed from all servers, new servers got a tenth of what they could answer after a release.
+// The rate of a warm server must be computed from the servers in the subset, since each node sends most attempts to its
+// subset. When the rate was computed from all servers, the new servers of a release got a tenth of the attempts that
+// they could answer.
 func TestBalancer_WarmServerRateOfSubset(t *testing.T) {
 	h, _ := newTestBalancer(200, func(s *Settings) { s.Instances = 100 })
-	h.answerOneByOne(400, constantLatency(0.1)) // ten per second
+	h.answerOneByOne(400, constantLatency(0.1)) // ten RPCs per second
 	rate := h.balancer.slowStart.warmServerRate(h.now)
 	assert.Greater(t, rate, 10.0/float64(2*len(h.balancer.subset.members)))
 	assert.Less(t, rate, 10.0)
--- a/decide/state.go
+++ b/decide/state.go
@@ -1,7 +1,7 @@
 package decide
 
-// Server is one server of the tier below. The Balancer removes it once it has left the endpoint list and has no attempt
-// in flight.
+// Server is one server of the tier below. The Balancer removes a server that has left the endpoint list and has no
+// attempt in flight.
 type Server struct {
 	HostData any // for the host's own use
 	serverState
@@ -12,12 +12,12 @@
 	state        State
 	zone, cell   int
 	weight       float64
-	startedAt    float64    // start of its process; 0: long ago
-	listVersion  int        // Balancer.listVersion of the last watch event that contained it
-	inSubset     bool       // it is a member of Balancer.subset
-	inFlight     []*Attempt // oldest first
-	lastAnswerAt float64    // time of its last answer or rejection; 0: none
-	entries      []qEntry   // of the Q-table, by row; nil: the server is not in Balancer.servers
+	startedAt    float64    // start of the server's process; 0: long ago
+	listVersion  int        // Balancer.listVersion at the last watch event that contained the server
+	inSubset     bool       // the server is a member of Balancer.subset
+	inFlight     []*Attempt // attempts in flight at the server, oldest first
+	lastAnswerAt float64    // time of the last answer or rejection; 0: none
+	entries      []qEntry   // the server's entries in the Q-table, by row; nil: Balancer.servers does not contain it
 	latencyRatio latencyRatio
 	load         serverLoad
 	outlier      outlierState
@@ -30,9 +30,9 @@
 	Method      int     // slot of Settings.Methods
 	Tenant      int     // slot of Settings.Tenants
 	Deadline    float64 // time by which the client needs the answer
-	WorkHint    float64 // rough estimate of its cost, in any unit; 0: none
-	Retry       bool    // the client marked it as a retry
-	BodyPending bool    // its body is still being streamed to its server; see Balancer.BodyReceived
+	WorkHint    float64 // rough estimate of the RPC's cost, in any unit; 0: none
+	Retry       bool    // the client marked the RPC as a retry
+	BodyPending bool    // the RPC's body is still being streamed to the server; see Balancer.BodyReceived
 	HostData    any     // for the host's own use
 	rpcState
 }
@@ -40,14 +40,14 @@
 // rpcState is what the Balancer stores for an RPC. Times are in seconds.
 type rpcState struct {
 	rules           *methodRules
-	open            bool    // it has not ended
-	streaming       bool    // its answer is being streamed to the client
-	clockStart      float64 // time of its arrival, or of the end of its streamed body
+	open            bool    // the RPC has not ended
+	streaming       bool    // the answer is being streamed to the client
+	clockStart      float64 // time of the RPC's arrival or, if its body is streamed, of the end of the body
 	usefulUntil     float64 // time after which an answer has no value
-	admissionShare  float64 // fraction of the concurrency limit, and of the time left, that it may use
-	extraWork       float64 // its work divided by the method's mean work, minus 1
+	admissionShare  float64 // fraction of the concurrency limit that the RPC may use; see the function admissionShare
+	extraWork       float64 // the RPC's work divided by the method's mean work, minus 1
 	attempts        []*Attempt
-	inFlight        int      // number of its attempts in flight
+	inFlight        int      // number of the RPC's attempts in flight
 	firstMayHaveRun *Attempt // the first attempt that may have had an effect; nil: none
 }
 
@@ -61,15 +61,15 @@
 
 // attemptState is what the Balancer stores for an attempt. Times are in seconds.
 type attemptState struct {
-	sentAt          float64 // time of its sending, or of the end of its RPC's streamed body
-	row             int     // index of its row in the Q-table
+	sentAt          float64 // time when the attempt was sent or, if the body is streamed, of the end of the body
+	row             int     // index of the row in the Q-table
 	expectedLatency float64 // the row's mean: the latency expected for the method's mean work
 	extraLatency    float64 // extraWork * typical latency; negative for a small work hint
-	lateAfter       float64 // age above which it is late
-	connectionIdle  float64 // how long its connection had been idle; 0: the connection was in use, or is new
-	opensConnection bool    // it opens a new connection
-	withoutReport   bool    // its server was chosen without a fresh load report
+	lateAfter       float64 // the attempt is late if its age exceeds this value
+	connectionIdle  float64 // idle time of the connection before the attempt; 0: the connection was in use or is new
+	opensConnection bool    // the attempt opens a new connection
+	withoutReport   bool    // the server was chosen without a fresh load report
 	inFlight        bool
-	countedLate     bool // it was recorded as late, or as a time-out, before its result
-	neverRan        bool // it is known to have had no effect
+	countedLate     bool // recorded as late or as a time-out before the result was known
+	neverRan        bool // the attempt is known to have had no effect
 }
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -8,18 +8,18 @@
 const (
 	minSubsetSize       = 4   // servers: one may be ejected, and a retry needs another
 	maxSubsetSize       = 128 // servers
-	serversPerAttempt   = 2.5 // additional servers per attempt that the node has in flight on average
-	concurrencyHalfLife = 5.0 // seconds; of the mean number of attempts in flight
-	replacementHalfLife = 5.0 // seconds; of the count of replaced members
-	replacementShare    = 0.1 // highest fraction of the attempts that may replace a member
+	serversPerAttempt   = 2.5 // servers added to minSubsetSize per attempt in flight; see subset.limit
+	concurrencyHalfLife = 5.0 // seconds; half-life of the mean number of attempts in flight
+	replacementHalfLife = 5.0 // seconds; half-life of the count of replaced members
+	replacementShare    = 0.1 // highest fraction of the attempts for which a member is replaced
 )
 
-// subset is the set of servers that get most of the node's attempts, called neighbours in the paper's router. A node
-// that sends to all servers in turn gets answers from each one too rarely for a current estimate. The size of the
-// subset follows the number of attempts in flight.
+// subset is the set of servers that get most of the node's attempts. The paper calls them neighbours. If a node sent
+// attempts to all servers in turn, each server would answer too rarely for its estimate to be current. The size of the
+// subset depends on the mean number of attempts in flight.
 type subset struct {
 	members      []*Server
-	inFlight     decayingMean  // attempts in flight, sampled when an attempt is sent
+	inFlight     decayingMean  // number of attempts in flight, sampled when an attempt is sent
 	replacements decayingValue // decaying count of replaced members
 }
 
@@ -33,7 +33,7 @@
 // isFull reports whether a new member has to replace another.
 func (s *subset) isFull(now float64) bool { return len(s.members) >= s.limit(now) }
 
-// sent adds a sample of the attempts in flight, which include the one being sent.
+// sent adds a sample of the number of attempts in flight. inFlight includes the attempt that is being sent.
 func (s *subset) sent(inFlight int, now float64) {
 	s.inFlight.add(float64(inFlight), now, concurrencyHalfLife)
 }
@@ -66,8 +66,8 @@
 	})
 }
 
-// addToSubset adds the server of an RPC's first attempt to the subset. If the subset is full, the members with the
-// highest estimates are removed, together with their entries in the Q-table.
+// addToSubset adds the server of an RPC's first attempt to the subset. While the subset is full, the member with the
+// highest time to go is removed, together with its entries in the Q-table.
 func (b *Balancer) addToSubset(r *RPC, s *Server, typical, now float64) {
 	b.subset.sent(b.attemptsInFlight+1, now)
 	if s.inSubset || len(r.attempts) > 0 {
@@ -84,7 +84,8 @@
 	b.subset.add(s)
 }
 
-// worstInSubset returns the index of the member with the highest estimate; an ejected member counts as the highest.
+// worstInSubset returns the index of the member with the highest time to go. The time to go of an ejected member counts
+// as infinite.
 func (b *Balancer) worstInSubset(r *RPC, typical, now float64) int {
 	worst, highest := 0, -1.0
 	for i, s := range b.subset.members {
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A node must send most attempts to few servers. One that sent 90 attempts in 10 s to 43 servers had only outdated
+// A node must send most attempts to few servers. A node that sent 90 attempts in 10 s to 43 servers had only outdated
 // estimates.
 func TestBalancer_Subset(t *testing.T) {
 	h, servers := newTestBalancer(200, func(s *Settings) { s.Instances = 100 })
@@ -22,7 +22,7 @@
 	assert.Greater(t, byFew, 300, "most attempts go to servers used at least ten times, of %d", len(answered))
 	assert.LessOrEqual(t, len(b.subset.members), 8)
 
-	// An ejected member is removed first, however low its estimate.
+	// An ejected member is removed first, even if its estimate is low.
 	ejected, r := b.subset.members[0], &RPC{}
 	ejected.outlier.ejectedUntil, r.rules = h.now+5, b.methods[lookup].methodRules
 	for range 6 {
--- a/decide/watch_test.go
+++ b/decide/watch_test.go
@@ -29,7 +29,7 @@
 }
 
 // Changes in the endpoint list must take effect in time, so no wait may be longer than maxWait. The nodes of a fleet
-// must not call at the same time, so waits vary from a third of that to all of it.
+// must not call at the same time, so the waits vary between maxWait/3 and maxWait.
 func TestBalancer_WatchPauseBounds(t *testing.T) {
 	waited := func(seed int64, maxWait float64) float64 {
 		h, _ := newSeededBalancer(seed, 1, nil)
