--- a/decide/connections.go
+++ b/decide/connections.go
@@ -52,7 +52,7 @@
 	maxIdleAt      float64       // seconds; time of the last decrease of maxIdle
 	longestWorking decayingValue // seconds; decaying maximum of the idle times after which a connection still worked
 	lastTimedOut   *Server       // server of the last attempt on an idle connection that got no answer
-	lastTimedOutAt float64       // seconds; time at which this attempt timed out
+	lastTimedOutAt float64       // seconds; time at which the attempt at lastTimedOut timed out
 }
 
 // setupTime returns the mean time in seconds that opening a connection adds to the latency of an attempt.
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -25,7 +25,7 @@
 	LatencyObjective float64 // an answer within this time has the value PriorityWeight
 	Deadline         float64 // time allowed for an RPC; also the cost of a failure in the Q-table
 	PriorityWeight   float64 // value of an answer within LatencyObjective, relative to other methods
-	LateWeight       float64 // value of a later answer, as a fraction of PriorityWeight
+	LateWeight       float64 // value of an answer after LatencyObjective, as a fraction of PriorityWeight
 	Idempotency      Idempotency
 	DedupScope       DedupScope // servers that drop duplicates
 	DedupWindow      float64    // time after the first attempt during which servers drop duplicates
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -16,7 +16,7 @@
 // reserved for random variation. The other half lets a fleet recover after all of its servers have started at once.
 type slowStart struct {
 	initialFraction float64 // fraction of its capacity that a server has at its start
-	duration        float64 // seconds from its start until it has its full capacity; 0: there is no slow start
+	duration        float64 // seconds from a server's start to its full capacity; 0: there is no slow start
 	overloadWindow  float64 // seconds over which the load of a server in slow start is measured
 	rateMultiple    float64 // highest rate of attempts, as a multiple of capacityFraction * warm server's rate
 	minRate         float64 // answers per second; lower bound of a warm server's rate, used while there are no answers
@@ -27,7 +27,7 @@
 
 // slowStartBudget is the token bucket of the attempts that this node may send to one server in slow start.
 type slowStartBudget struct {
-	tokens    float64 // attempts
+	tokens    float64 // one token for each attempt
 	updatedAt float64 // seconds; time of the last refill
 }
 
@@ -37,7 +37,7 @@
 	s.overloadWindow = settings.OverloadWindow
 	s.rateMultiple = max(1, settings.OverloadMultiple/2)
 	if settings.OverloadWindow <= 0 || settings.OverloadMultiple <= 0 {
-		s.duration, s.minRate = 0, 0 // no rate overloads a starting server
+		s.duration, s.minRate = 0, 0 // no slow start: no rate counts as an overload
 		return
 	}
 	s.minRate = settings.OverloadMultiple / settings.OverloadWindow * nodeShare
@@ -102,7 +102,8 @@
 	return budget.tokens >= 1
 }
 
-// sent records that an attempt is sent to a server. If the server is in slow start, a token is removed from its bucket.
+// sent records that an attempt is sent to a server. If the server is in slow start, a token is removed from the
+// server's bucket.
 func (s *slowStart) sent(budget *slowStartBudget, startedAt, now float64) {
 	if s.capacityFraction(startedAt, now) < 1 {
 		budget.tokens--
