--- a/cmd/robincart/bulk_test.go
+++ b/cmd/robincart/bulk_test.go
@@ -85,7 +85,8 @@
 }
 
 // togetherBytes is how much of a response is written in one call. A node reads a response that is no larger, and the
-// beginning of any other, within half a second of its first byte: a server that the machine stops in between would fail.
+// beginning of any other, within half a second of its first byte: a server that the machine stops in between would
+// fail.
 const togetherBytes = 80 << 10
 
 // respond writes a response, in pieces beyond its first togetherBytes. It reports whether the connection stays.
--- a/cmd/robincart/check.go
+++ b/cmd/robincart/check.go
@@ -13,11 +13,11 @@
 	"robincart/internal/resources/quota"
 )
 
-// checkCommand prints what a configuration file would put in force.
+// checkCommand validates a configuration file and prints its effective settings.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Read an operator's file and print what would be in force, or every mistake in it",
+		Short: "Validate a configuration file: print its effective settings, or every error in it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			config, err := nodeconfig.Read(arguments[0], 0)
@@ -106,7 +106,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// describeTargets describes where a rule's requests go.
+// describeTargets describes the services that a rule sends its requests to.
 func describeTargets(rule routes.Rule, config *nodeconfig.Config) string {
 	var targets []string
 	for _, target := range rule.To {
--- a/cmd/robincart/clientlistener.go
+++ b/cmd/robincart/clientlistener.go
@@ -11,19 +11,19 @@
 	"robincart/internal/system/socket"
 )
 
-// firstInheritedDescriptor is the first one behind the standard streams.
+// firstInheritedDescriptor is the lowest descriptor number after the standard streams.
 const firstInheritedDescriptor = 3
 
-// clientListener is the listener for clients. One that the platform holds can be closed and opened again.
+// clientListener is the listener for clients. If the platform holds its socket, it can be closed and opened again.
 type clientListener struct {
-	file *os.File // the platform's; nil: the listener is this process's own
+	file *os.File // the platform's socket; nil: this process opened the listener
 
 	mu       sync.Mutex
 	listener net.Listener
 }
 
-// openClientListener listens on an address, or on the descriptor that the platform holds for all processes of this
-// node.
+// openClientListener listens on the descriptor that the platform passes to all processes of this node, or on the
+// address if the descriptor is empty.
 func openClientListener(address, descriptor string) (*clientListener, error) {
 	if descriptor == "" {
 		listener, err := socket.Listen("tcp", address)
@@ -34,7 +34,8 @@
 	}
 	number, err := strconv.Atoi(descriptor)
 	if err != nil || number < firstInheritedDescriptor {
-		return nil, fmt.Errorf("EDGE_ACCEPT_FD is %q, no descriptor", descriptor)
+		return nil, fmt.Errorf("EDGE_ACCEPT_FD is %q: expected a descriptor number of at least %d", descriptor,
+			firstInheritedDescriptor)
 	}
 	syscall.CloseOnExec(number)
 	c := &clientListener{file: os.NewFile(uintptr(number), "listener")}
@@ -47,7 +48,7 @@
 // inherited reports whether the platform holds the listener, so that it outlives this process.
 func (c *clientListener) inherited() bool { return c.file != nil }
 
-// open listens by the platform's descriptor.
+// open opens a listener on the platform's descriptor.
 func (c *clientListener) open() error {
 	listener, err := socket.FileListener(c.file)
 	if err != nil {
--- a/cmd/robincart/command.go
+++ b/cmd/robincart/command.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// rootCommand returns the command line, for people.
+// rootCommand returns the command-line interface for operators.
 func rootCommand(caught signals) *cobra.Command {
 	var configPath string
 	serve := func(*cobra.Command, []string) error {
@@ -21,19 +21,19 @@
 	}
 	root := &cobra.Command{
 		Use:           "robincart",
-		Short:         "A load balancer for services that call services",
+		Short:         "Load balancer for calls between services",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
 		RunE:          serve,
 	}
 	root.PersistentFlags().StringVar(&configPath, "config", "",
-		"the operator's file; without one, EDGE_CONFIG names the platform's")
+		"path of the configuration file; if empty, the platform's configuration is read, which EDGE_CONFIG names")
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.AddCommand(
 		&cobra.Command{
 			Use:   "serve",
-			Short: "Serve (what happens without a command, too)",
+			Short: "Serve clients (the default command)",
 			Args:  cobra.NoArgs,
 			RunE:  serve,
 		},
@@ -45,11 +45,11 @@
 	return root
 }
 
-// recordCommand becomes the store's program, with the same arguments.
+// recordCommand replaces this process by the store program (exec), with the same arguments.
 func recordCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:                "record",
-		Short:              "Make, show, change, save and check the store of record",
+		Short:              "Create, show, change, save and check the store of record",
 		DisableFlagParsing: true,
 		RunE: func(_ *cobra.Command, arguments []string) error {
 			path, err := findStoreProgram()
@@ -72,7 +72,7 @@
 	}
 }
 
-// version returns what the build knows of its source.
+// version returns the program's name, its version and the source revision that the build recorded.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/robincart/commandrestore.go
+++ b/cmd/robincart/commandrestore.go
@@ -10,7 +10,8 @@
 	"robincart/internal/handover"
 )
 
-// pendingRestore notes what operators command while the saved state can't be read. It goes before what is read later.
+// pendingRestore records what operators change before the saved state could be read. These changes take precedence over
+// the saved state.
 type pendingRestore struct {
 	servers  map[string]bool
 	lameDuck bool
@@ -25,8 +26,8 @@
 	}
 }
 
-// restore puts the saved state in force. Where the file can't be read for loadTimeout the node serves without it, and
-// restores it as soon as that can be, but for what operators have commanded meanwhile.
+// restore applies the saved state. If the file can't be read within loadTimeout, the node serves without it and
+// restores it once the file can be read, except for what operators have changed in the meantime.
 func (c *commandHandler) restore(ctx context.Context) {
 	saved, err := c.stateFile.load()
 	if err == nil {
@@ -34,14 +35,14 @@
 		return
 	}
 	c.log.Error("operator state unreadable", zap.Error(err),
-		zap.String("effect", "banned servers are sent to until it can be read"),
-		zap.String("advice", "mend the folder of this file, or ban the servers again"))
+		zap.String("effect", "banned servers receive requests until the file can be read"),
+		zap.String("advice", "repair the directory of this file, or ban the servers again"))
 	c.inherit(operatorState{}, nil)
 	c.restoreInBackground(ctx)
 }
 
-// inherit puts another process's state in force. knownServers are those that the other process has ever had in its
-// list.
+// inherit applies another process's state. knownServers are the IDs of all servers that were ever in the other
+// process's endpoint list.
 func (c *commandHandler) inherit(state operatorState, knownServers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +58,7 @@
 	c.enforce(state, knownServers)
 }
 
-// enforce gives the cores and the front end a state.
+// enforce applies a state to the cores and the front end.
 func (c *commandHandler) enforce(state operatorState, knownServers []string) {
 	for _, core := range c.cores() {
 		core.InheritBans(state.bans(), knownServers)
@@ -65,8 +66,8 @@
 	c.frontend.SetLameDuck(state.LameDuck)
 }
 
-// inheritFromPredecessor puts the predecessor's state in force. stateUnread is set if the predecessor could not
-// read the file: then this process does not overwrite it either before it is read.
+// inheritFromPredecessor applies the predecessor's state. stateUnread is set if the predecessor could not read the
+// state file; this process then does not overwrite the file before it has read it.
 func (c *commandHandler) inheritFromPredecessor(ctx context.Context, state operatorState, knownServers []string,
 	stateUnread bool) {
 	c.inherit(state, knownServers)
@@ -75,11 +76,11 @@
 		return
 	}
 	c.stateFile.allowWrites()
-	c.stateFile.save(c.operatorState()) // the predecessor may not have been able to
+	c.stateFile.save(c.operatorState()) // the predecessor may have failed to save it
 }
 
-// restoreInBackground restores the saved state as soon as it can be read. Nothing waits for its goroutine at the
-// process's end: a read in a directory that hangs may never return.
+// restoreInBackground restores the saved state once the file can be read. The process does not wait for this goroutine
+// when it exits: a read from a file system that hangs may never return.
 func (c *commandHandler) restoreInBackground(ctx context.Context) {
 	c.stateMu.Lock()
 	c.pending = &pendingRestore{servers: map[string]bool{}, lameDuck: c.state.LameDuck}
@@ -87,7 +88,7 @@
 	go c.retryRestore(ctx)
 }
 
-// stateUnread reports whether the saved state is not known yet.
+// stateUnread reports whether the saved state has not been read yet.
 func (c *commandHandler) stateUnread() bool {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
@@ -113,7 +114,7 @@
 	}
 }
 
-// merge puts a saved state in force beside what operators have commanded meanwhile, and saves both.
+// merge combines a saved state with what operators have changed in the meantime, and applies and saves the result.
 func (c *commandHandler) merge(saved operatorState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +124,7 @@
 	c.stateFile.allowWrites()
 }
 
-// addSaved adds a saved state to this process's, and returns a copy of the result.
+// addSaved adds a saved state to this process's state, and returns a copy of the result.
 func (c *commandHandler) addSaved(saved operatorState) operatorState {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
--- a/cmd/robincart/commands.go
+++ b/cmd/robincart/commands.go
@@ -15,11 +15,11 @@
 	"robincart/internal/system/socket"
 )
 
-// lameDuckSetter is the front end, which asks clients to leave while the node is a lame duck.
+// lameDuckSetter is implemented by the front end, which asks clients to leave while the node is a lame duck.
 type lameDuckSetter interface{ SetLameDuck(on bool) }
 
-// commandHandler puts operator commands in force: those of this process's admin address, and those that another
-// process of the node relays. It owns the operator state.
+// commandHandler executes operator commands: those sent to this process's admin address, and those relayed by another
+// process of the node. It owns the operator state.
 type commandHandler struct {
 	frontend  lameDuckSetter
 	cores     func() []*node.Core // of all services
@@ -27,14 +27,14 @@
 	log       *zap.Logger
 	accepting atomic.Bool // clients are accepted
 
-	mu    sync.Mutex                  // held while one command is put in force and relayed
+	mu    sync.Mutex                  // held while a command is applied and relayed
 	links map[*handover.Link]struct{} // to the node's other processes
 
-	// stateMu is apart from mu: a service that starts needs the state while the services are locked, and a command
-	// needs the services while mu is held.
+	// stateMu is separate from mu to avoid a deadlock: a service that starts reads the state while the services are
+	// locked, and a command locks the services while it holds mu.
 	stateMu sync.Mutex
 	state   operatorState
-	// pending is not nil while the saved state can't be read.
+	// pending is nil unless the saved state could not be read yet.
 	pending *pendingRestore
 }
 
@@ -51,7 +51,7 @@
 // Ready reports whether this process accepts clients.
 func (c *commandHandler) Ready() bool { return c.accepting.Load() }
 
-// Detach bans a server in every service that lists it, or did.
+// Detach bans a server in every service that lists it, or listed it before.
 func (c *commandHandler) Detach(server string) error {
 	return c.execute(handover.Command{Path: admin.PathDetach, Server: server}, nil)
 }
@@ -61,7 +61,7 @@
 	return c.execute(handover.Command{Path: admin.PathAttach, Server: server}, nil)
 }
 
-// ExclusionReason returns what keeps a server excluded in one of the services, "" for nothing.
+// ExclusionReason returns why a server is excluded in one of the services, or "" if it is not excluded.
 func (c *commandHandler) ExclusionReason(server string) string {
 	for _, core := range c.cores() {
 		if reason := core.ExclusionReason(server); reason != "" {
@@ -71,7 +71,7 @@
 	return ""
 }
 
-// SetLameDuck asks clients to leave the node, or no longer.
+// SetLameDuck starts or stops asking clients to leave the node.
 func (c *commandHandler) SetLameDuck(on bool) error {
 	command := handover.Command{Path: admin.PathLameDuckOff}
 	if on {
@@ -80,12 +80,12 @@
 	return c.execute(command, nil)
 }
 
-// execute puts a command in force, relays it to the node's other processes, and saves the state. from is the link
-// that it came by, nil for this process's admin address.
+// execute applies a command, relays it to the node's other processes, and saves the state. from is the link that the
+// command was received on, or nil if it came from this process's admin address.
 //
-// A state that can't be saved is in force all the same, and saved as soon as possible; the error is then an
-// admin.NotPersistedError. A relayed command does not wait for that: its operator has the answer from the other
-// process, and client connections may follow it on the link.
+// If the state can't be saved in time, the command stays in force, saving is retried, and the error is an
+// admin.NotPersistedError. A relayed command does not wait for the save: the other process responds to the operator,
+// and the link must stay free for client connections.
 func (c *commandHandler) execute(command handover.Command, from *handover.Link) error {
 	number, err := c.applyAndRelay(command, from)
 	if err != nil || c.stateFile == nil || from != nil {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// applyAndRelay returns the number of the state that is being saved.
+// applyAndRelay applies a command, relays it, and starts a save. number is the number of the state being saved.
 func (c *commandHandler) applyAndRelay(command handover.Command, from *handover.Link) (number uint64, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,7 +121,7 @@
 	return c.stateFile.save(c.operatorState()), nil
 }
 
-// apply puts a command in force. mu is held.
+// apply applies a command. The caller holds mu.
 func (c *commandHandler) apply(command handover.Command) error {
 	switch command.Path {
 	case admin.PathDetach:
@@ -136,7 +136,8 @@
 	case admin.PathLameDuckOn, admin.PathLameDuckOff:
 		c.setLameDuck(command.Path == admin.PathLameDuckOn)
 	default:
-		return fmt.Errorf("%q is no operator command", command.Path)
+		return fmt.Errorf("unknown operator command %q: expected %s, %s, %s or %s", command.Path, admin.PathDetach,
+			admin.PathAttach, admin.PathLameDuckOn, admin.PathLameDuckOff)
 	}
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
@@ -147,8 +148,8 @@
 }
 
 func (c *commandHandler) detach(server string) error {
-	// The state comes first: a service that starts meanwhile then learns of the ban from it, or is among the cores
-	// below.
+	// The state changes before the cores: the core of a service that starts meanwhile either takes the ban from the
+	// state or is one of the cores below.
 	added := c.ban(server)
 	if c.anyCore(func(core *node.Core) bool { return core.Detach(server) }) {
 		return nil
@@ -168,7 +169,7 @@
 	return found
 }
 
-// ban adds a server to the banned ones, and reports whether it was not among them.
+// ban adds a server to the banned servers, and reports whether it was added: false if it was banned already.
 func (c *commandHandler) ban(server string) (added bool) {
 	started, known := c.startTime(server)
 	c.stateMu.Lock()
@@ -183,7 +184,7 @@
 	return true
 }
 
-// unban removes a server from the banned ones.
+// unban removes a server from the banned servers.
 func (c *commandHandler) unban(server string) {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
@@ -198,7 +199,8 @@
 	c.frontend.SetLameDuck(on)
 }
 
-// startTime returns a server's start as the endpoint list has it, in milliseconds of Unix time; 0 is long ago.
+// startTime returns a server's start time from the endpoint list, in milliseconds of Unix time. 0 means that the list
+// has no start time; such a server counts as started long ago.
 func (c *commandHandler) startTime(server string) (milliseconds int64, known bool) {
 	for _, core := range c.cores() {
 		if started, listed := core.StartTime(server); listed {
@@ -215,20 +217,20 @@
 	return c.state.clone()
 }
 
-// serviceStarted gives the core of a service that has just started the bans in force.
+// serviceStarted applies the current bans to the core of a service that has just started.
 func (c *commandHandler) serviceStarted(core *node.Core) {
 	core.InheritBans(c.operatorState().bans(), nil)
 }
 
-// addLink has commands relayed to another process of the node from now on.
+// addLink starts to relay commands to another process of the node.
 func (c *commandHandler) addLink(link *handover.Link) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.links[link] = struct{}{}
 }
 
-// addSuccessor sends a successor the state, and has commands relayed to it from then on. No command is executed in
-// between, so that the successor is given each one either with the state or relayed.
+// addSuccessor sends a successor the state, and starts to relay commands to it. No command is executed in between, so
+// that the successor learns of each command either from the state or by relay.
 func (c *commandHandler) addSuccessor(successor *handover.Link, sendState func() error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,14 +244,14 @@
 	delete(c.links, link)
 }
 
-// serveAdmin serves the admin address, if there is one, and returns the function that ends that.
+// serveAdmin serves the admin address, unless it is empty, and returns the function that stops serving.
 func serveAdmin(address string, commands *commandHandler, log *zap.Logger) (closeAdmin func(), err error) {
 	if address == "" {
 		return func() {}, nil
 	}
 	listener, err := socket.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("the operators' address: %w", err)
+		return nil, fmt.Errorf("listen on admin address: %w", err)
 	}
 	return admin.Serve(listener, commands, admin.DefaultLimits(), log).Close, nil
 }
--- a/cmd/robincart/configread.go
+++ b/cmd/robincart/configread.go
@@ -14,27 +14,28 @@
 const (
 	// configRetryPause is the pause between two attempts to read a configuration.
 	configRetryPause = 50 * time.Millisecond
-	// startRetryTime is for how long a start tries: well under the time in which a restarted process has to be ready.
+	// startRetryTime is how long a start retries: well under the time in which a restarted process has to be ready.
 	startRetryTime = 5 * time.Second
-	// reloadRetryTime is for how long a reload tries after SIGHUP.
+	// reloadRetryTime is how long a reload is retried after SIGHUP.
 	reloadRetryTime = time.Minute
 )
 
-// unreadableError reports a configuration that can't be read for now: nothing is known of its content.
+// unreadableError reports a configuration file that can't be read at present. The content may be valid, so the read is
+// retried.
 type unreadableError struct{ cause error }
 
 func (u *unreadableError) Error() string {
 	advice := socket.Classify(u.cause).Advice()
 	if advice == "" {
-		advice = "look at the disk and the folder of this file"
+		advice = "check the disk and the directory of this file"
 	}
-	return fmt.Sprintf("it can't be read for now: %v; %s", u.cause, advice)
+	return fmt.Sprintf("temporarily unreadable: %v; %s", u.cause, advice)
 }
 
 func (u *unreadableError) Unwrap() error { return u.cause }
 
-// mayPass reports whether an error of reading a file may pass. That a file does not exist, or that this process may
-// not read it, is a mistake of whoever configured it.
+// mayPass reports whether an error from reading a file may be temporary. A file that does not exist, or that this
+// process has no permission to read, is a configuration error and not temporary.
 func mayPass(err error) bool {
 	if socket.Classify(err).Transient() {
 		return true
@@ -47,7 +48,7 @@
 	return false
 }
 
-// readAtStart reads a configuration, and again for startRetryTime while it can't be read.
+// readAtStart reads a configuration. While the file is unreadable it retries, for startRetryTime at most.
 func readAtStart[T any](read func() (T, error)) (T, error) {
 	deadline := time.Now().Add(startRetryTime)
 	for {
@@ -60,15 +61,15 @@
 	}
 }
 
-// reloadRetry schedules another attempt to reload a configuration that could not be read, for reloadRetryTime after
+// reloadRetry schedules further attempts to reload a configuration that could not be read, for reloadRetryTime after
 // the signal.
 type reloadRetry struct {
 	log      *zap.Logger
 	deadline time.Time
-	timer    *time.Timer // nil: no attempt is due
+	timer    *time.Timer // nil: no attempt is scheduled
 }
 
-// due returns a channel that receives when to try again; nil if no attempt is due.
+// due returns a channel that receives when the next attempt is due, or nil if none is scheduled.
 func (r *reloadRetry) due() <-chan time.Time {
 	if r.timer == nil {
 		return nil
@@ -76,13 +77,13 @@
 	return r.timer.C
 }
 
-// begin starts over: the process has been signalled to reload.
+// begin starts a new series of attempts, after a signal to reload.
 func (r *reloadRetry) begin() {
 	r.timer = nil
 	r.deadline = time.Now().Add(reloadRetryTime)
 }
 
-// finish notes how an attempt has ended, and schedules the next one if the configuration could not be read.
+// finish takes the result of an attempt, and schedules the next attempt if the configuration could not be read.
 func (r *reloadRetry) finish(err error) {
 	firstAttempt := r.timer == nil
 	r.timer = nil
--- a/cmd/robincart/descriptors.go
+++ b/cmd/robincart/descriptors.go
@@ -10,9 +10,9 @@
 	"robincart/internal/system/socket"
 )
 
-// descriptorLimit returns how many descriptors this process may have beside those that it was started with, which
-// nobody closes. Where the process's limit is below the configured one, it goes first. It is counted at the first
-// call, before anything is opened.
+// descriptorLimit returns how many descriptors this process may open: RLIMIT_NOFILE less the descriptors that it
+// inherited, which stay open. It is an upper bound for the configured number. The value is computed at the first call,
+// which has to come before the process opens anything.
 var descriptorLimit = sync.OnceValue(func() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > math.MaxInt32 {
@@ -21,8 +21,8 @@
 	return int(limit.Cur) - inheritedDescriptors()
 })
 
-// inheritedDescriptors counts the descriptors that the process was started with beside the standard streams. Where
-// they can't be read it returns 0.
+// inheritedDescriptors counts the descriptors that the process was started with, without the standard streams. If it
+// can't list them it returns 0.
 func inheritedDescriptors() int {
 	const directory = "/proc/self/fd"
 	entries, err := os.ReadDir(directory)
@@ -35,7 +35,8 @@
 		if name == "0" || name == "1" || name == "2" {
 			continue
 		}
-		// The Go runtime's poller is counted among the node's own, and the directory that was just read is closed.
+		// Not counted: the Go runtime's poller, which is part of the node's own budget, and the directory that was just
+		// read, which is closed by now.
 		target, err := os.Readlink(directory + "/" + name)
 		if err == nil && !strings.HasPrefix(target, "anon_inode:[event") {
 			count++
@@ -44,12 +45,13 @@
 	return count
 }
 
-// spareDescriptor is kept open so that the configuration can be read when the process has no other descriptor left;
-// nil if it is used up. Only the goroutine that starts the program and handles its signals uses it.
+// spareDescriptor is kept open as a reserve: it is closed to read the configuration when the process has no descriptor
+// left. It is nil if the reserve is used up. Only the goroutine that starts the program and handles its signals uses
+// it.
 var spareDescriptor *os.File
 
-// readWithSpare calls read, and again with the spare descriptor closed if there is no other. A failure that may
-// pass is returned as an unreadableError.
+// readWithSpare calls read. If no descriptor is left it closes the spare descriptor and calls read again. An error that
+// may be temporary is returned as an unreadableError.
 func readWithSpare[T any](read func() (T, error)) (T, error) {
 	value, err := read()
 	if spareDescriptor != nil && socket.Exhausted(err) {
@@ -58,7 +60,7 @@
 		value, err = read()
 	}
 	if spareDescriptor == nil {
-		spareDescriptor, _ = os.Open(os.DevNull) // if that fails the next read has to do without
+		spareDescriptor, _ = os.Open(os.DevNull) // if this fails, the next read has no spare descriptor
 	}
 	if err != nil && mayPass(err) {
 		return value, &unreadableError{cause: err}
--- a/cmd/robincart/fileservices.go
+++ b/cmd/robincart/fileservices.go
@@ -16,7 +16,7 @@
 	"robincart/internal/system/socket"
 )
 
-// runFile runs the node by a configuration file: several services behind one set of listeners.
+// runFile runs the node with a configuration file: several services share one set of listeners.
 func runFile(path string, caught signals) error {
 	config, err := readAtStart(func() (*nodeconfig.Config, error) { return readFileConfig(path) })
 	if err != nil {
@@ -60,7 +60,7 @@
 	return readWithSpare(func() (*nodeconfig.Config, error) { return nodeconfig.Read(path, maxDescriptors) })
 }
 
-// listenAll listens on all addresses, or on none.
+// listenAll listens on all addresses. If one fails it closes the others and returns the error.
 func listenAll(addresses []string) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, address := range addresses {
@@ -80,21 +80,21 @@
 	}
 }
 
-// fileBackend is the services of a configuration file.
+// fileBackend serves requests with the services of a configuration file.
 type fileBackend struct {
 	process      *process
 	path         string             // of the configuration file
 	fileConfig   *nodeconfig.Config // the file alone
-	config       *nodeconfig.Config // in force: the file, and the record over it
+	config       *nodeconfig.Config // in force: the file, overridden by the record
 	services     *services.Manager
 	commands     *commandHandler
 	gateways     []gatewayListener
 	record       *recordcache.Cache // nil: there is no record
-	recordStatus net.Listener       // the record's status page; nil: there is none
+	recordStatus net.Listener       // of the record's status page; nil: there is none
 	closeAdmin   func()
 }
 
-// newFileBackend makes the services, with the operator state that was saved.
+// newFileBackend creates the services and restores the saved operator state.
 func newFileBackend(ctx context.Context, p *process, path string, config *nodeconfig.Config,
 	gateways []gatewayListener) *fileBackend {
 	b := &fileBackend{process: p, path: path, fileConfig: config, config: config, gateways: gateways}
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// apply puts the configuration in force.
+// apply applies the current configuration to the services and the front end.
 func (f *fileBackend) apply() {
 	f.process.frontend.SetTable(f.services.Apply(f.config))
 }
@@ -174,7 +174,7 @@
 
 func (f *fileBackend) inFlight() int { return f.services.InFlight() }
 
-// prepareShutdown reports false: these processes have no successors.
+// prepareShutdown returns false: a process with a configuration file has no successor.
 func (f *fileBackend) prepareShutdown() (handedOver bool) { return false }
 
 func (f *fileBackend) close() {
--- a/cmd/robincart/gateways.go
+++ b/cmd/robincart/gateways.go
@@ -22,7 +22,8 @@
 	gateway  *frontend.Gateway
 }
 
-// listenForGateways listens for all gateways of a configuration, or for none.
+// listenForGateways listens for all gateways of a configuration. If one fails it closes the others and returns the
+// error.
 func listenForGateways(config *nodeconfig.Config) ([]gatewayListener, error) {
 	var all []gatewayListener
 	for _, gateway := range config.Gateways {
@@ -61,12 +62,12 @@
 	return listener, nil
 }
 
-// removeStaleSocket removes a socket that a killed process has left. A path at which a process listens is an error;
-// what is no socket stays.
+// removeStaleSocket removes a socket that a killed process has left at a path. It returns an error if a process listens
+// there. A file that is not a socket is not removed.
 func removeStaleSocket(path string) error {
 	if conn, err := net.Dial("unix", path); err == nil {
 		conn.Close()
-		return fmt.Errorf("listen %s%s: another process serves there", unixPrefix, path)
+		return fmt.Errorf("listen %s%s: another process listens on this socket", unixPrefix, path)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
 		os.Remove(path)
--- a/cmd/robincart/log.go
+++ b/cmd/robincart/log.go
@@ -12,25 +12,24 @@
 )
 
 const (
-	// maxQueuedLines is how many lines wait for the log's reader. Further ones are lost, and counted.
+	// maxQueuedLines is how many lines wait for the log's reader. Further lines are dropped, and counted.
 	maxQueuedLines = 512
-	// syncTimeout is how long the end of the process waits for the log's reader.
+	// syncTimeout is how long the process waits for the log's reader when it exits.
 	syncTimeout = 100 * time.Millisecond
-	// Of the lines with one message the first samplingFirst in a samplingPeriod are logged, and then each
+	// Of the lines with the same message, the first samplingFirst per samplingPeriod are logged, and then every
 	// samplingThereafter-th.
 	samplingPeriod     = time.Second
 	samplingFirst      = 100
 	samplingThereafter = 100
 )
 
-// asyncWriter writes a log's lines in a goroutine of its own, which ends with the process. Written in place, a line
-// would wait for whoever reads the log, with whatever lock its writer holds: a reader that hangs would stop the
-// node.
+// asyncWriter writes log lines in a separate goroutine, which ends with the process. A synchronous write would block on
+// the log's reader while the caller may hold a lock, so a reader that hangs would block the node.
 type asyncWriter struct {
 	to    io.Writer
 	queue chan []byte
 	syncs chan chan struct{} // each is closed when the queue has been written
-	lost  atomic.Int64       // lines since the last one that was written
+	lost  atomic.Int64       // lines dropped since the last line that was written
 }
 
 func newAsyncWriter(to io.Writer) *asyncWriter {
@@ -39,7 +38,7 @@
 	return a
 }
 
-// Write queues a line, or loses it if the queue is full.
+// Write queues a line, or drops it if the queue is full.
 func (a *asyncWriter) Write(line []byte) (int, error) {
 	select {
 	case a.queue <- append([]byte(nil), line...):
@@ -49,7 +48,7 @@
 	return len(line), nil
 }
 
-// Sync waits for the lines that were queued before, for syncTimeout at most.
+// Sync waits until the lines queued so far are written, for syncTimeout at most.
 func (a *asyncWriter) Sync() error {
 	done, timeout := make(chan struct{}), time.After(syncTimeout)
 	select {
@@ -76,7 +75,7 @@
 	}
 }
 
-// writeQueue writes what is queued now.
+// writeQueue writes the lines that are queued at present.
 func (a *asyncWriter) writeQueue() {
 	for {
 		select {
@@ -88,7 +87,7 @@
 	}
 }
 
-// writeLine writes a line, after one with the number of lines that were lost before it.
+// writeLine writes a line. If lines before it were dropped, a line with their number comes first.
 func (a *asyncWriter) writeLine(line []byte) {
 	if lost := a.lost.Swap(0); lost > 0 {
 		const format = `{"level":"warn","msg":"lines of the log are lost: nobody read it","lines":%d}` + "\n"
@@ -97,7 +96,7 @@
 	a.to.Write(line)
 }
 
-// newLog returns a node's log on standard error, in the format "console" or as JSON lines.
+// newLog returns a node's log on standard error, as console text if the format is "console" and else as JSON lines.
 func newLog(format string, level zapcore.Level, name string) *zap.Logger {
 	encoder := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
 	if format == "console" {
@@ -108,8 +107,8 @@
 	return zap.New(sampler, zap.AddCaller(), zap.Fields(zap.String("node", name)))
 }
 
-// newEventLog returns the log of every event on standard error if EDGE_EVENTS is set, and else nil. Unlike newLog's
-// it samples nothing: a line is lost only if nobody reads them.
+// newEventLog returns the log of all events on standard error if EDGE_EVENTS is set, and else nil. Unlike newLog it
+// does not sample: a line is dropped only if the log's reader is too slow and the queue is full.
 func newEventLog(getenv func(string) string, name string) *zap.Logger {
 	if getenv("EDGE_EVENTS") == "" {
 		return nil
--- a/cmd/robincart/main.go
+++ b/cmd/robincart/main.go
@@ -1,12 +1,13 @@
-// Command robincart is the node: a load balancer between clients and servers. Every tier runs the same program, and
-// its configuration tells it which tier it serves.
+// Command robincart is the node: a load balancer between clients and servers. Every tier runs the same program; the
+// configuration sets the tier.
 //
 // It is started in one of two ways. With no argument, or with no --config, it reads the platform's configuration,
 // which EDGE_CONFIG names, and serves one service (platform.go). With --config it reads a configuration file with
-// several services (fileservices.go). What both share, from the clock to the graceful shutdown, is in process.go.
+// several services (fileservices.go). Code that both share, from the clock to the graceful shutdown, is in process.go.
 //
-// The program wires packages together and owns the process: signals, descriptors, logs, the succession of processes
-// and what operators have commanded. What it decides about requests is in package decide and internal/core/node.
+// This package wires the other packages together and owns the process: signals, descriptors, logs, the handover from
+// one process to the next and the operator commands in force. Packages decide and internal/core/node decide how
+// requests are handled.
 package main
 
 import (
@@ -21,11 +22,11 @@
 func main() {
 	if err := socket.AwaitEpoll(); err != nil {
 		advice := socket.Classify(err).Advice()
-		fmt.Fprintf(os.Stderr, "robincart: files and connections can't be watched: %v; %s\n", err, advice)
+		fmt.Fprintf(os.Stderr, "robincart: epoll unavailable: %v; %s\n", err, advice)
 		os.Exit(1)
 	}
 	signals := catchSignals()
-	// The platform gives no argument: nothing that only people need is set up then.
+	// The platform passes no arguments. The command-line interface, which only operators need, is then not set up.
 	run := rootCommand(signals).Execute
 	if len(os.Args) == 1 {
 		run = func() error { return runPlatform(signals) }
@@ -43,10 +44,10 @@
 	counters chan os.Signal // SIGUSR1: log the counters
 }
 
-// catchSignals begins to catch signals. It is called before anything is opened: uncaught, SIGHUP or SIGTERM would
-// end the process with the requests that it holds, or that the kernel has accepted for it.
+// catchSignals starts to catch signals. It is called before anything is opened: an uncaught SIGHUP or SIGTERM would end
+// the process and lose its requests in flight and the connections that the kernel has accepted for it.
 func catchSignals() signals {
-	// A log that nobody reads must not end the process. On sockets a broken pipe is an error in any case.
+	// A closed log pipe must not end the process. Writes to a closed socket return an error in any case.
 	signal.Ignore(syscall.SIGPIPE)
 	caught := signals{
 		reload:   make(chan os.Signal, 1),
--- a/cmd/robincart/operatorstate.go
+++ b/cmd/robincart/operatorstate.go
@@ -7,25 +7,26 @@
 	"robincart/internal/core/node"
 )
 
-// operatorState is what operators have commanded and not taken back.
+// operatorState is the effect of the operator commands that have not been revoked.
 type operatorState struct {
-	// BannedSince are the servers that are banned (detached), since when in milliseconds of Unix time.
+	// BannedSince maps the banned (detached) servers to the time of the ban, in milliseconds of Unix time.
 	BannedSince map[string]int64 `json:"out"`
-	// StartedAt are the banned servers' start times as the endpoint list had them at the ban, in milliseconds of Unix
-	// time; 0 is long ago. A banned server without one was banned by a version of the program that did not note it.
+	// StartedAt maps the banned servers to their start times in the endpoint list at the time of the ban, in
+	// milliseconds of Unix time. 0 means that the list had no start time: the server was started long ago. A banned
+	// server without an entry was banned by a version of the program that did not record start times.
 	StartedAt map[string]int64 `json:"starts,omitempty"`
 	// LameDuck is set while clients are asked to leave the node.
 	LameDuck bool `json:"lame"`
 }
 
-// clone returns a copy that shares nothing.
+// clone returns a deep copy.
 func (o operatorState) clone() operatorState {
 	o.BannedSince = maps.Clone(o.BannedSince)
 	o.StartedAt = maps.Clone(o.StartedAt)
 	return o
 }
 
-// bans returns the banned servers as a core takes them over.
+// bans returns the bans in the form that Core.InheritBans takes.
 func (o operatorState) bans() map[string]node.Ban {
 	bans := make(map[string]node.Ban, len(o.BannedSince))
 	for server, since := range o.BannedSince {
--- a/cmd/robincart/operatorstatefile.go
+++ b/cmd/robincart/operatorstatefile.go
@@ -13,45 +13,46 @@
 )
 
 const (
-	// saveTimeout is how long an operator command waits until its effect is saved. The caller of the admin address
-	// waits a second.
+	// saveTimeout is how long an operator command waits until its effect is saved. It is under the timeout of the admin
+	// address's clients, which is 1 s.
 	saveTimeout = 600 * time.Millisecond
-	// minSaveBackoff is the pause after the first failed attempt to save; each further one doubles it.
+	// minSaveBackoff is the pause after the first failed attempt to save. Each further failure doubles the pause, up to
+	// maxSaveBackoff.
 	minSaveBackoff = 20 * time.Millisecond
 	maxSaveBackoff = 500 * time.Millisecond
-	// loadTimeout is how long a start waits for a file that can't be read.
+	// loadTimeout is how long a start retries to read a file that can't be read.
 	loadTimeout    = 4 * time.Second
 	loadRetryPause = 50 * time.Millisecond
-	// backgroundLoadPause is the pause between two attempts once the node serves without the file.
+	// backgroundLoadPause is the pause between two attempts to read the file while the node serves without it.
 	backgroundLoadPause = 500 * time.Millisecond
 )
 
 var (
-	errStateUnread = errors.New("its former content could not be read yet")
-	errSavePending = errors.New("writing takes long")
+	errStateUnread = errors.New("not overwritten, since its previous content could not be read yet")
+	errSavePending = errors.New("write still in progress")
 )
 
-// operatorStateFile keeps the operator state in a file, for the process that follows this one. A goroutine of its own
-// writes, so that a directory that hangs holds up no command, and goes on until the latest state is saved.
+// operatorStateFile saves the operator state in a file, for the next process of this node. A separate goroutine writes,
+// so that a file system that hangs does not block commands, and retries until the latest state is saved.
 type operatorStateFile struct {
 	path string
 	log  *zap.Logger
 
 	mu        sync.Mutex
 	latest    operatorState
-	requested uint64        // counts the states that were to be saved
-	saved     uint64        // the number of the last one that is
-	writable  bool          // its former content is known, so that it may be overwritten
-	writing   bool          // runWriter runs
-	changed   chan struct{} // closed, and made anew, when saved changes
-	failure   error         // of the last attempt
+	requested uint64        // the number of the latest state: how many states save was called with
+	saved     uint64        // the number of the last state that was saved
+	writable  bool          // the file's previous content has been read, so it may be overwritten
+	writing   bool          // runWriter is running
+	changed   chan struct{} // closed and replaced when saved changes
+	failure   error         // of the last attempt to write; nil: it succeeded
 }
 
 func newOperatorStateFile(path string, log *zap.Logger) *operatorStateFile {
 	return &operatorStateFile{path: path, log: log, changed: make(chan struct{})}
 }
 
-// load reads the file, trying for loadTimeout, and allows writes if it succeeds.
+// load reads the file, with retries for loadTimeout, and allows writes if it succeeds.
 func (o *operatorStateFile) load() (operatorState, error) {
 	deadline := time.Now().Add(loadTimeout)
 	for {
@@ -67,19 +68,21 @@
 	}
 }
 
-// read reads the file once. A corrupt one is logged, and read as empty.
+// read reads the file once. A corrupt file is logged, and its state is returned as empty.
 func (o *operatorStateFile) read() (operatorState, error) {
 	var state operatorState
 	err := handover.Load(o.path, &state)
 	var corrupt *handover.CorruptError
 	if errors.As(err, &corrupt) {
-		o.log.Error("operator state corrupt", zap.Error(err), zap.String("advice", "repeat the bans that are to hold"))
+		o.log.Error("operator state corrupt", zap.Error(err),
+			zap.String("advice", "repeat the bans that should stay in force"))
 		return operatorState{}, nil
 	}
 	return state, err
 }
 
-// allowWrites allows the file to be overwritten: its former content is known, here or to another process.
+// allowWrites allows the file to be overwritten. It is called when this process or its predecessor has read the
+// previous content.
 func (o *operatorStateFile) allowWrites() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -87,7 +90,7 @@
 	o.startWriter()
 }
 
-// save has a state written, without waiting for that, and returns its number.
+// save requests that a state be written, and returns its number. It does not wait for the write.
 func (o *operatorStateFile) save(state operatorState) (number uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -97,8 +100,8 @@
 	return o.requested
 }
 
-// waitSaved waits until the state of a number, or a later one, is saved. After the context's end it returns why
-// that has failed so far.
+// waitSaved waits until the state with this number, or a later one, is saved. If the context ends first, it returns why
+// the state is not saved yet.
 func (o *operatorStateFile) waitSaved(ctx context.Context, number uint64) error {
 	for {
 		changed, err := o.pendingSave(number)
@@ -116,8 +119,8 @@
 	}
 }
 
-// pendingSave returns why a state is not saved yet, and a channel that is closed at the next save; nil if it is
-// saved.
+// pendingSave returns why a state is not saved yet, and a channel that is closed at the next save. Both are nil if the
+// state is saved.
 func (o *operatorStateFile) pendingSave(number uint64) (<-chan struct{}, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -133,8 +136,8 @@
 	}
 }
 
-// startWriter starts runWriter, unless it runs, or there is nothing to write, or writes are not allowed yet. The
-// lock is held.
+// startWriter starts runWriter, unless it is running, nothing has to be written, or writes are not allowed yet. The
+// caller holds mu.
 func (o *operatorStateFile) startWriter() {
 	if o.writing || !o.writable || o.saved == o.requested {
 		return
@@ -143,8 +146,8 @@
 	go o.runWriter()
 }
 
-// runWriter writes the latest state until it is saved. Nothing waits for it at the process's end: a write to a
-// directory that hangs may never return.
+// runWriter writes the latest state, and retries until it is saved. The process does not wait for it when it exits: a
+// write to a file system that hangs may never return.
 func (o *operatorStateFile) runWriter() {
 	backoff := minSaveBackoff
 	for {
@@ -161,7 +164,7 @@
 	}
 }
 
-// nextWrite returns the state to write and its number. If none is pending runWriter has to end.
+// nextWrite returns the state to write and its number. If pending is false, runWriter has to return.
 func (o *operatorStateFile) nextWrite() (state operatorState, number uint64, pending bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -172,7 +175,8 @@
 	return o.latest, o.requested, true
 }
 
-// finishWrite notes how an attempt to write has ended. It logs the first failure, and the first success after one.
+// finishWrite records the result of an attempt to write. It logs the first of several failures, and the first success
+// after a failure.
 func (o *operatorStateFile) finishWrite(number uint64, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -181,7 +185,7 @@
 	if err != nil {
 		if !failedBefore {
 			o.log.Error("operator state not saved", zap.Error(err),
-				zap.String("advice", "make room in the folder of this file, or mend it"))
+				zap.String("advice", "free space in the directory of this file, or repair the directory"))
 		}
 		return
 	}
--- a/cmd/robincart/platform.go
+++ b/cmd/robincart/platform.go
@@ -15,7 +15,7 @@
 	"robincart/internal/dataplane/upstream"
 )
 
-// runPlatform runs the node as the platform starts it: one service, by the configuration that EDGE_CONFIG names.
+// runPlatform runs the node as the platform starts it: one service, with the configuration that EDGE_CONFIG names.
 func runPlatform(caught signals) error {
 	config, err := readAtStart(func() (*platformConfig, error) { return readPlatformConfig(os.Getenv) })
 	if err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// platformBackend is the platform's one service.
+// platformBackend serves requests with the platform's one service.
 type platformBackend struct {
 	process    *process
 	config     *platformConfig // in force
@@ -52,11 +52,11 @@
 	commands   *commandHandler
 	succession *succession
 	closeAdmin func()
-	cancel     context.CancelFunc // of goroutines
+	cancel     context.CancelFunc // ends the goroutines
 	goroutines sync.WaitGroup
 }
 
-// startPlatformBackend starts the service, and takes over from a process of this node that serves now.
+// startPlatformBackend starts the service, and takes over from the node's present process if there is one.
 func startPlatformBackend(p *process, config *platformConfig, listener *clientListener) (*platformBackend, error) {
 	l := config.limits
 	b := &platformBackend{process: p, config: config}
@@ -81,7 +81,8 @@
 	}
 	b.succession.start(ctx, os.Getenv("TMPDIR"), config.Name+" "+config.Listen)
 	if b.succession.predecessor != nil {
-		// The core spreads its first poll, for fleets that start together. This process starts alone.
+		// The core delays its first poll at random, since the nodes of a fleet may start at the same time. A successor
+		// starts alone and needs no delay.
 		b.watcher.RequestWatch()
 	}
 	var err error
@@ -106,8 +107,8 @@
 	return err
 }
 
-// applySettings puts a configuration's settings in force. Clients learn of them later, so what the former settings
-// allowed is allowed for RemovedMethodGrace.
+// applySettings applies a configuration's settings. Clients learn of a change later than the node, so requests that the
+// previous settings allowed stay allowed for RemovedMethodGrace.
 func (p *platformBackend) applySettings(config *platformConfig) {
 	grace := config.limits.RemovedMethodGrace
 	inForce := p.settings.update(config.node, grace)
--- a/cmd/robincart/platformconfig.go
+++ b/cmd/robincart/platformconfig.go
@@ -20,7 +20,7 @@
 	"robincart/internal/resources/limits"
 )
 
-// platformConfig is the platform's configuration of a node.
+// platformConfig is a node's configuration as the platform writes it.
 type platformConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -31,20 +31,20 @@
 	Known     json.RawMessage `json:"known"` // the endpoint list to start with
 	Settings  json.RawMessage `json:"settings"`
 
-	text          []byte // the file
-	fileDiscovery string // discovery as the file has it, without EDGE_DISCOVERY
+	text          []byte // the file's content
+	fileDiscovery string // the file's discovery address, not overridden by EDGE_DISCOVERY
 	node          *settings.Instance
 	list          *endpoints.List
 	limits        limits.Limits
 }
 
-// readPlatformConfig reads the file that EDGE_CONFIG names. Other variables override keys of it, so that a node can
-// be moved without a new file.
+// readPlatformConfig reads the file that EDGE_CONFIG names. Other environment variables override some of its keys, so
+// that a node can get other addresses without a new file.
 func readPlatformConfig(getenv func(string) string) (*platformConfig, error) {
 	maxDescriptors := descriptorLimit()
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
-		return nil, errors.New("EDGE_CONFIG is not set: it names the configuration file")
+		return nil, errors.New("EDGE_CONFIG is not set: expected the path of the configuration file")
 	}
 	text, err := readWithSpare(func() ([]byte, error) { return os.ReadFile(path) })
 	if err != nil {
@@ -63,7 +63,7 @@
 	return config, nil
 }
 
-// override takes what the environment has in place of the file's keys.
+// override replaces values of the file by those of environment variables that are set.
 func (p *platformConfig) override(getenv func(string) string) {
 	for name, field := range map[string]*string{
 		"EDGE_NAME":       &p.Name,
@@ -77,7 +77,7 @@
 	}
 }
 
-// compile checks the keys and derives from them what the node works with.
+// compile validates the values and derives the settings, the endpoint list and the limits from them.
 func (p *platformConfig) compile() error {
 	if err := p.checkAddresses(); err != nil {
 		return err
@@ -122,14 +122,15 @@
 	return nil
 }
 
-// addressSetter is an endpoint watcher, which can be moved to another discovery.
+// addressSetter is implemented by the endpoint watcher, whose discovery address can be changed.
 type addressSetter interface{ SetAddress(addr string) }
 
 // reload reads the file again and returns the configuration in force.
 //
-// Discovery's address and the settings are taken over; everything else needs a restart. The file's address goes
-// before EDGE_DISCOVERY, which is as old as the process. A file that is wrong, or lacks a key that the one in force
-// has, changes nothing. An unreadableError means that the file can't be read for now and has to be read again.
+// The discovery address and the settings take effect; all other changes need a restart. A discovery address that has
+// changed in the file takes precedence over EDGE_DISCOVERY, which is older: it dates from the start of the process. A
+// file that is invalid, or lacks a key that the configuration in force has, changes nothing. An unreadableError means
+// that the file can't be read at present and the reload has to be retried.
 func (p *platformConfig) reload(getenv func(string) string, watcher addressSetter, applySettings func(*platformConfig),
 	log *zap.Logger) (*platformConfig, error) {
 	next, err := p.readNext(getenv)
@@ -158,13 +159,13 @@
 	return &inForce, nil
 }
 
-// readNext reads the file again and checks that it may follow this configuration.
+// readNext reads the file again, and checks that it is valid and has all keys of this configuration.
 func (p *platformConfig) readNext(getenv func(string) string) (*platformConfig, error) {
 	next, err := readPlatformConfig(getenv)
 	if err != nil {
 		return nil, err
 	}
-	if next.fileDiscovery != p.fileDiscovery { // compile has checked EDGE_DISCOVERY in its place
+	if next.fileDiscovery != p.fileDiscovery { // if EDGE_DISCOVERY is set, compile has checked only that
 		if _, _, err := net.SplitHostPort(next.fileDiscovery); err != nil {
 			return nil, fmt.Errorf("discovery: %w", err)
 		}
@@ -172,7 +173,7 @@
 	return next, settings.CheckComplete(p.text, next.text, "known")
 }
 
-// keysNeedingRestart returns the keys that differ in the next configuration and can't be reloaded.
+// keysNeedingRestart returns the keys whose values differ in the next configuration and take effect only at a restart.
 func (p *platformConfig) keysNeedingRestart(next *platformConfig) []string {
 	var keys []string
 	for key, same := range map[string]bool{
@@ -193,13 +194,13 @@
 	return keys
 }
 
-// logRejectedConfiguration logs that a new configuration changes nothing, with each of its errors.
+// logRejectedConfiguration logs that a new configuration was rejected, with each of its errors.
 func logRejectedConfiguration(log *zap.Logger, err error) {
 	log.Error("configuration rejected", zap.Strings("errors", strings.Split(err.Error(), "\n")))
 }
 
-// seed returns the seed of the node's random numbers. The name is part of it: two nodes that were given one seed
-// must not choose alike.
+// seed returns the seed of the node's random numbers. It includes the node's name: two nodes that are configured with
+// the same seed must not make the same choices.
 func (p *platformConfig) seed() int64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(p.Name))
--- a/cmd/robincart/predecessor.go
+++ b/cmd/robincart/predecessor.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// predecessorTimeout bounds connecting to the predecessor, with all attempts.
+	// predecessorTimeout is the total time for all attempts to connect to the predecessor.
 	predecessorTimeout    = 500 * time.Millisecond
 	predecessorRetryPause = 20 * time.Millisecond
-	// stateTimeout bounds receiving the predecessor's state.
+	// stateTimeout is the time for receiving the predecessor's state.
 	stateTimeout = time.Second
 )
 
-// versionError reports a predecessor whose state this version of the program does not understand.
+// versionError reports a predecessor whose handover state has a version that this program can't read.
 type versionError struct{ theirs int }
 
 func (v *versionError) Error() string {
-	return fmt.Sprintf("it speaks version %d of the state, and this process version %d", v.theirs, handoverVersion)
+	return fmt.Sprintf("predecessor sent handover state version %d, expected version %d", v.theirs, handoverVersion)
 }
 
-// connectToPredecessor asks the process that serves now for its state. That there is none is no error. One that
-// hangs up is asked again: it may not have noticed yet that another successor has died.
+// connectToPredecessor requests the state of the process that serves at present. It is not an error if there is no such
+// process. If the process closes the connection, the request is retried: it may not have noticed yet that an earlier
+// successor has died.
 func (s *succession) connectToPredecessor() (handoverState, error) {
 	deadline := time.Now().Add(predecessorTimeout)
 	var lastErr error
 	for {
 		link, err := handover.Dial(s.path, predecessorTimeout)
 		if err != nil {
-			return handoverState{}, lastErr // there is none, or no longer
+			return handoverState{}, lastErr // there is no predecessor, or it has ended
 		}
 		state, err := receiveState(link)
 		if err == nil {
@@ -63,7 +64,7 @@
 	return state, nil
 }
 
-// takeOver goes on with the predecessor's state.
+// takeOver applies the predecessor's state to this process.
 func (s *succession) takeOver(ctx context.Context, state handoverState) {
 	s.predecessorDescriptors = s.budget.Lend(state.Descriptors + processDescriptors)
 	s.frontend.SetRequestIDSeed(state.RequestIDSeed)
@@ -88,16 +89,16 @@
 	}
 }
 
-// predecessorPeer handles what the predecessor sends.
+// predecessorPeer handles the messages from the predecessor.
 type predecessorPeer struct{ *succession }
 
-// SuccessorReady is not the predecessor's to send.
+// SuccessorReady does nothing: a predecessor does not send this message.
 func (p predecessorPeer) SuccessorReady() {}
 
-// RequestIDs makes requests known that began at the predecessor.
+// RequestIDs imports the IDs of requests that the predecessor received.
 func (p predecessorPeer) RequestIDs(encoded []byte) { p.frontend.ImportRequestIDs(encoded) }
 
-// Connection adopts a client's connection.
+// Connection adopts a client connection that the predecessor transfers.
 func (p predecessorPeer) Connection(conn net.Conn, hadRequest bool) {
 	if p.predecessorDescriptors > 0 {
 		p.predecessorDescriptors--
@@ -106,12 +107,12 @@
 	p.frontend.Adopt(conn, hadRequest)
 }
 
-// Command executes an operator command that the predecessor was given.
+// Command executes an operator command that the predecessor relays.
 func (p predecessorPeer) Command(command handover.Command) {
 	p.commands.execute(command, p.predecessor)
 }
 
-// Disconnected uses all of the node's memory and descriptors: the predecessor has ended.
+// Disconnected takes the predecessor's share of the node's memory and descriptors: the predecessor has ended.
 func (p predecessorPeer) Disconnected(error) {
 	p.commands.removeLink(p.predecessor)
 	for ; p.predecessorDescriptors > 0; p.predecessorDescriptors-- {
--- a/cmd/robincart/process.go
+++ b/cmd/robincart/process.go
@@ -18,8 +18,8 @@
 	"robincart/internal/system/telemetry"
 )
 
-// gcPercent is the garbage collector's target. Few objects live long here, and a higher one would let memory grow for
-// minutes before the first collection.
+// gcPercent is the garbage collector's target percentage (GOGC). Few objects live long here; with a higher percentage
+// memory would grow for minutes before the first collection.
 const gcPercent = 100
 
 // clock is the machine's monotonic clock, as the time since the process started.
@@ -28,9 +28,9 @@
 func (c clock) Now() time.Duration                  { return time.Since(c.start) }
 func (c clock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
-// process is what both ways of starting a node share.
+// process has the parts of a node that do not depend on how it is started.
 type process struct {
-	limits    limits.Limits // those in force: a reload may change them
+	limits    limits.Limits // in force; a reload may change them
 	log       *zap.Logger
 	clock     clock
 	budget    *limits.Budget
@@ -39,7 +39,7 @@
 	frontend  *frontend.Server
 }
 
-// newProcess sets the Go runtime to the limits, and makes the front end with all that it needs.
+// newProcess applies the limits to the Go runtime, and creates the front end and its dependencies.
 func newProcess(name string, l limits.Limits, log *zap.Logger) (*process, error) {
 	runtime.GOMAXPROCS(l.Cores)
 	debug.SetMemoryLimit(l.MemoryLimit)
@@ -62,11 +62,12 @@
 
 func (p *process) close() { p.poller.Close() }
 
-// backend is what the front end serves requests with: the platform's one service, or those of a configuration file.
+// backend is the set of services that the front end serves requests with: the platform's one service, or the services
+// of a configuration file.
 type backend interface {
 	// started is called once clients are accepted.
 	started()
-	// reload reads the configuration again and applies it. An unreadableError means that it has to be tried again.
+	// reload reads the configuration again and applies it. An unreadableError means that the reload has to be retried.
 	reload() error
 	// recordChanges receives a value when services, routes or tenants of the record have changed; nil if there is no
 	// record.
@@ -75,13 +76,14 @@
 	applyRecord()
 	// inFlight returns the number of requests without a response.
 	inFlight() int
-	// prepareShutdown reports whether a successor accepts the clients. From then on this process never will again.
+	// prepareShutdown reports whether a successor accepts the clients. After the call this process does not resume
+	// accepting them.
 	prepareShutdown() (handedOver bool)
-	// close releases it, after the last response.
+	// close releases the backend's resources. It is called after the last response.
 	close()
 }
 
-// run serves until the process is signalled to stop, and shuts down gracefully.
+// run serves clients until the process is signalled to stop, and then shuts down gracefully.
 func (p *process) run(listeners []net.Listener, b backend, caught signals) {
 	for _, listener := range listeners {
 		p.frontend.Serve(listener)
@@ -91,7 +93,7 @@
 	p.shutDown(b)
 }
 
-// handleEvents handles signals and changes of the record, until the signal to stop.
+// handleEvents handles signals and changes of the record until the process is signalled to stop.
 func (p *process) handleEvents(b backend, caught signals) {
 	retry := reloadRetry{log: p.log}
 	for {
@@ -117,7 +119,7 @@
 	defer cancel()
 	p.log.Info("stopping", zap.Int("open", b.inFlight()))
 	if !b.prepareShutdown() {
-		// The platform goes on sending clients here for a while.
+		// The platform keeps sending clients here for up to ShutdownAcceptTime.
 		p.frontend.BeginShutdown()
 		time.Sleep(p.limits.ShutdownAcceptTime)
 	}
--- a/cmd/robincart/record.go
+++ b/cmd/robincart/record.go
@@ -17,7 +17,7 @@
 	"robincart/internal/system/socket"
 )
 
-// configurationKinds are the kinds of entries that go over the configuration file.
+// configurationKinds are the kinds of record entries that override the configuration file.
 var configurationKinds = []record.Kind{record.KindService, record.KindRoute, record.KindTenant}
 
 // openRecord opens the cache of the record, if the configuration has one, and serves its status page.
@@ -48,7 +48,7 @@
 
 func (f *fileBackend) recordCacheConfig() recordcache.Config {
 	config := f.config.Record
-	ring, log := f.services.Keys, f.process.log // the cache opens the store from a goroutine of its own
+	ring, log := f.services.Keys, f.process.log // copied here, since Open is called from another goroutine
 	return recordcache.Config{
 		Name:         f.config.Name,
 		Store:        store.Redact(config.Store),
@@ -62,8 +62,8 @@
 	}
 }
 
-// openStore opens the store of record: by the controllers, which takes neither a driver nor another program, or
-// else by the program that has the drivers.
+// openStore opens the store of record. If the address names controllers, it connects to them, which needs neither a
+// database driver nor another program. Otherwise it starts the store program, which has the drivers.
 func openStore(address string, ring *keys.Ring, log *zap.Logger) (store.Store, error) {
 	addresses, byControllers, _ := store.ParseControllers(address)
 	if !byControllers {
@@ -102,8 +102,8 @@
 	f.apply()
 }
 
-// withRecord returns the configuration file with the record over it. If that can't be compiled it is
-// logged, and the configuration in force is returned.
+// withRecord returns the configuration file overridden by the record's entries. If the result is invalid it logs the
+// errors and returns the configuration in force.
 func (f *fileBackend) withRecord() *nodeconfig.Config {
 	if f.record == nil {
 		return f.fileConfig
--- a/cmd/robincart/routescommand.go
+++ b/cmd/robincart/routescommand.go
@@ -13,18 +13,18 @@
 	"robincart/internal/protocol/httpwire"
 )
 
-// requestFlags are the flags of a request whose route is looked up.
+// requestFlags are the flags that describe the request whose route is looked up.
 type requestFlags struct {
 	target, host, class, tenant, traceID, idempotencyKey string
 	headers                                              []string
 }
 
-// routesCommand prints which service a request goes to, or all routes.
+// routesCommand prints the service that a request is routed to, or all routes.
 func routesCommand() *cobra.Command {
 	var flags requestFlags
 	command := &cobra.Command{
 		Use:   "routes FILE",
-		Short: "Tell which service a request goes to, and why; without a request, list the routes",
+		Short: "Print the service of a request and the route that selects it; without a request, list all routes",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			config, err := nodeconfig.Read(arguments[0], 0)
@@ -45,12 +45,13 @@
 	}
 	set := command.Flags()
 	set.StringVar(&flags.target, "path", "", "the request's path")
-	set.StringVar(&flags.host, "host", "", "its Host")
-	set.StringVar(&flags.class, "class", "", "its class ("+httpwire.HeaderMethod+")")
-	set.StringVar(&flags.tenant, "tenant", "", "its tenant ("+httpwire.HeaderTenant+")")
-	set.StringVar(&flags.traceID, "trace", "", "its id ("+httpwire.HeaderTraceID+")")
-	set.StringVar(&flags.idempotencyKey, "mark", "", "its mark ("+httpwire.HeaderIdempotencyKey+")")
-	set.StringArrayVar(&flags.headers, "header", nil, "a header, \"Name: value\"; may stand several times")
+	set.StringVar(&flags.host, "host", "", "the request's host")
+	set.StringVar(&flags.class, "class", "", "the request's class ("+httpwire.HeaderMethod+")")
+	set.StringVar(&flags.tenant, "tenant", "", "the request's tenant ("+httpwire.HeaderTenant+")")
+	set.StringVar(&flags.traceID, "trace", "", "the request's ID ("+httpwire.HeaderTraceID+")")
+	set.StringVar(&flags.idempotencyKey, "mark", "",
+		"the request's idempotency key ("+httpwire.HeaderIdempotencyKey+")")
+	set.StringArrayVar(&flags.headers, "header", nil, "a header of the request, \"Name: value\"; may be repeated")
 	return command
 }
 
@@ -72,7 +73,7 @@
 	for _, header := range r.headers {
 		name, value, ok := strings.Cut(header, ":")
 		if !ok {
-			return nil, fmt.Errorf("--header %q is no \"Name: value\"", header)
+			return nil, fmt.Errorf("--header %q: expected \"Name: value\"", header)
 		}
 		request.Header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 	}
@@ -85,7 +86,8 @@
 	}
 }
 
-// printRoute prints the service that a request goes to, its route, and the routes that match too and come later.
+// printRoute prints the service that a request is routed to, its route, and the other routes that match the request,
+// which have a lower precedence.
 func printRoute(w io.Writer, config *nodeconfig.Config, request *httpwire.Request) {
 	routed, err := services.RouteRequest(request)
 	if err != nil {
--- a/cmd/robincart/settingstransition.go
+++ b/cmd/robincart/settingstransition.go
@@ -9,8 +9,8 @@
 	"robincart/internal/protocol/settings"
 )
 
-// settingsTransition puts one version of the settings in force after another. Clients learn of a change later than
-// the node, so each version that was in force binds beside the new one for a while, however many there are by then.
+// settingsTransition applies changes of the settings. Clients learn of a change later than the node, so a request must
+// satisfy the current settings and every earlier version that was in force within the grace period.
 type settingsTransition struct {
 	core *node.Core
 	now  func() time.Time
@@ -20,14 +20,14 @@
 	previous []previousSettings
 }
 
-// previousSettings are settings that some clients still go by.
+// previousSettings are replaced settings that some clients may still use, until a time.
 type previousSettings struct {
 	*settings.Instance
 	until time.Time
 }
 
-// update puts settings in force, with those before them for the grace, and returns the core's settings, in which
-// every name has its slot.
+// update applies new settings, combined with the previous ones for the grace period. It returns the core's settings, in
+// which every name has its slot.
 func (s *settingsTransition) update(next *settings.Instance, grace time.Duration) *settings.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,7 +41,7 @@
 	return s.apply()
 }
 
-// apply puts in force what binds now. The lock is held.
+// apply applies the current settings combined with the earlier ones whose grace period lasts. The caller holds mu.
 func (s *settingsTransition) apply() *settings.Instance {
 	now := s.now()
 	s.previous = slices.DeleteFunc(s.previous, func(p previousSettings) bool { return !now.Before(p.until) })
--- a/cmd/robincart/storeprogram.go
+++ b/cmd/robincart/storeprogram.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	// storeProgramName is the program that has the databases' drivers, which would cost every node 4 MB. It is
-	// beside this one.
+	// storeProgramName is the name of the program that has the database drivers, in this program's directory. Linked
+	// into this program, the drivers would cost every node 4 MB.
 	storeProgramName = "robincart-record"
-	// storeStartTimeout is how long opening the store waits for the program's first start.
+	// storeStartTimeout is how long opening the store waits until the program listens after its first start.
 	storeStartTimeout = 5 * time.Second
-	// storeDialAttempts and storeDialPause bound the wait for the program's socket.
+	// storeDialAttempts and storeDialPause limit the wait for the program's socket, to 4 s.
 	storeDialAttempts = 400
 	storeDialPause    = 10 * time.Millisecond
-	// minRestartPause and maxRestartPause bound the pause before the program is started again.
+	// minRestartPause and maxRestartPause are the bounds of the random pause before the program is restarted.
 	minRestartPause = 200 * time.Millisecond
 	maxRestartPause = 1000 * time.Millisecond
-	// maxStderrBytes is how much of the program's last output is logged.
+	// maxStderrBytes is how many of the last bytes of the program's standard error are logged.
 	maxStderrBytes = 500
 )
 
-// findStoreProgram returns the path of the store's program, or an error if there is none. ROBINCART_RECORD
-// overrides it.
+// findStoreProgram returns the path of the store program: ROBINCART_RECORD if it is set, or else storeProgramName in
+// this program's directory. It is an error if the file does not exist.
 func findStoreProgram() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -46,12 +46,13 @@
 		path = override
 	}
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("the store of record needs the program %s beside this one: %w", storeProgramName, err)
+		return "", fmt.Errorf("store program %s: expected in this program's directory, or at the path in "+
+			"ROBINCART_RECORD: %w", storeProgramName, err)
 	}
 	return path, nil
 }
 
-// storeProgram is a store that is reached by the store's program, which runs as long as the store is open.
+// storeProgram is a store that is accessed through the store program, which runs as long as the store is open.
 type storeProgram struct {
 	store.Store
 	path       string // of the program
@@ -62,10 +63,10 @@
 	supervisor sync.WaitGroup
 
 	firstStart sync.Once
-	started    chan struct{} // closed when the program answers, or has failed to start
+	started    chan struct{} // closed when the program listens, or has failed to start
 }
 
-// startStoreProgram starts the program, and again whenever it ends, until the store is closed.
+// startStoreProgram starts the program, and restarts it whenever it ends, until the store is closed.
 func startStoreProgram(address string, log *zap.Logger) (store.Store, error) {
 	path, err := findStoreProgram()
 	if err != nil {
@@ -101,7 +102,7 @@
 	for ctx.Err() == nil {
 		var stderr tailBuffer
 		err := s.run(ctx, &stderr)
-		s.firstStart.Do(func() { close(s.started) }) // it has failed to start: calls to the store will say so
+		s.firstStart.Do(func() { close(s.started) }) // if it failed to start, calls to the store return the error
 		if ctx.Err() != nil {
 			return
 		}
@@ -113,13 +114,13 @@
 	}
 }
 
-// run starts the program and waits for its end.
+// run starts the program and waits until it ends.
 func (s *storeProgram) run(ctx context.Context, stderr *tailBuffer) error {
 	program := exec.CommandContext(ctx, s.path, "serve", "--socket", s.socket())
 	program.Env = append(os.Environ(), "ROBINCART_STORE="+s.address)
 	program.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	program.Stderr = stderr
-	stdin, err := program.StdinPipe() // its end tells the program that this process has ended
+	stdin, err := program.StdinPipe() // the end of its input tells the program that this process has ended
 	if err != nil {
 		return err
 	}
@@ -148,7 +149,7 @@
 	}
 }
 
-// tailBuffer keeps the last of what is written to it.
+// tailBuffer keeps the last maxStderrBytes bytes that are written to it.
 type tailBuffer struct {
 	mu   sync.Mutex
 	text []byte
--- a/cmd/robincart/succession.go
+++ b/cmd/robincart/succession.go
@@ -19,29 +19,29 @@
 // handoverVersion is the version of handoverState. It is increased when the meaning of a field changes.
 const handoverVersion = 2
 
-// handoverState is what a process hands to its successor.
+// handoverState is the state that a process sends to its successor.
 type handoverState struct {
-	Version         int             `json:"Form"` // one of another version is not used
+	Version         int             `json:"Form"` // a state of another version is not used
 	Operators       operatorState   `json:"Said"`
 	OperatorsUnread bool            `json:"Unread"` // the saved operator state could not be read yet
 	Endpoints       []node.Endpoint `json:"Servers"`
-	KnownServers    []string        `json:"Listed"` // the IDs that were ever in the endpoint list
-	Descriptors     int             `json:"Held"`   // in use
+	KnownServers    []string        `json:"Listed"` // IDs of all servers that were ever in the endpoint list
+	Descriptors     int             `json:"Held"`   // how many are in use
 	RequestIDSeed   uint64          `json:"Seed"`
-	ListClock       time.Time       `json:"ListTime"` // of the endpoint list's source; zero: not known
+	ListClock       time.Time       `json:"ListTime"` // time by the clock of the endpoint list's source; zero: unknown
 }
 
 const (
 	// listenRetryPause is the pause between two attempts to listen for a successor.
 	listenRetryPause = 200 * time.Millisecond
-	// processDescriptors is how many descriptors a process has beside those that its budget counts.
+	// processDescriptors is how many descriptors a process has in addition to those that its budget counts.
 	processDescriptors = 24
-	// operatorStateSuffix makes the operator state's file from the socket's path.
+	// operatorStateSuffix is appended to the socket's path to form the path of the operator state file.
 	operatorStateSuffix = ".said"
 )
 
-// succession is this process's part in the succession of the node's processes. It takes over from the predecessor
-// (predecessor.go), and lets a successor take over from this process (successor.go).
+// succession manages the handover between the successive processes of a node. It takes over from the predecessor
+// (predecessor.go), and hands over to a successor (successor.go).
 type succession struct {
 	log      *zap.Logger
 	commands *commandHandler
@@ -51,24 +51,24 @@
 	budget   *limits.Budget
 	limits   limits.Limits
 	clients  *clientListener
-	path     string // of the socket on which a process is reached by its successor
+	path     string // of the socket that a successor connects to
 
 	predecessor            *handover.Link // nil: there is none
-	predecessorDescriptors int            // that the predecessor still uses, and this process's budget counts
+	predecessorDescriptors int            // how many the predecessor still uses; this process's budget counts them
 
 	mu         sync.Mutex
 	listener   *net.UnixListener // for a successor
 	successor  *handover.Link    // nil: none has connected
 	handedOver bool              // the successor accepts clients, and this process does not
-	stopping   bool              // this process ends: it accepts neither clients nor a successor again
+	stopping   bool              // this process is shutting down: it accepts no more clients or successors
 	goroutines sync.WaitGroup
 }
 
-// start takes over from a process of this node that serves now, and lets this one be succeeded. The directory is the
-// node's own.
+// start takes over from the node's present process if there is one, and listens for a successor. The directory belongs
+// to this node alone.
 //
-// Without a directory nothing outlives this process. Without a listener that outlives it there is no succession,
-// but the operator state is saved.
+// If the directory is empty, no state outlives this process. If the client listener is not inherited, there is no
+// handover, but the operator state is saved.
 func (s *succession) start(ctx context.Context, directory, name string) {
 	if directory == "" {
 		return
@@ -95,7 +95,7 @@
 	}
 }
 
-// listen lets a successor reach this process.
+// listen opens the socket for a successor, and accepts successors on it.
 func (s *succession) listen() error {
 	listener, err := handover.Listen(s.path)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// retryListen tries to listen until that succeeds or the process stops, since a directory may fail for a while.
+// retryListen retries listen until it succeeds or the process stops: the directory may be unusable for some time.
 func (s *succession) retryListen() {
 	for {
 		time.Sleep(listenRetryPause)
@@ -131,14 +131,14 @@
 	return s.stopping
 }
 
-// shareMemory divides the node's memory among the processes that it has now.
+// shareMemory limits this process to an equal share of the node's memory, for a number of processes.
 func (s *succession) shareMemory(processes int64) {
 	debug.SetMemoryLimit(s.limits.MemoryLimit / processes)
 	s.budget.Memory().Resize(s.limits.BodyMemory / processes)
 }
 
-// stop notes that this process ends, and reports whether a successor accepts the clients. From then on this process
-// does not accept any again.
+// stop marks this process as shutting down, and reports whether a successor accepts the clients. After the call this
+// process does not resume accepting them.
 func (s *succession) stop() (handedOver bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +146,7 @@
 	return s.handedOver
 }
 
-// close ends the links and waits for the goroutines.
+// close closes the links and waits for the goroutines.
 func (s *succession) close() {
 	s.mu.Lock()
 	s.stopping = true
--- a/cmd/robincart/successor.go
+++ b/cmd/robincart/successor.go
@@ -8,7 +8,7 @@
 	"robincart/internal/handover"
 )
 
-// acceptSuccessors accepts successors until the listener is closed, one at a time.
+// acceptSuccessors accepts one successor at a time, until the listener is closed.
 func (s *succession) acceptSuccessors(listener *net.UnixListener) {
 	for {
 		conn, err := listener.AcceptUnix()
@@ -28,7 +28,8 @@
 	}
 }
 
-// setSuccessor makes a link that to the successor, unless there is another one, or this process ends.
+// setSuccessor sets the link to the successor. It returns false if there is a successor already, or this process is
+// shutting down.
 func (s *succession) setSuccessor(link *handover.Link) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +40,7 @@
 	return true
 }
 
-// state returns what is handed to a successor.
+// state returns the state to send to a successor.
 func (s *succession) state() handoverState {
 	return handoverState{
 		Version:         handoverVersion,
@@ -53,13 +54,13 @@
 	}
 }
 
-// successorPeer handles what a successor sends.
+// successorPeer handles the messages from a successor.
 type successorPeer struct {
 	*succession
 	link *handover.Link
 }
 
-// SuccessorReady hands the clients over: this process closes the listener, and connections are transferred between
+// SuccessorReady hands the clients over: this process closes the listener, and transfers each connection between two
 // requests.
 func (s successorPeer) SuccessorReady() {
 	s.mu.Lock()
@@ -68,7 +69,8 @@
 	s.commands.accepting.Store(false)
 	s.log.Info("handing over to successor")
 	s.clients.current().Close()
-	// From now on requests begin here only on connections that are in use, and these have one by then.
+	// From now on a request can begin here only on a connection that is in use, and each of these has a request in
+	// flight already.
 	if err := s.link.SendRequestIDs(s.frontend.ExportRequestIDs()); err != nil {
 		s.log.Warn("request IDs not sent to successor", zap.Error(err))
 	}
@@ -77,24 +79,24 @@
 	s.shareMemory(2)
 }
 
-// closeIdleServerConnections frees descriptors, which count against the successor's.
+// closeIdleServerConnections frees descriptors, which the successor's budget counts.
 func (s successorPeer) closeIdleServerConnections() {
 	for s.pool.EvictIdle() {
 		continue
 	}
 }
 
-// Connection closes what is not a successor's to send.
+// Connection closes the connection: a successor does not transfer any.
 func (s successorPeer) Connection(conn net.Conn, _ bool) { conn.Close() }
 
-// RequestIDs are not a successor's to send.
+// RequestIDs does nothing: a successor does not send this message.
 func (s successorPeer) RequestIDs([]byte) {}
 
-// Command executes an operator command that the successor was given.
+// Command executes an operator command that the successor relays.
 func (s successorPeer) Command(command handover.Command) { s.commands.execute(command, s.link) }
 
-// Disconnected accepts clients again if the successor has died and this process is not to end: no other process
-// would.
+// Disconnected accepts clients again if the successor has died after the handover, unless this process is shutting
+// down: no other process would accept them.
 func (s successorPeer) Disconnected(err error) {
 	s.commands.removeLink(s.link)
 	s.mu.Lock()
@@ -102,12 +104,12 @@
 	s.successor, s.handedOver = nil, false
 	s.mu.Unlock()
 	if resume {
-		s.log.Error("successor lost", zap.Error(err), zap.String("effect", "clients are accepted here again"))
+		s.log.Error("successor lost", zap.Error(err), zap.String("effect", "this process accepts clients again"))
 		s.resume()
 	}
 }
 
-// resume accepts clients, and successors, again.
+// resume accepts clients and successors again.
 func (s *succession) resume() {
 	s.shareMemory(1)
 	s.frontend.TransferTo(nil)
@@ -120,7 +122,7 @@
 	s.commands.accepting.Store(true)
 }
 
-// replaceListener takes the socket's path back from a successor that has died.
+// replaceListener listens again on the socket's path, which a successor that has died had taken over.
 func (s *succession) replaceListener() {
 	listener, err := handover.Listen(s.path)
 	if err != nil {
