--- a/cmd/robincart/attempts_test.go
+++ b/cmd/robincart/attempts_test.go
@@ -17,8 +17,8 @@
 	"robincart/internal/lab/wire"
 )
 
-// unconnectableAddress returns an address to which no connection succeeds: the listener's queue is full, and nobody
-// accepts.
+// unconnectableAddress returns an address to which no connection succeeds: the listener's queue is full, and no process
+// accepts from it.
 func unconnectableAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
@@ -34,40 +34,41 @@
 	return ln.Addr().String()
 }
 
-// While a connection is being established its attempt is in flight, and a non-idempotent request has no other.
-// After the connect timeout nothing has been sent, and the request goes to another server, once.
-func TestConnect_NeverSucceedsCostsNoRequest(t *testing.T) {
+// An attempt is in flight while its connection is being established, and a non-idempotent request gets no second
+// attempt during that time. At the connect timeout nothing has been sent, so the request is retried on another server,
+// once.
+func TestConnect_TimeoutLosesNoRequest(t *testing.T) {
 	good := newServer(t, respond(200, "well"))
 	d := newDiscovery(t, newMember("s0", unconnectableAddress(t), "ready"), newMember("s1", good.addr(), "ready"))
 	c := newConfig(t, d, d.members()...)
 	settings := strings.Replace(testSettings, `"ConnectTimeoutMs":2500`, `"ConnectTimeoutMs":300`, 1)
 	c["settings"] = json.RawMessage(settings)
 	p := startTestNode(t, c)
-	asked, waited := 0, false
-	for asked < 200 && !waited {
+	sent, timedOut := 0, false
+	for sent < 200 && !timedOut {
 		r := p.send("charge", "x")
-		asked++
+		sent++
 		if !assert.NoError(t, r.err) || !assert.Equal(t, 200, r.status) {
 			return
 		}
-		waited = r.duration >= 300*time.Millisecond
+		timedOut = r.duration >= 300*time.Millisecond
 	}
-	assert.True(t, waited, "no pick went to where nothing comes up: the test has shown nothing")
-	assert.Equal(t, asked, good.count(), "each was sent once")
+	assert.True(t, timedOut, "no attempt went to the unconnectable server: the test has checked nothing")
+	assert.Equal(t, sent, good.count(), "each request was sent once")
 }
 
-// The first server fails a while after the request arrived: the next one is given the client's remaining time.
+// The first server fails some time after the request arrived: the retry carries the client's remaining time.
 func TestRetry_CarriesRemainingDeadline(t *testing.T) {
 	const pause = 300 * time.Millisecond
 	var mu sync.Mutex
-	came, told := map[string]int{}, map[string][]int{}
+	attempts, remaining := map[string]int{}, map[string][]int{}
 	h := func(c net.Conn, q *wire.Request) bool {
 		left, _ := strconv.Atoi(q.Header.Get("X-Expires-In-Ms"))
 		id := q.Header.Get("X-Trace-Id")
 		mu.Lock()
-		came[id]++
-		told[id] = append(told[id], left)
-		first := came[id] == 1
+		attempts[id]++
+		remaining[id] = append(remaining[id], left)
+		first := attempts[id] == 1
 		mu.Unlock()
 		if first {
 			return delayed(pause, respond(500, ""))(c, q)
@@ -79,9 +80,9 @@
 		id := "further-" + class
 		p.sendWith(class, map[string]string{"book": "x"}[class], map[string]string{"X-Trace-Id": id})
 		mu.Lock()
-		all := told[id]
+		all := remaining[id]
 		mu.Unlock()
-		require.GreaterOrEqual(t, len(all), 2, "%s: no further attempt: the test has shown nothing", class)
+		require.GreaterOrEqual(t, len(all), 2, "%s: no retry: the test has checked nothing", class)
 		assert.LessOrEqual(t, all[0], 3000)
 		for _, left := range all[1:] {
 			assert.LessOrEqual(t, left, int((3*time.Second - pause).Milliseconds()), class)
@@ -106,16 +107,16 @@
 	}
 }
 
-// A server that reads a little and resets the connection has not had the last byte of a large request, but may have
-// had that of a small one.
-func TestRetry_RequestBrokenBeforeLastByteNeverRan(t *testing.T) {
-	narrow := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+// A server that reads a few bytes and resets the connection has not received the last byte of a large request, but may
+// have received that of a small one.
+func TestRetry_ResetBeforeLastByteNeverRan(t *testing.T) {
+	smallBuffers := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048)
 			syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, 600)
 		})
 	}}
-	ln, err := narrow.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	ln, err := smallBuffers.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
 	go func() {
@@ -131,6 +132,6 @@
 	}()
 	d := newDiscovery(t, newMember("s0", ln.Addr().String(), "ready"))
 	p := startTestNode(t, newConfig(t, d, d.members()...))
-	assert.Equal(t, 503, p.send("charge", strings.Repeat("x", 65536)).status, "it never ran: trying again is harmless")
+	assert.Equal(t, 503, p.send("charge", strings.Repeat("x", 65536)).status, "it never ran, so a retry is safe")
 	assert.Equal(t, 504, p.send("charge", "x").status, "it may have run")
 }
--- a/cmd/robincart/bulk_test.go
+++ b/cmd/robincart/bulk_test.go
@@ -23,12 +23,12 @@
 	"robincart/internal/lab/wire"
 )
 
-// bulkServer speaks HTTP by hand: it reads a body as it arrives and writes a response in pieces, framed as the
-// query says.
+// bulkServer is an HTTP server for large bodies. It reads a body as it arrives, and writes a response in pieces, with
+// the framing that the query names.
 type bulkServer struct {
 	net.Listener
 	mu   sync.Mutex
-	sums map[string][32]byte // of each complete body, by trace ID
+	sums map[string][32]byte // SHA-256 of each complete body, by trace ID
 }
 
 func newBulkServer(t *testing.T) *bulkServer {
@@ -54,7 +54,7 @@
 	return len(b.sums)
 }
 
-// randomBody returns a body of a size, the same each time.
+// randomBody returns n random bytes. The same n gives the same bytes.
 func randomBody(n int) []byte {
 	b := make([]byte, n)
 	rand.New(rand.NewSource(int64(n))).Read(b)
@@ -71,35 +71,36 @@
 		}
 		sum := sha256.New()
 		if _, err := io.Copy(sum, q.Body); err != nil {
-			return // incomplete: it never ran
+			return // incomplete, so the request never ran
 		}
 		b.mu.Lock()
 		b.sums[q.Header.Get("X-Trace-Id")] = [32]byte(sum.Sum(nil))
 		b.mu.Unlock()
-		form, size, _ := strings.Cut(strings.TrimPrefix(q.URL.RawQuery, "a="), ".")
+		framing, size, _ := strings.Cut(strings.TrimPrefix(q.URL.RawQuery, "a="), ".")
 		n, _ := strconv.Atoi(size)
-		if !b.respond(c, form, n) {
+		if !b.respond(c, framing, n) {
 			return
 		}
 	}
 }
 
-// togetherBytes is how much of a response is written in one call. A node reads a response that is no larger, and the
+// firstWriteBytes is how much of a response is written in one call. A node reads a response that is no larger, and the
 // beginning of any other, within half a second of its first byte: a server that the machine stops in between would
 // fail.
-const togetherBytes = 80 << 10
+const firstWriteBytes = 80 << 10
 
-// respond writes a response, in pieces beyond its first togetherBytes. It reports whether the connection stays.
-func (b *bulkServer) respond(c net.Conn, form string, n int) bool {
-	w := bufio.NewWriterSize(c, togetherBytes)
-	switch form {
+// respond writes a response: the first firstWriteBytes in one call, and the rest in pieces. It reports whether the
+// connection stays open.
+func (b *bulkServer) respond(c net.Conn, framing string, n int) bool {
+	w := bufio.NewWriterSize(c, firstWriteBytes)
+	switch framing {
 	case "length":
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", n)
 	case "chunks":
 		fmt.Fprintf(w, "HTTP/1.1 200 \r\nTransfer-Encoding: chunked\r\n\r\n")
 	case "end":
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-	case "short": // it dies in the middle of it
+	case "short": // the server closes the connection after half of the body
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*n)
 	}
 	body := randomBody(n)
@@ -107,28 +108,28 @@
 	for k := 0; written < n; k++ {
 		piece := body[written:min(n, written+1+(k*7919)%40_000)]
 		written += len(piece)
-		if form == "chunks" {
+		if framing == "chunks" {
 			fmt.Fprintf(w, "%x;x=y\r\n%s\r\n", len(piece), piece)
 		} else {
 			w.Write(piece)
 		}
-		if written > togetherBytes && w.Flush() != nil {
+		if written > firstWriteBytes && w.Flush() != nil {
 			return false
 		}
 	}
-	if form == "chunks" {
+	if framing == "chunks" {
 		io.WriteString(w, "0\r\nTrailer: x\r\n\r\n")
 	}
-	return w.Flush() == nil && form != "end" && form != "short"
+	return w.Flush() == nil && framing != "end" && framing != "short"
 }
 
-// choppyReader reads a body in pieces of varying sizes.
-type choppyReader struct {
+// unevenReader reads a body in pieces of varying sizes.
+type unevenReader struct {
 	io.Reader
 	reads int
 }
 
-func (c *choppyReader) Read(p []byte) (int, error) {
+func (c *unevenReader) Read(p []byte) (int, error) {
 	c.reads++
 	if c.reads%50 == 0 {
 		time.Sleep(time.Millisecond)
@@ -136,35 +137,35 @@
 	return c.Reader.Read(p[:min(len(p), 1+(c.reads*104_729)%30_000)])
 }
 
-func TestBodies_LargePassUnchangedInEveryForm(t *testing.T) {
+func TestBodies_LargePassUnchangedInEveryFraming(t *testing.T) {
 	s := newBulkServer(t)
 	d := newDiscovery(t, newMember("s0", s.Addr().String(), "ready"))
 	config := newConfig(t, d, d.members()...)
-	// 64 MiB under the race detector on a busy machine take seconds: how long is not what is tested here.
+	// Under the race detector on a busy machine 64 MiB take seconds. This test does not check durations.
 	times := regexp.MustCompile(`"(Aim|Deadline)Ms":\s*\d+`)
 	config["settings"] = json.RawMessage(times.ReplaceAllString(testSettings, `"${1}Ms":60000`))
 	p := startTestNode(t, config)
-	type one struct {
+	type bodyCase struct {
 		body, answer int
-		form         string
+		framing      string
 		chunked      bool
 	}
-	var all []one
-	for _, form := range []string{"length", "chunks", "end"} {
+	var cases []bodyCase
+	for _, framing := range []string{"length", "chunks", "end"} {
 		for _, n := range []int{0, 1, 65_535, 65_536, 65_537, 70_000, 3 << 20} {
-			all = append(all, one{n, n, form, false}, one{n, 70_000, form, true})
+			cases = append(cases, bodyCase{n, n, framing, false}, bodyCase{n, 70_000, framing, true})
 		}
 	}
-	all = append(all, one{32 << 20, 32 << 20, "length", false}, one{32 << 20, 1, "chunks", true})
+	cases = append(cases, bodyCase{32 << 20, 32 << 20, "length", false}, bodyCase{32 << 20, 1, "chunks", true})
 	before := peakMemory(t, p)
-	var at sync.WaitGroup
-	work := make(chan one)
+	var workers sync.WaitGroup
+	work := make(chan bodyCase)
 	for range 6 {
-		at.Go(func() {
+		workers.Go(func() {
 			for x := range work {
 				sent := randomBody(x.body)
-				var body io.Reader = &choppyReader{Reader: strings.NewReader(string(sent))}
-				url := fmt.Sprintf("http://%s/charge/x?a=%s.%d", p.addr, x.form, x.answer)
+				var body io.Reader = &unevenReader{Reader: strings.NewReader(string(sent))}
+				url := fmt.Sprintf("http://%s/charge/x?a=%s.%d", p.addr, x.framing, x.answer)
 				q, err := http.NewRequest("POST", url, body)
 				if !assert.NoError(t, err) {
 					return
@@ -195,12 +196,13 @@
 			}
 		})
 	}
-	for _, x := range all {
+	for _, x := range cases {
 		work <- x
 	}
 	close(work)
-	at.Wait()
-	assert.Less(t, peakMemory(t, p)-before, int64(64<<20), "some hundred MB have passed")
+	workers.Wait()
+	// Some hundred MB have been transferred by now.
+	assert.Less(t, peakMemory(t, p)-before, int64(64<<20), "memory grew with the transferred bytes")
 }
 
 // peakMemory returns a process's peak resident memory, in bytes.
@@ -217,18 +219,19 @@
 	return 0
 }
 
-// newRequestHead returns a head with a trace ID of its own.
+// newRequestHead returns a request head with a unique trace ID.
 func newRequestHead(line string, more ...string) string {
 	return requestHead(line, "charge", append(more, "X-Trace-Id: "+nextTraceID())...)
 }
 
-// A large body that breaks off on either side is answered as the rules say, and harms no other request.
-func TestBodies_LargeBrokenOff(t *testing.T) {
+// A large body that is truncated by the client or the server gets the prescribed response, and does not affect other
+// requests.
+func TestBodies_LargeTruncated(t *testing.T) {
 	s := newBulkServer(t)
 	d := newDiscovery(t, newMember("s0", s.Addr().String(), "ready"))
 	p := startTestNode(t, newConfig(t, d, d.members()...))
 	head := func(more string) string { return newRequestHead("POST /charge/x?a=length.5", more) }
-	say := func(text string) (net.Conn, *bufio.Reader) {
+	write := func(text string) (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", p.addr)
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
@@ -236,19 +239,19 @@
 		io.WriteString(c, text)
 		return c, bufio.NewReader(c)
 	}
-	// The client closes, or stops sending: no server has begun.
-	c, _ := say(head("Content-Length: 1000000") + strings.Repeat("x", 300_000))
+	// The client closes the connection or stops sending: the request reaches no server.
+	c, _ := write(head("Content-Length: 1000000") + strings.Repeat("x", 300_000))
 	c.Close()
-	_, r := say(head("Content-Length: 100000") + strings.Repeat("x", 10_000))
+	_, r := write(head("Content-Length: 100000") + strings.Repeat("x", 10_000))
 	a, err := http.ReadResponse(r, nil)
 	require.NoError(t, err)
 	assert.Contains(t, []int{408, 503}, a.StatusCode)
-	// More than the maximum, by its length or found out while reading.
-	_, r = say(head("Content-Length: 60000000") + strings.Repeat("x", 10_000))
+	// A body that exceeds the maximum, according to its length or as found while reading.
+	_, r = write(head("Content-Length: 60000000") + strings.Repeat("x", 10_000))
 	a, err = http.ReadResponse(r, nil)
 	require.NoError(t, err)
 	assert.Equal(t, 413, a.StatusCode)
-	c, r = say(head("Transfer-Encoding: chunked"))
+	c, r = write(head("Transfer-Encoding: chunked"))
 	go func() {
 		for piece := fmt.Sprintf("10000\r\n%s\r\n", strings.Repeat("x", 1<<16)); ; {
 			if _, err := io.WriteString(c, piece); err != nil {
@@ -256,16 +259,17 @@
 			}
 		}
 	}()
-	if a, err = http.ReadResponse(r, nil); err == nil { // it may be reset while it sends on
+	if a, err = http.ReadResponse(r, nil); err == nil { // the connection may be reset while the client still sends
 		assert.GreaterOrEqual(t, a.StatusCode, 400)
 	}
-	// A chunk that does not end as one.
-	_, r = say(head("Transfer-Encoding: chunked") + "20000\r\n" + strings.Repeat("x", 0x20000) + "no end\r\n0\r\n\r\n")
+	// A chunk without the line end after its data.
+	_, r = write(head("Transfer-Encoding: chunked") + "20000\r\n" + strings.Repeat("x", 0x20000) +
+		"no end\r\n0\r\n\r\n")
 	a, err = http.ReadResponse(r, nil)
 	require.NoError(t, err)
 	assert.GreaterOrEqual(t, a.StatusCode, 400)
 	assert.Zero(t, s.bodies())
-	// The server dies while responding: the client receives what there was, and an error.
+	// The server closes while responding: the client receives the bytes that were sent, and then an error.
 	q, err := http.NewRequest("POST", "http://"+p.addr+"/charge/x?a=short.200000", strings.NewReader("x"))
 	require.NoError(t, err)
 	setHeaders(q, map[string]string{
@@ -281,8 +285,8 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	assert.True(t, string(got) == string(randomBody(200_000)))
 	assert.Equal(t, 1, s.bodies())
-	// A client that reads nothing holds up no other, and the node shuts down all the same.
-	say(newRequestHead("POST /charge/x?a=length.30000000", "Content-Length: 0"))
+	// A client that does not read its response delays no other client, and does not prevent a shutdown.
+	write(newRequestHead("POST /charge/x?a=length.30000000", "Content-Length: 0"))
 	require.Eventually(t, func() bool { return s.bodies() == 2 }, 10*time.Second, time.Millisecond)
 	(&testNode{t: t, addr: p.addr}).send("charge", "x")
 	assert.Equal(t, 3, s.bodies())
@@ -300,7 +304,7 @@
 	text := newRequestHead("POST /charge/x?a=length.1", "Content-Length: 150000", "X-Expires-In-Ms: 900")
 	text += strings.Repeat("x", 150_000)
 	head := strings.Index(text, "\r\n\r\n")
-	for i := range 4 { // a second for the head
+	for i := range 4 { // the head takes 1 s
 		io.WriteString(c, text[i*head/4:(i+1)*head/4])
 		time.Sleep(250 * time.Millisecond)
 	}
@@ -312,36 +316,36 @@
 	}
 	a, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
-	assert.Equal(t, 200, a.StatusCode, "its time runs from its last byte on")
+	assert.Equal(t, 200, a.StatusCode, "the deadline counts from the last byte of the request")
 }
 
-// A small node holds as many requests as it has memory for, not as if each had the largest body and response; a
-// body that finds no memory is streamed.
+// A small node admits requests by the memory that they use, and does not reserve the maximum body and response size for
+// each. A body for which no memory is left is streamed.
 func TestBodies_SmallNodeHoldsManyRequests(t *testing.T) {
 	const callers = 170
-	all := make(chan struct{})
-	came := sync.OnceFunc(func() { close(all) })
+	allArrived := make(chan struct{})
+	reportAll := sync.OnceFunc(func() { close(allArrived) })
 	var s *server
 	s = newServer(t, func(c net.Conn, q *wire.Request) bool {
 		if s.count() >= callers {
-			came()
+			reportAll()
 		}
 		select {
-		case <-all:
-		case <-time.After(4 * time.Second): // some have been rejected, then
+		case <-allArrived:
+		case <-time.After(4 * time.Second): // reached only if some requests were rejected
 		}
 		return respond(200, strings.Repeat("y", 3000))(c, q)
 	})
 	d := newDiscovery(t, newMember("s0", s.addr(), "ready"))
 	c := newConfig(t, d, d.members()...)
 	c["limits"] = map[string]any{"cores": 1, "memory_mb": 32, "sockets": 1024}
-	// A tier that admits all that can be served in time.
+	// This tier admits all requests that can be served before their deadline.
 	c["settings"] = json.RawMessage(strings.Replace(testSettings, `"Instances":1`, `"Instances":1,"Stage":1`, 1))
 	p := startTestNode(t, c)
-	var at sync.WaitGroup
+	var group sync.WaitGroup
 	for range callers {
-		at.Go(func() { assert.Equal(t, 200, p.send("slow", strings.Repeat("x", 60_000)).status) })
+		group.Go(func() { assert.Equal(t, 200, p.send("slow", strings.Repeat("x", 60_000)).status) })
 	}
-	at.Wait()
+	group.Wait()
 	assert.Equal(t, 200, p.send("slow", "x").status)
 }
--- a/cmd/robincart/commandrestore.go
+++ b/cmd/robincart/commandrestore.go
@@ -17,7 +17,7 @@
 	lameDuck bool
 }
 
-func (p *pendingRestore) note(command handover.Command) {
+func (p *pendingRestore) add(command handover.Command) {
 	switch command.Path {
 	case admin.PathLameDuckOn, admin.PathLameDuckOff:
 		p.lameDuck = true
@@ -55,11 +55,11 @@
 	c.stateMu.Lock()
 	c.state = state
 	c.stateMu.Unlock()
-	c.enforce(state, knownServers)
+	c.applyState(state, knownServers)
 }
 
-// enforce applies a state to the cores and the front end.
-func (c *commandHandler) enforce(state operatorState, knownServers []string) {
+// applyState applies a state to the cores and the front end.
+func (c *commandHandler) applyState(state operatorState, knownServers []string) {
 	for _, core := range c.cores() {
 		core.InheritBans(state.bans(), knownServers)
 	}
@@ -119,7 +119,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := c.addSaved(saved)
-	c.enforce(state, nil)
+	c.applyState(state, nil)
 	c.stateFile.save(state)
 	c.stateFile.allowWrites()
 }
--- a/cmd/robincart/commands.go
+++ b/cmd/robincart/commands.go
@@ -142,7 +142,7 @@
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
 	if c.pending != nil {
-		c.pending.note(command)
+		c.pending.add(command)
 	}
 	return nil
 }
--- a/cmd/robincart/commands_test.go
+++ b/cmd/robincart/commands_test.go
@@ -25,7 +25,7 @@
 	return startTestNode(t, c), d, admin
 }
 
-// callAdmin returns the status of one call on an admin address.
+// callAdmin sends one request to an admin address and returns the response's status.
 func callAdmin(t *testing.T, admin, path, body string) int {
 	t.Helper()
 	client := &http.Client{Timeout: 5 * time.Second}
@@ -47,21 +47,21 @@
 		assert.Equal(t, 200, callAdmin(t, admin, "/_servers/detach", `{"host":"s0"}`))
 	}
 	before := a.count()
-	quiet := func(why string) {
+	checkReceivesNothing := func(message string) {
 		for range 30 {
 			assert.Equal(t, "b", p.send("find", "").body)
 		}
-		assert.Equal(t, before, a.count(), why)
+		assert.Equal(t, before, a.count(), message)
 	}
-	quiet("right after the yes")
+	checkReceivesNothing("s0 received a request after its detach was confirmed")
 	watches := d.watchesStarted()
 	d.Update(newMember("s0", a.addr(), "gone"))
 	d.Update(newMember("s0", a.addr(), "ready"))
 	require.Eventually(t, func() bool {
 		return p.send("find", "").status == 200 && d.watchesStarted() >= watches
 	}, 5*time.Second, 10*time.Millisecond)
-	time.Sleep(100 * time.Millisecond) // for the endpoint list to arrive: it must change nothing
-	quiet("whatever the list says")
+	time.Sleep(100 * time.Millisecond) // for the endpoint list to arrive; it must not end the ban
+	checkReceivesNothing("s0 received a request after the endpoint list changed")
 	assert.Equal(t, 200, callAdmin(t, admin, "/_servers/attach", `{"host":"s0"}`))
 	assert.Eventually(t, func() bool {
 		p.send("find", "")
@@ -86,26 +86,26 @@
 	n, err := idle.Read(buf)
 	require.NoError(t, err)
 	assert.NotContains(t, strings.ToLower(string(buf[:n])), "connection: close")
-	out := make(chan response, 1)
-	go func() { out <- p.send("find", "") }()
+	responses := make(chan response, 1)
+	go func() { responses <- p.send("find", "") }()
 	require.Eventually(t, func() bool { return slow.count() == 1 }, 5*time.Second, time.Millisecond)
 	for range 2 {
 		assert.Equal(t, 200, callAdmin(t, admin, "/_lameduck/on", ""))
 	}
 	assert.Equal(t, 503, ready())
-	got := <-out
-	assert.Equal(t, 200, got.status, "what was taken is served")
+	got := <-responses
+	assert.Equal(t, 200, got.status, "a request in flight is served")
 	assert.True(t, got.closes)
 	got = p.send("find", "")
-	assert.Equal(t, 200, got.status, "who comes all the same is served, too")
+	assert.Equal(t, 200, got.status, "a new request is served, too")
 	assert.True(t, got.closes)
 	idle.SetReadDeadline(time.Now().Add(10 * time.Second))
 	_, err = idle.Read(buf)
-	assert.ErrorIs(t, err, io.EOF, "a connection that rests is ended")
+	assert.ErrorIs(t, err, io.EOF, "an idle connection is closed")
 	r, err := http.Get("http://" + admin + "/_ready")
 	require.NoError(t, err)
 	r.Body.Close()
-	assert.Equal(t, 200, r.StatusCode, "the process itself is well")
+	assert.Equal(t, 200, r.StatusCode, "the process itself is ready")
 	assert.Equal(t, 200, callAdmin(t, admin, "/_lameduck/off", ""))
 	assert.Equal(t, 200, ready())
 	got = p.send("find", "")
--- a/cmd/robincart/configread.go
+++ b/cmd/robincart/configread.go
@@ -34,14 +34,14 @@
 
 func (u *unreadableError) Unwrap() error { return u.cause }
 
-// mayPass reports whether an error from reading a file may be temporary. A file that does not exist, or that this
-// process has no permission to read, is a configuration error and not temporary.
-func mayPass(err error) bool {
+// mayBeTemporary reports whether an error from reading a file may be temporary. A file that does not exist, or that
+// this process has no permission to read, is a configuration error and not temporary.
+func mayBeTemporary(err error) bool {
 	if socket.Classify(err).Transient() {
 		return true
 	}
-	for _, passing := range []error{syscall.EIO, syscall.EINTR, syscall.EAGAIN, syscall.ESTALE} {
-		if errors.Is(err, passing) {
+	for _, errno := range []error{syscall.EIO, syscall.EINTR, syscall.EAGAIN, syscall.ESTALE} {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
--- a/cmd/robincart/descriptors.go
+++ b/cmd/robincart/descriptors.go
@@ -62,7 +62,7 @@
 	if spareDescriptor == nil {
 		spareDescriptor, _ = os.Open(os.DevNull) // if this fails, the next read has no spare descriptor
 	}
-	if err != nil && mayPass(err) {
+	if err != nil && mayBeTemporary(err) {
 		return value, &unreadableError{cause: err}
 	}
 	return value, err
--- a/cmd/robincart/descriptors_test.go
+++ b/cmd/robincart/descriptors_test.go
@@ -22,31 +22,32 @@
 	"robincart/internal/testutil"
 )
 
-// discoveryRelay is between a node and its discovery. While it is mute it accepts calls and answers none.
+// discoveryRelay forwards connections from a node to discovery. While it is mute it accepts connections and does not
+// respond on them.
 type discoveryRelay struct {
 	ln        net.Listener
 	to        string
 	mu        sync.Mutex
 	mute      bool
 	conns     []net.Conn
-	muteCalls int // accepted while it was mute
+	muteCalls int // connections accepted while it was mute
 }
 
 func newDiscoveryRelay(t *testing.T, to string) *discoveryRelay {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	w := &discoveryRelay{ln: ln, to: to}
+	relay := &discoveryRelay{ln: ln, to: to}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go w.forward(c)
+			go relay.forward(c)
 		}
 	}()
-	t.Cleanup(func() { ln.Close(); w.setMute(true); w.setMute(false) })
-	return w
+	t.Cleanup(func() { ln.Close(); relay.setMute(true); relay.setMute(false) })
+	return relay
 }
 
 func (d *discoveryRelay) forward(c net.Conn) {
@@ -57,17 +58,17 @@
 		d.muteCalls++
 		return
 	}
-	on, err := net.Dial("tcp", d.to)
+	upstream, err := net.Dial("tcp", d.to)
 	if err != nil {
 		c.Close()
 		return
 	}
-	d.conns = append(d.conns, on)
-	go func() { io.Copy(on, c); on.Close() }()
-	go func() { io.Copy(c, on); c.Close() }()
+	d.conns = append(d.conns, upstream)
+	go func() { io.Copy(upstream, c); upstream.Close() }()
+	go func() { io.Copy(c, upstream); c.Close() }()
 }
 
-// setMute also closes all connections.
+// setMute sets whether the relay is mute, and closes all connections.
 func (d *discoveryRelay) setMute(mute bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +85,7 @@
 	return d.muteCalls
 }
 
-// holdingServer responds to "find" at once and to all else when it is released.
+// holdingServer responds to "find" at once, and to all other requests after release.
 type holdingServer struct {
 	*server
 	mu       sync.Mutex
@@ -126,7 +127,7 @@
 	return n
 }
 
-// idleClient is a client that has been served once and sends no more.
+// idleClient is a client whose connection has carried one request and is then idle, until the test sends another.
 type idleClient struct {
 	net.Conn
 	r *bufio.Reader
@@ -156,7 +157,8 @@
 	return r.StatusCode
 }
 
-// connectSilently connects again and again and sends nothing, until the test ends. Up to 300 connections stay open.
+// connectSilently opens connections without sending anything, until the test ends. Up to 300 connections stay open at
+// once.
 func connectSilently(t *testing.T, addr string) {
 	end, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -185,36 +187,37 @@
 
 const longDeadline = `"AimMs":60000,"DeadlineMs":60000`
 
-// Every descriptor is in use, by requests whose servers hang and by idle clients, and silent ones connect without
-// end. Servers get a connection for each request all the same, discovery its watch, operators and requests their
-// responses.
+// All descriptors are in use, by requests whose servers hang and by idle clients, and new clients keep connecting
+// without sending anything. The node must still connect to a server for each request, reestablish its watch, and
+// respond to operators and requests.
 func TestDescriptors_IdleClientsYieldToWatchAndServers(t *testing.T) {
-	for _, down := range []string{"refused", "mute"} {
-		t.Run(down, func(t *testing.T) {
+	for _, failure := range []string{"refused", "mute"} {
+		t.Run(failure, func(t *testing.T) {
 			d := newDiscovery(t)
 			var servers []*holdingServer
 			for i := range 4 {
 				servers = append(servers, newHoldingServer(t))
 				d.Update(newMember(fmt.Sprint("s", i), servers[i].addr(), "ready"))
 			}
-			between := newDiscoveryRelay(t, d.addr())
+			relay := newDiscoveryRelay(t, d.addr())
 			c := newConfig(t, d, d.members()...)
 			admin := freeAddress(t)
-			c["admin_addr"], c["discovery"] = admin, between.ln.Addr().String()
+			c["admin_addr"], c["discovery"] = admin, relay.ln.Addr().String()
 			c["limits"] = map[string]any{"cores": 1, "memory_mb": 64, "sockets": 74}
 			settings := strings.Replace(testSettings, `"AimMs":6000,"DeadlineMs":6000`, longDeadline, 1)
 			c["settings"] = json.RawMessage(settings)
 			p := startTestNode(t, c)
 			require.Eventually(t, func() bool { return d.openWatches() == 1 }, 20*time.Second, 10*time.Millisecond)
-			const requests, connections = 22, 28 // what 64 sockets beside the admin address's leave for clients
-			var callers []*idleClient
+			// 64 of the sockets are not reserved for the admin address; these are what they leave for clients.
+			const requests, connections = 22, 28
+			var clients []*idleClient
 			for range connections {
-				callers = append(callers, newIdleClient(t, p.addr))
+				clients = append(clients, newIdleClient(t, p.addr))
 			}
-			if down == "mute" {
-				between.setMute(true)
+			if failure == "mute" {
+				relay.setMute(true)
 				require.Eventually(t, func() bool {
-					return between.muteCallCount() > 0
+					return relay.muteCallCount() > 0
 				}, 20*time.Second, time.Millisecond)
 			} else {
 				d.SetDown(true)
@@ -222,30 +225,30 @@
 					return strings.Contains(p.Log(), "endpoint watch lost")
 				}, 20*time.Second, time.Millisecond)
 			}
-			for _, x := range callers[:requests] {
+			for _, x := range clients[:requests] {
 				x.send("POST /slow", "slow")
 			}
 			assert.Eventually(t, func() bool {
 				return totalInFlight(servers) == requests
-			}, 20*time.Second, 10*time.Millisecond, "each has a connection to a server")
+			}, 20*time.Second, 10*time.Millisecond, "each request has a connection to a server")
 			connectSilently(t, p.addr)
-			time.Sleep(200 * time.Millisecond) // for some hundreds of them to use up what is left
+			time.Sleep(200 * time.Millisecond) // for them to use up the remaining descriptors
 			before := d.watchesStarted()
-			if down == "mute" {
-				between.setMute(false)
+			if failure == "mute" {
+				relay.setMute(false)
 			} else {
 				d.SetDown(false)
 			}
 			assert.Eventually(t, func() bool {
 				return d.watchesStarted() > before
-			}, 20*time.Second, 10*time.Millisecond, "the watch is back")
+			}, 20*time.Second, 10*time.Millisecond, "the watch is reestablished")
 			assert.Equal(t, 404, callAdmin(t, admin, "/_servers/detach", `{"host":"never"}`))
 			assert.Contains(t, []int{200, 503}, p.send("find", "").status)
-			assert.Equal(t, requests, totalInFlight(servers), "nobody has been given up meanwhile")
+			assert.Equal(t, requests, totalInFlight(servers), "no request has been aborted meanwhile")
 			for _, s := range servers {
 				s.release()
 			}
-			for _, x := range callers[:requests] {
+			for _, x := range clients[:requests] {
 				assert.Equal(t, 200, x.receive(t))
 			}
 			assert.Eventually(t, func() bool {
@@ -255,7 +258,7 @@
 	}
 }
 
-// limitDescriptors has a node's program started with a limit of descriptors.
+// limitDescriptors makes a node's program start with a limit on its open files.
 func limitDescriptors(t *testing.T, p *testNode, files int) {
 	path := filepath.Join(t.TempDir(), "limited")
 	script := fmt.Appendf(nil, "#!/bin/sh\nulimit -n %d\nexec %q\n", files, p.Program)
@@ -263,17 +266,18 @@
 	p.Program = path
 }
 
-// checkServesCrowded uses up all of a node's connections by idle clients, and checks what has to work all the same.
-func checkServesCrowded(t *testing.T, p *testNode, d *discovery, admin string, config map[string]any) {
+// checkServesWhenExhausted uses up all of a node's descriptors by idle clients. It checks that requests, the admin
+// address, the watch and a reload still work.
+func checkServesWhenExhausted(t *testing.T, p *testNode, d *discovery, admin string, config map[string]any) {
 	t.Helper()
 	connectSilently(t, p.addr)
-	time.Sleep(300 * time.Millisecond) // for them to use up what there is
-	out := make(chan response, 5)
+	time.Sleep(300 * time.Millisecond) // for them to use up all descriptors
+	responses := make(chan response, 5)
 	for range 5 {
-		go func() { out <- p.send("find", "") }()
+		go func() { responses <- p.send("find", "") }()
 	}
 	for range 5 {
-		assert.Equal(t, 200, testutil.Receive(t, out).status, "a connection to a server comes up")
+		assert.Equal(t, 200, testutil.Receive(t, responses).status, "a connection to a server is established")
 	}
 	assert.Equal(t, 404, callAdmin(t, admin, "/_servers/detach", `{"host":"never"}`))
 	before := d.watchesStarted()
@@ -282,22 +286,22 @@
 	d.SetDown(false)
 	assert.Eventually(t, func() bool {
 		return d.watchesStarted() > before
-	}, 20*time.Second, 10*time.Millisecond, "the watch comes back")
-	there := newDiscovery(t)
-	there.SetRevision(9)
-	there.Update(d.members()...)
-	config["discovery"] = there.addr()
+	}, 20*time.Second, 10*time.Millisecond, "the watch is reestablished")
+	other := newDiscovery(t)
+	other.SetRevision(9)
+	other.Update(d.members()...)
+	config["discovery"] = other.addr()
 	text, err := json.Marshal(config)
 	require.NoError(t, err)
 	p.reload(string(text))
 	assert.Eventually(t, func() bool {
-		return there.watchesStarted() > 0
+		return other.watchesStarted() > 0
 	}, 20*time.Second, 10*time.Millisecond, "the new configuration is read")
 	assert.NotContains(t, p.Log(), "configuration rejected")
 	assert.Equal(t, 200, p.send("find", "").status)
 }
 
-func newCrowdedNode(t *testing.T) (p *testNode, d *discovery, admin string, config map[string]any) {
+func newNodeWithAdmin(t *testing.T) (p *testNode, d *discovery, admin string, config map[string]any) {
 	s := newServer(t, respond(200, "well"))
 	d = newDiscovery(t, newMember("s0", s.addr(), "ready"))
 	config = newConfig(t, d, d.members()...)
@@ -306,25 +310,25 @@
 	return newTestNode(t, config), d, admin, config
 }
 
-// The settings allow more descriptors than the process may have.
+// The configured number of sockets is above the process's limit of open files.
 func TestDescriptors_ProcessLimitBelowSettings(t *testing.T) {
-	p, d, admin, config := newCrowdedNode(t)
+	p, d, admin, config := newNodeWithAdmin(t)
 	limitDescriptors(t, p, 80)
 	require.NoError(t, p.Start(t.Context()))
-	checkServesCrowded(t, p, d, admin, config)
-	assert.NotContains(t, p.Log(), "descriptors exhausted", "the budget knows it")
+	checkServesWhenExhausted(t, p, d, admin, config)
+	assert.NotContains(t, p.Log(), "descriptors exhausted", "the budget is within the process's limit")
 	assert.NotContains(t, p.Log(), "too many open files")
 }
 
-// The limit falls below the node's budget while it runs: opening fails for clients, servers, discovery and the
-// configuration alike.
+// The process's limit of open files falls below the node's budget while it runs: no connection of clients, servers or
+// discovery can be opened, nor the configuration file.
 func TestDescriptors_ProcessLimitFallsWhileServing(t *testing.T) {
-	p, d, admin, config := newCrowdedNode(t)
+	p, d, admin, config := newNodeWithAdmin(t)
 	require.NoError(t, p.Start(t.Context()))
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid()))
 	require.NoError(t, err)
-	few := uint64(len(files) + 24)
-	require.NoError(t, unix.Prlimit(p.Pid(), unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: few, Max: few}, nil))
-	checkServesCrowded(t, p, d, admin, config)
+	limit := uint64(len(files) + 24)
+	require.NoError(t, unix.Prlimit(p.Pid(), unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil))
+	checkServesWhenExhausted(t, p, d, admin, config)
 	assert.Contains(t, p.Log(), "descriptors exhausted")
 }
--- a/cmd/robincart/endpoints_test.go
+++ b/cmd/robincart/endpoints_test.go
@@ -13,8 +13,8 @@
 	"robincart/internal/testutil"
 )
 
-// A connect that takes longer than the grace of a draining server must not end in a request to a server that began
-// to drain meanwhile.
+// If a server starts to drain while a connect to it is in progress, and the connect takes longer than the grace period
+// of a draining server, then the request must not be sent to that server.
 func TestEndpoints_ServerDrainsDuringSlowConnect(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 	}()
 	r := testutil.Receive(t, got)
 	assert.Equal(t, 503, r.status, "it never ran, and there is no other server")
-	assert.Greater(t, r.duration, 500*time.Millisecond, "the connect was not slow: the test has shown nothing")
+	assert.Greater(t, r.duration, 500*time.Millisecond, "the connect was not slow: the test has checked nothing")
 	assert.Zero(t, testutil.Receive(t, written))
 	assert.Zero(t, testutil.Receive(t, written))
 }
@@ -67,7 +67,7 @@
 	time.Sleep(300 * time.Millisecond)
 	assert.Equal(t, "old", p.send("find", "").body)
 	d.Update(newMember("s0", old.addr(), "gone"), newMember("s1", fresh.addr(), "ready"))
-	assert.Equal(t, "old", p.send("find", "").body, "nobody has told the node")
+	assert.Equal(t, "old", p.send("find", "").body, "the node has not received the change")
 	d.SetDown(false)
 	require.Eventually(t, func() bool { return d.watchesStarted() == 2 }, 15*time.Second, 20*time.Millisecond)
 	require.Eventually(t, func() bool { return p.send("find", "").body == "fresh" }, time.Second, 10*time.Millisecond)
@@ -79,11 +79,13 @@
 }
 
 func TestEndpoints_StaleInitialList(t *testing.T) {
-	gone := freeAddress(t)
+	unusedAddress := freeAddress(t)
 	good := newServer(t, respond(200, "well"))
 	d := newDiscovery(t)
 	d.SetDown(true)
-	p := startTestNode(t, newConfig(t, d, newMember("left", gone, "ready"), newMember("there", good.addr(), "ready")))
+	p := startTestNode(t, newConfig(t, d,
+		newMember("left", unusedAddress, "ready"),
+		newMember("there", good.addr(), "ready")))
 	for range 10 {
 		assert.Equal(t, 200, p.send("charge", "x").status)
 	}
--- a/cmd/robincart/fastcgi_test.go
+++ b/cmd/robincart/fastcgi_test.go
@@ -6,7 +6,7 @@
 	"io"
 	"net"
 	"net/http"
-	stock "net/http/fcgi"
+	stdfcgi "net/http/fcgi"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -51,7 +51,7 @@
 	return startServices(t, fmt.Sprintf(fastcgiService, strings.Join(addrs, ", ")))
 }
 
-// failures are the ways in which an application ends a request that it has run.
+// failures are ways in which an application fails after it has run a request, by name.
 var failures = map[string]func(c net.Conn, q *standin.ApplicationRequest) bool{
 	"before the answer": func(net.Conn, *standin.ApplicationRequest) bool { return false },
 	"in a record's head": func(c net.Conn, q *standin.ApplicationRequest) bool {
@@ -74,16 +74,16 @@
 		end := fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusComplete)
 		return writePart(c, append(end, q.Answered("Status: 200", "another's")...), 0)
 	},
-	"another's id": func(c net.Conn, q *standin.ApplicationRequest) bool {
+	"another request's ID": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		other := *q
 		other.ID++
 		return writePart(c, other.Answered("Status: 200", "another's"), 0)
 	},
-	"a number": func(c net.Conn, q *standin.ApplicationRequest) bool {
+	"a nonzero exit status": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		stdout := fcgi.AppendStream(nil, fcgi.TypeStdout, q.ID, []byte("Status: 200\n\nx"))
 		return writePart(c, fcgi.AppendEnd(stdout, q.ID, 9, fcgi.StatusComplete), 0)
 	},
-	"words only": func(c net.Conn, q *standin.ApplicationRequest) bool {
+	"STDERR only": func(c net.Conn, q *standin.ApplicationRequest) bool {
 		return writePart(c, fcgi.AppendStream(nil, fcgi.TypeStderr, q.ID, make([]byte, 100_000)), 0) && false
 	},
 }
@@ -97,44 +97,44 @@
 	return err == nil
 }
 
-// Applications die at any moment after they have run a request. Clients get one response each, nothing runs twice,
-// and what may have run is never reported as safe to retry.
+// Applications fail at various points after they have run a request. Each request gets one response, no non-idempotent
+// request runs twice, and a request that may have run is never reported as safe to retry.
 func TestFastCGI_ApplicationDiesWhileResponding(t *testing.T) {
 	var mu sync.Mutex
-	picks := 0
-	done, names, hit := map[string]int{}, []string{}, map[string]int{}
+	attempts := 0
+	runs, names, outcomes := map[string]int{}, []string{}, map[string]int{}
 	for name := range failures {
 		names = append(names, name)
 	}
 	p := startApplications(t, 4, func(c net.Conn, q *standin.ApplicationRequest) bool {
 		body := "for " + q.Params["HTTP_X_TRACE_ID"]
 		mu.Lock()
-		what := ""
-		switch picks++; { // each of them in turn, however few attempts there are
-		case picks%10 == 0:
-			what = "refused"
-		case picks%10 == 3 || picks%10 == 6:
-			what = names[picks/5%len(names)]
+		outcome := ""
+		switch attempts++; { // each failure in turn, so that a few attempts cover all
+		case attempts%10 == 0:
+			outcome = "refused"
+		case attempts%10 == 3 || attempts%10 == 6:
+			outcome = names[attempts/5%len(names)]
 		}
-		hit[what]++
-		if what != "refused" {
+		outcomes[outcome]++
+		if outcome != "refused" {
 			key := q.Params["HTTP_X_QOS"] + " " + q.Params["HTTP_X_TRACE_ID"]
-			// Repeats of an idempotency key are dropped, by all servers together.
-			if q.Params["HTTP_IDEMPOTENCY_KEY"] == "" || done[key] == 0 {
-				done[key]++
+			// The servers drop a request whose idempotency key was used before; they share this record.
+			if q.Params["HTTP_IDEMPOTENCY_KEY"] == "" || runs[key] == 0 {
+				runs[key]++
 			}
 		}
 		mu.Unlock()
 		switch {
-		case what == "refused":
+		case outcome == "refused":
 			return writePart(c, fcgi.AppendEnd(nil, q.ID, 0, fcgi.StatusOverloaded), 0)
-		case what != "":
-			return failures[what](c, q)
+		case outcome != "":
+			return failures[outcome](c, q)
 		}
 		return writePart(c, q.Answered("Content-Type: text/plain", body), 0)
 	})
 	var all sync.WaitGroup
-	var ok, back, aborted atomic.Int64
+	var ok, pushedBack, aborted atomic.Int64
 	for caller := range 16 {
 		all.Go(func() {
 			for i := range 120 {
@@ -146,15 +146,15 @@
 				}
 				r := p.sendWith(method, map[bool]string{true: "seats"}[method != "find"], header)
 				mu.Lock()
-				did := done["charge "+id]
+				ran := runs["charge "+id]
 				mu.Unlock()
 				switch {
 				case assert.NoError(t, r.err) && r.status == 200:
 					ok.Add(1)
 					assert.Equal(t, "for "+id, r.body)
 				case r.status == 503:
-					back.Add(1)
-					assert.Zero(t, did, "%s was done, and called harmless", id)
+					pushedBack.Add(1)
+					assert.Zero(t, ran, "%s ran, and was reported as safe to retry", id)
 				default:
 					aborted.Add(1)
 					assert.Equal(t, 504, r.status)
@@ -163,21 +163,21 @@
 		})
 	}
 	all.Wait()
-	mu.Lock() // attempts that nobody waits for any more may still run
+	mu.Lock() // abandoned attempts may still run
 	defer mu.Unlock()
-	t.Log(ok.Load(), back.Load(), aborted.Load(), hit)
+	t.Log(ok.Load(), pushedBack.Load(), aborted.Load(), outcomes)
 	assert.Greater(t, ok.Load(), int64(50))
 	for _, name := range append(names, "refused") {
-		assert.Positive(t, hit[name], name)
+		assert.Positive(t, outcomes[name], name)
 	}
-	for id, n := range done {
+	for id, n := range runs {
 		if !strings.HasPrefix(id, "find ") {
 			assert.Equal(t, 1, n, id)
 		}
 	}
 }
 
-// Non-idempotent requests alone: each runs once at most, whatever its server does.
+// With non-idempotent requests only, each request runs at most once, however its server fails.
 func TestFastCGI_NonIdempotentRunsOnceAtMost(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
@@ -210,13 +210,13 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	go stock.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	go stdfcgi.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		text, _ := io.ReadAll(q.Body)
 		w.Header().Set("Content-Type", "text/x")
 		if q.URL.Path == "/book/table" {
 			w.WriteHeader(500)
 		}
-		script := stock.ProcessEnv(q)["SCRIPT_FILENAME"]
+		script := stdfcgi.ProcessEnv(q)["SCRIPT_FILENAME"]
 		customer := q.Header.Get("X-Customer")
 		fmt.Fprintf(w, "%s %s %s %s %s %s", q.Method, q.URL.RequestURI(), q.Host, customer, script, text)
 	}))
@@ -232,7 +232,7 @@
 	assert.Contains(t, []int{503, 504}, p.send("book", "seats").status)
 }
 
-// 4 MB each way, in as many records as that takes; a response that breaks off is an error for the client.
+// Bodies of 4 MB in both directions need many records. A truncated response is an error for the client.
 func TestFastCGI_LargeBodies(t *testing.T) {
 	large := bytes.Repeat([]byte("0123456789abcdef"), 1<<18)
 	p := startApplications(t, 1, func(c net.Conn, q *standin.ApplicationRequest) bool {
@@ -265,5 +265,5 @@
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	_, err = new(bytes.Buffer).ReadFrom(resp.Body)
-	assert.Error(t, err, "one that breaks off does not look whole")
+	assert.Error(t, err, "a truncated response must not look complete")
 }
--- a/cmd/robincart/fileservices_test.go
+++ b/cmd/robincart/fileservices_test.go
@@ -65,8 +65,8 @@
 	return p
 }
 
-// sendOn sends a request with a target and headers of the test's making, on a given connection, or a new one if
-// that is nil.
+// sendOn sends a request with the given request line and headers on a connection. If the connection is nil it opens a
+// new one.
 func (t *testNode) sendOn(c net.Conn, line string, headers ...string) (status int, body string) {
 	if c == nil {
 		var err error
@@ -131,10 +131,10 @@
 		assert.Equal(t, x.status, status, "%s %s", x.line, x.host)
 		assert.Equal(t, x.body, body, "%s %s", x.line, x.host)
 		if x.status != 200 {
-			assert.Equal(t, before, a.count()+b.count(), "no pick: %s %s", x.line, x.host)
+			assert.Equal(t, before, a.count()+b.count(), "request reached a server: %s %s", x.line, x.host)
 		}
 	}
-	// One connection, from one service to the other and back.
+	// Requests to both services alternate on one connection.
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
 	defer c.Close()
@@ -149,18 +149,18 @@
 	}
 }
 
-// A flood of ten times its service's quota, at servers that hang, with bodies and connections held: the other
-// service's clients are all served meanwhile, and the flood's are rejected at once.
+// Clients send ten times their service's quota of requests with bodies, to servers that hang. Meanwhile all requests of
+// the other service are served, and requests of the flooded service are rejected at once.
 func TestServices_FloodLeavesOthersTheirQuota(t *testing.T) {
-	hung, calm := newServer(t, hang), newServer(t, respond(200, "well"))
+	hanging, calm := newServer(t, hang), newServer(t, respond(200, "well"))
 	p := startServices(t, "[machine]\ncores = 1\nmemory_mb = 64\nsockets = 256\n"+
-		serviceTOML("flood", hung, 0.5, "")+
+		serviceTOML("flood", hanging, 0.5, "")+
 		serviceTOML("calm", calm, 0.3, "")+
 		routeTOML("flood.org", "flood")+
 		routeTOML("calm.org", "calm"))
 	var all sync.WaitGroup
 	ended := make(chan bool)
-	var told, other atomic.Int64
+	var rejected, other atomic.Int64
 	body := strings.Repeat("x", 60<<10)
 	for range 200 {
 		all.Go(func() {
@@ -179,7 +179,7 @@
 					"X-Expires-In-Ms: 3000\r\nContent-Length: %d\r\n\r\n%s", nextTraceID(), len(body), body)
 				r, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err == nil && r.StatusCode == 503 {
-					told.Add(1)
+					rejected.Add(1)
 					time.Sleep(300 * time.Millisecond)
 				} else {
 					other.Add(1)
@@ -188,26 +188,27 @@
 			}
 		})
 	}
-	require.Eventually(t, func() bool { return hung.count() > 10 }, 20*time.Second, 10*time.Millisecond)
-	kept, err := net.Dial("tcp", p.addr)
+	require.Eventually(t, func() bool { return hanging.count() > 10 }, 20*time.Second, 10*time.Millisecond)
+	reused, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
-	defer kept.Close()
+	defer reused.Close()
 	for i := range 110 {
-		c := kept
+		c := reused
 		if i%11 == 0 {
-			c = nil // a new one, through the same listener as the flood
+			c = nil // a new connection, through the same listener as the flood
 		}
 		status, text := p.sendOn(c, "GET /find", "Host: calm.org")
 		assert.Equal(t, 200, status, text)
 	}
 	close(ended)
 	all.Wait()
-	assert.Greater(t, told.Load(), int64(20))
+	assert.Greater(t, rejected.Load(), int64(20))
 	assert.Equal(t, 110, calm.count())
 }
 
-// Ten changes a second with calls in flight: services leave and come back, a host moves from one to the other, every
-// other file is wrong. Each request is answered once, by the service of one version or the other.
+// The configuration changes ten times per second with requests in flight: services are removed and added, a host moves
+// from one service to the other, and every second file is invalid. Each request is answered once, by the service that
+// one of the versions names.
 func TestServices_ReloadUnderTraffic(t *testing.T) {
 	a := newServer(t, delayed(30*time.Millisecond, respond(200, "a")))
 	b := newServer(t, delayed(30*time.Millisecond, respond(200, "b")))
@@ -215,7 +216,7 @@
 	versions := []string{
 		both + routeTOML("x.org", "booking") + routeTOML("y.org", "tables"),
 		both + routeTOML("x.org", "tables") + routeTOML("y.org", "booking"),
-		// Without tables.
+		// Without the service "tables".
 		serviceTOML("booking", a, 0.4, "") + routeTOML("x.org", "booking") + routeTOML("y.org", "booking"),
 		serviceTOML("booking", a, 0.2, "weight = 3") + serviceTOML("tables", b, 0.7, "max_picks = 2") +
 			routeTOML("x.org", "booking") + routeTOML("y.org", "tables"),
@@ -267,7 +268,7 @@
 	p.stop(10 * time.Second)
 }
 
-// A thousand services, ten of them busy, cost what ten do and some memory.
+// A thousand services, of which ten receive requests, should cost no more than those ten, apart from memory.
 func TestServices_ThousandOfWhichTenAreBusy(t *testing.T) {
 	s := newServer(t, respond(200, "well"))
 	var text strings.Builder
@@ -285,7 +286,7 @@
 	assert.Equal(t, 404, status)
 }
 
-func TestServices_BadConfigurationNamesEveryMistake(t *testing.T) {
+func TestServices_InvalidConfigurationReportsEveryError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bad.toml")
 	run := func(text string, args ...string) (string, int) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -355,45 +356,45 @@
 	out, code = run(string(good), "check")
 	assert.Equal(t, 0, code, out)
 	assert.Contains(t, out, "service booking: discovery at 127.0.0.1:8500")
-	ask := func(args ...string) string {
+	runRoutes := func(args ...string) string {
 		cmd := exec.Command(os.Args[0], append([]string{"routes", path}, args...)...)
 		cmd.Env = append(os.Environ(), testProgramEnvironment()...)
 		out, err := cmd.CombinedOutput()
 		assert.NoError(t, err, string(out))
 		return string(out)
 	}
-	assert.Equal(t, 4, strings.Count(ask(), "\n"))
-	out = ask("--host", "Other.Example.ORG:80", "--class", "book-table", "--path", "/book-table/x")
+	assert.Equal(t, 4, strings.Count(runRoutes(), "\n"))
+	out = runRoutes("--host", "Other.Example.ORG:80", "--class", "book-table", "--path", "/book-table/x")
 	assert.Contains(t, out, "service booking, by route others-book")
 	assert.Contains(t, out, "it goes before others: host *.example.org -> tables")
-	assert.Contains(t, ask("--host", "x.org"), "404")
-	assert.Contains(t, ask("--host", "a.example.org", "--path", "/a/../b"), "400")
+	assert.Contains(t, runRoutes("--host", "x.org"), "404")
+	assert.Contains(t, runRoutes("--host", "a.example.org", "--path", "/a/../b"), "400")
 }
 
 func TestServices_DetachAppliesToAll(t *testing.T) {
 	a, b := newServer(t, respond(200, "a")), newServer(t, respond(200, "b"))
-	admin, kept := freeAddress(t), filepath.Join(t.TempDir(), "said.json")
+	admin, stateFile := freeAddress(t), filepath.Join(t.TempDir(), "said.json")
 	text := serviceTOML("one", a, 0.3, "") + serviceTOML("two", b, 0.3, "") +
 		routeTOML("one.test", "one") + routeTOML("two.test", "two") +
-		fmt.Sprintf("[admin]\nlisten = %q\nkept = %q\n", admin, kept)
+		fmt.Sprintf("[admin]\nlisten = %q\nkept = %q\n", admin, stateFile)
 	p := startServices(t, text)
-	ask := func(host string) int {
+	sendTo := func(host string) int {
 		c, err := net.Dial("tcp", p.addr)
 		require.NoError(t, err)
 		defer c.Close()
 		status, _ := p.sendOn(c, "GET /find/x", "Host: "+host)
 		return status
 	}
-	assert.Equal(t, 200, ask("one.test"))
+	assert.Equal(t, 200, sendTo("one.test"))
 	assert.Equal(t, 404, callAdmin(t, admin, "/_servers/detach", `{"host":"nobody"}`))
 	assert.Equal(t, 200, callAdmin(t, admin, "/_servers/detach", fmt.Sprintf(`{"host":%q}`, a.addr())))
 	before := a.count()
-	assert.Equal(t, 503, ask("one.test"))
-	assert.Equal(t, 200, ask("two.test"))
+	assert.Equal(t, 503, sendTo("one.test"))
+	assert.Equal(t, 200, sendTo("two.test"))
 	p.stop(20 * time.Second)
 	require.NoError(t, p.Start(t.Context()))
-	assert.Equal(t, 503, ask("one.test"), "it was kept")
+	assert.Equal(t, 503, sendTo("one.test"), "the ban was restored")
 	assert.Equal(t, before, a.count())
 	assert.Equal(t, 200, callAdmin(t, admin, "/_servers/attach", fmt.Sprintf(`{"host":%q}`, a.addr())))
-	assert.Eventually(t, func() bool { return ask("one.test") == 200 }, 20*time.Second, 10*time.Millisecond)
+	assert.Eventually(t, func() bool { return sendTo("one.test") == 200 }, 20*time.Second, 10*time.Millisecond)
 }
--- a/cmd/robincart/gateway_test.go
+++ b/cmd/robincart/gateway_test.go
@@ -20,7 +20,7 @@
 	"robincart/internal/protocol/fcgi"
 )
 
-// gatewayClient speaks FastCGI to a node, a record at a time.
+// gatewayClient is a FastCGI client of a node. It reads one record at a time.
 type gatewayClient struct {
 	net.Conn
 	t *testing.T
@@ -37,7 +37,7 @@
 	return g
 }
 
-// encodeRequest returns a request's records, with its body in records of recordSize bytes.
+// encodeRequest returns a request's records, with its body in records of size bytes.
 func encodeRequest(id uint16, keep bool, params map[string]string, body string, size int) []byte {
 	out := fcgi.AppendBegin(nil, id, keep)
 	var list []byte
@@ -72,7 +72,8 @@
 	return p
 }
 
-// receive reads one response, and how it ended. The kind is 0 where the connection has ended first.
+// receive reads one response. It returns the output, and the type and the status of the record that ended the response;
+// kind is 0 if the connection was closed first.
 func (g *gatewayClient) receive(id uint16) (text string, kind fcgi.RecordType, status fcgi.Status) {
 	var out bytes.Buffer
 	for {
@@ -86,7 +87,7 @@
 		case p.Type == fcgi.TypeEndRequest && p.ID == id:
 			return out.String(), fcgi.TypeEndRequest, fcgi.Status(p.Content[4])
 		case p.Type == fcgi.TypeEndRequest:
-			g.t.Errorf("an END of %d", p.ID)
+			g.t.Errorf("END_REQUEST for request %d, expected %d", p.ID, id)
 		default:
 			assert.Equal(g.t, id, p.ID)
 			out.Write(p.Content)
@@ -119,7 +120,7 @@
 params = { trace = "REQUEST_ID", key = "BOOKING_ID" }
 `
 
-// withGateways starts a node in front of a server that speaks HTTP, with an address and a Unix socket for gateways.
+// withGateways starts a node with one HTTP server, and a TCP address and a Unix socket for gateways.
 func withGateways(t *testing.T, s *server, more string) (p *testNode, addr, path string) {
 	addr, path = freeAddress(t), filepath.Join(t.TempDir(), "gateway.sock")
 	const bookMethod = "  [[service.method]]\n  name = \"book\"\n  repeat = \"deduplicated\"\n" +
@@ -137,7 +138,7 @@
 	})
 	p, addr, path := withGateways(t, s, "")
 	g := dialGateway(t, "tcp", addr)
-	for range 3 { // the ID is reused at once
+	for range 3 { // the request ID is reused at once
 		traceID := fmt.Sprint("t", requestCount.Add(1))
 		params := gatewayParams("find", "GET", "HTTP_X_TRACE_ID", "t1", "HTTP_X_TRACE_ID", traceID)
 		status, body := g.roundTrip(7, encodeRequest(7, true, params, "", 1))
@@ -147,7 +148,7 @@
 	body := strings.Repeat("x", 1<<16)
 	params := gatewayParams("charge", "POST", "CONTENT_LENGTH", "65536")
 	status, text := g.roundTrip(8, encodeRequest(8, true, params, body, 1))
-	assert.Equal(t, 200, status, "64 KiB in records of a byte")
+	assert.Equal(t, 200, status, "64 KiB in records of one byte")
 	assert.Contains(t, text, " 65536")
 	_, err := g.Write(fcgi.AppendGetValues(nil))
 	require.NoError(t, err)
@@ -157,9 +158,9 @@
 	status, _ = g.roundTrip(9, encodeRequest(9, false, gatewayParams("nothing", "GET"), "", 1))
 	assert.Equal(t, 404, status)
 	_, err = g.r.Next()
-	assert.ErrorIs(t, err, io.EOF, "it was not to be kept")
+	assert.ErrorIs(t, err, io.EOF, "the request asked for the connection to be closed")
 
-	// The configuration file has what this gateway can't send.
+	// This gateway can't send tenant and deadline, so the configuration file gives their defaults.
 	u := dialGateway(t, "unix", path)
 	params = gatewayParams("book", "POST",
 		"HTTP_X_TRACE_ID", "",
@@ -174,11 +175,11 @@
 	status, text = u.roundTrip(1, encodeRequest(1, true, params, "seats", 9))
 	assert.Equal(t, 200, status)
 	assert.Equal(t, "POST /book/table?a=b r9 acme b9 5", text)
-	// A duplicate request ID is detected, whichever way it arrives.
+	// A duplicate request ID is detected even if the duplicate arrives through another gateway.
 	params = gatewayParams("find", "GET", "HTTP_X_TRACE_ID", "r9")
 	status, _ = dialGateway(t, "tcp", addr).roundTrip(1, encodeRequest(1, true, params, "", 1))
 	assert.Equal(t, 409, status)
-	// HTTP is served beside it, and a rejection is reported as the gateway expects it.
+	// HTTP clients are served, too. A rejection is reported in the form that is configured for the gateway.
 	assert.Equal(t, 200, p.send("find", "").status)
 	s.Stop()
 	status, _ = dialGateway(t, "tcp", addr).roundTrip(1, encodeRequest(1, true, gatewayParams("charge", "POST"), "", 1))
@@ -225,9 +226,8 @@
 	records := fcgi.AppendStreamEnd(fcgi.AppendStream(begin, fcgi.TypeParams, 1, twice), fcgi.TypeParams, 1)
 	status, _ := dialGateway(t, "tcp", addr).roundTrip(1, records)
 	assert.Equal(t, 400, status, "two hosts")
-	// What is not FastCGI, or incomplete, ends its connection; a second request on one is refused, and the first is
-	// served.
-	halves := map[string]*gatewayClient{}
+	// Input that is not FastCGI, or incomplete, closes its connection. A complete request is served afterwards.
+	clients := map[string]*gatewayClient{}
 	withoutParamsEnd := fcgi.AppendStream(fcgi.AppendBegin(nil, 1, true), fcgi.TypeParams, 1, []byte("\x01\x01ab"))
 	for name, text := range map[string]string{
 		"HTTP":           "GET /find HTTP/1.1\r\n\r\n",
@@ -237,11 +237,11 @@
 	} {
 		g := dialGateway(t, "tcp", addr)
 		io.WriteString(g, text)
-		halves[name] = g
+		clients[name] = g
 	}
-	for name, g := range halves {
+	for name, g := range clients {
 		_, kind, _ := g.receive(1)
-		for kind == fcgi.TypeEndRequest { // a 408 or 400 for what had a request ID
+		for kind == fcgi.TypeEndRequest { // a 408 or 400, if the input had a request ID
 			_, kind, _ = g.receive(1)
 		}
 		assert.Zero(t, kind, name)
@@ -253,7 +253,7 @@
 	assert.Equal(t, fcgi.TypeEndRequest, kind)
 }
 
-// A gateway aborts half of its requests. Their attempts are canceled, and the connection serves on.
+// A gateway aborts half of its requests. Their attempts are canceled, and the connection stays usable.
 func TestGateway_AbortsOneRequest(t *testing.T) {
 	ended := make(chan bool, 99)
 	s := newServer(t, func(c net.Conn, q *wire.Request) bool {
@@ -265,7 +265,7 @@
 	})
 	_, addr, _ := withGateways(t, s, "")
 	g := dialGateway(t, "tcp", addr)
-	// One that is aborted while its params still arrive is ended, too, and its ID is free.
+	// A request that is aborted before its params are complete is ended, too, and its ID can be reused.
 	g.Write(fcgi.AppendAbort(fcgi.AppendBegin(nil, 1, true), 1))
 	_, kind, _ := g.receive(1)
 	assert.Equal(t, fcgi.TypeEndRequest, kind)
@@ -282,10 +282,10 @@
 			}
 			continue
 		}
-		had := s.count()
+		before := s.count()
 		g.Write(encodeRequest(id, true, gatewayParams("charge", "POST"), "seats", 9))
-		require.Eventually(t, func() bool { return s.count() > had }, 20*time.Second, time.Millisecond)
-		if i == 3 { // another on the same connection, meanwhile
+		require.Eventually(t, func() bool { return s.count() > before }, 20*time.Second, time.Millisecond)
+		if i == 3 { // a second request on the same connection at the same time
 			g.Write(encodeRequest(9, true, gatewayParams("find", "GET"), "", 1))
 			_, kind, end := g.receive(9)
 			assert.Equal(t, fcgi.TypeEndRequest, kind)
@@ -298,12 +298,12 @@
 		select {
 		case <-ended:
 		case <-time.After(20 * time.Second):
-			t.Fatal("its server is still at work")
+			t.Fatal("the aborted request's attempt was not canceled within 20 s")
 		}
 	}
 }
 
-// FastCGI in and FastCGI out, small and large; a response that breaks off has no END.
+// Gateway and application both use FastCGI, with small and large bodies. A truncated response has no END.
 func TestGateway_FastCGIOnBothSides(t *testing.T) {
 	large := strings.Repeat("0123456789abcdef", 1<<17)
 	addr := freeAddress(t)
@@ -327,8 +327,8 @@
 	}
 	g.Write(encodeRequest(4, true, gatewayParams("book", "POST", "HTTP_IDEMPOTENCY_KEY", "k"), large, 30_000))
 	_, kind, _ := g.receive(4)
-	assert.Zero(t, kind, "no END, and the connection closes")
-	// A node that shuts down while a body still arrives answers its gateway.
+	assert.Zero(t, kind, "the connection is closed without an END")
+	// A node that shuts down while a request's body is still arriving sends the gateway a response.
 	g = dialGateway(t, "tcp", addr)
 	g.Write(encodeRequest(5, true, gatewayParams("charge", "POST"), large, 30_000)[:len(large)/2])
 	time.Sleep(100 * time.Millisecond)
--- a/cmd/robincart/golden_output_test.go
+++ b/cmd/robincart/golden_output_test.go
@@ -1,7 +1,7 @@
 package main
 
-// What the program prints for people and monitors. The .txt files in testdata were written by the code at commit
-// 0cdd5b2, by the same calls as in these tests. Never write them anew to follow a rename.
+// These tests check the output that operators and monitors read. The .txt files in testdata were written by the code at
+// commit 0cdd5b2, with the same calls as in these tests. Do not regenerate them after a rename.
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// printed is what a command of the program prints.
-func printed(t *testing.T, arguments ...string) string {
+// commandOutput runs a command of the program and returns its output.
+func commandOutput(t *testing.T, arguments ...string) string {
 	t.Helper()
 	var out bytes.Buffer
 	command := rootCommand(signals{})
@@ -27,9 +27,9 @@
 	return out.String()
 }
 
-func TestGolden_CheckPrintsWhatWouldBeInForce(t *testing.T) {
-	assert.Equal(t, golden(t, "check.txt"), printed(t, "check", "testdata/services.toml"))
-	assert.Equal(t, golden(t, "check_one_service.txt"), printed(t, "check", "testdata/one_service.toml"))
+func TestGolden_CheckPrintsEffectiveSettings(t *testing.T) {
+	assert.Equal(t, golden(t, "check.txt"), commandOutput(t, "check", "testdata/services.toml"))
+	assert.Equal(t, golden(t, "check_one_service.txt"), commandOutput(t, "check", "testdata/one_service.toml"))
 }
 
 func TestGolden_RoutesArePrinted(t *testing.T) {
@@ -46,12 +46,12 @@
 		{"--host", "a.example.org", "--path", "/../x"},
 	} {
 		fmt.Fprintf(&transcript, "$ routes %s\n", strings.Join(arguments, " "))
-		transcript.WriteString(printed(t, append([]string{"routes", file}, arguments...)...))
+		transcript.WriteString(commandOutput(t, append([]string{"routes", file}, arguments...)...))
 	}
 	assert.Equal(t, golden(t, "routes.txt"), transcript.String())
 }
 
-// answerHead sends a request on a connection of its own and returns the head of the answer, which has no body.
+// answerHead sends a request on a new connection and returns the head of the answer, which has no body.
 func answerHead(t *testing.T, address, request string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -61,10 +61,10 @@
 	_, err = io.WriteString(conn, request)
 	require.NoError(t, err)
 	var head []byte
-	for one := make([]byte, 1); !bytes.HasSuffix(head, []byte("\r\n\r\n")); {
-		_, err := io.ReadFull(conn, one)
+	for next := make([]byte, 1); !bytes.HasSuffix(head, []byte("\r\n\r\n")); {
+		_, err := io.ReadFull(conn, next)
 		require.NoError(t, err, "%q", head)
-		head = append(head, one...)
+		head = append(head, next...)
 	}
 	return string(head)
 }
@@ -72,19 +72,19 @@
 func TestGolden_HealthAnswers(t *testing.T) {
 	p, _, admin := startWithAdmin(t, newServer(t, respond(200, "")))
 	var transcript strings.Builder
-	ask := func(state, method string) {
+	addAnswer := func(state, method string) {
 		request := method + " /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"
 		fmt.Fprintf(&transcript, "=== %s\n%s--- answer\n%s", state, request, answerHead(t, p.addr, request))
 	}
-	ask("ready", "GET")
-	ask("ready", "HEAD")
-	ask("ready", "POST")
+	addAnswer("ready", "GET")
+	addAnswer("ready", "HEAD")
+	addAnswer("ready", "POST")
 	require.Equal(t, 200, callAdmin(t, admin, "/_lameduck/on", ""))
-	ask("emptied", "GET")
+	addAnswer("emptied", "GET")
 	assert.Equal(t, golden(t, "health.txt"), transcript.String())
 }
 
-func TestGolden_LostLinesAreTold(t *testing.T) {
+func TestGolden_LostLinesAreReported(t *testing.T) {
 	var out bytes.Buffer
 	l := newAsyncWriter(&out)
 	l.lost.Store(3)
--- a/cmd/robincart/golden_test.go
+++ b/cmd/robincart/golden_test.go
@@ -1,10 +1,10 @@
 package main
 
-// The files in testdata are what another version of the program has written or will read. They were written by the code
-// at commit 0cdd5b2, by the same calls as in these tests, with these exceptions: said_headless.json was written by Save
-// as it was before commit d0ace87, which gave the kept file its head, and node_required.json is by hand, since the
-// program only reads it. A test that fails here after a rename tells that the format has changed. Never write these
-// files anew to follow a rename: mend the tag.
+// The files in testdata have the formats that other versions of the program write or read. They were written by the
+// code at commit 0cdd5b2, with the same calls as in these tests, with two exceptions: said_headless.json was written by
+// Save before commit d0ace87, which added the header of the operator state file, and node_required.json was written by
+// hand, since the program only reads it. If a test here fails after a rename, the format has changed: correct the
+// struct tag and do not regenerate the files.
 
 import (
 	"bytes"
@@ -37,16 +37,16 @@
 	return string(content)
 }
 
-// copied is a golden file where the program may write beside it or set it aside.
-func copied(t *testing.T, name string) (path string) {
+// copyGolden copies a golden file to a temporary directory, where the program may rename it or create other files.
+func copyGolden(t *testing.T, name string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), name)
 	require.NoError(t, os.WriteFile(path, []byte(golden(t, name)), 0o600))
 	return path
 }
 
-// fullOperatorState has every field of what operators have commanded. The server whose start is 0 was started long ago;
-// server-3 was banned by a process that noted no start.
+// fullOperatorState returns an operator state with all fields set. The start time 0 of server-2 means that the endpoint
+// list had none; server-3 was banned by a process that did not record start times.
 func fullOperatorState() operatorState {
 	return operatorState{
 		BannedSince: map[string]int64{"server-1": 1764547200001, "server-2": 1764547200002, "server-3": 1764547200003},
@@ -55,7 +55,7 @@
 	}
 }
 
-// fullHandoverState has every field of what is handed to a successor.
+// fullHandoverState returns a handover state with all fields set.
 func fullHandoverState() handoverState {
 	return handoverState{
 		Version: 2, Operators: fullOperatorState(), OperatorsUnread: true,
@@ -71,7 +71,7 @@
 	}
 }
 
-// bareHandoverState is what a process hands over that knows no server and has had no operator command.
+// bareHandoverState returns the handover state of a process that knows no server and has received no operator command.
 func bareHandoverState() handoverState {
 	return handoverState{
 		Version:       2,
@@ -81,14 +81,15 @@
 	}
 }
 
-// bareHandoverStateRead is the same as it is read: no start stands in the message.
+// bareHandoverStateRead returns bareHandoverState as it is decoded: the message leaves out the empty map of start
+// times.
 func bareHandoverStateRead() handoverState {
-	k := bareHandoverState()
-	k.Operators.StartedAt = nil
-	return k
+	state := bareHandoverState()
+	state.Operators.StartedAt = nil
+	return state
 }
 
-// stateCases names the state messages, with what is sent and what is read.
+// stateCases maps the files with state messages to the state that is encoded and the state that is decoded.
 var stateCases = map[string]struct{ sent, read handoverState }{
 	"state.message":      {fullHandoverState(), fullHandoverState()},
 	"state_bare.message": {bareHandoverState(), bareHandoverStateRead()},
@@ -138,8 +139,8 @@
 	}
 }
 
-// A process of another version answers a successor of this one.
-func TestGolden_SuccessorTakesTheState(t *testing.T) {
+// A process of another version sends its state to a successor of this version.
+func TestGolden_SuccessorReceivesState(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	listener, err := handover.Listen(path)
 	require.NoError(t, err)
@@ -185,12 +186,12 @@
 	for file, want := range map[string]operatorState{
 		"said":               fullOperatorState(),
 		"said_no_starts":     noStarts,
-		"said_nothing":       {BannedSince: map[string]int64{}}, // no start stands in the file
+		"said_nothing":       {BannedSince: map[string]int64{}}, // the file leaves out the empty map of start times
 		"said_zero":          {},
 		"said_headless.json": noStarts,
 	} {
 		t.Run(file, func(t *testing.T) {
-			path := copied(t, file)
+			path := copyGolden(t, file)
 			got, err := newOperatorStateFile(path, zap.NewNop()).read()
 			require.NoError(t, err)
 			assert.Equal(t, want, got)
@@ -200,9 +201,9 @@
 	}
 }
 
-// environment is a process's environment that names a configuration.
+// environment returns a getenv function: EDGE_CONFIG names a copy of the configuration, and more has other variables.
 func environment(t *testing.T, config string, more map[string]string) func(string) string {
-	path := copied(t, config)
+	path := copyGolden(t, config)
 	return func(name string) string {
 		if name == "EDGE_CONFIG" {
 			return path
@@ -211,7 +212,7 @@
 	}
 }
 
-// fullSettings are those of node.json.
+// fullSettings returns the settings of node.json.
 func fullSettings() *settings.Instance {
 	return &settings.Instance{
 		Settings: decide.Settings{
@@ -220,7 +221,7 @@
 			Tenants: []decide.Tenant{{Quota: 25}},
 			Zone:    1, Stage: 26, Instances: 27, MaxAttempts: 28, MayCancel: true, Hedging: true,
 			MaxRetryAfter: 1.029, OverQuotaWeight: 0.3, CrossZoneCost: 0.31, MustSubscribe: true, MaxPollInterval: 1.032,
-			MaxFirstPollDelay: 3.25, // of the limits
+			MaxFirstPollDelay: 3.25, // derived from the limits
 			SlowStartFraction: 0.33, SlowStartDuration: 1.034, OverloadMultiple: 35, OverloadWindow: 1.036,
 		},
 		MethodNames: []string{"class-19"}, TenantNames: []string{"tenant-24"}, ZoneNames: []string{"zone-37", "zone-38"},
@@ -249,7 +250,7 @@
 	}, c.list.Endpoints(c.node.ZoneNames, zap.NewNop()))
 }
 
-func TestGolden_NodeConfigurationMayLeaveOut(t *testing.T) {
+func TestGolden_NodeConfigurationOptionalKeys(t *testing.T) {
 	c, err := readPlatformConfig(environment(t, "node_required.json", nil))
 	require.NoError(t, err)
 	assert.Empty(t, c.Name)
@@ -262,7 +263,7 @@
 	assert.Empty(t, c.list.Members)
 }
 
-func TestGolden_EnvironmentGoesBeforeTheFile(t *testing.T) {
+func TestGolden_EnvironmentOverridesFile(t *testing.T) {
 	for name, field := range map[string]func(*platformConfig) string{
 		"EDGE_NAME":       func(c *platformConfig) string { return c.Name },
 		"EDGE_LISTEN":     func(c *platformConfig) string { return c.Listen },
@@ -277,17 +278,17 @@
 	}
 }
 
-// The platform writes the file. Written from its type it has to have exactly the names of the golden file, letter for
-// letter: decoding alone takes "Listen" for "listen".
+// The platform writes the configuration file. Encoding its type has to give exactly the key names of the golden file.
+// Decoding alone would not show a difference in case: it accepts "Listen" for "listen".
 func TestGolden_NodeConfigurationHasExactlyTheseNames(t *testing.T) {
-	whole := golden(t, "node.json")
+	want := golden(t, "node.json")
 	var c platformConfig
-	decoder := json.NewDecoder(strings.NewReader(whole))
+	decoder := json.NewDecoder(strings.NewReader(want))
 	decoder.DisallowUnknownFields()
 	require.NoError(t, decoder.Decode(&c))
 	var written bytes.Buffer
 	encoder := json.NewEncoder(&written)
 	encoder.SetIndent("", "  ")
 	require.NoError(t, encoder.Encode(c))
-	assert.Equal(t, whole, written.String())
+	assert.Equal(t, want, written.String())
 }
--- a/cmd/robincart/helpers_test.go
+++ b/cmd/robincart/helpers_test.go
@@ -24,7 +24,8 @@
 	"robincart/internal/lab/wire"
 )
 
-// The test binary is also the program, so that what is started is checked for races like the tests.
+// TestMain runs the test binary as the program if ROBINCART_TEST_PROGRAM is set, so that the started processes run with
+// the race detector, like the tests.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROBINCART_TEST_PROGRAM") != "" {
 		main()
@@ -33,7 +34,8 @@
 	os.Exit(m.Run())
 }
 
-// testProgramEnvironment has the test binary run as the program, and end at once when it is checked for races.
+// testProgramEnvironment returns the variables that make the test binary run as the program, and exit without delay
+// under the race detector.
 func testProgramEnvironment() []string {
 	return []string{"ROBINCART_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0"}
 }
@@ -42,7 +44,7 @@
 	return standin.Member{ID: id, Addr: addr, Zone: "a", Flavor: "m", Phase: phase, Size: 1}
 }
 
-// discovery is the lab's stand-in, with one address.
+// discovery is the lab's stand-in for discovery, with one address.
 type discovery struct {
 	*standin.Discovery
 	address *standin.DiscoveryListener
@@ -68,10 +70,10 @@
 	return list
 }
 
-func (d *discovery) watchesStarted() int { begun, _ := d.address.Watches(); return begun }
-func (d *discovery) openWatches() int    { _, last := d.address.Watches(); return last }
+func (d *discovery) watchesStarted() int { started, _ := d.address.Watches(); return started }
+func (d *discovery) openWatches() int    { _, open := d.address.Watches(); return open }
 
-// server is the lab's stand-in with a handler of the test's, which keeps the requests.
+// server is the lab's stand-in for a server. It records the requests and calls the test's handler.
 type server struct {
 	standin.Server
 	mu       sync.Mutex
@@ -114,13 +116,13 @@
 	}
 }
 
-// resetConnection reads the request and resets its connection.
+// resetConnection is a handler that resets the request's connection.
 func resetConnection(c net.Conn, _ *wire.Request) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// hang waits until the other end has closed.
+// hang is a handler that does not respond: it waits until the peer closes, for 30 s at most.
 func hang(c net.Conn, _ *wire.Request) bool {
 	c.SetReadDeadline(time.Now().Add(30 * time.Second))
 	c.Read(make([]byte, 1))
@@ -136,7 +138,7 @@
  "Limits":{"MaxAttempts":4,"MayCancel":true,"RetryAfter":true,"MaxRetryAfterMs":2000,"ConnectTimeoutMs":2500,
  "ConnIdleMs":30000},"Rules":{"MustAskInMs":400}}`
 
-// testNode is one started node.
+// testNode is a node that runs as a separate process.
 type testNode struct {
 	*standin.Node
 	t    *testing.T
@@ -149,7 +151,7 @@
 	return addr
 }
 
-// logBuffer collects what a program has written so far.
+// logBuffer collects a program's output.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -244,7 +246,7 @@
 func (t *testNode) waitExit(within time.Duration) {
 	t.t.Helper()
 	ended, err := t.Wait(within)
-	if assert.True(t.t, ended, "the program is still there") {
+	if assert.True(t.t, ended, "the program has not exited within %v", within) {
 		assert.NoError(t.t, err, t.Log())
 	}
 }
@@ -262,7 +264,7 @@
 
 var requestCount atomic.Int64
 
-// nextTraceID returns a trace ID that no other request has.
+// nextTraceID returns a unique trace ID.
 func nextTraceID() string { return fmt.Sprintf("%016x", requestCount.Add(1)) }
 
 func setHeaders(request *http.Request, headers map[string]string) {
@@ -271,7 +273,7 @@
 	}
 }
 
-// send sends a request as a client does.
+// send sends a request with a client's usual headers.
 func (t *testNode) send(method, body string) response { return t.sendWith(method, body, nil) }
 
 func (t *testNode) sendWith(method, body string, header map[string]string) response {
--- a/cmd/robincart/log_test.go
+++ b/cmd/robincart/log_test.go
@@ -16,8 +16,8 @@
 	"robincart/internal/testutil"
 )
 
-// The log's pipe is full before the node's first line, and nobody reads it.
-func TestLog_UnreadHoldsUpNothing(t *testing.T) {
+// The log's pipe is full before the node's first line, and no process reads it.
+func TestLog_FullPipeDoesNotBlockNode(t *testing.T) {
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
 	defer r.Close()
@@ -32,7 +32,8 @@
 	cmd, _ := newCommand(t, config)
 	cmd.Stderr = w
 	require.NoError(t, cmd.Start())
-	// The pipe is shared with the child, and one that does not block would lose lines and hold up nothing.
+	// The child shares the pipe's flags. The pipe must block on writes, or the node would drop lines and the test would
+	// check nothing.
 	raw, err := w.SyscallConn()
 	require.NoError(t, err)
 	raw.Control(func(fd uintptr) { syscall.SetNonblock(int(fd), false) })
@@ -51,7 +52,7 @@
 	for i := range maxQueuedLines + 9 {
 		l.Write(fmt.Appendf(nil, "line %d\n", i))
 	}
-	l.Sync() // it gives up
+	l.Sync() // returns after syncTimeout, since the pipe is not read
 	all := ""
 	for lines := bufio.NewScanner(r); !strings.HasSuffix(all, "next") && lines.Scan(); {
 		all += lines.Text()
--- a/cmd/robincart/mixedfleet_test.go
+++ b/cmd/robincart/mixedfleet_test.go
@@ -17,26 +17,26 @@
 	"robincart/internal/lab/wire"
 )
 
-// mixedSettings returns the settings of a deployment before or after its move to a node beside each client: hedged
-// requests go, load reports arrive with the responses, hints with the requests, and the nodes are many.
-func mixedSettings(copies bool, nodes int, more string) json.RawMessage {
+// mixedSettings returns the settings of a deployment before or after its move to one node for each client. The move
+// disables hedging, adds load reports to responses and work hints to requests, and increases the number of nodes.
+func mixedSettings(hedging bool, nodes int, more string) json.RawMessage {
 	s := strings.Replace(testSettings, `"Instances":1`, fmt.Sprintf(`"Instances":%d%s`, nodes, more), 1)
-	s = strings.Replace(s, `"MayCancel":true`, fmt.Sprintf(`"MayCancel":true,"SecondCopies":%t`, copies), 1)
+	s = strings.Replace(s, `"MayCancel":true`, fmt.Sprintf(`"MayCancel":true,"SecondCopies":%t`, hedging), 1)
 	const rules = `"Rules":{"ColdFrom":0.2,"ColdMs":20000,"FallMultiple":3,"FallMs":3000,`
 	return json.RawMessage(strings.Replace(s, `"Rules":{`, rules, 1))
 }
 
-// mixedFleet is the outcome of a run with nodes of both settings.
+// mixedFleet is the result of a run with nodes of both settings.
 type mixedFleet struct {
-	status map[string]int    // by ID; 0: no response
-	kind   map[string]string // of the node that served it, by ID
-	once   map[string]bool   // IDs that must not run twice
-	ran    map[string]int    // by ID
-	strays int               // requests that arrived at the drained server after its grace
+	status       map[string]int    // by ID; 0: no response
+	kind         map[string]string // of the node that served it, by ID
+	once         map[string]bool   // IDs of requests that must not run twice
+	ran          map[string]int    // number of runs, by ID
+	lateRequests int               // requests that arrived at the drained server after its grace
 }
 
-// violations returns the broken rules, and a kind of node that starves beside the other.
-func (m *mixedFleet) violations() (wrong []string) {
+// violations returns the broken rules. One rule is that nodes of either kind serve at least 90% of their requests.
+func (m *mixedFleet) violations() (problems []string) {
 	ok, all := map[string]int{}, map[string]int{}
 	for id, status := range m.status {
 		all[m.kind[id]]++
@@ -44,21 +44,21 @@
 			ok[m.kind[id]]++
 		}
 		if status != 200 && status != 503 && status != 504 {
-			wrong = append(wrong, fmt.Sprintf("%s got %d", id, status))
+			problems = append(problems, fmt.Sprintf("%s: got status %d, expected 200, 503 or 504", id, status))
 		}
 		if m.once[id] && (m.ran[id] > 1 || m.ran[id] > 0 && status == 503) {
-			wrong = append(wrong, fmt.Sprintf("%s ran %d times and was answered with %d", id, m.ran[id], status))
+			problems = append(problems, fmt.Sprintf("%s: ran %d times and got status %d", id, m.ran[id], status))
 		}
 	}
 	for kind, n := range all {
 		if 10*ok[kind] < 9*n {
-			wrong = append(wrong, fmt.Sprintf("the %s nodes starve: %d of %d served", kind, ok[kind], n))
+			problems = append(problems, fmt.Sprintf("%s nodes served %d of %d, expected 90%%", kind, ok[kind], n))
 		}
 	}
-	if m.strays > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d came to a drained server", m.strays))
+	if m.lateRequests > 0 {
+		problems = append(problems, fmt.Sprintf("%d requests after the drained server's grace period", m.lateRequests))
 	}
-	return wrong
+	return problems
 }
 
 func TestMixedFleet_OldAndNewSettings(t *testing.T) {
@@ -69,21 +69,21 @@
 		ran:    map[string]int{},
 	}
 	var mu sync.Mutex
-	var drained time.Time // when its grace is over
+	var graceEnd time.Time // the end of s0's grace period
 	d := newDiscovery(t)
 	servers := map[string]*server{}
 	add := func(name string, up time.Time) {
-		var held atomic.Int64
+		var inFlight atomic.Int64
 		servers[name] = newServer(t, func(c net.Conn, q *wire.Request) bool {
 			mu.Lock()
 			m.ran[q.Header.Get("X-Trace-Id")]++
-			if name == "s0" && !drained.IsZero() && time.Now().After(drained) {
-				m.strays++
+			if name == "s0" && !graceEnd.IsZero() && time.Now().After(graceEnd) {
+				m.lateRequests++
 			}
 			mu.Unlock()
-			head := fmt.Sprintf("X-Load: %d,0,0.5\r\n", held.Add(1))
+			head := fmt.Sprintf("X-Load: %d,0,0.5\r\n", inFlight.Add(1))
 			time.Sleep(10 * time.Millisecond)
-			held.Add(-1)
+			inFlight.Add(-1)
 			_, err := c.Write(wire.AppendResponse(nil, 200, head, nil))
 			return err == nil
 		})
@@ -96,9 +96,9 @@
 	for i := range 6 {
 		add(fmt.Sprint("s", i), time.Time{})
 	}
-	var at sync.WaitGroup
+	var clients sync.WaitGroup
 	stop := make(chan struct{})
-	ask := func(p *testNode, kind string) {
+	sendRequests := func(p *testNode, kind string) {
 		for i := 0; ; i++ {
 			select {
 			case <-stop:
@@ -121,8 +121,9 @@
 		config := newConfig(t, d, d.members()...)
 		config["settings"] = settings
 		p := startTestNode(t, config)
-		for range map[string]int{"old": 5, "new": 2}[kind] { // both kinds carry as much
-			at.Go(func() { ask(p, kind) })
+		// Both kinds of nodes get the same load: 2 nodes with 5 clients each, and 5 nodes with 2 clients each.
+		for range map[string]int{"old": 5, "new": 2}[kind] {
+			clients.Go(func() { sendRequests(p, kind) })
 		}
 	}
 	time.Sleep(700 * time.Millisecond)
@@ -130,26 +131,26 @@
 	leaving.Phase = "draining"
 	d.Update(leaving)
 	mu.Lock()
-	drained = time.Now().Add(time.Second) // the grace of the rules, and room for a slow machine
+	graceEnd = time.Now().Add(time.Second) // the grace period, with a margin for a slow machine
 	mu.Unlock()
 	add("cold", time.Now())
 	time.Sleep(1500 * time.Millisecond)
 	close(stop)
-	at.Wait()
+	clients.Wait()
 	require.Greater(t, len(m.status), 300)
 	assert.Empty(t, m.violations())
-	assert.Less(t, servers["cold"].count(), len(m.status)/6, "a cold server's part over all nodes of both kinds")
+	assert.Less(t, servers["cold"].count(), len(m.status)/6, "the cold server gets a small part of all requests")
 
-	for crime, commit := range map[string]func(m *mixedFleet){
+	for violation, violate := range map[string]func(m *mixedFleet){
 		"no answer":      func(m *mixedFleet) { m.status["x"] = 0 },
 		"twice":          func(m *mixedFleet) { m.status["x"], m.once["x"], m.ran["x"] = 200, true, 2 },
 		"false pushback": func(m *mixedFleet) { m.status["x"], m.once["x"], m.ran["x"] = 503, true, 1 },
-		"a stray":        func(m *mixedFleet) { m.strays = 1 },
+		"a late request": func(m *mixedFleet) { m.lateRequests = 1 },
 		"starving":       func(m *mixedFleet) { m.status["x"], m.kind["x"] = 503, "third" },
 	} {
-		guilty := &mixedFleet{maps.Clone(m.status), maps.Clone(m.kind), maps.Clone(m.once), maps.Clone(m.ran), 0}
-		guilty.kind["x"] = "old"
-		commit(guilty)
-		assert.Len(t, guilty.violations(), 1, crime)
+		invalid := &mixedFleet{maps.Clone(m.status), maps.Clone(m.kind), maps.Clone(m.once), maps.Clone(m.ran), 0}
+		invalid.kind["x"] = "old"
+		violate(invalid)
+		assert.Len(t, invalid.violations(), 1, violation)
 	}
 }
--- a/cmd/robincart/operatorstate_test.go
+++ b/cmd/robincart/operatorstate_test.go
@@ -16,8 +16,8 @@
 	"robincart/internal/handover"
 )
 
-// newFailingDirectory returns a file's path in a directory that does not exist, which stands for one that fails,
-// and the function that makes it work.
+// newFailingDirectory returns the path of a file in a directory that does not exist, which simulates a failing
+// directory, and a function that creates the directory.
 func newFailingDirectory(t *testing.T) (path string, repair func()) {
 	directory := filepath.Join(t.TempDir(), "directory")
 	return filepath.Join(directory, "state"), func() { require.NoError(t, os.Mkdir(directory, 0o700)) }
@@ -33,7 +33,7 @@
 	path, repair := newFailingDirectory(t)
 	file := newOperatorStateFile(path, zap.NewNop())
 	err := file.waitSaved(timeoutContext(t, 50*time.Millisecond), file.save(operatorState{LameDuck: true}))
-	assert.ErrorIs(t, err, errStateUnread, "the file is not overwritten before it is known")
+	assert.ErrorIs(t, err, errStateUnread, "the file is not overwritten before it has been read")
 	_, err = file.load()
 	require.NoError(t, err)
 	assert.ErrorIs(t, file.waitSaved(timeoutContext(t, 50*time.Millisecond), 1), os.ErrNotExist)
@@ -44,7 +44,7 @@
 	require.NoError(t, file.waitSaved(timeoutContext(t, 10*time.Second), number))
 	var saved operatorState
 	require.NoError(t, handover.Load(path, &saved))
-	assert.Equal(t, latest, saved, "the latest state, and no earlier one")
+	assert.Equal(t, latest, saved, "the latest state is saved, not an earlier one")
 }
 
 func TestOperatorState_BansHaveListedStartTimes(t *testing.T) {
@@ -59,7 +59,7 @@
 	}, state.bans())
 }
 
-// newTestCommandHandler returns a handler without services, whose state is kept in a file.
+// newTestCommandHandler returns a handler without services, whose state is saved in a file.
 func newTestCommandHandler(path string) *commandHandler {
 	noCores := func() []*node.Core { return nil }
 	handler := newCommandHandler(&recordingFrontend{}, noCores, zap.NewNop())
@@ -89,7 +89,8 @@
 	assert.Equal(t, handler.operatorState().BannedSince, written.BannedSince)
 }
 
-// Where the predecessor could not read the file, its successor does not overwrite it either, and restores it later.
+// If the predecessor could not read the file, the successor does not overwrite it before it has read it, and then
+// restores its state.
 func TestCommandHandler_InheritedStateAndFile(t *testing.T) {
 	for name, test := range map[string]struct {
 		unread bool
@@ -115,7 +116,7 @@
 	}
 }
 
-// recordingFrontend notes whether the node is a lame duck.
+// recordingFrontend records whether the node is a lame duck.
 type recordingFrontend struct{ lameDuck bool }
 
 func (r *recordingFrontend) SetLameDuck(on bool) { r.lameDuck = on }
--- a/cmd/robincart/overload_test.go
+++ b/cmd/robincart/overload_test.go
@@ -19,7 +19,7 @@
 	config := newConfig(t, d, d.members()...)
 	config["limits"] = map[string]any{"cores": 1, "memory_mb": 64, "sockets": 48}
 	p := startTestNode(t, config)
-	for range 60 { // idle connections give way
+	for range 60 { // idle connections, which the node closes when it needs descriptors
 		c, err := net.Dial("tcp", p.addr)
 		require.NoError(t, err)
 		defer c.Close()
@@ -40,15 +40,16 @@
 	all.Wait()
 	assert.Equal(t, 60, counts[200]+counts[503], "%v", counts)
 	assert.Greater(t, counts[200], 10, "%v", counts)
-	assert.Equal(t, counts[200], slow.count(), "what was refused was never sent")
+	assert.Equal(t, counts[200], slow.count(), "rejected requests were never sent")
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid()))
 	require.NoError(t, err)
 	assert.LessOrEqual(t, len(files), 48)
-	assert.Equal(t, 200, p.send("charge", "x").status, "afterwards there is room again")
+	assert.Equal(t, 200, p.send("charge", "x").status, "the node serves again after the overload")
 }
 
-// Connections without a complete request must give way: other clients wait in the listener's queue behind them.
-func TestOverload_ClientServedBehindIdleFlood(t *testing.T) {
+// Connections without a complete request must be closed for others: the clients after them wait in the listener's
+// queue.
+func TestOverload_ClientServedAfterIdleFlood(t *testing.T) {
 	s := newServer(t, respond(200, "well"))
 	d := newDiscovery(t, newMember("s0", s.addr(), "ready"))
 	config := newConfig(t, d, d.members()...)
@@ -65,12 +66,13 @@
 	assert.Less(t, r.duration, 1500*time.Millisecond)
 }
 
-// Each is answered or closed within 3 s of connecting, and other clients are served meanwhile.
+// A client that sends nothing, half a request or a huge body is answered or closed within 3 s of connecting, and other
+// clients are served meanwhile.
 func TestOverload_HostileClientsAreClosedInTime(t *testing.T) {
 	t.Parallel()
 	p, _ := startWithServers(t, newServer(t, respond(200, "well")))
 	began := time.Now()
-	ends := func(c net.Conn, want string) {
+	checkClosed := func(c net.Conn, want string) {
 		c.SetReadDeadline(began.Add(3 * time.Second))
 		text, err := io.ReadAll(c)
 		assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -84,11 +86,11 @@
 	}
 	var all sync.WaitGroup
 	silent, late := dial(), dial()
-	all.Go(func() { ends(silent, "") })
+	all.Go(func() { checkClosed(silent, "") })
 	all.Go(func() {
 		time.Sleep(1500 * time.Millisecond)
 		io.WriteString(late, "GET /find HTT")
-		ends(late, " 408 ")
+		checkClosed(late, " 408 ")
 	})
 	huge, sent := dial(), 0
 	io.WriteString(huge, requestHead("POST /charge", "charge", "Content-Length: 62914560"))
@@ -99,7 +101,7 @@
 			break
 		}
 	}
-	assert.Less(t, sent, 30, "taking it all in would cost the usual callers the core")
+	assert.Less(t, sent, 30, "reading the whole body would take the CPU core from other clients")
 	huge.Close()
 	assert.Equal(t, 200, p.send("charge", "x").status)
 	all.Wait()
--- a/cmd/robincart/platform.go
+++ b/cmd/robincart/platform.go
@@ -112,9 +112,9 @@
 func (p *platformBackend) applySettings(config *platformConfig) {
 	grace := config.limits.RemovedMethodGrace
 	inForce := p.settings.update(config.node, grace)
-	none := func(int) bool { return false }
+	noSlots := func(int) bool { return false }
 	now := p.process.clock.Now()
-	service := frontend.NewService("", config.node.WithSlotsOf(inForce, none, none), p.core, p.pool, nil)
+	service := frontend.NewService("", config.node.WithSlotsOf(inForce, noSlots, noSlots), p.core, p.pool, nil)
 	p.service = service.KeepFormerSettings(p.service, now, now+grace)
 	p.process.frontend.SetTable(&frontend.Table{Only: p.service})
 	p.process.frontend.SetRequestIDTTL(config.limits.RequestIDTTL)
--- a/cmd/robincart/platformconfig_test.go
+++ b/cmd/robincart/platformconfig_test.go
@@ -32,8 +32,8 @@
 	return string(text)
 }
 
-// The endpoint list from before a process started binds it from its first moment, so its first poll must be soon,
-// whatever the settings say.
+// A node starts with an endpoint list that may be old, so its first poll must come soon, whatever poll interval the
+// settings allow.
 func TestPlatformConfig_FirstPollDelayIsBounded(t *testing.T) {
 	text, err := json.Marshal(newConfig(t, newDiscovery(t)))
 	require.NoError(t, err)
@@ -45,7 +45,7 @@
 	assert.InDelta(t, c.limits.MaxPollInterval.Seconds(), c.node.MaxFirstPollDelay, 1e-9)
 }
 
-// A file that is truncated anywhere, or lacks any key, changes nothing.
+// A file that is truncated at any byte, or lacks any key, changes nothing.
 func TestPlatformConfig_TruncatedFileIsRejected(t *testing.T) {
 	d := newDiscovery(t)
 	text, err := json.Marshal(newConfig(t, d))
@@ -61,34 +61,34 @@
 	write(text)
 	c, err := readPlatformConfig(env)
 	require.NoError(t, err)
-	moves := &recordedAddresses{}
-	tuned := 0
+	watcher := &recordedAddresses{}
+	applied := 0
 	reload := func() *platformConfig {
-		now, err := c.reload(env, moves, func(*platformConfig) { tuned++ }, zap.NewNop())
-		require.NoError(t, err, "a mistake is none that passes")
+		now, err := c.reload(env, watcher, func(*platformConfig) { applied++ }, zap.NewNop())
+		require.NoError(t, err, "an invalid file is not a temporary error")
 		return now
 	}
 	for n := range len(text) {
 		write(text[:n])
 		require.Same(t, c, reload(), "%s", text[:n])
 	}
-	var whole map[string]any
-	require.NoError(t, json.Unmarshal(text, &whole))
-	settings := whole["settings"].(map[string]any)
-	for _, in := range []map[string]any{whole, settings, settings["Limits"].(map[string]any)} {
-		for key, v := range in {
-			delete(in, key)
-			short, err := json.Marshal(whole)
+	var config map[string]any
+	require.NoError(t, json.Unmarshal(text, &config))
+	settings := config["settings"].(map[string]any)
+	for _, object := range []map[string]any{config, settings, settings["Limits"].(map[string]any)} {
+		for key, v := range object {
+			delete(object, key)
+			short, err := json.Marshal(config)
 			require.NoError(t, err)
 			write(short)
 			require.Same(t, c, reload(), "without %s", key)
-			in[key] = v
+			object[key] = v
 		}
 	}
-	assert.Zero(t, tuned)
+	assert.Zero(t, applied)
 	write(text)
 	assert.NotSame(t, c, reload())
-	assert.Empty(t, moves.addresses)
+	assert.Empty(t, watcher.addresses)
 }
 
 type recordedAddresses struct{ addresses []string }
@@ -100,8 +100,8 @@
 	d := newDiscovery(t, newMember("s0", slow.addr(), "ready"))
 	c := newConfig(t, d, d.members()...)
 	p := startTestNode(t, c)
-	out := make(chan response, 1)
-	go func() { out <- p.send("find", "") }()
+	responses := make(chan response, 1)
+	go func() { responses <- p.send("find", "") }()
 	require.Eventually(t, func() bool { return slow.count() == 1 }, 5*time.Second, time.Millisecond)
 	good := editSettings(t, c, func(_ map[string]any, all []any) []any {
 		extra := map[string]any{}
@@ -113,8 +113,8 @@
 	})
 	p.reload(good)
 	require.Eventually(t, func() bool { return p.send("tip", "x").status != 404 }, 10*time.Second, 5*time.Millisecond)
-	assert.Equal(t, 200, (<-out).status, "what was open is served")
-	assert.Equal(t, 200, p.send("find", "").status, "callers hear of it later")
+	assert.Equal(t, 200, (<-responses).status, "a request in flight is served")
+	assert.Equal(t, 200, p.send("find", "").status, "clients learn of the change later")
 	assert.Equal(t, 200, p.sendWith("tip", "x", map[string]string{"Idempotency-Key": "k"}).status)
 	for i, broken := range []string{
 		"",
@@ -147,10 +147,10 @@
 	}
 	assert.Eventually(t, func() bool {
 		return p.send("find", "").status == 404
-	}, 10*time.Second, 50*time.Millisecond, "and is gone in the end")
+	}, 10*time.Second, 50*time.Millisecond, "the removed method is rejected after the grace period")
 }
 
-// EDGE_DISCOVERY, which startTestNode sets, names the old discovery all along.
+// EDGE_DISCOVERY, which startTestNode sets, keeps the old discovery address throughout the test.
 func TestReload_MovesWatchUnderTraffic(t *testing.T) {
 	old, fresh := newServer(t, respond(200, "old")), newServer(t, respond(200, "fresh"))
 	here, there := newDiscovery(t, newMember("s0", old.addr(), "ready")), newDiscovery(t)
@@ -171,7 +171,7 @@
 				default:
 					r := p.send("charge", "x")
 					assert.NoError(t, r.err)
-					if r.status == 503 { // a busy machine makes servers look slow, and a rejection loses nothing
+					if r.status == 503 { // on a busy machine servers seem slow; a rejected request is not lost
 						pushedBack.Add(1)
 						continue
 					}
--- a/cmd/robincart/predecessor.go
+++ b/cmd/robincart/predecessor.go
@@ -22,10 +22,10 @@
 )
 
 // versionError reports a predecessor whose handover state has a version that this program can't read.
-type versionError struct{ theirs int }
+type versionError struct{ received int }
 
 func (v *versionError) Error() string {
-	return fmt.Sprintf("predecessor sent handover state version %d, expected version %d", v.theirs, handoverVersion)
+	return fmt.Sprintf("predecessor sent handover state version %d, expected version %d", v.received, handoverVersion)
 }
 
 // connectToPredecessor requests the state of the process that serves at present. It is not an error if there is no such
@@ -59,7 +59,7 @@
 		return handoverState{}, err
 	}
 	if state.Version != handoverVersion {
-		return handoverState{}, &versionError{theirs: state.Version}
+		return handoverState{}, &versionError{received: state.Version}
 	}
 	return state, nil
 }
--- a/cmd/robincart/record_test.go
+++ b/cmd/robincart/record_test.go
@@ -26,52 +26,55 @@
 	"robincart/internal/record/store/sqlstore"
 )
 
-// buildStoreProgram builds the program that has the databases' drivers.
+// buildStoreProgram builds the program that has the database drivers.
 func buildStoreProgram(t *testing.T) string {
-	helper := filepath.Join(t.TempDir(), "robincart-record")
-	out, err := exec.Command("go", "build", "-o", helper, "robincart/cmd/robincart-record").CombinedOutput()
+	path := filepath.Join(t.TempDir(), "robincart-record")
+	out, err := exec.Command("go", "build", "-o", path, "robincart/cmd/robincart-record").CombinedOutput()
 	require.NoError(t, err, string(out))
-	return helper
+	return path
 }
 
-// Services and routes of the record are in force as they are written; what can't be compiled changes nothing.
+// Services and routes take effect when they are written to the record; an invalid entry changes nothing.
 func TestRecord_ServicesAndRoutes(t *testing.T) {
-	helper, dir := buildStoreProgram(t), t.TempDir()
-	at := "sqlite:" + filepath.Join(dir, "record.db")
-	record := func(args ...string) {
-		out, err := exec.Command(helper, append(args, "--store", at)...).CombinedOutput()
+	program, dir := buildStoreProgram(t), t.TempDir()
+	address := "sqlite:" + filepath.Join(dir, "record.db")
+	runStoreProgram := func(args ...string) {
+		out, err := exec.Command(program, append(args, "--store", address)...).CombinedOutput()
 		require.NoError(t, err, string(out))
 	}
-	text := func(s string) string {
+	writeFile := func(s string) string {
 		path := filepath.Join(dir, "text")
 		require.NoError(t, os.WriteFile(path, []byte(s), 0o600))
 		return path
 	}
-	record("init")
+	runStoreProgram("init")
 	a, b := newServer(t, respond(200, "a")), newServer(t, respond(200, "b"))
-	t.Setenv("ROBINCART_RECORD", helper)
+	t.Setenv("ROBINCART_RECORD", program)
 	snapshot := filepath.Join(dir, "snap")
-	p := startServices(t, fmt.Sprintf("[record]\nstore = %q\nsnapshot = %q\npoll = \"100ms\"\n", at, snapshot)+
+	p := startServices(t, fmt.Sprintf("[record]\nstore = %q\nsnapshot = %q\npoll = \"100ms\"\n", address, snapshot)+
 		serviceTOML("first", a, 0.5, "")+routeTOML("a.example.org", "first"))
 	status, _ := p.sendOn(nil, "GET /find", "Host: b.example.org")
 	assert.Equal(t, 404, status)
-	record("set", "service", "second", text(serviceTOML("second", b, 0.2, "")), "--expect", "0")
-	record("set", "route", "r", text("[[route]]\nname = \"r\"\nhost = \"b.example.org\"\nto = \"second\"\n"))
-	becomes := func(want int) {
+	runStoreProgram("set", "service", "second", writeFile(serviceTOML("second", b, 0.2, "")), "--expect", "0")
+	runStoreProgram("set", "route", "r",
+		writeFile("[[route]]\nname = \"r\"\nhost = \"b.example.org\"\nto = \"second\"\n"))
+	awaitStatus := func(want int) {
 		t.Helper()
 		require.Eventually(t, func() bool {
 			status, _ := p.sendOn(nil, "GET /find", "Host: b.example.org")
 			return status == want
-		}, 20*time.Second, 20*time.Millisecond, "%s", lateLog{p})
+		}, 20*time.Second, 20*time.Millisecond, "%s", currentLog{p})
 	}
-	becomes(200)
-	record("set", "route", "bad", text("[[route]]\nname = \"bad\"\nhost = \"c.example.org\"\nto = \"nowhere\"\n"))
+	awaitStatus(200)
+	runStoreProgram("set", "route", "bad",
+		writeFile("[[route]]\nname = \"bad\"\nhost = \"c.example.org\"\nto = \"nowhere\"\n"))
 	require.Eventually(t, func() bool {
 		return strings.Contains(p.Log(), "nowhere")
 	}, 20*time.Second, 20*time.Millisecond)
-	becomes(200)
+	awaitStatus(200)
 	p.Kill()
-	// Its log and shared memory go with it: SQLite would apply a log that stays behind to the file that is put back.
+	// The write-ahead log and the shared memory file are moved together with the database: SQLite would apply a log
+	// that stays in place to the database that is moved back.
 	move := func(from, to string) {
 		for _, part := range []string{"", "-wal", "-shm"} {
 			err := os.Rename(filepath.Join(dir, from)+part, filepath.Join(dir, to)+part)
@@ -82,27 +85,28 @@
 	}
 	move("record.db", "lost")
 	lost := "sqlite:" + filepath.Join(dir, "lost")
-	require.NoError(t, exec.Command(helper, "delete", "route", "bad", "--store", lost).Run())
+	require.NoError(t, exec.Command(program, "delete", "route", "bad", "--store", lost).Run())
 	require.NoError(t, p.Start(t.Context()))
 	status, _ = p.sendOn(nil, "GET /find", "Host: a.example.org")
-	assert.Equal(t, 200, status, "without its store, and with a bad route in its snapshot, the file alone is in force")
+	assert.Equal(t, 200, status, "without the store and with an invalid snapshot, the file alone is in force")
 	move("lost", "record.db")
-	becomes(200)
+	awaitStatus(200)
 }
 
-// The same through a controller's replica: no store program, and what was in force outlives the replica and the node.
+// A node that reads the record through a controller's replica needs no store program. Its configuration outlives the
+// replica and a restart of the node.
 func TestRecord_ThroughControllers(t *testing.T) {
 	dir := t.TempDir()
-	up, err := sqlstore.Open("sqlite:" + filepath.Join(dir, "record.db"))
+	database, err := sqlstore.Open("sqlite:" + filepath.Join(dir, "record.db"))
 	require.NoError(t, err)
-	t.Cleanup(func() { up.Close() })
-	_, err = up.Init(t.Context(), false)
+	t.Cleanup(func() { database.Close() })
+	_, err = database.Init(t.Context(), false)
 	require.NoError(t, err)
-	at := freeAddress(t)
-	begin := func() (stop func()) {
-		ln, err := net.Listen("tcp", at)
+	address := freeAddress(t)
+	startReplica := func() (stop func()) {
+		ln, err := net.Listen("tcp", address)
 		require.NoError(t, err)
-		r := recordserver.New(up, recordserver.DefaultConfig(), zap.NewNop())
+		r := recordserver.New(database, recordserver.DefaultConfig(), zap.NewNop())
 		ctx, end := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		all.Go(func() { r.Run(ctx) })
@@ -111,17 +115,18 @@
 		t.Cleanup(stop)
 		return stop
 	}
-	stop := begin()
+	stop := startReplica()
 	t.Setenv("ROBINCART_RECORD", filepath.Join(dir, "no such program"))
 	a := newServer(t, respond(200, "a"))
-	recordTable := fmt.Sprintf("[record]\nstore = \"controllers:%s\"\nsnapshot = %q\n", at, filepath.Join(dir, "snap"))
+	recordTable := fmt.Sprintf("[record]\nstore = \"controllers:%s\"\nsnapshot = %q\n", address,
+		filepath.Join(dir, "snap"))
 	p := startServices(t, recordTable+serviceTOML("first", a, 0.5, "")+routeTOML("a.example.org", "first"))
-	set := func(name, host string) {
-		m, err := up.Meta(t.Context())
+	addRoute := func(name, host string) {
+		m, err := database.Meta(t.Context())
 		require.NoError(t, err)
 		text := fmt.Sprintf("[[route]]\nname = %q\nhost = %q\nto = \"first\"\n", name, host)
 		value, _ := json.Marshal(map[string]string{"toml": text})
-		_, _, err = up.Write(t.Context(), m.Epoch, []record.Change{{
+		_, _, err = database.Write(t.Context(), m.Epoch, []record.Change{{
 			Key:              record.Key{Kind: record.KindRoute, Name: name},
 			ExpectedRevision: 0,
 			Writer:           "op",
@@ -130,16 +135,16 @@
 		}})
 		require.NoError(t, err)
 	}
-	becomes := func(host string) {
+	awaitServed := func(host string) {
 		t.Helper()
 		require.Eventually(t, func() bool {
 			status, _ := p.sendOn(nil, "GET /find", "Host: "+host)
 			return status == 200
-		}, 20*time.Second, 20*time.Millisecond, "%s", lateLog{p})
+		}, 20*time.Second, 20*time.Millisecond, "%s", currentLog{p})
 	}
-	becomes("a.example.org")
-	set("b", "b.example.org")
-	becomes("b.example.org")
+	awaitServed("a.example.org")
+	addRoute("b", "b.example.org")
+	awaitServed("b.example.org")
 	require.Eventually(t, func() bool {
 		s, found, err := recordcache.LoadSnapshot(filepath.Join(dir, "snap"))
 		isRoute := func(entry record.Entry) bool { return entry.Kind == record.KindRoute }
@@ -148,19 +153,19 @@
 	stop()
 	p.Kill()
 	require.NoError(t, p.Start(t.Context()))
-	becomes("b.example.org") // from its snapshot alone
-	set("c", "c.example.org")
-	begin()
-	becomes("c.example.org")
+	awaitServed("b.example.org") // from the snapshot alone
+	addRoute("c", "c.example.org")
+	startReplica()
+	awaitServed("c.example.org")
 }
 
-// Nodes and their store are killed at random under load; a failure prints the seed.
+// Nodes and their store are killed at random times under load. A failure prints the seed.
 func TestRecord_NodesAndStoreKilled(t *testing.T) {
-	helper := buildStoreProgram(t)
+	program := buildStoreProgram(t)
 	for _, sqlite := range []bool{false, true} {
 		r := &chaos.Record{
 			Program: os.Args[0],
-			Env:     append(testProgramEnvironment(), "ROBINCART_RECORD="+helper),
+			Env:     append(testProgramEnvironment(), "ROBINCART_RECORD="+program),
 			For:     7 * time.Second,
 			Slack:   2 * time.Second,
 			Seed:    time.Now().UnixNano() % 1_000_000,
@@ -175,7 +180,7 @@
 	}
 }
 
-// lateLog formats as a program's log at that time.
-type lateLog struct{ p *testNode }
+// currentLog formats as a node's log at the time of formatting.
+type currentLog struct{ p *testNode }
 
-func (l lateLog) String() string { return l.p.Log() }
+func (l currentLog) String() string { return l.p.Log() }
--- a/cmd/robincart/requests_test.go
+++ b/cmd/robincart/requests_test.go
@@ -55,30 +55,30 @@
 	r = p.send("charge", "x")
 	assert.Contains(t, []int{500, 504}, r.status, "it may have run")
 	r = p.send("find", "")
-	assert.Equal(t, 503, r.status, "asking again is harmless")
+	assert.Equal(t, 503, r.status, "a retry is safe")
 }
 
 func TestRequest_ClientGoneCancelsAttempt(t *testing.T) {
-	left := make(chan time.Time, 1)
-	came := make(chan bool, 1)
+	closed := make(chan time.Time, 1)
+	arrived := make(chan bool, 1)
 	slow := newServer(t, func(c net.Conn, q *wire.Request) bool {
-		came <- true
+		arrived <- true
 		hang(c, q)
-		left <- time.Now()
+		closed <- time.Now()
 		return false
 	})
 	p, _ := startWithServers(t, slow)
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
 	io.WriteString(c, requestHead("GET /find", "find"))
-	testutil.Receive(t, came)
-	at := time.Now()
+	testutil.Receive(t, arrived)
+	closedAt := time.Now()
 	c.Close()
-	assert.WithinDuration(t, at, testutil.Receive(t, left), 2*time.Second)
+	assert.WithinDuration(t, closedAt, testutil.Receive(t, closed), 2*time.Second)
 }
 
-// requestHead returns a request's head. More headers replace those of the same name, and remove them if they have
-// no value.
+// requestHead returns a request's head. Headers in more replace default headers of the same name; one without a value
+// removes the default header.
 func requestHead(line, method string, more ...string) string {
 	headers := []string{"Host: service.internal", "X-Trace-Id: 9b1f", "X-Qos: " + method, "X-Customer: acme",
 		"X-Expires-In-Ms: 1000"}
--- a/cmd/robincart/routescommand.go
+++ b/cmd/robincart/routescommand.go
@@ -105,11 +105,11 @@
 		if i == matched {
 			continue
 		}
-		alone, err := routes.Compile([]routes.Rule{rule}, len(config.Pools))
+		single, err := routes.Compile([]routes.Rule{rule}, len(config.Pools))
 		if err != nil {
 			continue
 		}
-		if _, _, ok := alone.Find(&routed); ok {
+		if _, _, ok := single.Find(&routed); ok {
 			fmt.Fprintf(w, "  it goes before %s\n", describeRule(rule, config))
 		}
 	}
--- a/cmd/robincart/settingstransition_test.go
+++ b/cmd/robincart/settingstransition_test.go
@@ -12,9 +12,9 @@
 	"robincart/internal/protocol/settings"
 )
 
-// Settings change again before clients have learned of the last change: what any of them may still send is retried
-// as none of them forbids, also where the method was removed in between, and the last settings are in force in the
-// end, in whatever order timers fire.
+// Settings change again before clients have learned of the last change. During the grace period a method is retried
+// only if all versions allow it, even if one of the versions lacks the method. Afterwards the last settings alone are
+// in force, in whatever order the timers fire.
 func TestSettingsTransition_FormerSettingsBindDuringGrace(t *testing.T) {
 	parse := func(classes string) *settings.Instance {
 		const other = `{"Name":"other","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}`
@@ -25,30 +25,30 @@
 	class := func(repeat string) *settings.Instance {
 		return parse(`,{"Name":"a","AimMs":1,"DeadlineMs":1,"WindowMs":9,"Repeat":"` + repeat + `"}`)
 	}
-	effect := func(n *settings.Instance) decide.Idempotency {
+	idempotency := func(n *settings.Instance) decide.Idempotency {
 		for i, name := range n.MethodNames {
 			if name == "a" {
 				return n.Methods[i].Idempotency
 			}
 		}
-		t.Fatal("the class is not there")
+		t.Fatal("method a is missing in the settings")
 		return 0
 	}
-	once, free := class("once"), class("repeatable")
-	for name, between := range map[string]*settings.Instance{"again": free, "gone": parse("")} {
+	once, repeatable := class("once"), class("repeatable")
+	for name, between := range map[string]*settings.Instance{"again": repeatable, "gone": parse("")} {
 		clk := clock{time.Now()}
 		now := time.Now()
 		core := node.New(once, 1, clk, now, func() {})
-		tune := &settingsTransition{core: core, now: func() time.Time { return now }, current: once}
-		tune.update(between, 3*time.Hour)
+		transition := &settingsTransition{core: core, now: func() time.Time { return now }, current: once}
+		transition.update(between, 3*time.Hour)
 		now = now.Add(time.Hour)
-		assert.Equal(t, decide.NonIdempotent, effect(tune.update(free, 3*time.Hour)), name)
-		now = now.Add(2 * time.Hour) // the grace of the first change is over
-		assert.Equal(t, decide.Idempotent, effect(tune.apply()), name)
-		assert.Len(t, tune.previous, 1, name)
+		assert.Equal(t, decide.NonIdempotent, idempotency(transition.update(repeatable, 3*time.Hour)), name)
+		now = now.Add(2 * time.Hour) // the grace period of the first change is over
+		assert.Equal(t, decide.Idempotent, idempotency(transition.apply()), name)
+		assert.Len(t, transition.previous, 1, name)
 		now = now.Add(time.Hour)
-		tune.apply()
-		assert.Empty(t, tune.previous, name)
+		transition.apply()
+		assert.Empty(t, transition.previous, name)
 		core.Close()
 	}
 }
--- a/cmd/robincart/shutdown_test.go
+++ b/cmd/robincart/shutdown_test.go
@@ -18,63 +18,65 @@
 	"sync/atomic"
 )
 
-// A node that shares its CPU runs a part of the time only. Servers hang throughout its shutdown, with many requests
-// in flight: each of them is answered before the kill may come.
+// A node that shares its CPU runs only a part of the time. The servers hang throughout the node's shutdown, with many
+// requests in flight. Each request must be answered before the platform may kill the node.
 func TestShutdown_StarvedNodeAnswersAllInFlight(t *testing.T) {
 	const (
-		callers  = 120
-		killed   = 3700 * time.Millisecond // from SIGTERM: the longest deadline and 0.7 s
-		heldUp   = 45 * time.Millisecond
-		runs     = 5 * time.Millisecond
-		heldFrom = 3300 * time.Millisecond
+		clients     = 120
+		killAfter   = 3700 * time.Millisecond // after SIGTERM: the longest deadline plus 0.7 s
+		stoppedTime = 45 * time.Millisecond
+		runningTime = 5 * time.Millisecond
+		starveAfter = 3300 * time.Millisecond
 	)
 	var servers []*server
 	for range 16 {
 		servers = append(servers, newServer(t, hang))
 	}
 	p, _ := startWithServers(t, servers...)
-	statuses := make(chan response, callers)
+	responses := make(chan response, clients)
 	var all sync.WaitGroup
-	for range callers {
-		all.Go(func() { statuses <- p.sendWith("slow", "x", map[string]string{"X-Expires-In-Ms": "6000"}) })
+	for range clients {
+		all.Go(func() { responses <- p.sendWith("slow", "x", map[string]string{"X-Expires-In-Ms": "6000"}) })
 	}
 	time.Sleep(300 * time.Millisecond)
 	term := time.Now()
 	assert.NoError(t, p.Signal(syscall.SIGTERM))
-	time.Sleep(heldFrom)
-	for time.Since(term) < killed {
+	time.Sleep(starveAfter)
+	for time.Since(term) < killAfter {
 		p.Signal(syscall.SIGSTOP)
-		time.Sleep(heldUp)
+		time.Sleep(stoppedTime)
 		p.Signal(syscall.SIGCONT)
-		time.Sleep(runs)
+		time.Sleep(runningTime)
 	}
 	p.Signal(syscall.SIGKILL)
 	all.Wait()
-	close(statuses)
+	close(responses)
 	counts := map[string]int{}
-	for r := range statuses {
+	for r := range responses {
 		if r.err != nil {
 			counts["lost"]++
 			continue
 		}
 		counts[fmt.Sprint(r.status)]++
 	}
-	assert.Equal(t, callers, counts["503"]+counts["504"], "%v", counts)
-	assert.Greater(t, counts["504"], callers/2, "%v", counts)
+	assert.Equal(t, clients, counts["503"]+counts["504"], "%v", counts)
+	assert.Greater(t, counts["504"], clients/2, "%v", counts)
 }
 
-// A process that waits for its predecessor has a listener already, and the kernel accepts clients for it.
+// While a process waits for its predecessor, the kernel already accepts clients on its listener. They must be answered
+// even if SIGTERM arrives during that time.
 func TestShutdown_SignalBeforeServing(t *testing.T) {
-	l, _ := newNodeSite(t, newServer(t, respond(200, "well")))
-	before, err := handover.Listen(handover.SocketPath(l.dir, "n1 "+l.addr)) // it sends nothing, and is waited for
+	fixture, _ := newNodeFixture(t, newServer(t, respond(200, "well")))
+	// This predecessor sends no state, so the node waits for it.
+	predecessor, err := handover.Listen(handover.SocketPath(fixture.dir, "n1 "+fixture.addr))
 	require.NoError(t, err)
-	defer before.Close()
-	l.config["admin_addr"] = freeAddress(t)
-	p := l.launch()
-	link, err := before.AcceptUnix()
+	defer predecessor.Close()
+	fixture.config["admin_addr"] = freeAddress(t)
+	p := fixture.launch()
+	link, err := predecessor.AcceptUnix()
 	require.NoError(t, err)
 	defer link.Close()
-	c, err := net.Dial("tcp", l.addr)
+	c, err := net.Dial("tcp", fixture.addr)
 	require.NoError(t, err)
 	defer c.Close()
 	io.WriteString(c, requestHead("GET /find", "find"))
@@ -94,29 +96,29 @@
 	require.NoError(t, err)
 	defer idle.Close()
 	var all sync.WaitGroup
-	ask := func() {
+	sendRequest := func() {
 		r := p.send("charge", "x")
 		assert.NoError(t, r.err)
 		assert.Equal(t, 200, r.status)
 		assert.True(t, r.closes)
 	}
-	all.Go(ask)
+	all.Go(sendRequest)
 	time.Sleep(100 * time.Millisecond)
 	require.NoError(t, p.Signal(syscall.SIGTERM))
 	time.Sleep(400 * time.Millisecond)
 	c, err := net.Dial("tcp", p.addr)
-	require.NoError(t, err, "the front goes on dealing out connections for 0.4 s")
+	require.NoError(t, err, "the platform keeps sending connections for 0.4 s")
 	defer c.Close()
 	io.WriteString(c, "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n")
 	first, err := bufio.NewReader(c).ReadString('\n')
 	assert.NoError(t, err)
 	assert.Equal(t, "HTTP/1.1 503 Service Unavailable\r\n", first)
-	all.Go(ask)
+	all.Go(sendRequest)
 	all.Wait()
 	p.waitExit(time.Second)
 }
 
-// The platform goes on sending connections for up to 0.4 s, and clients use those that they have.
+// During a shutdown the platform keeps sending connections for up to 0.4 s, and clients reuse their connections.
 func TestShutdown_UnderTraffic(t *testing.T) {
 	p, _ := startWithServers(t, newServer(t, delayed(20*time.Millisecond, respond(200, "well"))))
 	until := time.Now().Add(700 * time.Millisecond)
@@ -140,7 +142,7 @@
 	p.stop(2 * time.Second)
 	all.Wait()
 	assert.Greater(t, served.Load(), int64(80))
-	assert.Greater(t, closed.Load(), int64(40), "after the stop each answer closes its connection")
+	assert.Greater(t, closed.Load(), int64(40), "after the signal each answer closes its connection")
 }
 
 func TestShutdown_AbortsInFlightBeforeKill(t *testing.T) {
--- a/cmd/robincart/start_test.go
+++ b/cmd/robincart/start_test.go
@@ -63,14 +63,14 @@
 	assert.Contains(t, log.String(), "EDGE_CONFIG")
 }
 
-// Discovery refuses connections, or accepts them and never responds: the node is ready with the list in its
-// configuration, and serves by it; with an empty one it is ready, too, and rejects at once.
+// Discovery refuses connections, or accepts them and does not respond. The node becomes ready with the endpoint list of
+// its configuration, and uses it to serve. With an empty list it becomes ready, too, and rejects requests at once.
 func TestStart_ReadyWhateverDiscoveryDoes(t *testing.T) {
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer mute.Close()
+	defer unresponsive.Close()
 	s := newServer(t, respond(200, "well"))
-	for name, addr := range map[string]string{"refused": freeAddress(t), "mute": mute.Addr().String()} {
+	for name, addr := range map[string]string{"refused": freeAddress(t), "mute": unresponsive.Addr().String()} {
 		for want, known := range map[int][]standin.Member{200: {newMember("s0", s.addr(), "ready")}, 503: {}} {
 			d := newDiscovery(t)
 			c := newConfig(t, d, known...)
@@ -88,11 +88,11 @@
 	}
 }
 
-// BenchmarkStart_ThirtyNodesAtOnce starts thirty nodes at once on cores that are busy, while discovery is down for
-// 8 s and slow from then on, and reports when they were ready and when each had its watch. Not a race-checked run:
+// BenchmarkStart_ThirtyNodesAtOnce starts thirty nodes at once on busy cores, while discovery is down for 8 s and slow
+// afterwards. It reports when the nodes were ready and when all had a watch. To run it, without the race detector:
 // go test -run - -bench Thirty -benchtime 1x.
 func BenchmarkStart_ThirtyNodesAtOnce(b *testing.B) {
-	const nodes, down, most = 30, 8 * time.Second, 20 * time.Second
+	const nodes, outage, timeout = 30, 8 * time.Second, 20 * time.Second
 	var ended atomic.Bool
 	defer ended.Store(true)
 	for range 16 {
@@ -106,13 +106,13 @@
 		d := standin.NewDiscovery(nil, time.Now())
 		d.HeartbeatInterval = 500 * time.Millisecond
 		d.Update(newMember("s0", "127.0.0.1:1", "ready"))
-		door, err := d.Listen(0, "127.0.0.1:0")
+		listener, err := d.Listen(0, "127.0.0.1:0")
 		require.NoError(b, err)
 		_, known := d.List()
 		d.SetDown(true)
-		d.SetDelay(time.Second) // with its heartbeats: twice that would be a silent watch
+		d.SetDelay(time.Second) // also of heartbeats; with twice the delay the watch would count as silent
 		began := time.Now()
-		took := make([]float64, nodes)
+		startSeconds := make([]float64, nodes)
 		var all sync.WaitGroup
 		dir := b.TempDir()
 		var started []*standin.Node
@@ -126,7 +126,7 @@
 				Dir:     dir,
 				Env:     []string{"ROBINCART_TEST_PROGRAM=1"},
 				Config: map[string]any{
-					"discovery": door.Addr(),
+					"discovery": listener.Addr(),
 					"seed":      fmt.Sprint(i),
 					"limits":    map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
 					"known":     map[string]any{"revision": 1, "complete": true, "members": known},
@@ -135,27 +135,27 @@
 			}
 			started = append(started, n)
 			all.Go(func() {
-				ctx, cancel := context.WithTimeout(b.Context(), most)
+				ctx, cancel := context.WithTimeout(b.Context(), timeout)
 				defer cancel()
 				if err := n.Start(ctx); err != nil {
 					b.Error(err)
 				}
-				took[i] = time.Since(began).Seconds()
+				startSeconds[i] = time.Since(began).Seconds()
 			})
 		}
 		all.Wait()
-		time.Sleep(time.Until(began.Add(down)))
+		time.Sleep(time.Until(began.Add(outage)))
 		d.SetDown(false)
-		back := time.Now()
-		for last := 0; last < nodes && time.Since(began) < most; time.Sleep(10 * time.Millisecond) {
-			_, last = door.Watches()
+		restoredAt := time.Now()
+		for open := 0; open < nodes && time.Since(began) < timeout; time.Sleep(10 * time.Millisecond) {
+			_, open = listener.Watches()
 		}
-		watched := time.Since(back).Seconds()
-		slices.Sort(took)
-		b.ReportMetric(took[nodes/2], "s-median")
-		b.ReportMetric(took[nodes*9/10-1], "s-9of10")
-		b.ReportMetric(took[nodes-1], "s-most")
-		b.ReportMetric(watched, "s-watched-after-return")
+		watchSeconds := time.Since(restoredAt).Seconds()
+		slices.Sort(startSeconds)
+		b.ReportMetric(startSeconds[nodes/2], "s-median")
+		b.ReportMetric(startSeconds[nodes*9/10-1], "s-9of10")
+		b.ReportMetric(startSeconds[nodes-1], "s-most")
+		b.ReportMetric(watchSeconds, "s-watched-after-return")
 		for _, n := range started {
 			n.Kill()
 		}
--- a/cmd/robincart/storeprogram.go
+++ b/cmd/robincart/storeprogram.go
@@ -37,17 +37,17 @@
 // findStoreProgram returns the path of the store program: ROBINCART_RECORD if it is set, or else storeProgramName in
 // this program's directory. It is an error if the file does not exist.
 func findStoreProgram() (string, error) {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(filepath.Dir(self), storeProgramName)
+	path := filepath.Join(filepath.Dir(executable), storeProgramName)
 	if override := os.Getenv("ROBINCART_RECORD"); override != "" {
 		path = override
 	}
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("store program %s: expected in this program's directory, or at the path in "+
-			"ROBINCART_RECORD: %w", storeProgramName, err)
+		return "", fmt.Errorf("store program %s: expected in this program's directory or at ROBINCART_RECORD: %w",
+			storeProgramName, err)
 	}
 	return path, nil
 }
--- a/cmd/robincart/succession_test.go
+++ b/cmd/robincart/succession_test.go
@@ -24,8 +24,8 @@
 	"robincart/internal/handover"
 )
 
-// nodeSite is where the processes of one node succeed one another: one listener, one directory, one configuration.
-type nodeSite struct {
+// nodeFixture is what the successive processes of one node share: a listener, a directory and a configuration.
+type nodeFixture struct {
 	t      *testing.T
 	file   *os.File
 	dir    string
@@ -33,8 +33,8 @@
 	addr   string
 }
 
-// siteProcess is one of the processes of a nodeSite.
-type siteProcess struct {
+// nodeProcess is one process of a nodeFixture.
+type nodeProcess struct {
 	*exec.Cmd
 	log    *logBuffer
 	admin  string
@@ -42,7 +42,7 @@
 	ended  chan error
 }
 
-func newNodeSite(t *testing.T, servers ...*server) (*nodeSite, *discovery) {
+func newNodeFixture(t *testing.T, servers ...*server) (*nodeFixture, *discovery) {
 	d := newDiscovery(t)
 	for i, s := range servers {
 		d.Update(newMember(fmt.Sprint("s", i), s.addr(), "ready"))
@@ -55,11 +55,11 @@
 	t.Cleanup(func() { file.Close() })
 	c := newConfig(t, d, d.members()...)
 	c["listen"] = ln.Addr().String()
-	return &nodeSite{t: t, file: file, dir: t.TempDir(), config: c, addr: ln.Addr().String()}, d
+	return &nodeFixture{t: t, file: file, dir: t.TempDir(), config: c, addr: ln.Addr().String()}, d
 }
 
-// start starts one more process and waits until it accepts clients.
-func (n *nodeSite) start() *siteProcess {
+// start starts another process and waits until it accepts clients.
+func (n *nodeFixture) start() *nodeProcess {
 	n.t.Helper()
 	n.config["admin_addr"] = freeAddress(n.t)
 	p := n.launch()
@@ -67,10 +67,10 @@
 	return p
 }
 
-// launch starts one more process, with the configuration as it is.
-func (n *nodeSite) launch() *siteProcess {
+// launch starts another process with the fixture's configuration, and does not wait for it.
+func (n *nodeFixture) launch() *nodeProcess {
 	n.t.Helper()
-	p := &siteProcess{
+	p := &nodeProcess{
 		admin:  n.config["admin_addr"].(string),
 		log:    &logBuffer{},
 		ended:  make(chan error, 1),
@@ -93,7 +93,7 @@
 	return p
 }
 
-func (s *siteProcess) ready() bool {
+func (s *nodeProcess) ready() bool {
 	r, err := http.Get("http://" + s.admin + "/_ready")
 	if err != nil {
 		return false
@@ -102,19 +102,19 @@
 	return r.StatusCode == 200
 }
 
-func (s *siteProcess) waitExit(t *testing.T) {
+func (s *nodeProcess) waitExit(t *testing.T) {
 	t.Helper()
 	select {
 	case err := <-s.ended:
 		assert.NoError(t, err, s.log.String())
 	case <-time.After(20 * time.Second):
-		s.Process.Signal(syscall.SIGQUIT) // for its goroutines' stacks
+		s.Process.Signal(syscall.SIGQUIT) // prints the stacks of its goroutines
 		<-s.ended
-		assert.Fail(t, "the process is still there", s.log.String())
+		assert.Fail(t, "the process has not exited within 20 s", s.log.String())
 	}
 }
 
-// findRequest is a request that is written on a client's own connection.
+// findRequest returns the text of a request, to be written to a connection.
 func findRequest(traceID string) string {
 	return "GET /find/x HTTP/1.1\r\nHost: n\r\nX-Trace-Id: " + traceID +
 		"\r\nX-Qos: find\r\nX-Customer: acme\r\nX-Expires-In-Ms: 3000\r\n\r\n"
@@ -135,9 +135,9 @@
 	}
 }
 
-// traffic has clients send requests on connections that stay open until stop, which returns how many requests were
-// sent and how many of them failed. A client does not retry: it notices every request that is lost.
-func (n *nodeSite) traffic(clients int) (stop func() (sent, failed int)) {
+// traffic starts clients that send requests on persistent connections until stop is called. stop returns how many
+// requests were sent and how many of them failed. A client does not retry, so every lost request counts as failed.
+func (n *nodeFixture) traffic(clients int) (stop func() (sent, failed int)) {
 	var running sync.WaitGroup
 	var count trafficCount
 	ctx, cancel := context.WithCancel(context.Background())
@@ -152,7 +152,7 @@
 }
 
 // runClient sends one request after another on one connection until the context ends.
-func (n *nodeSite) runClient(ctx context.Context, client int, count *trafficCount) {
+func (n *nodeFixture) runClient(ctx context.Context, client int, count *trafficCount) {
 	conn, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		count.add(false)
@@ -182,12 +182,12 @@
 
 func TestHandover_UnderTraffic(t *testing.T) {
 	slow := newServer(t, delayed(20*time.Millisecond, respond(200, "x")))
-	l, _ := newNodeSite(t, slow, newServer(t, respond(200, "y")))
-	p := l.start()
-	stop := l.traffic(20)
+	fixture, _ := newNodeFixture(t, slow, newServer(t, respond(200, "y")))
+	p := fixture.start()
+	stop := fixture.traffic(20)
 	time.Sleep(200 * time.Millisecond)
 	for range 3 {
-		next := l.start()
+		next := fixture.start()
 		assert.Eventually(t, func() bool {
 			return !p.ready()
 		}, 20*time.Second, time.Millisecond, "the predecessor is no longer ready")
@@ -197,32 +197,32 @@
 		p = next
 	}
 	time.Sleep(100 * time.Millisecond)
-	asked, failed := stop()
+	sent, failed := stop()
 	assert.Zero(t, failed)
-	assert.Greater(t, asked, 500)
+	assert.Greater(t, sent, 500)
 }
 
 func TestHandover_OperatorStateOutlivesProcess(t *testing.T) {
 	a, b := newServer(t, respond(200, "a")), newServer(t, respond(200, "b"))
-	l, _ := newNodeSite(t, a, b)
-	ask := func() response { return (&testNode{t: t, addr: l.addr}).send("find", "") }
-	first := l.start()
+	fixture, _ := newNodeFixture(t, a, b)
+	sendRequest := func() response { return (&testNode{t: t, addr: fixture.addr}).send("find", "") }
+	first := fixture.start()
 	assert.Equal(t, 200, callAdmin(t, first.admin, "/_servers/detach", `{"host":"s0"}`))
-	second := l.start()
+	second := fixture.start()
 	for range 20 {
-		assert.Equal(t, "b", ask().body, "out over an upgrade")
+		assert.Equal(t, "b", sendRequest().body, "the ban outlives the handover")
 	}
-	// While both run either may be commanded.
+	// While both processes run, either accepts operator commands.
 	assert.Equal(t, 200, callAdmin(t, first.admin, "/_servers/attach", `{"host":"s0"}`))
 	assert.Equal(t, 200, callAdmin(t, first.admin, "/_servers/detach", `{"host":"s1"}`))
-	twice := func() bool {
-		first, then := ask().body, ask().body
+	servedByAOnly := func() bool {
+		first, then := sendRequest().body, sendRequest().body
 		return first == "a" && then == "a"
 	}
-	assert.Eventually(t, twice, 20*time.Second, 5*time.Millisecond)
+	assert.Eventually(t, servedByAOnly, 20*time.Second, 5*time.Millisecond)
 	before := b.count()
 	for range 20 {
-		assert.Equal(t, "a", ask().body)
+		assert.Equal(t, "a", sendRequest().body)
 	}
 	assert.Equal(t, before, b.count())
 	assert.Equal(t, 200, callAdmin(t, second.admin, "/_lameduck/on", ""))
@@ -231,138 +231,139 @@
 	// The state outlives a kill, too.
 	second.Process.Kill()
 	<-second.ended
-	third := l.start()
-	got := ask()
+	third := fixture.start()
+	got := sendRequest()
 	assert.Equal(t, "a", got.body)
-	assert.True(t, got.closes, "it is still being emptied")
+	assert.True(t, got.closes, "the node is still a lame duck")
 	assert.Equal(t, before, b.count())
 	assert.Equal(t, 200, callAdmin(t, third.admin, "/_lameduck/off", ""))
-	assert.False(t, ask().closes)
+	assert.False(t, sendRequest().closes)
 }
 
 func TestHandover_SuccessorDies(t *testing.T) {
-	l, _ := newNodeSite(t, newServer(t, respond(200, "x")))
-	first := l.start()
-	second := l.start()
+	fixture, _ := newNodeFixture(t, newServer(t, respond(200, "x")))
+	first := fixture.start()
+	second := fixture.start()
 	assert.Eventually(t, func() bool { return !first.ready() }, 20*time.Second, time.Millisecond)
 	second.Process.Kill()
 	<-second.ended
 	require.Eventually(t, first.ready, 20*time.Second, 5*time.Millisecond)
-	assert.Equal(t, 200, (&testNode{t: t, addr: l.addr}).send("find", "").status)
-	third := l.start()
+	assert.Equal(t, 200, (&testNode{t: t, addr: fixture.addr}).send("find", "").status)
+	third := fixture.start()
 	assert.Eventually(t, func() bool {
 		return !first.ready()
-	}, 20*time.Second, time.Millisecond, "and it can be followed again")
+	}, 20*time.Second, time.Millisecond, "a new successor takes over")
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
 	first.waitExit(t)
-	assert.Equal(t, 200, (&testNode{t: t, addr: l.addr}).send("find", "").status)
+	assert.Equal(t, 200, (&testNode{t: t, addr: fixture.addr}).send("find", "").status)
 	require.NoError(t, third.Process.Signal(syscall.SIGTERM))
 	third.waitExit(t)
 }
 
-// Whatever prevents a handover costs the successor nothing but the predecessor's state.
+// If a handover is prevented, the successor starts without the predecessor's state and serves normally.
 func TestHandover_SuccessorStartsDespiteObstacles(t *testing.T) {
 	slow := newServer(t, delayed(time.Second, respond(200, "x")))
-	l, _ := newNodeSite(t, slow)
-	sock := handover.SocketPath(l.dir, fmt.Sprint(l.config["name"], " ", l.addr))
-	// A foreign socket, which sends what is no state, or one of another version.
+	fixture, _ := newNodeFixture(t, slow)
+	socketPath := handover.SocketPath(fixture.dir, fmt.Sprint(fixture.config["name"], " ", fixture.addr))
+	// A foreign process listens on the socket. It sends a message that is not a state, or a state of another version.
 	otherVersion := handoverState{Version: handoverVersion + 1, Operators: operatorState{LameDuck: true}}
 	for _, state := range []any{"foreign", otherVersion} {
-		ln, err := handover.Listen(sock)
+		ln, err := handover.Listen(socketPath)
 		require.NoError(t, err)
 		go func() {
 			if c, err := ln.AcceptUnix(); err == nil {
 				handover.NewLink(c).SendState(state)
 			}
 		}()
-		require.NoError(t, os.WriteFile(sock+".said", []byte("torn"), 0o600))
-		p := l.start()
+		require.NoError(t, os.WriteFile(socketPath+".said", []byte("torn"), 0o600))
+		p := fixture.start()
 		assert.Contains(t, p.log.String(), "predecessor does not hand over")
 		assert.Contains(t, p.log.String(), "set aside")
 		p.Process.Kill()
 		<-p.ended
 		ln.Close()
 	}
-	first := l.start()
-	// The ID of a request in flight is known to the successor, too.
+	first := fixture.start()
+	// The successor knows the ID of a request that is in flight at the predecessor.
 	connect := func() net.Conn {
-		c, err := net.Dial("tcp", l.addr)
+		c, err := net.Dial("tcp", fixture.addr)
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	ask := func(c net.Conn, id string) int {
+	sendRequest := func(c net.Conn, id string) int {
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		io.WriteString(c, findRequest(id))
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
 		return r.StatusCode
 	}
-	rests, uses := connect(), connect()
-	assert.Equal(t, 200, ask(rests, "before"))
-	out := make(chan int, 1)
-	go func() { out <- ask(uses, "open") }()
+	idle, busy := connect(), connect()
+	assert.Equal(t, 200, sendRequest(idle, "before"))
+	status := make(chan int, 1)
+	go func() { status <- sendRequest(busy, "open") }()
 	require.Eventually(t, func() bool { return slow.count() == 2 }, 20*time.Second, time.Millisecond)
-	second := l.start()
+	second := fixture.start()
 	require.Eventually(t, func() bool { return !first.ready() }, 20*time.Second, time.Millisecond)
-	assert.Equal(t, 409, ask(rests, "open"), "this connection goes over after what is open")
-	assert.Equal(t, 200, <-out)
+	assert.Equal(t, 409, sendRequest(idle, "open"), "the ID is in use at the predecessor")
+	assert.Equal(t, 200, <-status)
 	assert.Equal(t, 2, slow.count())
-	// A predecessor that hangs: its successor serves without it, and takes its place.
+	// The predecessor hangs: the successor starts without its state, and replaces it.
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
 	first.waitExit(t)
 	assert.Equal(t, 200, callAdmin(t, second.admin, "/_servers/detach", `{"host":"s0"}`))
 	require.NoError(t, second.Process.Signal(syscall.SIGSTOP))
-	third := l.start()
+	third := fixture.start()
 	assert.Contains(t, third.log.String(), "predecessor does not hand over")
 	second.Process.Kill()
-	assert.Equal(t, 503, ask(connect(), "banned"), "it has read what was kept")
+	assert.Equal(t, 503, sendRequest(connect(), "banned"), "the successor has read the saved ban")
 	assert.Equal(t, 200, callAdmin(t, third.admin, "/_servers/attach", `{"host":"s0"}`))
-	assert.Equal(t, 200, ask(connect(), "back"))
+	assert.Equal(t, 200, sendRequest(connect(), "back"))
 }
 
-// Operators act in any order and in quick succession: clients notice none of it, and the last command is in force.
+// Operators send commands, reloads and a handover in quick succession. No request fails, and the last command is in
+// force.
 func TestHandover_OperatorsActInQuickSuccession(t *testing.T) {
 	slow := newServer(t, delayed(5*time.Millisecond, respond(200, "x")))
-	l, _ := newNodeSite(t, slow, newServer(t, respond(200, "y")))
-	first := l.start()
-	asker := &testNode{t: t, addr: l.addr}
+	fixture, _ := newNodeFixture(t, slow, newServer(t, respond(200, "y")))
+	first := fixture.start()
+	node := &testNode{t: t, addr: fixture.addr}
 	var all sync.WaitGroup
-	var asked, failed atomic.Int64
-	begun := time.Now()
-	end, stop := context.WithCancel(t.Context())
+	var sent, failed atomic.Int64
+	began := time.Now()
+	ctx, stop := context.WithCancel(t.Context())
 	defer all.Wait()
 	defer stop()
 	for range 10 {
 		all.Go(func() {
-			for end.Err() == nil {
-				asked.Add(1)
-				r := asker.send("find", "")
-				if r.err != nil { // it crossed a close: as HTTP allows, once more on a new connection
-					r = asker.send("find", "")
+			for ctx.Err() == nil {
+				sent.Add(1)
+				r := node.send("find", "")
+				if r.err != nil { // the node closed the idle connection at the same time: HTTP allows one retry
+					r = node.send("find", "")
 				}
 				if r.err != nil || r.status != 200 {
 					failed.Add(1)
-					t.Logf("%d %v after %v", r.status, r.err, time.Since(begun))
+					t.Logf("%d %v after %v", r.status, r.err, time.Since(began))
 				}
 			}
 		})
 	}
-	for i, turn := range []string{"on", "on", "off", "on", "off"} {
-		assert.Equal(t, 200, callAdmin(t, first.admin, "/_lameduck/"+turn, ""))
+	for i, mode := range []string{"on", "on", "off", "on", "off"} {
+		assert.Equal(t, 200, callAdmin(t, first.admin, "/_lameduck/"+mode, ""))
 		if i == 1 { // long enough for idle connections to be closed
 			time.Sleep(800 * time.Millisecond)
 		}
 	}
-	// A process that can't start changes nothing for the one that serves.
-	l.config["admin_addr"] = first.admin
-	broken := l.launch()
+	// A process that fails to start does not affect the serving process.
+	fixture.config["admin_addr"] = first.admin
+	broken := fixture.launch()
 	require.Error(t, <-broken.ended)
 	assert.True(t, first.ready())
-	// Configurations one after another, the last of them bad, while a successor starts.
-	l.config["admin_addr"] = freeAddress(t)
-	second := l.launch()
-	reload := func(p *siteProcess) {
+	// Several configurations are loaded while a successor starts; the last one is invalid.
+	fixture.config["admin_addr"] = freeAddress(t)
+	second := fixture.launch()
+	reload := func(p *nodeProcess) {
 		good, err := os.ReadFile(p.config)
 		require.NoError(t, err)
 		for i := range 6 {
@@ -384,33 +385,33 @@
 	stop()
 	all.Wait()
 	assert.Zero(t, failed.Load())
-	assert.Greater(t, asked.Load(), int64(100))
-	r := asker.send("find", "")
+	assert.Greater(t, sent.Load(), int64(100))
+	r := node.send("find", "")
 	assert.Equal(t, 200, r.status)
 	assert.False(t, r.closes)
 }
 
-// Whoever holds the listener can make it block for all processes that share it; one that starts a process with it
-// often does.
+// Any process that holds the listener's socket can set it to blocking mode, which applies to all processes that share
+// it. A process that passes the socket to a child often does so.
 func TestHandover_BlockingListener(t *testing.T) {
-	l, _ := newNodeSite(t, newServer(t, respond(200, "x")))
-	p := l.start()
-	require.NoError(t, syscall.SetNonblock(int(l.file.Fd()), false))
-	// The next accept after this one blocks.
-	assert.Equal(t, 200, (&testNode{t: t, addr: l.addr}).send("find", "").status)
+	fixture, _ := newNodeFixture(t, newServer(t, respond(200, "x")))
+	p := fixture.start()
+	require.NoError(t, syscall.SetNonblock(int(fixture.file.Fd()), false))
+	// After this request the next accept would block.
+	assert.Equal(t, 200, (&testNode{t: t, addr: fixture.addr}).send("find", "").status)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	p.waitExit(t)
 }
 
-// A directory that fails at the start and works later: the process hands over all the same.
-func TestHandover_DirectoryAppearsLate(t *testing.T) {
-	l, _ := newNodeSite(t, newServer(t, respond(200, "x")))
-	l.dir = filepath.Join(l.dir, "later")
-	first := l.start()
-	c, err := net.Dial("tcp", l.addr)
+// If the directory is unusable at the start and becomes usable later, the process still hands over.
+func TestHandover_DirectoryCreatedLater(t *testing.T) {
+	fixture, _ := newNodeFixture(t, newServer(t, respond(200, "x")))
+	fixture.dir = filepath.Join(fixture.dir, "later")
+	first := fixture.start()
+	c, err := net.Dial("tcp", fixture.addr)
 	require.NoError(t, err)
 	defer c.Close()
-	ask := func(id string) {
+	sendRequest := func(id string) {
 		c.SetDeadline(time.Now().Add(10 * time.Second))
 		io.WriteString(c, findRequest(id))
 		buf := make([]byte, 4096)
@@ -418,14 +419,14 @@
 		require.NoError(t, err, "%s", first.log)
 		require.Contains(t, string(buf[:n]), "200")
 	}
-	ask("a")
-	require.NoError(t, os.Mkdir(l.dir, 0o700))
+	sendRequest("a")
+	require.NoError(t, os.Mkdir(fixture.dir, 0o700))
 	require.Eventually(t, func() bool {
 		return strings.Contains(first.log.String(), "handover socket available")
 	}, 10*time.Second, 10*time.Millisecond)
-	second := l.start()
+	second := fixture.start()
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
 	first.waitExit(t)
-	ask("b")
+	sendRequest("b")
 	assert.Contains(t, second.log.String(), "taking over from predecessor")
 }
