--- a/cmd/robincart/fileservices.go
+++ b/cmd/robincart/fileservices.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// readFileConfig reads a configuration file for this process.
+// readFileConfig reads a configuration file, with this process's descriptor limit as an upper bound.
 func readFileConfig(path string) (*nodeconfig.Config, error) {
 	maxDescriptors := descriptorLimit()
 	return readWithSpare(func() (*nodeconfig.Config, error) { return nodeconfig.Read(path, maxDescriptors) })
--- a/cmd/robincart/platformconfig.go
+++ b/cmd/robincart/platformconfig.go
@@ -165,7 +165,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if next.fileDiscovery != p.fileDiscovery { // if EDGE_DISCOVERY is set, compile has checked only that
+	// If EDGE_DISCOVERY is set, compile has checked that address and not the file's.
+	if next.fileDiscovery != p.fileDiscovery {
 		if _, _, err := net.SplitHostPort(next.fileDiscovery); err != nil {
 			return nil, fmt.Errorf("discovery: %w", err)
 		}
--- a/cmd/robincart/process.go
+++ b/cmd/robincart/process.go
@@ -72,7 +72,7 @@
 	// recordChanges receives a value when services, routes or tenants of the record have changed; nil if there is no
 	// record.
 	recordChanges() <-chan struct{}
-	// applyRecord applies the record as it is now.
+	// applyRecord applies the record's present content.
 	applyRecord()
 	// inFlight returns the number of requests without a response.
 	inFlight() int
--- a/cmd/robincart/settingstransition.go
+++ b/cmd/robincart/settingstransition.go
@@ -9,8 +9,9 @@
 	"robincart/internal/protocol/settings"
 )
 
-// settingsTransition applies changes of the settings. Clients learn of a change later than the node, so a request must
-// satisfy the current settings and every earlier version that was in force within the grace period.
+// settingsTransition applies changes of the settings. Clients learn of a change later than the node, so every earlier
+// version stays in force for a grace period, combined with the current one: a method is retried only as all of these
+// versions allow.
 type settingsTransition struct {
 	core *node.Core
 	now  func() time.Time
--- a/cmd/robincart/start_test.go
+++ b/cmd/robincart/start_test.go
@@ -110,7 +110,8 @@
 		require.NoError(b, err)
 		_, known := d.List()
 		d.SetDown(true)
-		d.SetDelay(time.Second) // also of heartbeats; with twice the delay the watch would count as silent
+		// The delay also applies to heartbeats. With twice the delay the watch would count as silent.
+		d.SetDelay(time.Second)
 		began := time.Now()
 		startSeconds := make([]float64, nodes)
 		var all sync.WaitGroup
--- a/cmd/robincart/succession.go
+++ b/cmd/robincart/succession.go
@@ -131,7 +131,8 @@
 	return s.stopping
 }
 
-// shareMemory limits this process to an equal share of the node's memory, for a number of processes.
+// shareMemory limits this process to its share of the node's memory, which the given number of processes divide
+// equally.
 func (s *succession) shareMemory(processes int64) {
 	debug.SetMemoryLimit(s.limits.MemoryLimit / processes)
 	s.budget.Memory().Resize(s.limits.BodyMemory / processes)
