--- a/cmd/robincart/fastcgi_test.go
+++ b/cmd/robincart/fastcgi_test.go
@@ -97,8 +97,8 @@
 	return err == nil
 }
 
-// Applications fail at various points after they have run a request. Each request gets one response, no "book" or "charge"
-// request takes effect twice, and a request that may have run is never reported as safe to retry.
+// Applications fail at various points after they have run a request. Each request gets one response, no "book" or
+// "charge" request takes effect twice, and a request that may have run is never reported as safe to retry.
 func TestFastCGI_ApplicationDiesWhileResponding(t *testing.T) {
 	var mu sync.Mutex
 	attempts := 0
