--- a/internal/controlplane/recordcache/cache.go
+++ b/internal/controlplane/recordcache/cache.go
@@ -1,9 +1,9 @@
-// Package recordcache keeps a node's copy of the store of record. A Cache follows the store, writes what the node
-// learns, saves a snapshot on the local disk, and sits between discovery and the cores: it merges each endpoint list
-// with the record before the core gets it.
+// Package recordcache keeps a node's copy of the store of record. A Cache reads the store's changes, writes the node's
+// observations and drains to the store, and saves a snapshot on the local disk. It also merges each endpoint list that
+// discovery sends to a core with the record.
 //
-// The rules of merging are those of record.View; this package has the goroutines, the store's calls and the snapshot
-// file. Neither a request nor discovery ever waits for the store or the disk.
+// The merge rules are in record.View; this package has the goroutines, the calls to the store and the snapshot file.
+// Neither requests nor discovery wait for the store or the disk.
 package recordcache
 
 import (
@@ -22,17 +22,17 @@
 	"robincart/internal/system/wait"
 )
 
-// Config is what an operator configures of the record.
+// Config has a node's settings for the record.
 type Config struct {
-	Name         string // of the node
-	Store        string // its address, for people
+	Name         string // name of the node
+	Store        string // address of the store without a password, for messages and the status page
 	Open         func() (store.Store, error)
-	Snapshot     string        // path of the snapshot file; empty: none
-	Required     bool          // do not start without the store
-	MaxStaleness time.Duration // for which servers known from a disconnected copy alone are used
-	MaxPending   int           // limit of the changes that wait for the store, drains not counted
-	CallTimeout  time.Duration // of one call to the store
-	PollInterval time.Duration // between reads where the store notifies of nothing
+	Snapshot     string        // path of the snapshot file; empty: no snapshot
+	Required     bool          // Open fails if the store cannot be read
+	MaxStaleness time.Duration // how long servers known only from a disconnected copy are used
+	MaxPending   int           // limit of the changes waiting to be written, drains excluded
+	CallTimeout  time.Duration // timeout of one call to the store
+	PollInterval time.Duration // between reads of a store that sends no notifications
 }
 
 // Cache is one node's copy of the record. It is safe for concurrent use.
@@ -43,28 +43,29 @@
 	store   store.Store
 	replica store.ReplicaClient // the store, if it is read through a replica; else nil
 
-	writeRequested    wait.Signal // changes are pending
-	snapshotRequested wait.Signal // the view has changed since the last snapshot
-	configChanged     wait.Signal // services, routes or tenants have changed
+	writeRequested    wait.Signal // set when changes are pending
+	snapshotRequested wait.Signal // set when the view has changed since the last snapshot
+	configChanged     wait.Signal // set when services, routes or tenants have changed
 
 	goroutines sync.WaitGroup
 	cancel     context.CancelFunc
 
-	rolledBack bool // a replica reported a rollback, and the complete record was not read since; run's alone
-	batchSize  int  // limit of changes in one transaction; run's alone
+	// The run goroutine alone uses these two fields, after Open has read the store once.
+	rolledBack bool // a replica reported a rollback, and the complete record has not been read since
+	batchSize  int  // limit of changes in one transaction
 
 	mu            sync.Mutex
 	view          *record.View
 	subscriptions map[string]*Subscription // by service
-	storeError    string                   // of the last call; empty: the store is available
-	failures      int                      // in a row
+	storeError    string                   // error of the last call; empty: the store is available
+	failures      int                      // number of consecutive failures of the store
 	savedAt       time.Time                // when the last snapshot was written
-	written       int                      // changes
-	keysIssued    uint64                   // idempotency keys
+	written       int                      // number of changes that the store wrote or rejected
+	keysIssued    uint64                   // number of idempotency keys issued
 }
 
-// Open starts a cache: from its snapshot and, if it can be reached, the store. Its error is for an operator to mend.
-// The context bounds the start alone; Close ends the cache.
+// Open restores the snapshot, reads the store once and starts the cache. An unreachable store is an error only with
+// Config.Required. Errors need an operator's action. The context bounds Open alone; Close stops the cache.
 func Open(ctx context.Context, config Config, log *zap.Logger) (*Cache, error) {
 	c := newCache(config, log)
 	if err := c.restoreSnapshot(); err != nil {
@@ -73,11 +74,11 @@
 	if err := c.openStore(ctx); err != nil {
 		return nil, err
 	}
-	life, cancel := context.WithCancel(context.Background())
+	runContext, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	c.goroutines.Go(func() { c.run(life) })
+	c.goroutines.Go(func() { c.run(runContext) })
 	if config.Snapshot != "" {
-		c.goroutines.Go(func() { c.saveSnapshots(life) })
+		c.goroutines.Go(func() { c.saveSnapshots(runContext) })
 	}
 	return c, nil
 }
@@ -102,8 +103,8 @@
 	return c
 }
 
-// restoreSnapshot loads the snapshot file. A corrupt one is set aside, and the cache starts without it. One that can't
-// be read is an error: the next snapshot would overwrite drains that may be known to nobody else.
+// restoreSnapshot loads the snapshot file. A corrupt file is moved aside, and the cache starts without it. An
+// unreadable file is an error: the next snapshot would overwrite drains that may be recorded nowhere else.
 func (c *Cache) restoreSnapshot() error {
 	if c.config.Snapshot == "" {
 		return nil
@@ -114,7 +115,7 @@
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("the snapshot can't be read; mend its folder, or move it away to begin without: %w", err)
+		return fmt.Errorf("record snapshot unreadable: repair its folder, or move it away to start without it: %w", err)
 	}
 	if !found {
 		return nil
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// openStore opens the store and reads it once. That read may fail unless the store is required.
+// openStore opens the store and reads it once. A failed read is an error only if the store is required.
 func (c *Cache) openStore(ctx context.Context) error {
 	opened, err := c.config.Open()
 	if err != nil {
@@ -141,33 +142,34 @@
 	}
 	if c.config.Required {
 		c.store.Close()
-		return fmt.Errorf("the record at %s is required and can't be used: %w", c.config.Store, err)
+		return fmt.Errorf("the record store %s is required, but the first read failed: %w", c.config.Store, err)
 	}
 	c.markUnavailable(err)
 	return nil
 }
 
-// Close writes what is pending if the store takes it at once, saves a last snapshot, and ends the cache.
+// Close tries for one second to write the pending changes, saves a last snapshot, and stops the cache.
 func (c *Cache) Close() {
 	c.cancel()
 	c.goroutines.Wait()
 	c.store.Close()
 }
 
-// millis returns the time as the view takes it, in milliseconds since 1970.
+// millis returns the current time in milliseconds since 1970, the view's unit of time.
 func (c *Cache) millis() int64 { return c.now().UnixMilli() }
 
-// Changes returns the channel that signals changes of services, routes and tenants.
+// Changes returns a channel that receives a value after services, routes or tenants have changed.
 func (c *Cache) Changes() <-chan struct{} { return c.configChanged }
 
-// Entries returns the entries of a kind in the copy.
+// Entries returns the copy's entries of a kind that are not deleted.
 func (c *Cache) Entries(kind record.Kind) []record.Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.Entries(kind)
 }
 
-// AddDrain puts a drain in force at once, by an operator's command to this node, and records it.
+// AddDrain applies a drain that an operator has requested at this node. The drain takes effect before AddDrain returns,
+// and is written to the store later.
 func (c *Cache) AddDrain(name string, drain record.Drain) {
 	c.mu.Lock()
 	c.view.AddDrain(name, drain, c.millis())
--- a/internal/controlplane/recordcache/cache_test.go
+++ b/internal/controlplane/recordcache/cache_test.go
@@ -37,7 +37,7 @@
 	require.Eventually(t, condition, eventTimeout, eventPoll, message...)
 }
 
-// fakeCore notes the list that was published last.
+// fakeCore keeps the server states of the last published list.
 type fakeCore struct {
 	mu     sync.Mutex
 	states map[string]decide.State
@@ -69,7 +69,7 @@
 	})
 }
 
-// fixture is a stand-in for PostgreSQL with an empty record, and the configuration of a cache that uses it.
+// fixture has a PostgreSQL stand-in with an empty record, and the configuration of a cache that uses it.
 type fixture struct {
 	t        *testing.T
 	postgres *pgstand.Server
@@ -99,7 +99,8 @@
 	}}
 }
 
-// remoteStore returns a store as nodes have it: in another process, here behind a socket of this one.
+// remoteStore returns a store that is reached through a Unix socket. A node's store is in another process; here its
+// server runs in the test's process.
 func remoteStore(t *testing.T, address string) store.Store {
 	database, err := sqlstore.Open(address)
 	require.NoError(t, err)
@@ -126,7 +127,7 @@
 	return cache
 }
 
-// stopStore ends the store's connections and refuses new ones.
+// stopStore closes the store's connections and refuses new ones.
 func (f *fixture) stopStore() {
 	f.postgres.Refuse(true)
 	f.postgres.Cut()
@@ -171,8 +172,8 @@
 	return err == nil && found && len(snapshot.Drains) == 1
 }
 
-// A store that stalls during a deploy of every server delays nothing: each drain is in force at once, and is recorded
-// when the store continues.
+// A store that stalls while all servers are replaced must not delay drains: each takes effect at once, and is written
+// when the store responds again.
 func TestCache_StalledStoreDelaysNoDrain(t *testing.T) {
 	f := newFixture(t)
 	cache := f.open()
@@ -185,7 +186,7 @@
 	for _, id := range ids {
 		subscription.UpdateEndpoints(endpointsIn(decide.Draining, id), false)
 		state, _ := core.state(id)
-		assert.Equal(t, decide.Draining, state, "in force when the notification returns")
+		assert.Equal(t, decide.Draining, state, "in effect when UpdateEndpoints returns")
 	}
 	eventually(t, func() bool { return cache.Status().Error != "" })
 	assert.GreaterOrEqual(t, cache.Status().Pending, len(ids))
@@ -199,8 +200,8 @@
 	}
 }
 
-// A node that is killed between acting on a drain and recording it has its snapshot; one that is killed between
-// recording it and the snapshot has the store.
+// A drain survives a kill of the node. If the store does not have the drain yet, the node restores it from the
+// snapshot. If the snapshot does not have it, the node reads it from the store.
 func TestCache_DrainSurvivesRestart(t *testing.T) {
 	f := newFixture(t)
 	cache := f.open()
@@ -215,14 +216,14 @@
 	saved, err := os.ReadFile(f.config.Snapshot)
 	require.NoError(t, err)
 	cache.Close()
-	require.NoError(t, os.WriteFile(f.config.Snapshot, saved, 0o600)) // as a kill would have left it
+	require.NoError(t, os.WriteFile(f.config.Snapshot, saved, 0o600)) // as a kill would have left it, without Close
 
 	cache = f.open() // the store is still unreachable, and no list has arrived
 	core = &fakeCore{}
 	subscription = cache.Subscribe("s", core)
 	core.awaitState(t, "a", decide.Draining)
 	core.awaitState(t, "b", decide.Ready)
-	subscription.UpdateEndpoints(endpointsIn(decide.Ready, "a", "b"), true) // an old list
+	subscription.UpdateEndpoints(endpointsIn(decide.Ready, "a", "b"), true) // a list from before the drain
 	core.awaitState(t, "a", decide.Draining)
 	f.postgres.Refuse(false)
 	eventually(t, func() bool { return f.recordsDrain("s/a") })
@@ -236,7 +237,8 @@
 	core.awaitState(t, "a", decide.Draining)
 }
 
-// A drain that another node recorded arrives; a store that was restored from a backup gets again what it lost.
+// A drain that one node writes reaches the other. After the store is restored from a backup without the drain, it is
+// written again.
 func TestCache_StoreRestored(t *testing.T) {
 	f := newFixture(t)
 	writer := f.open()
@@ -284,7 +286,7 @@
 
 	database, err := sqlstore.Open(config.Store)
 	require.NoError(t, err)
-	_, err = database.Init(t.Context(), false) // mended while the node runs
+	_, err = database.Init(t.Context(), false) // created while the node runs
 	require.NoError(t, err)
 	require.NoError(t, database.Close())
 	eventually(t, func() bool { return cache.Status().SyncState == "follows" })
@@ -307,7 +309,7 @@
 	return status
 }
 
-// endlessStore claims entries without end.
+// endlessStore returns full pages without end, so that a read exceeds the limits of a copy.
 type endlessStore struct {
 	store.Store
 	value string
@@ -359,7 +361,7 @@
 			require.NoError(t, err)
 			defer cache.Close()
 			status := cache.Status()
-			assert.Zero(t, status.Entries, "the copy stays as it was")
+			assert.Zero(t, status.Entries, "the copy is unchanged")
 			assert.Contains(t, status.Error, "more than 100000 entries or 64 MB")
 		})
 	}
@@ -430,8 +432,8 @@
 	}
 }
 
-// distantStore is so far away that only a few changes fit into the time of one call.
-type distantStore struct {
+// highLatencyStore does not complete a write of more than maxChanges changes within the timeout of one call.
+type highLatencyStore struct {
 	store.Store
 	maxChanges int
 
@@ -439,7 +441,7 @@
 	batches [][]record.Change
 }
 
-func (s *distantStore) Write(
+func (s *highLatencyStore) Write(
 	ctx context.Context, epoch string, changes []record.Change,
 ) ([]record.Entry, record.Meta, error) {
 	s.mu.Lock()
@@ -452,16 +454,16 @@
 	return s.Store.Write(ctx, epoch, changes)
 }
 
-func TestCache_DistantStoreGetsSmallBatchesAndDrainsFirst(t *testing.T) {
+func TestCache_HighLatencyStoreGetsSmallBatchesAndDrainsFirst(t *testing.T) {
 	f := newFixture(t)
 	f.config.CallTimeout = time.Second
 	f.config.PollInterval = 20 * time.Millisecond
-	distant := &distantStore{maxChanges: 12}
+	upstream := &highLatencyStore{maxChanges: 12}
 	open := f.config.Open
 	f.config.Open = func() (store.Store, error) {
 		var err error
-		distant.Store, err = open()
-		return distant, err
+		upstream.Store, err = open()
+		return upstream, err
 	}
 	cache := f.open()
 	defer cache.Close()
@@ -475,14 +477,14 @@
 	eventually(t, func() bool { return f.recordsDrain("s/a7") })
 	eventually(t, func() bool { return cache.Status().Pending == 0 })
 
-	distant.mu.Lock()
-	defer distant.mu.Unlock()
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
 	drains := 0
-	for _, changes := range distant.batches {
+	for _, changes := range upstream.batches {
 		for _, change := range changes {
 			if change.Kind == record.KindDrain {
 				drains++
-				assert.Len(t, changes, 1, "a drain waits for nothing else")
+				assert.Len(t, changes, 1, "a drain is not written with other changes")
 			}
 		}
 	}
--- a/internal/controlplane/recordcache/childprocess_test.go
+++ b/internal/controlplane/recordcache/childprocess_test.go
@@ -23,20 +23,20 @@
 	"robincart/internal/record/store/sqlstore"
 )
 
-// The environment variables by which a benchmark starts this binary as the store's or the replicas' process.
+// Environment variables with which a benchmark starts this binary as the process of the store or of the replicas.
 const (
-	rowsVariable  = "ROBINCART_PGSTAND_ROWS"
-	storeVariable = "ROBINCART_RELAYS_OF"
+	rowsFileVariable        = "ROBINCART_PGSTAND_ROWS"     // path of the stand-in's rows
+	replicatedStoreVariable = "ROBINCART_REPLICATED_STORE" // address of the store that the replicas serve
 )
 
-// replicaCount is how many replicas of the controller a benchmark's process has.
+// replicaCount is the number of controller replicas that the child process for replicas serves.
 const replicaCount = 3
 
-// TestMain serves the stand-in for PostgreSQL, or replicas of the controller, if a benchmark has started this binary
-// for that: their CPU time is measured apart from the nodes'.
+// TestMain serves the PostgreSQL stand-in or controller replicas if a benchmark has started this binary for that. They
+// run in child processes so that their CPU time is measured separately from the nodes'.
 func TestMain(m *testing.M) {
-	rows := os.Getenv(rowsVariable)
-	address := os.Getenv(storeVariable)
+	rows := os.Getenv(rowsFileVariable)
+	address := os.Getenv(replicatedStoreVariable)
 	switch {
 	case rows != "":
 		serveUsage(startPostgres(rows))
@@ -90,7 +90,7 @@
 	}
 }
 
-// serveUsage answers each line of standard input with a line of JSON, until that ends.
+// serveUsage prints the current usage as a line of JSON for each line of standard input, until standard input ends.
 func serveUsage(counters func() usage) {
 	for requests := bufio.NewScanner(os.Stdin); requests.Scan(); {
 		current := counters()
@@ -104,7 +104,7 @@
 	}
 }
 
-// usage is what a child process has used.
+// usage is the resource usage of a child process.
 type usage struct {
 	pgstand.Counts
 	CPU        time.Duration
@@ -128,7 +128,7 @@
 	return kilobytes
 }
 
-// childProcess is this binary, started as the store's or the replicas' process.
+// childProcess is this binary, started as the process of the store or of the replicas.
 type childProcess struct {
 	Address string
 	usage   func() usage
--- a/internal/controlplane/recordcache/fleet_test.go
+++ b/internal/controlplane/recordcache/fleet_test.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	fleetServices      = 30
-	serversPerService  = 15
-	fleetTimeout       = 60 * time.Second // of the start, and of each notification
-	quietTime          = 2 * time.Second
-	idleMeasuringTime  = 10 * time.Second
-	backgroundLeadTime = 200 * time.Millisecond
+	fleetServices       = 30
+	serversPerService   = 15
+	fleetTimeout        = 60 * time.Second // of the start, and of each notification to all nodes
+	quietPeriod         = 2 * time.Second
+	idleMeasurementTime = 10 * time.Second
+	backgroundLeadTime  = 200 * time.Millisecond
 )
 
-// BenchmarkFleet measures what a fleet's nodes cost the store of record, each by itself or through three replicas of
-// the controller: at their start, idle, for a drain that an operator records, for one that discovery notifies all nodes
-// of, and for an operator's while discovery notifies of a zone's end. Bytes per node are those that it sends and
-// receives for the record. Quiet is when nobody has written for two seconds.
+// BenchmarkFleet measures the load of a fleet's nodes on the store of record, which they read directly or through three
+// controller replicas. It measures five phases: the start, the idle fleet, a drain that an operator records, a
+// drain of which discovery notifies all nodes, and an operator's drain while discovery notifies of the drain of a zone.
+// Bytes per node are those sent and received for the record. The store is quiet after two seconds without a commit.
 func BenchmarkFleet(b *testing.B) {
 	for _, mode := range []string{"direct", "controllers"} {
 		for _, nodes := range []int{14, 27, 55, 110, 220, 440} {
@@ -48,31 +48,31 @@
 	}
 }
 
-// fleet is a store's process, perhaps one of replicas, and nodes in this process.
+// fleet has a process for the store, an optional process for replicas, and nodes in this process.
 type fleet struct {
 	b             *testing.B
 	postgres      *childProcess
-	replicas      *childProcess // nil: nodes read the store themselves
+	replicas      *childProcess // nil: nodes read the store directly
 	database      store.Store
-	opened        int // nodes
+	storesOpened  int // number of stores opened through replicas
 	caches        []*Cache
 	subscriptions [][]*Subscription // by node and service
 }
 
 func newFleet(b *testing.B, throughReplicas bool) *fleet {
-	f := &fleet{b: b, postgres: startChild(b, rowsVariable, filepath.Join(b.TempDir(), "rows"))}
+	f := &fleet{b: b, postgres: startChild(b, rowsFileVariable, filepath.Join(b.TempDir(), "rows"))}
 	database, err := sqlstore.Open(f.postgres.Address)
 	require.NoError(b, err)
 	_, err = database.Init(b.Context(), false)
 	require.NoError(b, err)
 	f.database = database
 	if throughReplicas {
-		f.replicas = startChild(b, storeVariable, f.postgres.Address)
+		f.replicas = startChild(b, replicatedStoreVariable, f.postgres.Address)
 	}
 	return f
 }
 
-// close ends the nodes. The processes end with the benchmark.
+// close closes the nodes. The processes end with the benchmark.
 func (f *fleet) close() {
 	for _, cache := range f.caches {
 		cache.Close()
@@ -80,18 +80,19 @@
 	f.database.Close()
 }
 
-// openStore opens a node's store. Through replicas, a third of the nodes begins at each.
+// openStore opens a node's store. With replicas, each replica is the first address of a third of the nodes.
 func (f *fleet) openStore() (store.Store, error) {
 	if f.replicas == nil {
 		return sqlstore.Open(f.postgres.Address)
 	}
 	addresses := strings.Split(f.replicas.Address, ",")
-	f.opened++
-	first := f.opened % replicaCount
+	f.storesOpened++
+	first := f.storesOpened % replicaCount
 	return store.DialControllers(append(addresses[first:], addresses[:first]...), nil), nil
 }
 
-// serverList is a range of a service's servers. Each replica of the controller numbers its lists by itself.
+// serverList returns a service's servers with the numbers from (included) to (excluded). The list revision depends on
+// the replica, since each controller replica numbers its lists independently.
 func serverList(replica int, state decide.State, from, to int) []node.Endpoint {
 	var list []node.Endpoint
 	for i := from; i < to; i++ {
@@ -107,11 +108,11 @@
 	return list
 }
 
-// fleetUsage is what all processes have used.
+// fleetUsage is the resource usage of all processes.
 type fleetUsage struct {
 	store    usage
 	replicas usage
-	nodes    usage // traffic only: of the process that the nodes are connected to
+	nodes    usage // traffic only, measured in the process that the nodes connect to
 	nodesCPU time.Duration
 }
 
@@ -125,7 +126,7 @@
 	return current
 }
 
-// start opens the nodes and measures until they have written all servers.
+// start opens the nodes and measures the time until they have written all servers.
 func (f *fleet) start(nodes int) {
 	begin := time.Now()
 	for i := range nodes {
@@ -158,7 +159,7 @@
 		now.store.CPU, now.store.MaxConnections, now.replicas.CPU, now.replicas.ResidentKB>>10)
 }
 
-// pending returns how many changes the nodes have to write.
+// pending returns the number of changes that the nodes have not written yet.
 func (f *fleet) pending() int {
 	count := 0
 	for _, cache := range f.caches {
@@ -167,11 +168,11 @@
 	return count
 }
 
-// awaitQuiet waits until nobody has written for a while, and returns when the last write was.
+// awaitQuiet waits until the store has had no commit for quietPeriod, and returns the time of the last commit.
 func (f *fleet) awaitQuiet() time.Time {
 	lastWrite := time.Now()
 	commits := f.postgres.usage().Commits
-	for time.Since(lastWrite) < quietTime {
+	for time.Since(lastWrite) < quietPeriod {
 		time.Sleep(50 * time.Millisecond)
 		if now := f.postgres.usage().Commits; now != commits {
 			commits = now
@@ -184,11 +185,11 @@
 func (f *fleet) measureIdle() {
 	f.awaitQuiet()
 	before := f.usage()
-	time.Sleep(idleMeasuringTime)
+	time.Sleep(idleMeasurementTime)
 	after := f.usage()
-	seconds := idleMeasuringTime.Seconds()
+	seconds := idleMeasurementTime.Seconds()
 	nodeSeconds := float64(len(f.caches)) * seconds
-	f.b.Logf("idle: %d connections at the store; a node and second %.0f bytes, %.2f ms of CPU; "+
+	f.b.Logf("idle: %d connections at the store; per node %.0f bytes/s, %.2f ms/s of CPU; "+
 		"store's CPU %.1f ms/s, replicas' %.1f ms/s",
 		after.store.Connections, float64(after.nodes.WireBytes()-before.nodes.WireBytes())/nodeSeconds,
 		milliseconds(after.nodesCPU-before.nodesCPU)/nodeSeconds,
@@ -199,13 +200,13 @@
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func (f *fleet) measureNotifications() {
-	f.measureNotification("an operator's drain", "pod-0", func() { f.recordDrain("pod-0") })
-	f.measureNotification("discovery's", "pod-1", func() {
+	f.measureNotification("operator's drain", "pod-0", func() { f.recordDrain("pod-0") })
+	f.measureNotification("discovery's drain", "pod-1", func() {
 		for i, subscriptions := range f.subscriptions {
 			go subscriptions[0].UpdateEndpoints(serverList(i%replicaCount, decide.Draining, 1, 2), false)
 		}
 	})
-	f.measureNotification("an operator's while discovery notifies of a zone's 56", "pod-2", func() {
+	f.measureNotification("operator's drain while discovery drains the 56 servers of a zone", "pod-2", func() {
 		for i, subscriptions := range f.subscriptions {
 			go func() {
 				for _, subscription := range subscriptions[2:] {
@@ -218,7 +219,8 @@
 	})
 }
 
-// measureNotification measures until all nodes have drained a server of the first service, and the store is quiet.
+// measureNotification measures the time until all nodes have drained a server of the first service, and the time until
+// the store is quiet.
 func (f *fleet) measureNotification(name, pod string, notify func()) {
 	nodes := len(f.caches)
 	before := f.usage()
@@ -236,14 +238,14 @@
 	quiet := f.awaitQuiet()
 	after := f.usage()
 	f.b.Logf("%s: %d of %d nodes notified, last after %v; %d commits, %d statements, %d notices, store's CPU %v; "+
-		"%.0f bytes a node, replicas' CPU %v; quiet after %v",
+		"%.0f bytes per node, replicas' CPU %v; quiet after %v",
 		name, len(delays), nodes, last.Round(time.Millisecond), after.store.Commits-before.store.Commits,
 		after.store.Statements-before.store.Statements, after.store.Notices-before.store.Notices,
 		after.store.CPU-before.store.CPU, float64(after.nodes.WireBytes()-before.nodes.WireBytes())/float64(nodes),
 		after.replicas.CPU-before.replicas.CPU, quiet.Sub(begin).Round(time.Millisecond))
 }
 
-// collect receives a number of values, or those that arrive in time.
+// collect receives count values, or those that arrive before the timeout.
 func collect(values <-chan time.Duration, count int, timeout time.Duration) []time.Duration {
 	var collected []time.Duration
 	deadline := time.After(timeout)
@@ -258,7 +260,7 @@
 	return collected
 }
 
-// drainObserver is a core that reports, once, that a server is drained.
+// drainObserver is a core that calls drained once, when the server with the given ID starts to drain.
 type drainObserver struct {
 	id      string
 	once    sync.Once
--- a/internal/controlplane/recordcache/golden_test.go
+++ b/internal/controlplane/recordcache/golden_test.go
@@ -1,8 +1,8 @@
 package recordcache
 
-// The golden files under testdata were written by the program's text at commit 0cdd5b2: a node's snapshot, which the
-// next version starts from, and the status page. They must never be written anew to follow a rename: a test that
-// fails here says that a node would not find its snapshot as it left it, or that the page has changed.
+// The golden files under testdata were written by the code of commit 0cdd5b2: a node's snapshot, from which the next
+// version starts, and the status page. Do not regenerate them after a rename: a failing test means that an upgraded
+// node could not read its snapshot, or that the page has changed.
 
 import (
 	"bufio"
@@ -91,7 +91,7 @@
 	t.Run("zero", func(t *testing.T) { golden.JSON(t, "status_zero.json", Status{}) })
 }
 
-// goldenCache is a cache whose last contact, snapshot and writes were at fixed times.
+// goldenCache returns a cache with a fixed clock, and with fixed times of its last contact and snapshot.
 func goldenCache() *Cache {
 	now := time.UnixMilli(1765000010000)
 	view := record.NewView("node-1", 1, func() string { return "mark" })
@@ -121,7 +121,7 @@
 	}
 }
 
-// getPage makes one request to the status page.
+// getPage requests a path from the handler of the status page.
 func getPage(t *testing.T, cache *Cache, path string) (*http.Response, []byte) {
 	t.Helper()
 	client, server := net.Pipe()
@@ -167,8 +167,8 @@
 	assert.Equal(t, http.StatusNotFound, response.StatusCode)
 }
 
-// A node that has reached no store yet, saved nothing and holds nothing.
-func TestGolden_StatusPageAtTheStart(t *testing.T) {
+// A node that has not reached a store, has not saved a snapshot and has no entries.
+func TestGolden_StatusPageBeforeFirstContact(t *testing.T) {
 	cache := &Cache{
 		now:  time.Now,
 		view: record.NewView("node-1", 1, func() string { return "mark" }),
--- a/internal/controlplane/recordcache/read.go
+++ b/internal/controlplane/recordcache/read.go
@@ -9,7 +9,7 @@
 	"robincart/internal/record/store"
 )
 
-// readPageSize is how many entries are read in one call.
+// readPageSize is the maximum number of entries that one call reads.
 const readPageSize = 2000
 
 // read brings the copy up to date with the store.
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// nextRead returns what to read from a store at a position, or that there is nothing to read.
+// nextRead returns the range to read from a store at the given position. If there is nothing to read, upToDate is true.
 func (c *Cache) nextRead(position record.Meta) (next record.ReadRange, upToDate bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +89,8 @@
 	return false
 }
 
-// reportPosition passes this node's position to the replicas' client, so that a replica that is behind it is not read.
+// reportPosition passes the view's position to the replica client, so that it does not read a replica that is behind
+// this node.
 func (c *Cache) reportPosition() {
 	if c.replica == nil {
 		return
@@ -100,7 +101,8 @@
 	c.replica.SetPosition(position)
 }
 
-// contactTime returns the time at which the store itself confirmed what has just been read.
+// contactTime returns the time at which the store confirmed the data of the last read. For data from a replica, this is
+// the current time minus the age of the replica's copy.
 func (c *Cache) contactTime() int64 {
 	now := c.millis()
 	if c.replica == nil {
@@ -109,13 +111,13 @@
 	return now - c.replica.Age().Milliseconds()
 }
 
-// readSize bounds one read.
+// readSize counts the entries and bytes of one read, to limit them.
 type readSize struct {
 	entries int
 	bytes   int
 }
 
-// add counts a page. It returns record.ErrTooLarge beyond the limits of a copy.
+// add counts a page. It returns record.ErrTooLarge above record.MaxEntries or record.MaxBytes.
 func (s *readSize) add(page record.Page) error {
 	s.entries += len(page.Entries)
 	for _, entry := range page.Entries {
--- a/internal/controlplane/recordcache/run.go
+++ b/internal/controlplane/recordcache/run.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	goneRetention    = 10 * time.Minute // of the observation of a server that has left
-	pruneInterval    = 30 * time.Second
-	finalWriteTime   = time.Second // for what is pending when the cache is closed
-	minRetryInterval = 100 * time.Millisecond
-	maxRetryInterval = 5 * time.Second
+	goneRetention     = 10 * time.Minute // retention of the observation of a removed server
+	pruneInterval     = 30 * time.Second
+	finalWriteTimeout = time.Second // of the write of pending changes when the cache is closed
+	minRetryInterval  = 100 * time.Millisecond
+	maxRetryInterval  = 5 * time.Second
 )
 
-// run reads the store and writes to it, in turn, until the context ends.
+// run alternates between reads of the store and writes to it until the context ends.
 func (c *Cache) run(ctx context.Context) {
 	storeChanged := wait.NewSignal()
 	var watcher sync.WaitGroup
@@ -41,7 +41,7 @@
 			continue
 		}
 		retryInterval = c.sync(ctx, retryInterval)
-		c.publishAll() // drains expire, and copies grow stale
+		c.publishAll() // lists also change with time: drains expire, and a disconnected copy becomes stale
 		if time.Since(lastPrune) > pruneInterval {
 			lastPrune = time.Now()
 			c.prune()
@@ -49,7 +49,7 @@
 	}
 }
 
-// watchStore sets a signal whenever something may have been written to the store.
+// watchStore sets storeChanged whenever the store may have new entries.
 func (c *Cache) watchStore(ctx context.Context, storeChanged wait.Signal) {
 	for ctx.Err() == nil {
 		err := c.store.Wait(ctx, c.config.PollInterval)
@@ -60,7 +60,8 @@
 	}
 }
 
-// sync reads the store and writes to it once. It returns the time until the next attempt, given that before this one.
+// sync reads the store and writes to it once. It returns the interval before the next attempt, computed from the
+// interval before this one; 0 after a success.
 func (c *Cache) sync(ctx context.Context, retryInterval time.Duration) time.Duration {
 	err := c.read(ctx)
 	if err == nil {
@@ -78,15 +79,15 @@
 	return 0
 }
 
-// nextRetryInterval is an exponential backoff with jitter: a store that recovers must not meet all nodes at once.
+// nextRetryInterval returns an exponential backoff with jitter, so that not all nodes call a recovering store at once.
 func nextRetryInterval(last time.Duration) time.Duration {
 	interval := min(max(2*last, minRetryInterval), maxRetryInterval)
 	return interval/2 + time.Duration(rand.Int63n(int64(interval)))
 }
 
-// writeFinally writes what is pending when the cache is closed, if the store takes it at once.
+// writeFinally tries for finalWriteTimeout to write the pending changes when the cache is closed.
 func (c *Cache) writeFinally() {
-	ctx, cancel := context.WithTimeout(context.Background(), finalWriteTime)
+	ctx, cancel := context.WithTimeout(context.Background(), finalWriteTimeout)
 	defer cancel()
 	c.write(ctx)
 }
@@ -97,7 +98,7 @@
 	c.view.Prune(c.millis(), goneRetention.Milliseconds())
 }
 
-// markUnavailable notes that the store can't be used. It logs the first failure in a row.
+// markUnavailable stores the error of an unavailable store. It logs only the first of consecutive failures.
 func (c *Cache) markUnavailable(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +111,7 @@
 	c.storeError = err.Error()
 }
 
-// markAvailable notes that the store can be used.
+// markAvailable clears the store's error, and logs the recovery if there was one.
 func (c *Cache) markAvailable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/recordcache/saver.go
+++ b/internal/controlplane/recordcache/saver.go
@@ -9,29 +9,29 @@
 	"robincart/internal/system/wait"
 )
 
-// The interval between two snapshots. A snapshot takes at most a twentieth of one core, unless it has drains that are
-// known to nobody else.
+// Limits of the interval between two snapshots. Snapshots take at most a twentieth of one core, unless the interval
+// reaches its maximum or drains are not yet in the store.
 const (
 	minSaveInterval = 100 * time.Millisecond
 	maxSaveInterval = 2 * time.Second
-	saveIdleFactor  = 20 // of the time that the last snapshot took
+	saveIdleFactor  = 20 // interval as a multiple of the last snapshot's duration
 )
 
-// saveSnapshots writes the snapshot after each change of the view, and once more when the context ends. A failed write
-// is repeated even if nothing changes any more.
+// saveSnapshots writes a snapshot after changes of the view, and once more when the context ends. It retries a failed
+// write even if the view does not change again.
 func (c *Cache) saveSnapshots(ctx context.Context) {
 	failing := false
-	took := time.Duration(0)
+	lastDuration := time.Duration(0)
 	for running := true; running; {
 		select {
 		case <-ctx.Done():
 			running = false
 		case <-c.snapshotRequested:
-			wait.Sleep(ctx, c.saveInterval(took))
+			wait.Sleep(ctx, c.saveInterval(lastDuration))
 		}
 		begin := time.Now()
 		err := c.saveSnapshot()
-		took = time.Since(begin)
+		lastDuration = time.Since(begin)
 		if err != nil {
 			if !failing {
 				c.log.Error("record snapshot write failed", zap.Error(err))
@@ -42,18 +42,18 @@
 	}
 }
 
-// saveInterval returns the time to wait before a snapshot, given how long the last one took.
-func (c *Cache) saveInterval(took time.Duration) time.Duration {
+// saveInterval returns the time to wait before a snapshot, given the duration of the last one.
+func (c *Cache) saveInterval(lastDuration time.Duration) time.Duration {
 	c.mu.Lock()
 	unrecorded := c.view.UnrecordedDrains()
 	c.mu.Unlock()
 	if unrecorded > 0 {
 		return minSaveInterval
 	}
-	return min(max(minSaveInterval, saveIdleFactor*took), maxSaveInterval)
+	return min(max(minSaveInterval, saveIdleFactor*lastDuration), maxSaveInterval)
 }
 
-// saveSnapshot writes the view's snapshot to its file. The last one stays if that fails.
+// saveSnapshot writes the view's snapshot to its file. If the write fails the previous file stays.
 func (c *Cache) saveSnapshot() error {
 	c.mu.Lock()
 	snapshot := c.view.Snapshot()
--- a/internal/controlplane/recordcache/snapshot.go
+++ b/internal/controlplane/recordcache/snapshot.go
@@ -12,32 +12,32 @@
 	"robincart/internal/system/statefile"
 )
 
-// snapshotHeader is the format of a snapshot's first line: its type and version, and the length and the checksum of
-// the rest.
+// snapshotHeader is the format of a snapshot file's first line: the file's type and version, and the length in bytes
+// and the SHA-256 checksum of the rest.
 const snapshotHeader = "robincart-snapshot 1 %d %x\n"
 
 const (
 	maxSnapshotSize = 256 << 20 // bytes
-	corruptSuffix   = ".aside"  // of the name under which a corrupt snapshot is kept
+	corruptSuffix   = ".aside"  // added to the path of a corrupt snapshot that is moved aside
 )
 
-// ErrCorruptSnapshot is a snapshot that was not written to its end, or altered since.
-var ErrCorruptSnapshot = errors.New("the snapshot is truncated or altered")
+// ErrCorruptSnapshot reports a snapshot file that is truncated or altered.
+var ErrCorruptSnapshot = errors.New("the record snapshot is truncated or altered")
 
-// Entries are encoded in small batches with a pause after each. On a machine of one core a request would otherwise
-// wait until thousands of them are encoded.
+// Entries are encoded in small batches with a pause after each. On a single-core machine requests would otherwise wait
+// until thousands of entries are encoded.
 const (
 	encodeBatchSize = 128
 	encodePause     = 300 * time.Microsecond
 )
 
-// snapshotBody is a snapshot as it is written: its entries follow at the end, encoded one by one.
+// snapshotBody encodes a snapshot without its entries. encodeSnapshot appends these one by one.
 type snapshotBody struct {
 	record.Snapshot
-	Entries *struct{} `json:"facts,omitempty"` // hides the embedded field; always nil
+	Entries *struct{} `json:"facts,omitempty"` // always nil; hides the embedded field with the same key
 }
 
-// encodeSnapshot returns a snapshot file's content: the header, and the JSON of the snapshot with its entries last.
+// encodeSnapshot returns a snapshot file's content: the header, and the snapshot's JSON with the entries at its end.
 func encodeSnapshot(snapshot record.Snapshot) ([]byte, error) {
 	body, err := json.Marshal(snapshotBody{Snapshot: snapshot})
 	if err != nil {
@@ -61,32 +61,34 @@
 	return append(fmt.Appendf(nil, snapshotHeader, len(body), sha256.Sum256(body)), body...), nil
 }
 
-// decodeSnapshot reads a snapshot file's content: all of it, or nothing. Its error wraps ErrCorruptSnapshot.
+// decodeSnapshot decodes a snapshot file's content completely or returns an error that wraps ErrCorruptSnapshot.
 func decodeSnapshot(content []byte) (record.Snapshot, error) {
 	header, body, ok := bytes.Cut(content, []byte("\n"))
 	if !ok {
-		return record.Snapshot{}, fmt.Errorf("%w: it has no first line", ErrCorruptSnapshot)
+		return record.Snapshot{}, fmt.Errorf("%w: no end of the header line in %d bytes",
+			ErrCorruptSnapshot, len(content))
 	}
 	var length int
 	var checksum []byte
 	fields, err := fmt.Sscanf(string(header)+"\n", snapshotHeader, &length, &checksum)
 	if err != nil || fields != 2 {
-		return record.Snapshot{}, fmt.Errorf("%w: its first line is %.60q", ErrCorruptSnapshot, header)
+		return record.Snapshot{}, fmt.Errorf("%w: expected a header of the form %q, found %.60q",
+			ErrCorruptSnapshot, snapshotHeader, header)
 	}
 	actual := sha256.Sum256(body)
 	if length != len(body) || !bytes.Equal(actual[:], checksum) {
-		return record.Snapshot{}, fmt.Errorf("%w: it has %d bytes of %d, or another checksum",
-			ErrCorruptSnapshot, len(body), length)
+		return record.Snapshot{}, fmt.Errorf("%w: expected %d bytes with SHA-256 %x, found %d bytes with SHA-256 %x",
+			ErrCorruptSnapshot, length, checksum, len(body), actual)
 	}
 	var snapshot record.Snapshot
 	if err := json.Unmarshal(body, &snapshot); err != nil {
-		return record.Snapshot{}, fmt.Errorf("%w: %w", ErrCorruptSnapshot, err)
+		return record.Snapshot{}, fmt.Errorf("%w: cannot decode the JSON: %w", ErrCorruptSnapshot, err)
 	}
 	return snapshot, nil
 }
 
-// WriteSnapshot replaces a snapshot file. At every moment the file is the old one or the new one, complete, also if the
-// machine stops in between.
+// WriteSnapshot replaces a snapshot file atomically: even after a crash of the machine the file is completely the old
+// one or completely the new one.
 func WriteSnapshot(path string, snapshot record.Snapshot) error {
 	content, err := encodeSnapshot(snapshot)
 	if err != nil {
@@ -96,7 +98,7 @@
 }
 
 // LoadSnapshot reads a snapshot file, and reports whether there is one. The error of a corrupt file wraps
-// ErrCorruptSnapshot; the file stays where it is.
+// ErrCorruptSnapshot. The file is not moved.
 func LoadSnapshot(path string) (record.Snapshot, bool, error) {
 	content, found, err := statefile.Read(path, maxSnapshotSize)
 	var tooLarge *statefile.TooLargeError
@@ -110,27 +112,27 @@
 	return snapshot, err == nil, err
 }
 
-// ReadSnapshot is LoadSnapshot for the file's owner: it sets a corrupt file aside under another name, which the error
-// says. Any other error means that the file can't be read for now, and leaves it where it is.
+// ReadSnapshot is LoadSnapshot for the node that owns the file. It renames a corrupt file and returns an error with the
+// new path. After any other error the file stays in place, since a later read may succeed.
 func ReadSnapshot(path string) (record.Snapshot, bool, error) {
 	snapshot, found, err := LoadSnapshot(path)
 	if !errors.Is(err, ErrCorruptSnapshot) {
 		return snapshot, found, err
 	}
-	aside := path + corruptSuffix
-	if asideErr := statefile.SetAside(path, aside); asideErr != nil {
-		return record.Snapshot{}, false, errors.Join(err, asideErr)
+	movedPath := path + corruptSuffix
+	if moveErr := statefile.SetAside(path, movedPath); moveErr != nil {
+		return record.Snapshot{}, false, errors.Join(err, moveErr)
 	}
-	return record.Snapshot{}, false, fmt.Errorf("%w; it was set aside as %s", err, aside)
+	return record.Snapshot{}, false, fmt.Errorf("%w; moved %s to %s", err, path, movedPath)
 }
 
-// A start waits for a snapshot file that can't be read for a moment: its drains may be known to nobody else.
+// Open retries the read of an unreadable snapshot file, since its drains may be recorded nowhere else.
 const (
 	snapshotReadTimeout   = 4 * time.Second
 	snapshotRetryInterval = 50 * time.Millisecond
 )
 
-// awaitSnapshot is ReadSnapshot, repeated for a while if the file can't be read.
+// awaitSnapshot calls ReadSnapshot, and for snapshotReadTimeout retries if the file is unreadable.
 func awaitSnapshot(path string) (record.Snapshot, bool, error) {
 	deadline := time.Now().Add(snapshotReadTimeout)
 	for {
--- a/internal/controlplane/recordcache/snapshot_test.go
+++ b/internal/controlplane/recordcache/snapshot_test.go
@@ -35,14 +35,14 @@
 	return older, newer
 }
 
-// Whatever point a snapshot's writing is cut at, and whatever byte is altered: what is read is the old one, the new
-// one, or nothing.
+// After a write that was interrupted at any byte, or with any byte altered, a read returns the complete old snapshot,
+// the complete new one, or an error.
 func TestSnapshot_CorruptFileIsSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "snap")
 	older, newer := testSnapshots()
 	content, err := encodeSnapshot(newer)
 	require.NoError(t, err)
-	t.Run("machine stops while the new file is written", func(t *testing.T) {
+	t.Run("write of the new file is interrupted", func(t *testing.T) {
 		for length := range len(content) + 1 {
 			require.NoError(t, WriteSnapshot(path, older))
 			require.NoError(t, os.WriteFile(path+".new", content[:length], 0o600))
@@ -52,18 +52,18 @@
 			assert.Equal(t, older, snapshot)
 		}
 	})
-	t.Run("disk loses the end", func(t *testing.T) {
+	t.Run("file is truncated", func(t *testing.T) {
 		for length := range len(content) {
 			require.NoError(t, os.WriteFile(path, content[:length], 0o600))
 			snapshot, found, err := ReadSnapshot(path)
 			assert.ErrorIs(t, err, ErrCorruptSnapshot)
 			assert.False(t, found)
 			assert.Zero(t, snapshot)
-			assert.NoFileExists(t, path, "set aside")
+			assert.NoFileExists(t, path, "moved aside")
 			assert.FileExists(t, path+".aside")
 		}
 	})
-	t.Run("byte altered", func(t *testing.T) {
+	t.Run("byte is altered", func(t *testing.T) {
 		for i := range content {
 			altered := append([]byte(nil), content...)
 			altered[i] ^= 1
@@ -71,7 +71,7 @@
 			assert.ErrorIs(t, err, ErrCorruptSnapshot, "byte %d", i)
 		}
 	})
-	t.Run("written", func(t *testing.T) {
+	t.Run("write is complete", func(t *testing.T) {
 		require.NoError(t, WriteSnapshot(path, newer))
 		snapshot, _, err := ReadSnapshot(path)
 		assert.NoError(t, err)
@@ -87,8 +87,8 @@
 	})
 }
 
-// A folder that can't be written for a while costs nothing of what only this node knows, though nothing changes any
-// more once it can.
+// If the snapshot's folder does not exist for a while, drains that only this node knows must not be lost: the write is
+// retried even if the view does not change again.
 func TestCache_SnapshotWriteIsRetried(t *testing.T) {
 	f := newFixture(t)
 	folder := filepath.Join(t.TempDir(), "folder")
@@ -105,23 +105,25 @@
 	eventually(t, func() bool { return snapshotHasDrain(f.config.Snapshot) })
 }
 
-// A snapshot that can't be read for a moment is not a corrupt one: it stays, and a start waits for it.
+// A snapshot file that is unreadable for a short time is not treated as corrupt: it stays in place, and Open waits for
+// it.
 func TestSnapshot_UnreadableFileStays(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "snap")
-	require.NoError(t, os.Symlink(t.TempDir(), path)) // it opens, and reading fails; a new snapshot replaces the link
+	// A link to a folder can be opened but not read. The write of a new snapshot replaces the link.
+	require.NoError(t, os.Symlink(t.TempDir(), path))
 	_, found, err := ReadSnapshot(path)
 	assert.Error(t, err)
 	assert.NotErrorIs(t, err, ErrCorruptSnapshot)
 	assert.False(t, found)
 	_, err = os.Lstat(path)
-	assert.NoError(t, err, "not set aside")
+	assert.NoError(t, err, "not moved aside")
 	assert.NoFileExists(t, path+".aside")
 
-	mended := time.AfterFunc(300*time.Millisecond, func() {
+	repair := time.AfterFunc(300*time.Millisecond, func() {
 		drains := map[string]record.Drain{"s/a": {Since: 1, By: "x"}}
 		assert.NoError(t, WriteSnapshot(path, record.Snapshot{Drains: drains}))
 	})
-	defer mended.Stop()
+	defer repair.Stop()
 	snapshot, found, err := awaitSnapshot(path)
 	require.NoError(t, err)
 	assert.True(t, found)
--- a/internal/controlplane/recordcache/status.go
+++ b/internal/controlplane/recordcache/status.go
@@ -12,26 +12,26 @@
 	"robincart/internal/record/record"
 )
 
-// Status is the status page. Its keys are the operators'.
+// Status is the content of the status page. Its JSON keys must not change: operators' tools read them.
 type Status struct {
 	Store                string           `json:"store"`
 	SyncState            string           `json:"standing"`
 	Error                string           `json:"fault,omitempty"`
 	Epoch                string           `json:"epoch"`
 	Revision             int64            `json:"revision"`
-	SecondsSinceContact  float64          `json:"heard_seconds_ago"` // -1: never
-	Pending              int              `json:"waiting"`
-	Dropped              int              `json:"dropped"`
-	Written              int              `json:"written"`
+	SecondsSinceContact  float64          `json:"heard_seconds_ago"`    // -1: never
+	Pending              int              `json:"waiting"`              // changes waiting to be written
+	Dropped              int              `json:"dropped"`              // observations that did not fit into the queue
+	Written              int              `json:"written"`              // changes that the store wrote or rejected
 	SecondsSinceSnapshot float64          `json:"snapshot_seconds_ago"` // -1: never
 	Entries              int              `json:"facts"`
 	Draining             []DrainingServer `json:"drained"`
 	Required             bool             `json:"required"`
 	MaxStaleness         string           `json:"most_age"`
-	MaxPending           int              `json:"queue"`
+	MaxPending           int              `json:"queue"` // limit of pending changes, drains excluded
 }
 
-// DrainingServer is a server that the record keeps from new requests.
+// DrainingServer is a server that gets no new requests because of an entry of the record.
 type DrainingServer struct {
 	Server string `json:"server"` // SERVICE/SERVER
 	Reason string `json:"why"`
@@ -96,16 +96,16 @@
 
 const (
 	statusPath       = "/record"
-	maxStatusClients = 8 // at once; others wait
+	maxStatusClients = 8 // served at a time; further connections wait
 	statusTimeout    = 2 * time.Second
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// statusSizes are the limits of a request for the status page.
+// statusSizes are the limits of a request for the status page, in bytes.
 var statusSizes = httpwire.Sizes{BufferSize: 1024, ReadSize: 256, MaxHead: 4096, MaxBody: 0, MaxChunkLine: 64}
 
-// ServeStatus serves the status page on a listener until that is closed. It does not use net/http, which would cost
-// the node a megabyte.
+// ServeStatus serves the status page until the listener is closed. It does not use net/http, which would take 1 MB of
+// the node's memory.
 func (c *Cache) ServeStatus(listener net.Listener) {
 	var handlers sync.WaitGroup
 	defer handlers.Wait()
@@ -128,7 +128,7 @@
 	}
 }
 
-// handleStatus answers one request.
+// handleStatus answers one request to the status page.
 func (c *Cache) handleStatus(connection net.Conn) {
 	connection.SetDeadline(time.Now().Add(statusTimeout))
 	request, err := httpwire.NewReader(connection, statusSizes).ReadRequest()
--- a/internal/controlplane/recordcache/subscription.go
+++ b/internal/controlplane/recordcache/subscription.go
@@ -11,7 +11,7 @@
 	"robincart/internal/record/record"
 )
 
-// minWeight is the weight of a server whose recorded weight is missing.
+// minWeight is the lowest weight of a server, also used if its recorded weight is missing.
 const minWeight = 0.01
 
 // phaseOf maps a server's state to the phase of its observation.
@@ -21,19 +21,19 @@
 	decide.Gone:     record.PhaseGone,
 }
 
-// Subscription sits between one service's discovery, whose lists it takes as an endpoints.Receiver, and the service's
-// core, to which it publishes them merged with the record.
+// Subscription connects the discovery of one service with the service's core. It receives endpoint lists as an
+// endpoints.Receiver, and publishes them to the core merged with the record.
 type Subscription struct {
 	cache   *Cache
 	service string
 
-	mu            sync.Mutex // held while publishing: lists reach the core in the order in which they were merged
+	mu            sync.Mutex // held while publishing, so that the core gets lists in the order of their merges
 	core          endpoints.Receiver
-	lastPublished string
+	lastPublished string // JSON of the last list that the core got
 }
 
-// Subscribe returns a service's subscription. What the record has of the service's servers is published to the core at
-// once, so that a node serves before its discovery answers.
+// Subscribe returns a service's subscription. It publishes the servers that the record has to the core at once, so that
+// a node can serve before discovery has sent a list.
 func (c *Cache) Subscribe(service string, core endpoints.Receiver) *Subscription {
 	s := &Subscription{cache: c, service: service, core: core}
 	c.mu.Lock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// publishAll publishes the lists that have changed.
+// publishAll publishes each service's merged list, if it has changed.
 func (c *Cache) publishAll() {
 	c.mu.Lock()
 	subscriptions := make([]*Subscription, 0, len(c.subscriptions))
@@ -65,8 +65,8 @@
 	}
 }
 
-// UpdateEndpoints takes a list of discovery: complete, or the servers that changed. It is merged and published before
-// UpdateEndpoints returns; the store gets it in its own time.
+// UpdateEndpoints merges a list from discovery, which is complete or has only the changed servers, and publishes the
+// result before it returns. The store is written later.
 func (s *Subscription) UpdateEndpoints(list []node.Endpoint, complete bool) {
 	observations := make([]record.Observation, 0, len(list))
 	for _, endpoint := range list {
@@ -86,7 +86,7 @@
 	s.core.EndpointWatchFailed(failure)
 }
 
-// publish gives the core the merged list, if it has changed.
+// publish sends the merged list to the core, if it has changed.
 func (s *Subscription) publish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	for _, server := range servers {
 		list = append(list, endpointOf(server))
 	}
-	text, _ := json.Marshal(list) // to compare it: a struct of strings, numbers and times is always encoded
+	text, _ := json.Marshal(list) // for comparison; strings, numbers and times always encode
 	if string(text) == s.lastPublished {
 		return
 	}
--- a/internal/controlplane/recordcache/write.go
+++ b/internal/controlplane/recordcache/write.go
@@ -7,8 +7,8 @@
 	"robincart/internal/record/record"
 )
 
-// The changes in one transaction. A node does not know how far its store is, and a transaction keeps all other writers
-// out: it begins with few, and adapts to what fits into the time of one call.
+// Limits of the number of changes in one transaction. The latency of the store is unknown, and a transaction blocks all
+// other writers: the batch size starts low and adapts to the number of changes that one call completes in time.
 const (
 	initialBatchSize = 8
 	maxBatchSize     = 200
@@ -20,8 +20,7 @@
 	changes []record.Change
 }
 
-// write writes all pending changes, drains first. A change that something newer has superseded is given up: the store
-// is right.
+// write writes all pending changes, drains first. It drops a change that a newer entry in the store has superseded.
 func (c *Cache) write(ctx context.Context) error {
 	for {
 		next := c.nextBatch()
@@ -29,7 +28,7 @@
 			return c.finishRollback(ctx)
 		}
 		if next.epoch == "" {
-			return nil // nothing was read yet
+			return nil // the epoch is unknown until the first read
 		}
 		entries, err := c.writeBatch(ctx, next)
 		c.markWritten(next.changes, entries)
@@ -39,8 +38,8 @@
 	}
 }
 
-// nextBatch returns the next changes to be written. Drains do not wait for what comes with them: they are a batch of
-// their own.
+// nextBatch returns the next changes to be written. Drains form a batch of their own, so that they do not wait for
+// other changes.
 func (c *Cache) nextBatch() batch {
 	c.mu.Lock()
 	next := batch{epoch: c.view.Meta.Epoch, changes: c.view.Pending(c.batchSize)}
@@ -55,8 +54,8 @@
 	return next
 }
 
-// writeBatch writes a batch within the time of one call and adapts the batches' size. It returns the entries of the
-// changes that are done with, from the first on.
+// writeBatch writes a batch within the timeout of one call, and adapts the batch size. It returns the entries of the
+// changes that were completed, in the order of the changes and beginning with the first.
 func (c *Cache) writeBatch(ctx context.Context, next batch) ([]record.Entry, error) {
 	call, cancel := context.WithTimeout(ctx, c.config.CallTimeout)
 	defer cancel()
@@ -64,7 +63,7 @@
 	switch {
 	case err == nil:
 		c.batchSize = min(maxBatchSize, 2*c.batchSize)
-	case call.Err() != nil && ctx.Err() == nil: // too much for one call, so far from the store
+	case call.Err() != nil && ctx.Err() == nil: // the batch is too large for the store's latency
 		c.batchSize = max(1, len(next.changes)/2)
 	}
 	if _, rejected := record.Rejection(err); rejected {
@@ -73,8 +72,8 @@
 	return entries, err
 }
 
-// writeSingly writes each change of a batch by itself, so that a rejected one costs no other. For a rejected change it
-// returns the entry in favor of which it was rejected.
+// writeSingly writes each change of a batch in its own transaction, so that a rejected change does not prevent the
+// others. For a rejected change it returns the store's current entry.
 func (c *Cache) writeSingly(ctx context.Context, all batch) ([]record.Entry, error) {
 	var entries []record.Entry
 	for i := range all.changes {
@@ -92,7 +91,7 @@
 	return entries, nil
 }
 
-// markWritten notes what became of the first changes of a batch.
+// markWritten updates the view with the entries of a batch's completed changes, which are its first ones.
 func (c *Cache) markWritten(changes []record.Change, entries []record.Entry) {
 	c.mu.Lock()
 	for i, entry := range entries {
@@ -104,7 +103,7 @@
 	c.snapshotRequested.Set()
 }
 
-// finishRollback ends the state RolledBack once nothing is pending: the store has again what it had lost.
+// finishRollback ends the state RolledBack once nothing is pending: the lost entries have then been written again.
 func (c *Cache) finishRollback(ctx context.Context) error {
 	c.mu.Lock()
 	epoch := c.view.Meta.Epoch
--- a/internal/controlplane/recordcache/write_test.go
+++ b/internal/controlplane/recordcache/write_test.go
@@ -13,7 +13,7 @@
 	"robincart/internal/record/store"
 )
 
-// failingStore fails each transaction that has a certain change, and notes the names of all that it was called with.
+// failingStore fails each transaction that has a change in failures, and keeps the names of each call's changes.
 type failingStore struct {
 	store.Store
 	failures map[string]error // by the change's name
@@ -40,7 +40,7 @@
 	return entries, record.Meta{}, nil
 }
 
-// A change that the store rejects is given up, and costs no other that was written with it.
+// A change that the store rejects is dropped. The other changes of its batch are written.
 func TestCache_RejectedChangeIsWrittenAlone(t *testing.T) {
 	unavailable := errors.New("unavailable")
 	newer := record.Entry{Key: record.Key{Kind: record.KindServer, Name: "s/b"}, Revision: 9}
