--- a/internal/controlplane/recordserver/fixture_test.go
+++ b/internal/controlplane/recordserver/fixture_test.go
@@ -32,11 +32,11 @@
 	eventPoll    = 2 * time.Millisecond
 )
 
-// fixture is a stand-in for PostgreSQL with an empty record. Replicas and nodes are started from it.
+// fixture has a PostgreSQL stand-in with an empty record, and starts replicas and nodes that use it.
 type fixture struct {
 	t        *testing.T
 	postgres *pgstand.Server
-	database store.Database // as operators use it
+	database store.Database // direct access, as an operator has it
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -59,48 +59,48 @@
 	require.Eventually(f.t, condition, eventTimeout, eventPoll, message)
 }
 
-// detachableStore is a store that can be made unreachable for one replica alone.
-type detachableStore struct {
+// partitionableStore is a store that can be made unreachable for a single replica.
+type partitionableStore struct {
 	store.Store
-	detached atomic.Bool
+	partitioned atomic.Bool
 }
 
-var errDetached = errors.New("detached")
+var errPartitioned = errors.New("the store is partitioned from this replica")
 
-func (s *detachableStore) Meta(ctx context.Context) (record.Meta, error) {
-	if s.detached.Load() {
-		return record.Meta{}, errDetached
+func (s *partitionableStore) Meta(ctx context.Context) (record.Meta, error) {
+	if s.partitioned.Load() {
+		return record.Meta{}, errPartitioned
 	}
 	return s.Store.Meta(ctx)
 }
 
-func (s *detachableStore) Write(
+func (s *partitionableStore) Write(
 	ctx context.Context, epoch string, changes []record.Change,
 ) ([]record.Entry, record.Meta, error) {
-	if s.detached.Load() {
-		return nil, record.Meta{}, errDetached
+	if s.partitioned.Load() {
+		return nil, record.Meta{}, errPartitioned
 	}
 	return s.Store.Write(ctx, epoch, changes)
 }
 
-// testReplica is a server on a listener.
+// testReplica is a replica that serves on a listener.
 type testReplica struct {
 	*Server
-	upstream *detachableStore
+	upstream *partitionableStore
 	address  string
 	stop     func()
 }
 
-// startReplica starts a replica on a port of its own.
+// startReplica starts a replica on an unused port.
 func (f *fixture) startReplica() *testReplica { return f.startReplicaAt("127.0.0.1:0", nil) }
 
-// startReplicaAt starts a replica at an address, with TLS if it is given keys.
+// startReplicaAt starts a replica that listens on an address, with TLS unless ring is nil.
 func (f *fixture) startReplicaAt(address string, ring *keys.Ring) *testReplica {
 	database, err := sqlstore.OpenExisting(f.postgres.Address())
 	require.NoError(f.t, err)
 	listener, err := net.Listen("tcp", address)
 	require.NoError(f.t, err)
-	r := &testReplica{upstream: &detachableStore{Store: database}, address: listener.Addr().String()}
+	r := &testReplica{upstream: &partitionableStore{Store: database}, address: listener.Addr().String()}
 	if ring != nil {
 		listener = tls.NewListener(listener, ring.Server())
 	}
@@ -120,7 +120,7 @@
 	return r
 }
 
-// serve runs a server on a listener. It returns a function that stops it.
+// serve runs a server on a listener. It returns a function that stops the server.
 func serve(server *Server, listener net.Listener, maxClients int) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var goroutines sync.WaitGroup
@@ -132,7 +132,8 @@
 	}
 }
 
-// run runs a server without a listener until the test ends, and returns the record's epoch once it was read.
+// run runs a server without a listener until the test ends. After the server's first read it returns the record's
+// epoch.
 func (f *fixture) run(server *Server) string {
 	ctx, cancel := context.WithCancel(f.t.Context())
 	var goroutines sync.WaitGroup
@@ -150,7 +151,7 @@
 	return meta.Epoch
 }
 
-// fakeCore notes the list that was published last.
+// fakeCore keeps the server states of the last published list.
 type fakeCore struct {
 	mu     sync.Mutex
 	states map[string]decide.State
@@ -167,7 +168,7 @@
 
 func (c *fakeCore) EndpointWatchFailed(node.WatchFailure) {}
 
-// drains reports whether all of some servers are draining.
+// drains reports whether all of the given servers are draining.
 func (c *fakeCore) drains(ids ...string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,23 +209,23 @@
 	return n
 }
 
-// drain notifies a node of draining servers, as its discovery does.
+// drain notifies a node that servers are draining, as discovery does.
 func (n *testNode) drain(ids ...string) {
 	n.subscription.UpdateEndpoints(endpointsIn(decide.Draining, ids...), false)
 }
 
-// isSettled reports whether a node follows the record and has nothing to write.
+// isSettled reports whether a node's copy is up to date and no changes are pending.
 func (n *testNode) isSettled() bool {
 	status := n.Status()
 	return status.Error == "" && status.Pending == 0 && status.SyncState == "follows"
 }
 
-// throughReplicas opens a node's store through replicas.
+// throughReplicas returns a function that opens a store through replicas.
 func throughReplicas(addresses ...string) func() (store.Store, error) {
 	return func() (store.Store, error) { return store.DialControllers(addresses, nil), nil }
 }
 
-// directly opens a node's store without a replica.
+// directly opens the store without a replica.
 func (f *fixture) directly() (store.Store, error) { return sqlstore.OpenExisting(f.postgres.Address()) }
 
 func endpointsIn(state decide.State, ids ...string) []node.Endpoint {
@@ -256,7 +257,7 @@
 	require.NoError(f.t, err)
 }
 
-// recordDrain records a drain of any process under a name, as an operator does.
+// recordDrain records a drain for all processes with a server's name, as an operator does.
 func (f *fixture) recordDrain(name string) {
 	f.t.Helper()
 	f.write(record.KindDrain, name, `{"start_ms":0,"since_ms":1,"by":"op"}`)
--- a/internal/controlplane/recordserver/nodes_test.go
+++ b/internal/controlplane/recordserver/nodes_test.go
@@ -29,8 +29,8 @@
 	return listener.Addr().String()
 }
 
-// During an upgrade old nodes read the store themselves and new ones read replicas, and the controller of a new node
-// may be an old one that does not listen yet. What one of them writes the others have.
+// During an upgrade old nodes read the store directly and new nodes read replicas. The controller of a new node may be
+// an old version that does not listen yet. A drain that any of the nodes writes must reach the others.
 func TestNodes_UpgradeSharesOneRecord(t *testing.T) {
 	f := newFixture(t)
 	r := f.startReplica()
@@ -49,7 +49,7 @@
 	f.eventually(func() bool { return upgraded.core.drains("c") }, "the new node has the old one's drain")
 	assert.Contains(t, early.Status().Error, later, "the error names the address that does not listen")
 	early.drain("d")
-	assert.True(t, early.core.drains("d"), "in force at once, whoever listens")
+	assert.True(t, early.core.drains("d"), "in effect at once, though no controller listens")
 
 	f.startReplicaAt(later, nil) // the controller is upgraded
 	for name, node := range map[string]*testNode{"old": old, "new": upgraded, "early": early} {
@@ -58,24 +58,25 @@
 	f.eventually(early.isSettled, "nothing is pending")
 }
 
-// When replicas end, one by one or all, nodes are at another one soon, and meanwhile have what they had.
+// When a node's replica ends, the node connects to another one. When all replicas have ended, the node keeps its copy
+// until one is started again.
 func TestNodes_ReplicaEnds(t *testing.T) {
 	f := newFixture(t)
 	first, second := f.startReplica(), f.startReplica()
 	node := f.startNode("n", throughReplicas(first.address, second.address), "a", "b", "d")
-	f.eventually(func() bool { return first.Status().Watchers == 1 }, "the node watches the first")
+	f.eventually(func() bool { return first.Status().Watchers == 1 }, "the node watches the first replica")
 	first.stop()
 	f.recordDrain("s/a")
-	f.eventually(func() bool { return node.core.drains("a") && second.Status().Watchers == 1 }, "notified by the second")
+	f.eventually(func() bool { return node.core.drains("a") && second.Status().Watchers == 1 }, "the second notifies")
 	second.stop()
-	f.eventually(func() bool { return node.Status().Error != "" }, "none is left")
+	f.eventually(func() bool { return node.Status().Error != "" }, "no replica is left")
 	assert.True(t, node.core.drains("a"))
 	f.recordDrain("s/b")
 	f.startReplicaAt(first.address, nil)
-	f.eventually(func() bool { return node.core.drains("b") && node.Status().Error == "" }, "notified by the first again")
+	f.eventually(func() bool { return node.core.drains("b") && node.Status().Error == "" }, "the first is back")
 }
 
-// A replica that hangs, with its connections open, is left for another one.
+// A node whose replica hangs with open connections connects to another replica.
 func TestNodes_ReplicaHangs(t *testing.T) {
 	f := newFixture(t)
 	hanging, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,12 +95,12 @@
 	node := f.startNode("n", throughReplicas(hanging.Addr().String(), working.address), "a")
 	begin := time.Now()
 	f.recordDrain("s/a")
-	f.eventually(func() bool { return node.core.drains("a") }, "notified by the other")
-	assert.Less(t, time.Since(begin), 10*time.Second, "what is written is in force everywhere by then")
+	f.eventually(func() bool { return node.core.drains("a") }, "the working replica notifies the node")
+	assert.Less(t, time.Since(begin), 10*time.Second, "the drain takes effect within 10 s")
 }
 
-// While the store is unavailable replicas serve their copies and say how old they are: a node that starts meanwhile has
-// the record, and drains wait.
+// While the store is unavailable, replicas serve their copies and report the copies' age. A node that starts during the
+// outage gets the record from a replica. Its drains are written when the store recovers.
 func TestNodes_StoreUnavailable(t *testing.T) {
 	f := newFixture(t)
 	r := f.startReplica()
@@ -109,17 +110,17 @@
 	f.eventually(func() bool { return len(before.Entries(record.KindRoute)) == 1 }, "the replica has read the record")
 	f.postgres.Refuse(true)
 	f.postgres.Cut()
-	f.eventually(func() bool { return r.Status().Error != "" }, "the replica has noticed")
+	f.eventually(func() bool { return r.Status().Error != "" }, "the replica reports the store's error")
 
 	node := f.startNode("during", throughReplicas(r.address), "a", "b")
 	assert.True(t, node.core.drains("a"), "from the replica's copy")
 	assert.Len(t, node.Entries(record.KindRoute), 1)
 	node.drain("b")
-	assert.True(t, node.core.drains("b"), "in force before it is recorded")
+	assert.True(t, node.core.drains("b"), "in effect before it is recorded")
 	f.eventually(func() bool { return node.Status().SecondsSinceContact > 0.3 }, "the copy's age grows")
 
 	f.postgres.Refuse(false)
-	f.eventually(func() bool { return f.isRecorded(record.KindDrain, "s/b") }, "recorded when the store is back")
+	f.eventually(func() bool { return f.isRecorded(record.KindDrain, "s/b") }, "recorded after the store recovers")
 	f.eventually(func() bool {
 		status := node.Status()
 		recovered := status.Error == "" && r.Status().Error == ""
@@ -127,20 +128,21 @@
 	}, "recovered")
 }
 
-// When regions lose each other the replica on the far side is behind. A node that comes to it from another one must not
-// be taken back, nor by an import that the far replica has not learned of.
+// During a network partition between regions, a replica that is isolated from the store falls behind. A node that
+// connects to it after another replica must not go back to older entries, nor to those before an import that the
+// isolated replica has not read.
 func TestNodes_ReplicaIsBehind(t *testing.T) {
 	for _, imported := range []bool{false, true} {
 		t.Run(fmt.Sprintf("imported=%t", imported), func(t *testing.T) {
 			f := newFixture(t)
-			near, far := f.startReplica(), f.startReplica()
+			reachable, isolated := f.startReplica(), f.startReplica()
 			f.write(record.KindRoute, "r", `{"toml":"first"}`)
 			f.eventually(func() bool {
-				return near.Status().Revision == 1 && far.Status().Revision == 1
-			}, "both have it")
-			node := f.startNode("n", throughReplicas(near.address, far.address))
-			far.upstream.detached.Store(true)
-			f.eventually(func() bool { return far.Status().Error != "" }, "the far one has lost the store")
+				return reachable.Status().Revision == 1 && isolated.Status().Revision == 1
+			}, "both replicas have the route")
+			node := f.startNode("n", throughReplicas(reachable.address, isolated.address))
+			isolated.upstream.partitioned.Store(true)
+			f.eventually(func() bool { return isolated.Status().Error != "" }, "the store is unreachable")
 			if imported {
 				f.importRoute("r", `{"toml":"second"}`)
 			} else {
@@ -150,22 +152,22 @@
 				entries := node.Entries(record.KindRoute)
 				return len(entries) == 1 && string(entries[0].Value) == `{"toml":"second"}`
 			}
-			f.eventually(hasSecond, "the near one notifies")
-			near.stop()
-			f.eventually(func() bool { return node.Status().Error != "" }, "the far one rejects the node")
+			f.eventually(hasSecond, "the reachable replica notifies the node")
+			reachable.stop()
+			f.eventually(func() bool { return node.Status().Error != "" }, "the isolated replica rejects the node")
 			assert.Contains(t, node.Status().Error, "no controller serves the record")
 			assert.True(t, hasSecond())
-			assert.Zero(t, far.Status().Watchers)
-			far.upstream.detached.Store(false)
+			assert.Zero(t, isolated.Status().Watchers)
+			isolated.upstream.partitioned.Store(false)
 			f.eventually(func() bool {
-				return node.Status().Error == "" && far.Status().Watchers == 1
-			}, "the far one has the store again")
+				return node.Status().Error == "" && isolated.Status().Watchers == 1
+			}, "the partition has ended")
 			assert.True(t, hasSecond())
 		})
 	}
 }
 
-// importRoute replaces the record by one in which its only entry, a route, has another value.
+// importRoute replaces the record, whose only entry is a route, by one in which the route has another value.
 func (f *fixture) importRoute(name, value string) {
 	page, err := f.database.Since(f.t.Context(), 0, 100)
 	require.NoError(f.t, err)
@@ -176,7 +178,7 @@
 	require.NoError(f.t, err)
 }
 
-// Nodes are notified of a store that was restored from a backup as if they read it themselves: they write drains again.
+// Nodes that read a replica are notified when the store is restored from a backup, and write lost drains again.
 func TestNodes_StoreRestored(t *testing.T) {
 	f := newFixture(t)
 	node := f.startNode("n", throughReplicas(f.startReplica().address), "a", "b")
@@ -193,13 +195,13 @@
 	f.eventually(func() bool {
 		status := node.Status()
 		return status.SyncState == "follows" && status.Pending == 0
-	}, "the store is followed")
+	}, "the node's copy is up to date")
 	f.recordDrain("s/b")
-	f.eventually(func() bool { return node.core.drains("b") }, "and what comes after arrives")
+	f.eventually(func() bool { return node.core.drains("b") }, "a later drain reaches the node")
 }
 
-// restoredStore is restored from a backup behind its first drain, unseen: the next revision it assigns is one that it
-// has assigned before.
+// restoredStore is restored from a backup right after the first write of a drain, before any reader sees the drain. The
+// next revision that it assigns is therefore the drain's.
 type restoredStore struct {
 	store.Store
 	once    sync.Once
@@ -216,8 +218,8 @@
 	return entries, meta, err
 }
 
-// A store that is restored between a drain and what the node writes next assigns the drain's revision to something
-// else: the drain is written again all the same.
+// A store that is restored between the write of a drain and the node's next write assigns the drain's revision to
+// another entry. The drain must still be written again.
 func TestNodes_RevisionAssignedTwiceHidesNoLostDrain(t *testing.T) {
 	f := newFixture(t)
 	backup := filepath.Join(t.TempDir(), "backup")
@@ -228,7 +230,7 @@
 	config := DefaultConfig()
 	config.PollInterval = 50 * time.Millisecond
 	config.BatchDelay = time.Millisecond
-	config.FreshnessTimeout = 100 * time.Millisecond // the node's call ends in time
+	config.FreshnessTimeout = 100 * time.Millisecond // shorter than the node's call timeout
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(serve(New(upstream, config, zap.NewNop()), listener, 9))
@@ -245,7 +247,7 @@
 	assert.True(t, node.core.drains("a"))
 }
 
-// A client without a key of the fleet gets no answer and writes nothing.
+// A client without keys of the fleet's certificate authority cannot call the server.
 func TestServer_RequiresClientKeys(t *testing.T) {
 	f := newFixture(t)
 	folder := t.TempDir()
@@ -285,8 +287,8 @@
 	assert.Zero(t, r.Status().Watchers)
 }
 
-// The load on the store does not grow with the fleet: connections, commits and notifications are those of the replicas,
-// also with four times the nodes.
+// The load on the store does not depend on the number of nodes: with 6 or 24 nodes the numbers of connections, commits
+// and notifications are those of the replicas.
 func TestServer_StoreLoadIsIndependentOfFleetSize(t *testing.T) {
 	const replicaCount = 3
 	for _, nodeCount := range []int{6, 24} {
@@ -314,7 +316,7 @@
 			f.eventually(func() bool { return all(hasNothingPending) }, "the first list is written")
 
 			before := f.postgres.Counts()
-			for i, node := range nodes { // discovery notifies all, each of its replicas with its own list revision
+			for i, node := range nodes { // discovery notifies all nodes; each replica has its own list revision
 				list := endpointsIn(decide.Draining, "a")
 				list[0].Revision = int64(1000 * (i%3 + 1))
 				go node.subscription.UpdateEndpoints(list, false)
@@ -322,19 +324,19 @@
 			f.recordDrain("s/b")
 			f.eventually(func() bool {
 				return all(func(node *testNode) bool { return node.core.drains("a", "b") }) && all(hasNothingPending)
-			}, "all are notified")
+			}, "all nodes are notified")
 			for _, r := range replicas {
 				assert.Equal(t, nodeCount/replicaCount, r.Status().Watchers)
 			}
 			after := f.postgres.Counts()
-			if nodeCount == 24 { // a connection that was given up counts until the server has noticed
-				assert.Less(t, after.MaxConnections, nodeCount, "less than one connection a node")
+			if nodeCount == 24 { // a connection that its client has closed counts until the server detects it
+				assert.Less(t, after.MaxConnections, nodeCount, "less than one connection per node")
 			}
 			f.eventually(func() bool {
 				return f.postgres.Counts().Connections <= 3*replicaCount+2
-			}, "three connections a replica, and the test's two")
-			assert.LessOrEqual(t, after.Commits-before.Commits, 3, "the operator's, and the fleet's once or twice")
-			assert.LessOrEqual(t, after.Notices-before.Notices, 9, "each replica is notified of each")
+			}, "three connections per replica, and two of the test")
+			assert.LessOrEqual(t, after.Commits-before.Commits, 3, "one by the operator, and one or two by the fleet")
+			assert.LessOrEqual(t, after.Notices-before.Notices, 9, "each replica is notified of each commit")
 		})
 	}
 }
--- a/internal/controlplane/recordserver/read.go
+++ b/internal/controlplane/recordserver/read.go
@@ -11,10 +11,10 @@
 	"robincart/internal/record/store"
 )
 
-// errNotRead is returned until the store was read for the first time.
+// errNotRead is returned until the first successful read of the store.
 var errNotRead = errors.New("this replica has not read the record yet")
 
-// read brings the copy up to date with the store, and notifies those who wait for a read.
+// read brings the copy up to date with the store, and wakes the callers that wait for the end of a read.
 func (s *Server) read(ctx context.Context) error {
 	s.mu.Lock()
 	s.readsBegun++
@@ -26,7 +26,7 @@
 	return err
 }
 
-// readStore reads what the store has and the copy has not.
+// readStore reads the entries that the copy lacks, and applies them.
 func (s *Server) readStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
@@ -58,7 +58,7 @@
 	return s.applyPage(page)
 }
 
-// applyPage puts a page in force, and notifies the nodes that watch.
+// applyPage merges a page into the copy, and wakes the calls that wait for a change or a rollback.
 func (s *Server) applyPage(page record.Page) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// finishRead notes the result of a read. It logs when the store becomes unavailable and when it recovers.
+// finishRead stores the result of a read. It logs when the store becomes unavailable and when it recovers.
 func (s *Server) finishRead(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,13 +93,13 @@
 		}
 		s.storeError = ""
 		s.lastContact = time.Now()
-		s.lastGoodRead = s.readsBegun
+		s.lastSuccessfulRead = s.readsBegun
 	}
 	close(s.readDone)
 	s.readDone = make(chan struct{})
 }
 
-// Meta implements store.Store: the copy's position.
+// Meta implements store.Store. It returns the copy's position.
 func (s *Server) Meta(context.Context) (record.Meta, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +110,7 @@
 	return meta, nil
 }
 
-// Since implements store.Store, from the copy.
+// Since implements store.Store. It reads from the copy.
 func (s *Server) Since(_ context.Context, after int64, limit int) (record.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,7 @@
 	return s.copy.Since(after, limit), nil
 }
 
-// Wait implements store.Store: it returns when the copy has changed, or after a while.
+// Wait implements store.Store. It returns when the copy changes, or after the timeout.
 func (s *Server) Wait(ctx context.Context, timeout time.Duration) error {
 	s.mu.Lock()
 	changed := s.changed
--- a/internal/controlplane/recordserver/server.go
+++ b/internal/controlplane/recordserver/server.go
@@ -1,9 +1,9 @@
-// Package recordserver serves the store of record to many nodes in the store's place, at each replica of the
-// controller. A Server follows the store with one reader, answers nodes from one copy, and writes the changes of all
-// nodes through one queue.
+// Package recordserver serves the record to nodes at each replica of the controller, so that the nodes do not call the
+// store of record directly. A Server keeps a copy of the store with one reader, answers nodes from the copy, and writes
+// the changes of all nodes through one queue.
 //
-// What the copy may answer and which writes are merged is decided by package replica; this package has the goroutine
-// and the store's calls. Server implements store.Replica: store.ServeWithLimits puts it on a listener.
+// Package replica decides what the copy may answer and which writes are merged; this package has the goroutines and the
+// calls to the store. Server implements store.Replica; store.ServeWithLimits serves it on a listener.
 package recordserver
 
 import (
@@ -19,18 +19,18 @@
 	"robincart/internal/system/wait"
 )
 
-// Config has a server's times and limits.
+// Config has a server's intervals, timeouts and limits.
 type Config struct {
-	PollInterval      time.Duration // between reads where the store notifies of nothing
-	CallTimeout       time.Duration // of one call to the store
-	BatchDelay        time.Duration // between two reads, so that a burst of changes is few notifications to each node
-	HeartbeatInterval time.Duration // between lines to a node that watches
-	FreshnessTimeout  time.Duration // for a read on behalf of a node that is further than the copy
-	PageSize          int           // entries read in one call
-	MaxBatch          int           // changes written in one transaction
+	PollInterval      time.Duration // between reads of a store that sends no notifications
+	CallTimeout       time.Duration // timeout of one call to the store
+	BatchDelay        time.Duration // between two reads; merges a burst of changes into few notifications
+	HeartbeatInterval time.Duration // between heartbeats to a watching node
+	FreshnessTimeout  time.Duration // timeout of the wait until the copy reaches a node's position
+	PageSize          int           // maximum number of entries read in one call
+	MaxBatch          int           // maximum number of changes written in one transaction
 }
 
-// DefaultConfig has what is written in force at all nodes within some seconds, whichever replica ends.
+// DefaultConfig returns values with which a change takes effect at all nodes within seconds, even if a replica ends.
 func DefaultConfig() Config {
 	return Config{
 		PollInterval:      time.Second,
@@ -43,7 +43,7 @@
 	}
 }
 
-// ClientLimits returns the limits of the nodes that call, given how many may.
+// ClientLimits returns the limits for the calls of nodes, of which at most maxClients may be connected.
 func ClientLimits(maxClients int) store.ServerLimits {
 	return store.ServerLimits{
 		MaxClients:   maxClients,
@@ -57,7 +57,7 @@
 // maxRetryInterval limits the backoff between reads of a store that is unavailable.
 const maxRetryInterval = 2 * time.Second
 
-// Server is the record at one replica of the controller. It is safe for concurrent use.
+// Server serves the record at one replica of the controller. It is safe for concurrent use.
 type Server struct {
 	config   Config
 	upstream store.Store
@@ -65,26 +65,26 @@
 
 	readRequested  wait.Signal
 	writeRequested wait.Signal
-	batchSize      int // limit of changes in one transaction; Run's alone
-
-	mu           sync.Mutex
-	copy         replica.Copy
-	queue        replica.Queue
-	changed      chan struct{} // closed and replaced when the copy has changed
-	rolledBack   chan struct{} // closed and replaced when the copy was rolled back or has another epoch
-	readDone     chan struct{} // closed and replaced when a read ends
-	readsBegun   int
-	lastGoodRead int       // value of readsBegun in the last read that succeeded
-	lastContact  time.Time // when the last read succeeded
-	storeError   string    // of the last read; empty: the store is available
-	watchers     int       // nodes that watch
-	written      int       // changes sent to the store
-	answered     int       // changes that the copy resolved
+	batchSize      int // limit of changes in one transaction; used by Run only
+
+	mu                 sync.Mutex
+	copy               replica.Copy
+	queue              replica.Queue
+	changed            chan struct{} // closed and replaced when the copy changes
+	rolledBack         chan struct{} // closed and replaced when the copy is rolled back or gets another epoch
+	readDone           chan struct{} // closed and replaced when a read ends
+	readsBegun         int
+	lastSuccessfulRead int       // value of readsBegun at the last successful read
+	lastContact        time.Time // time of the last successful read
+	storeError         string    // error of the last read; empty: the store is available
+	watchers           int       // number of watching nodes
+	written            int       // number of changes sent to the store
+	answered           int       // number of changes that the copy resolved
 }
 
 var _ store.Replica = (*Server)(nil)
 
-// New returns a server of a store, which it does not close. Run starts it.
+// New returns a server of a store. The caller starts the server with Run, and closes the store.
 func New(upstream store.Store, config Config, log *zap.Logger) *Server {
 	return &Server{
 		config:         config,
@@ -127,7 +127,7 @@
 	}
 }
 
-// watchStore requests a read whenever something may have been written to the store.
+// watchStore requests a read whenever the store may have new entries.
 func (s *Server) watchStore(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := s.upstream.Wait(ctx, s.config.PollInterval)
@@ -138,8 +138,8 @@
 	}
 }
 
-// sync reads the store and writes what is pending, batch by batch. Each write follows a successful read: new revisions
-// would otherwise hide that the store was rolled back.
+// sync reads the store and writes the pending changes in batches. Each write follows a successful read, since the
+// revisions of new writes would otherwise hide a rollback of the store.
 func (s *Server) sync(ctx context.Context) error {
 	for {
 		if err := s.read(ctx); err != nil {
@@ -151,28 +151,29 @@
 	}
 }
 
-// withJitter returns a delay of half to the whole of an interval: a store that recovers must not meet all replicas at
-// once.
+// withJitter returns a random delay between half of an interval and the whole, so that not all replicas call a
+// recovering store at once.
 func withJitter(interval time.Duration) time.Duration {
 	half := int64(interval) / 2
 	return time.Duration(half + rand.Int63n(half+1))
 }
 
-// Close implements store.Store. The upstream store stays open: others use it.
+// Close implements store.Store. The upstream store stays open, as its owner also uses it elsewhere.
 func (s *Server) Close() error { return nil }
 
-// Status is the server's part of the controller's status page. Its keys are the operators'.
+// Status is the server's part of the controller's status page. Its JSON keys must not change: operators' tools read
+// them.
 type Status struct {
 	Epoch               string  `json:"epoch"`
 	Revision            int64   `json:"revision"`
 	Entries             int     `json:"facts"`
-	Watchers            int     `json:"nodes"`             // that watch
+	Watchers            int     `json:"nodes"`             // watching nodes
 	SecondsSinceContact float64 `json:"heard_seconds_ago"` // -1: never
 	Error               string  `json:"fault,omitempty"`
-	Pending             int     `json:"waiting"`  // changes that wait for the store
+	Pending             int     `json:"waiting"`  // changes waiting to be written
 	Written             int     `json:"written"`  // changes sent to the store
 	Answered            int     `json:"answered"` // changes that the copy resolved
-	Merged              int     `json:"merged"`   // changes merged with another node's
+	Merged              int     `json:"merged"`   // changes merged with an equal change of another node
 }
 
 // Status returns the server's state.
--- a/internal/controlplane/recordserver/watch.go
+++ b/internal/controlplane/recordserver/watch.go
@@ -8,8 +8,8 @@
 	"robincart/internal/record/store"
 )
 
-// CheckFresh implements store.Replica. If the node is further than the copy the store is read first: it may have been
-// rolled back, or this replica may be the one that is behind.
+// CheckFresh implements store.Replica. If the node's position is ahead of the copy, it waits for a read of the store:
+// either the store was rolled back, or this replica is behind.
 func (s *Server) CheckFresh(ctx context.Context, node record.Meta) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.FreshnessTimeout)
 	defer cancel()
@@ -18,8 +18,8 @@
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		wasReadSince := s.lastGoodRead > readsBegun // by a read that began after this call
-		fresh := wasReadSince || s.copy.IsCurrentFor(node)
+		readSinceCall := s.lastSuccessfulRead > readsBegun // by a read that began after this call
+		fresh := readSinceCall || s.copy.IsCurrentFor(node)
 		readDone := s.readDone
 		s.mu.Unlock()
 		if fresh {
@@ -36,7 +36,7 @@
 	}
 }
 
-// awaitRead requests a read of the store and waits until one ends, as readDone says, or the context does.
+// awaitRead requests a read of the store, and waits until a read ends, which closes readDone, or the context ends.
 func (s *Server) awaitRead(ctx context.Context, readDone <-chan struct{}) {
 	s.readRequested.Set()
 	select {
@@ -83,13 +83,14 @@
 	s.watchers--
 }
 
-// position returns the copy's position. The mutex is held.
+// position returns the copy's position. The caller holds the mutex.
 func (s *Server) position() *store.Position {
 	return &store.Position{Meta: s.copy.Meta(), Age: time.Since(s.lastContact).Milliseconds()}
 }
 
-// positionSince returns the position to notify of, nil if there is nothing new since a state of the changed channel,
-// and that channel's state now. While the store is unavailable the position's age grows, and nodes have to know it.
+// positionSince returns the position to send to a node, and the current changed channel. The position is nil, which
+// nodes get as a heartbeat, if the copy has not changed since the given channel was current. While the store is
+// unavailable the position is always returned, since nodes need its growing age.
 func (s *Server) positionSince(changed chan struct{}) (*store.Position, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/recordserver/write.go
+++ b/internal/controlplane/recordserver/write.go
@@ -10,9 +10,9 @@
 	"robincart/internal/record/store"
 )
 
-// Write implements store.Store. It answers what the copy knows, and has the rest written once for all nodes that ask
-// for it. Unlike a store it may apply some of the changes and not others; a node that repeats them with the same
-// idempotency keys loses nothing.
+// Write implements store.Store. It resolves changes from the copy where possible, and writes the others once for all
+// nodes that request the same change. Unlike a store it may apply some of the changes and not others; a node can safely
+// retry them with the same idempotency keys.
 func (s *Server) Write(
 	ctx context.Context, epoch string, changes []record.Change,
 ) ([]record.Entry, record.Meta, error) {
@@ -31,11 +31,11 @@
 	return entries, s.awaitCopy(ctx, epoch, entries), nil
 }
 
-// submission is what became of the changes of one call, each at its index: an entry or a pending write.
+// submission has the outcome of each change of one call, at the change's index: an entry or a pending write.
 type submission struct {
 	entries []record.Entry
 	writes  []*replica.PendingWrite // nil: the copy resolved the change
-	err     error                   // the first with which the copy rejected a change
+	err     error                   // the first error of a change
 }
 
 // submit resolves changes from the copy, and queues the rest.
@@ -57,13 +57,14 @@
 		}
 		submitted.writes[i] = s.queue.Add(epoch, changes[i])
 		if submitted.writes[i] == nil {
-			return nil, fmt.Errorf("%w: %d changes are pending", store.ErrBusy, replica.MaxPendingWrites)
+			return nil, fmt.Errorf("%w: the limit of %d pending changes is reached",
+				store.ErrBusy, replica.MaxPendingWrites)
 		}
 	}
 	return submitted, nil
 }
 
-// resolve returns a change's outcome if the copy, in the same epoch, knows it. The mutex is held.
+// resolve returns a change's outcome if the copy has the same epoch and knows the outcome. The caller holds the mutex.
 func (s *Server) resolve(epoch string, change *record.Change) (replica.Resolution, bool) {
 	if epoch != s.copy.Meta().Epoch {
 		return replica.Resolution{}, false
@@ -71,7 +72,7 @@
 	return s.copy.Resolve(change)
 }
 
-// await waits until the store has answered all writes. It returns the entries, or the first error.
+// await waits until the store has answered all writes. It returns the entries, or the first error of a change.
 func (s *submission) await(ctx context.Context) ([]record.Entry, error) {
 	for i, write := range s.writes {
 		if write == nil {
@@ -90,8 +91,8 @@
 	return s.entries, s.err
 }
 
-// awaitCopy waits for a while until the copy has the entries, and returns its position: the node that wrote them would
-// otherwise find this replica behind itself.
+// awaitCopy waits, at most for FreshnessTimeout, until the copy has the entries, and returns the copy's position.
+// Without the wait the replica would be behind the node that wrote the entries.
 func (s *Server) awaitCopy(ctx context.Context, epoch string, entries []record.Entry) record.Meta {
 	ctx, cancel := context.WithTimeout(ctx, s.config.FreshnessTimeout)
 	defer cancel()
@@ -111,7 +112,7 @@
 	}
 }
 
-// writeBatch writes the next batch of the queue to the store. It returns whether there was one.
+// writeBatch writes the next batch of the queue to the store. It returns false if the queue has none.
 func (s *Server) writeBatch(ctx context.Context) bool {
 	s.mu.Lock()
 	batch := s.queue.Next(s.batchSize)
@@ -135,8 +136,8 @@
 	return true
 }
 
-// adaptBatchSize halves the batches' size after a timeout and doubles it after a full batch. A distant store takes long
-// for each change: a batch that never finishes in its time would be repeated for ever, and lock the store meanwhile.
+// adaptBatchSize halves the batch size after a timeout and doubles it after a full batch. With a high latency of the
+// store a batch that is too large would time out on every retry, and lock the store meanwhile.
 func (s *Server) adaptBatchSize(written int, err error) {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
@@ -146,8 +147,8 @@
 	}
 }
 
-// send writes a batch in one transaction. If the store rejects one of the changes each is written by itself, so that
-// it costs no other.
+// send writes a batch in one transaction. If the store rejects one of the changes, each is written in its own
+// transaction, so that the others succeed.
 func (s *Server) send(ctx context.Context, batch []*replica.PendingWrite) error {
 	err := s.sendTransaction(ctx, batch)
 	_, rejected := record.Rejection(err)
@@ -155,7 +156,7 @@
 		return err
 	}
 	for i := range batch {
-		s.sendTransaction(ctx, batch[i:i+1]) // its error is the write's
+		s.sendTransaction(ctx, batch[i:i+1]) // the pending write has the error
 	}
 	return nil
 }
@@ -178,8 +179,7 @@
 	return err
 }
 
-// failPendingWrites answers all waiting writes with the error of a store that is unavailable: nodes repeat them in
-// their own time.
+// failPendingWrites completes all waiting writes with the error of an unavailable store. The nodes retry them.
 func (s *Server) failPendingWrites(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/recordserver/write_test.go
+++ b/internal/controlplane/recordserver/write_test.go
@@ -16,7 +16,7 @@
 	"robincart/internal/record/store"
 )
 
-// observe returns a change that records a server in a phase. The number tells apart who writes it.
+// observe returns a change that records a server in a phase. The number identifies the writer.
 func observe(name, phase string, start, number int) record.Change {
 	value := fmt.Sprintf(`{"addr":"10.0.0.1:80","phase":%q,"start_ms":%d,"listed":%d}`, phase, start, number)
 	return record.Change{
@@ -28,15 +28,15 @@
 	}
 }
 
-// heldStore holds each write until it is released.
-type heldStore struct {
+// blockingStore blocks each write until the test releases it.
+type blockingStore struct {
 	store.Store
 	arrived chan struct{} // receives a value for each write
 	release chan struct{} // closed to release the writes
 	writes  atomic.Int64
 }
 
-func (s *heldStore) Write(
+func (s *blockingStore) Write(
 	ctx context.Context, epoch string, changes []record.Change,
 ) ([]record.Entry, record.Meta, error) {
 	s.writes.Add(1)
@@ -51,7 +51,7 @@
 	err   error
 }
 
-// writeAsync writes a change in a goroutine, and returns where its result arrives.
+// writeAsync writes a change in a goroutine. It returns a channel that receives the result.
 func writeAsync(ctx context.Context, server *Server, epoch string, change record.Change) <-chan writeResult {
 	result := make(chan writeResult, 1)
 	go func() {
@@ -65,11 +65,11 @@
 	return result
 }
 
-// When all nodes write the same at once the store is written to once, and each node has its answer. A change that is
-// rejected costs no other.
+// Equal changes that many nodes write at the same time are written to the store once, and each node gets the result. A
+// rejected change does not prevent the others.
 func TestServer_MergesWritesOfManyNodes(t *testing.T) {
 	f := newFixture(t)
-	upstream := &heldStore{Store: f.database, arrived: make(chan struct{}, 100), release: make(chan struct{})}
+	upstream := &blockingStore{Store: f.database, arrived: make(chan struct{}, 100), release: make(chan struct{})}
 	config := DefaultConfig()
 	config.BatchDelay = time.Millisecond
 	server := New(upstream, config, zap.NewNop())
@@ -78,13 +78,13 @@
 
 	t.Run("equal changes", func(t *testing.T) {
 		first := writeAsync(ctx, server, epoch, observe("s/a", record.PhaseDraining, 5, 0))
-		<-upstream.arrived // the first is at the store, and is held
+		<-upstream.arrived // the first write has reached the store, which blocks it
 		var others []<-chan writeResult
 		for i := 1; i < 50; i++ {
 			change := observe("s/a", record.PhaseDraining, 5, i)
 			others = append(others, writeAsync(ctx, server, epoch, change))
 		}
-		f.eventually(func() bool { return server.Status().Merged == 49 }, "merged")
+		f.eventually(func() bool { return server.Status().Merged == 49 }, "the other writes are merged")
 		close(upstream.release)
 		revision := (<-first).entry.Revision
 		for _, other := range others {
@@ -103,7 +103,7 @@
 		f.eventually(func() bool {
 			status := server.Status()
 			return status.Pending+status.Answered >= 2
-		}, "both have arrived")
+		}, "both changes have reached the server")
 		close(upstream.release)
 		<-held
 		var stale *record.StaleError
@@ -133,13 +133,13 @@
 	})
 }
 
-// distantStore takes a while for each change, as over a long way.
-type distantStore struct {
+// highLatencyStore takes changeTime for each change of a write.
+type highLatencyStore struct {
 	store.Store
 	changeTime time.Duration
 }
 
-func (s *distantStore) Write(
+func (s *highLatencyStore) Write(
 	ctx context.Context, epoch string, changes []record.Change,
 ) ([]record.Entry, record.Meta, error) {
 	select {
@@ -150,22 +150,22 @@
 	return s.Store.Write(ctx, epoch, changes)
 }
 
-// If more is pending than a distant store takes in the time of one call it is written in smaller batches, and drains
-// before it.
-func TestServer_DistantStoreGetsSmallerBatches(t *testing.T) {
+// If more changes are pending than a store with a high latency can write within the timeout of one call, they are
+// written in smaller batches, and drains are written first.
+func TestServer_HighLatencyStoreGetsSmallerBatches(t *testing.T) {
 	f := newFixture(t)
 	config := DefaultConfig()
 	config.BatchDelay = time.Millisecond
 	config.CallTimeout = 400 * time.Millisecond
-	server := New(&distantStore{Store: f.database, changeTime: 20 * time.Millisecond}, config, zap.NewNop())
+	server := New(&highLatencyStore{Store: f.database, changeTime: 20 * time.Millisecond}, config, zap.NewNop())
 	epoch := f.run(server)
 	ctx := t.Context()
 	var changes []record.Change
-	for i := range 100 { // two seconds of them
+	for i := range 100 { // 20 ms each, two seconds in total
 		changes = append(changes, observe(fmt.Sprint("s/", i), record.PhaseReady, 5, 1))
 	}
 	var writer sync.WaitGroup
-	writer.Go(func() { // repeats the call until all is written, as a node does
+	writer.Go(func() { // retries the call until all changes are written, as a node does
 		for ctx.Err() == nil {
 			if _, _, err := server.Write(ctx, epoch, changes); err == nil {
 				return
