--- a/cmd/robincart-record/change.go
+++ b/cmd/robincart-record/change.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	manualKeyPrefix = "hand." // of the idempotency keys of changes by operators
-	maxRetries      = 3       // of a write whose outcome is unknown
-	maxFileSize     = record.MaxValueSize / 2
+	operatorKeyPrefix = "hand."                 // prefix of the idempotency keys of operators' changes
+	maxRetries        = 3                       // retries of a write whose outcome is unknown
+	maxFileSize       = record.MaxValueSize / 2 // bytes
 )
 
 // tomlValue is the value of a service or a route.
@@ -30,8 +30,8 @@
 	TOML string `json:"toml"`
 }
 
-// writeChange writes a change and prints its revision. It completes the change with a value, unless it is a deletion,
-// and an idempotency key by which a retry is applied once.
+// writeChange writes a change and prints its revision. It first adds the time, an idempotency key, so that a retried
+// change is applied once, and, unless the change is a deletion, the value.
 func writeChange(
 	ctx context.Context, out io.Writer, database store.Database, change record.Change, value any,
 ) error {
@@ -40,7 +40,7 @@
 		return err
 	}
 	change.WrittenAt = time.Now().UnixMilli()
-	change.IdempotencyKey = manualKeyPrefix + strconv.FormatUint(rand.Uint64(), 36)
+	change.IdempotencyKey = operatorKeyPrefix + strconv.FormatUint(rand.Uint64(), 36)
 	if !change.Delete {
 		change.Value, err = json.Marshal(value)
 		if err != nil {
@@ -58,18 +58,18 @@
 	return nil
 }
 
-// addWriterFlag adds the flag that names who makes a change.
+// addWriterFlag adds the flag for the name of a change's writer.
 func addWriterFlag(command *cobra.Command, writer *string) {
-	command.Flags().StringVar(writer, "by", os.Getenv("USER"), "who says so")
+	command.Flags().StringVar(writer, "by", os.Getenv("USER"), "the name that is recorded as the writer of the change")
 }
 
 // addExpectFlag adds the flag for compare-and-set.
 func addExpectFlag(command *cobra.Command, revision *int64) {
-	usage := "the revision that it has to have (0: none), so that nobody's change is written over"
+	usage := "the expected current revision (0: no entry); if another one is found nothing is written"
 	command.Flags().Int64Var(revision, "expect", record.AnyRevision, usage)
 }
 
-// findDrain returns the entry of a server's drain, which may be deleted.
+// findDrain returns the entry of a server's drain, and whether there is one. The entry may be marked as deleted.
 func findDrain(ctx context.Context, database store.Database, name string) (record.Entry, bool, error) {
 	entries, _, err := readRecord(ctx, database)
 	if err != nil {
@@ -88,7 +88,7 @@
 	var start int64
 	command := &cobra.Command{
 		Use:   "drain SERVICE/SERVER",
-		Short: "Record that a server takes nothing new",
+		Short: "Record a drain: the server gets no new requests",
 		Args:  cobra.ExactArgs(1),
 		RunE: options.withDatabase(func(
 			ctx context.Context, command *cobra.Command, database store.Database, args []string,
@@ -97,7 +97,7 @@
 			if until != "" {
 				end, err := time.Parse(time.RFC3339, until)
 				if err != nil {
-					return fmt.Errorf("--until: %w", err)
+					return fmt.Errorf("--until: expected a time in RFC 3339 format: %w", err)
 				}
 				drain.Until = end.UnixMilli()
 			}
@@ -116,8 +116,8 @@
 		}),
 	}
 	flags := command.Flags()
-	flags.StringVar(&until, "until", "", "a time such as 2026-04-14T02:00:00Z; without it, for good")
-	usage := "of the process, in ms since 1970; without it whatever runs under that name"
+	flags.StringVar(&until, "until", "", "end of the drain, such as 2026-04-14T02:00:00Z; by default it has none")
+	usage := "start time of the process to drain, in ms since 1970; by default every process of that name"
 	flags.Int64Var(&start, "start", 0, usage)
 	addWriterFlag(command, &writer)
 	return command
@@ -179,7 +179,7 @@
 			case record.KindService, record.KindRoute:
 				value = tomlValue{TOML: string(text)}
 			default:
-				return fmt.Errorf("%q is none of service, route, tenant", kind)
+				return fmt.Errorf("kind: expected service, route or tenant, got %q", kind)
 			}
 			return writeChange(ctx, command.OutOrStdout(), database, record.Change{
 				Key:              record.Key{Kind: kind, Name: name},
@@ -198,7 +198,7 @@
 	var expectedRevision int64
 	command := &cobra.Command{
 		Use:   "delete KIND NAME",
-		Short: "Take something out of the record",
+		Short: "Delete an entry of the record",
 		Args:  cobra.ExactArgs(2),
 		RunE: options.withDatabase(func(
 			ctx context.Context, command *cobra.Command, database store.Database, args []string,
--- a/cmd/robincart-record/export.go
+++ b/cmd/robincart-record/export.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	exportFormat   = "robincart record export 1" // in an export's first line
+	exportFormat   = "robincart record export 1" // format and version, in the first line of an export
 	maxExportSize  = 1 << 30                     // bytes
-	maxExportEntry = 1 << 20                     // bytes, of a line
+	maxExportEntry = 1 << 20                     // bytes, of one line
 )
 
-// exportHeader is the first line of an export. A line for each entry follows.
+// exportHeader is the first line of an export. One line for each entry follows.
 type exportHeader struct {
 	Format   string      `json:"form"`
 	Meta     record.Meta `json:"meta"`
@@ -34,7 +34,7 @@
 func exportCommand(options *storeOptions) *cobra.Command {
 	return &cobra.Command{
 		Use:   "export",
-		Short: "Print all of the record, with a checksum, for import",
+		Short: "Print the complete record, with a checksum, for import",
 		Args:  cobra.NoArgs,
 		RunE: options.withDatabase(func(
 			ctx context.Context, command *cobra.Command, database store.Database, _ []string,
@@ -52,7 +52,7 @@
 	var dryRun bool
 	command := &cobra.Command{
 		Use:   "import FILE",
-		Short: "Put an export in the place of all that is recorded, under a new epoch",
+		Short: "Replace the complete record by an export, under a new epoch",
 		Args:  cobra.ExactArgs(1),
 		RunE: options.withDatabase(func(
 			ctx context.Context, command *cobra.Command, database store.Database, args []string,
@@ -60,11 +60,11 @@
 			return importRecord(ctx, command.OutOrStdout(), database, args[0], dryRun)
 		}),
 	}
-	command.Flags().BoolVar(&dryRun, "dry", false, "read and compare only")
+	command.Flags().BoolVar(&dryRun, "dry", false, "check the export and print both positions, without importing it")
 	return command
 }
 
-// importRecord replaces a record by the export in a file, and prints both positions.
+// importRecord replaces a record by the export in a file. It prints the entry count, epoch and revision of both.
 func importRecord(ctx context.Context, out io.Writer, database store.Database, path string, dryRun bool) error {
 	imported, importedMeta, err := readExport(path)
 	if err != nil {
@@ -74,25 +74,25 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d facts of epoch %s, revision %d, in the place of %d facts of epoch %s, revision %d\n",
+	fmt.Fprintf(out, "export: %d entries, epoch %s, revision %d; current record: %d entries, epoch %s, revision %d\n",
 		len(imported), importedMeta.Epoch, importedMeta.Revision,
 		len(current), currentMeta.Epoch, currentMeta.Revision)
 	if dryRun {
-		fmt.Fprintln(out, "nothing was written")
+		fmt.Fprintln(out, "dry run: nothing was written")
 		return nil
 	}
 	meta, err := database.Replace(ctx, imported)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "done: epoch %s, revision %d; nodes write the drains again that they know and it lacks\n",
+	fmt.Fprintf(out, "done: epoch %s, revision %d; nodes write again the drains that they have and the export lacks\n",
 		meta.Epoch, meta.Revision)
 	return nil
 }
 
 func checksum(body []byte) string { return fmt.Sprintf("%x", sha256.Sum256(body)) }
 
-// writeExport writes entries, with a header that has their checksum.
+// writeExport writes a header with the checksum of the entries, and the entries.
 func writeExport(out io.Writer, meta record.Meta, entries []record.Entry) error {
 	var body bytes.Buffer
 	encoder := json.NewEncoder(&body)
@@ -114,7 +114,7 @@
 	return err
 }
 
-// readExport reads an export that is complete and unaltered, and has valid entries only.
+// readExport reads an export. It returns an error if the export is truncated or altered, or has an invalid entry.
 func readExport(path string) ([]record.Entry, record.Meta, error) {
 	content, err := tomlfile.Read(path, maxExportSize)
 	if err != nil {
@@ -123,22 +123,24 @@
 	firstLine, body, _ := bytes.Cut(content, []byte("\n"))
 	var header exportHeader
 	if err := json.Unmarshal(firstLine, &header); err != nil || header.Format != exportFormat {
-		return nil, record.Meta{}, fmt.Errorf("%s is no %s", path, exportFormat)
+		return nil, record.Meta{}, fmt.Errorf("%s, line 1: expected a header with the format %q, found %.60q",
+			path, exportFormat, firstLine)
 	}
 	if checksum(body) != header.Checksum {
-		return nil, record.Meta{}, fmt.Errorf("%s is truncated or altered: its checksum is another", path)
+		return nil, record.Meta{}, fmt.Errorf("%s is truncated or altered: expected SHA-256 %s after line 1, found %s",
+			path, header.Checksum, checksum(body))
 	}
 	entries, err := readExportedEntries(path, body)
 	if err != nil {
 		return nil, record.Meta{}, err
 	}
 	if len(entries) != header.Entries {
-		return nil, record.Meta{}, fmt.Errorf("%s: %d facts of %d", path, len(entries), header.Entries)
+		return nil, record.Meta{}, fmt.Errorf("%s: expected %d entries, found %d", path, header.Entries, len(entries))
 	}
 	return entries, header.Meta, nil
 }
 
-// readExportedEntries reads the lines of an export after the first.
+// readExportedEntries reads an export's entries, which begin at line 2.
 func readExportedEntries(path string, body []byte) ([]record.Entry, error) {
 	var entries []record.Entry
 	lines := bufio.NewScanner(bytes.NewReader(body))
@@ -154,7 +156,7 @@
 		entries = append(entries, entry)
 	}
 	if err := lines.Err(); err != nil {
-		return nil, errors.Join(err, fmt.Errorf("%s: only %d facts could be read", path, len(entries)))
+		return nil, errors.Join(err, fmt.Errorf("%s: stopped after %d entries", path, len(entries)))
 	}
 	return entries, nil
 }
--- a/cmd/robincart-record/golden_test.go
+++ b/cmd/robincart-record/golden_test.go
@@ -1,8 +1,8 @@
 package main
 
-// The golden files under testdata were written by the program's text at commit 0cdd5b2: exports, which are the
-// record's backups. They must never be written anew to follow a rename: a test that fails here says that a backup
-// can't be read as it was, or that an older program could not read one of this program's.
+// The golden files under testdata were written by the code of commit 0cdd5b2: exports, which are the record's backups.
+// Do not regenerate them after a rename: a failing test means that this program cannot read older backups, or that an
+// older program cannot read the backups of this one.
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 	"robincart/internal/testutil/golden"
 )
 
-// goldenExport is a record as it is after an import: no gaps in its revisions, and nothing deleted.
+// goldenExport returns a record as it is after an import, without gaps in its revisions and without deleted entries.
 func goldenExport() (record.Meta, []record.Entry) {
 	return record.Meta{Epoch: "0123456789abcdef01234567", Revision: 5}, []record.Entry{
 		{Key: record.Key{Kind: record.KindService, Name: "shop"}, Revision: 1, Writer: "bob <eu>", IdempotencyKey: "m1", WrittenAt: 11,
@@ -35,7 +35,7 @@
 	}
 }
 
-// goldenExportWithDeleted has gaps in its revisions, and an entry that was deleted.
+// goldenExportWithDeleted returns a record with gaps in its revisions and a deleted entry.
 func goldenExportWithDeleted() (record.Meta, []record.Entry) {
 	return record.Meta{Epoch: "89abcdef0123456789abcdef", Revision: 99}, []record.Entry{
 		{Key: record.Key{Kind: record.KindService, Name: "shop"}, Revision: 21, Writer: "bob", IdempotencyKey: "m1", WrittenAt: 11,
@@ -47,7 +47,7 @@
 	}
 }
 
-// run gives a command to the program, and returns what it prints.
+// run runs the program with the given arguments, and returns its output.
 func run(t *testing.T, arguments ...string) []byte {
 	t.Helper()
 	var printed bytes.Buffer
@@ -58,7 +58,7 @@
 	return printed.Bytes()
 }
 
-// newStore makes a record, and returns its address as the program's flag.
+// newStore creates a record, and returns the program's --store flag for it.
 func newStore(t *testing.T) string {
 	t.Helper()
 	flag := "--store=sqlite:" + filepath.Join(t.TempDir(), "record.db")
@@ -66,8 +66,8 @@
 	return flag
 }
 
-// exported reads the entries of a store, as its export has them.
-func exported(t *testing.T, storeFlag string) ([]record.Entry, record.Meta) {
+// exportedEntries exports a store, and returns the entries and the position that the export has.
+func exportedEntries(t *testing.T, storeFlag string) ([]record.Entry, record.Meta) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "export")
 	require.NoError(t, os.WriteFile(path, run(t, "export", storeFlag), 0o600))
@@ -107,25 +107,25 @@
 	})
 }
 
-// The golden export, imported and exported again, is the same but for its epoch.
+// The golden export is the same after an import and another export, except for its epoch.
 func TestGolden_ImportAndExport(t *testing.T) {
 	storeFlag := newStore(t)
 	run(t, "import", filepath.Join("testdata", "export.golden"), storeFlag)
 	again := run(t, "export", storeFlag)
-	entries, meta := exported(t, storeFlag)
+	entries, meta := exportedEntries(t, storeFlag)
 	want, wantEntries := goldenExport()
 	assert.Equal(t, wantEntries, entries)
 	assert.Equal(t, want.Revision, meta.Revision)
-	assert.NotEqual(t, want.Epoch, meta.Epoch, "an import begins an epoch")
+	assert.NotEqual(t, want.Epoch, meta.Epoch, "an import begins a new epoch")
 	golden.Check(t, "export.golden", bytes.Replace(again, []byte(meta.Epoch), []byte(want.Epoch), 1))
 	assert.Equal(t, "sound\n", string(run(t, "verify", storeFlag)))
 }
 
-// What was deleted is left out by an import, and the revisions begin anew.
-func TestGolden_ImportOfDeletedFacts(t *testing.T) {
+// An import omits deleted entries and assigns new revisions, beginning with 1.
+func TestGolden_ImportOfDeletedEntries(t *testing.T) {
 	storeFlag := newStore(t)
 	run(t, "import", filepath.Join("testdata", "export_deleted.golden"), storeFlag)
-	entries, meta := exported(t, storeFlag)
+	entries, meta := exportedEntries(t, storeFlag)
 	_, before := goldenExportWithDeleted()
 	service, tenant := before[0], before[2]
 	service.Revision, tenant.Revision = 1, 2
@@ -133,7 +133,7 @@
 	assert.EqualValues(t, 2, meta.Revision)
 }
 
-// The values that the commands record: nodes of any version read them.
+// The values that the commands write must not change, since nodes of all versions read them.
 func TestGolden_RecordedValues(t *testing.T) {
 	storeFlag := newStore(t)
 	folder := t.TempDir()
@@ -150,9 +150,9 @@
 	run(t, "undrain", "shop/a1", storeFlag, "--by=frank")
 	run(t, "delete", "route", "front", storeFlag, "--by=grace", "--expect=2")
 
-	entries, _ := exported(t, storeFlag)
+	entries, _ := exportedEntries(t, storeFlag)
 	require.Len(t, entries, 5)
-	for i := range entries { // by the clock and by chance
+	for i := range entries { // remove the times and the random idempotency keys
 		assert.Positive(t, entries[i].WrittenAt)
 		assert.True(t, strings.HasPrefix(entries[i].IdempotencyKey, "hand."), entries[i].IdempotencyKey)
 		entries[i].WrittenAt, entries[i].IdempotencyKey = 0, ""
@@ -174,7 +174,7 @@
 	}, entries)
 }
 
-// withoutSince takes the time out at which a drain was recorded, and sorts the other keys.
+// withoutSince removes the time at which a drain was recorded, and sorts the remaining keys.
 func withoutSince(t *testing.T, value json.RawMessage) json.RawMessage {
 	t.Helper()
 	var keys map[string]json.RawMessage
--- a/cmd/robincart-record/inspect.go
+++ b/cmd/robincart-record/inspect.go
@@ -12,7 +12,7 @@
 	"robincart/internal/record/store"
 )
 
-// readPageSize is how many entries are read in one call.
+// readPageSize is the maximum number of entries that one call reads.
 const readPageSize = 2000
 
 // readRecord reads all entries, deleted ones included, and the record's position.
@@ -33,7 +33,7 @@
 	var dryRun bool
 	command := &cobra.Command{
 		Use:   "init",
-		Short: "Make a record, or bring an older one forward",
+		Short: "Create the record, or migrate an older one to the current schema",
 		Args:  cobra.NoArgs,
 		RunE: options.withDatabase(func(
 			ctx context.Context, command *cobra.Command, database store.Database, _ []string,
@@ -41,7 +41,7 @@
 			out := command.OutOrStdout()
 			verb := "done"
 			if dryRun {
-				verb = "would do"
+				verb = "dry run"
 			}
 			steps, err := database.Init(ctx, dryRun)
 			for _, step := range steps {
@@ -53,7 +53,7 @@
 			return err
 		}),
 	}
-	command.Flags().BoolVar(&dryRun, "dry", false, "try, and leave everything as it is")
+	command.Flags().BoolVar(&dryRun, "dry", false, "try the steps and roll them back")
 	return command
 }
 
@@ -61,7 +61,7 @@
 	var kind string
 	command := &cobra.Command{
 		Use:   "show",
-		Short: "Print what is recorded",
+		Short: "Print the entries of the record",
 		Args:  cobra.NoArgs,
 		RunE: options.withDatabase(func(
 			ctx context.Context, command *cobra.Command, database store.Database, _ []string,
@@ -81,7 +81,7 @@
 			return table.Flush()
 		}),
 	}
-	usage := "only these, deleted ones as well: drain, service, tenant, route, server"
+	usage := "print only entries of this kind, deleted ones included: drain, service, tenant, route or server"
 	command.Flags().StringVar(&kind, "kind", "", usage)
 	return command
 }
@@ -99,7 +99,7 @@
 func verifyCommand(options *storeOptions) *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify",
-		Short: "Look for what should not be in the record",
+		Short: "Check the consistency of the record",
 		Args:  cobra.NoArgs,
 		RunE: options.withDatabase(func(
 			ctx context.Context, command *cobra.Command, database store.Database, _ []string,
@@ -113,7 +113,7 @@
 				return err
 			}
 			if len(wrong) > 0 {
-				return fmt.Errorf("%d things are wrong", len(wrong))
+				return fmt.Errorf("the record has %d inconsistencies", len(wrong))
 			}
 			fmt.Fprintln(out, "sound")
 			return nil
--- a/cmd/robincart-record/main.go
+++ b/cmd/robincart-record/main.go
@@ -1,5 +1,6 @@
-// Command robincart-record is the only program that links the drivers of the store of record. A node starts it beside
-// itself to reach its store (serve); operators use it to create, show, change, save and check a record.
+// Command robincart-record gives access to the store of record. A node starts it as a child process to reach its store
+// (serve), so that the node itself links no database drivers. Operators use it to create, show, change, export, import
+// and check a record.
 package main
 
 import (
@@ -15,7 +16,7 @@
 	"robincart/internal/record/store/sqlstore"
 )
 
-const defaultTimeout = 5 * time.Second // of a command's calls to the store
+const defaultTimeout = 5 * time.Second // of all calls of one command to the store
 
 func main() {
 	if err := recordCommand().Execute(); err != nil {
@@ -28,15 +29,15 @@
 func recordCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:           "robincart-record",
-		Short:         "Make, show, change, save and check the store of record",
+		Short:         "Create, show, change, export, import and check the store of record",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	command.CompletionOptions.DisableDefaultCmd = true
 	options := &storeOptions{}
 	flags := command.PersistentFlags()
-	flags.StringVar(&options.address, "store", "", "its address: sqlite:PATH or postgres://...")
-	flags.DurationVar(&options.timeout, "wait", defaultTimeout, "for the store, at most")
+	flags.StringVar(&options.address, "store", "", "address of the store: sqlite:PATH or postgres://...")
+	flags.DurationVar(&options.timeout, "wait", defaultTimeout, "timeout of the command's calls to the store")
 	command.AddCommand(
 		serveCommand(),
 		initCommand(options),
@@ -53,19 +54,20 @@
 	return command
 }
 
-// storeOptions are the flags of all commands but serve.
+// storeOptions has the flags of all commands except serve.
 type storeOptions struct {
 	address string
 	timeout time.Duration
 }
 
-// withDatabase returns a command's RunE: it opens the store, and bounds the time of a function that uses it.
+// withDatabase returns a command's RunE function. It opens the store and calls run with a context that ends after the
+// timeout.
 func (o *storeOptions) withDatabase(
 	run func(ctx context.Context, command *cobra.Command, database store.Database, args []string) error,
 ) func(*cobra.Command, []string) error {
 	return func(command *cobra.Command, args []string) error {
 		if o.address == "" {
-			return errors.New("--store is missing")
+			return errors.New("--store is missing: expected sqlite:PATH or postgres://HOST/DATABASE")
 		}
 		database, err := sqlstore.Open(o.address)
 		if err != nil {
--- a/cmd/robincart-record/repairplan.go
+++ b/cmd/robincart-record/repairplan.go
@@ -20,7 +20,7 @@
 	var path string
 	command := &cobra.Command{
 		Use:   "repair-plan",
-		Short: "Say what a node's snapshot knows that the store lacks, and what a node would do",
+		Short: "Print the entries of a node's snapshot that the store lacks, and those that a node would write",
 		Args:  cobra.NoArgs,
 		RunE: options.withDatabase(func(
 			ctx context.Context, command *cobra.Command, database store.Database, _ []string,
@@ -32,8 +32,8 @@
 	return command
 }
 
-// repairPlan prints what a node that starts with a snapshot would do with a store, and which entries it would not
-// write again although the store's are older. It writes nothing.
+// repairPlan prints the changes that a node would write if it started with a snapshot and read the store. It also
+// prints the entries that are newer in the snapshot but that the node would not write. It writes nothing.
 func repairPlan(ctx context.Context, out io.Writer, database store.Database, path string) error {
 	snapshot, found, err := recordcache.LoadSnapshot(path)
 	if err != nil {
@@ -48,8 +48,8 @@
 	}
 	fmt.Fprintf(out, "snapshot: epoch %s, revision %d; store: epoch %s, revision %d\n",
 		snapshot.Meta.Epoch, snapshot.Meta.Revision, meta.Epoch, meta.Revision)
-	view := startNode(snapshot, record.Page{Meta: meta, Complete: true, Entries: entries})
-	fmt.Fprintf(out, "the node finds: %v\n", view.SyncState)
+	view := viewAfterStart(snapshot, record.Page{Meta: meta, Complete: true, Entries: entries})
+	fmt.Fprintf(out, "sync state of the node: %v\n", view.SyncState)
 	for _, change := range view.Pending(noLimit) {
 		fmt.Fprintf(out, "would be written again: %s %s %s\n", change.Kind, change.Name, change.Value)
 	}
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// startNode returns the view of a node that starts with a snapshot and reads a store.
-func startNode(snapshot record.Snapshot, page record.Page) *record.View {
+// viewAfterStart returns the view of a node that has started with a snapshot and read the store.
+func viewAfterStart(snapshot record.Snapshot, page record.Page) *record.View {
 	keys := 0
 	view := record.NewView("plan", noLimit, func() string {
 		keys++
@@ -73,7 +73,8 @@
 	return view
 }
 
-// printOlderEntries prints the configuration that is older in the store than in a snapshot: nodes do not write it.
+// printOlderEntries prints the services, routes and tenants that are missing or older in the store than in a snapshot.
+// Nodes do not write these again.
 func printOlderEntries(out io.Writer, snapshot, stored []record.Entry) {
 	byKey := map[record.Key]record.Entry{}
 	for _, entry := range stored {
@@ -86,7 +87,7 @@
 		current, exists := byKey[entry.Key]
 		isOlder := !exists || current.Revision < entry.Revision
 		if isOlder && string(current.Value) != string(entry.Value) {
-			fmt.Fprintf(out, "the store has an older %s %s (revision %d, the node %d): look, and set it by hand\n",
+			fmt.Fprintf(out, "%s %s is missing or older in the store (revision %d, snapshot %d): write it with set\n",
 				entry.Kind, entry.Name, current.Revision, entry.Revision)
 		}
 	}
