--- a/internal/record/record/change.go
+++ b/internal/record/record/change.go
@@ -8,21 +8,22 @@
 	"strings"
 )
 
-// AnyRevision is an ExpectedRevision that matches every revision of an entry.
+// AnyRevision is the ExpectedRevision of a change that does not depend on the entry's revision, or on whether the entry
+// exists.
 const AnyRevision = -1
 
 // Change is a request to write or delete one entry.
 type Change struct {
 	Key
-	ExpectedRevision int64           `json:"Expect"` // of the entry; 0: none or a deleted one; or AnyRevision
+	ExpectedRevision int64           `json:"Expect"` // 0: no entry, or a deleted one; may be AnyRevision
 	Delete           bool            `json:"Delete"`
 	Writer           string          `json:"By"`
-	IdempotencyKey   string          `json:"Mark"` // unique to a change; a retry has the same key
+	IdempotencyKey   string          `json:"Mark"` // unique to a change; retries of the change have the same key
 	WrittenAt        int64           `json:"At"`
 	Value            json.RawMessage `json:"Value"`
 }
 
-// InvalidChangeError reports a change that no store accepts.
+// InvalidChangeError reports a change with an invalid field. No store accepts it.
 type InvalidChangeError struct {
 	Key    Key
 	Reason string
@@ -32,10 +33,11 @@
 	return fmt.Sprintf("%s %q: %s", e.Key.Kind, e.Key.Name, e.Reason)
 }
 
-// ConflictError rejects a change because the entry does not have the expected revision: another writer changed it.
+// ConflictError rejects a change because the entry does not have the expected revision: another writer has changed the
+// entry.
 type ConflictError struct {
 	Change  Change `json:"Change"`
-	Current Entry  `json:"Now"` // Revision 0: there is no entry
+	Current Entry  `json:"Now"` // its Revision is 0 if there is no entry
 }
 
 func (e *ConflictError) Error() string {
@@ -47,7 +49,7 @@
 		e.Change.Kind, e.Change.Name, e.Change.ExpectedRevision, e.Current.Revision, e.Current.Writer, e.Current.Value)
 }
 
-// StaleError rejects a change that a newer entry has superseded.
+// StaleError rejects a change that a newer entry, Current, has superseded.
 type StaleError struct {
 	Change  Change `json:"Change"`
 	Current Entry  `json:"Now"`
@@ -58,8 +60,8 @@
 		e.Change.Kind, e.Change.Name, e.Current.Revision, e.Current.Value)
 }
 
-// Rejection returns the current entry that made a store reject a change, if err is or wraps a *ConflictError or a
-// *StaleError.
+// Rejection returns the current entry because of which a store rejected a change. It returns false unless err is or
+// wraps a *ConflictError or a *StaleError.
 func Rejection(err error) (Entry, bool) {
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
@@ -72,7 +74,7 @@
 	return Entry{}, false
 }
 
-// Validate checks the fields of a change without comparing them to a stored entry. Its error is an *InvalidChangeError.
+// Validate checks the fields of a change without comparing them to a stored entry. The error is an *InvalidChangeError.
 func (c *Change) Validate() error {
 	reason := c.invalidField()
 	if reason == "" && !c.Delete {
@@ -84,8 +86,8 @@
 	return &InvalidChangeError{Key: c.Key, Reason: reason}
 }
 
-// Validate checks a stored entry's fields by the rules for a change that writes them. Its error is an
-// *InvalidChangeError.
+// Validate checks the fields of a stored entry by the rules that Change.Validate applies to the change which writes
+// such an entry. The error is an *InvalidChangeError.
 func (e Entry) Validate() error {
 	change := Change{
 		Key:            e.Key,
@@ -97,8 +99,8 @@
 	return change.Validate()
 }
 
-// invalidField checks the fields that changes of all kinds have. It returns the reason why one is invalid, or an empty
-// string.
+// invalidField checks the fields that changes of all kinds have. It returns the reason why a field is invalid, or an
+// empty string if all are valid.
 func (c *Change) invalidField() string {
 	switch {
 	case !slices.Contains(Kinds, c.Kind):
@@ -117,15 +119,15 @@
 }
 
 func validName(name string) bool {
-	const replacementCharacter = 0xfffd // the decoder's substitute for invalid UTF-8
+	const replacementCharacter = 0xfffd // the JSON decoder replaces invalid UTF-8 by it
 	if name == "" || len(name) > MaxNameLength {
 		return false
 	}
 	return !strings.ContainsFunc(name, func(char rune) bool { return char < ' ' || char == replacementCharacter })
 }
 
-// invalidValue checks a change's value, and its name's form by kind. It returns the reason why one is invalid, or an
-// empty string.
+// invalidValue checks a change's value, and whether its name has the form that its kind requires. It returns the reason
+// why the value or the name is invalid, or an empty string if both are valid.
 func (c *Change) invalidValue() string {
 	if len(c.Value) > MaxValueSize {
 		return fmt.Sprintf("the value has %d bytes, more than %d", len(c.Value), MaxValueSize)
@@ -176,14 +178,14 @@
 // The outcomes of a change.
 const (
 	OutcomeWrite          Outcome = iota
-	OutcomeAlreadyApplied         // an earlier attempt was written: its idempotency key is stored
+	OutcomeAlreadyApplied         // an earlier attempt was written: the entry has the change's idempotency key
 	OutcomeUnchanged              // the entry already has the requested state
 )
 
-// Evaluate decides whether a change is written over the current entry, nil if there is none. Every store calls it
-// inside its transaction, so that all stores enforce the same rules: compare-and-set by revision, and no outdated
-// change undoes a drain or replaces the observation of a later process. Its error is an *InvalidChangeError, a
-// *ConflictError or a *StaleError.
+// Evaluate decides whether a change replaces the current entry, which is nil if there is none. Every store calls
+// Evaluate in its transaction, so that all stores enforce the same rules: a change is written by compare-and-set on the
+// revision, and an outdated change neither undoes a drain nor replaces the observation of a later process. The error is
+// an *InvalidChangeError, a *ConflictError or a *StaleError.
 func Evaluate(current *Entry, change *Change) (Outcome, error) {
 	if err := change.Validate(); err != nil {
 		return 0, err
@@ -215,7 +217,7 @@
 	return OutcomeWrite, nil
 }
 
-// checkRevision returns a *ConflictError if the entry does not have the revision that the change expects.
+// checkRevision returns a *ConflictError if the current entry does not have the revision that the change expects.
 func checkRevision(current *Entry, change *Change) error {
 	if change.ExpectedRevision == AnyRevision {
 		return nil
@@ -234,8 +236,11 @@
 	return conflict
 }
 
-// evaluateDrain accepts a drain that covers more than the stored one. Of two drains of one process the one that expires
-// later is kept, unless an operator ended it. A change that ends a drain expects the revision of the drain's entry.
+// evaluateDrain decides whether a drain replaces the stored drain of the same server. A drain that covers more replaces
+// the stored drain. A drain that covers less, which includes one that ends the stored drain, replaces it only if the
+// change expects the revision of the stored entry. So of two drains of the same process, the one that expires later is
+// kept. After an operator has ended the stored drain, a new drain replaces it only if the new drain reopens it, or if
+// the change expects the revision of the stored entry.
 func evaluateDrain(current *Entry, change *Change) (Outcome, error) {
 	stored, ok := current.drain()
 	if !ok {
@@ -244,7 +249,8 @@
 	var requested Drain
 	json.Unmarshal(change.Value, &requested) // can't fail: Validate has decoded it
 	if requested.equivalent(stored) {
-		// All nodes are notified of the same drain, at different times. The first one that was written stays.
+		// Nodes are notified of the same drain at different times, so their changes differ in Since. The change that
+		// was written first stays.
 		return OutcomeUnchanged, nil
 	}
 	superseded := requested.weakerThan(stored)
@@ -257,8 +263,9 @@
 	return OutcomeWrite, nil
 }
 
-// evaluateObservation accepts an observation of a later process or phase, or one of the same process and phase with
-// other data.
+// evaluateObservation decides whether an observation replaces the stored observation of the same server. It does if it
+// is of a later process, of a later phase of the same process, or of the same phase of the same process with other
+// data.
 func evaluateObservation(current *Entry, change *Change) (Outcome, error) {
 	stored, ok := current.observation()
 	if !ok {
--- a/internal/record/record/change_test.go
+++ b/internal/record/record/change_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Evaluate accepts or rejects a change and never panics. An accepted change obeys compare-and-set. It replaces a drain
-// by one that covers less only if the drain had ended or the change expected its revision.
+// Checks that Evaluate never panics and that each accepted change obeys compare-and-set. A drain may be replaced by a
+// drain that covers less only if the stored drain had ended or the change expected the revision of its entry.
 func TestEvaluate_Invariants(t *testing.T) {
 	key := drainKey("s/a")
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/record/record/golden_test.go
+++ b/internal/record/record/golden_test.go
@@ -1,8 +1,8 @@
 package record
 
-// The golden files under testdata were written by the code of commit 0cdd5b2. Stores, snapshots and peers of that
-// version contain and send these bytes. Never regenerate the files after a rename: a test that fails here has found a
-// change of a stored or transmitted encoding.
+// The golden files under testdata were written by the code of commit 0cdd5b2. Stores and snapshots of that version
+// contain these bytes, and processes of that version send them. Never regenerate the files after a rename: a test that
+// fails here has found a change of a stored or transmitted encoding.
 
 import (
 	"bytes"
@@ -63,7 +63,7 @@
 	}
 }
 
-// entryOfEachKind returns an entry of each kind, so that the golden files pin the names of the kinds as well.
+// entryOfEachKind returns one entry of each kind, so that the golden files check the names of the kinds as well.
 func entryOfEachKind() []Entry {
 	return []Entry{
 		{Key: Key{Kind: KindDrain, Name: "shop/a1"}, Revision: 1, Writer: "alice", IdempotencyKey: "m1", WrittenAt: 11,
@@ -91,7 +91,7 @@
 		golden.FullJSON(t, "stale.json", StaleError{Change: goldenChange(), Current: goldenEntry()})
 	})
 	t.Run("observation", func(t *testing.T) {
-		// Service and ID are part of the entry's name and not encoded in its value; FullJSON skips them.
+		// Service and ID are part of the entry's name and are not encoded in the value; FullJSON skips them.
 		golden.FullJSON(t, "sighting.json", goldenObservation())
 	})
 	t.Run("observation zero", func(t *testing.T) { golden.JSON(t, "sighting_zero.json", Observation{}) })
@@ -129,7 +129,7 @@
 	golden.Check(t, "sighting.json", append(written, '\n'))
 }
 
-// Checks the changes that a view queues: observations in each phase, a drain by discovery and one by an operator, and
+// Checks the changes that a view queues: observations in each phase, a drain by discovery, a drain by an operator, and
 // the deletion of an observation.
 func TestGolden_PendingChanges(t *testing.T) {
 	keys := 0
@@ -163,7 +163,7 @@
 	golden.Check(t, "pending.jsonl", written.Bytes())
 }
 
-// The status page shows these texts.
+// The status page shows these texts of the states.
 func TestGolden_SyncStateText(t *testing.T) {
 	for state, want := range map[SyncState]string{
 		NeverSynced:  "never reached",
--- a/internal/record/record/memorystore_test.go
+++ b/internal/record/record/memorystore_test.go
@@ -47,7 +47,7 @@
 	return entry, nil
 }
 
-// writePending writes all changes that a view has pending, and requires that the store accepts them.
+// writePending writes all pending changes of a view, and requires that the store accepts them.
 func (s *memoryStore) writePending(t *testing.T, view *View) {
 	t.Helper()
 	for _, change := range view.Pending(100) {
@@ -103,7 +103,8 @@
 	})
 }
 
-// phaseOf returns the phase in which a view lists a server of the service s, empty if it does not list it.
+// phaseOf returns the phase in which a view lists a server of the service s, or an empty string if the view does not
+// list the server.
 func phaseOf(view *View, id string, now int64) string {
 	for _, server := range view.Servers("s", now) {
 		if server.ID == id {
--- a/internal/record/record/record.go
+++ b/internal/record/record/record.go
@@ -1,11 +1,12 @@
 // Package record defines the data model and the write rules of the store of record. The store is a database for state
 // that must outlive a node's process: drained servers, the servers that discovery listed, and the services, routes and
-// tenants that operators configured there.
+// tenants that operators configured in the store.
 //
-// Evaluate decides whether a change is written over an entry; every store calls it inside its transaction. View merges
-// the store's entries, discovery's endpoint lists and the drains that a node was notified of, and queues the changes
-// that the node has to write. The package defines the stored and transmitted encodings of entries and changes. It does
-// no I/O, starts no goroutine and reads no clock: callers pass times in milliseconds since 1970.
+// Evaluate decides whether a change replaces the stored entry; every store calls Evaluate in the transaction that
+// writes the change. View is a node's copy of the record: it merges the store's entries, discovery's endpoint lists and
+// the drains of which the node was notified, and queues the changes that the node has to write. The package also
+// defines how entries and changes are encoded when they are stored or transmitted. It does no I/O, starts no goroutine
+// and reads no clock: callers pass times in milliseconds since 1970.
 package record
 
 import (
@@ -25,11 +26,11 @@
 	KindTenant  Kind = "tenant"  // named SERVICE/TENANT
 	KindService Kind = "service" // a pool of servers
 	KindRoute   Kind = "route"
-	KindServer  Kind = "server" // named SERVICE/SERVER; its value is an Observation
-	KindDrain   Kind = "drain"  // named SERVICE/SERVER; its value is a Drain
+	KindServer  Kind = "server" // named SERVICE/SERVER; the value is an Observation
+	KindDrain   Kind = "drain"  // named SERVICE/SERVER; the value is a Drain
 )
 
-// Kinds lists all kinds in the order in which entries are written, drains first.
+// Kinds lists all kinds in the order in which a node writes its queued changes to the store: drains first.
 var Kinds = []Kind{KindDrain, KindService, KindTenant, KindRoute, KindServer}
 
 // Limits of a change's fields, in bytes.
@@ -38,11 +39,12 @@
 	MaxValueSize  = 64 << 10
 )
 
-// Limits of a record that a follower copies into memory. They are ten times the need of the largest fleet, including
-// the servers that left recently. If a store exceeds them, the follower stops reading from it and keeps its last copy.
+// Limits of a record that a follower copies into memory. They are ten times what the largest fleet needs, counting the
+// entries of servers that left recently. If a store's record exceeds a limit, the follower stops reading from the store
+// and keeps the copy that it has.
 const (
-	MaxEntries = 100_000  // deleted ones included
-	MaxBytes   = 64 << 20 // of names and values
+	MaxEntries = 100_000  // number of entries, including deleted ones
+	MaxBytes   = 64 << 20 // total size of names and values, in bytes
 )
 
 // Key identifies an entry.
@@ -53,14 +55,14 @@
 
 func drainKey(name string) Key { return Key{Kind: KindDrain, Name: name} }
 
-// Entry is one stored object. WrittenAt is in milliseconds since 1970 by the writer's clock. It does not order entries;
-// only revisions do.
+// Entry is one stored object. WrittenAt is the time of the write by the writer's clock, in milliseconds since 1970.
+// Writers' clocks may differ, so the order of writes follows from Revision only.
 type Entry struct {
 	Key
-	Revision       int64           `json:"revision"`          // assigned by the store; unique to this write
-	Deleted        bool            `json:"deleted,omitempty"` // a tombstone, so that followers learn of the deletion
+	Revision       int64           `json:"revision"`          // assigned by the store; unique to each write
+	Deleted        bool            `json:"deleted,omitempty"` // a tombstone, which tells followers of the deletion
 	Writer         string          `json:"by"`
-	IdempotencyKey string          `json:"mark"` // of the last write; a writer without an answer looks it up
+	IdempotencyKey string          `json:"mark"` // the last written change's; identifies its retries
 	WrittenAt      int64           `json:"at_ms"`
 	Value          json.RawMessage `json:"value,omitempty"`
 }
@@ -84,7 +86,8 @@
 	return observation, true
 }
 
-// SortEntries sorts entries in place by kind, in the order of Kinds, and name. It returns its argument.
+// SortEntries sorts entries in place: by kind, in the order of Kinds, then by name. It returns the slice that it
+// sorted.
 func SortEntries(entries []Entry) []Entry {
 	slices.SortFunc(entries, func(a, b Entry) int {
 		byKind := cmp.Compare(slices.Index(Kinds, a.Kind), slices.Index(Kinds, b.Kind))
@@ -93,10 +96,10 @@
 	return entries
 }
 
-// Meta is a position of the record: the state after the write with that revision. Positions of different epochs can't
-// be compared.
+// Meta is a position of the record: the record's state after the write to which the store assigned Revision. Positions
+// of different epochs can't be compared.
 type Meta struct {
-	Epoch    string `json:"epoch"` // replaced whenever the record is created, restored or imported
+	Epoch    string `json:"epoch"` // assigned anew when the record is created, restored or imported
 	Revision int64  `json:"revision"`
 }
 
@@ -109,26 +112,26 @@
 
 // ReadRange is the range of entries that a follower of a record has to read next.
 type ReadRange struct {
-	After    int64 // read the entries with a higher revision
-	Complete bool  // read all entries, to replace the follower's copy
+	After    int64 // read the entries whose revision is higher than After
+	Complete bool  // read all entries; they replace the follower's copy
 }
 
-// Errors of a record as a whole.
+// Errors that concern the whole record, not a single change.
 var (
 	// ErrTooLarge is returned by a follower if the store's record exceeds MaxEntries or MaxBytes.
 	ErrTooLarge = fmt.Errorf("the record has more than %d entries or %d MB", MaxEntries, MaxBytes>>20)
 
 	// ErrEpochMismatch rejects a write or a read whose epoch differs from the store's: the record was restored,
-	// imported or recreated since the caller read it. The caller has to read it again before it writes.
+	// imported or recreated since the caller read it. The caller has to read the record again before it writes.
 	ErrEpochMismatch = errors.New("the record's epoch does not match: the record was restored, imported or recreated")
 
 	// ErrRolledBack ends a watch on a replica whose store was rolled back to an older revision or changed its epoch.
-	// The follower has to read the complete record, even if the store has since assigned revisions above those that
-	// the follower has seen.
+	// The follower has to read the complete record, even if the store's revision has since risen above the highest
+	// revision that the follower has read.
 	ErrRolledBack = errors.New("the record was rolled back or its epoch changed: read the complete record again")
 
-	// ErrReplicaBehind is returned by a replica whose copy is older than the caller's and can't be updated, because
-	// the store is unreachable.
+	// ErrReplicaBehind is returned by a replica whose copy of the record is older than the caller's copy, if the
+	// replica can't update its copy because the store is unreachable.
 	ErrReplicaBehind = errors.New("this replica's copy of the record is older than the caller's, " +
 		"and the store is unreachable")
 )
--- a/internal/record/record/values.go
+++ b/internal/record/record/values.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Phases of a server's process, in the order in which it goes through them.
+// Phases of a server's process, in the order in which the process passes through them.
 const (
 	PhaseReady    = "ready"
 	PhaseDraining = "draining"
@@ -22,8 +22,8 @@
 type Observation struct {
 	Addr         string  `json:"addr"`
 	Phase        string  `json:"phase"`    // one of the Phase constants
-	Start        int64   `json:"start_ms"` // when the process started
-	ListRevision int64   `json:"listed"`   // revision of the endpoint list that was observed
+	Start        int64   `json:"start_ms"` // time when the process started, in milliseconds since 1970; 0: unknown
+	ListRevision int64   `json:"listed"`   // revision of discovery's endpoint list that had the server
 	Zone         int     `json:"zone,omitempty"`
 	Cell         int     `json:"cell,omitempty"`
 	Weight       float64 `json:"weight,omitempty"`
@@ -32,15 +32,16 @@
 }
 
 // equivalent reports whether two observations are equal apart from ListRevision. Each replica of a discovery service
-// assigns its own list revisions. If a difference in ListRevision alone were written, every node would rewrite each
-// observation, and each write would notify all other nodes.
+// assigns its own list revisions, so nodes get different ListRevisions for the same server. If such observations were
+// written, the nodes would overwrite each other's observations again and again, and each write would notify all other
+// nodes.
 func (o Observation) equivalent(other Observation) bool {
 	o.ListRevision = other.ListRevision
 	return o == other
 }
 
-// olderThan reports whether an observation is of an earlier process, or of an earlier phase of the same process. A
-// process that drained or left never becomes ready again.
+// olderThan reports whether the observation o is of an earlier process than other, or of an earlier phase of the same
+// process. A process that drained or left never becomes ready again.
 func (o Observation) olderThan(other Observation) bool {
 	if o.Start != other.Start {
 		return o.Start < other.Start
@@ -48,8 +49,8 @@
 	return phaseRank(o.Phase) < phaseRank(other.Phase)
 }
 
-// impliedBy reports whether an observation adds nothing to a stored entry: the entry is newer, or equal apart from
-// ListRevision. The argument value is the encoded observation.
+// impliedBy reports whether a stored entry makes the observation o redundant: the stored observation is newer than o,
+// or it equals o apart from ListRevision. The argument value is o in its encoded form.
 func (o Observation) impliedBy(entry Entry, value []byte) bool {
 	stored, ok := entry.observation()
 	if !ok {
@@ -63,18 +64,20 @@
 	return string(storedValue) == string(value)
 }
 
-// Drain is the value of an entry of KindDrain. It applies to the process with the given start and to earlier ones; a
-// process that starts later under the same name is not drained.
+// Drain is the value of an entry of KindDrain. It applies to the server's process that started at Start and to all
+// earlier processes of that server. A process that starts later under the same server name is not drained. Times are in
+// milliseconds since 1970.
 type Drain struct {
-	Start      int64  `json:"start_ms"` // when the process started; 0: applies to every process of that name
-	Since      int64  `json:"since_ms"`
-	By         string `json:"by"`
-	Until      int64  `json:"until_ms,omitempty"` // 0: does not expire
-	Ended      bool   `json:"ended,omitempty"`    // by an operator
-	Supersedes int64  `json:"over,omitempty"`     // revision of the drain's entry that the writer had read
+	Start      int64  `json:"start_ms"`           // when the process started; 0: applies to all processes
+	Since      int64  `json:"since_ms"`           // when the drain was set
+	By         string `json:"by"`                 // who set the drain
+	Until      int64  `json:"until_ms,omitempty"` // when the drain expires; 0: never
+	Ended      bool   `json:"ended,omitempty"`    // an operator ended the drain
+	Supersedes int64  `json:"over,omitempty"`     // highest revision of the drain's entry that the writer had read
 }
 
-// lastStart returns the start of the latest process to which a drain applies.
+// lastStart returns the start time, in milliseconds since 1970, of the most recently started process to which a drain
+// applies. It returns math.MaxInt64 for a drain of all processes.
 func (d Drain) lastStart() int64 {
 	if d.Start == 0 {
 		return math.MaxInt64
@@ -82,8 +85,8 @@
 	return d.Start
 }
 
-// covers reports whether a drain applies at the time now to the process that started at start. A start of 0 means
-// unknown.
+// covers reports whether a drain applies, at the time now, to the process that started at the time start. A start of 0
+// means that the process's start time is unknown.
 func (d Drain) covers(start, now int64) bool {
 	if d.Ended {
 		return false
@@ -94,19 +97,21 @@
 	return d.Start == 0 || start <= d.Start
 }
 
-// equivalent reports whether two drains have the same effect, regardless of By and Since.
+// equivalent reports whether two drains have the same effect: both apply to the same processes, both expire at the same
+// time, and either both have been ended or neither has.
 func (d Drain) equivalent(other Drain) bool {
 	return d.lastStart() == other.lastStart() && d.Until == other.Until && d.Ended == other.Ended
 }
 
-// reopens reports whether a drain was set after an ended one, whose entry has the given revision: its writer had read
-// that entry, or it applies to a later process. Times can't decide that, since the node that sets the new drain may
-// have a slow clock.
+// reopens reports whether the drain d was set after the drain ended had been ended by an operator. That is the case if
+// the writer of d had read the entry of the ended drain, which has the given revision, or if d applies to a later
+// process than the ended drain. Times can't decide this, since the clock of the node that sets d may be slow.
 func (d Drain) reopens(ended Drain, revision int64) bool {
 	return d.Supersedes >= revision || d.Start != 0 && d.lastStart() > ended.lastStart()
 }
 
-// weakerThan reports whether a drain covers less than another: earlier processes, or the same ones for a shorter time.
+// weakerThan reports whether the drain d covers less than other: d applies only to earlier processes, or it applies to
+// the same processes but was ended or expires earlier.
 func (d Drain) weakerThan(other Drain) bool {
 	if d.lastStart() != other.lastStart() {
 		return d.lastStart() < other.lastStart()
@@ -120,8 +125,8 @@
 	return other.Until == 0 || d.Until < other.Until
 }
 
-// extends reports whether a drain that only this node knows covers more than the stored one, whose entry has the given
-// revision.
+// extends reports whether the drain d, which only this node knows, covers more than the stored drain, whose entry has
+// the given revision. If an operator has ended the stored drain, d covers more only if it reopens the stored drain.
 func (d Drain) extends(stored Drain, revision int64) bool {
 	if stored.Ended && !d.Ended {
 		return d.reopens(stored, revision)
--- a/internal/record/record/view.go
+++ b/internal/record/record/view.go
@@ -12,8 +12,8 @@
 const (
 	NeverSynced  SyncState = iota // no store has been reached since the node started
 	Following                     // the copy is up to date with the store
-	RolledBack                    // the store, in the same epoch, is older than the copy: a backup was restored
-	EpochChanged                  // the store was recreated, restored or imported since the copy was read
+	RolledBack                    // the store has the copy's epoch but a lower revision: a backup was restored
+	EpochChanged                  // the record was recreated, restored or imported since the copy was read
 	Disconnected                  // the store became unreachable after the copy was read
 )
 
@@ -22,35 +22,38 @@
 	return []string{"never reached", "follows", "went back", "another epoch", "lost"}[s]
 }
 
-// View is a node's copy of the record, merged with discovery's endpoint lists and the drains that the node was notified
-// of. Methods such as ApplyPage, ApplyDiscovery and AddDrain take the inputs; Servers, Entries and Pending return the
-// results. A View is not safe for concurrent use.
+// View is a node's copy of the record, merged with discovery's endpoint lists and the drains of which the node was
+// notified. Methods such as ApplyPage, ApplyDiscovery and AddDrain take the inputs; Servers, Entries and Pending return
+// the results. Times are in milliseconds since 1970. A View is not safe for concurrent use.
 type View struct {
-	MaxStaleness int64 // milliseconds for which servers known only from a disconnected copy are used; 0: no limit
-	MaxPending   int   // limit of pending changes other than drains
+	// MaxStaleness is the time, in milliseconds since the last contact with the store, for which servers known only
+	// from the copy get new requests. 0: no limit.
+	MaxStaleness int64
+	// MaxPending limits the number of pending changes. Drains are queued even if the limit is reached.
+	MaxPending int
 
-	Meta        Meta // of the last page that was applied
+	Meta        Meta // position of the copy
 	SyncState   SyncState
-	LastContact int64 // when the store was last reached
-	LatestTime  int64 // the latest time passed in, since the machine's clock may be set back
-	Dropped     int   // observations that were not queued because the queue was full
+	LastContact int64 // time of the last contact with the store
+	LatestTime  int64 // latest time passed to the view; used in place of an earlier one, since clocks may be set back
+	Dropped     int   // number of observations that were not queued because the queue was full
 
 	writer            string
 	newIdempotencyKey func() string
 
-	// writtenRevision is the highest revision that this node has written, or has restored from a snapshot. The store
-	// has reached it, even if the node has not read that far.
+	// writtenRevision is the highest revision that this node has written since it last read from the store, or that a
+	// restored snapshot had. The store has reached this revision, even if the node has not read all entries up to it.
 	writtenRevision int64
 
 	entries        map[Key]Entry
-	discovered     map[string]map[string]Observation // by service and ID
-	listedServices map[string]bool                   // those whose complete list has arrived since the start
-	localDrains    map[string]Drain                  // of which this node was notified, by name
-	pending        map[Key]Change                    // to be written
+	discovered     map[string]map[string]Observation // by service and server ID
+	listedServices map[string]bool                   // services whose complete list has arrived since the node started
+	localDrains    map[string]Drain                  // drains that the node keeps even if the store lacks them
+	pending        map[Key]Change                    // changes to be written to the store
 }
 
-// NewView returns an empty view. Writer is the node's name, under which it writes; newIdempotencyKey returns a new key
-// each time it is called.
+// NewView returns an empty view. The argument writer is the node's name, which each of its changes contains. The
+// function newIdempotencyKey returns a new key each time it is called.
 func NewView(writer string, maxPending int, newIdempotencyKey func() string) *View {
 	return &View{
 		MaxPending:        maxPending,
@@ -64,7 +67,7 @@
 	}
 }
 
-// advanceClock updates LatestTime with the time of an input, and returns it.
+// advanceClock raises LatestTime to now, unless now is earlier, and returns LatestTime.
 func (v *View) advanceClock(now int64) int64 {
 	v.LatestTime = max(v.LatestTime, now)
 	return v.LatestTime
@@ -76,10 +79,10 @@
 	LastContact int64            `json:"at_ms"`
 	LatestTime  int64            `json:"clock_ms"`
 	Entries     []Entry          `json:"facts"`
-	Drains      map[string]Drain `json:"drains"` // of which this node was notified; they may not be stored yet
+	Drains      map[string]Drain `json:"drains"` // drains that the store may lack, by SERVICE/SERVER
 }
 
-// Snapshot returns a copy of the view's persistent part.
+// Snapshot returns a copy of the part of the view that the node saves.
 func (v *View) Snapshot() Snapshot {
 	return Snapshot{
 		Meta:        v.Meta,
@@ -90,7 +93,7 @@
 	}
 }
 
-// Restore loads a snapshot into an empty view. The copy counts as disconnected until a store has been reached.
+// Restore loads a snapshot into an empty view. The view's state is NeverSynced until the node reaches a store.
 func (v *View) Restore(snapshot Snapshot, now int64) {
 	v.Meta = snapshot.Meta
 	v.LastContact = snapshot.LastContact
--- a/internal/record/record/view_pending.go
+++ b/internal/record/record/view_pending.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Pending returns the changes to be written next, drains first, and at most limit of them.
+// Pending returns the changes to be written next, at most limit of them: drains first, in the order of Kinds.
 func (v *View) Pending(limit int) []Change {
 	byKind := map[Kind][]Change{}
 	for key, change := range v.pending {
@@ -20,10 +20,10 @@
 	return changes[:min(limit, len(changes))]
 }
 
-// PendingCount returns how many changes are to be written.
+// PendingCount returns the number of queued changes.
 func (v *View) PendingCount() int { return len(v.pending) }
 
-// UnrecordedDrains returns how many drains are queued and not yet in the store.
+// UnrecordedDrains returns the number of queued drains, which the store does not have yet.
 func (v *View) UnrecordedDrains() int {
 	count := 0
 	for key := range v.pending {
@@ -34,8 +34,9 @@
 	return count
 }
 
-// MarkWritten removes a change from the queue and updates the copy with the entry that the store returned for it. An
-// entry with Revision 0 means that the store wrote nothing, for example because a newer entry superseded the change.
+// MarkWritten removes a written change from the queue and puts the entry that the store returned for the change into
+// the copy. An entry with Revision 0 means that the store wrote nothing, for example because a newer entry superseded
+// the change.
 func (v *View) MarkWritten(change Change, entry Entry) {
 	queued, ok := v.pending[change.Key]
 	if ok && queued.IdempotencyKey == change.IdempotencyKey {
@@ -51,9 +52,9 @@
 	}
 }
 
-// Prune queues the deletion of entries of servers that left more than retention milliseconds ago. Without it the record
-// would keep an entry for every server name that was ever used. Until it is deleted, the entry keeps an old endpoint
-// list from adding the server again.
+// Prune queues the deletion of the entry of each server that has left, once the entry was written more than retention
+// milliseconds ago. Without deletions the record would keep an entry for every server name that was ever used. The
+// entry is not deleted sooner, because it prevents an outdated endpoint list from adding the server again.
 func (v *View) Prune(now, retention int64) {
 	now = v.advanceClock(now)
 	for key, entry := range v.entries {
@@ -73,8 +74,8 @@
 	}
 }
 
-// queueObservation queues an observation unless the copy already implies it. If the queue is full the observation is
-// dropped; the next endpoint list has it again.
+// queueObservation queues an observation unless the entry in the copy makes it redundant. If the queue is full, the
+// observation is dropped; the next endpoint list has the server again.
 func (v *View) queueObservation(observation Observation) {
 	key := Key{Kind: KindServer, Name: observation.Service + "/" + observation.ID}
 	value, _ := json.Marshal(observation) // can't fail: a struct of strings and numbers
@@ -88,8 +89,8 @@
 	v.enqueue(Change{Key: key, ExpectedRevision: AnyRevision, Value: value})
 }
 
-// queueDrain queues a drain, even if the queue is full. If a change with the same value is already queued it stays,
-// with its idempotency key, since an earlier attempt may have been written.
+// queueDrain queues a drain, even if the queue is full. If a change with the same value is already queued, that change
+// and its idempotency key stay in the queue, since an earlier attempt to write it may have succeeded.
 func (v *View) queueDrain(name string, drain Drain) {
 	key := drainKey(name)
 	value, _ := json.Marshal(drain) // can't fail: a struct of strings and numbers
@@ -100,8 +101,8 @@
 	v.enqueue(Change{Key: key, ExpectedRevision: AnyRevision, Value: value})
 }
 
-// enqueue sets a change's writer, idempotency key and time, and queues it in place of an earlier change of the same
-// key.
+// enqueue sets a change's writer, idempotency key and time, and queues the change. It replaces an earlier queued change
+// to the same entry.
 func (v *View) enqueue(change Change) {
 	change.Writer = v.writer
 	change.IdempotencyKey = v.newIdempotencyKey()
--- a/internal/record/record/view_servers.go
+++ b/internal/record/record/view_servers.go
@@ -6,19 +6,21 @@
 	"strings"
 )
 
-// discoveryWriter is the By of a drain that discovery reported.
+// discoveryWriter is the value of By in a drain that discovery reported.
 const discoveryWriter = "discovery"
 
-// reasonStaleCopy is the Reason of a draining server that is known only from a copy older than MaxStaleness.
+// reasonStaleCopy is the value of Reason for a server that is listed as draining because the node knows it only from
+// its copy of the record, and the last contact with the store is more than MaxStaleness ago.
 const reasonStaleCopy = "known only from a stale copy of the record"
 
-// ListedServer is a server in the list that the node uses.
+// ListedServer is a server in the list that View.Servers returns for a service.
 type ListedServer struct {
 	Observation
-	Reason string // why Phase differs from the observed phase; empty: it does not
+	Reason string // why Phase differs from the observed phase; empty if it does not differ
 }
 
-// ApplyDiscovery merges an endpoint list of a service: the complete list, or only the servers that changed.
+// ApplyDiscovery merges an endpoint list of a service into the view. If complete is true, the list has all servers of
+// the service, else only the servers that changed.
 func (v *View) ApplyDiscovery(service string, list []Observation, complete bool, now int64) {
 	v.advanceClock(now)
 	previous := v.discovered[service]
@@ -47,7 +49,8 @@
 	}
 }
 
-// observeMissing queues observations in PhaseGone of the servers that a complete list no longer has.
+// observeMissing queues an observation with PhaseGone for each server that the previous list had and the current,
+// complete list does not have.
 func (v *View) observeMissing(previous, current map[string]Observation) {
 	for id, observation := range previous {
 		if _, listed := current[id]; !listed {
@@ -57,8 +60,8 @@
 	}
 }
 
-// drainByDiscovery adds a drain for a server that discovery reports as draining, so that an outdated list that arrives
-// later does not undo it.
+// drainByDiscovery adds a drain for a server that discovery lists as draining. The drain remains if an outdated list,
+// with the server as ready, arrives later.
 func (v *View) drainByDiscovery(observation Observation, now int64) {
 	name := observation.Service + "/" + observation.ID
 	if drain, ok := v.drain(name); ok && drain.covers(observation.Start, v.LatestTime) {
@@ -67,7 +70,8 @@
 	v.AddDrain(name, Drain{Start: observation.Start, Since: now, By: discoveryWriter}, now)
 }
 
-// AddDrain adds a drain that this node is notified of. It takes effect at once, before it is written to the store.
+// AddDrain adds a drain of which this node is notified. The drain takes effect at once, even before it is written to
+// the store.
 func (v *View) AddDrain(name string, drain Drain, now int64) {
 	v.advanceClock(now)
 	drain.Supersedes = max(drain.Supersedes, v.entries[drainKey(name)].Revision)
@@ -86,7 +90,8 @@
 	v.queueDrain(name, drain)
 }
 
-// drain returns a server's drain. If both the record and this node have one, it returns the one that covers more.
+// drain returns the drain of a server. If both the record and the local drains have a drain of the server, drain
+// returns the one that covers more.
 func (v *View) drain(name string) (Drain, bool) {
 	entry := v.entries[drainKey(name)]
 	recorded, isRecorded := entry.drain()
@@ -97,8 +102,10 @@
 	return recorded, isRecorded
 }
 
-// Servers returns a service's servers, sorted by ID, in the phases in which the node has to use them. They are those
-// of discovery's list and, until a complete list has arrived, of the recorded observations. Drains apply to both.
+// Servers returns the servers of a service, sorted by ID, each in the phase in which the node has to use it. The
+// servers are those that discovery has listed. Until a complete list has arrived, the servers in the copy of the record
+// are added. A ready server to which a drain applies is returned as draining, whether it comes from discovery or from
+// the copy.
 func (v *View) Servers(service string, now int64) []ListedServer {
 	now = v.advanceClock(now)
 	servers := map[string]ListedServer{}
@@ -121,8 +128,8 @@
 	return list
 }
 
-// addRecordedServers adds a service's servers from the copy. If the copy is stale they are listed as draining, so that
-// they get no new requests.
+// addRecordedServers adds the servers of a service that are in the copy of the record. If the copy is stale, ready
+// servers are listed as draining, so that they get no new requests.
 func (v *View) addRecordedServers(servers map[string]ListedServer, service string, now int64) {
 	stale := v.isStale(now)
 	for key, entry := range v.entries {
@@ -148,7 +155,7 @@
 	}
 }
 
-// isStale reports whether the copy is too old for its servers to be used without discovery.
+// isStale reports whether the copy is so old that servers known only from it must get no new requests.
 func (v *View) isStale(now int64) bool {
 	return v.SyncState != Following && v.MaxStaleness > 0 && now-v.LastContact > v.MaxStaleness
 }
--- a/internal/record/record/view_sync.go
+++ b/internal/record/record/view_sync.go
@@ -5,7 +5,7 @@
 	return Meta{Epoch: v.Meta.Epoch, Revision: max(v.Meta.Revision, v.writtenRevision)}
 }
 
-// NextRead returns the range to read from a store that is at a position.
+// NextRead returns the range of entries to read from a store that is at the position store.
 func (v *View) NextRead(store Meta) ReadRange {
 	position := v.Position()
 	if store.Epoch != position.Epoch || store.Revision < position.Revision {
@@ -14,7 +14,7 @@
 	return ReadRange{After: v.Meta.Revision}
 }
 
-// SizeWith returns how many entries the view would hold after a page, deleted ones included.
+// SizeWith returns how many entries, including deleted ones, the view would have after the page was applied.
 func (v *View) SizeWith(page Page) int {
 	if page.Complete {
 		return len(page.Entries)
@@ -28,8 +28,8 @@
 	return size
 }
 
-// ApplyPage merges a page read from the store. A drain that this node knows and the store has lost is kept and queued
-// to be written again.
+// ApplyPage merges a page read from the store into the copy. Drains that this node knows and the store has lost are
+// kept, and queued to be written again.
 func (v *View) ApplyPage(page Page, now int64) {
 	v.advanceClock(now)
 	v.SyncState = v.stateAtPage(page.Meta)
@@ -49,7 +49,7 @@
 	v.LastContact = now
 }
 
-// stateAtPage returns the copy's state, given the position of a page that the store returned.
+// stateAtPage returns the copy's state after a read that returned a page with the position store.
 func (v *View) stateAtPage(store Meta) SyncState {
 	switch {
 	case v.Meta.Epoch == "":
@@ -73,8 +73,8 @@
 	return drains
 }
 
-// mergeEntries merges a page's entries into the copy. If the store was rolled back, an entry of the copy stays until
-// the store has a higher revision of it.
+// mergeEntries merges a page's entries into the copy. If the store was rolled back, an entry in the copy is replaced
+// only by an entry with a higher revision.
 func (v *View) mergeEntries(page Page) {
 	rolledBack := v.SyncState == RolledBack
 	if page.Complete && !rolledBack {
@@ -89,9 +89,10 @@
 	}
 }
 
-// dropImpliedObservation removes a pending change to a server from the queue if the stored entry makes it redundant.
-// All nodes learn of a server at the same time. If each of them wrote it, a node far from the store might never
-// complete its queue of redundant changes within the time limit of one call.
+// dropImpliedObservation removes the pending change to a server's entry from the queue if the stored entry makes the
+// change redundant. All nodes learn of a server at the same time. If every node wrote its own observation of the
+// server, a node far from the store might never be able to write its whole queue of redundant changes within the time
+// limit of one call.
 func (v *View) dropImpliedObservation(entry Entry) {
 	change, queued := v.pending[entry.Key]
 	if !queued || entry.Kind != KindServer {
@@ -109,9 +110,9 @@
 	}
 }
 
-// adoptLostDrains adds drains that the store has lost to the local drains, so that they are written again. These are
-// the drains that a complete page lacks and, in a new epoch, those whose entries have another idempotency key. A drain
-// that was deleted is not lost: the page has a tombstone of it.
+// adoptLostDrains adds to the local drains those that the store has lost, so that they are written again. A drain is
+// lost if a complete page has no entry for it or if, in a new epoch, its entry has another idempotency key. A drain
+// that was deleted is not lost: the page has a tombstone for it.
 func (v *View) adoptLostDrains(recorded map[string]Entry, complete bool, inPage map[Key]bool) {
 	for name, entry := range recorded {
 		missing := complete && !inPage[entry.Key]
@@ -125,13 +126,14 @@
 	}
 }
 
-// reconcileLocalDrains removes local drains that the record has, and queues those that it lacks.
+// reconcileLocalDrains removes the local drains that the record already has, and queues the local drains that the
+// record lacks.
 func (v *View) reconcileLocalDrains(inPage map[Key]bool) {
 	for name, drain := range v.localDrains {
 		key := drainKey(name)
 		entry, exists := v.entries[key]
 		stored, ok := entry.drain()
-		inStore := v.SyncState == Following || inPage[entry.Key] // not only in entries that the store has lost
+		inStore := v.SyncState == Following || inPage[entry.Key] // if false, the entry may be in the node's copy only
 		if exists && ok && inStore && !drain.extends(stored, entry.Revision) {
 			if stored.Ended || stored.lastStart() > drain.lastStart() || stored == drain {
 				delete(v.localDrains, name)
@@ -141,15 +143,16 @@
 		}
 		_, queued := v.pending[key]
 		if exists && entry.Deleted && v.SyncState == Following && entry.Revision > 0 && !queued {
-			delete(v.localDrains, name) // it was recorded, and an operator has deleted it since
+			delete(v.localDrains, name) // the drain was recorded, and an operator has since deleted it
 			continue
 		}
 		v.queueDrain(name, drain)
 	}
 }
 
-// MarkSynced sets the position of a store that was rolled back or changed its epoch, once the changes that it lacked
-// have been written. The view follows the store from that position.
+// MarkSynced lets the view follow a store that was rolled back or changed its epoch, from the store's position on. The
+// caller has written the changes that the store lacked. MarkSynced has no effect if changes are still pending and the
+// store's revision is lower than the view's.
 func (v *View) MarkSynced(store Meta) {
 	if len(v.pending) > 0 && store.Revision < v.Meta.Revision {
 		return
@@ -159,7 +162,7 @@
 	v.SyncState = Following
 }
 
-// MarkDisconnected sets the state of a copy whose store is unreachable.
+// MarkDisconnected records that the store is unreachable. A view that has never reached a store stays NeverSynced.
 func (v *View) MarkDisconnected() {
 	if v.SyncState != NeverSynced {
 		v.SyncState = Disconnected
--- a/internal/record/record/view_test.go
+++ b/internal/record/record/view_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// drainScenario applies events around one drain of the server a to one node and its store.
+// drainScenario applies events to one node and its store. One of the events is a drain of the server a.
 type drainScenario struct {
 	t        *testing.T
 	order    []string
@@ -69,8 +69,9 @@
 	return local || hasDrain(s.view.entries, "s/a")
 }
 
-// checkFinalState synchronizes the node with the store and adds a second node. If the node or the store still has the
-// drain, it checks that both nodes list the process as draining, and a new process as ready.
+// checkFinalState does nothing before the notification, or if neither the node nor the store has the drain. Else it
+// synchronizes the node with the store and adds a second node. It checks that both nodes list the drained process as
+// draining, and that the first node lists a new process of the server as ready.
 func (s *drainScenario) checkFinalState() {
 	if !s.notified || !s.nodeKnowsDrain() && !s.store.hasDrain("s/a") {
 		return
@@ -90,10 +91,11 @@
 	assert.Equal(s.t, PhaseReady, phaseOf(s.view, "a", 100), "%v: a new process", s.order)
 }
 
-// Runs every order of six of eight events around a drain: a notification, a write, a crash with and without a snapshot
-// before it, a store restored from a backup, a new epoch, and a list from a discovery service that does not know the
-// drain. After the notification, the process stays drained as long as the node or the store has the drain, and a new
-// process under its name is not drained.
+// Runs every sequence of six different events out of eight: the notification of a drain, a synchronization with the
+// store, a snapshot of the node, a crash after which the node restores its last snapshot, a backup of the store, a
+// restore of that backup, a new epoch, and an endpoint list from a discovery service that does not know the drain.
+// After the notification, the process stays drained as long as the node or the store has the drain. A new process under
+// the same name is not drained.
 func TestView_DrainSurvivesEveryOrderOfEvents(t *testing.T) {
 	events := []string{"notify", "sync", "snapshot", "crash", "backup", "restore", "epoch", "list"}
 	const length = 6
@@ -120,14 +122,14 @@
 	assert.Equal(t, 8*7*6*5*4*3, count)
 }
 
-// Several nodes with one store receive random events in random order. They converge to the same list, and no process
-// that was drained or has left becomes ready again.
+// Several nodes with one store receive random events in random order. Afterwards all nodes have the same list, and no
+// process that was drained or has left has become ready again.
 func TestView_NodesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := newMemoryStore("e")
 		nodes := []*View{newView("a"), newView("b"), newView("c")}
 		var now int64 = 1
-		drained := map[string]int64{} // the start of the latest drained process, by ID
+		drained := map[string]int64{} // start of the most recently started process that was drained, by server ID
 		start := map[string]int64{"x": 1, "y": 1}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now++
@@ -141,7 +143,7 @@
 				drained[id] = start[id]
 			case 2:
 				start[id] = now
-			case 3: // a list, perhaps an old one
+			case 3: // a list, which may be outdated
 				server := readyServer(id, rapid.SampledFrom([]int64{start[id], max(1, start[id]-1)}).Draw(t, "start"))
 				server.Phase = rapid.SampledFrom([]string{PhaseReady, PhaseReady, PhaseDraining}).Draw(t, "phase")
 				if server.Phase == PhaseDraining {
@@ -179,7 +181,7 @@
 	})
 }
 
-// restart replaces a view by one that was restored from its snapshot.
+// restart replaces a view by a view that is restored from its snapshot.
 func restart(t *rapid.T, view *View, now int64) {
 	text, err := json.Marshal(view.Snapshot())
 	require.NoError(t, err)
@@ -245,15 +247,16 @@
 	assert.False(t, store.entries[Key{KindServer, "s/b"}].Deleted)
 }
 
-// A drain of all processes under a name has precedence over a drain of one process. After an operator has ended it, a
-// node that has read the end can set a drain again, and an old snapshot can't.
+// A drain of all processes of a server has precedence over a drain of one process. After an operator has ended the
+// drain, a node that has read the ended entry can set a new drain. A node that has restored an old snapshot does not
+// write the old drain again.
 func TestView_DrainOfNameEndsAndReopens(t *testing.T) {
 	store := newMemoryStore("e")
 	view, outdated := newView("a"), newView("old")
 	view.AddDrain("s/x", Drain{Since: 1, By: "op"}, 1)
 	view.sync(store, 1)
 	outdated.sync(store, 1)
-	outdated.localDrains["s/x"] = Drain{Since: 1, By: "op"} // as restored from a snapshot of that time
+	outdated.localDrains["s/x"] = Drain{Since: 1, By: "op"} // as if restored from a snapshot
 	view.ApplyDiscovery("s", []Observation{{ID: "x", Addr: "x:1", Phase: PhaseDraining, Start: 7}}, true, 2)
 	view.sync(store, 2)
 	view.ApplyDiscovery("s", []Observation{readyServer("x", 9)}, true, 3)
@@ -283,7 +286,8 @@
 	assert.Equal(t, PhaseDraining, phaseOf(outdated, "x", 6))
 }
 
-// All nodes observe a server. An observation that another node has recorded is not written again.
+// All nodes observe the same server. If another node has already written the observation, this node does not write it
+// again.
 func TestView_StoredObservationIsNotPending(t *testing.T) {
 	view := newView("n")
 	view.ApplyDiscovery("s", []Observation{
@@ -303,7 +307,7 @@
 	deleted := stored("e", 5, Observation{Addr: "e:1", Phase: PhaseReady, Start: 6})
 	deleted.Deleted = true
 	view.ApplyPage(Page{Meta: Meta{"x", 5}, Entries: []Entry{
-		// equal apart from ListRevision, which another replica assigned
+		// equal apart from ListRevision, which another replica of discovery assigned
 		stored("a", 1, Observation{Addr: "a:1", Phase: PhaseReady, Start: 5, ListRevision: 9_000}),
 		stored("b", 2, Observation{Addr: "b:1", Phase: PhaseReady, Start: 5}), // the server has left since
 		stored("c", 3, Observation{Addr: "c:1", Phase: PhaseGone, Start: 6}),  // newer than this node's observation
@@ -317,9 +321,9 @@
 	assert.Equal(t, []string{"s/b", "s/d", "s/e"}, pending)
 }
 
-// All nodes of a fleet are notified of the same event, at different times and by replicas of discovery that assign
-// their own list revisions. Only the first node's change is written; otherwise each node's write would notify all
-// nodes.
+// All nodes of a fleet are notified of the same event, at different times and by different replicas of discovery, each
+// of which assigns its own list revisions. Only the first node's change is written. Otherwise each node's write would
+// notify all nodes.
 func TestView_SharedNotificationIsWrittenOnce(t *testing.T) {
 	store := newMemoryStore("e")
 	var views []*View
@@ -328,7 +332,8 @@
 		view.ApplyPage(store.page(ReadRange{Complete: true}), 1)
 		views = append(views, view)
 	}
-	// notifyAll lists the server in a phase at all nodes, and returns how many revisions the store assigned for that.
+	// notifyAll gives all nodes a list with the server in a phase, and returns how many revisions the store then
+	// assigns.
 	notifyAll := func(phase string, now int64) int64 {
 		before := store.meta.Revision
 		for i, view := range views {
@@ -336,7 +341,7 @@
 			server.ListRevision = int64(1000 * (i%3 + 1))
 			view.ApplyDiscovery("s", []Observation{server}, true, now+int64(i))
 		}
-		for _, view := range views { // no view has read the others' writes
+		for _, view := range views { // no view has read another view's writes
 			store.writePending(t, view)
 		}
 		for _, view := range views {
@@ -351,7 +356,7 @@
 		assert.Equal(t, PhaseDraining, phaseOf(view, "a", 300))
 	}
 
-	// A drain with another effect is written: another process, another expiry, an end, a new drain after the end.
+	// A drain with another effect is written: for another process, with another expiry, ended, or set after the end.
 	write := func(expectedRevision int64, drain Drain) {
 		before := store.meta.Revision
 		value, err := json.Marshal(drain)
@@ -373,8 +378,8 @@
 	write(AnyRevision, Drain{Start: 6, Since: 9, By: "op", Until: 950, Supersedes: store.meta.Revision})
 }
 
-// A store is rolled back to the revision that a node had read last, and so loses a change that the node has written
-// since. The node detects the rollback and writes the change again.
+// The store is rolled back to the revision that a node had read last. The store thereby loses a change that the node
+// has written since. The node detects the rollback and writes the change again.
 func TestView_DetectsRollbackOfOwnWrite(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		t.Run(fmt.Sprintf("restarted=%t", restarted), func(t *testing.T) {
@@ -386,7 +391,7 @@
 			view.AddDrain("s/a", Drain{Start: 5, Since: 1, By: "op"}, 2)
 			store.writePending(t, view)
 			assert.Equal(t, Meta{Epoch: "e", Revision: 3}, view.Position())
-			if restarted { // from a snapshot that was taken before the write was read
+			if restarted { // from a snapshot taken before the node read its own write
 				snapshot := view.Snapshot()
 				view = newView("n")
 				view.Restore(snapshot, 3)
--- a/internal/record/replica/access.go
+++ b/internal/record/replica/access.go
@@ -6,14 +6,14 @@
 	"robincart/internal/record/record"
 )
 
-// Limits of a node's write call.
+// Limits of one call by which a node writes changes.
 const (
 	MaxChangesPerCall = 1000
-	MaxValueSize      = 4 << 10 // in bytes; observations and drains are short
+	MaxValueSize      = 4 << 10 // bytes per value; observations and drains are short
 )
 
-// ForbiddenChangeError reports a change that nodes may not make. Services, routes and tenants are written by operators
-// and the controller's leader only, directly to the store.
+// ForbiddenChangeError reports a change that nodes may not make. Only operators and the controller's leader write
+// services, routes and tenants, and they write directly to the store.
 type ForbiddenChangeError struct {
 	Key record.Key
 }
@@ -23,8 +23,8 @@
 		e.Key.Kind, e.Key.Name)
 }
 
-// CheckAllowed returns an error if a node may not make one of the changes. A node may write and delete servers and
-// write drains, within the limits of a call.
+// CheckAllowed returns an error if a node may not make one of the changes, or if the call exceeds a limit. A node may
+// write and delete entries of servers. It may write drains, but not delete them.
 func CheckAllowed(epoch string, changes []record.Change) error {
 	if len(changes) > MaxChangesPerCall {
 		return fmt.Errorf("the call has %d changes, more than %d", len(changes), MaxChangesPerCall)
--- a/internal/record/replica/copy.go
+++ b/internal/record/replica/copy.go
@@ -1,7 +1,7 @@
 // Package replica implements the rules by which a replica of the controller serves nodes in place of the store of
 // record. Copy decides which calls the replica can answer from its copy, CheckAllowed decides which changes a node may
 // make, and Queue merges equal changes of many nodes into one write. The package has no clock, no socket and no
-// database, and starts no goroutine; package recordserver has those.
+// database, and starts no goroutine. Package recordserver calls it and does the I/O.
 package replica
 
 import (
@@ -13,23 +13,24 @@
 	"robincart/internal/record/record"
 )
 
-// Copy is a replica's copy of the record, as of its last read. Its zero value is empty. It is not safe for concurrent
-// use.
+// Copy is a replica's copy of the record, as the replica last read it from the store. Its zero value is empty. It is
+// not safe for concurrent use.
 type Copy struct {
 	meta            record.Meta
-	writtenRevision int64 // highest revision this replica has written since the last read; the store has reached it
+	writtenRevision int64 // highest revision written by this replica since its last read of the store
 	entries         map[record.Key]record.Entry
-	bytes           int            // size of entries, as limited by record.MaxBytes
-	byRevision      []record.Entry // entries sorted by revision; nil: to be sorted again
+	bytes           int            // total size of the entries, limited by record.MaxBytes
+	byRevision      []record.Entry // entries sorted by revision; nil if entries has changed since
 }
 
-// Meta returns the copy's position. Its epoch is empty until the first read.
+// Meta returns the copy's position. The position's epoch is empty until the first page has been applied.
 func (c *Copy) Meta() record.Meta { return c.meta }
 
-// Len returns the number of entries, deleted ones included.
+// Len returns the number of entries, including deleted ones.
 func (c *Copy) Len() int { return len(c.entries) }
 
-// NextRead returns the range to read from a store that is at a position, and whether there is anything to read.
+// NextRead returns the range of entries to read from a store that is at the position store. It returns false if there
+// is nothing to read.
 func (c *Copy) NextRead(store record.Meta) (record.ReadRange, bool) {
 	if store.Epoch != c.meta.Epoch || store.Revision < c.position() {
 		return record.ReadRange{Complete: true}, true
@@ -43,9 +44,9 @@
 // position returns the highest revision that the store is known to have reached.
 func (c *Copy) position() int64 { return max(c.meta.Revision, c.writtenRevision) }
 
-// Apply merges a page read from the store. If the copy would become too large, it merges nothing and returns
-// record.ErrTooLarge. It returns true if the record was rolled back or changed its epoch: the nodes that follow the
-// copy then have to be notified.
+// Apply merges a page read from the store into the copy. If the copy would exceed record.MaxEntries or record.MaxBytes,
+// Apply merges nothing and returns record.ErrTooLarge. It returns true if the record was rolled back or changed its
+// epoch since the previous page; the nodes that follow the copy then have to be notified.
 func (c *Copy) Apply(page record.Page) (bool, error) {
 	var err error
 	if page.Complete {
@@ -107,13 +108,14 @@
 	return len(entry.Name) + len(entry.Value) + len(entry.Writer) + len(entry.IdempotencyKey)
 }
 
-// NoteWritten records the revision of an entry that the store returned for a write.
+// NoteWritten records that the store has reached the revision of an entry that it returned for a write.
 func (c *Copy) NoteWritten(entry record.Entry) {
 	c.writtenRevision = max(c.writtenRevision, entry.Revision)
 }
 
-// IsCurrentFor reports whether the copy is recent enough for a node that has read up to a position. A node at a higher
-// revision or in another epoch has read from a replica whose copy may be newer.
+// IsCurrentFor reports whether the copy is recent enough for a node that has read the record up to the position node.
+// If the node is at a higher revision or in another epoch, it has read from a replica whose copy may be newer than this
+// one.
 func (c *Copy) IsCurrentFor(node record.Meta) bool {
 	if c.meta.Epoch == "" {
 		return false
@@ -121,7 +123,8 @@
 	return node.Epoch == "" || node.Epoch == c.meta.Epoch && node.Revision <= c.meta.Revision
 }
 
-// Since returns the entries that changed after a revision, as a store does: at most limit entries, sorted by revision.
+// Since returns entries whose revision is higher than after, sorted by revision: at most limit of them, as from a
+// store.
 func (c *Copy) Since(after int64, limit int) record.Page {
 	if c.byRevision == nil {
 		c.byRevision = slices.SortedFunc(maps.Values(c.entries), func(a, b record.Entry) int {
@@ -135,7 +138,7 @@
 		Complete: after == 0 && to == len(c.byRevision),
 		Entries:  slices.Clone(c.byRevision[from:to]),
 	}
-	if len(page.Entries) == limit { // more may follow: the page's position is that of its last entry
+	if len(page.Entries) == limit { // more entries may follow: the page's position is its last entry's
 		page.Meta.Revision = page.Entries[limit-1].Revision
 	}
 	return page
@@ -143,12 +146,13 @@
 
 // Resolution is the outcome of a change that needs no write.
 type Resolution struct {
-	Entry record.Entry // the stored entry
+	Entry record.Entry // the entry in the copy
 	Err   error        // a *record.ConflictError or *record.StaleError, if the store would reject the change
 }
 
-// Resolve returns a change's outcome if it can be decided from the copy. It returns false for a change that has to be
-// sent to the store: one that would be written, or one that expects a revision newer than the copy.
+// Resolve returns the outcome of a change that the copy suffices to decide. It returns false if the change has to be
+// sent to the store: the change would be written, the copy has no entry for it, or it expects a revision newer than the
+// copy.
 func (c *Copy) Resolve(change *record.Change) (Resolution, bool) {
 	current, exists := c.entries[change.Key]
 	if !exists || change.ExpectedRevision > c.meta.Revision {
--- a/internal/record/replica/copy_test.go
+++ b/internal/record/replica/copy_test.go
@@ -51,7 +51,7 @@
 	apply(completePage(first,
 		serverEntry("s/a", 1, `{}`), serverEntry("s/b", 4, `{}`), serverEntry("s/c", 2, `{}`)), false)
 	wantNoRead(first)
-	page := c.Since(0, 2) // as a store does, a page that is not the last has the position of its last entry
+	page := c.Since(0, 2) // if more entries follow, the page has the position of its last entry
 	assert.Equal(t, []int64{1, 2}, revisions(page))
 	assert.EqualValues(t, 2, page.Meta.Revision)
 	assert.False(t, page.Complete)
@@ -164,14 +164,14 @@
 	}
 }
 
-// followingNode is a node that reads from copies and checks that it never reads an older state than before.
+// followingNode is a node that reads from copies, and checks that it never reads an older state than before.
 type followingNode struct {
 	position  record.Meta
 	revisions map[record.Key]int64
 }
 
-// read reads from a copy. A copy that is behind the node is updated first; if the store is unreachable, nothing is
-// read.
+// read reads from a copy. If the copy is older than what the node has read, the copy is updated first, or the node
+// reads nothing if the store is unreachable.
 func (n *followingNode) read(t *rapid.T, c *Copy, storeReachable bool, update func(*Copy)) {
 	if !c.IsCurrentFor(n.position) {
 		if !storeReachable {
@@ -196,8 +196,9 @@
 	n.position = page.Meta
 }
 
-// Nodes read from random copies. The copies lag behind the store by random amounts, and the store is unreachable at
-// times. No node reads an older state than before, and once all copies are up to date the nodes have the store's state.
+// Nodes read from random copies. Each copy lags behind the store by a random amount, and the store is sometimes
+// unreachable. No node ever reads an older state than before. Once all copies are up to date, the nodes have the
+// store's state.
 func TestCopy_NodesChangingReplicasNeverReadOlderState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		meta := record.Meta{Epoch: "e0"}
@@ -220,14 +221,14 @@
 		copies := []*Copy{{}, {}, {}}
 		nodes := []*followingNode{{revisions: map[record.Key]int64{}}, {revisions: map[record.Key]int64{}}}
 		epochs := 0
-		order := map[string]int{"": -1, "e0": 0} // of the epochs; a node never returns to an earlier one
+		order := map[string]int{"": -1, "e0": 0} // number of each epoch; a node must never read an epoch with a lower number than before
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2: // a write
 				meta.Revision++
 				entry := serverEntry(fmt.Sprint("s/", rapid.IntRange(0, 3).Draw(t, "key")), meta.Revision, `{}`)
 				entries[entry.Key] = entry
-			case 3: // an import
+			case 3: // an import, with a new epoch
 				epochs++
 				revision := rapid.IntRange(0, 3).Draw(t, "revision")
 				meta = record.Meta{Epoch: fmt.Sprint("e", epochs), Revision: int64(revision)}
--- a/internal/record/replica/queue.go
+++ b/internal/record/replica/queue.go
@@ -6,10 +6,10 @@
 	"robincart/internal/record/record"
 )
 
-// MaxPendingWrites is the maximum number of writes that wait for the store.
+// MaxPendingWrites is the maximum length of a Queue.
 const MaxPendingWrites = 10_000
 
-// PendingWrite is a change that is queued for the store, on behalf of all nodes that requested it.
+// PendingWrite is the write of one change to the store, on behalf of all nodes that requested it.
 type PendingWrite struct {
 	Change record.Change
 	Epoch  string
@@ -18,20 +18,20 @@
 	Err    error
 }
 
-// Queue holds the writes that wait for the store, and merges equal ones. Its zero value is empty. It is not safe for
-// concurrent use.
+// Queue holds the changes to be written to the store, and merges equal changes into one write. Its zero value is empty.
+// It is not safe for concurrent use.
 type Queue struct {
-	Merged int // changes that were merged with an earlier one
+	Merged int // number of changes that were merged with an earlier, equal change
 
 	waiting []*PendingWrite
-	byKey   map[record.Key][]*PendingWrite // writes that wait, or were taken but not completed
+	byKey   map[record.Key][]*PendingWrite // writes that are queued, or dequeued but not completed
 }
 
-// Len returns how many writes wait.
+// Len returns the number of queued writes, without those that Next has dequeued.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Add queues a change and returns its write. If an equal change waits, or was taken but not completed, Add returns that
-// one's write instead. If the queue is full it returns nil.
+// Add queues a change and returns its PendingWrite. If an equal change is already queued, or has been dequeued but its
+// write has not completed, Add returns the existing PendingWrite. If the queue is full, Add returns nil.
 func (q *Queue) Add(epoch string, change record.Change) *PendingWrite {
 	for _, write := range q.byKey[change.Key] {
 		if write.Epoch == epoch && equal(&write.Change, &change) {
@@ -51,9 +51,9 @@
 	return write
 }
 
-// Next takes a batch of at most limit writes from the queue, in the order in which they were added. A batch has writes
-// of one epoch only, and one write per key. Drains are taken first, in batches of their own, so that they do not wait
-// for a large batch.
+// Next dequeues a batch of at most limit writes, in the order in which they were added. The writes of a batch have the
+// same epoch and different keys. Drains are dequeued first, in batches that contain only drains, so that a drain does
+// not wait for a large batch of other writes.
 func (q *Queue) Next(limit int) []*PendingWrite {
 	if batch := q.take(limit, true); len(batch) > 0 {
 		return batch
@@ -61,10 +61,10 @@
 	return q.take(limit, false)
 }
 
-// take takes the next batch of drains or, if drains is false, the next batch of other writes.
+// take dequeues the next batch of drains or, if drains is false, the next batch of other writes.
 func (q *Queue) take(limit int, drains bool) []*PendingWrite {
 	var batch, remaining []*PendingWrite
-	seen := map[record.Key]bool{} // a later write of a key waits for the earlier one
+	seen := map[record.Key]bool{} // of two writes with the same key, the later stays queued
 	for _, write := range q.waiting {
 		key := write.Change.Key
 		fits := len(batch) < limit && (len(batch) == 0 || write.Epoch == batch[0].Epoch)
@@ -81,7 +81,8 @@
 	return batch
 }
 
-// Complete removes writes that were taken and that the store has answered. Later equal changes are queued anew.
+// Complete removes dequeued writes for which the store has returned a result. If an equal change is added later, it is
+// queued as a new write.
 func (q *Queue) Complete(batch []*PendingWrite) {
 	for _, write := range batch {
 		key := write.Change.Key
@@ -94,7 +95,7 @@
 	}
 }
 
-// equal reports whether two changes of one key have the same effect.
+// equal reports whether two changes are to the same entry and have the same effect.
 func equal(a, b *record.Change) bool {
 	if a.Key != b.Key || a.ExpectedRevision != b.ExpectedRevision || a.Delete != b.Delete {
 		return false
--- a/internal/record/replica/queue_test.go
+++ b/internal/record/replica/queue_test.go
@@ -30,7 +30,7 @@
 	q.Complete(batch)
 	again := q.Add("e", observe("s/a", record.PhaseReady, 7))
 	assert.NotSame(t, first, again)
-	for _, want := range []*PendingWrite{draining, otherEpoch} { // in order, once the first of the key is completed
+	for _, want := range []*PendingWrite{draining, otherEpoch} { // in the order in which they were added, since the first write of their key has completed
 		batch = q.Next(1)
 		assert.Equal(t, []*PendingWrite{want}, batch)
 		q.Complete(batch)
@@ -38,7 +38,7 @@
 
 	last := q.Add("e", observe("s/z", record.PhaseReady, 1))
 	drained := q.Add("f", drain("s/z"))
-	for _, want := range [][]*PendingWrite{{drained}, {again, last}} { // a drain comes first and by itself
+	for _, want := range [][]*PendingWrite{{drained}, {again, last}} { // the drain comes first, in its own batch
 		batch = q.Next(9)
 		assert.Equal(t, want, batch)
 		q.Complete(batch)
--- a/internal/record/replica/replica_test.go
+++ b/internal/record/replica/replica_test.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// observe returns a change that records a server in a phase, as observed in a list with a revision.
+// observe returns a change that records a server in a phase, as listed in the endpoint list with the revision
+// listRevision.
 func observe(name, phase string, listRevision int) record.Change {
 	value := fmt.Sprintf(`{"addr":"10.0.0.1:80","phase":%q,"start_ms":5,"listed":%d}`, phase, listRevision)
 	return record.Change{
--- a/internal/record/store/controllers.go
+++ b/internal/record/store/controllers.go
@@ -21,8 +21,8 @@
 	maxControllers    = 8
 )
 
-// ParseControllers returns the addresses of the controller's replicas in a store's address, nearest first. It returns
-// false if the address does not begin with "controllers:".
+// ParseControllers parses a store's address that begins with "controllers:". It returns the addresses of the
+// controller's replicas, nearest first. It returns false if the address does not begin with "controllers:".
 func ParseControllers(address string) ([]string, bool, error) {
 	list, ok := strings.CutPrefix(address, controllersScheme)
 	if !ok {
@@ -44,18 +44,18 @@
 }
 
 const (
-	maxResponseSize = 64 << 20 // bytes, of a replica's response
+	maxResponseSize = 64 << 20 // limit of a replica's response, in bytes
 	dialTimeout     = 1500 * time.Millisecond
 	minBackoff      = 50 * time.Millisecond
 	maxBackoff      = 2 * time.Second
 )
 
-// controllersClient is a ReplicaClient. It watches one replica of the controller, receives the record's position from
-// it, and sends its calls to it.
+// controllersClient is a ReplicaClient. It watches one replica of the controller, which sends it the record's position,
+// and makes its calls to that replica.
 type controllersClient struct {
 	addresses       []string // nearest first
 	connect         func(ctx context.Context, address string) (net.Conn, error)
-	secure          func(address string) *tls.Config // nil: without TLS
+	secure          func(address string) *tls.Config // TLS configuration for an address; nil: no TLS
 	maxResponseSize int64
 
 	cancel   context.CancelFunc
@@ -64,14 +64,14 @@
 
 	mu             sync.Mutex
 	watched        watchedReplica
-	confirmedAt    time.Time     // when the store itself confirmed the position
-	callerPosition record.Meta   // set by the caller
-	watchError     error         // of the last watch, while no replica is watched
-	rolledBack     bool          // a replica reported a rollback
+	confirmedAt    time.Time     // when the store itself confirmed the replica's position
+	callerPosition record.Meta   // position of the caller's copy, set by SetPosition
+	watchError     error         // error that ended the last watch
+	rolledBack     bool          // a replica has reported a rollback
 	changed        chan struct{} // closed and replaced when the watched replica or its position changes
 }
 
-// watchedReplica is the replica that is watched at present.
+// watchedReplica is the replica that the client currently watches.
 type watchedReplica struct {
 	address  string // empty: none is watched
 	position record.Meta
@@ -79,8 +79,8 @@
 }
 
 // DialControllers returns a store that is accessed through the controller's replicas. It uses the first replica that is
-// reachable and not behind the caller. The argument secure, if not nil, returns the TLS configuration for a replica's
-// address.
+// reachable and whose copy is not older than the caller's. The argument secure, if not nil, returns the TLS
+// configuration for a replica's address.
 func DialControllers(addresses []string, secure func(address string) *tls.Config) Store {
 	dialer := net.Dialer{KeepAlive: -1}
 	connect := func(ctx context.Context, address string) (net.Conn, error) {
@@ -89,7 +89,7 @@
 	return DialControllersWith(connect, addresses, secure)
 }
 
-// DialControllersWith is DialControllers with connections made by the function connect.
+// DialControllersWith is DialControllers, but makes its connections with the function connect.
 func DialControllersWith(
 	connect func(ctx context.Context, address string) (net.Conn, error),
 	addresses []string, secure func(address string) *tls.Config,
@@ -109,7 +109,7 @@
 	return c
 }
 
-// run watches the replicas in turn until the context ends.
+// run watches one replica after another until the context ends.
 func (c *controllersClient) run(ctx context.Context) {
 	backoff := minBackoff
 	next := 0
@@ -125,7 +125,7 @@
 		if time.Since(begin) > heartbeatTimeout {
 			backoff = minBackoff
 		}
-		// Jitter: clients that lost one replica must not all connect to the next one at the same time.
+		// Jitter: the clients of a failed replica must not all connect to the next replica at the same time.
 		wait.Sleep(ctx, backoff/2+time.Duration(rand.Int63n(int64(backoff))))
 		next++
 		if next == len(c.addresses) {
@@ -171,7 +171,7 @@
 	return secured, nil
 }
 
-// awaitReplica waits until a replica is watched, and returns it and the caller's position.
+// awaitReplica waits until a replica is watched. It returns that replica and the position of the caller's copy.
 func (c *controllersClient) awaitReplica(ctx context.Context) (watchedReplica, record.Meta, error) {
 	for {
 		c.mu.Lock()
@@ -210,8 +210,9 @@
 	return answer, err
 }
 
-// advance raises the watched replica's position to the one in its answer to a call, which may be newer than that of the
-// last notification. It has no effect if the watch with that number has ended.
+// advance raises the watched replica's revision to the revision in an answer of that replica, which may be newer than
+// the last position that the watch has received. It has no effect if the client has since begun another watch, or if
+// the epochs differ.
 func (c *controllersClient) advance(watchNumber int, position record.Meta) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/record/store/controllers_test.go
+++ b/internal/record/store/controllers_test.go
@@ -23,14 +23,15 @@
 	eventPoll    = time.Millisecond
 )
 
-// verifyNoLeaks fails the test if one of its goroutines still runs after all cleanups that are registered later.
+// verifyNoLeaks fails the test if a goroutine that the test started still runs after all cleanups that are registered
+// after this call.
 func verifyNoLeaks(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, leaks) })
 }
 
-// startPeer starts a server that handles each call by a function of the connection and the request line. It returns the
-// server's address.
+// startPeer starts a server that calls answer with each connection and its request line. It returns the server's
+// address.
 func startPeer(t *testing.T, answer func(connection net.Conn, line string)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -88,11 +89,12 @@
 	}
 }
 
-// answeringPeer is a replica that sends the position of epoch e and revision 7, and answers other calls with a line.
+// answeringPeer is a replica at revision 7 of epoch e, which it sends to watchers. It answers all other calls with the
+// line answer.
 type answeringPeer struct {
 	mu      sync.Mutex
 	answer  string
-	endless bool // the answer has no end
+	endless bool // the answer never ends
 }
 
 func (p *answeringPeer) set(answer string, endless bool) {
@@ -107,7 +109,7 @@
 	json.Unmarshal([]byte(line), &call)
 	if call.Op == opFollow {
 		fmt.Fprintln(connection, `{"meta":{"epoch":"e","revision":7},"age_ms":0}`)
-		connection.Read(make([]byte, 1)) // until the client leaves
+		connection.Read(make([]byte, 1)) // until the client disconnects
 		return
 	}
 	p.mu.Lock()
@@ -158,10 +160,10 @@
 	})
 }
 
-// agingPeers are replicas that send their positions continuously. The epoch is the replica's name.
+// agingPeers are replicas that send their positions continuously. Each replica uses its name as the epoch.
 type agingPeers struct {
 	mu        sync.Mutex
-	ageMillis map[string]int // by name
+	ageMillis map[string]int // age of a replica's position, by the replica's name
 }
 
 func (p *agingPeers) setAges(first, second int) {
@@ -186,7 +188,7 @@
 }
 
 // A replica that has lost the store continues to send an old position. The client changes to another replica only if
-// that one's position is newer.
+// the other replica's position was confirmed more recently.
 func TestControllersClient_PrefersFresherReplica(t *testing.T) {
 	peers := &agingPeers{}
 	peers.setAges(0, 60_000)
--- a/internal/record/store/golden_test.go
+++ b/internal/record/store/golden_test.go
@@ -1,7 +1,7 @@
 package store
 
-// The golden files under testdata were written by the code of commit 0cdd5b2: the request lines that a node of that
-// version sends to its store's process and to the controller, and the lines with which these answer. Never regenerate
+// The golden files under testdata were written by the code of commit 0cdd5b2. They have the request lines that a node
+// of that version sends to its store's process and to the controller, and the lines of the answers. Never regenerate
 // the files after a rename: a test that fails here has found a change of the protocol.
 
 import (
@@ -100,7 +100,7 @@
 	t.Run("position zero", func(t *testing.T) { golden.JSON(t, "stand_zero.json", Position{}) })
 }
 
-// Each side identifies an error of the other side by its code, regardless of the text.
+// Each side identifies an error of the other side by the transmitted code, regardless of the text.
 func TestGolden_ErrorCodes(t *testing.T) {
 	codes := map[string]error{
 		"foreign":   ErrForeign,
@@ -133,7 +133,7 @@
 	lines bytes.Buffer
 }
 
-// timeLeftField is the field TimeLeft of a request, which varies for a call with a deadline.
+// timeLeftField matches the field TimeLeft of a request, whose value varies if the call has a deadline.
 var timeLeftField = regexp.MustCompile(`"left":\d+`)
 
 func (r *recorder) add(line string) {
@@ -169,7 +169,7 @@
 	t.Cleanup(func() { listener.Close(); server.Wait() })
 }
 
-// opOf returns the op of a request line. It decodes none of the types under test.
+// opOf returns the op of a request line. It does not use the types under test to decode the line.
 func opOf(line string) string {
 	var keys map[string]any
 	json.Unmarshal([]byte(line), &keys)
@@ -269,7 +269,7 @@
 	golden.Check(t, "controller_calls.jsonl", calls.bytes())
 }
 
-// fixedStore answers each call with the golden values, and records the calls.
+// fixedStore answers each call with the golden values and records the call.
 type fixedStore struct {
 	Store
 	rejection error
@@ -305,7 +305,7 @@
 	return nil
 }
 
-// fixedReplica sends two positions, with a heartbeat between them, and then the error of a rollback.
+// fixedReplica sends two positions with a heartbeat between them, and then returns the error of a rollback.
 type fixedReplica struct{ fixedStore }
 
 func (s *fixedReplica) CheckFresh(_ context.Context, node record.Meta) error {
@@ -343,7 +343,7 @@
 	return answer
 }
 
-// Checks the answers to the request lines that a node of the golden files' version sends.
+// Checks the answers to request lines of a node of version 0cdd5b2.
 func TestGolden_Served(t *testing.T) {
 	calls := map[string]string{
 		"meta":  "meta",
--- a/internal/record/store/pages.go
+++ b/internal/record/store/pages.go
@@ -7,8 +7,8 @@
 	"robincart/internal/record/record"
 )
 
-// Pages reads the entries after a revision, page by page to the end of the record. The argument since is the method
-// Since of a store. An error ends the sequence.
+// Pages reads the entries whose revision is higher than after, in pages of pageSize entries, to the end of the record.
+// The argument since is the method Since of a store. The sequence ends after an error.
 func Pages(
 	ctx context.Context, since func(ctx context.Context, after int64, limit int) (record.Page, error),
 	after int64, pageSize int,
@@ -24,9 +24,10 @@
 	}
 }
 
-// ReadRange reads a range of a store's entries as one page. It calls check with each page that arrives. An error of
-// check ends the read, so that a store that returns endless entries can't exhaust the memory. If the store changes its
-// epoch during the read, the error is record.ErrEpochMismatch and the caller has to start the read again.
+// ReadRange reads a range of entries from a store and returns them as one page. It calls check with each page that
+// arrives, and stops with an error of check. So check can limit what a store that returns endless entries makes the
+// caller hold in memory. If the store changes its epoch during the read, the error is record.ErrEpochMismatch and the
+// caller has to start the read again.
 func ReadRange(
 	ctx context.Context, s Store, next record.ReadRange, pageSize int, check func(record.Page) error,
 ) (record.Page, error) {
--- a/internal/record/store/protocol.go
+++ b/internal/record/store/protocol.go
@@ -12,9 +12,9 @@
 	"robincart/internal/record/record"
 )
 
-// The protocol of a store in another process uses one connection per call, and one line of JSON in each direction: a
-// request and a response. The answer to opFollow is a stream of lines: positions, empty lines as heartbeats, and a
-// response at the end.
+// The protocol of a store in another process uses one connection per call. The caller sends a request and the store a
+// response, each as one line of JSON. The answer to opFollow consists of several lines: positions as JSON, empty lines
+// as heartbeats, and a response as the last line.
 
 // Values of the field Op of a request.
 const (
@@ -35,12 +35,12 @@
 // request is a call, as it is transmitted.
 type request struct {
 	Op       string          `json:"op"`
-	After    int64           `json:"after,omitempty"` // of opSince
-	Limit    int             `json:"most,omitempty"`  // of opSince: entries; of opWait: milliseconds
+	After    int64           `json:"after,omitempty"` // for opSince: return entries with a higher revision
+	Limit    int             `json:"most,omitempty"`  // for opSince: number of entries; for opWait: ms
 	Epoch    string          `json:"epoch,omitempty"`
 	Changes  []record.Change `json:"changes,omitempty"`
-	TimeLeft time.Duration   `json:"left"`         // until the caller's deadline
-	Position *record.Meta    `json:"at,omitempty"` // of the caller, for a replica; a store's own process ignores it
+	TimeLeft time.Duration   `json:"left"`         // nanoseconds until the caller's deadline
+	Position *record.Meta    `json:"at,omitempty"` // the caller's; only replicas use it, the store's process ignores it
 }
 
 // response is the result of a call, as it is transmitted.
@@ -48,13 +48,13 @@
 	Meta     record.Meta           `json:"meta"`
 	Page     record.Page           `json:"page"`
 	Entries  []record.Entry        `json:"facts,omitempty"`
-	Error    string                `json:"fault,omitempty"` // text, for people
+	Error    string                `json:"fault,omitempty"` // text of the error, for people
 	Code     string                `json:"name,omitempty"`  // a key of errorCodes
 	Conflict *record.ConflictError `json:"conflict,omitempty"`
 	Stale    *record.StaleError    `json:"stale,omitempty"`
 }
 
-// errorCodes has the errors that a client can distinguish, by their transmitted codes.
+// errorCodes has, for each code that is transmitted, the error that a client can distinguish by it.
 var errorCodes = map[string]error{
 	"foreign":   ErrForeign,
 	"newer":     ErrSchemaNewer,
@@ -103,8 +103,8 @@
 	return errors.New(r.Error)
 }
 
-// remoteError is an error of the other process. It has that error's text and wraps the error of errorCodes with its
-// code.
+// remoteError is an error that the other process returned. It has the text that the process sent, and wraps the error
+// that errorCodes has for the code that the process sent.
 type remoteError struct {
 	text string
 	kind error
@@ -114,7 +114,7 @@
 func (e *remoteError) Unwrap() error { return e.kind }
 
 // roundTrip makes one call over a connection and closes the connection. It reads at most maxResponse bytes of the
-// answer. In errors, peer is the name of the other side.
+// answer. Errors of the connection name the other process as peer.
 func roundTrip(
 	ctx context.Context, connection net.Conn, call request, maxResponse int64, peer string,
 ) (response, error) {
@@ -136,7 +136,7 @@
 	if ctx.Err() != nil {
 		err = ctx.Err()
 	}
-	if call.Op == opWrite { // the store may have committed it
+	if call.Op == opWrite { // the store may have committed the changes
 		err = errors.Join(ErrOutcomeUnknown, err)
 	}
 	return response{}, fmt.Errorf("%s: %w", peer, err)
--- a/internal/record/store/remote.go
+++ b/internal/record/store/remote.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	remoteName = "the store's program" // the other side's name in errors
-	// waitMargin is the time by which the deadline of opWait exceeds the timeout of Wait.
+	remoteName = "the store's program" // names the store's process in errors
+	// waitMargin is added to the timeout of Wait, to get the deadline of the call to the store's process.
 	waitMargin = time.Second
 )
 
--- a/internal/record/store/serve.go
+++ b/internal/record/store/serve.go
@@ -16,22 +16,23 @@
 
 // ServerLimits limits the clients of a server and their calls.
 type ServerLimits struct {
-	MaxClients   int           // connections; 0: no limit
-	MaxCallBytes int64         // size of a request
-	CallTimeout  time.Duration // for a request to arrive
-	WriteTimeout time.Duration // for each line sent to a client that watches
-	AllowedCalls []string      // values of a request's Op; nil: all
+	MaxClients   int           // number of concurrent connections; 0: no limit
+	MaxCallBytes int64         // maximum size of a request
+	CallTimeout  time.Duration // time for a request to arrive
+	WriteTimeout time.Duration // time to send one line to a client that watches
+	AllowedCalls []string      // allowed values of a request's Op; nil: all
 }
 
 const (
-	localTimeout     = 10 * time.Second // of requests and writes between a node and its store's process
+	localTimeout     = 10 * time.Second // CallTimeout and WriteTimeout for the node's own process
 	acceptRetryDelay = 10 * time.Millisecond
 	maxCallTime      = time.Hour
-	responseTime     = 10 * time.Second // for sending the response, in addition to the call's time
-	maxSinceLimit    = 10_000           // entries in one response
+	responseTime     = 10 * time.Second // to send the response, after the call's own time limit
+	maxSinceLimit    = 10_000           // maximum number of entries in one response
 )
 
-// Serve answers calls to a store on a listener until the context ends. It trusts its client, a node's process.
+// Serve answers the calls to a store that arrive on a listener, until the context ends. It trusts its only client, a
+// node's process.
 func Serve(ctx context.Context, listener net.Listener, store Store) {
 	ServeWithLimits(ctx, listener, store, ServerLimits{
 		MaxCallBytes: maxMessageSize,
@@ -40,7 +41,7 @@
 	})
 }
 
-// ServeWithLimits is Serve for clients that may be too many, slow or malicious.
+// ServeWithLimits is Serve with limits, for clients that may be too many, slow or malicious.
 func ServeWithLimits(ctx context.Context, listener net.Listener, store Store, limits ServerLimits) {
 	s := &server{store: store, limits: limits}
 	s.replica, _ = store.(Replica)
@@ -78,7 +79,7 @@
 	limits  ServerLimits
 }
 
-// handle answers the one call of a connection.
+// handle answers a connection's only call.
 func (s *server) handle(ctx context.Context, connection net.Conn) {
 	connection.SetDeadline(time.Now().Add(s.limits.CallTimeout))
 	reader := bufio.NewReader(io.LimitReader(connection, s.limits.MaxCallBytes))
@@ -165,7 +166,7 @@
 	return answer, err
 }
 
-// watch sends the replica's positions to a client until the client disconnects or is too slow.
+// watch sends the positions of the replica's copy to a client until the client disconnects or is too slow.
 func (s *server) watch(ctx context.Context, connection net.Conn) error {
 	connection.SetReadDeadline(time.Time{})
 	err := s.replica.Watch(ctx, func(position *Position) error {
--- a/internal/record/store/serve_test.go
+++ b/internal/record/store/serve_test.go
@@ -19,7 +19,7 @@
 	"robincart/internal/record/record"
 )
 
-// memoryStore answers Meta and Since.
+// memoryStore is a store that answers only Meta and Since.
 type memoryStore struct{ Store }
 
 func (s *memoryStore) Meta(context.Context) (record.Meta, error) {
@@ -56,7 +56,8 @@
 	return line
 }
 
-// The server limits the number of clients, the size and duration of a request, and the calls that are allowed.
+// The server limits the number of clients, the size of a request, the time for a request to arrive, and the calls that
+// it answers.
 func TestServeWithLimits(t *testing.T) {
 	verifyNoLeaks(t)
 	address := startServer(t, "tcp", "127.0.0.1:0", func(ctx context.Context, listener net.Listener) {
@@ -79,7 +80,7 @@
 	}
 	t.Run("slow client", func(t *testing.T) {
 		begin := time.Now()
-		send(t, "tcp", address, `{"op":"si`) // and nothing more
+		send(t, "tcp", address, `{"op":"si`) // an incomplete request
 		assert.Less(t, time.Since(begin), 5*time.Second)
 	})
 	t.Run("too many clients", func(t *testing.T) {
@@ -88,7 +89,7 @@
 			require.NoError(t, err)
 			defer connection.Close()
 		}
-		require.Eventually(t, func() bool { // once both are accepted the third is closed at once
+		require.Eventually(t, func() bool { // after both are accepted, a third connection is closed at once
 			connection, err := net.Dial("tcp", address)
 			require.NoError(t, err)
 			defer connection.Close()
@@ -100,7 +101,7 @@
 	})
 }
 
-// A node's own store process does not serve opFollow and ignores a caller's position, as in earlier versions.
+// As in earlier versions, the store's process of a node does not serve opFollow and ignores the caller's position.
 func TestServe_LocalStore(t *testing.T) {
 	verifyNoLeaks(t)
 	path := startServer(t, "unix", filepath.Join(t.TempDir(), "s"), func(ctx context.Context, listener net.Listener) {
--- a/internal/record/store/sqlstore/admin.go
+++ b/internal/record/store/sqlstore/admin.go
@@ -9,7 +9,7 @@
 	"robincart/internal/record/store"
 )
 
-// verifyPageSize is how many entries Verify reads at once.
+// verifyPageSize is the number of entries that Verify reads in one call.
 const verifyPageSize = 1000
 
 // Init implements store.Database.
@@ -31,7 +31,7 @@
 		return nil, d.wrapError(err)
 	}
 	if dryRun {
-		return steps, nil // all steps were executed, and are rolled back
+		return steps, nil // all steps were executed; the deferred call rolls them back
 	}
 	return steps, d.commit(tx)
 }
@@ -46,8 +46,8 @@
 	return version, err
 }
 
-// migrate migrates the schema from a version to schemaVersion, or creates the record if the version is 0. It returns
-// the steps that it did.
+// migrate migrates the schema from a version to schemaVersion, or creates the record if the version is 0. It returns a
+// description of each step that it executed.
 func (d *database) migrate(ctx context.Context, tx *sql.Tx, version int64) ([]string, error) {
 	var steps []string
 	migrations := d.dialect.migrations()
@@ -74,7 +74,8 @@
 	return steps, err
 }
 
-// Replace implements store.Database. It omits deleted entries: no follower of the new epoch has them in its copy.
+// Replace implements store.Database. It omits deleted entries: no follower has these entries in a copy of the new
+// epoch.
 func (d *database) Replace(ctx context.Context, entries []record.Entry) (record.Meta, error) {
 	tx, err := d.beginWrite(ctx)
 	if err != nil {
@@ -123,8 +124,8 @@
 	return faults, nil
 }
 
-// verifyRevisions checks that no two entries have the same revision, and that no entry's revision is above the
-// record's. Its texts are part of a command's output, which calls entries facts.
+// verifyRevisions checks that no two entries have the same revision, and that no entry has a revision above the
+// record's revision. A command prints the returned descriptions, in which entries are called facts.
 func (d *database) verifyRevisions(ctx context.Context) ([]string, error) {
 	meta, err := d.Meta(ctx)
 	if err != nil {
--- a/internal/record/store/sqlstore/database.go
+++ b/internal/record/store/sqlstore/database.go
@@ -22,7 +22,8 @@
 	return &database{db: db, dialect: d, statements: newStatements(&d)}
 }
 
-// wrapError adds the error of package store that corresponds to a database error, if there is one.
+// wrapError wraps a database error together with the error of package store that corresponds to it. If there is no such
+// error, it returns the database error unchanged.
 func (d *database) wrapError(err error) error {
 	if err == nil || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		return err
@@ -86,14 +87,14 @@
 	return d.readCurrentMeta(ctx, d.db)
 }
 
-// entryRow receives an entry's columns from a query.
+// entryRow receives the columns of an entry that a query returns.
 type entryRow struct {
 	entry   record.Entry
 	deleted int64
 	value   string
 }
 
-// targets returns the scan targets of an entry's columns, in the order of the statements.
+// targets returns the scan targets for an entry's columns, in the order in which the statements select the columns.
 func (r *entryRow) targets() []any {
 	entry := &r.entry
 	return []any{&entry.Revision, &r.deleted, &entry.Writer, &entry.IdempotencyKey, &entry.WrittenAt, &r.value}
@@ -123,7 +124,7 @@
 		return record.Page{}, d.wrapError(err)
 	}
 	page := record.Page{Meta: meta, Complete: after == 0 && len(entries) < limit, Entries: entries}
-	if len(entries) == limit { // more may follow: the page's position is that of its last entry
+	if len(entries) == limit { // more entries may follow: the page's position is its last entry's
 		page.Meta.Revision = entries[limit-1].Revision
 	}
 	return page, nil
@@ -231,7 +232,7 @@
 	return entry, d.putEntry(ctx, tx, entry)
 }
 
-// readEntry returns an entry, nil if there is none.
+// readEntry returns the entry with a key, or nil if there is none.
 func (d *database) readEntry(ctx context.Context, tx *sql.Tx, key record.Key) (*record.Entry, error) {
 	row := entryRow{entry: record.Entry{Key: key}}
 	result := tx.QueryRowContext(ctx, d.statements.selectEntry, string(key.Kind), key.Name)
@@ -256,8 +257,9 @@
 	return d.wrapError(err)
 }
 
-// advanceRevision sets the record's revision by compare-and-set, in addition to the lock: if a proxy or a failover
-// loses the lock, two writers must not assign the same revision to two changes.
+// advanceRevision sets the record's revision by compare-and-set, and notifies listeners if the database can. The lock
+// of the transaction alone does not suffice: if a proxy or a failover loses the lock, two writers must not assign the
+// same revision to two changes.
 func (d *database) advanceRevision(ctx context.Context, tx *sql.Tx, from record.Meta, revision int64) error {
 	result, err := tx.ExecContext(ctx, d.statements.advanceRevision, revision, from.Epoch, from.Revision)
 	if err != nil {
@@ -275,7 +277,8 @@
 	return d.wrapError(err)
 }
 
-// commit commits a transaction. If it fails without an answer from the database, the error is store.ErrOutcomeUnknown.
+// commit commits a transaction. If the commit fails without an answer from the database, the error is
+// store.ErrOutcomeUnknown.
 func (d *database) commit(tx *sql.Tx) error {
 	err := tx.Commit()
 	if err == nil {
--- a/internal/record/store/sqlstore/golden_test.go
+++ b/internal/record/store/sqlstore/golden_test.go
@@ -1,9 +1,9 @@
 package sqlstore
 
-// The golden files under testdata were written by the code of commit 0cdd5b2: a database (record.db, with its epoch set
-// to a fixed one), its schema and its rows. Stores of that version have these tables, and nodes of that version use
-// these lock numbers and channel names. Never regenerate the files after a rename: a test that fails here has found a
-// change by which an existing store would be read incorrectly, or not at all.
+// The golden files under testdata were written by the code of commit 0cdd5b2: a database (record.db, whose epoch was
+// set to a fixed value), its schema and its rows. Stores of that version have these tables, and nodes of that version
+// use the same lock number and notification channel. Never regenerate the files after a rename: a test that fails here
+// has found a change by which an existing store would be read incorrectly, or not at all.
 
 import (
 	"database/sql"
@@ -25,7 +25,7 @@
 const goldenEpoch = "0123456789abcdef01234567"
 
 // goldenChanges returns the changes that were written to record.db, in this order: an entry of each kind, and the
-// deletion of one of them.
+// deletion of one entry.
 func goldenChanges() []record.Change {
 	return []record.Change{
 		{Key: record.Key{Kind: record.KindService, Name: "shop"}, ExpectedRevision: 0, Writer: "bob", IdempotencyKey: "mark-1", WrittenAt: 11,
@@ -156,7 +156,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, record.Meta{Epoch: goldenEpoch, Revision: 8}, meta)
 	want := []record.Entry{
-		goldenEntries()[0], // its idempotency key is stored already
+		goldenEntries()[0], // unchanged: its idempotency key is already stored
 		{Key: updated.Key, Revision: 7, Writer: "frank", IdempotencyKey: "mark-7", WrittenAt: 17, Value: updated.Value},
 		{Key: added.Key, Revision: 8, Writer: "grace", IdempotencyKey: "mark-8", WrittenAt: 18, Value: added.Value},
 	}
--- a/internal/record/store/sqlstore/linearizability_test.go
+++ b/internal/record/store/sqlstore/linearizability_test.go
@@ -47,7 +47,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// call executes the call on a database. After an error the outcome is unknown.
+// call executes the call on a database. If it returns an error, the outcome of the call is unknown.
 func (c registerCall) call(ctx context.Context, database store.Database, epoch string) (registerState, error) {
 	if !c.isWrite {
 		page, err := database.Since(ctx, 0, 9)
@@ -72,7 +72,7 @@
 	return registerState{revision: entry.Revision, idempotencyKey: entry.IdempotencyKey}
 }
 
-// history collects the calls of several writers.
+// history collects the calls of several writers, with their results and times.
 type history struct {
 	start time.Time
 
@@ -80,7 +80,7 @@
 	operations []porcupine.Operation
 }
 
-// run makes the calls of one writer, and repeats each until its outcome is known.
+// run makes the calls of one writer, and retries each call until its outcome is known.
 func (h *history) run(ctx context.Context, writer int, database store.Database, epoch string, cut func(*rand.Rand)) {
 	random := rand.New(rand.NewSource(int64(writer)))
 	lastRevision := int64(0)
@@ -121,8 +121,8 @@
 	return count
 }
 
-// Several writers change one route concurrently, and some of their connections are cut. The history is linearizable,
-// and each acknowledged write has a revision.
+// Several writers change one route concurrently, and some of their connections are cut. The history of calls must be
+// linearizable, and each acknowledged write must have its own revision.
 func TestDatabase_ConcurrentWritersAreLinearizable(t *testing.T) {
 	forEachDatabase(t, func(t *testing.T, open func() store.Database, postgres *pgstand.Server) {
 		epoch := initRecord(t, open()).Epoch
--- a/internal/record/store/sqlstore/postgres.go
+++ b/internal/record/store/sqlstore/postgres.go
@@ -18,9 +18,9 @@
 
 const (
 	notifyChannel             = "robincart_record"
-	postgresConnectTimeout    = 3 * time.Second // unless the address has one
+	postgresConnectTimeout    = 3 * time.Second // unless the address sets a timeout
 	postgresCloseTimeout      = time.Second
-	postgresMaxConnections    = 2 // in addition to the one that listens
+	postgresMaxConnections    = 2 // in addition to the connection that listens for notifications
 	postgresMaxConnectionIdle = time.Minute
 )
 
@@ -39,7 +39,7 @@
 	config, err := pgx.ParseConfig(address)
 	if err != nil {
 		var parseError *pgconn.ParseConfigError
-		if errors.As(err, &parseError) { // its text contains the password
+		if errors.As(err, &parseError) { // the error's text contains the password
 			return nil, fmt.Errorf("postgres: the address %q is invalid", store.Redact(address))
 		}
 		return nil, fmt.Errorf("postgres: %w", err)
@@ -63,8 +63,8 @@
 		integerType: "BIGINT",
 		countTables: "SELECT COUNT(*) FROM information_schema.tables" +
 			" WHERE table_schema = current_schema() AND table_name = $1",
-		// One lock for all records of a database. If it is lost, the compare-and-set of the revision still excludes
-		// other writers.
+		// The lock is the same for all records of a database. If a writer loses the lock, the compare-and-set of the
+		// revision still excludes other writers.
 		lock:          "SELECT pg_advisory_xact_lock(7275051002)",
 		notify:        "SELECT pg_notify('" + notifyChannel + "', $1)",
 		isolation:     sql.LevelRepeatableRead,
@@ -72,7 +72,7 @@
 	}
 }
 
-// SQLSTATE codes, and the prefixes of their classes.
+// SQLSTATE codes, and the prefixes that the codes of a class have in common.
 const (
 	classConnectionException  = "08"
 	classInvalidAuthorization = "28"
@@ -88,11 +88,11 @@
 	codeLockNotAvailable      = "55P03"
 )
 
-// errRejected stands for all other errors that the database answered with.
+// errRejected classifies an error from the database for which package store has no error of its own.
 var errRejected = errors.New("the database rejected the operation")
 
-// classifyPostgresError returns the error of package store for an error, or errRejected. It returns nil if the error is
-// not an answer of the database.
+// classifyPostgresError returns the error of package store for an error from PostgreSQL, or errRejected if package
+// store has none. It returns nil if err did not come from the database.
 func classifyPostgresError(err error) error {
 	var answer *pgconn.PgError
 	if !errors.As(err, &answer) {
@@ -120,8 +120,8 @@
 	return errRejected
 }
 
-// Wait implements store.Store. It returns on a notification or after the timeout. Notifications are lost when the
-// connection ends, so a caller has to poll as well.
+// Wait implements store.Store. It returns when a notification arrives or the timeout has passed. Notifications are lost
+// when the connection ends, so a caller has to poll as well.
 func (p *postgresDatabase) Wait(ctx context.Context, timeout time.Duration) error {
 	listener := p.takeListener()
 	if listener == nil {
@@ -130,7 +130,7 @@
 			return p.wrapError(err)
 		}
 		p.putListener(listener)
-		return nil // writes before LISTEN were not notified
+		return nil // there were no notifications of writes before LISTEN
 	}
 	waiting, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/record/store/sqlstore/schema.go
+++ b/internal/record/store/sqlstore/schema.go
@@ -21,10 +21,10 @@
 	parameter     func(n int) string // the n-th parameter of a statement, from 1
 	integerType   string
 	countTables   string // query for the number of tables with a given name
-	lock          string // statement that excludes other writers until the transaction ends; empty: BEGIN does
+	lock          string // statement that excludes other writers until the transaction ends; empty: BEGIN does that
 	notify        string // statement that notifies listeners of a written revision; empty: no notification
 	isolation     sql.IsolationLevel
-	classifyError func(error) error // returns the error of package store for a database error; nil: there is none
+	classifyError func(error) error // returns the error of package store for a database error, or nil
 }
 
 // statements has the SQL statements that both databases use, except those of Init.
@@ -70,8 +70,8 @@
 	return strings.Join(list, ", ")
 }
 
-// migrations returns, for each version from 0, the statements that migrate the schema to the next version. Those of a
-// released version never change.
+// migrations returns, for each version from 0, the statements that migrate the schema from that version to the next.
+// The statements for released versions never change.
 func (d *dialect) migrations() [][]string {
 	integer := d.integerType
 	return [][]string{
--- a/internal/record/store/sqlstore/sqlite.go
+++ b/internal/record/store/sqlstore/sqlite.go
@@ -17,14 +17,14 @@
 const (
 	sqliteMaxConnections = 2
 	sqlitePollInterval   = 50 * time.Millisecond
-	sqlitePrimaryCode    = 0xff // mask of an error code without its extended part
+	sqlitePrimaryCode    = 0xff // mask that removes the extended part of an error code
 )
 
 // sqliteDatabase is a record in an SQLite file.
 type sqliteDatabase struct{ *database }
 
-// openSQLite opens a file. SQLite's own lock, acquired when a transaction begins, excludes other writers. A commit
-// returns after its data is on the disk.
+// openSQLite opens a file. SQLite's own lock, which a transaction acquires when it begins, excludes other writers. A
+// commit returns after its data is on the disk.
 func openSQLite(path string, create bool) (store.Database, error) {
 	if path == "" {
 		return nil, errors.New("sqlite: the address has no path, expected sqlite:PATH")
@@ -51,8 +51,9 @@
 	})}, nil
 }
 
-// classifySQLiteError returns the error of package store for an error of SQLite, or nil. A file that can't be opened
-// does not exist, unless Open would have created it: then access is denied.
+// classifySQLiteError returns the error of package store for an error of SQLite, or nil if there is none. If SQLite
+// can't open the file, the error is store.ErrNoRecord. If create is set, it is store.ErrAccessDenied, since SQLite
+// would have created a missing file.
 func classifySQLiteError(err error, create bool) error {
 	var sqliteError *sqlite.Error
 	if !errors.As(err, &sqliteError) {
--- a/internal/record/store/sqlstore/sqlstore_test.go
+++ b/internal/record/store/sqlstore/sqlstore_test.go
@@ -19,7 +19,7 @@
 	"robincart/internal/record/store"
 )
 
-// forEachDatabase runs a test on both databases. Postgres is nil for SQLite.
+// forEachDatabase runs a test on both databases. With SQLite, the argument postgres of the test is nil.
 func forEachDatabase(
 	t *testing.T, test func(t *testing.T, open func() store.Database, postgres *pgstand.Server),
 ) {
@@ -49,7 +49,7 @@
 	return database
 }
 
-// initRecord creates a record, and returns its position.
+// initRecord creates a record and returns the record's position.
 func initRecord(t *testing.T, database store.Database) record.Meta {
 	t.Helper()
 	_, err := database.Init(t.Context(), false)
@@ -67,7 +67,7 @@
 	return database.(*postgresDatabase).db
 }
 
-// exec executes a statement directly on the database, not through the store.
+// exec executes a statement directly on the database, without the store.
 func exec(t *testing.T, database store.Database, statement string) {
 	t.Helper()
 	_, err := sqlDB(database).Exec(statement)
@@ -291,8 +291,8 @@
 	}
 }
 
-// A write with an unknown outcome is repeated with the same idempotency key. It is applied once, whether or not the
-// first commit was done.
+// A write whose outcome is unknown is retried with the same idempotency key. It is applied once, whether or not the
+// first attempt was committed.
 func TestPostgres_CommitOfUnknownOutcome(t *testing.T) {
 	postgres := startPostgres(t)
 	database := openDatabase(t, postgres.Address())
@@ -307,7 +307,7 @@
 		assert.EqualValues(t, i+1, entries[0].Revision)
 		assert.EqualValues(t, i+1, meta.Revision)
 	}
-	for n := 1; n < 7; n++ { // a connection that ends within a transaction has written nothing
+	for n := 1; n < 7; n++ { // a transaction whose connection ends before the commit writes nothing
 		postgres.CutIn(n)
 		changes := []record.Change{routeChange(fmt.Sprint("c", n), 0, fmt.Sprint("c", n), "1")}
 		for attempt := 0; ; attempt++ {
--- a/internal/record/store/watch.go
+++ b/internal/record/store/watch.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	maxLineSize      = 4 << 10                 // bytes, of a line in an answer to opFollow
+	maxLineSize      = 4 << 10                 // limit of a line in the answer to opFollow, in bytes
 	heartbeatTimeout = 5 * time.Second         // a working replica sends a line every two seconds
-	maxPositionAge   = 4 * time.Second         // above it, another replica is probed for a newer position
-	probeTimeout     = 1500 * time.Millisecond // for the first line of a probed replica
-	maxAgeMillis     = 1 << 40                 // milliseconds; larger reported ages are reduced to it
+	maxPositionAge   = 4 * time.Second         // age above which another replica is probed
+	probeTimeout     = 1500 * time.Millisecond // limit for a probed replica's first line to arrive
+	maxAgeMillis     = 1 << 40                 // milliseconds; a larger reported age is reduced to it
 )
 
 // unreachableAge is the age that probe returns for a replica that does not answer.
 const unreachableAge time.Duration = math.MaxInt64
 
-// fresherReplicaError ends a watch because another replica has a newer position of the store.
+// fresherReplicaError ends a watch because the store has confirmed another replica's position more recently.
 type fresherReplicaError struct{ address string }
 
 func (e *fresherReplicaError) Error() string {
 	return "the controller at " + e.address + " has a newer position of the record"
 }
 
-// replicaWatch is a connection over which a replica sends its position whenever it changes.
+// replicaWatch is a connection over which a replica sends its position whenever the position changes.
 type replicaWatch struct {
 	client         *controllersClient
 	address        string
 	connection     net.Conn
 	reader         *bufio.Reader
 	callerPosition record.Meta
-	isNotified     bool // a position has arrived
-	lastProbed     int  // index of the other replica that was probed last
+	isNotified     bool // a position has arrived on this connection
+	lastProbed     int  // index of the address that was probed last
 }
 
-// watch watches a replica until the connection ends or another replica is fresher.
+// watch watches a replica until the connection ends, or until the store has confirmed another replica's position more
+// recently.
 func (c *controllersClient) watch(ctx context.Context, address string) error {
 	err := c.watchReplica(ctx, address)
 	return fmt.Errorf("the controller at %s: %w", address, err)
@@ -90,9 +91,9 @@
 	return json.NewEncoder(connection).Encode(call)
 }
 
-// checkAge probes one other replica if the watched one's position is older than maxPositionAge: the watched replica may
-// have lost the store while the other one has not. It returns a *fresherReplicaError if the age of the other replica's
-// position is less than half of the watched one's.
+// checkAge probes another replica if the watched replica's position is older than maxPositionAge, since the other
+// replica may still reach the store. If the age of the other replica's position is less than half the age of the
+// watched replica's position, checkAge returns a *fresherReplicaError.
 func (w *replicaWatch) checkAge(ctx context.Context, position *Position) error {
 	addresses := w.client.addresses
 	if position == nil || position.age() <= maxPositionAge || len(addresses) == 1 {
@@ -106,7 +107,8 @@
 	return nil
 }
 
-// updateClient updates the client with a position that has arrived, or with nil for a heartbeat.
+// updateClient updates the client after a line has arrived: position is the position in the line, or nil if the line is
+// a heartbeat.
 func (w *replicaWatch) updateClient(position *Position) {
 	c := w.client
 	c.mu.Lock()
@@ -132,7 +134,7 @@
 	c.notifyChange()
 }
 
-// probe returns the age of another replica's position, or unreachableAge.
+// probe returns the age of another replica's position. It returns unreachableAge if that replica does not answer.
 func (c *controllersClient) probe(ctx context.Context, address string, callerPosition record.Meta) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -152,7 +154,7 @@
 	return position.age()
 }
 
-// age returns the position's age as a duration, bounded so that it does not overflow.
+// age returns the position's age as a duration, limited to maxAgeMillis so that the conversion does not overflow.
 func (p *Position) age() time.Duration {
 	return time.Duration(min(p.Age, maxAgeMillis)) * time.Millisecond
 }
