--- a/internal/record/record/change.go
+++ b/internal/record/record/change.go
@@ -15,7 +15,9 @@
 // Change is a request to write or delete one entry.
 type Change struct {
 	Key
-	ExpectedRevision int64           `json:"Expect"` // 0: no entry, or a deleted one; may be AnyRevision
+	// ExpectedRevision is the revision that the entry must have. 0: there must be no entry, or a deleted one.
+	// AnyRevision: the entry may have any revision, or not exist.
+	ExpectedRevision int64           `json:"Expect"`
 	Delete           bool            `json:"Delete"`
 	Writer           string          `json:"By"`
 	IdempotencyKey   string          `json:"Mark"` // unique to a change; retries of the change have the same key
@@ -263,9 +265,9 @@
 	return OutcomeWrite, nil
 }
 
-// evaluateObservation decides whether an observation replaces the stored observation of the same server. It does if it
-// is of a later process, of a later phase of the same process, or of the same phase of the same process with other
-// data.
+// evaluateObservation decides whether an observation replaces the stored observation of the same server. An observation
+// replaces the stored one if it is of a later process, of a later phase of the same process, or of the same phase of
+// the same process with other data.
 func evaluateObservation(current *Entry, change *Change) (Outcome, error) {
 	stored, ok := current.observation()
 	if !ok {
--- a/internal/record/record/record.go
+++ b/internal/record/record/record.go
@@ -59,10 +59,12 @@
 // Writers' clocks may differ, so the order of writes follows from Revision only.
 type Entry struct {
 	Key
-	Revision       int64           `json:"revision"`          // assigned by the store; unique to each write
-	Deleted        bool            `json:"deleted,omitempty"` // a tombstone, which tells followers of the deletion
-	Writer         string          `json:"by"`
-	IdempotencyKey string          `json:"mark"` // the last written change's; identifies its retries
+	Revision int64  `json:"revision"`          // assigned by the store; unique to each write
+	Deleted  bool   `json:"deleted,omitempty"` // a tombstone, which tells followers of the deletion
+	Writer   string `json:"by"`
+	// IdempotencyKey is the key of the change that was written last. It shows a writer that got no answer whether its
+	// change was written.
+	IdempotencyKey string          `json:"mark"`
 	WrittenAt      int64           `json:"at_ms"`
 	Value          json.RawMessage `json:"value,omitempty"`
 }
--- a/internal/record/record/values.go
+++ b/internal/record/record/values.go
@@ -23,7 +23,7 @@
 	Addr         string  `json:"addr"`
 	Phase        string  `json:"phase"`    // one of the Phase constants
 	Start        int64   `json:"start_ms"` // time when the process started, in milliseconds since 1970; 0: unknown
-	ListRevision int64   `json:"listed"`   // revision of discovery's endpoint list that had the server
+	ListRevision int64   `json:"listed"`   // revision of the endpoint list from which the server was read
 	Zone         int     `json:"zone,omitempty"`
 	Cell         int     `json:"cell,omitempty"`
 	Weight       float64 `json:"weight,omitempty"`
@@ -103,9 +103,9 @@
 	return d.lastStart() == other.lastStart() && d.Until == other.Until && d.Ended == other.Ended
 }
 
-// reopens reports whether the drain d was set after the drain ended had been ended by an operator. That is the case if
-// the writer of d had read the entry of the ended drain, which has the given revision, or if d applies to a later
-// process than the ended drain. Times can't decide this, since the clock of the node that sets d may be slow.
+// reopens reports whether the drain d was set after an operator had ended the stored drain, whose entry has the given
+// revision. That is the case if the writer of d had read the ended entry, or if d applies to a later process than the
+// ended drain. Times can't decide this, since the clock of the node that sets d may be slow.
 func (d Drain) reopens(ended Drain, revision int64) bool {
 	return d.Supersedes >= revision || d.Start != 0 && d.lastStart() > ended.lastStart()
 }
--- a/internal/record/record/view.go
+++ b/internal/record/record/view.go
@@ -26,17 +26,19 @@
 // notified. Methods such as ApplyPage, ApplyDiscovery and AddDrain take the inputs; Servers, Entries and Pending return
 // the results. Times are in milliseconds since 1970. A View is not safe for concurrent use.
 type View struct {
-	// MaxStaleness is the time, in milliseconds since the last contact with the store, for which servers known only
-	// from the copy get new requests. 0: no limit.
+	// MaxStaleness is a limit in milliseconds; 0: no limit. If the last contact with the store is longer ago, servers
+	// that are known only from the copy get no new requests.
 	MaxStaleness int64
 	// MaxPending limits the number of pending changes. Drains are queued even if the limit is reached.
 	MaxPending int
 
-	Meta        Meta // position of the copy
+	Meta        Meta // epoch and revision of the copy
 	SyncState   SyncState
 	LastContact int64 // time of the last contact with the store
-	LatestTime  int64 // latest time passed to the view; used in place of an earlier one, since clocks may be set back
-	Dropped     int   // number of observations that were not queued because the queue was full
+	// LatestTime is the latest time that was passed to the view. An earlier time is replaced by LatestTime, since the
+	// machine's clock may be set back.
+	LatestTime int64
+	Dropped    int // number of observations that were not queued because the queue was full
 
 	writer            string
 	newIdempotencyKey func() string
@@ -79,7 +81,7 @@
 	LastContact int64            `json:"at_ms"`
 	LatestTime  int64            `json:"clock_ms"`
 	Entries     []Entry          `json:"facts"`
-	Drains      map[string]Drain `json:"drains"` // drains that the store may lack, by SERVICE/SERVER
+	Drains      map[string]Drain `json:"drains"` // drains known to this node that the store may lack, by SERVICE/SERVER
 }
 
 // Snapshot returns a copy of the part of the view that the node saves.
--- a/internal/record/record/view_servers.go
+++ b/internal/record/record/view_servers.go
@@ -103,9 +103,9 @@
 }
 
 // Servers returns the servers of a service, sorted by ID, each in the phase in which the node has to use it. The
-// servers are those that discovery has listed. Until a complete list has arrived, the servers in the copy of the record
-// are added. A ready server to which a drain applies is returned as draining, whether it comes from discovery or from
-// the copy.
+// servers come from discovery's endpoint lists. Until a complete list has arrived, servers that are only in the copy of
+// the record are included. A ready server to which a drain applies is returned as draining, whether the server comes
+// from discovery or from the copy.
 func (v *View) Servers(service string, now int64) []ListedServer {
 	now = v.advanceClock(now)
 	servers := map[string]ListedServer{}
--- a/internal/record/record/view_sync.go
+++ b/internal/record/record/view_sync.go
@@ -62,7 +62,7 @@
 	return Following
 }
 
-// recordedDrains returns the drains in the copy, by name.
+// recordedDrains returns the entries of drains in the copy, by SERVICE/SERVER.
 func (v *View) recordedDrains() map[string]Entry {
 	drains := map[string]Entry{}
 	for key, entry := range v.entries {
@@ -150,9 +150,9 @@
 	}
 }
 
-// MarkSynced lets the view follow a store that was rolled back or changed its epoch, from the store's position on. The
-// caller has written the changes that the store lacked. MarkSynced has no effect if changes are still pending and the
-// store's revision is lower than the view's.
+// MarkSynced ends the state RolledBack or EpochChanged, after the node has written the changes that the store lacked.
+// The view then follows the store from the position store. MarkSynced has no effect if changes are still pending and
+// the store's revision is lower than the view's.
 func (v *View) MarkSynced(store Meta) {
 	if len(v.pending) > 0 && store.Revision < v.Meta.Revision {
 		return
--- a/internal/record/record/view_test.go
+++ b/internal/record/record/view_test.go
@@ -356,7 +356,8 @@
 		assert.Equal(t, PhaseDraining, phaseOf(view, "a", 300))
 	}
 
-	// A drain with another effect is written: for another process, with another expiry, ended, or set after the end.
+	// Each drain with another effect than the stored drain is written: a drain of another process, one with another
+	// expiry, one that ends the drain, and a new drain after the end.
 	write := func(expectedRevision int64, drain Drain) {
 		before := store.meta.Revision
 		value, err := json.Marshal(drain)
--- a/internal/record/replica/copy_test.go
+++ b/internal/record/replica/copy_test.go
@@ -170,8 +170,8 @@
 	revisions map[record.Key]int64
 }
 
-// read reads from a copy. If the copy is older than what the node has read, the copy is updated first, or the node
-// reads nothing if the store is unreachable.
+// read reads from a copy. If the copy is older than what the node has read, the copy is updated first. If the store is
+// unreachable in that case, the node reads nothing.
 func (n *followingNode) read(t *rapid.T, c *Copy, storeReachable bool, update func(*Copy)) {
 	if !c.IsCurrentFor(n.position) {
 		if !storeReachable {
@@ -221,7 +221,8 @@
 		copies := []*Copy{{}, {}, {}}
 		nodes := []*followingNode{{revisions: map[record.Key]int64{}}, {revisions: map[record.Key]int64{}}}
 		epochs := 0
-		order := map[string]int{"": -1, "e0": 0} // number of each epoch; a node must never read an epoch with a lower number than before
+		// order has the number of each epoch. A node must never read an epoch with a lower number than before.
+		order := map[string]int{"": -1, "e0": 0}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2: // a write
--- a/internal/record/replica/queue_test.go
+++ b/internal/record/replica/queue_test.go
@@ -30,7 +30,8 @@
 	q.Complete(batch)
 	again := q.Add("e", observe("s/a", record.PhaseReady, 7))
 	assert.NotSame(t, first, again)
-	for _, want := range []*PendingWrite{draining, otherEpoch} { // in the order in which they were added, since the first write of their key has completed
+	// After the first write of the key has completed, the other two are dequeued in the order in which they were added.
+	for _, want := range []*PendingWrite{draining, otherEpoch} {
 		batch = q.Next(1)
 		assert.Equal(t, []*PendingWrite{want}, batch)
 		q.Complete(batch)
--- a/internal/record/store/controllers.go
+++ b/internal/record/store/controllers.go
@@ -210,9 +210,9 @@
 	return answer, err
 }
 
-// advance raises the watched replica's revision to the revision in an answer of that replica, which may be newer than
-// the last position that the watch has received. It has no effect if the client has since begun another watch, or if
-// the epochs differ.
+// advance raises the watched replica's revision to the revision in an answer of that replica. The answer may be newer
+// than the last position that the watch has received. advance has no effect if the client has since begun another
+// watch, or if the epochs differ.
 func (c *controllersClient) advance(watchNumber int, position record.Meta) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/record/store/golden_test.go
+++ b/internal/record/store/golden_test.go
@@ -343,7 +343,7 @@
 	return answer
 }
 
-// Checks the answers to request lines of a node of version 0cdd5b2.
+// Checks the answers to request lines that a node built from commit 0cdd5b2 sends.
 func TestGolden_Served(t *testing.T) {
 	calls := map[string]string{
 		"meta":  "meta",
--- a/internal/record/store/protocol.go
+++ b/internal/record/store/protocol.go
@@ -36,7 +36,7 @@
 type request struct {
 	Op       string          `json:"op"`
 	After    int64           `json:"after,omitempty"` // for opSince: return entries with a higher revision
-	Limit    int             `json:"most,omitempty"`  // for opSince: number of entries; for opWait: ms
+	Limit    int             `json:"most,omitempty"`  // for opSince: number of entries; for opWait: timeout in ms
 	Epoch    string          `json:"epoch,omitempty"`
 	Changes  []record.Change `json:"changes,omitempty"`
 	TimeLeft time.Duration   `json:"left"`         // nanoseconds until the caller's deadline
--- a/internal/record/store/remote.go
+++ b/internal/record/store/remote.go
@@ -11,7 +11,7 @@
 
 const (
 	remoteName = "the store's program" // names the store's process in errors
-	// waitMargin is added to the timeout of Wait, to get the deadline of the call to the store's process.
+	// waitMargin is the time between the end of the timeout of Wait and the deadline of the call opWait.
 	waitMargin = time.Second
 )
 
--- a/internal/record/store/serve.go
+++ b/internal/record/store/serve.go
@@ -24,7 +24,7 @@
 }
 
 const (
-	localTimeout     = 10 * time.Second // CallTimeout and WriteTimeout for the node's own process
+	localTimeout     = 10 * time.Second // CallTimeout and WriteTimeout between a node and its store's process
 	acceptRetryDelay = 10 * time.Millisecond
 	maxCallTime      = time.Hour
 	responseTime     = 10 * time.Second // to send the response, after the call's own time limit
--- a/internal/record/store/serve_test.go
+++ b/internal/record/store/serve_test.go
@@ -101,7 +101,7 @@
 	})
 }
 
-// As in earlier versions, the store's process of a node does not serve opFollow and ignores the caller's position.
+// As in earlier versions, a node's own store process does not serve opFollow, and it ignores the caller's position.
 func TestServe_LocalStore(t *testing.T) {
 	verifyNoLeaks(t)
 	path := startServer(t, "unix", filepath.Join(t.TempDir(), "s"), func(ctx context.Context, listener net.Listener) {
--- a/internal/record/store/sqlstore/linearizability_test.go
+++ b/internal/record/store/sqlstore/linearizability_test.go
@@ -121,8 +121,8 @@
 	return count
 }
 
-// Several writers change one route concurrently, and some of their connections are cut. The history of calls must be
-// linearizable, and each acknowledged write must have its own revision.
+// Several writers change one route concurrently, and some of their connections are cut. The history of the calls is
+// linearizable, and the record has exactly one revision for each acknowledged write.
 func TestDatabase_ConcurrentWritersAreLinearizable(t *testing.T) {
 	forEachDatabase(t, func(t *testing.T, open func() store.Database, postgres *pgstand.Server) {
 		epoch := initRecord(t, open()).Epoch
--- a/internal/record/store/store.go
+++ b/internal/record/store/store.go
@@ -36,7 +36,7 @@
 // Store is the interface by which nodes and controllers read and write a record. Every call returns when its context
 // ends.
 type Store interface {
-	// Meta returns the record's position.
+	// Meta returns the record's position, which is its epoch and revision.
 	Meta(ctx context.Context) (record.Meta, error)
 	// Since returns the entries whose revision is higher than after, at most limit of them, sorted by revision. The
 	// field Complete of the page is set if the page has all entries of the record.
@@ -85,8 +85,9 @@
 // ReplicaClient is a store that is accessed through replicas.
 type ReplicaClient interface {
 	Store
-	// SetPosition sets the position of the caller's copy of the record. A replica whose copy is older, or in another
-	// epoch, reads the store before it answers the caller's reads. If it can't, it returns record.ErrReplicaBehind.
+	// SetPosition sets the epoch and revision up to which the caller has read or written the record. A replica whose
+	// copy has another epoch or a lower revision reads the store before it answers the caller's reads. If the replica
+	// can't read the store, it returns record.ErrReplicaBehind.
 	SetPosition(record.Meta)
 	// TakeRollback reports whether a replica has reported a rollback of the record since TakeRollback was last called.
 	// If so, the caller has to read the complete record.
--- a/internal/record/store/watch.go
+++ b/internal/record/store/watch.go
@@ -18,7 +18,7 @@
 	maxLineSize      = 4 << 10                 // limit of a line in the answer to opFollow, in bytes
 	heartbeatTimeout = 5 * time.Second         // a working replica sends a line every two seconds
 	maxPositionAge   = 4 * time.Second         // age above which another replica is probed
-	probeTimeout     = 1500 * time.Millisecond // limit for a probed replica's first line to arrive
+	probeTimeout     = 1500 * time.Millisecond // for connecting to a probed replica, and for its first line
 	maxAgeMillis     = 1 << 40                 // milliseconds; a larger reported age is reduced to it
 )
 
@@ -40,7 +40,7 @@
 	reader         *bufio.Reader
 	callerPosition record.Meta
 	isNotified     bool // a position has arrived on this connection
-	lastProbed     int  // index of the address that was probed last
+	lastProbed     int  // index of the last probed address in client.addresses
 }
 
 // watch watches a replica until the connection ends, or until the store has confirmed another replica's position more
