--- a/internal/record/record/change.go
+++ b/internal/record/record/change.go
@@ -62,8 +62,8 @@
 		e.Change.Kind, e.Change.Name, e.Current.Revision, e.Current.Value)
 }
 
-// Rejection returns the current entry because of which a store rejected a change. It returns false unless err is or
-// wraps a *ConflictError or a *StaleError.
+// Rejection returns the current entry that caused a store to reject a change. It returns false unless err is or wraps a
+// *ConflictError or a *StaleError.
 func Rejection(err error) (Entry, bool) {
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
@@ -121,7 +121,7 @@
 }
 
 func validName(name string) bool {
-	const replacementCharacter = 0xfffd // the JSON decoder replaces invalid UTF-8 by it
+	const replacementCharacter = 0xfffd // the JSON decoder returns it in place of invalid UTF-8
 	if name == "" || len(name) > MaxNameLength {
 		return false
 	}
@@ -225,7 +225,7 @@
 		return nil
 	}
 	conflict := &ConflictError{Change: *change}
-	var revision int64 // 0: there is no entry, or a deleted one
+	var revision int64 // stays 0 if there is no entry, or a deleted one
 	if current != nil {
 		conflict.Current = *current
 		if !current.Deleted {
--- a/internal/record/record/values.go
+++ b/internal/record/record/values.go
@@ -32,8 +32,8 @@
 }
 
 // equivalent reports whether two observations are equal apart from ListRevision. Each replica of a discovery service
-// assigns its own list revisions, so nodes get different ListRevisions for the same server. If such observations were
-// written, the nodes would overwrite each other's observations again and again, and each write would notify all other
+// assigns its own list revisions, so nodes get different ListRevisions for the same server. If a difference in
+// ListRevision alone were written, every node would rewrite each observation, and each write would notify all other
 // nodes.
 func (o Observation) equivalent(other Observation) bool {
 	o.ListRevision = other.ListRevision
@@ -110,8 +110,8 @@
 	return d.Supersedes >= revision || d.Start != 0 && d.lastStart() > ended.lastStart()
 }
 
-// weakerThan reports whether the drain d covers less than other: d applies only to earlier processes, or it applies to
-// the same processes but was ended or expires earlier.
+// weakerThan reports whether the drain d covers less than other: d applies to fewer processes, or both drains apply to
+// the same processes but d was ended or expires earlier.
 func (d Drain) weakerThan(other Drain) bool {
 	if d.lastStart() != other.lastStart() {
 		return d.lastStart() < other.lastStart()
--- a/internal/record/replica/copy.go
+++ b/internal/record/replica/copy.go
@@ -16,11 +16,13 @@
 // Copy is a replica's copy of the record, as the replica last read it from the store. Its zero value is empty. It is
 // not safe for concurrent use.
 type Copy struct {
-	meta            record.Meta
-	writtenRevision int64 // highest revision written by this replica since its last read of the store
+	meta record.Meta
+	// writtenRevision is the highest revision that this replica has written since its last read of the store. The store
+	// has reached this revision.
+	writtenRevision int64
 	entries         map[record.Key]record.Entry
 	bytes           int            // total size of the entries, limited by record.MaxBytes
-	byRevision      []record.Entry // entries sorted by revision; nil if entries has changed since
+	byRevision      []record.Entry // entries sorted by revision; nil if the entries have changed since they were sorted
 }
 
 // Meta returns the copy's position. The position's epoch is empty until the first page has been applied.
@@ -114,8 +116,7 @@
 }
 
 // IsCurrentFor reports whether the copy is recent enough for a node that has read the record up to the position node.
-// If the node is at a higher revision or in another epoch, it has read from a replica whose copy may be newer than this
-// one.
+// If the node is at a higher revision or in another epoch, the node has read from a replica whose copy may be newer.
 func (c *Copy) IsCurrentFor(node record.Meta) bool {
 	if c.meta.Epoch == "" {
 		return false
@@ -123,8 +124,8 @@
 	return node.Epoch == "" || node.Epoch == c.meta.Epoch && node.Revision <= c.meta.Revision
 }
 
-// Since returns entries whose revision is higher than after, sorted by revision: at most limit of them, as from a
-// store.
+// Since returns the entries whose revision is higher than after, at most limit of them, sorted by revision. The page is
+// the same as from a store.
 func (c *Copy) Since(after int64, limit int) record.Page {
 	if c.byRevision == nil {
 		c.byRevision = slices.SortedFunc(maps.Values(c.entries), func(a, b record.Entry) int {
@@ -150,9 +151,9 @@
 	Err   error        // a *record.ConflictError or *record.StaleError, if the store would reject the change
 }
 
-// Resolve returns the outcome of a change that the copy suffices to decide. It returns false if the change has to be
-// sent to the store: the change would be written, the copy has no entry for it, or it expects a revision newer than the
-// copy.
+// Resolve decides a change from the copy, without a write to the store, and returns the outcome. It returns false if
+// the change has to be sent to the store: the copy has no entry for the change, the change would be written, or it
+// expects a revision newer than the copy.
 func (c *Copy) Resolve(change *record.Change) (Resolution, bool) {
 	current, exists := c.entries[change.Key]
 	if !exists || change.ExpectedRevision > c.meta.Revision {
--- a/internal/record/store/controllers_test.go
+++ b/internal/record/store/controllers_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// answeringPeer is a replica at revision 7 of epoch e, which it sends to watchers. It answers all other calls with the
-// line answer.
+// answeringPeer is a replica that sends watchers the position of epoch e and revision 7. It answers all other calls
+// with the line answer.
 type answeringPeer struct {
 	mu      sync.Mutex
 	answer  string
@@ -187,8 +187,8 @@
 	})
 }
 
-// A replica that has lost the store continues to send an old position. The client changes to another replica only if
-// the other replica's position was confirmed more recently.
+// A replica that can't reach the store any more continues to send an old position. The client changes to another
+// replica only if the store has confirmed the other replica's position more recently.
 func TestControllersClient_PrefersFresherReplica(t *testing.T) {
 	peers := &agingPeers{}
 	peers.setAges(0, 60_000)
--- a/internal/record/store/pages.go
+++ b/internal/record/store/pages.go
@@ -25,9 +25,9 @@
 }
 
 // ReadRange reads a range of entries from a store and returns them as one page. It calls check with each page that
-// arrives, and stops with an error of check. So check can limit what a store that returns endless entries makes the
-// caller hold in memory. If the store changes its epoch during the read, the error is record.ErrEpochMismatch and the
-// caller has to start the read again.
+// arrives, and stops if check returns an error. A check of the total size keeps a store that returns endless entries
+// from exhausting the memory. If the store changes its epoch during the read, the error is record.ErrEpochMismatch and
+// the caller has to start the read again.
 func ReadRange(
 	ctx context.Context, s Store, next record.ReadRange, pageSize int, check func(record.Page) error,
 ) (record.Page, error) {
--- a/internal/record/store/protocol.go
+++ b/internal/record/store/protocol.go
@@ -54,7 +54,7 @@
 	Stale    *record.StaleError    `json:"stale,omitempty"`
 }
 
-// errorCodes has, for each code that is transmitted, the error that a client can distinguish by it.
+// errorCodes maps the transmitted codes to the errors that a client can distinguish.
 var errorCodes = map[string]error{
 	"foreign":   ErrForeign,
 	"newer":     ErrSchemaNewer,
@@ -114,7 +114,7 @@
 func (e *remoteError) Unwrap() error { return e.kind }
 
 // roundTrip makes one call over a connection and closes the connection. It reads at most maxResponse bytes of the
-// answer. Errors of the connection name the other process as peer.
+// answer. The argument peer names the other process in errors of the connection.
 func roundTrip(
 	ctx context.Context, connection net.Conn, call request, maxResponse int64, peer string,
 ) (response, error) {
