--- a/internal/record/replica/queue_test.go
+++ b/internal/record/replica/queue_test.go
@@ -30,7 +30,8 @@
 	q.Complete(batch)
 	again := q.Add("e", observe("s/a", record.PhaseReady, 7))
 	assert.NotSame(t, first, again)
-	for _, want := range []*PendingWrite{draining, otherEpoch} { // in order, once the first of the key is completed
+	// After the first write of the key has completed, the other two are dequeued in the order in which they were added.
+	for _, want := range []*PendingWrite{draining, otherEpoch} {
 		batch = q.Next(1)
 		assert.Equal(t, []*PendingWrite{want}, batch)
 		q.Complete(batch)
@@ -38,7 +39,7 @@
 
 	last := q.Add("e", observe("s/z", record.PhaseReady, 1))
 	drained := q.Add("f", drain("s/z"))
-	for _, want := range [][]*PendingWrite{{drained}, {again, last}} { // a drain comes first and by itself
+	for _, want := range [][]*PendingWrite{{drained}, {again, last}} { // the drain comes first, in its own batch
 		batch = q.Next(9)
 		assert.Equal(t, want, batch)
 		q.Complete(batch)
--- a/internal/record/store/remote.go
+++ b/internal/record/store/remote.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	remoteName = "the store's program" // the other side's name in errors
-	// waitMargin is the time by which the deadline of opWait exceeds the timeout of Wait.
+	remoteName = "the store's program" // names the store's process in errors
+	// waitMargin is the time between the end of the timeout of Wait and the deadline of the call opWait.
 	waitMargin = time.Second
 )
 
