--- a/internal/dataplane/frontend/accept.go
+++ b/internal/dataplane/frontend/accept.go
@@ -15,14 +15,16 @@
 	"robincart/internal/system/telemetry"
 )
 
-// maxWatchRetries limits how often the registration of a connection with the poller is retried after transient errors.
+// maxWatchRetries is the largest number of retries when the registration of a connection with the poller fails with a
+// transient error.
 const maxWatchRetries = 100
 
 // Serve starts a goroutine that accepts connections of HTTP clients until the listener is closed. Several listeners may
-// be served at once; Drain waits for all of them.
+// be served at once; Drain waits until the goroutines of all listeners have ended.
 func (s *Server) Serve(listener net.Listener) { s.ServeGateways(listener, nil) }
 
-// ServeGateways is Serve for gateways that speak FastCGI. With a nil config the clients speak HTTP.
+// ServeGateways is like Serve, for a listener whose clients are gateways that speak FastCGI. If config is nil, the
+// clients speak HTTP.
 func (s *Server) ServeGateways(listener net.Listener, config *Gateway) {
 	s.running.Add(1)
 	s.mu.Lock()
@@ -50,8 +52,8 @@
 			s.drainListener(listener, config)
 			return
 		case socket.Exhausted(err):
-			// The budget should prevent this. Something else in the process holds the descriptors, so idle clients are
-			// evicted, as they are when the budget is exhausted.
+			// The budget should prevent a lack of descriptors, so something else in the process holds them. Evict idle
+			// connections, as when the budget is exhausted.
 			if !exhausted {
 				exhausted = true
 				s.log.Warn("descriptors exhausted", zap.Error(err), advice(err))
@@ -59,7 +61,8 @@
 			s.evictIdle()
 			time.Sleep(s.limits.AcceptRetryDelay)
 		default:
-			// A client has left the accept queue, or a resource is short for now. The listener itself still works.
+			// A client closed its connection while it was in the listener's queue, or a resource is short for now. The
+			// listener itself still works.
 			s.log.Warn("accept failed", zap.Error(err), advice(err))
 			time.Sleep(s.limits.AcceptRetryDelay)
 		}
@@ -74,9 +77,10 @@
 	delete(s.listeners, listener)
 }
 
-// drainListener accepts the connections in a listener's queue, then closes the listener. Closing it earlier would reset
-// these connections, and lose the requests that the kernel has received over them. It uses socket.Accept, since the
-// listener's Accept fails without a look at the queue once its deadline has passed.
+// drainListener accepts the connections in a listener's queue, then closes the listener. Closing the listener earlier
+// would reset these connections, and the requests that the kernel has received over them would be lost. drainListener
+// calls socket.Accept, since the listener's own Accept, once the listener's deadline has passed, fails even if a
+// connection is in the queue.
 func (s *Server) drainListener(listener net.Listener, config *Gateway) {
 	for {
 		netConn, err := socket.Accept(listener)
@@ -95,7 +99,8 @@
 	}
 }
 
-// interruptAccept makes a listener's Accept return at once. It closes a listener that has no deadlines.
+// interruptAccept makes a listener's Accept return at once: it sets a deadline in the past, or closes a listener that
+// does not support deadlines.
 func interruptAccept(listener net.Listener) {
 	if l, ok := listener.(interface{ SetDeadline(time.Time) error }); ok {
 		l.SetDeadline(pastDeadline)
@@ -104,7 +109,8 @@
 	}
 }
 
-// CloseListeners closes each listener after the connections in its queue have been accepted. Drain waits for that.
+// CloseListeners makes each listener close once the connections in the listener's queue have been accepted. Drain waits
+// until all listeners are closed.
 func (s *Server) CloseListeners() {
 	s.closingListeners.Store(true)
 	s.mu.Lock()
@@ -114,7 +120,8 @@
 	}
 }
 
-// handleAccepted serves a new connection, or sends it to the successor process while connections are transferred.
+// handleAccepted serves a new connection. While connections are transferred to a successor process, it sends a new HTTP
+// connection there instead.
 func (s *Server) handleAccepted(netConn net.Conn, config *Gateway) {
 	s.mu.Lock()
 	transfer := s.transfer
@@ -126,12 +133,13 @@
 	s.adopt(netConn, false, config)
 }
 
-// Adopt serves a connection that the predecessor process accepted. hasRequested is true if a request was read from it
-// there.
+// Adopt serves a connection that the predecessor process accepted. hasRequested is true if the predecessor has read a
+// request from the connection.
 func (s *Server) Adopt(netConn net.Conn, hasRequested bool) { s.adopt(netConn, hasRequested, nil) }
 
-// adopt waits until there is capacity for a connection, then serves it. Until then it evicts idle connections. It never
-// rejects the new connection, since the kernel may already have received a request over it.
+// adopt waits until there is capacity for a connection, then serves the connection. While it waits, adopt evicts idle
+// connections. It never rejects the new connection, since the kernel may already have received a request over that
+// connection.
 func (s *Server) adopt(netConn net.Conn, hasRequested bool, config *Gateway) {
 	acceptedAt := s.clock()
 	for !s.hasConnCapacity() || !s.budget.AcquireForClient() {
@@ -151,8 +159,8 @@
 	s.register(c)
 }
 
-// hasConnCapacity reports whether another client connection may be accepted. MaxClientConnections leaves a descriptor
-// for a server connection of each request that can be active.
+// hasConnCapacity reports whether another client connection may be accepted. MaxClientConnections leaves one descriptor
+// for each request that can be active: the request needs it for a connection to a server.
 func (s *Server) hasConnCapacity() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,8 +168,8 @@
 	return len(s.conns) < s.limits.MaxClientConnections
 }
 
-// logConnLimit logs once when the limit of client connections is reached, and once when no more than half of it is in
-// use again. The caller must hold s.mu.
+// logConnLimit logs once when the number of client connections reaches its limit, and once when the number has then
+// fallen to half the limit or less. The caller must hold s.mu.
 func (s *Server) logConnLimit() {
 	count, limit := len(s.conns), s.limits.MaxClientConnections
 	switch {
@@ -174,8 +182,8 @@
 	}
 }
 
-// newConn returns the record of a connection whose descriptor was acquired from the budget. If the connection is not a
-// socket, newConn closes it, releases the descriptor and returns nil.
+// newConn returns a conn for a connection whose descriptor was already acquired from the budget. If the connection is
+// not a socket, newConn closes it, releases the descriptor and returns nil.
 func (s *Server) newConn(netConn net.Conn) *conn {
 	c := &conn{Conn: netConn, server: s, createdAt: s.clock()}
 	c.serving.firstRequest = true
@@ -204,8 +212,8 @@
 	}
 	s.suspend(c, stateIdle, s.initialTimeout(c))
 	s.mu.Unlock()
-	// The connection is idle before it is watched, so its first event may be handled before the registration is stored
-	// below. If the connection has been closed by then, the registration is removed here.
+	// The connection is already idle when the poller starts to watch it. Its first event may therefore be handled, and
+	// the connection closed, before the registration is stored below. In that case the registration is removed here.
 	registration, err := s.watch(c)
 	s.mu.Lock()
 	c.registration = registration
@@ -216,18 +224,18 @@
 		s.poller.Remove(&registration)
 	case err != nil:
 		s.log.Warn("watch connection failed", zap.Error(err), advice(err))
-		s.closeConns([]*conn{c}, telemetry.NotWatched) // a request that has already arrived is served
+		s.closeConns([]*conn{c}, telemetry.NotWatched) // serves a request that has already arrived
 	}
 }
 
-// initialTimeout returns how long a new connection may be idle. The caller must hold s.mu.
+// initialTimeout returns how long a new connection may be idle before it is closed. The caller must hold s.mu.
 func (s *Server) initialTimeout(c *conn) time.Duration {
 	switch {
 	case s.draining:
 		return s.limits.EvictableAfter
 	case s.lameDuckDraining:
 		return s.limits.ShutdownAcceptTime
-	case !c.managed.hasRequested: // limits clients that connect and send nothing
+	case !c.managed.hasRequested: // for clients that connect and send nothing
 		return s.limits.ClientReadTimeout
 	}
 	return s.limits.ClientIdleTimeout
--- a/internal/dataplane/frontend/attempts_test.go
+++ b/internal/dataplane/frontend/attempts_test.go
@@ -28,19 +28,21 @@
 	"robincart/internal/testutil"
 )
 
-// These tests check that no attempt, first or retry, is sent for a client that has left, even if the node notices late.
-// The poller, which detects that clients leave, is blocked before the client leaves, as on a busy machine with
-// thousands of other events. The core learns of it from the poller, so it allows each attempt. All sockets are real.
+// These tests check that no attempt, neither the first nor a retry, is sent for a client that has closed its connection
+// or aborted its request, even if the node notices late. The poller, which detects this, is blocked before the client
+// closes or aborts, as on a busy machine with thousands of other events. The core is notified through the poller, so it
+// still allows each attempt. All sockets are real.
 
-// testNode is a node without decisions: the test orders and starts each attempt, and a real pool carries it out.
+// testNode is a node whose core decides nothing: the test sends the command for each attempt and starts the attempt,
+// and a real upstream pool carries out the attempt.
 type testNode struct {
 	*fakeCore
 	*upstream.Pool
 	server       *Server
-	address      string // that clients connect to
+	address      string // address that clients connect to
 	upstreamAddr net.Addr
-	starts       chan func()        // each starts an attempt
-	results      chan decide.Result // of attempts
+	starts       chan func()        // each function starts an attempt
+	results      chan decide.Result // results of attempts
 	received     chan string        // what the upstream server receives, one element per read
 	responses    chan string        // responses of the upstream server
 	onBind       func()
@@ -96,8 +98,8 @@
 	}
 }
 
-// startNode starts a node that serves until the test ends. With a config its clients are gateways, otherwise they speak
-// HTTP.
+// startNode starts a node that serves until the test ends. If config is nil, the clients speak HTTP; otherwise they are
+// gateways.
 func startNode(t *testing.T, l limits.Limits, config *Gateway) *testNode {
 	const many = 99
 	leaks := goleak.IgnoreCurrent()
@@ -126,7 +128,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 		defer cancel()
 		n.server.Drain(ctx)
-		close(n.responses) // ends the upstream connections that still wait for one
+		close(n.responses) // ends the upstream connections that still wait for a response
 		n.Pool.Close()
 		upstreamListener.Close()
 		n.server.poller.Close()
@@ -146,13 +148,13 @@
 	return nil
 }
 
-// order orders an attempt, and returns the function that starts it.
+// order sends the core's command for an attempt, and returns the function that starts the attempt.
 func (n *testNode) order(t *testing.T, rpc *node.RPC) func() {
 	rpc.Orders <- node.Order{Kind: node.OrderSend, Attempt: &node.Attempt{Server: &node.Server{}}}
 	return testutil.Receive(t, n.starts)
 }
 
-// requireNotSent checks that an attempt ended without a byte to the upstream server.
+// requireNotSent checks that an attempt ended and that the upstream server received no byte of it.
 func (n *testNode) requireNotSent(t *testing.T) {
 	t.Helper()
 	select {
@@ -165,7 +167,8 @@
 	}
 }
 
-// peerHasClosed reports whether the kernel has received the peer's close. The node may not have been notified of it.
+// peerHasClosed reports whether the kernel has received the peer's close. The node may not have been notified of the
+// close.
 func peerHasClosed(raw syscall.RawConn) (closed bool) {
 	raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -185,7 +188,7 @@
 	return count
 }
 
-// blockingWatcher blocks its poller at its first event, until it is released.
+// blockingWatcher blocks its poller at the watcher's first event, until release is called.
 type blockingWatcher struct {
 	conn     net.Conn // a write to it causes the event
 	entered  chan struct{}
@@ -236,7 +239,8 @@
 	testutil.Receive(t, b.entered)
 }
 
-// protocol is a protocol that clients speak, with example requests and the ways in which a client leaves.
+// protocol is a protocol that clients speak, with example requests and the ways in which a client closes its connection
+// or aborts its request.
 type protocol struct {
 	gateway    *Gateway // nil: HTTP
 	find       string   // a complete request
@@ -290,11 +294,11 @@
 
 const failedResponse = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 
-// leaveCase is a time at which a client leaves. run orders an attempt and starts it only after the kernel has received
-// the client's close or abort.
+// leaveCase is a stage of a request at which the client closes its connection or aborts the request. run sends the
+// command for an attempt, and starts the attempt only after the kernel has received the close or abort.
 type leaveCase struct {
 	name     string
-	streamed bool // the request's body
+	streamed bool // the request's body is streamed
 	run      func(t *testing.T, n *testNode, rpc *node.RPC, leave func())
 }
 
@@ -388,8 +392,8 @@
 	assert.Contains(t, string(buffer[:count]), string(fcgi.AppendEnd(nil, 1, 1, fcgi.StatusComplete)))
 }
 
-// The client leaves while the attempt of its first request is in flight. That request gets its response before the node
-// notices that the client has left. The requests behind it must not be sent.
+// The client closes its connection while the attempt of its first request is in flight. The first request gets its
+// response before the node notices the close. The other requests must not be sent to a server.
 func TestServer_PipelinedRequestOfGoneClient(t *testing.T) {
 	for way, leave := range leaveFuncs {
 		t.Run(way, func(t *testing.T) {
@@ -406,7 +410,7 @@
 			rpc.Orders <- served("well")
 			for more := true; more; {
 				select {
-				case rpc := <-n.arrived: // admitted; the attempt checks the client before its first byte
+				case rpc := <-n.arrived: // a request was admitted; its attempt checks the client first
 					n.order(t, rpc)()
 					assert.Same(t, rpc, testutil.Receive(t, n.gone))
 				case <-time.After(time.Millisecond):
@@ -446,7 +450,7 @@
 func TestGateway_AbortArrivesWithRequest(t *testing.T) {
 	p := fastCGIProtocol()
 	l := testLimits()
-	l.ClientCheckInterval = time.Hour // the kernel is not asked
+	l.ClientCheckInterval = time.Hour // so that the kernel is not asked whether the client has closed
 	n := startNode(t, l, p.gateway)
 	c := dial(t, n.address)
 	io.WriteString(c, p.find+string(fcgi.AppendAbort(nil, 1)))
@@ -464,8 +468,9 @@
 	assert.Empty(t, n.received)
 }
 
-// The kernel reports a request, and the poller is blocked before it handles the event. The client leaves in the
-// meantime. The event must count as a check at the time of the report, not at the time when it is handled.
+// The kernel reports a request, and the poller is blocked before it handles the event. The client closes its connection
+// in the meantime. The event must count as a check of the client at the time when the kernel reported it, not at the
+// time when the poller handles it.
 func TestStillWaiting_PollerDelayed(t *testing.T) {
 	l := testLimits()
 	l.ClientCheckInterval = 50 * time.Millisecond
--- a/internal/dataplane/frontend/bench_test.go
+++ b/internal/dataplane/frontend/bench_test.go
@@ -17,7 +17,7 @@
 
 var benchmarkProtocols = map[string]*Gateway{"http": nil, "fastcgi": {}}
 
-// instantCore orders a response to each RPC at once.
+// instantCore sends the command to respond as soon as an RPC arrives.
 type instantCore struct{ fakeCore }
 
 func (*instantCore) Arrived(node.Arrival) *node.RPC {
@@ -83,8 +83,8 @@
 	}
 }
 
-// BenchmarkStillWaiting measures the check that an attempt makes right before its first byte: whether its client still
-// waits.
+// BenchmarkStillWaiting measures the check that an attempt makes right before it sends its first byte: whether its
+// client still waits.
 func BenchmarkStillWaiting(b *testing.B) {
 	for name, interval := range map[string]time.Duration{"recent": time.Hour, "asks the kernel": 0} {
 		for protocol, gateway := range benchmarkProtocols {
--- a/internal/dataplane/frontend/capacity.go
+++ b/internal/dataplane/frontend/capacity.go
@@ -11,8 +11,8 @@
 	trimInterval  = time.Second
 )
 
-// admitWaiting starts the waiting connections that the admission controller admits or rejects now. The caller must hold
-// s.mu.
+// admitWaiting starts a goroutine for each waiting connection that the admission controller now admits or rejects. The
+// goroutine serves or rejects the connection's request. The caller must hold s.mu.
 func (s *Server) admitWaiting() {
 	for s.admission.WaitingCount() > 0 {
 		member, verdict := s.admission.Next(s.clock())
@@ -27,7 +27,7 @@
 	}
 }
 
-// scheduleAdmit schedules a call of admitWaiting after admitInterval, since a connection that waits too long must be
+// scheduleAdmit schedules a call of admitWaiting after admitInterval, so that a connection that has waited too long is
 // rejected. The caller must hold s.mu.
 func (s *Server) scheduleAdmit() {
 	if s.admitScheduled {
@@ -42,8 +42,8 @@
 	})
 }
 
-// scheduleTrim schedules trims of the worker pool every trimInterval, until it has no idle goroutine. The caller must
-// hold s.mu.
+// scheduleTrim schedules trims of the worker pool every trimInterval, until the pool has no idle goroutine. The caller
+// must hold s.mu.
 func (s *Server) scheduleTrim() {
 	if s.trimScheduled {
 		return
@@ -61,7 +61,7 @@
 }
 
 // beginRequest counts a request as active until endRequest is called. It returns false if MaxRequests requests are
-// active, for which the descriptors suffice.
+// already active: the descriptors suffice for no more.
 func (s *Server) beginRequest() bool {
 	if s.activeRequests.Add(1) <= int64(s.limits.MaxRequests) {
 		return true
@@ -72,8 +72,8 @@
 
 func (s *Server) endRequest() { s.activeRequests.Add(-1) }
 
-// markSlow counts a connection as slow, since its request arrives in pieces. If too many connections are slow, one of
-// them is evicted, possibly this one.
+// markSlow counts a connection whose request arrives in pieces as slow. If too many connections are slow, markSlow
+// evicts one of them, possibly the given connection.
 func (s *Server) markSlow(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/frontend/client.go
+++ b/internal/dataplane/frontend/client.go
@@ -10,8 +10,9 @@
 	"robincart/internal/system/telemetry"
 )
 
-// watchClient registers an RPC to be notified when its client leaves. It notifies the RPC at once if the client has
-// already left, or if a gateway has sent further input, which may be an abort.
+// watchClient registers an RPC that is notified when its client closes the connection or a gateway aborts the request.
+// watchClient notifies the RPC at once if the client has already closed the connection, or if a gateway has sent
+// further input, which may be an abort.
 func (c *conn) watchClient(rpc *node.RPC) {
 	c.shared.rpc.Store(rpc)
 	if c.shared.clientClosed.Load() || c.gateway != nil && c.server.takeReadable(c) {
@@ -19,17 +20,18 @@
 	}
 }
 
-// notifyClientGone notifies the RPC in flight that its client seems to have left. Any goroutine may call it; the RPC is
-// notified once.
+// notifyClientGone notifies the RPC in flight that its client may have closed the connection or aborted the request.
+// Any goroutine may call notifyClientGone. After each call of watchClient the RPC is notified at most once.
 func (c *conn) notifyClientGone() {
 	if rpc := c.shared.rpc.Swap(nil); rpc != nil {
 		rpc.Orders <- node.Order{Kind: node.OrderClientGone}
 	}
 }
 
-// StillWaiting reports whether the client still waits for the response to a request. The poller detects that a client
-// leaves, too, but with events on many connections it may be late, and so may the goroutine that serves the request.
-// The kernel is asked only if its last answer is older than ClientCheckInterval.
+// StillWaiting reports whether the client still waits for the response to a request. The poller also detects that a
+// client closes its connection, but when there are events on many connections, the poller may be late. The goroutine
+// that serves the request may be late as well. StillWaiting asks the kernel only if the kernel's last answer is older
+// than ClientCheckInterval.
 func (c *conn) StillWaiting(request *httpwire.Request) bool {
 	if c.gateway == nil {
 		return c.checkClient()
@@ -37,14 +39,15 @@
 	c.gateway.mu.Lock()
 	defer c.gateway.mu.Unlock()
 	if c.gateway.outstanding != request {
-		return false // the request has its response: the connection now serves another request
+		return false // the request already has its response; the connection may serve another request by now
 	}
 	return c.checkClient()
 }
 
-// checkClient asks the kernel whether the client has closed the connection, unless it was asked in the last
-// ClientCheckInterval. It also checks a gateway's input for an abort of the request in flight. If the client has left,
-// it notifies the RPC.
+// checkClient reports whether the client still waits for the response to the request in flight. It asks the kernel
+// whether the client has closed the connection, unless the kernel's last answer is more recent than
+// ClientCheckInterval. It also checks a gateway's input for an abort of the request. If the client no longer waits,
+// checkClient notifies the RPC.
 func (c *conn) checkClient() bool {
 	now := c.server.clock()
 	recent := now-time.Duration(c.shared.checkedAt.Load()) < c.server.limits.ClientCheckInterval
@@ -61,7 +64,8 @@
 	return true
 }
 
-// setOutstanding sets the gateway's request for which attempts may check the input that follows it; nil: none.
+// setOutstanding sets the request of a gateway that is in flight; nil: none. Attempts for that request may check the
+// input after the request for an abort. For a client that speaks HTTP, setOutstanding does nothing.
 func (c *conn) setOutstanding(request *httpwire.Request) {
 	if c.gateway == nil {
 		return
@@ -71,9 +75,10 @@
 	c.gateway.outstanding = request
 }
 
-// gatewayStillWaits reports, after a notification that the client seems to have left, whether the client is a gateway
-// that still waits and has only sent more input. A gateway that has closed its side has left, even if it sent further
-// requests before: it does not wait for their responses.
+// gatewayStillWaits is called after a notification that the client may have closed the connection or aborted the
+// request. It reports whether the client is a gateway that has only sent more input and still waits for the response. A
+// gateway that has closed its side of the connection waits for no response, even if it sent further requests before the
+// close.
 func (c *conn) gatewayStillWaits(request *httpwire.Request, rpc *node.RPC) bool {
 	if c.gateway == nil {
 		return false
@@ -88,8 +93,9 @@
 	return true
 }
 
-// finishAborted ends a request whose client has left or has aborted it. It returns whether the connection can be used
-// again: a gateway keeps its connection after it has aborted a request.
+// finishAborted ends a request whose client has closed the connection or aborted the request. It returns whether the
+// connection can be used again. This is possible only after an abort: a gateway keeps its connection open after it has
+// aborted a request.
 func (c *conn) finishAborted(request *httpwire.Request) bool {
 	c.serving.closeReason = telemetry.PeerClosed
 	c.state.set(stateReading)
--- a/internal/dataplane/frontend/clientgone_test.go
+++ b/internal/dataplane/frontend/clientgone_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// The client sends a request and leaves while its connection is still in the listener's queue.
+// The client sends a request and closes its connection while the connection is still in the listener's queue.
 func TestServer_ClientLeftInListenQueue(t *testing.T) {
 	for way, leave := range leaveFuncs {
 		t.Run(way, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// The client leaves while its request waits for capacity.
+// The client closes its connection while its request waits for capacity.
 func TestServer_ClientLeftWhileWaiting(t *testing.T) {
 	for way, leave := range leaveFuncs {
 		t.Run(way, func(t *testing.T) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// closedClientCount returns the number of connections whose client is known to have closed.
+// closedClientCount returns the number of connections whose client is known to have closed its side.
 func closedClientCount(s *Server) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,9 +88,9 @@
 	return count
 }
 
-// The client floods the connection after its request and closes it. Its kernel holds the close back behind the flood,
-// so the node does not see it: the request in flight gets a response that nobody reads, and no byte of the flood is
-// taken for a request.
+// The client sends a request, floods the connection with further bytes and closes the connection. The client's kernel
+// sends the close only after the flood, so the node does not notice the close. The request in flight gets a response
+// that nobody reads. No byte of the flood is read as a request.
 func TestServer_FloodAfterRequest(t *testing.T) {
 	server, core, address := startServer(t)
 	c := dial(t, address)
--- a/internal/dataplane/frontend/close.go
+++ b/internal/dataplane/frontend/close.go
@@ -6,7 +6,7 @@
 )
 
 // closeConn closes a connection and records the reason, unless the connection was closed before. A connection that was
-// handed over stays open in the other process.
+// handed over to another process stays open there.
 func (s *Server) closeConn(c *conn, reason telemetry.Reason) {
 	lastState, registration, ok := s.unregister(c)
 	if !ok {
@@ -23,8 +23,9 @@
 	s.running.Done()
 }
 
-// unregister removes a connection from the server, its lists, its timers and its admission controller. It returns the
-// last state of the connection and its registration with the poller; false: the connection was closed before.
+// unregister removes a connection from the server's connections, lists, timers and admission controller. It returns the
+// last state of the connection and the connection's registration with the poller. It returns false if the connection
+// was closed before.
 func (s *Server) unregister(c *conn) (connState, poller.Registration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,8 +45,8 @@
 	return lastState, c.registration, true
 }
 
-// recordClose records that a connection was closed in its last state. It also records a violation if a response was
-// pending and the client still waits for it.
+// recordClose records that a connection was closed. lastState is the connection's state before the close. recordClose
+// also records a violation if a response was pending and the client still waits for that response.
 func (s *Server) recordClose(c *conn, lastState connState, reason telemetry.Reason) {
 	s.telemetry.Record(telemetry.Event{Kind: telemetry.ClientConnectionClosed, Reason: reason})
 	if !lastState.responsePending() || c.shared.clientClosed.Load() {
--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -15,11 +15,11 @@
 	"robincart/internal/system/timingwheel"
 )
 
-// conn is a client's connection. Between requests it consists of this record only, and the poller watches it. While
-// requests are served one goroutine owns it: only that goroutine reads requests and writes responses. Times are those
-// of the server's clock.
+// conn is a client's connection. Between requests only this struct remains in memory, and the poller watches the
+// socket. While requests are served, one goroutine owns the connection: only that goroutine reads requests and writes
+// responses. All times are read from the server's clock.
 //
-// Thousands of connections may be idle at once, so the record must stay small; TestConn_Size limits its size.
+// Thousands of connections may be idle at once, so the struct must stay small; TestConn_Size limits its size.
 type conn struct {
 	net.Conn
 	server       *Server
@@ -36,17 +36,17 @@
 
 // sharedStatus is the part of a connection that any goroutine may use at any time.
 type sharedStatus struct {
-	rpc          atomic.Pointer[node.RPC] // in flight, and not yet notified that its client has left
-	checkedAt    atomic.Int64             // when the kernel was last asked whether the client has closed; nanoseconds
-	clientClosed atomic.Bool              // the client has closed its side
+	rpc          atomic.Pointer[node.RPC] // the RPC in flight; nil: none, or notifyClientGone was already called
+	checkedAt    atomic.Int64             // when the kernel last told whether the client has closed; nanoseconds
+	clientClosed atomic.Bool              // the client has closed its side of the connection
 	readCanceled atomic.Bool              // a read was canceled: its deadline must not be extended
 }
 
-// servingStatus is the part of a connection that only the goroutine that serves it may use. While no goroutine serves
-// it, the server's mutex guards this part.
+// servingStatus is the part of a conn that only the goroutine that serves the connection may use. While no goroutine
+// serves the connection, the server's mutex guards this part.
 type servingStatus struct {
 	reader        *httpwire.Reader // nil: no goroutine serves the connection
-	arrivedAt     time.Duration    // arrival of the bytes to read next, or of a new connection; 0: unknown
+	arrivedAt     time.Duration    // when the bytes to read next, or a new connection, arrived; 0: unknown
 	requestStart  time.Duration    // when the request that is being read began
 	lastReadAt    time.Duration
 	deadlineSetAt time.Duration    // when the read deadline was set
@@ -61,8 +61,8 @@
 	closeReason   telemetry.Reason // recorded when the connection is closed
 }
 
-// managedStatus is the part of a connection that the server's mutex guards. Some fields are set only by the goroutine
-// that serves the connection; that goroutine may read them without the mutex.
+// managedStatus is the part of a conn that the server's mutex guards. Some fields are set only by the goroutine that
+// serves the connection. That goroutine may read these fields without the mutex.
 type managedStatus struct {
 	member        admission.Member
 	timer         timingwheel.Timer // set while the connection is closable
@@ -75,13 +75,13 @@
 	hasRequested  bool // a request was read; set by the goroutine that serves the connection
 	lastRejected  bool // the last request was rejected; set by the goroutine that serves the connection
 	evicted       bool // the connection is closed after the request in flight
-	evictedAsSlow bool // evicted since its request arrived slowly and capacity was short
+	evictedAsSlow bool // evicted because its request arrived slowly and capacity was short
 }
 
 var readers = sync.Pool{New: func() any { return &httpwire.Reader{} }}
 
-// Run serves the requests that have arrived, one after another. The connection is then idle, lingering, closed or
-// handed over to another process.
+// Run serves the requests that have arrived, one after another. When Run returns, the connection is idle, lingering,
+// closed or handed over to another process.
 func (c *conn) Run() {
 	reader := readers.Get().(*httpwire.Reader)
 	c.setReader(reader)
@@ -119,7 +119,7 @@
 	return c.server.afterResponse(c)
 }
 
-// finish closes the connection, or has it linger first if lingerOnClose is set.
+// finish closes the connection. If lingerOnClose is set, finish starts a linger instead, which ends with the close.
 func (c *conn) finish() {
 	if c.serving.lingerOnClose && c.server.startLinger(c) {
 		return
--- a/internal/dataplane/frontend/connlist.go
+++ b/internal/dataplane/frontend/connlist.go
@@ -1,7 +1,7 @@
 package frontend
 
 // connList is a linked list of connections in the order in which they were pushed. The links are fields of the
-// connections, so a connection can be in one list at a time. The server's mutex guards it.
+// connections, so a connection can be in one list at a time. The server's mutex guards the list.
 type connList struct{ head conn }
 
 func (l *connList) init() {
@@ -9,7 +9,7 @@
 	l.head.managed.newer = &l.head
 }
 
-// push adds a connection as the newest.
+// push adds a connection as the newest one of the list.
 func (l *connList) push(c *conn) {
 	newest := l.head.managed.older
 	c.managed.list = l
@@ -38,7 +38,7 @@
 }
 
 // takeWhile removes the oldest connections from the list and appends them to taken. It stops after limit connections,
-// or at the first one for which the condition does not hold.
+// or at the first connection for which the condition does not hold.
 func (l *connList) takeWhile(limit int, taken []*conn, condition func(*conn) bool) []*conn {
 	for ; limit > 0; limit-- {
 		c := l.first()
--- a/internal/dataplane/frontend/drain.go
+++ b/internal/dataplane/frontend/drain.go
@@ -13,8 +13,8 @@
 func (s *Server) BeginShutdown() { s.stopping.Store(true) }
 
 // SetLameDuck enters or leaves the lame duck mode. In this mode the node reports that it is not ready, still serves
-// requests, and closes each connection with its response. Idle connections are closed after ShutdownAcceptTime, so that
-// the load balancer in front of the nodes has time to stop sending.
+// requests, and closes each connection after its next response. Idle connections are closed when ShutdownAcceptTime has
+// passed, so that the load balancer in front of the nodes has time to stop sending.
 func (s *Server) SetLameDuck(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,8 +31,8 @@
 	time.AfterFunc(s.limits.ShutdownAcceptTime, func() { s.drainLameDuck(count) })
 }
 
-// drainLameDuck closes idle connections, unless the lame duck mode was left or entered again since lameDuckCount had
-// the given value.
+// drainLameDuck closes idle connections, unless the lame duck mode was left or entered again in the meantime. In that
+// case lameDuckCount differs from count.
 func (s *Server) drainLameDuck(count int) {
 	s.mu.Lock()
 	var idle []*conn
@@ -44,8 +44,9 @@
 	s.closeConns(idle, telemetry.Draining)
 }
 
-// Drain closes idle connections, and those in use when they become idle, and waits until all are closed. When the
-// context ends, it aborts the requests in flight, so that they get a response before the process ends.
+// Drain closes idle connections at once, and connections in use when they become idle. It waits until all connections
+// are closed. When the context ends, Drain aborts the requests in flight, so that their clients get a response before
+// the process ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.closeIdleForDrain()
 	drained := make(chan struct{})
@@ -86,9 +87,10 @@
 	s.closeConns(idle, telemetry.Draining)
 }
 
-// forceClose closes the remaining connections. Those with a pending response are closed only after ClientWriteTimeout,
-// since on a busy machine the last responses may take long. If the process is killed in the meantime, no more responses
-// are lost than by closing at once. A client that does not read its response has the same time as for any response.
+// forceClose closes the remaining connections. Connections with a pending response are closed only after
+// ClientWriteTimeout, since on a busy machine the last responses may take long. If the process is killed during this
+// wait, no more responses are lost than if all connections had been closed at once. A client that does not read its
+// response has ClientWriteTimeout for it, as for any response.
 func (s *Server) forceClose(drained <-chan struct{}) {
 	s.forceCloseConns(func(c *conn) bool { return !c.state.load().responsePending() })
 	select {
@@ -98,7 +100,7 @@
 	}
 }
 
-// forceCloseConns closes the sockets of the connections that meet a condition, even while a goroutine serves them.
+// forceCloseConns closes the sockets of the connections that meet a condition, even of those that a goroutine serves.
 func (s *Server) forceCloseConns(condition func(*conn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +112,7 @@
 	}
 }
 
-// aborting reports whether requests in flight are being aborted. No request is admitted from then on.
+// aborting reports whether a shutdown has begun to abort the requests in flight. After that no request is admitted.
 func (s *Server) aborting() bool {
 	select {
 	case <-s.abort:
@@ -123,7 +125,8 @@
 // closesConns reports whether each response closes its connection.
 func (s *Server) closesConns() bool { return s.stopping.Load() || s.lameDuck.Load() }
 
-// closableConns returns the connections that no goroutine serves. The caller must hold s.mu.
+// closableConns returns the connections in a closable state: no goroutine serves them or is about to. The caller must
+// hold s.mu.
 func (s *Server) closableConns() []*conn {
 	var closable []*conn
 	for c := range s.conns {
@@ -134,9 +137,9 @@
 	return closable
 }
 
-// drainableConns returns the connections to close now. It excludes those that are younger than EvictableAfter and have
-// had no request: the first request may be on its way, and the close would lose it. Their timers close them at that
-// age. The caller must hold s.mu.
+// drainableConns returns the connections to close now. It excludes connections that are younger than EvictableAfter and
+// have had no request: the first request may be on its way, and would be lost. drainableConns sets the timers of the
+// excluded connections, which close them at the age EvictableAfter. The caller must hold s.mu.
 func (s *Server) drainableConns() []*conn {
 	var drainable []*conn
 	for _, c := range s.closableConns() {
--- a/internal/dataplane/frontend/evict.go
+++ b/internal/dataplane/frontend/evict.go
@@ -10,13 +10,15 @@
 // pastDeadline is a deadline in the past. It makes a pending read or accept return at once.
 var pastDeadline = time.Unix(1, 0)
 
-// longIdleEvictionDivisor limits how many long-idle connections are evicted at once: the number of all connections
-// divided by it, plus 1. Thousands of connections may be idle for long in normal operation.
+// longIdleEvictionDivisor limits how many long-idle connections are evicted at once. The limit is the number of all
+// connections divided by longIdleEvictionDivisor, plus 1. Thousands of connections may be idle for long in normal
+// operation.
 const longIdleEvictionDivisor = 16
 
-// evictIdle evicts idle connections to make room for new ones. Their clients reconnect when they need to. All
-// candidates are evicted at once: hundreds of clients that connect and send nothing, send half a request, or probe
-// readiness and stay connected may be ahead of a normal client in the listener's queue.
+// evictIdle evicts idle connections to make room for new connections. The clients of evicted connections reconnect when
+// they need to. Hundreds of clients may connect and send nothing, send half a request, or probe readiness and stay
+// connected. Their connections may precede that of a normal client in the listener's queue, so all candidates are
+// evicted at once.
 func (s *Server) evictIdle() {
 	now := s.clock()
 	var closable []*conn
@@ -34,10 +36,13 @@
 }
 
 // takeEvictionCandidates removes the connections to evict from their lists and returns them:
-//   - those older than EvictableAfter without a request; the first request of a newer one may be on its way
-//   - of those that have been idle for LongIdle or more, as many as longIdleEvictionDivisor allows
-//   - those whose last request was rejected, since clients of other services wait for the capacity that they hold
-//   - if none was rejected, the one that has been idle longest, if that is at least EvictableAfter
+//   - all connections that are at least EvictableAfter old and have had no request; the first request of a younger
+//     connection may be on its way
+//   - the connections that have been idle for LongIdle or more, but no more than longIdleEvictionDivisor allows
+//   - all connections whose last request was rejected: clients of other services wait for the capacity that these
+//     connections hold
+//   - if there is no connection whose last request was rejected, the connection that has been idle longest, provided
+//     that it has been idle for EvictableAfter or more
 //
 // The caller must hold s.mu.
 func (s *Server) takeEvictionCandidates(now time.Duration) []*conn {
@@ -58,8 +63,8 @@
 	})
 }
 
-// closeConns closes connections that no goroutine serves. If a request has arrived on one in the meantime, it is served
-// as the last request of its connection.
+// closeConns closes connections that no goroutine serves. If a request has arrived on an idle connection in the
+// meantime, the request is served, and the connection is closed after its response.
 func (s *Server) closeConns(conns []*conn, reason telemetry.Reason) {
 	for _, c := range conns {
 		s.mu.Lock()
--- a/internal/dataplane/frontend/eviction_test.go
+++ b/internal/dataplane/frontend/eviction_test.go
@@ -29,7 +29,7 @@
 	for range 6 {
 		idle = append(idle, dial(t, address))
 	}
-	idle[0].requireEnd(t) // the oldest one is closed, without a reset
+	idle[0].requireEnd(t) // the oldest connection is closed, without a reset
 	last := idle[5]
 	last.sendRequest()
 	testutil.Receive(t, core.arrived).Orders <- abort
@@ -51,11 +51,11 @@
 	return l.Listener.Accept()
 }
 
-// The descriptors of the process run out, for whatever reason. An idle connection is then evicted for a new one, and a
-// connection in use is not.
+// The descriptors of the process are exhausted, no matter why. The server must then evict an idle connection to accept
+// a new connection, and must not evict a connection in use.
 func TestServer_EvictsWhenDescriptorsExhausted(t *testing.T) {
 	l := testLimits()
-	l.ClientIdleTimeout = time.Hour // so that it is closed by an eviction only
+	l.ClientIdleTimeout = time.Hour // so that idle connections are closed by evictions only
 	server, core, _ := startServerWith(t, l)
 	listener := newListener(t)
 	defer listener.Close()
@@ -78,8 +78,8 @@
 	busy.requireStatus(t, 504)
 }
 
-// Clients that send slowly may hold only a part of the capacity. A further request that arrives in pieces evicts one of
-// them, and complete requests never wait for that part.
+// Clients that send slowly may hold only a part of the capacity. If that part is in use and another request arrives in
+// pieces, one of the slow clients is evicted. Requests that arrive complete never wait for that part of the capacity.
 func TestServer_EvictsSlowClients(t *testing.T) {
 	const maxSlow = 2
 	l := testLimits()
@@ -90,7 +90,8 @@
 		c := dial(t, address)
 		io.WriteString(c, "POST /find HTTP/1.1\r\nContent-Length: 60\r\n\r\nx")
 		slow = append(slow, c)
-		// The admission controller must also see the first connection as the older one.
+		// Wait until the connection counts as slow, so that the admission controller, too, counts the first connection
+		// as the older one.
 		counted := func() bool {
 			server.mu.Lock()
 			defer server.mu.Unlock()
@@ -116,7 +117,7 @@
 	}
 }
 
-// memoryInUse returns the bytes of the live heap and those of stacks.
+// memoryInUse returns the sizes of the live heap and of the goroutines' stacks, in bytes.
 func memoryInUse() (heap, stacks int64) {
 	runtime.GC()
 	runtime.GC()
@@ -125,8 +126,9 @@
 	return int64(m.HeapAlloc), int64(m.StackInuse)
 }
 
-// idleMemoryLimits returns limits under which thousands of clients may send a request at once and none is rejected with
-// a close: the maximum wait is long, even for a machine that stalls, and no capacity is reserved for rejections.
+// idleMemoryLimits returns limits under which thousands of clients may send a request at once, and no connection is
+// closed by a rejection. The maximum wait for capacity is long enough even for a machine that stalls, and no capacity
+// is reserved for rejections.
 func idleMemoryLimits() limits.Limits {
 	l := testLimits()
 	l.OverloadRetryAfter = time.Minute
@@ -166,13 +168,15 @@
 	}
 }
 
-// An idle connection is a record, without a goroutine or a buffer. The limits of bytes have a margin, and no times are
-// compared.
+// An idle connection must use only the memory of its conn struct, without a goroutine or a buffer. The test compares
+// numbers of bytes with limits that include a margin. It compares no durations.
 func TestServer_IdleConnectionMemory(t *testing.T) {
 	const (
-		count             = 2000
-		maxBytes          = 2048 // per connection; both of its ends are in this process
-		maxHeapBytes      = 1850 // of these in the heap; varies by about 40 bytes between runs, under any load
+		count    = 2000
+		maxBytes = 2048 // per connection; both of its ends are in this process
+		// maxHeapBytes limits the part of maxBytes that is in the heap. The measured part varies by about 40 bytes
+		// between runs, no matter how busy the machine is.
+		maxHeapBytes      = 1850
 		descriptors       = 5000
 		workersEndTimeout = 30 * time.Second
 	)
@@ -193,9 +197,9 @@
 	dialAndExchange(t, listener.Addr().String(), conns)
 	allIdle := func() bool { return idleConnCount(server) == count }
 	require.Eventually(t, allIdle, eventTimeout, pollInterval)
-	// The worker pool keeps the goroutines that served the requests, and ends them within about two seconds. Their
-	// stacks do not belong to the records: 64 stacks of 8 KiB would add 262 bytes per connection. 1 is subtracted for
-	// the goroutine in which Eventually calls this function.
+	// The worker pool keeps the goroutines that served the requests, and ends these goroutines within about two
+	// seconds. The test waits for that, since their stacks are not memory of the connections: 64 stacks of 8 KiB would
+	// add 262 bytes per connection. The function below subtracts 1 for the goroutine in which Eventually calls it.
 	workersEnded := func() bool { return runtime.NumGoroutine()-1 <= goroutinesBefore }
 	require.Eventually(t, workersEnded, workersEndTimeout, 10*time.Millisecond, "idle workers end")
 	heap, stacks := memoryInUse()
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -13,40 +13,42 @@
 	"robincart/internal/system/socket"
 )
 
-// Gateway configures a listener for gateways that speak FastCGI. A gateway that can't send a header of the protocol in
-// the param that CGI defines for it may send it in a param of another name. Some headers have a default.
+// Gateway configures a listener for gateways that speak FastCGI. If a gateway can't send a header of the protocol in
+// the param that CGI defines for that header, it may send the header in a param of another name, which is configured
+// here. Some headers have a default value.
 type Gateway struct {
-	// Names of params that take precedence over those of CGI; empty: none.
+	// Names of params that take precedence over the params that CGI defines; empty: only the param of CGI is used.
 	TraceParam, MethodParam, TenantParam, IdempotencyKeyParam, TimeLeftParam string
 
 	DefaultTenant      string // for requests without a tenant
 	DefaultTimeLeft    time.Duration
 	Overloaded         bool // a 503 is sent as END_REQUEST with OVERLOADED, for gateways that then try another node
-	AdvertisedRequests int  // limit of requests, sent in response to FCGI_GET_VALUES
+	AdvertisedRequests int  // limit of requests that the response to FCGI_GET_VALUES contains
 }
 
-// gateway translates between a client that speaks FastCGI and a connection that serves HTTP/1.1. Requests are read
-// through it as HTTP/1.1, so that they are processed as any other, with the same timeouts, sizes and limits. A
-// connection has one request at a time; a second one is rejected.
+// gateway translates between a client that speaks FastCGI and a connection that serves HTTP/1.1. The connection reads
+// the client's requests as HTTP/1.1, so that they are processed like requests over HTTP, with the same timeouts, sizes
+// and limits. A connection has one request at a time. If a second request begins before the first has ended, the second
+// request is rejected.
 //
 // The goroutine that serves the connection owns the fields. While a request is in flight, attempts in other goroutines
-// may check the input that follows it for an abort; they must hold mu.
+// may check the input after the request for an abort. These goroutines must hold mu.
 type gateway struct {
 	conn        *conn
 	config      *Gateway
 	application fcgi.Application
 	records     fcgi.Reader
-	buffer      *[]byte // for records; nil: the connection is idle
+	buffer      *[]byte // holds received records; nil: the connection is idle
 	filled      bool    // the last read filled its buffer
 	peeking     bool    // reads must not block
 
 	mu          sync.Mutex
-	outstanding *httpwire.Request // in flight; attempts may check the input after it; nil: none
+	outstanding *httpwire.Request // the request in flight, for which attempts may call StillWaiting; nil: none
 
-	// The request that is being read or in flight:
-	requestID     uint16 // 0: none
+	// State of the request that is being read or is in flight:
+	requestID     uint16 // 0: no request
 	keepAlive     bool   // the connection stays open after the response
-	complete      bool   // all of it has arrived
+	complete      bool   // the whole request has arrived
 	aborted       atomic.Bool
 	contentLength int64 // from CONTENT_LENGTH; -1: unknown
 	bodyBytes     int64 // received so far
@@ -61,10 +63,10 @@
 
 const (
 	gatewayBufferSize = 4 << 10
-	// maxIdlePending is the largest buffer for translated bytes that an idle connection keeps, in bytes.
+	// maxIdlePending is the size, in bytes, of the largest buffer for translated bytes that an idle connection keeps.
 	maxIdlePending = 4 << 10
-	// maxPeekBytes limits how many bytes of a body that is still arriving are read ahead to look for an abort of its
-	// request. It is as much as the kernel buffers for a connection that is not read.
+	// maxPeekBytes limits how many bytes of a body that is still arriving are read ahead to look for an abort of the
+	// request. The kernel buffers the same number of bytes for a connection that is not read.
 	maxPeekBytes = 128 << 10
 )
 
@@ -83,11 +85,11 @@
 	return g
 }
 
-// recordSource is the reader that a gateway's records are read from.
+// recordSource is the io.Reader from which a gateway's records are read.
 type recordSource gateway
 
-// Read blocks only if a request or a record has begun, and with a deadline: otherwise a client that sends half a record
-// would hold its capacity forever.
+// Read blocks only if a request or a record has begun. It then sets a read deadline, since a client that sends half a
+// record would otherwise hold its capacity forever.
 func (r *recordSource) Read(to []byte) (int, error) {
 	g := (*gateway)(r)
 	c := g.conn
@@ -106,7 +108,7 @@
 	return n, err
 }
 
-// mayHaveMore reports whether the kernel may hold input for which there is no further event.
+// mayHaveMore reports whether the kernel may hold input that the poller will not report.
 func (g *gateway) mayHaveMore() bool { return g.filled || g.aborted.Load() }
 
 func (g *gateway) acquireBuffer() {
@@ -117,8 +119,8 @@
 	g.records.Init((*recordSource)(g), *g.buffer)
 }
 
-// releaseBuffers releases the buffers between two requests. It returns false if they contain a part of the next
-// request.
+// releaseBuffers releases the buffers between two requests. It keeps the buffers and returns false if they contain a
+// part of the next request.
 func (g *gateway) releaseBuffers() bool {
 	if g.buffer == nil {
 		return true
@@ -127,7 +129,7 @@
 	if g.records.InRecord() {
 		return false
 	}
-	if !paddingPending { // otherwise the reader must keep how much padding is still to be read
+	if !paddingPending { // with pending padding, the reader must remember how much is left to read
 		gatewayBuffers.Put(g.buffer)
 		g.buffer = nil
 	}
@@ -142,7 +144,7 @@
 	return true
 }
 
-// Read reads the next request, translated to HTTP/1.1, as far as it has arrived.
+// Read returns bytes of the next request, translated to HTTP/1.1, as far as the request has arrived.
 func (g *gateway) Read(to []byte) (int, error) {
 	g.acquireBuffer()
 	if g.offset == len(g.pending) {
@@ -155,7 +157,8 @@
 	return n, nil
 }
 
-// translateMore translates at least one byte, and continues up to the wanted number while input is buffered.
+// translateMore translates input until there is at least one translated byte. While the request is incomplete and input
+// is buffered, translateMore continues up to the wanted number of translated bytes.
 func (g *gateway) translateMore(wanted int) error {
 	g.pending = g.pending[:0]
 	g.offset = 0
@@ -167,7 +170,7 @@
 	return nil
 }
 
-// translateNext translates one fragment of a record.
+// translateNext translates the next fragment of a record.
 func (g *gateway) translateNext() error {
 	err := g.handleNext()
 	if errors.Is(err, fcgi.ErrFraming) {
@@ -244,9 +247,10 @@
 	return nil
 }
 
-// handleAbort marks the request as aborted. It ends a request whose params are not complete.
+// handleAbort handles the abort of a request. It marks a request whose params have arrived as aborted, and ends any
+// other request at once.
 func (g *gateway) handleAbort(id uint16) error {
-	if g.requestID == 0 { // its params were still arriving, so it was not started
+	if g.requestID == 0 { // the params were still arriving, so the request was not started
 		g.requestID = id
 		return g.writeWithDeadline(g.appendResponseEnd(nil, 1, fcgi.StatusComplete))
 	}
@@ -259,19 +263,20 @@
 	return errClientClosed
 }
 
-// stillWaitingAfterInput reports, after input has arrived while a request is in flight, whether the gateway still waits
-// for the response. The caller must hold g.mu.
+// stillWaitingAfterInput is called when input has arrived while a request is in flight. It reports whether the gateway
+// still waits for the response. The caller must hold g.mu.
 func (g *gateway) stillWaitingAfterInput(request *httpwire.Request) bool {
-	if request.BodyStream != nil && !request.BodyStream.Complete() { // the reader of the body sees an abort first
+	if request.BodyStream != nil && !request.BodyStream.Complete() { // the reader of the body finds an abort
 		return !g.aborted.Load() && !g.conn.shared.clientClosed.Load()
 	}
 	return g.peek()
 }
 
-// stillWaiting reports whether the gateway still waits for the response to the request in flight. An attempt calls it
-// right before it sends the request, and has claimed the body if that is still arriving. recent is true if the kernel
-// was asked within ClientCheckInterval; it is then not asked again. Buffered input is always checked, since it may go
-// beyond the request. The caller must hold g.mu.
+// stillWaiting reports whether the gateway still waits for the response to the request in flight. An attempt calls
+// stillWaiting right before sending the request. If the body is still arriving, the attempt has claimed the body
+// before. recent is true if the kernel's last answer is more recent than ClientCheckInterval; the kernel is then not
+// asked again. Buffered input is always checked, since it may extend beyond the end of the request. The caller must
+// hold g.mu.
 func (g *gateway) stillWaiting(recent bool) bool {
 	switch {
 	case g.aborted.Load():
@@ -284,8 +289,8 @@
 	return true
 }
 
-// peek reads the input that has arrived while a request is in flight, without blocking. It reports whether the gateway
-// still waits for the response.
+// peek reads, without blocking, the input that has arrived while a request is in flight. It looks for an abort, and
+// reports whether the gateway still waits for the response.
 func (g *gateway) peek() bool {
 	g.peeking = true
 	defer func() {
--- a/internal/dataplane/frontend/gateway_test.go
+++ b/internal/dataplane/frontend/gateway_test.go
@@ -21,7 +21,7 @@
 func (discardConn) Write(p []byte) (int, error)      { return len(p), nil }
 func (discardConn) SetWriteDeadline(time.Time) error { return nil }
 
-// gatewayRequest returns a request without a body. params are names and values in turn.
+// gatewayRequest returns a request without a body. params contains names and values alternately.
 func gatewayRequest(id uint16, params ...string) []byte {
 	var list []byte
 	for i := 0; i+1 < len(params); i += 2 {
@@ -33,8 +33,8 @@
 	return fcgi.AppendStreamEnd(request, fcgi.TypeStdin, id)
 }
 
-// FuzzGateway checks that, for any input of a gateway, each HTTP request that is read is one FastCGI request, from its
-// first byte to its last: nothing in params or bodies begins another request.
+// FuzzGateway checks that, for any input of a gateway, each HTTP request that is read corresponds to exactly one whole
+// FastCGI request: no bytes in params or bodies begin another HTTP request.
 func FuzzGateway(f *testing.F) {
 	f.Add(gatewayRequest(1, "REQUEST_METHOD", "GET", "REQUEST_URI", "/find",
 		"HTTP_X_QOS", "find\r\n\r\nGET / HTTP/1.1\r\n\r\n"))
@@ -50,7 +50,7 @@
 		if limit := bytes.Count(input, []byte{1, 1}); count > limit {
 			t.Fatalf("found %d requests, expected at most %d, one for each BEGIN record", count, limit)
 		}
-		// A complete request before the second one must not change it.
+		// A complete request must not change how the request after it is read.
 		twice := bytes.HasSuffix(input, good) && bytes.HasPrefix(input, good) && len(input) == 2*len(good)
 		if twice && count != 2 {
 			t.Fatalf("found %d requests, expected 2", count)
--- a/internal/dataplane/frontend/gatewayparams.go
+++ b/internal/dataplane/frontend/gatewayparams.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	headerParamPrefix = "HTTP_" // of the params that CGI derives from headers
-	// maxLinearParams is the largest number of params that are searched one by one for a name. If there are more, a map
-	// is used.
+	headerParamPrefix = "HTTP_" // prefix of the params that CGI derives from headers
+	// maxLinearParams is the largest number of params that are searched one by one for a name. If a request has more
+	// params, a map is used.
 	maxLinearParams = 64
 )
 
-// param is a param of a request. Its fields are slices of the received list.
+// param is a param of a request. Its fields are slices of the received list of params.
 type param struct{ name, value []byte }
 
-// droppedParams are params of headers that would frame the message a second time or that concern the connection. They
-// are dropped, since FastCGI frames the message.
+// droppedParams are the params of headers that would delimit the message or that concern only the connection. They are
+// dropped, since FastCGI already delimits the message.
 var droppedParams = map[string]bool{
 	"HTTP_CONTENT_LENGTH":    true,
 	"HTTP_TRANSFER_ENCODING": true,
@@ -35,7 +35,7 @@
 	"HTTP_CONTENT_TYPE":      true,
 }
 
-// knownField is a header of the protocol, and the param that CGI defines for it.
+// knownField is a header of the protocol, and the param that CGI defines for that header.
 type knownField struct{ header, param string }
 
 var knownFields = [...]knownField{
@@ -48,8 +48,8 @@
 	{"Content-Type", "CONTENT_TYPE"},
 }
 
-// customParam returns the configured name that takes precedence over the CGI name of a field, given by its index in
-// knownFields; empty: none.
+// customParam returns the configured param that takes precedence over the CGI param of a known field; empty: none.
+// field is the index in knownFields.
 func (g *Gateway) customParam(field int) string {
 	custom := [len(knownFields)]string{
 		g.TraceParam, g.MethodParam, g.TenantParam, g.IdempotencyKeyParam, g.TimeLeftParam,
@@ -57,11 +57,11 @@
 	return custom[field]
 }
 
-// parseParams splits the list of params. It rejects values with control bytes, which could end a header line, and names
-// with two different values.
+// parseParams splits the list of params. It rejects a value with a control byte, which could end a header line. It also
+// rejects a name with two different values.
 func (g *gateway) parseParams(list []byte) error {
 	g.params = g.params[:0]
-	var seen map[string][]byte // values by name; nil up to maxLinearParams params
+	var seen map[string][]byte // values by name; nil while there are at most maxLinearParams params
 	for len(list) > 0 {
 		name, value, rest, err := fcgi.Pair(list)
 		if err != nil {
@@ -113,7 +113,8 @@
 	return index
 }
 
-// lookUpParam returns the value of a param that was parsed before. It uses the index unless that is nil.
+// lookUpParam returns the value of a param that was parsed before. It looks in the index or, if the index is nil, in
+// g.params.
 func (g *gateway) lookUpParam(index map[string][]byte, name []byte) ([]byte, bool) {
 	if index != nil {
 		value, ok := index[string(name)]
@@ -156,8 +157,8 @@
 	return nil
 }
 
-// appendRequestLine appends the request line. It returns the first segment of the path, which is the default of the
-// header X-Qos.
+// appendRequestLine appends the request line. It returns the first segment of the path, which is the default value of
+// the header X-Qos.
 func (g *gateway) appendRequestLine() (defaultMethod []byte, err error) {
 	verb := g.paramValue("REQUEST_METHOD")
 	lineStart := len(g.pending)
@@ -223,7 +224,8 @@
 	}
 }
 
-// appendOtherHeaders appends the other headers, which routes may match. They are not forwarded to servers.
+// appendOtherHeaders appends the headers that are not in knownFields. Routes may match these headers. They are not
+// forwarded to servers.
 func (g *gateway) appendOtherHeaders() {
 	for _, p := range g.params {
 		if !isHeaderParam(p.name) || len(p.value) == 0 || droppedParams[string(p.name)] || isKnownParam(p.name) {
@@ -240,10 +242,10 @@
 	g.pending = append(g.pending, "\r\n"...)
 }
 
-// defaultValue returns the default of a known field that the gateway has not sent; nil: none.
+// defaultValue returns the default value of a known field that the gateway has not sent; nil: there is no default.
 func (g *gateway) defaultValue(header string, defaultMethod []byte) []byte {
 	switch header {
-	case httpwire.HeaderTraceID: // a gateway that sends none can't repeat a request with the same ID, either
+	case httpwire.HeaderTraceID: // without IDs a gateway can't send a duplicate with the same ID, either
 		return fmt.Appendf(nil, "%016x%016x", rand.Uint64(), rand.Uint64())
 	case httpwire.HeaderMethod:
 		return defaultMethod
@@ -257,7 +259,7 @@
 	return nil
 }
 
-// isKnownParam reports whether a param is that of a known field.
+// isKnownParam reports whether CGI defines the param for a known field.
 func isKnownParam(name []byte) bool {
 	for _, field := range knownFields {
 		if string(name) == field.param {
@@ -267,8 +269,8 @@
 	return false
 }
 
-// isHeaderParam reports whether a param has a name that CGI derives from the name of a header. Other names may contain
-// bytes that end the header line.
+// isHeaderParam reports whether a param has a name that CGI derives from the name of a header. Any other name may
+// contain bytes that would end the header line.
 func isHeaderParam(name []byte) bool {
 	if !bytes.HasPrefix(name, []byte(headerParamPrefix)) || len(name) == len(headerParamPrefix) {
 		return false
--- a/internal/dataplane/frontend/gatewayresponse.go
+++ b/internal/dataplane/frontend/gatewayresponse.go
@@ -8,10 +8,11 @@
 	"robincart/internal/protocol/httpwire"
 )
 
-// maxResponseHead is the size of the buffer for a response's head on the stack, in bytes. A longer head is allocated.
+// maxResponseHead is the size, in bytes, of the buffer on the stack for the head of a response. A longer head is
+// allocated on the heap.
 const maxResponseHead = 256
 
-// appendResponse appends the complete response to the request in flight, and the end of the request.
+// appendResponse appends the complete response to the request in flight, followed by the end of the request.
 func (g *gateway) appendResponse(to []byte, response *httpwire.ClientResponse, headOnly bool) []byte {
 	if g.requestID == 0 {
 		return to // no request has begun
@@ -41,7 +42,8 @@
 	return fcgi.Records(fcgi.TypeStdout, g.requestID, piece)
 }
 
-// appendResponseEnd appends the end of the request in flight. Its ID may be reused afterwards.
+// appendResponseEnd appends the records that end the request in flight. The gateway may reuse the request's ID
+// afterwards.
 func (g *gateway) appendResponseEnd(to []byte, appStatus uint32, status fcgi.Status) []byte {
 	if status == fcgi.StatusComplete {
 		to = fcgi.AppendStreamEnd(to, fcgi.TypeStdout, g.requestID)
--- a/internal/dataplane/frontend/helpers_test.go
+++ b/internal/dataplane/frontend/helpers_test.go
@@ -35,7 +35,8 @@
 	coreTime        = time.Minute // constant time of the cores' clock
 )
 
-// fakeCore gives the same orders for each RPC, and records its calls. It is also the AttemptStarter.
+// fakeCore sends the same commands for each RPC, and records the calls of its methods. fakeCore is also the
+// AttemptStarter.
 type fakeCore struct {
 	arrived chan *node.RPC
 	gone    chan *node.RPC
@@ -46,7 +47,7 @@
 	mu      sync.Mutex
 	orders  []node.Order
 	results []decide.Result
-	started []string // IDs of the requests
+	started []string // IDs of the requests whose attempts were started
 }
 
 func newFakeCore(orders ...node.Order) *fakeCore {
@@ -157,8 +158,8 @@
 	return listener
 }
 
-// startServer starts a server that serves until the test ends, and returns its address. At the end no goroutine,
-// descriptor or request may be left.
+// startServer starts a server that serves until the test ends, and returns its address. At the end of the test no
+// goroutine, descriptor or active request may be left.
 func startServer(t *testing.T, orders ...node.Order) (*Server, *fakeCore, string) {
 	return startServerWith(t, testLimits(), orders...)
 }
@@ -172,7 +173,7 @@
 	server.Serve(listener)
 	t.Cleanup(func() {
 		listener.Close()
-		if !server.aborting() { // otherwise the test has drained it
+		if !server.aborting() { // otherwise the test has drained the server
 			ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 			defer cancel()
 			server.Drain(ctx)
@@ -254,7 +255,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// halfClose closes the sending side.
+// halfClose closes the sending side of the connection.
 func (c *client) halfClose() { c.Conn.(*net.TCPConn).CloseWrite() }
 
 // reset closes the connection with a reset.
@@ -263,7 +264,7 @@
 	c.Close()
 }
 
-// flood sends for 50 ms, which fills the kernel's buffers while the node does not read.
+// flood sends bytes for 50 ms. While the node does not read, these bytes fill the kernel's buffers.
 func (c *client) flood() {
 	c.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 	for buffer := make([]byte, 1<<16); ; {
@@ -273,7 +274,7 @@
 	}
 }
 
-// leaveFuncs are the ways in which a client leaves, by name.
+// leaveFuncs are the ways in which a client closes its connection, by name.
 var leaveFuncs = map[string]func(*client){
 	"closed":      func(c *client) { c.Close() },
 	"half-closed": func(c *client) { c.halfClose() },
--- a/internal/dataplane/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// handleEvent wakes an idle connection. For a connection that is served, or is about to be, it records the event. It
-// returns the state that the connection had.
+// handleEvent wakes an idle connection. If a goroutine serves the connection or is about to, handleEvent records the
+// event for that goroutine. It returns the state that the connection had before.
 func (s *Server) handleEvent(c *conn) connState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +43,8 @@
 	return state
 }
 
-// takeReadable reports whether an event was recorded for the goroutine that serves the connection, and clears it.
+// takeReadable reports whether an event was recorded for the goroutine that serves the connection, and clears that
+// record.
 func (s *Server) takeReadable(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,13 +53,15 @@
 	return readable
 }
 
-// wake requests capacity to serve a connection on which input has arrived. The caller must hold s.mu.
+// wake asks the admission controller for capacity to serve a connection on which input has arrived. The caller must
+// hold s.mu.
 func (s *Server) wake(c *conn) {
 	now := s.clock()
 	c.managed.readable = false
 	c.serving.queueTimeout = false
+	// A new connection keeps the time of its accept: the input may have arrived while it waited for a descriptor.
 	if !c.serving.firstRequest || now-c.createdAt >= s.limits.FinalReadWindow {
-		c.serving.arrivedAt = now // otherwise the input may have arrived while the connection waited for a descriptor
+		c.serving.arrivedAt = now
 	}
 	s.timers.Remove(&c.managed.timer)
 	regular := c.managed.hasRequested && now-c.managed.idleSince < s.limits.LongIdle
@@ -75,13 +78,13 @@
 	}
 }
 
-// suspend sets a state in which no goroutine serves a connection, and starts its timer. The poller reports its next
-// event. The caller must hold s.mu.
+// suspend changes a connection to a state in which no goroutine serves it, and starts the connection's timer. The
+// poller reports the next event on the connection. The caller must hold s.mu.
 func (s *Server) suspend(c *conn, state connState, timeout time.Duration) {
 	c.state.set(state)
 	c.managed.idleSince = s.clock()
 	switch {
-	case c.managed.list != nil: // a connection without a request stays in its list
+	case c.managed.list != nil: // a connection without a request is already in its list
 	case c.managed.lastRejected:
 		s.rejected.push(c)
 	default:
@@ -91,7 +94,7 @@
 	s.armTimers()
 }
 
-// setIdle makes a connection idle that a goroutine has served. The caller must hold s.mu.
+// setIdle makes a connection idle after a goroutine has served it. The caller must hold s.mu.
 func (s *Server) setIdle(c *conn) {
 	c.serving.reader.ReleaseBuffer()
 	c.serving.reader = nil
@@ -110,13 +113,13 @@
 
 const (
 	stepServe nextStep = iota // serve the next request
-	stepIdle                  // leave it: it is idle, or was handed over to another process
+	stepIdle                  // stop: the connection is idle, or was handed over to another process
 	stepClose
 )
 
-// afterResponse returns the next step for a connection whose last request has its response.
+// afterResponse returns the next step for a connection whose latest request has its response.
 func (s *Server) afterResponse(c *conn) nextStep {
-	mayHaveMore := c.serving.reader.FilledBuffer() // the kernel may have more input, without a further event
+	mayHaveMore := c.serving.reader.FilledBuffer() // the kernel may have more input, which the poller will not report
 	if c.gateway != nil {
 		if !c.gateway.releaseBuffers() {
 			return stepServe
@@ -160,8 +163,8 @@
 	}
 }
 
-// shutdownReason returns the reason to close a connection whose last request has its response, or NoReason. The caller
-// must hold s.mu.
+// shutdownReason returns the reason to close a connection whose latest request has its response, or NoReason if the
+// connection may stay open. The caller must hold s.mu.
 func (s *Server) shutdownReason(c *conn) telemetry.Reason {
 	switch {
 	case s.draining || s.lameDuckDraining:
@@ -181,8 +184,8 @@
 	return s.transfer
 }
 
-// takeArrivalTime sets arrivedAt, for the bytes that are read next, to the time of the recorded event, or to 0 if there
-// is none. It clears the event. The caller must hold s.mu.
+// takeArrivalTime sets arrivedAt, the arrival time of the bytes to read next, to the time of the recorded event, or to
+// 0 if no event was recorded. It then clears the recorded event. The caller must hold s.mu.
 func (c *conn) takeArrivalTime() {
 	c.serving.arrivedAt = 0
 	if c.managed.readable {
--- a/internal/dataplane/frontend/linger.go
+++ b/internal/dataplane/frontend/linger.go
@@ -33,8 +33,9 @@
 	return s.discardInput(c)
 }
 
-// discardInput reads and discards the input that has arrived, and reports whether to wait for more. The number of bytes
-// is limited: an endless body, sent at full speed, would take the processor from all other connections.
+// discardInput reads and discards the input that has arrived, and reports whether to wait for more. The number of
+// discarded bytes is limited, since an endless body that is sent at full speed would take the processor from all other
+// connections.
 func (s *Server) discardInput(c *conn) bool {
 	buffer := discardBuffers.Get().(*[]byte)
 	defer discardBuffers.Put(buffer)
@@ -48,7 +49,7 @@
 		case connErr != nil:
 			return false
 		case err == syscall.EAGAIN || socket.Classify(err) == socket.Memory:
-			return true // the rest is read at the next event, or not at all
+			return true // further input is read at the next event, if there is one
 		case err != nil || n == 0:
 			return false
 		}
--- a/internal/dataplane/frontend/methods.go
+++ b/internal/dataplane/frontend/methods.go
@@ -16,13 +16,13 @@
 type method struct {
 	slot        int // index in the settings
 	idempotency decide.Idempotency
-	validUntil  time.Duration // 0: without end
+	validUntil  time.Duration // 0: unlimited
 	former      []formerIdempotency
-	streamed    *atomic.Bool // the last response was streamed: the next request counts as streamed from its start
+	streamed    *atomic.Bool // the last response was streamed; the next request then counts as streamed from its start
 }
 
-// formerIdempotency is an idempotency that a method had before. Until validUntil requests may have the form that it
-// requires.
+// formerIdempotency is an idempotency that a method had before. Until the time validUntil, a request may still have the
+// form that this former idempotency requires.
 type formerIdempotency struct {
 	idempotency decide.Idempotency
 	validUntil  time.Duration
@@ -31,7 +31,7 @@
 // tenant is a tenant that requests may name.
 type tenant struct {
 	slot       int           // index in the settings
-	validUntil time.Duration // 0: without end
+	validUntil time.Duration // 0: unlimited
 }
 
 func newMethods(instance *settings.Instance) map[string]method {
@@ -58,19 +58,19 @@
 	return tenants
 }
 
-// alwaysIdempotent reports whether the method is idempotent in the current settings and in all former ones that its
-// clients may still use, so that any request of it may be repeated.
+// alwaysIdempotent reports whether the method is idempotent in the current settings and in all former settings that
+// clients may still use. If it is, any request of the method may be retried.
 func (m *method) alwaysIdempotent() bool {
 	return m.idempotency == decide.Idempotent && len(m.former) == 0
 }
 
-// validAt reports whether requests may name the method at a time.
+// validAt reports whether requests may name the method at the time now.
 func (m *method) validAt(now time.Duration) bool { return m.validUntil == 0 || now <= m.validUntil }
 
 func (t *tenant) validAt(now time.Duration) bool { return t.validUntil == 0 || now <= t.validUntil }
 
-// keepFormerMethods adds the methods, and the idempotencies of methods, that the service before accepted. It does not
-// add those that have expired.
+// keepFormerMethods adds the methods, and the idempotencies of methods, that the previous version of the service
+// accepted. It does not add methods and idempotencies that have expired.
 func (s *Service) keepFormerMethods(before map[string]method, now, until time.Duration) {
 	for name, formerMethod := range before {
 		if !formerMethod.validAt(now) {
@@ -110,8 +110,8 @@
 	}
 }
 
-// check returns the method and the tenant's slot that a request names, or the response that rejects the request. Its
-// status is never 429 or 503, which would promise that a retry helps.
+// check returns the method that a request names and the slot of the tenant that the request names, or the response that
+// rejects the request. The status of this response is never 429 or 503, which would promise that a retry helps.
 func (s *Service) check(
 	request *httpwire.Request, l *limits.Limits, now time.Duration,
 ) (method, int, *httpwire.ClientResponse) {
@@ -134,7 +134,7 @@
 	return m, slot, nil
 }
 
-// tenantSlot returns the slot of a tenant. A service without tenants accepts any name.
+// tenantSlot returns the slot of a tenant. A service without tenants accepts any tenant name.
 func (s *Service) tenantSlot(name string, now time.Duration) (int, bool) {
 	t, ok := s.tenants[name]
 	if ok && t.validAt(now) {
@@ -147,8 +147,8 @@
 	return request.HasTimeLeft && request.TimeLeft <= l.MaxTimeLeft
 }
 
-// checkForm returns 0 if a request has the form that the method requires or formerly required. Otherwise it returns the
-// status of the rejection.
+// checkForm returns 0 if a request has the form that the method's current idempotency or an unexpired former
+// idempotency requires. Otherwise it returns the status code of the rejection.
 func (m *method) checkForm(request *httpwire.Request, now time.Duration) int {
 	fitsFormer := func(f formerIdempotency) bool {
 		return now < f.validUntil && checkIdempotency(f.idempotency, request) == 0
@@ -159,8 +159,8 @@
 	return checkIdempotency(m.idempotency, request)
 }
 
-// checkIdempotency returns 0 if a request has the form that an idempotency requires. Otherwise it returns the status of
-// the rejection.
+// checkIdempotency returns 0 if a request has the form that an idempotency requires. Otherwise it returns the status
+// code of the rejection.
 func checkIdempotency(i decide.Idempotency, request *httpwire.Request) int {
 	switch {
 	case request.Verb != verbOf(i):
--- a/internal/dataplane/frontend/methods_test.go
+++ b/internal/dataplane/frontend/methods_test.go
@@ -40,8 +40,8 @@
 	return 200
 }
 
-// Clients learn of new settings later than the node. Until then the node accepts requests in the old and in the new
-// form.
+// Clients learn of new settings later than the node. Until clients have learned of them, the node accepts requests in
+// the old and in the new form.
 func TestKeepFormer_IdempotencyChanges(t *testing.T) {
 	idempotencies := []decide.Idempotency{decide.Idempotent, decide.Deduplicated, decide.NonIdempotent}
 	for _, old := range idempotencies {
--- a/internal/dataplane/frontend/orders.go
+++ b/internal/dataplane/frontend/orders.go
@@ -10,10 +10,11 @@
 	"robincart/internal/system/telemetry"
 )
 
-// maxDeadlineExtension is how much later than its client's deadline an RPC's deadline may be.
+// maxDeadlineExtension is the longest time by which the deadline of an RPC may be later than its client's deadline.
 const maxDeadlineExtension = 150 * time.Millisecond
 
-// awaitResponse carries out the core's orders until one of them is the response. It returns nil if the client has left.
+// awaitResponse carries out the core's commands until the core sends the command to respond, and returns the response.
+// It returns nil if the client no longer waits.
 func (x *exchange) awaitResponse() *httpwire.ClientResponse {
 	for {
 		order, ok := x.nextOrder()
@@ -27,9 +28,9 @@
 	}
 }
 
-// nextOrder waits for the next order. It returns false if the request is aborted and there are no more orders. It
-// checks for an abort before it takes an order, so that no further attempt is sent, but it still returns a response
-// that was already ordered.
+// nextOrder waits for the core's next command. It returns false if the request is aborted and the core has sent no
+// further command. It checks for an abort first, so an aborted request gets no further attempt. If the core has already
+// sent the command to respond, nextOrder still returns that command.
 func (x *exchange) nextOrder() (node.Order, bool) {
 	for {
 		x.checkAbort()
@@ -50,8 +51,8 @@
 	}
 }
 
-// checkAbort aborts the request if its quota was revoked or a shutdown aborts the requests in flight. The core orders
-// nothing more afterwards.
+// checkAbort aborts the request if its quota was revoked or a shutdown aborts the requests in flight. The core sends no
+// further command afterwards.
 func (x *exchange) checkAbort() {
 	if x.aborted {
 		return
@@ -66,8 +67,8 @@
 	x.service.core.ClientGone(x.rpc)
 }
 
-// abortedResponse returns the response to a request that was aborted before the core ordered one. It is 503 with
-// Retry-After if a retry is harmless, otherwise 504.
+// abortedResponse returns the response to a request that was aborted before the core sent the command to respond. The
+// status is 503 with Retry-After if a retry is harmless, otherwise 504.
 func (x *exchange) abortedResponse() *httpwire.ClientResponse {
 	response := &httpwire.ClientResponse{Status: 504}
 	if !x.sent || x.method.alwaysIdempotent() {
@@ -83,7 +84,8 @@
 	return response
 }
 
-// carryOut carries out an order. If the order is final, it returns the response, or nil if the client has left.
+// carryOut carries out a command of the core. final is true if the command ends the request. In that case response is
+// the response to the client, or nil if the client no longer waits.
 func (x *exchange) carryOut(order node.Order) (response *httpwire.ClientResponse, final bool) {
 	switch order.Kind {
 	case node.OrderSend:
@@ -115,8 +117,8 @@
 	x.service.attempts.Start(attempt, x.request)
 }
 
-// servedResponse returns the response to the client for a server's response. It records whether the response is
-// streamed: the method's next requests then count as streamed from their start.
+// servedResponse returns the response to the client that forwards a server's response. It records whether the response
+// is streamed. If it is, the method's next requests count as streamed from their start.
 func (x *exchange) servedResponse(served *node.Response) *httpwire.ClientResponse {
 	response := &httpwire.ClientResponse{
 		Status:      200,
@@ -131,7 +133,7 @@
 	if x.method.streamed.Load() != streamed {
 		x.method.streamed.Store(streamed)
 	}
-	if streamed && !x.streamed { // not counted as streamed at the start, but still forwarded
+	if streamed && !x.streamed { // the request was not counted as streamed at its start
 		x.streamed = true
 		x.conn.server.streamedRequests.Add(1)
 	}
@@ -139,8 +141,8 @@
 	return response
 }
 
-// checkDeadline records a violation if the request's first attempt would have more time than the client has left, by
-// more than maxDeadlineExtension.
+// checkDeadline is called before the request's first attempt. It records a violation if the RPC's deadline is later
+// than the client's deadline by more than maxDeadlineExtension.
 func (x *exchange) checkDeadline() {
 	extension := x.rpc.Deadline - (x.sentAt + x.request.TimeLeft)
 	if extension <= maxDeadlineExtension {
@@ -153,7 +155,7 @@
 	})
 }
 
-// abandon ends an RPC whose client has left, and discards the orders that no goroutine will carry out.
+// abandon ends an RPC whose client no longer waits, and discards the core's commands that were not carried out.
 func (s *Service) abandon(rpc *node.RPC, responseMemory limits.MemoryPool) {
 	s.core.ClientGone(rpc)
 	for {
--- a/internal/dataplane/frontend/read.go
+++ b/internal/dataplane/frontend/read.go
@@ -11,16 +11,18 @@
 	"robincart/internal/system/telemetry"
 )
 
-// errNoInput is returned by a read that found no bytes, since an earlier read had taken the bytes of its event.
+// errNoInput is returned by a read that finds no bytes. This is normal: the poller has reported an event, but an
+// earlier read has already taken the bytes.
 var errNoInput = errors.New("expected a request, found no input")
 
 var errClientClosed = errors.New("expected input, found that the client has closed the connection")
 
 const (
-	// deadlineByteStep is the number of further bytes of a request after which its read deadline is extended.
+	// deadlineByteStep is the number of further bytes of a request that must be read before its read deadline is
+	// extended.
 	deadlineByteStep = 8 << 10
-	// deadlineTimeStep is the time after which a read deadline is extended, even for fewer bytes. With both steps most
-	// reads of a request that arrives in small pieces need not set the deadline.
+	// deadlineTimeStep is the time after which a read deadline is extended even if fewer bytes were read. With both
+	// steps, most reads of a request that arrives in small pieces need not set the deadline.
 	deadlineTimeStep = 100 * time.Millisecond
 )
 
@@ -33,7 +35,7 @@
 }
 
 // readRaw reads bytes from the client, and retries while the kernel is short of memory. It does not block for the first
-// bytes of a request, since these have arrived unless an earlier read has taken them.
+// bytes of a request: they have already arrived, or an earlier read has taken them.
 func (c *conn) readRaw(to []byte) (int, error) {
 	n, err := c.readOnce(to)
 	if err != nil && err != errNoInput && socket.Classify(err) == socket.Memory {
@@ -83,26 +85,28 @@
 	return n, nil
 }
 
-// queueingTime returns how long a request waited until it was read: in the socket, while its connection waited for
-// capacity or served an earlier request, or in the buffer after that request. It returns 0 if that is unknown.
-// readCount is the number of reads before those of the request.
+// queueingTime returns how long a request waited until it was read. A request waits in the socket while its connection
+// waits for capacity or serves an earlier request, or in the buffer if it was received together with an earlier
+// request. queueingTime returns 0 if the wait is unknown. readCount is the connection's number of reads before the
+// first read of this request.
 func (c *conn) queueingTime(readCount uint32) time.Duration {
 	reads := c.serving.readCount - readCount
 	arrivedAt := c.serving.arrivedAt
 	c.serving.arrivedAt = 0
 	switch {
-	case reads == 0: // it was received together with the request before
+	case reads == 0: // the request was received together with the previous one
 		arrivedAt = c.serving.lastReadAt
-	case c.serving.deadlineSet || reads > 1 || arrivedAt == 0: // its end has just arrived, or the time is unknown
+	case c.serving.deadlineSet || reads > 1 || arrivedAt == 0:
+		// The end of the request has just arrived, or the arrival time is unknown.
 		return 0
 	}
 	return max(0, c.server.clock()-arrivedAt)
 }
 
 // Progress is called before each further read of a request that does not arrive in one piece. It sets the read deadline
-// to the sooner of two times: ClientReadTimeout from now, and ClientReadTimeout plus the transfer time of the bytes
-// read so far, from the start of the request. It also marks the connection as slow, since the capacity for such
-// requests is limited.
+// to the earlier of two times: now + ClientReadTimeout, and the start of the request + ClientReadTimeout + the transfer
+// time of the bytes read so far. It also marks the connection as slow, since the capacity for requests that arrive in
+// pieces is limited.
 func (c *conn) Progress(bool) {
 	s, status := c.server, &c.serving
 	now := s.clock()
@@ -126,7 +130,8 @@
 	}
 }
 
-// completeRead clears the read deadline and the slow mark, which Progress has set, when the request is complete.
+// completeRead is called when no more of a request is to be read. It clears the read deadline and the mark as slow that
+// Progress has set.
 func (c *conn) completeRead() {
 	if !c.serving.deadlineSet {
 		return
@@ -144,7 +149,7 @@
 }
 
 // stopBody stops the forwarding of a streamed body. No other goroutine reads from the connection afterwards. If the
-// body is incomplete, it sets lingerOnClose.
+// body is incomplete, stopBody sets lingerOnClose.
 func (c *conn) stopBody(body *httpwire.BodyStream) {
 	body.Stop(c.cancelRead)
 	c.shared.readCanceled.Store(false)
@@ -156,14 +161,15 @@
 	}
 }
 
-// writeContinue sends the informational response that a client expects before it sends its body.
+// writeContinue sends the response 100 Continue, which a client expects before it sends its body.
 func (c *conn) writeContinue() {
 	c.setWriteDeadline()
 	socket.Write(c.Conn, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 }
 
 // handleReadError responds to a request that could not be read, and returns whether the connection can be used again.
-// It can if no input had arrived. After any other error it can't, since the end of the request is unknown.
+// After errNoInput the connection can be used again, since no input had arrived. After any other error it can't, since
+// the end of the request is unknown.
 func (c *conn) handleReadError(err error) bool {
 	if err == errNoInput {
 		c.serving.reader.ReleaseBuffer()
@@ -184,8 +190,8 @@
 	return false
 }
 
-// readErrorResponse returns the response to a read error, or nil for none, and the reason for which the connection is
-// closed.
+// readErrorResponse returns the response to a read error and the reason for which the connection is closed. The
+// response is nil if none is to be written.
 func (c *conn) readErrorResponse(err error) (*httpwire.ClientResponse, telemetry.Reason) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		if c.server.wasEvictedAsSlow(c) {
--- a/internal/dataplane/frontend/request.go
+++ b/internal/dataplane/frontend/request.go
@@ -8,7 +8,7 @@
 	"robincart/internal/system/telemetry"
 )
 
-// exchange is a request of a client, and what is held for it until its response is written.
+// exchange is a request of a client, with the resources that are held until the response to the request is written.
 type exchange struct {
 	conn    *conn
 	request *httpwire.Request
@@ -16,12 +16,13 @@
 	method  method
 	tenant  int // slot of the tenant
 
-	// sentAt is when the client sent the last byte that was read with the request, as far as that is known, by the
-	// cores' clock. The client's deadline is sentAt + TimeLeft.
+	// sentAt is the time, by the cores' clock, at which the client sent the last byte of the request, as far as this
+	// time is known. If the body is streamed, the last byte that was read with the head counts. The client's deadline
+	// is sentAt + TimeLeft.
 	sentAt time.Duration
 
 	rpc     *node.RPC
-	revoked <-chan struct{} // closed when the owner of a borrowed quota needs it; nil: never
+	revoked <-chan struct{} // closed when the owner of a borrowed quota needs the quota back; nil: never
 	sent    bool            // an attempt was started
 	aborted bool            // the core was notified that the response is no longer needed
 
@@ -40,7 +41,7 @@
 	reason   telemetry.Reason
 }
 
-// serveRequest serves one request: it reads, routes and admits the request, carries out the core's orders and writes
+// serveRequest serves one request: it reads, routes and admits the request, carries out the core's commands and writes
 // the response. It returns whether the connection can be used again.
 func (c *conn) serveRequest() bool {
 	x := exchange{conn: c}
@@ -54,7 +55,7 @@
 	if r := x.route(); r.response != nil {
 		return c.reject(x.request, r)
 	}
-	if c.shared.clientClosed.Load() { // it left while its request waited for capacity or for an earlier request
+	if c.shared.clientClosed.Load() { // closed while the request waited for capacity or for an earlier request
 		c.serving.closeReason = telemetry.PeerClosed
 		return false
 	}
@@ -77,13 +78,13 @@
 	return c.respond(x.request, response)
 }
 
-// read reads the request and sets sentAt. The client's deadline counts from its last byte: sending may take seconds,
-// and the bytes may have waited here before they were read.
+// read reads the request and sets sentAt. The client's deadline counts from the time at which the client sent the last
+// byte: sending may take seconds, and the bytes may have waited on this node before they were read.
 func (x *exchange) read() error {
 	c := x.conn
 	c.serving.requestStart = c.server.clock()
 	if c.serving.firstRequest {
-		c.serving.requestStart = c.createdAt // an idle start does not extend the time to send the request
+		c.serving.requestStart = c.createdAt // the time limit of the first request starts with the connection
 	}
 	readCount := c.serving.readCount
 	request, err := c.serving.reader.ReadRequest()
@@ -95,7 +96,7 @@
 	waited := c.queueingTime(readCount)
 	x.sentAt = c.server.coreClock()
 	c.serving.firstRequest = false
-	if request.BodyStream == nil { // otherwise the client is still sending
+	if request.BodyStream == nil { // otherwise the client is still sending the body
 		x.sentAt -= waited
 		c.completeRead()
 	}
@@ -123,7 +124,7 @@
 }
 
 // admit counts the request as active. It also counts the request as streamed if its body is forwarded as it arrives, or
-// if its response probably will be.
+// if its response will probably be streamed.
 func (x *exchange) admit() rejection {
 	s := x.conn.server
 	if reason := x.rejectReason(); reason != telemetry.NoReason {
@@ -193,9 +194,10 @@
 	c.watchClient(x.rpc)
 }
 
-// stop ends the watch of the client, and the RPC if the client has left. The request stops counting as active before
-// its response is written, since the client may then send its next request over another connection at once. A request
-// whose response is streamed counts until the response is written, since it uses a server connection until then.
+// stop ends the watch of the client. If the client no longer waits, stop also ends the RPC. The request stops counting
+// as active before its response is written, since a client that has the response may at once send its next request over
+// another connection. A request whose response is streamed counts as active until the response is written, since the
+// request uses a server connection until then.
 func (x *exchange) stop(response *httpwire.ClientResponse) {
 	c := x.conn
 	c.shared.rpc.Store(nil)
@@ -243,7 +245,7 @@
 	}
 }
 
-// reject writes a response that the node gives without an attempt.
+// reject writes a response that the node gives without an attempt. It returns whether the connection can be used again.
 func (c *conn) reject(request *httpwire.Request, r rejection) bool {
 	c.server.telemetry.Record(telemetry.Event{
 		Kind:    telemetry.RequestRejected,
--- a/internal/dataplane/frontend/requestids.go
+++ b/internal/dataplane/frontend/requestids.go
@@ -10,20 +10,23 @@
 )
 
 // requestIDs remembers the hashes of the IDs of requests that are in flight or have ended recently. A client uses a new
-// ID for each request, so a request with a known ID is a copy by another client. If the copy were forwarded, one server
-// after another would reject it, since they know the ID, and healthy servers would count as failing.
+// ID for each request, so a request with a known ID is a duplicate that another client sent. If the duplicate were
+// forwarded, one server after another would reject it, since the servers know the ID. Healthy servers would then count
+// as failing.
 //
-// The hashes of ended requests are kept in two generations. The older one is dropped when the recent one is full, or as
-// old as the TTL.
+// The hashes of ended requests are kept in two generations. When the recent generation is full or has reached the age
+// ttl, the older generation is dropped, and the recent one takes its place.
 type requestIDs struct {
-	maxEnded int // in each generation: limits the memory during a flood of requests
+	maxEnded int // maximum of hashes in each generation; limits the memory during a flood of requests
 
 	mu sync.Mutex
-	// seed is the seed of the hashes; a successor process takes it over. A client that finds two IDs with the same hash
-	// can only cause the rejection of its own requests. To cause the rejection of another client's request it would
-	// have to know the ID of that request, and could then copy the ID.
-	seed          uint64
-	ttl           time.Duration // for which the ID of an ended request is remembered, unless a generation fills up
+	// seed is the seed of the hashes; a successor process uses the same seed. A client that finds two IDs with the same
+	// hash can only cause the rejection of its own requests. To cause the rejection of another client's request, a
+	// client would have to know the ID of that request, and could then simply send a request with this ID.
+	seed uint64
+	// ttl is the minimum time for which the ID of an ended request is kept. If the recent generation is full before it
+	// has reached the age ttl, the oldest IDs are dropped earlier.
+	ttl           time.Duration
 	inFlight      map[uint64]struct{}
 	recent, older map[uint64]struct{}
 	rotatedAt     time.Duration // when the recent generation began
@@ -41,8 +44,8 @@
 	}
 }
 
-// begin records that a request with an ID is in flight, and returns the hash of the ID for end. It returns false if the
-// ID is already known.
+// begin records that a request with an ID is in flight, and returns the hash of the ID, which end takes. It returns
+// false if the ID is already known.
 func (r *requestIDs) begin(id string) (uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +62,7 @@
 	return hash, true
 }
 
-// end records the end of a request, given by the hash of its ID.
+// end records the end of the request whose ID has the given hash.
 func (r *requestIDs) end(hash uint64, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +100,7 @@
 	return exported
 }
 
-// importAll adds the hashes that another process exported, as those of requests that end now.
+// importAll adds the hashes that another process exported. They count as hashes of requests that end now.
 func (r *requestIDs) importAll(exported []byte, now time.Duration) {
 	for ; len(exported) >= hashBytes; exported = exported[hashBytes:] {
 		r.end(binary.BigEndian.Uint64(exported), now)
--- a/internal/dataplane/frontend/requestids_test.go
+++ b/internal/dataplane/frontend/requestids_test.go
@@ -44,8 +44,8 @@
 	ids.end(inFlight, 9*time.Hour)
 }
 
-// A hostile client copies the ID of another client's request. If the copy were forwarded, one healthy server after
-// another would reject it.
+// A hostile client sends a request with the ID of another client's request. If this duplicate were forwarded, one
+// healthy server after another would reject it.
 func TestServer_DuplicateRequestID(t *testing.T) {
 	_, core, address := startServer(t)
 	owner, copier := dial(t, address), dial(t, address)
--- a/internal/dataplane/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -1,9 +1,10 @@
 // Package frontend serves the clients of a node. It accepts their connections, reads requests over HTTP and FastCGI,
-// carries out the core's orders for each request, and writes the responses.
+// carries out the core's commands for each request, and writes the responses.
 //
-// A Server owns the listeners and the clients' connections. Between two requests a connection is a record that a poller
-// watches, without a goroutine or a buffer. While requests are served, one goroutine of a worker pool owns the
-// connection. The steps of a request are in conn.serveRequest, the states of a connection in connState.
+// A Server owns the listeners and the clients' connections. Between two requests a connection has no goroutine and no
+// buffer: only a conn struct remains, and a poller watches the socket. While requests are served, one goroutine of a
+// worker pool owns the connection. The steps of a request are in conn.serveRequest, the states of a connection in
+// connState.
 //
 // The core decides which server a request is sent to and whether it is retried. An AttemptStarter carries out the
 // attempts. This package knows neither servers nor endpoint lists. A Table tells it which service a request belongs to.
@@ -60,8 +61,8 @@
 	table          atomic.Pointer[Table]
 	poller         *poller.Poller
 	workers        workerpool.Pool
-	abort          chan struct{}  // closed when the requests in flight have to be aborted
-	running        sync.WaitGroup // accept loops and connections
+	abort          chan struct{}  // closed when the requests in flight must be aborted
+	running        sync.WaitGroup // counts accept loops and connections
 
 	stopping         atomic.Bool
 	lameDuck         atomic.Bool
@@ -73,21 +74,21 @@
 	conns     map[*conn]struct{}
 	listeners map[net.Listener]struct{}
 	admission *admission.Controller
-	transfer  TransferFunc // sends connections to another process between requests; nil: they stay
+	transfer  TransferFunc // sends connections to another process between requests; nil: connections stay
 
-	// Connections that may be evicted, in the order in which they became idle:
-	withoutRequest connList // without a request so far, in the order in which they were accepted
+	// Connections that may be evicted, each list in the order in which its connections became idle:
+	withoutRequest connList // without a request so far; in the order in which they were accepted
 	idle           connList // with requests, of which the last was not rejected
 	rejected       connList // with requests, of which the last was rejected
 
-	timers       *timingwheel.Wheel // of the connections that no goroutine serves
+	timers       *timingwheel.Wheel // timers of the connections that no goroutine serves
 	timersDue    time.Duration      // when the wheel is advanced next; 0: not scheduled
 	timersPaused bool               // many timers ended at once, and the wheel pauses before the next batch
 
 	connLimitReached bool // the limit was logged as reached, and not yet as cleared
 	draining         bool // idle connections are closed from now on
-	lameDuckDraining bool // as draining, until the lame duck mode is left
-	lameDuckCount    int  // how often the lame duck mode was entered or left
+	lameDuckDraining bool // like draining, but only until the lame duck mode is left
+	lameDuckCount    int  // number of times that the lame duck mode was entered or left
 	admitScheduled   bool
 	trimScheduled    bool
 }
@@ -138,7 +139,7 @@
 // SetRecorder sets the recorder of events and violations. It must be called before anything is served.
 func (s *Server) SetRecorder(r *telemetry.Recorder) { s.telemetry = r }
 
-// SetTable replaces the table. Requests that the previous table has routed finish in its services.
+// SetTable replaces the table. A request that the previous table has routed is finished by a service of that table.
 func (s *Server) SetTable(t *Table) { s.table.Store(t) }
 
 // SetRequestIDTTL sets how long the IDs of ended requests are remembered.
@@ -150,8 +151,9 @@
 // SetRequestIDSeed sets the seed to that of another process. It must be called before anything is served.
 func (s *Server) SetRequestIDSeed(seed uint64) { s.requestIDs.setSeed(seed) }
 
-// ExportRequestIDs returns the IDs that are or recently were in use, as hashes, for the process that takes over.
+// ExportRequestIDs returns the hashes of the IDs that are or recently were in use, for the process that takes over.
 func (s *Server) ExportRequestIDs() []byte { return s.requestIDs.export() }
 
-// ImportRequestIDs adds the IDs that another process exported. A request with one of them is a copy.
+// ImportRequestIDs adds the IDs that another process exported. A request with one of these IDs is rejected as a
+// duplicate.
 func (s *Server) ImportRequestIDs(exported []byte) { s.requestIDs.importAll(exported, s.coreClock()) }
--- a/internal/dataplane/frontend/server_test.go
+++ b/internal/dataplane/frontend/server_test.go
@@ -29,9 +29,10 @@
 	assert.Equal(t, []string{"t1", "t1"}, core.startedRequests())
 }
 
-// The client's deadline counts from the arrival of its request, not from when it was read. The cores' clock is constant
-// here, so only the wait between them changes the deadline. On a new connection the request may have arrived right
-// after the accept, and the accept may precede the end of the client's dial.
+// The client's deadline counts from the arrival of the request, not from the time when the request was read. The cores'
+// clock is constant here, so only the wait between the arrival and the read changes the deadline. On a new connection
+// the request may have arrived right after the accept, so the deadline counts from the accept. The accept may happen
+// before the client's dial returns, so the test uses the start of the dial as the earliest arrival.
 func TestServer_DeadlineFromArrival(t *testing.T) {
 	const timeLeft = time.Second
 	_, core, address := startServer(t, pushBack)
@@ -98,7 +99,7 @@
 	a.requireStatus(t, 504) // there is capacity again
 }
 
-// After a read that fills its buffer the socket may hold more input, without a further event.
+// After a read that fills its buffer the socket may hold more input, for which there is no further event.
 func TestServer_RequestFillsBuffer(t *testing.T) {
 	_, core, address := startServer(t, abort)
 	request := func(padding int) string {
@@ -139,10 +140,10 @@
 	assert.Empty(t, core.arrived)
 }
 
-// streamedBody is the rest of a large response.
+// streamedBody is the body of a large response without its first part.
 type streamedBody struct {
 	io.Reader
-	closed chan bool // whether all of it was read
+	closed chan bool // receives whether the response was forwarded to its end
 }
 
 func (s streamedBody) Remaining() int64 { return 1 << 24 }
@@ -172,7 +173,7 @@
 	assert.False(t, readSlowly(t, slow, body.closed))
 	streamed := func() int64 { return server.streamedRequests.Load() }
 	require.Eventually(t, func() bool { return streamed() == 0 }, eventTimeout, pollInterval)
-	for _, count := range []int64{1, 0} { // until the method has a small response
+	for _, count := range []int64{1, 0} { // the first small response ends the expectation of a streamed one
 		next.sendRequest()
 		rpc := testutil.Receive(t, core.arrived)
 		assert.Equal(t, count, streamed())
@@ -181,7 +182,8 @@
 	}
 }
 
-// readSlowly reads a byte at a time until the server closes the body, and returns whether it read all of it.
+// readSlowly reads one byte at a time until the server closes the response body, and returns whether the server
+// forwarded the response to its end.
 func readSlowly(t *testing.T, c *client, closed <-chan bool) bool {
 	buffer := make([]byte, 1)
 	for {
@@ -197,8 +199,8 @@
 	}
 }
 
-// Connections must have TCP_NODELAY: a close with unread bytes resets a connection, and small writes that the kernel
-// has delayed would be lost.
+// Connections must have TCP_NODELAY: a close with unread bytes resets a connection, and without this option small
+// writes that the kernel has delayed would then be lost.
 func TestServer_NoDelay(t *testing.T) {
 	server, _, address := startServer(t)
 	dial(t, address)
@@ -206,7 +208,7 @@
 	listener := newListener(t)
 	defer listener.Close()
 	dial(t, listener.Addr().String())
-	raw, err := socket.Accept(listener) // as from the queue of a listener that closes, or from another process
+	raw, err := socket.Accept(listener) // like connections in the queue of a closing listener, or from another process
 	require.NoError(t, err)
 	require.NotNil(t, raw)
 	server.Adopt(raw, true)
@@ -228,7 +230,7 @@
 
 func TestServer_AttemptOrderedForGoneClient(t *testing.T) {
 	_, core, address := startServer(t)
-	core.onClientGone = func(rpc *node.RPC) { rpc.Orders <- send } // ordered while the core is notified
+	core.onClientGone = func(rpc *node.RPC) { rpc.Orders <- send } // the command is sent while the core is notified
 	c := dial(t, address)
 	c.sendRequest()
 	rpc := testutil.Receive(t, core.arrived)
--- a/internal/dataplane/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -9,12 +9,12 @@
 
 // Quota is a service's share of the resources that all services use.
 type Quota interface {
-	// Acquire returns a lease for a request of a tenant, given by its slot, with a body of so many bytes. If it returns
-	// false, the client may retry after the wait.
+	// Acquire returns a lease for a request. tenant is the slot of the request's tenant, and body is the size of the
+	// request's body in bytes. If ok is false, there is no lease, and the client may retry after the time wait.
 	Acquire(tenant, body int) (lease Lease, wait time.Duration, ok bool)
 }
 
-// Lease is the part of its service's quota that a request holds.
+// Lease is the part of a service's quota that one request holds.
 type Lease interface {
 	// Revoked returns a channel that is closed when the request must end at once.
 	Revoked() <-chan struct{}
@@ -54,19 +54,20 @@
 	return s
 }
 
-// KeepFormerSettings makes the service also accept, until a time, the methods and tenants that the service before it
-// accepted. A method whose idempotency has changed is accepted in either form. Clients learn of new settings later than
-// the node.
+// KeepFormerSettings makes the service also accept, until the time until, the methods and tenants that the previous
+// version of the service accepted. If the idempotency of a method has changed, a request may have the old or the new
+// form. Clients learn of new settings later than the node.
 //
-// If the service before still accepted names or forms of earlier settings, their ends stay as they were: settings may
-// change again before clients have learned of the last change.
+// If the previous version itself still accepted names or forms of earlier settings, these expire when they would have
+// expired in the previous version. This is needed because settings may change again before clients have learned of the
+// last change.
 func (s *Service) KeepFormerSettings(before *Service, now, until time.Duration) *Service {
 	s.keepFormerMethods(before.methods, now, until)
 	s.keepFormerTenants(before.tenants, now, until)
 	return s
 }
 
-// acquire counts a request as active. It returns false if the service is closed. The caller then has to look the
+// acquire counts a request as active. It returns false if the service is closed. In that case the caller must look the
 // service up in the new table.
 func (s *Service) acquire() bool {
 	s.mu.Lock()
@@ -96,7 +97,8 @@
 	return s.drained
 }
 
-// closeIfDrained closes the channel when the last request of a closed service has ended. The caller must hold s.mu.
+// closeIfDrained closes the channel drained if the service is closed and no request is active. The caller must hold
+// s.mu.
 func (s *Service) closeIfDrained() {
 	if s.closed && s.active == 0 {
 		close(s.drained)
--- a/internal/dataplane/frontend/shutdown_test.go
+++ b/internal/dataplane/frontend/shutdown_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// A request arrives on a connection that the server has already chosen to close, and its event is not handled yet.
+// A request arrives on a connection that the server has already chosen to close, and the event of that request is not
+// handled yet.
 func TestServer_RequestRacesWithClose(t *testing.T) {
 	server, core, _ := startServer(t)
 	listener := newListener(t)
@@ -83,8 +84,8 @@
 	assert.True(t, r.Close)
 }
 
-// When the listener is to close, the first client has the only connection, the accept loop holds the second connection,
-// and the others are in the listener's queue.
+// When the listener is told to close, the first client's connection is the only one that may be served. The accept loop
+// holds the second client's connection, and the connections of the other clients are in the listener's queue.
 func TestCloseListeners_ServesQueue(t *testing.T) {
 	l := testLimits()
 	l.MaxClientConnections, l.EvictableAfter = 1, 20*time.Second
@@ -129,7 +130,8 @@
 	assert.Empty(t, core.arrived)
 }
 
-// All connections are in use, and a new one waits for capacity. It must not delay the end of the process.
+// All connections that may be open are in use, and a new connection waits for capacity. The new connection must not
+// delay the end of the process.
 func TestDrain_AtConnectionLimit(t *testing.T) {
 	server, core, address := startServer(t)
 	a, b, partial := dial(t, address), dial(t, address), dial(t, address)
@@ -141,13 +143,14 @@
 	b.sendRequest()
 	testutil.Receive(t, core.arrived)
 	io.WriteString(partial, "GET /fi")
-	// Dialed last, since a further connection evicts those without a request.
+	// The waiting connection is dialed last, since a connection that waits for capacity evicts connections without a
+	// request.
 	waiting := dial(t, address)
 	waiting.sendRequest()
 	server.BeginShutdown()
 	assert.Error(t, drain(server, 20*time.Millisecond))
 	for _, c := range []*client{a, b, waiting} {
-		c.requireStatus(t, 503) // nothing was sent: a retry is harmless
+		c.requireStatus(t, 503) // no attempt was sent, so a retry is harmless
 	}
 }
 
@@ -157,7 +160,7 @@
 		orders      []node.Order
 		status      int
 	}{
-		"sent, non-idempotent":   {decide.NonIdempotent, []node.Order{send}, 504}, // the server may have processed it
+		"sent, non-idempotent":   {decide.NonIdempotent, []node.Order{send}, 504}, // a server may have processed it
 		"sent, deduplicated":     {decide.Deduplicated, []node.Order{send}, 504},
 		"sent, idempotent":       {decide.Idempotent, []node.Order{send}, 503},
 		"unsent, non-idempotent": {decide.NonIdempotent, nil, 503},
@@ -182,8 +185,8 @@
 	}
 }
 
-// startAborting starts a server that aborts the requests in flight when the first RPC arrives. There is enough time to
-// write its response.
+// startAborting starts a server. When the first RPC arrives, the server aborts the requests in flight.
+// ShutdownWriteTime is long enough for the server to write its responses.
 func startAborting(t *testing.T, orders ...node.Order) (*Server, *fakeCore, string) {
 	l := testLimits()
 	l.ShutdownWriteTime = 20 * time.Second
@@ -226,7 +229,7 @@
 }
 
 // On a busy machine the last responses may take longer than ShutdownWriteTime. A connection with a pending response
-// must not be closed then.
+// must stay open even after ShutdownWriteTime.
 func TestDrain_LateResponse(t *testing.T) {
 	l := testLimits()
 	l.ShutdownWriteTime = time.Millisecond
@@ -241,5 +244,5 @@
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.Error(t, server.Drain(ended))
-	c.requireStatus(t, 503) // nothing was sent for it
+	c.requireStatus(t, 503) // no attempt was sent for the request
 }
--- a/internal/dataplane/frontend/stream.go
+++ b/internal/dataplane/frontend/stream.go
@@ -10,7 +10,7 @@
 	"robincart/internal/system/socket"
 )
 
-// maxChunkHead is the size of the buffer for the line with a chunk's size, in bytes.
+// maxChunkHead is the size, in bytes, of the buffer for the line that states the size of a chunk.
 const maxChunkHead = 16
 
 // streamWriter writes a response whose body is forwarded as it arrives.
@@ -18,14 +18,14 @@
 	conn     *conn
 	response *httpwire.ClientResponse
 	chunked  bool
-	frame    []byte        // buffer for the lines with the chunks' sizes
+	frame    []byte        // buffer for the line that states the size of a chunk
 	written  int           // bytes
-	waited   time.Duration // total time of the writes
+	waited   time.Duration // total duration of the writes
 }
 
-// writeStreamed forwards a response as it arrives, at the speed of its client. The client must be able to detect an
-// incomplete response: the connection ends before the announced length or without the last chunk. If the response has
-// neither, the connection is reset.
+// writeStreamed forwards a response as it arrives, as fast as its client reads. The client must be able to detect an
+// incomplete response: the connection ends before the announced length, or without the last chunk. If an incomplete
+// response has neither a length nor chunks, the connection is reset.
 func (c *conn) writeStreamed(response *httpwire.ClientResponse) bool {
 	w := streamWriter{
 		conn:     c,
@@ -90,8 +90,9 @@
 	return w.write(httpwire.FrameChunk(piece, w.chunked, w.frame))
 }
 
-// write writes one piece. The client may stop reading for ClientStallTimeout, but must reach MinTransferRate in the
-// long run: otherwise it would hold its capacity for hours. The time that the server takes is not counted.
+// write writes one piece. The client may stop reading for up to ClientStallTimeout, but its average rate must reach
+// MinTransferRate, since a slower client could hold its capacity for hours. The time that the node waits for the server
+// does not count.
 func (w *streamWriter) write(buffers net.Buffers) bool {
 	limits := &w.conn.server.limits
 	size := 0
--- a/internal/dataplane/frontend/table.go
+++ b/internal/dataplane/frontend/table.go
@@ -19,7 +19,7 @@
 }
 
 // findService returns the service of a request and counts the request as active there. If the service was closed in the
-// meantime, it looks in the new table.
+// meantime, findService looks in the new table.
 func (s *Server) findService(request *httpwire.Request) (*Service, *httpwire.ClientResponse) {
 	for {
 		service, response := s.table.Load().service(request)
--- a/internal/dataplane/frontend/timers.go
+++ b/internal/dataplane/frontend/timers.go
@@ -11,7 +11,7 @@
 // delay the active connections.
 const maxTimersAtOnce = 64
 
-// armTimers schedules expireTimers for the end of the next timer. The caller must hold s.mu.
+// armTimers schedules expireTimers for the time at which the next timer ends. The caller must hold s.mu.
 func (s *Server) armTimers() {
 	next, ok := s.timers.Next()
 	if !ok || s.timersPaused {
@@ -24,8 +24,8 @@
 	time.AfterFunc(max(0, next-s.clock()), func() { s.expireTimers(next) })
 }
 
-// expireTimers closes the connections whose timers have ended, unless the timers were armed for another time in the
-// meantime.
+// expireTimers closes the connections whose timers have ended, unless armTimers has scheduled expireTimers for another
+// time in the meantime.
 func (s *Server) expireTimers(due time.Duration) {
 	s.mu.Lock()
 	if s.timersDue != due {
--- a/internal/dataplane/frontend/transfer.go
+++ b/internal/dataplane/frontend/transfer.go
@@ -6,12 +6,13 @@
 	"robincart/internal/system/telemetry"
 )
 
-// TransferFunc sends a client's connection to another process. hasRequested is true if a request was read from it.
+// TransferFunc sends a client's connection to another process. hasRequested is true if a request was read from the
+// connection.
 type TransferFunc func(netConn net.Conn, hasRequested bool) error
 
-// TransferTo sends connections to another process from now on: idle ones at once, and others after their response. With
-// nil, connections stay in this process again. Clients do not notice the transfer: the bytes that they send next are in
-// the socket, which both processes hold.
+// TransferTo sends connections to another process from now on: idle connections at once, and other connections after
+// their next response. If transfer is nil, connections stay in this process again. Clients do not notice the transfer:
+// the bytes that they send next are in the socket, which both processes hold.
 func (s *Server) TransferTo(transfer TransferFunc) {
 	for _, c := range s.beginTransfer(transfer) {
 		if !s.transferConn(c, transfer) {
@@ -20,8 +21,8 @@
 	}
 }
 
-// beginTransfer sets the transfer function and returns the idle connections. It sets them to a state in which no other
-// goroutine closes or serves them.
+// beginTransfer sets the transfer function and returns the idle connections. It sets these connections to
+// stateTransferring, in which no other goroutine closes or serves them.
 func (s *Server) beginTransfer(transfer TransferFunc) []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,8 +41,8 @@
 	return idle
 }
 
-// transferConn sends a connection that no goroutine reads to another process, and closes it here. It returns false if
-// the connection could not be sent.
+// transferConn sends a connection to another process, and closes the connection in this process. No other goroutine may
+// read from the connection. It returns false if the connection could not be sent.
 func (s *Server) transferConn(c *conn, transfer TransferFunc) bool {
 	if err := transfer(c.Conn, c.managed.hasRequested); err != nil {
 		return false
@@ -51,7 +52,7 @@
 }
 
 // resumeAfterTransfer serves a connection that could not be sent. It does not wait for an event, since the poller does
-// not repeat one that came during the transfer.
+// not repeat an event that occurred during the transfer.
 func (s *Server) resumeAfterTransfer(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/frontend/write.go
+++ b/internal/dataplane/frontend/write.go
@@ -13,8 +13,8 @@
 
 const (
 	responseBufferSize = 1 << 10
-	// maxPooledBuffer is the largest buffer that is reused, in bytes. A response to a gateway is buffered with its
-	// body, and may be large.
+	// maxPooledBuffer is the size, in bytes, of the largest buffer that is reused. For a gateway the buffer contains
+	// the body of the response, too, and may be large.
 	maxPooledBuffer = 4 << 10
 )
 
@@ -24,7 +24,7 @@
 	return &buffer
 }}
 
-// respond writes the one response to a request, and returns whether the connection can be used again.
+// respond writes the response to a request, and returns whether the connection can be used again.
 func (c *conn) respond(request *httpwire.Request, response *httpwire.ClientResponse) bool {
 	body := request.BodyStream
 	response.Close = response.Close || c.closesAfter(request)
@@ -33,7 +33,7 @@
 		// arriving, stopBody sets lingerOnClose.
 		c.serving.lingerOnClose = true
 	}
-	if c.gateway != nil && body != nil { // an attempt may still read the body, and with it the gateway's records
+	if c.gateway != nil && body != nil { // an attempt may still read the body from the gateway's records
 		body.Stop(c.cancelRead)
 	}
 	c.state.set(stateWriting)
@@ -51,7 +51,7 @@
 	return written && !response.Close
 }
 
-// closesAfter reports whether the connection is closed after a request, with any response.
+// closesAfter reports whether the connection is closed after a request, no matter which response the request gets.
 func (c *conn) closesAfter(request *httpwire.Request) bool {
 	switch {
 	case request.Close || c.serving.lastResponse || c.server.closesConns():
@@ -62,7 +62,7 @@
 	return c.gateway != nil && !c.gateway.keepAlive
 }
 
-// hasUnread reports whether the client has sent more than the requests that were read.
+// hasUnread reports whether the client has sent bytes after the requests that were read.
 func (c *conn) hasUnread() bool {
 	return c.serving.reader.HasBuffered() || socket.StateOfRaw(c.raw) == socket.StateReadable
 }
@@ -104,8 +104,8 @@
 	return socket.WriteBuffers(c.Conn, &remaining) == nil
 }
 
-// writeNow writes as much as the kernel accepts at once, and returns the number of bytes. An error recurs in the write
-// that follows.
+// writeNow writes as much as the kernel accepts at once, and returns the number of bytes. It ignores an error, which
+// recurs in the write that follows.
 func (c *conn) writeNow(message []byte) int {
 	n := 0
 	c.raw.Write(func(fd uintptr) bool {
