--- a/internal/dataplane/frontend/clientgone_test.go
+++ b/internal/dataplane/frontend/clientgone_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// closedClientCount returns the number of connections whose client is known to have closed its side.
+// closedClientCount returns the number of connections whose client is known to have closed its end of the connection.
 func closedClientCount(s *Server) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -119,8 +119,8 @@
 	g.records.Init((*recordSource)(g), *g.buffer)
 }
 
-// releaseBuffers releases the buffers between two requests. It keeps the buffers and returns false if they contain a
-// part of the next request.
+// releaseBuffers releases the buffers between two requests. If the buffers contain a part of the next request, it keeps
+// them and returns false.
 func (g *gateway) releaseBuffers() bool {
 	if g.buffer == nil {
 		return true
--- a/internal/dataplane/frontend/write.go
+++ b/internal/dataplane/frontend/write.go
@@ -13,8 +13,8 @@
 
 const (
 	responseBufferSize = 1 << 10
-	// maxPooledBuffer is the size, in bytes, of the largest buffer that is reused. For a gateway the buffer contains
-	// the body of the response, too, and may be large.
+	// maxPooledBuffer is the size, in bytes, of the largest buffer that is reused. The buffer for a response to a
+	// gateway also contains the body, and may be large.
 	maxPooledBuffer = 4 << 10
 )
 
