--- a/internal/dataplane/frontend/drain.go
+++ b/internal/dataplane/frontend/drain.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// forceCloseConns closes the connections that meet a condition, even if a goroutine is serving them.
+// forceCloseConns closes the sockets of connections that meet a condition, even if a goroutine is serving a connection.
 func (s *Server) forceCloseConns(condition func(*conn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
