--- a/cmd/robincart-controller/config.go
+++ b/cmd/robincart-controller/config.go
@@ -27,8 +27,8 @@
 	minLeaseDuration        = time.Second
 )
 
-// file is the configuration file. docs/controller.md describes its keys. They differ from the fields' names because
-// existing files use them.
+// file is the configuration file. docs/controller.md describes its keys. The keys differ from the names of the fields
+// because users' files still have the old keys.
 type file struct {
 	Identity   string          `toml:"identity"`
 	Status     string          `toml:"status"`
@@ -46,7 +46,7 @@
 	LeaseDuration tomlfile.Duration `toml:"hold"`
 }
 
-// membershipTable holds the configured values of membership.Config; nil: the default.
+// membershipTable holds the configured values of membership.Config. A nil pointer means the default value.
 type membershipTable struct {
 	FlapDelay            *tomlfile.Duration `toml:"flap"`
 	MaxFlapDelay         *tomlfile.Duration `toml:"flap_most"`
@@ -123,7 +123,8 @@
 	}
 }
 
-// config returns the controller's configuration, and adds the problems that it finds. It opens the store of the record.
+// config returns the controller's configuration, and appends the errors in the file to found. It opens the store of the
+// record.
 func (f *file) config(found *problems) controller.Config {
 	config := controller.Config{
 		Namespace:        f.API.Namespace,
@@ -159,8 +160,8 @@
 	return config
 }
 
-// check adds the problems of the table. A client of the listen address may write drains, so without keys only a
-// loopback address is allowed.
+// check appends the errors in the table to found. Any client that can connect to the listen address may write drains,
+// so without keys the address must be a loopback address.
 func (t *recordTable) check(keysEnabled bool, found *problems) {
 	if t.Listen != "" {
 		found.checkAddress("record.listen", t.Listen)
--- a/cmd/robincart-controller/golden_test.go
+++ b/cmd/robincart-controller/golden_test.go
@@ -1,7 +1,8 @@
 package main
 
-// The files under testdata were written by hand, as operators write them, and read by the code at commit 0cdd5b2.
-// Never change them to follow a rename: operators' files keep these keys.
+// The files under testdata are configuration files that were written by hand, as users write them. The expected results
+// are those of the code at commit 0cdd5b2. When a key is renamed in the code, do not change these files: users' files
+// still have the old keys.
 
 import (
 	"os"
@@ -63,7 +64,7 @@
 func TestReadConfig_GoldenFile(t *testing.T) {
 	path, err := filepath.Abs("testdata/in-force.toml")
 	require.NoError(t, err)
-	t.Chdir(t.TempDir()) // the configuration file names files in this directory
+	t.Chdir(t.TempDir()) // the configuration file refers to files in the current directory
 	for _, name := range []string{"token", "ca.crt", "client.crt", "client.key", "record.db"} {
 		require.NoError(t, os.WriteFile(name, nil, 0o600))
 	}
--- a/internal/controlplane/controller/connectivity.go
+++ b/internal/controlplane/controller/connectivity.go
@@ -28,8 +28,8 @@
 }
 
 // trackWatches wraps the source of a kind to record when its watches begin and end. The client library does not report
-// this: it treats a closed connection as a normal end of the watch, and retries for tens of seconds before it returns
-// an error.
+// these events: it treats a closed connection as a normal end of the watch, and retries for tens of seconds before it
+// returns an error.
 func (c *Controller) trackWatches(kind string, source cache.ListerWatcher) cache.ListerWatcher {
 	listFunc := func(ctx context.Context, options metav1.ListOptions) (runtime.Object, error) {
 		return cache.ToListerWatcherWithContext(source).ListWithContext(ctx, options)
@@ -55,7 +55,7 @@
 	ended     func()
 }
 
-// Stop ends the watch and records its end. The reflector also calls it if the connection ended first.
+// Stop ends the watch and records its end. The reflector also calls Stop if the connection ended first.
 func (w *trackedWatch) Stop() {
 	w.connected.Stop()
 	w.Interface.Stop()
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -27,29 +27,29 @@
 	"robincart/internal/system/keys"
 )
 
-// tickInterval is the interval between evaluations of state that depends on time: delays of servers, readiness gates
-// and lost watches.
+// tickInterval is the interval at which the state that depends on time is evaluated again: delays of servers, readiness
+// gates and lost watches.
 const tickInterval = 100 * time.Millisecond
 
 // Controller is one replica of the controller.
 type Controller struct {
 	config Config
 	log    *zap.Logger
-	// started is the start of the times, in seconds, that are passed to package membership.
+	// started is the time from which the times for package membership, in seconds, are counted.
 	started time.Time
 	// synced is closed once every kind in requiredKinds has been listed. Lists are published only after that.
 	synced chan struct{}
 	// revisionOffset is the random number from which this process counts revisions within an epoch. A node that
-	// reconnects sends only its latest revision. If every replica counted from 1, a revision of another replica could
-	// equal one of this replica, and the node would never receive the changes between the two lists.
+	// reconnects sends only its latest revision. If every replica counted from 1, the lists of two replicas could have
+	// the same revision although they differ, and a node that changes replicas would never receive the differences.
 	revisionOffset int64
 	lists          map[string]*fanout.List // by Service.ServiceName; not changed after New
 
-	// Set by Run before it starts a goroutine.
+	// Run sets these fields before it starts a goroutine.
 	clients        apiClients
 	keyRing        *keys.Ring   // nil without keys
 	statusListener net.Listener // nil without a status page
-	recordListener net.Listener // nil where the record is not served
+	recordListener net.Listener // nil if the record is not served
 
 	goroutines   sync.WaitGroup // all goroutines that Run starts
 	listenErrors chan error     // errors of the listeners for lists
@@ -60,11 +60,11 @@
 	pods         map[string]podRecord
 	epoch        int64
 	leading      bool
-	skipped      map[string]string         // reason why an object is not used, by its kind and key
+	skipped      map[string]string         // reason why an object is not used, by the object's kind and key
 	disconnected map[string]*disconnection // by kind
 	gatesOpened  int
 	recordWriter *recordWriter        // nil without a store
-	recordServer *recordserver.Server // nil where the record is not served
+	recordServer *recordserver.Server // nil if the record is not served
 }
 
 // New creates a replica. Run opens its connections and listeners.
@@ -109,8 +109,8 @@
 	return c.tick(ctx)
 }
 
-// open opens the listeners, API clients and keys that a replica needs from its start on. Errors of the configuration
-// are returned here, before any goroutine starts to retry.
+// open opens the listeners, API clients and keys that a replica needs from its start on. It returns errors of the
+// configuration. Without this, the goroutines that start later would retry without end.
 func (c *Controller) open(ctx context.Context) error {
 	var err error
 	if c.config.StatusAddress != "" {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// close closes the status page's and the record's listener, and the store.
+// close closes the listeners of the status page and of the record, and closes the store.
 func (c *Controller) close() {
 	for _, listener := range []net.Listener{c.statusListener, c.recordListener} {
 		if listener != nil {
@@ -175,7 +175,8 @@
 	return nil
 }
 
-// tick evaluates state that depends on time at each tickInterval, until the context ends or listening for a list fails.
+// Every tickInterval, tick re-evaluates the state that depends on time. It returns when the context ends, or when a
+// list's listener can't be opened.
 func (c *Controller) tick(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -193,8 +194,8 @@
 	}
 }
 
-// serveList serves a list to nodes once all required kinds have been listed. If it listened earlier and several
-// replicas shared one address, each node that reached a replica during its start would have to retry.
+// serveList serves a list to nodes once all required kinds have been listed. It does not listen before that: with
+// several replicas behind one address, a node that connected to a replica still starting would have to retry.
 func (c *Controller) serveList(ctx context.Context, service Service) {
 	select {
 	case <-ctx.Done():
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -38,11 +38,11 @@
 // replica is a running controller.
 type replica struct {
 	*Controller
-	list string // address at which its list is served to nodes
-	stop func() // ends Run and waits for it
+	list string // address at which the replica's list is served to nodes
+	stop func() // ends Run and waits until it has returned
 }
 
-// newCluster starts the API, calls prepare to set objects, and starts the first replica.
+// newCluster starts the API, calls prepare, which sets objects in the API, and starts the first replica.
 func newCluster(t *testing.T, prepare func(*apiserver.Server)) *cluster {
 	api := startAPI(t)
 	if prepare != nil {
@@ -67,7 +67,8 @@
 	return listener.Addr().String()
 }
 
-// testConfig returns the configuration of a replica that serves the list of the service "s" at the address list.
+// testConfig returns the configuration of a replica that serves the list of the service "s". The argument list is the
+// address of that list, and api is the address of the API.
 func testConfig(identity, list, api string) Config {
 	return Config{
 		API:           &rest.Config{Host: "http://" + api},
@@ -81,7 +82,8 @@
 	}
 }
 
-// startReplica starts a replica that connects to the API at the address api.
+// startReplica starts a replica that serves its list at the address in list, and connects to the API at the address in
+// api.
 func (c *cluster) startReplica(identity, list, api string) *replica {
 	controller, err := New(testConfig(identity, list, api), zap.NewNop())
 	require.NoError(c.t, err)
@@ -276,7 +278,8 @@
 	for _, address := range []string{c.first.list, second.list} {
 		c.requireEventually(func() bool { return fetchSnapshot(address).phases["a"] == "draining" })
 	}
-	// A node of a later epoch is rejected: the epochs differ if only one of the replicas has seen a leader change.
+	// A node whose revision is of a later epoch is rejected. This may happen here: the epochs differ while only one of
+	// the replicas has seen a leader change.
 	isSnapshotOrRejection := func(since int64) bool {
 		response := watchSince(t, second.list, since)
 		defer response.Body.Close()
@@ -375,7 +378,7 @@
 	firstEpoch := c.first.Status().Epoch
 	second := c.startReplica("two", unusedAddress(t), proxy.address())
 	c.requireEventually(func() bool { return second.Status().Synced })
-	c.first.stop() // it releases the lease, so that the replica that uses the proxy becomes leader
+	c.first.stop() // the lease is released, so that the replica that uses the proxy becomes leader
 	c.requireEventually(func() bool { return second.Status().Leading && second.Status().Epoch > firstEpoch })
 	secondEpoch := second.Status().Epoch
 
@@ -405,7 +408,7 @@
 	}, 30*time.Second, pollInterval, "the replica must watch the API again")
 }
 
-// statusPrinter formats the status of a replica when the failure message is formatted.
+// statusPrinter formats the current status of a replica at the moment at which a failure message is formatted.
 type statusPrinter struct{ replica *replica }
 
 func (p statusPrinter) String() string { return fmt.Sprintf("%+v", p.replica.Status()) }
--- a/internal/controlplane/controller/election.go
+++ b/internal/controlplane/controller/election.go
@@ -11,8 +11,8 @@
 	"k8s.io/client-go/tools/leaderelection/resourcelock"
 )
 
-// handleLease processes an event of the leader's lease. Each change of its holder starts a new epoch, which begins with
-// snapshots of the lists. Their revisions are higher than all earlier ones.
+// handleLease processes an event of the leader's lease. Each change of the lease's holder starts a new epoch. The epoch
+// begins with snapshots of the lists, whose revisions are higher than all revisions of earlier epochs.
 func (c *Controller) handleLease(_ string, object any, event eventType) {
 	lease, ok := object.(*coordination.Lease)
 	if event != objectUpdated || !ok {
--- a/internal/controlplane/controller/gates.go
+++ b/internal/controlplane/controller/gates.go
@@ -19,7 +19,8 @@
 // gateOpenReason is the reason field of the condition of an open gate.
 const gateOpenReason = "LetIn"
 
-// gatePatch is a merge patch of a Pod's status. It replaces the list of conditions, so it must contain all of them.
+// gatePatch is a merge patch of a Pod's status. The patch replaces the list of conditions, so it must contain all
+// conditions of the Pod.
 type gatePatch struct {
 	Status gatePatchStatus `json:"status"`
 }
@@ -28,12 +29,12 @@
 	Conditions []core.PodCondition `json:"conditions"`
 }
 
-// openGates opens the readiness gates of the pods that may start to serve now. It does nothing if this replica does not
-// lead.
+// openGates opens the readiness gates of the pods that may start to serve now. It does nothing if this replica is not
+// the leader.
 func (c *Controller) openGates(ctx context.Context) {
 	for _, uid := range c.podsToAdmit() {
-		// Look up each pod just before its patch: earlier patches take time, and this one must contain the latest
-		// conditions.
+		// Look up each pod just before its patch: earlier patches take time, and each patch must contain the pod's
+		// latest conditions.
 		c.mu.Lock()
 		pod := c.pods[uid]
 		c.mu.Unlock()
--- a/internal/controlplane/controller/golden_test.go
+++ b/internal/controlplane/controller/golden_test.go
@@ -1,9 +1,10 @@
 package controller
 
-// The files under testdata pin what the controller reads from the cluster manager's API, what it writes there, and
-// its status page. The .json files of API objects were written by hand and read by the code at commit 0cdd5b2; the
-// .http files, the status pages and list.json were written by that code. Times that the clock gives are replaced
-// by fixedTime. Never change or regenerate the files to follow a rename.
+// The files under testdata fix the formats of the objects that the controller reads from the cluster manager's API, of
+// the requests by which it writes to the API, and of its status page. The .json files of API objects were written by
+// hand, and the expected results are those of the code at commit 0cdd5b2. That code wrote the .http files, the status
+// pages and list.json. In these files, fixedTime replaces the times of the clock. When a name changes in the code, do
+// not change or regenerate the files.
 
 import (
 	"bytes"
@@ -40,8 +41,8 @@
 
 const fixedTime = "2024-04-13T09:00:00Z"
 
-// recentTime matches a time of the clock in JSON, with or without a fraction of a second. The times in the golden
-// objects are of 2024.
+// recentTime matches a time in JSON that the clock gave, with or without a fraction of a second. It does not match the
+// times in the golden objects, which are in 2024.
 var recentTime = regexp.MustCompile(`"20(2[5-9]|[3-9]\d)-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?Z"`)
 
 // apiRequest is one request as the API receives it.
@@ -56,8 +57,8 @@
 	return fmt.Sprintf("%s %s\nContent-Type: %s\n\n%s\n", r.method, r.path, r.contentType, body)
 }
 
-// fakeAPI is an HTTP transport that records the requests that write. It stores one object: the body of the last of
-// them.
+// fakeAPI is an HTTP transport that records all requests that write. It stores one object: the body of the last request
+// that wrote.
 type fakeAPI struct {
 	mu      sync.Mutex
 	object  string
@@ -211,7 +212,7 @@
 		controller.elect(ctx)
 	}()
 	testutil.Receive(t, api.changed) // the lease is acquired
-	testutil.Receive(t, api.changed) // and renewed
+	testutil.Receive(t, api.changed) // the lease is renewed
 	cancel()
 	testutil.Receive(t, ended)
 	requests := api.requests()
@@ -301,7 +302,7 @@
 	} {
 		t.Run(test.golden, func(t *testing.T) {
 			writer, api, _ := goldenRecordWriter(t)
-			writer.nodesCountedAt = time.Now() // keeps the published number of nodes
+			writer.nodesCountedAt = time.Now() // so that reconcile keeps the published number of nodes
 			object := desiredstate.Object{Key: "booking/acme-quota", UID: "u", Generation: 3, Spec: test.spec}
 			settings := map[string]settingObject{
 				object.Key: {Object: object, namespace: "booking", name: "acme-quota", published: test.published},
--- a/internal/controlplane/controller/objects.go
+++ b/internal/controlplane/controller/objects.go
@@ -15,7 +15,8 @@
 	"robincart/internal/controlplane/membership"
 )
 
-// gatedServiceLabel is the label of a Pod that names the service for which its readiness gate limits slow starts.
+// gatedServiceLabel is the label of a Pod with the name of the service for which the Pod's readiness gate limits slow
+// starts.
 const gatedServiceLabel = "robincart.dev/service"
 
 // podRecord holds the fields of a Pod that a patch of its readiness gate needs.
@@ -50,8 +51,8 @@
 	c.setSkipped("endpointslice "+key, problem)
 }
 
-// convertEndpoints returns the usable endpoints of a slice, and a description of the last unusable one; empty: all are
-// usable.
+// convertEndpoints returns the usable endpoints of a slice, and a description of the last unusable endpoint. The
+// description is empty if all endpoints are usable.
 func convertEndpoints(slice *discovery.EndpointSlice, wantedPort string) ([]membership.Endpoint, string) {
 	port := selectPort(slice, wantedPort)
 	problem := ""
@@ -86,8 +87,8 @@
 	return result
 }
 
-// selectPort returns the port of a slice with the wanted name or number, or its first port if wanted is empty. It
-// returns 0 if there is no such port.
+// selectPort returns the port of a slice that has the wanted name or number. If wanted is empty, it returns the first
+// valid port of the slice. It returns 0 if there is no such port.
 func selectPort(slice *discovery.EndpointSlice, wanted string) int32 {
 	for _, port := range slice.Ports {
 		if port.Port == nil || *port.Port <= 0 || *port.Port > maxPort {
@@ -191,8 +192,8 @@
 	}
 }
 
-// setSkipped records and logs the reason why an object can't be used; empty: the object is usable. Other objects are
-// not affected.
+// setSkipped records and logs the reason why an object can't be used. An empty reason means that the object is usable.
+// An unusable object does not affect other objects.
 func (c *Controller) setSkipped(object, reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/controller/proxy_test.go
+++ b/internal/controlplane/controller/proxy_test.go
@@ -43,7 +43,8 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// setCut closes all connections if cut is true, and each new one until it is called with false.
+// setCut closes all connections if cut is true. New connections are then closed, too, until setCut is called with
+// false.
 func (p *proxy) setCut(cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/controller/publish.go
+++ b/internal/controlplane/controller/publish.go
@@ -41,7 +41,7 @@
 	return true
 }
 
-// publishSnapshots publishes all lists in the current epoch. The caller holds the mutex.
+// publishSnapshots publishes a snapshot of each list in the current epoch. The caller holds the mutex.
 func (c *Controller) publishSnapshots() {
 	for serviceName, list := range c.lists {
 		var members []fanout.Member
--- a/internal/controlplane/controller/recordwriter.go
+++ b/internal/controlplane/controller/recordwriter.go
@@ -21,12 +21,13 @@
 )
 
 const (
-	// reconcileInterval is the interval between reconciliations of the record, which other writers change, too.
+	// reconcileInterval is the interval between reconciliations of the record. The record is reconciled even if no
+	// Setting object has changed, since other writers change the record, too.
 	reconcileInterval = time.Second
 	// storeCallTimeout bounds one call to the store.
 	storeCallTimeout = 5 * time.Second
 	// nodeCountInterval is the interval at which the number of nodes in statuses is updated. The number changes with
-	// every deployment, and each update is a patch.
+	// every deployment, and each update costs one patch request.
 	nodeCountInterval = 5 * time.Second
 
 	recordPageSize   = 2000
@@ -40,11 +41,11 @@
 	controller *Controller
 	store      store.Store
 	api        dynamic.NamespaceableResourceInterface
-	// instance distinguishes the idempotency keys of this process from those of other processes with its identity.
+	// instance distinguishes the idempotency keys of this process from those of other processes with the same identity.
 	instance string
 	changed  chan struct{} // signals that a setting has changed
 
-	// Used only by the goroutine of run.
+	// Only the goroutine of the method run uses these fields.
 	nodesCountedAt time.Time
 	keysIssued     int
 
@@ -68,8 +69,8 @@
 	}, nil
 }
 
-// startRecordWriter starts the goroutines that watch Setting objects, and that write them to the record while this
-// replica leads.
+// startRecordWriter starts two goroutines: one watches Setting objects, and the other writes their entries to the
+// record while this replica leads.
 func (c *Controller) startRecordWriter(ctx context.Context) error {
 	writer, err := newRecordWriter(c, c.config.Store)
 	if err != nil {
@@ -102,7 +103,7 @@
 	}
 }
 
-// run reconciles the record after each change of a setting and at each reconcileInterval, until the context ends.
+// run reconciles the record after each change of a setting and every reconcileInterval, until the context ends.
 func (w *recordWriter) run(ctx context.Context) {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
@@ -123,8 +124,8 @@
 	}
 }
 
-// snapshot returns the settings, and whether this replica may write them: it must lead and must have listed all of
-// them.
+// snapshot returns the settings, and whether this replica may write them: the replica must lead, and must have read the
+// initial list of all settings.
 func (w *recordWriter) snapshot() (map[string]settingObject, bool) {
 	c := w.controller
 	c.mu.Lock()
@@ -153,7 +154,8 @@
 	return errors.Join(err, w.publishStatuses(ctx, settings, statuses))
 }
 
-// writeChanges writes each change in a call of its own, so that a failure of one does not prevent the others.
+// writeChanges writes each change in a call of its own, so that a failed write does not prevent the writes of the other
+// changes.
 func (w *recordWriter) writeChanges(ctx context.Context, epoch string, changes []record.Change) error {
 	var failures []error
 	for i := range changes {
@@ -201,7 +203,7 @@
 }
 
 // withNodeCount adds the number of nodes that watch a service's list, and the list's revision, to the service's status.
-// If count is false, it adds the published values.
+// If count is false, it adds the values of the published status instead of the current ones.
 func (w *recordWriter) withNodeCount(
 	status desiredstate.Status, setting settingObject, count bool,
 ) desiredstate.Status {
@@ -264,8 +266,8 @@
 	}
 }
 
-// updateLastError stores the result of a reconciliation for the status page. It logs the first failure and the
-// recovery.
+// updateLastError stores the result of a reconciliation for the status page. It logs the first of several consecutive
+// failures, and the first success after a failure.
 func (w *recordWriter) updateLastError(err error) {
 	w.controller.mu.Lock()
 	defer w.controller.mu.Unlock()
--- a/internal/controlplane/controller/recordwriter_test.go
+++ b/internal/controlplane/controller/recordwriter_test.go
@@ -147,7 +147,7 @@
 	assert.Contains(t, f.recorded(), "tenant front/acme")
 }
 
-// requireServedToNodes waits until the replica serves a record whose only entry has the name.
+// requireServedToNodes waits until the replica serves a record that has one entry, with the given name.
 func (f *recordFixture) requireServedToNodes(name string) {
 	f.t.Helper()
 	served := store.DialControllers([]string{f.controller.config.RecordAddress}, nil)
--- a/internal/controlplane/controller/reflector.go
+++ b/internal/controlplane/controller/reflector.go
@@ -38,9 +38,9 @@
 type eventType int
 
 const (
-	objectUpdated eventType = iota // it was added, changed or listed
-	objectDeleted                  // a watch event reported its deletion
-	objectMissing                  // a list lacks it: it was deleted between two watches, or the list is incomplete
+	objectUpdated eventType = iota // the object was added, changed or listed
+	objectDeleted                  // a watch event reported the deletion of the object
+	objectMissing                  // not in a list: the object was deleted between two watches, or the list is incomplete
 )
 
 // eventHandler processes one event of an object.
@@ -75,8 +75,8 @@
 }
 
 // runReflector runs a reflector and restarts it when it returns, until the context ends. The first restart comes after
-// a short backoff, since no events are received meanwhile. The backoff doubles after each run that did not last longer
-// than watchBackoffReset.
+// a short backoff, since no events are received during the backoff. The backoff doubles after each run that did not
+// last longer than watchBackoffReset.
 func (c *Controller) runReflector(ctx context.Context, kind string, reflector *cache.Reflector) {
 	backoff := minWatchBackoff
 	for ctx.Err() == nil {
@@ -132,7 +132,8 @@
 
 // Replace applies a list. Known objects that the list lacks are dispatched as missing.
 func (s *eventStore) Replace(list []any, resourceVersion string) error {
-	// Set the version even if the list is older than the latest event: the API may have been restored from a backup.
+	// Set the version even if it is lower than the version of the latest event: the API may have been restored from a
+	// backup.
 	s.version, _ = strconv.ParseUint(resourceVersion, 10, 64)
 	s.dispatchMissing(list)
 	for _, object := range list {
@@ -165,10 +166,10 @@
 	}
 }
 
-// isStale reports whether an event is older than the latest one. A watch sends the events of a kind in the order of
-// their resource versions. A watch that was resumed at a wrong version can repeat old events, which would make a server
-// that has just begun to drain ready again. Versions are increasing integers; an object with any other version is not
-// stale.
+// isStale reports whether the event of an object is older than the latest event or list. A watch sends the events of a
+// kind in the order of their resource versions. A watch that was resumed at a wrong version can repeat old events,
+// which would make a server that has just begun to drain ready again. Versions are integers that increase; if the
+// version of an object is not an integer, isStale returns false.
 func (s *eventStore) isStale(object any) bool {
 	accessor, err := meta.Accessor(object)
 	if err != nil {
--- a/internal/controlplane/controller/settings.go
+++ b/internal/controlplane/controller/settings.go
@@ -16,10 +16,12 @@
 	"robincart/internal/controlplane/desiredstate"
 )
 
-// kindSettings is the kind of Setting objects. It is not among requiredKinds: lists do not depend on settings.
+// kindSettings is the kind of Setting objects. requiredKinds does not contain it, since lists of servers do not depend
+// on settings.
 const kindSettings = "settings"
 
-// settingsResource is the custom resource that defines services, routes and quotas: deploy/kubernetes/settings.yaml.
+// settingsResource is the custom resource that defines services, routes and quotas. deploy/kubernetes/settings.yaml
+// declares it.
 var settingsResource = schema.GroupVersionResource{Group: "robincart.dev", Version: "v1", Resource: kindSettings}
 
 // unreadableGeneration replaces the generation of a published status that can't be decoded. No new status has this
@@ -75,8 +77,8 @@
 	return &cache.ListWatch{ListWithContextFunc: listFunc, WatchFuncWithContext: watchFunc}
 }
 
-// statusPatch is a merge patch of a Setting's status. It contains every field, since a merge patch does not change
-// fields that it lacks; null removes a field.
+// statusPatch is a merge patch of a Setting's status. It contains every field, since a field that a merge patch lacks
+// keeps its old value. The value null removes a field.
 type statusPatch struct {
 	Status statusPatchFields `json:"status"`
 }
--- a/internal/controlplane/desiredstate/desiredstate.go
+++ b/internal/controlplane/desiredstate/desiredstate.go
@@ -13,7 +13,8 @@
 	"robincart/internal/record/record"
 )
 
-// Writer is the writer of the entries that objects define. Entries of other writers are not changed.
+// Writer is the name of the writer in the entries that are written for Setting objects. Entries of other writers are
+// not changed.
 const Writer = "controller"
 
 // reasonPending is the reason in the status of an object whose entry is being written.
@@ -22,7 +23,7 @@
 // reconciliation is the state of one call of Reconcile.
 type reconciliation struct {
 	present           map[record.Key]record.Entry // entries of the kinds that objects can define
-	owners            map[record.Key]string       // the key of the object that defines an entry
+	owners            map[record.Key]string       // key of the object that defines an entry, by key of the entry
 	epoch             string
 	newIdempotencyKey func() string
 	changes           []record.Change
@@ -73,7 +74,8 @@
 	})
 }
 
-// reconcile returns the status of one object, and appends the change that it requires to r.changes.
+// reconcile returns the status of one object. If the object requires a change of the record, reconcile appends the
+// change to r.changes.
 func (r *reconciliation) reconcile(object Object) Status {
 	status := Status{Generation: object.Generation}
 	desired, err := object.entry()
@@ -109,7 +111,7 @@
 	return status
 }
 
-// deleteUndefined appends the deletion of the entries of Writer that no object defines any more.
+// deleteUndefined appends changes that delete the entries of Writer that no object defines any more.
 func (r *reconciliation) deleteUndefined() {
 	for key, entry := range r.present {
 		if _, owned := r.owners[key]; owned || entry.Writer != Writer {
--- a/internal/controlplane/desiredstate/desiredstate_test.go
+++ b/internal/controlplane/desiredstate/desiredstate_test.go
@@ -88,8 +88,9 @@
 	assert.Empty(t, changes)
 }
 
-// For any content of the record, the changes of one call make it match the objects: a second call returns no changes.
-// Entries of other writers are not changed, and the order of the objects does not affect the statuses.
+// For any content of the record, the changes that one call returns make the record match the objects: a second call
+// returns no changes. Entries of other writers are not changed, and the order of the objects does not affect the
+// statuses.
 func TestReconcile_ConvergesInOneRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		present := drawEntries(t)
--- a/internal/controlplane/desiredstate/golden_test.go
+++ b/internal/controlplane/desiredstate/golden_test.go
@@ -1,7 +1,8 @@
 package desiredstate
 
-// The files under testdata were written by the code at commit 0cdd5b2. Objects of the cluster manager and entries
-// of the record keep these forms over versions. Never regenerate the files to follow a rename.
+// The files under testdata were written by the code at commit 0cdd5b2. All versions of the controller read and write
+// Setting objects and entries of the record in these forms. When a name changes in the code, do not regenerate the
+// files.
 
 import (
 	"encoding/json"
--- a/internal/controlplane/desiredstate/object.go
+++ b/internal/controlplane/desiredstate/object.go
@@ -16,10 +16,10 @@
 	Generation int64
 	CreatedAt  int64 // milliseconds of Unix time
 	Spec       Spec
-	Malformed  string // why the spec can't be decoded; empty: it was decoded
+	Malformed  string // error in decoding the spec; empty: the spec was decoded
 }
 
-// Spec is what an object defines.
+// Spec describes the entry of the record that an object defines.
 type Spec struct {
 	Kind string `json:"kind"` // service, route or tenant
 	Name string `json:"name"` // for a tenant: SERVICE/TENANT
@@ -28,10 +28,10 @@
 
 // Status is the status of an object in the API.
 type Status struct {
-	Accepted   bool   `json:"accepted"` // the record has the entry
+	Accepted   bool   `json:"accepted"` // the record has the entry that the object defines
 	Reason     string `json:"reason,omitempty"`
 	Generation int64  `json:"observedGeneration"`
-	Revision   int64  `json:"recordRevision,omitempty"` // revision of the entry
+	Revision   int64  `json:"recordRevision,omitempty"` // revision of that entry
 	Epoch      string `json:"recordEpoch,omitempty"`
 	// For a service whose list the controller publishes: the number of nodes that watch the list at the leader, and the
 	// list's revision.
@@ -44,8 +44,8 @@
 	TOML string `json:"toml"`
 }
 
-// entry returns the entry that the object defines, with key and value only. The entry is validated alone: whether it
-// is consistent with other entries is not checked.
+// entry returns the entry that the object defines, and sets only the key and the value of the entry. It validates the
+// entry alone, and does not check whether the entry is consistent with other entries.
 func (o *Object) entry() (record.Entry, error) {
 	entry := record.Entry{Key: record.Key{Kind: record.Kind(o.Spec.Kind), Name: o.Spec.Name}}
 	if o.Malformed != "" {
--- a/internal/controlplane/endpoints/address_test.go
+++ b/internal/controlplane/endpoints/address_test.go
@@ -65,7 +65,8 @@
 	return due
 }
 
-// failureRecorder is a real core that also sends to a channel, for each failed poll, whether it resets the backoff.
+// failureRecorder is a real core that also sends to a channel, for each failed poll, whether the failure resets the
+// backoff.
 type failureRecorder struct {
 	*node.Core
 	resets chan bool
@@ -76,7 +77,7 @@
 	f.resets <- failure.ResetBackoff
 }
 
-// The Watcher reports a failure for each new address, but the core requests one poll for all of them.
+// The Watcher reports a failure for each new address, but the core requests only one poll for all these failures.
 func TestWatcher_AddressChangesWhileDownCauseOnePoll(t *testing.T) {
 	s, err := settings.Parse([]byte(`{"Classes":[{"Name":"a","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}],` +
 		`"RegistryMode":"subscribe","Rules":{"MustAskInMs":1}}`))
--- a/internal/controlplane/endpoints/backoff.go
+++ b/internal/controlplane/endpoints/backoff.go
@@ -17,30 +17,31 @@
 // consecutive rejections.
 //
 // When a whole fleet polls at once, discovery rejects the polls that would have to wait. At first it rejects nearly all
-// of them, and short pauses would only keep it busy with rejections. When few nodes are left, long pauses would leave
-// it idle while those nodes wait. The number of waiting nodes falls as their lists age, so the pause falls with the age
-// of the list, from MaxPollInterval to a third of it. A node with an older list than the others therefore pauses for a
-// shorter time and is served before them.
+// polls, and short pauses would only keep discovery busy with rejections. Later, when only a few nodes still wait for
+// an answer, long pauses would leave discovery idle. The older the list, the fewer nodes still wait, so the pause gets
+// shorter as the list gets older, from MaxPollInterval down to a third of MaxPollInterval. A node whose list is older
+// than the lists of the other nodes therefore has a shorter pause and is served before the other nodes.
 //
-// After rejections for MaxUpdateDelay + maxQueueTime, all changes from before the first rejection are overdue:
-// discovery is down, or too slow for the fleet. The pause is then MaxPollInterval again, to reduce discovery's load,
-// until the rejections end or the address changes.
+// When polls have been rejected for MaxUpdateDelay + maxQueueTime, every change made before the first rejection is
+// overdue, so discovery is down or too slow for the fleet. To reduce discovery's load, the pause is then
+// MaxPollInterval again, until a poll is not rejected or discovery's address changes.
 func maxPauseAfterRejection(l limits.Limits, age, rejected time.Duration) time.Duration {
 	if rejected >= l.MaxUpdateDelay+maxQueueTime {
 		return l.MaxPollInterval
 	}
-	// A working watch may be silent for WatchSilenceTimeout, so a list ages only after that time.
+	// A working watch may be silent for up to WatchSilenceTimeout, so only the age beyond that time shortens the pause.
 	agedFraction := min(1, max(0, float64(age-l.WatchSilenceTimeout))/float64(l.MaxUpdateDelay))
 	return l.MaxPollInterval - time.Duration(agedFraction*float64(l.MaxPollInterval)*2/3)
 }
 
-// watchFailure describes the failure of a poll to the core, which decides when the next poll is due. lasted tells that
-// the poll became a watch that stayed open for at least WatchSilenceTimeout. The mutex is held.
+// watchFailure returns the description of a failed poll for the core, which decides when the next poll is due. lasted
+// is true if the poll became a watch that stayed open for at least WatchSilenceTimeout. The mutex is held.
 //
-// A change that discovery receives while no watch is open must still be in force MaxUpdateDelay after discovery can be
-// reached. Discovery may have been reachable since the failed poll started, or since the last message of a watch that
-// fell silent, so the longest pause counts from there. Within that bound the core's pauses grow from failure to
-// failure, to reduce the load of an overloaded discovery.
+// The node must apply a change within MaxUpdateDelay after discovery has the change and can be reached, even if no
+// watch was open when the change was made. Discovery may have been reachable since the start of the failed poll, or, if
+// the poll became a watch, since the last message of the watch. The time since then is therefore subtracted from the
+// longest pause, MaxPollInterval. Up to this limit, the core's pauses grow with each failure, to reduce the load of an
+// overloaded discovery.
 func (w *Watcher) watchFailure(p *poll, cause error, lasted bool) node.WatchFailure {
 	failure := node.WatchFailure{
 		ResetBackoff: lasted || w.newAddress || !suggestsOverload(cause),
@@ -54,9 +55,9 @@
 	return failure
 }
 
-// suggestsOverload reports whether an overloaded discovery can have caused a failure. A timeout does not suggest it,
-// and neither does a poll that failed for lack of a resource on this machine. A watch that ends right after its
-// snapshot does.
+// suggestsOverload reports whether an overloaded discovery can have caused a failure. A watch that ends right after its
+// snapshot suggests overload. A timeout does not, and neither does a poll that failed for lack of a resource on this
+// machine.
 func suggestsOverload(cause error) bool {
 	var localFailure *LocalResourceError
 	switch {
@@ -70,7 +71,7 @@
 	return true
 }
 
-// boundAfterRejection sets the bounds of the pause if discovery rejected the poll. The mutex is held.
+// boundAfterRejection sets MinPause and limits MaxPause if discovery rejected the poll. The mutex is held.
 func (w *Watcher) boundAfterRejection(cause error, failure *node.WatchFailure) {
 	var rejection *RejectedError
 	if !errors.As(cause, &rejection) {
--- a/internal/controlplane/endpoints/backoff_test.go
+++ b/internal/controlplane/endpoints/backoff_test.go
@@ -10,7 +10,8 @@
 	"robincart/internal/resources/limits"
 )
 
-// The longest pause after a rejection falls with the age of the list, and rises again after long rejections.
+// The longest pause after a rejection gets shorter as the list gets older. It is MaxPollInterval again when polls have
+// been rejected for a long time.
 func TestMaxPauseAfterRejection(t *testing.T) {
 	l := limits.Limits{
 		MaxPollInterval:     3 * time.Second,
--- a/internal/controlplane/endpoints/descriptors.go
+++ b/internal/controlplane/endpoints/descriptors.go
@@ -6,24 +6,24 @@
 	"robincart/internal/resources/limits"
 )
 
-// descriptorReserve takes the descriptors of polls from the process's budget. It keeps one descriptor between polls.
-// Without it, no descriptor might be free when discovery comes back after an outage: connections to servers take every
-// free descriptor while servers hang.
+// descriptorReserve takes the file descriptors of polls from the process's budget, and keeps one descriptor between
+// polls. Otherwise no descriptor might be free when discovery can be reached again after an outage: while servers hang,
+// the connections to them take every free descriptor.
 type descriptorReserve struct {
 	budget *limits.Budget
 
 	mu       sync.Mutex
 	reserved int // descriptors taken from the budget
-	inUse    int // those of them that polls use
+	inUse    int // reserved descriptors that polls use
 }
 
-// acquire takes a descriptor for a poll, and returns false if none is left. Only one goroutine may call it: release may
-// run between its two critical sections, another acquire may not.
+// acquire takes a descriptor for a poll, and returns false if no descriptor is left. Only one goroutine may call
+// acquire: release may run between the two critical sections of acquire, but a second acquire may not.
 func (d *descriptorReserve) acquire() bool {
 	d.mu.Lock()
 	needsAnother := d.reserved <= d.inUse
 	d.mu.Unlock()
-	if needsAnother && !d.budget.Acquire() { // may evict an idle connection: not under the mutex
+	if needsAnother && !d.budget.Acquire() { // called without the mutex, since it may evict an idle connection
 		return false
 	}
 	d.mu.Lock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// close returns all descriptors to the budget. It is called when no poll uses one any more.
+// close returns all descriptors to the budget. It is called when no poll uses a descriptor any more.
 func (d *descriptorReserve) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/endpoints/errors.go
+++ b/internal/controlplane/endpoints/errors.go
@@ -18,7 +18,7 @@
 		e.Status)
 }
 
-// EntryLimitError means that a message has more entries than are accepted. The current list stays in force.
+// EntryLimitError means that a message has more than MaxMembers entries. The current list stays in force.
 type EntryLimitError struct {
 	Entries int
 }
@@ -54,7 +54,7 @@
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
 // TurnoverLimitError means that the last snapshot and the deltas after it have more than MaxMembers entries, not
-// counting those in phase gone. Many of the servers may not exist any more, so a new snapshot is requested.
+// counting entries in phase gone. Many of the servers may no longer exist, so a new snapshot is requested.
 type TurnoverLimitError struct{}
 
 func (e *TurnoverLimitError) Error() string {
--- a/internal/controlplane/endpoints/fakediscovery_test.go
+++ b/internal/controlplane/endpoints/fakediscovery_test.go
@@ -16,7 +16,7 @@
 const (
 	noFault       fault = iota
 	down                // connections are refused, watches end
-	unreachable         // connections are never established, open ones stay silent
+	unreachable         // new connections are never established, open connections stay silent
 	unresponsive        // connections are established, polls are not answered, watches fall silent
 	rejecting           // polls are answered with 503, watches end
 	resetting           // connections are closed after the poll was read, watches end
@@ -29,35 +29,35 @@
 	firstVersion      = 42
 )
 
-// fakeDiscovery is a discovery with one worker: it answers polls one after another and rejects those that have waited
+// fakeDiscovery is a discovery with one worker: it answers polls one after another and rejects polls that have waited
 // too long. It runs on synctest's clock.
 type fakeDiscovery struct {
 	serviceTime  time.Duration // the worker's time for one poll
 	queueTimeout time.Duration // a poll that has waited longer is rejected
 	servesClosed bool          // the worker also serves polls whose connection was closed
-	// A poll that would wait longer than maxWait is rejected at once, which takes rejectionTime of the worker's time.
-	// 0: no poll is.
+	// A poll that would wait longer than maxWait is rejected at once, and the rejection takes rejectionTime of the
+	// worker's time. If maxWait is 0, no poll is rejected at once.
 	maxWait, rejectionTime time.Duration
 
 	mu       sync.Mutex
 	fault    fault
 	queue    []*queuedPoll
 	wake     chan struct{}     // wakes serveQueue
-	conns    map[net.Conn]bool // open connections; true: nothing more is sent
+	conns    map[net.Conn]bool // open connections; true: nothing more is sent to the node
 	version  int               // revision of the list
 	changed  chan struct{}     // closed when the list changes
 	idleAt   time.Time         // when the worker will have finished all accepted polls and rejections
-	polls    int               // polls so far, with connects that were refused or lost
+	polls    int               // polls so far, including those whose connection was refused or not established
 	maxQueue int               // the largest length of the queue
 	timedOut int               // polls rejected after queueTimeout
-	wasted   int               // polls served though their connection was closed
-	rejected int               // polls rejected at once for maxWait
+	wasted   int               // polls served although their connection was closed
+	rejected int               // polls rejected at once because of maxWait
 }
 
 // queuedPoll is a poll that waits for its answer.
 type queuedPoll struct {
 	conn   net.Conn
-	closed bool // by the node
+	closed bool // the node has closed the connection
 	done   bool // answered or rejected
 }
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// setFault begins a fault, or ends it with noFault.
+// setFault begins the fault x. If x is noFault, it ends the current fault.
 func (f *fakeDiscovery) setFault(x fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,8 +204,8 @@
 	return admitted
 }
 
-// scheduleWork adds a poll to the worker's time, and returns true. If the poll would wait longer than maxWait, it adds
-// the time for the rejection and returns false. The mutex is held.
+// scheduleWork adds the service time of a poll to the worker's scheduled work, and returns true. If the poll would wait
+// longer than maxWait, scheduleWork adds only the time for the rejection and returns false. The mutex is held.
 func (f *fakeDiscovery) scheduleWork() bool {
 	now := time.Now()
 	if f.idleAt.Before(now) {
@@ -254,7 +254,7 @@
 	}
 }
 
-// nextPoll removes the next poll to answer from the queue and returns it; nil if there is none.
+// nextPoll removes the next poll to answer from the queue and returns it. It returns nil if there is no such poll.
 func (f *fakeDiscovery) nextPoll() *queuedPoll {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -273,8 +273,8 @@
 	return nil
 }
 
-// timeForPoll returns how long the worker is busy with the poll that it has just removed from the queue. With maxWait
-// set, that includes the time for rejections.
+// timeForPoll returns how long the worker is busy with the poll that it has just removed from the queue. If maxWait is
+// set, the result includes the time for rejections.
 func (f *fakeDiscovery) timeForPoll() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -311,7 +311,7 @@
 	}
 }
 
-// write writes to a connection that is open and not silent, and reports whether it succeeded.
+// write writes to a connection if the connection is open and not silent, and reports whether the write succeeded.
 func (f *fakeDiscovery) write(c net.Conn, text string) bool {
 	f.mu.Lock()
 	silent, open := f.conns[c]
--- a/internal/controlplane/endpoints/fleet_test.go
+++ b/internal/controlplane/endpoints/fleet_test.go
@@ -12,11 +12,11 @@
 	"robincart/internal/resources/limits"
 )
 
-// outage is a fault of discovery that affects a whole fleet, and discovery's capacity after it.
+// outage is a fault of discovery that affects a whole fleet, and discovery's capacity after the fault.
 type outage struct {
 	name          string
 	fault         fault         // lasts 8 s; noFault: all watches are reset instead
-	fleetPollTime time.Duration // discovery's time for one poll of each node
+	fleetPollTime time.Duration // discovery's total time for one poll from each node
 	queueTimeout  time.Duration
 	servesClosed  bool
 }
@@ -25,7 +25,7 @@
 type recovery struct {
 	pollsDuringOutage, pollsAfter int
 	updated                       int           // nodes that were updated
-	timeToHalf, timeToAll         time.Duration // until half of the nodes, and all of them, were updated
+	timeToHalf, timeToAll         time.Duration // time until half of the nodes, or all nodes, were updated
 }
 
 // All nodes of a fleet recover in time, with a bounded number of polls, after an outage of discovery or the end of all
@@ -54,10 +54,10 @@
 				synctest.Test(t, func(t *testing.T) {
 					got := recoverFleet(t, nodes, x)
 					assert.Equal(t, nodes, got.updated, "all nodes have the list again")
-					// Pauses begin with 0.25 s and double up to two thirds of the bound, which makes six polls in 8 s.
-					// A discovery that can update all nodes in time gets at most 1.5 polls per node after the outage.
-					// One that can't rejects the other polls with time-outs again and again, and a node with a poll in
-					// its queue starts no other.
+					// Pauses begin with 0.25 s and double up to two thirds of their upper bound, so a node sends six
+					// polls in 8 s. A discovery that can update all nodes in time gets at most 1.5 polls per node after
+					// the outage. A slower discovery repeatedly rejects the polls that time out in its queue, and a
+					// node with a poll in the queue starts no other poll.
 					assert.LessOrEqual(t, got.pollsDuringOutage, 6*nodes)
 					if x.fleetPollTime < maxUpdateDelay {
 						assert.LessOrEqual(t, got.timeToAll, maxUpdateDelay)
@@ -117,10 +117,10 @@
 	return got
 }
 
-// A discovery that is just fast enough to update the whole fleet in time, but immediately rejects polls that would have
-// to wait, must neither idle while the last nodes are in long pauses nor be kept busy with rejections. All watches fall
-// silent at the same time. The sizes are those of an operator's fleet in which this failed: 18 nodes, a third of a
-// second of service time for a poll, and up to two thirds of a second that a poll may wait.
+// All watches fall silent at the same time. Discovery is just fast enough to update the whole fleet in time, but it
+// immediately rejects a poll that would have to wait too long. Discovery must not idle while the last nodes are in long
+// pauses, and must not be kept busy with rejections. In an operator's fleet of these sizes, this failed: 18 nodes, a
+// service time of a third of a second for each poll, and a longest wait of two thirds of a second.
 func TestFleet_BusyDiscoveryRejects(t *testing.T) {
 	const runs = 20
 	for _, x := range []struct {
@@ -174,7 +174,7 @@
 }
 
 // When all nodes change to another discovery, which rejects many of their polls, the node with the oldest list is
-// updated sooner than the others.
+// updated sooner than the other nodes.
 func TestFleet_OldestListIsUpdatedFirst(t *testing.T) {
 	const nodes, runs = 18, 100
 	var oldest, others time.Duration
@@ -205,7 +205,8 @@
 				fleet[i].watcher.SetAddress(nextAddress)
 				time.Sleep(100 * time.Millisecond)
 			}
-			// The first discoveries' lists arrived before the address change, so a later list is the next discovery's.
+			// The lists of the first discoveries arrived before the address change, so a later list is from the next
+			// one.
 			for i, n := range fleet {
 				n.awaitUpdate(movedAt[i].Add(time.Millisecond), time.Minute)
 				took := n.updatedAt().Sub(movedAt[i])
@@ -226,7 +227,7 @@
 // disturbance is a series of faults before a change that has to arrive in time.
 type disturbance struct {
 	name string
-	// apply causes the faults for the duration, at a node that was started 40 s before.
+	// apply causes the faults and returns after the duration. The node was started 40 s earlier.
 	apply func(d *fakeDiscovery, n *testNode, r *rand.Rand, duration time.Duration)
 }
 
@@ -241,7 +242,8 @@
 	}}
 }
 
-// randomDuration returns a random duration of at most longest, which does not go beyond the end of a disturbance.
+// randomDuration returns a random duration of at most longest. The duration does not extend past end, the end of a
+// disturbance.
 func randomDuration(r *rand.Rand, longest time.Duration, end time.Time) time.Duration {
 	return min(time.Until(end), time.Duration(r.Float64()*float64(longest)))
 }
@@ -367,7 +369,7 @@
 }
 
 // A watch may end before it has sent a published change. The change has to arrive soon after the end of the watch, even
-// if many polls had failed before the watch or the watch was short.
+// if many polls had failed before the watch was established, or if the watch was short.
 func TestFleet_WatchEndsBeforeChange(t *testing.T) {
 	const maxDelay, serviceTime = 2 * time.Second, 300 * time.Millisecond
 	worst := time.Duration(0)
@@ -377,7 +379,7 @@
 			d := s.startDiscovery(serviceTime)
 			d.setFault(rejecting)
 			n := s.startFleet(d, 1, int64(run))[0]
-			time.Sleep(10 * time.Second) // the pauses have grown
+			time.Sleep(10 * time.Second) // until the pauses have grown
 			recovered := time.Now()
 			d.setFault(noFault)
 			n.awaitUpdate(recovered, time.Hour)
@@ -392,8 +394,8 @@
 	assert.Less(t, worst, maxDelay)
 }
 
-// A discovery that ends each watch right after its snapshot is polled no more often than one whose polls fail: the
-// pauses grow up to the bound, and from then on each is at least a third of it.
+// A discovery that ends each watch right after its snapshot is polled no more often than a discovery whose polls fail:
+// the pauses grow up to their upper bound, and from then on each pause is at least a third of that bound.
 func TestFleet_EndingWatchesKeepBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t)
--- a/internal/controlplane/endpoints/golden_test.go
+++ b/internal/controlplane/endpoints/golden_test.go
@@ -2,7 +2,8 @@
 
 // The files under testdata fix the format of the lists that are read from discovery. The lists were written by hand.
 // The expected results are those of the code at commit 0cdd5b2, which also wrote skipped-entries.txt and
-// watch-request.http. Never change or regenerate the files after a rename: the names in them belong to the protocol.
+// watch-request.http. When a name changes in the code, do not change or regenerate the files: the names in the files
+// belong to the protocol.
 
 import (
 	"bytes"
--- a/internal/controlplane/endpoints/helpers_test.go
+++ b/internal/controlplane/endpoints/helpers_test.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// startWatcher starts a Watcher with a discovery that answers each poll with the next of the answers, and all further
-// polls with the last one. known is the list that the node has at the start. The request lines of the polls are sent to
-// the returned channel.
+// startWatcher starts a Watcher with a discovery that gives the answers to the polls in their order, and answers all
+// further polls with the last answer. known is the list that the node has at the start. The request lines of the polls
+// are sent to the returned channel.
 func startWatcher(t *testing.T, known string, answers ...func(net.Conn)) (fakeReceiver, *Watcher, chan string) {
 	t.Helper()
 	return startWatcherWith(t, testLimits(), known, answers...)
@@ -144,7 +144,7 @@
 
 // answerPolls answers polls, as startWatcher describes, until the listener is closed.
 func answerPolls(listener net.Listener, requests chan<- string, answers []func(net.Conn)) {
-	var open []net.Conn // the garbage collector would close unreferenced connections, which have to stay silent
+	var open []net.Conn // a connection without a reference would be closed by the garbage collector
 	defer func() {
 		for _, c := range open {
 			c.Close()
--- a/internal/controlplane/endpoints/list.go
+++ b/internal/controlplane/endpoints/list.go
@@ -18,30 +18,32 @@
 )
 
 const (
-	// MaxMembers is the largest number of entries in a message, and of servers of a service. A fleet of the target size
-	// has 440 servers in all. A list above this limit is an error at its source, and each entry would take memory.
+	// MaxMembers is the largest number of entries in a message, and the largest number of servers of a service. A fleet
+	// of the target size has 440 servers in total. A longer list is a mistake in discovery, and each of its entries
+	// would take memory.
 	MaxMembers = 20_000
 
-	// maxSkippedLogged is the number of skipped entries of one message that are logged one by one. If there are more,
-	// their total number is logged as well.
+	// maxSkippedLogged is the largest number of skipped entries of one message that are logged one by one. If more
+	// entries are skipped, a further log line has the number of all skipped entries.
 	maxSkippedLogged = 10
 
-	// maxLoggedBytes is the largest number of bytes of a skipped entry that are logged.
+	// maxLoggedBytes is the length, in bytes, to which a skipped entry is cut in the log.
 	maxLoggedBytes = 1000
 
 	maxPort = 65535
 
 	// maxStartMillis is the upper bound of plausible start times, in milliseconds of Unix time: some 30,000 years from
-	// now. Later ones are ignored.
+	// now. A later start time is ignored.
 	maxStartMillis = 1e15
 )
 
 var phases = map[string]decide.State{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
 
-// List is one message of discovery: a snapshot of all entries, or a delta with those that changed.
+// List is one message from discovery: a snapshot, which has all entries, or a delta, which has only the entries that
+// changed.
 type List struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"` // a snapshot
+	Complete bool     `json:"complete"` // true: a snapshot; false: a delta
 	Members  []member `json:"members"`
 }
 
@@ -59,8 +61,8 @@
 	text []byte // the first bytes of an entry that can't be decoded
 }
 
-// UnmarshalJSON never returns an error, so that a malformed entry does not prevent the decoding of the others. The
-// error is kept in the entry.
+// UnmarshalJSON never returns an error, so that a malformed entry does not prevent the decoding of the other entries.
+// The error is stored in the field err.
 func (m *member) UnmarshalJSON(text []byte) error {
 	type fields member
 	m.err = json.Unmarshal(text, (*fields)(m))
@@ -70,8 +72,8 @@
 	return nil
 }
 
-// Parse decodes one message. It returns an error only if the message as a whole can't be used. Entries that can't be
-// used are skipped later, by Endpoints.
+// Parse decodes one message. It returns an error only if the message as a whole can't be used. A single entry that
+// can't be used is skipped later, by Endpoints.
 func Parse(text []byte) (*List, error) {
 	l := &List{}
 	if err := json.Unmarshal(text, l); err != nil {
@@ -91,8 +93,8 @@
 	return l, nil
 }
 
-// checkPhases returns a ConflictError if a snapshot lists one server in two phases. In a delta that is valid: its
-// entries are successive changes.
+// checkPhases returns a ConflictError if a snapshot lists one server in two phases. A delta may list a server in
+// several phases, since its entries are successive changes.
 func (l *List) checkPhases() error {
 	phaseOf := make(map[string]string, len(l.Members))
 	for _, m := range l.Members {
@@ -173,7 +175,7 @@
 	case !known:
 		return 0, fmt.Errorf("phase: found %q, expected ready, draining or gone", m.Phase)
 	case state == decide.Gone:
-		return state, nil // no request is sent to it, so its address is not checked
+		return state, nil // a server that is gone gets no requests, so its address is not checked
 	}
 	return state, checkAddress(m.HostPort)
 }
--- a/internal/controlplane/endpoints/list_test.go
+++ b/internal/controlplane/endpoints/list_test.go
@@ -113,7 +113,7 @@
 	})
 }
 
-// frozenClock is a clock that does not advance, and never calls a function.
+// frozenClock is a clock that does not advance, and never calls a function that is passed to AfterFunc.
 type frozenClock struct{}
 
 func (frozenClock) Now() time.Duration              { return 0 }
@@ -136,7 +136,7 @@
 	return out.Bytes()
 }
 
-// The limits for a message and for a service allow the largest fleets of operators.
+// The limits on the size of a message and on the number of servers of a service allow the largest fleets of operators.
 func TestParse_ThousandServers(t *testing.T) {
 	const servers = 1024
 	core := frozenCore(t)
@@ -150,7 +150,8 @@
 }
 
 // BenchmarkDelivery measures the time from the last byte of a snapshot until no more attempts start at the servers that
-// it removes: extracting the message from the stream, decoding it, and updating the core under its lock.
+// the snapshot removes. The time includes extracting the message from the stream, decoding it, and updating the core
+// under its lock.
 func BenchmarkDelivery(b *testing.B) {
 	for _, servers := range []int{1, 30, 300, 1024, 20_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/internal/controlplane/endpoints/messages.go
+++ b/internal/controlplane/endpoints/messages.go
@@ -5,12 +5,12 @@
 	"io"
 )
 
-// reuseFactor bounds the message memory that a messageReader reuses for the next message, as a multiple of the size of
-// its read buffer. Snapshots are large and rare, deltas are short, so the memory of a snapshot is not worth keeping.
+// reuseFactor limits the memory that a messageReader reuses for the next message: at most reuseFactor times the size of
+// its read buffer. Snapshots are large and rare, and deltas are short, so the memory of a large snapshot is freed.
 const reuseFactor = 16
 
-// messageReader splits the body of a watch response into messages, one JSON object each. It finds their ends by the
-// braces and not by line breaks, since discovery may write indented JSON.
+// messageReader splits the body of a watch response into messages, one JSON object each. It finds the end of a message
+// by its braces and not by line breaks, since discovery may write indented JSON.
 type messageReader struct {
 	source     io.Reader
 	maxMessage int    // bytes
@@ -22,11 +22,11 @@
 	message  []byte // the scanned part of the current message
 	depth    int    // number of open braces and brackets
 	inString bool   // the position is inside a JSON string
-	escaped  bool   // the byte before the position is a backslash in a string that escapes the next byte
+	escaped  bool   // inside a string, the previous byte is a backslash that escapes the byte at the position
 }
 
-// next returns the next message, which is valid until the following call. It does not call onAlive for the bytes of an
-// incomplete message: a discovery that hangs in the middle of a message has to time out.
+// next returns the next message, which is valid until the following call. next does not call onAlive for the bytes of
+// an incomplete message: a discovery that hangs in the middle of a message has to time out.
 func (m *messageReader) next() ([]byte, error) {
 	if cap(m.message) > reuseFactor*len(m.buffer) {
 		m.message = nil
@@ -47,7 +47,7 @@
 	}
 }
 
-// fill reads more bytes into the buffer if all of its bytes have been scanned.
+// fill reads more bytes into the buffer once all buffered bytes have been scanned.
 func (m *messageReader) fill() error {
 	if m.position < m.filled {
 		return nil
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// scan appends the buffered bytes to the message, up to its end, and reports whether the message is complete.
+// scan appends the buffered bytes to the message, up to the end of the message, and reports whether the message is
+// complete.
 func (m *messageReader) scan() (complete bool, err error) {
 	start := m.position
 	alive := false
--- a/internal/controlplane/endpoints/poll.go
+++ b/internal/controlplane/endpoints/poll.go
@@ -14,13 +14,15 @@
 	"robincart/internal/system/socket"
 )
 
-// pollState is the Watcher's state of a poll. poll.done tells whether the poll's goroutine has ended.
+// pollState is the state of a poll for the Watcher. It does not show whether the poll's goroutine has ended: poll.done
+// does.
 type pollState int
 
 const (
 	// pollPending: no message has been received yet. The first poll that receives one becomes the watch.
 	pollPending pollState = iota
-	// pollUnanswered: no message was received within FirstMessageTimeout. The poll goes on, but another one may start.
+	// pollUnanswered: no message was received within FirstMessageTimeout. The poll continues, but another poll may
+	// start.
 	pollUnanswered
 	// pollWatching: the poll has become the watch.
 	pollWatching
@@ -28,7 +30,7 @@
 	pollDropped
 )
 
-// poll is one request to discovery, and the watch that it becomes when it is answered.
+// poll is one request to discovery, and the watch that the request becomes when discovery answers it.
 type poll struct {
 	addr      string
 	since     int64 // changes after this revision are requested
@@ -36,7 +38,7 @@
 	cancel    context.CancelFunc
 
 	done chan struct{} // closed when the poll has ended
-	// Written by the poll's goroutine; others read them only after done is closed.
+	// Written by the poll's goroutine. Other goroutines read these two fields only after done is closed.
 	err       error
 	delivered bool // a snapshot or a delta was received; always false for a poll that did not become the watch
 
@@ -75,7 +77,8 @@
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 
-	// The deadline is later than FirstMessageTimeout: a poll that is canceled loses its place in discovery's queue.
+	// The poll may take longer than FirstMessageTimeout: if it were canceled then, it would lose its place in
+	// discovery's queue.
 	conn.SetDeadline(p.startedAt.Add(w.limits.MaxUpdateDelay))
 	status, stream, err := w.sendRequest(conn, p)
 	if err != nil {
@@ -128,8 +131,9 @@
 	return status, stream, nil
 }
 
-// readWatch delivers the messages of a response until it ends. Silence for WatchSilenceTimeout ends it: a working
-// discovery sends at least an empty line every 2 s, one that can't be reached any more sends nothing.
+// readWatch delivers the messages of a response until the response ends. It also returns if neither a message nor an
+// empty line arrives for WatchSilenceTimeout: a working discovery sends at least an empty line every 2 s, and a
+// discovery that can no longer be reached sends nothing.
 func (w *Watcher) readWatch(conn net.Conn, stream *httpwire.Stream, p *poll) error {
 	messages := messageReader{
 		source:     stream,
@@ -163,9 +167,9 @@
 	}
 }
 
-// markMessageReceived stores the time at which a poll received a message, or white space between messages. The first
-// poll that receives one becomes the watch, and the other polls are dropped. It returns false if p itself was dropped
-// before.
+// markMessageReceived stores the time at which the poll p received a message, or white space between messages. The
+// first poll that receives either becomes the watch, and all other polls are dropped. markMessageReceived returns false
+// if p had been dropped before.
 func (w *Watcher) markMessageReceived(p *poll) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -187,7 +191,8 @@
 	return true
 }
 
-// markEstablished resets the failure state after the first snapshot or delta of a watch, and logs it.
+// markEstablished resets the failure state after the first snapshot or delta of a watch, and logs that the watch is
+// established.
 func (w *Watcher) markEstablished(p *poll, list *List) {
 	w.mu.Lock()
 	w.failing, w.newAddress = false, false
--- a/internal/controlplane/endpoints/polls.go
+++ b/internal/controlplane/endpoints/polls.go
@@ -7,8 +7,8 @@
 	"go.uber.org/zap"
 )
 
-// startPoll starts a poll if discovery's address has changed, or if a poll was requested and none of the earlier ones
-// is expected to be answered (see answerExpected).
+// startPoll starts a poll if discovery's address has changed. It also starts a poll if one was requested and no earlier
+// poll may still be answered in time (see answerExpected).
 func (w *Watcher) startPoll(ctx context.Context) {
 	w.mu.Lock()
 	requested, addressChanged := w.pollRequested, w.addressChanged
@@ -43,7 +43,7 @@
 	}()
 }
 
-// answerExpected reports whether a watch is open, or a poll may still be answered in time. The mutex is held.
+// answerExpected reports whether a watch is open, or whether a poll may still be answered in time. The mutex is held.
 func (w *Watcher) answerExpected() bool {
 	for _, p := range w.polls {
 		if p.state == pollPending || p.state == pollWatching {
@@ -53,29 +53,29 @@
 	return false
 }
 
-// addPoll adds a poll of the current address to the list of polls.
+// addPoll adds a poll of the current address to w.polls and returns the poll.
 func (w *Watcher) addPoll(cancel context.CancelFunc) *poll {
 	now := time.Now()
 	p := &poll{startedAt: now, lastMessage: now, cancel: cancel, done: make(chan struct{})}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.polledAddr != w.addr {
-		// Another discovery may count revisions differently: compared with the revision of the old one, its changes
-		// could look outdated.
+		// Another discovery may count revisions differently: its changes could look outdated if their revisions were
+		// compared with a revision of the old discovery.
 		w.polledAddr, w.revision = w.addr, 0
 		w.failing, w.newAddress = false, true
 		w.rejectedSince = time.Time{}
 		w.log.Info("discovery address changed", zap.String("discovery", w.polledAddr))
 	}
 	p.addr, p.since = w.polledAddr, w.revision
-	if w.addressChanged { // again, after startPoll read it
+	if w.addressChanged { // the address has changed again since startPoll read it
 		p.drop()
 	}
 	w.polls = append(w.polls, p)
 	return p
 }
 
-// endPoll ends a poll and wakes Run, which reports its failure.
+// endPoll ends a poll with the cause of its failure, and wakes Run, which reports the failure.
 func (w *Watcher) endPoll(p *poll, cause error) {
 	p.err = cause
 	p.cancel()
@@ -83,8 +83,8 @@
 	w.signal()
 }
 
-// markUnanswered marks a poll that is still pending after FirstMessageTimeout, and wakes Run, which reports it as
-// failed. The poll itself goes on while another one is started.
+// markUnanswered marks a poll that is still pending after FirstMessageTimeout, and wakes Run, which reports the poll as
+// failed. The poll continues to run while another poll is started.
 func (w *Watcher) markUnanswered(p *poll) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// dropOldest drops the oldest poll and waits for its end. It returns false if there is none.
+// dropOldest drops the oldest poll and waits until it has ended. It returns false if there is no poll.
 func (w *Watcher) dropOldest() bool {
 	w.mu.Lock()
 	if len(w.polls) == 0 {
@@ -112,13 +112,13 @@
 	return true
 }
 
-// dropAll drops all polls, the watch included, and waits for their ends.
+// dropAll drops all polls, including the watch, and waits until they have ended.
 func (w *Watcher) dropAll() {
 	for w.dropOldest() {
 	}
 }
 
-// failedPolls returns the polls whose failure has to be reported, and removes ended polls from the list.
+// failedPolls returns the polls whose failures have to be reported, and removes the polls that have ended from w.polls.
 func (w *Watcher) failedPolls() []*poll {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -139,7 +139,7 @@
 	return failed
 }
 
-// reportFailure reports a failed poll to the core, and logs the first of consecutive failures.
+// reportFailure reports a failed poll to the core. Of several consecutive failures, it logs only the first.
 func (w *Watcher) reportFailure(p *poll) {
 	cause, lasted := errUnanswered, false
 	if p.ended() {
@@ -148,8 +148,8 @@
 	}
 	w.mu.Lock()
 	if w.watch != nil || p.state == pollDropped {
-		// No other poll is needed: another one has been answered since, and its end will be reported, or the address
-		// has changed, which starts one.
+		// The core need not request a poll. Either another poll has become the watch since, and the end of that watch
+		// will be reported, or the address has changed, and the change starts a poll.
 		w.mu.Unlock()
 		return
 	}
--- a/internal/controlplane/endpoints/simulation_test.go
+++ b/internal/controlplane/endpoints/simulation_test.go
@@ -17,11 +17,12 @@
 )
 
 const (
-	// maxUpdateDelay is the longest time that a change may take to come into force, from when discovery has it and can
-	// be reached. The bound also holds after polls that failed, were rejected or were canceled.
+	// maxUpdateDelay is the longest time in which a node must apply a change. The time counts from the moment at which
+	// discovery has the change and can be reached. The limit also holds after polls that failed, were rejected or were
+	// canceled.
 	maxUpdateDelay = 6 * time.Second
 
-	// pollTime is the time that discovery takes for a poll: the longest that a working discovery is allowed to take.
+	// pollTime is the time that discovery takes for one poll: the longest time that a working discovery may take.
 	pollTime = 2 * time.Second
 
 	// checkInterval is the time between checks whether a list has arrived.
@@ -33,8 +34,8 @@
 	nextAddress  = "127.0.0.1:2"
 )
 
-// simulation runs in a synctest bubble. It has real Watchers and cores, which connect to fakeDiscoveries by the
-// fakeDiscoveries' own dial functions. Its measurements are the same on any machine.
+// simulation runs in a synctest bubble. It has real Watchers and cores, and the Watchers connect to fakeDiscoveries
+// through the method fakeDiscovery.dial. The measurements of a simulation are the same on any machine.
 type simulation struct {
 	t           *testing.T
 	ctx         context.Context
@@ -150,8 +151,8 @@
 
 func (u *updateRecorder) updatedSince(since time.Time) bool { return !u.updatedAt().Before(since) }
 
-// awaitUpdate waits until the core has been updated at the time since or later, or until the timeout, which counts from
-// since. It returns the time from since to the end of the wait.
+// awaitUpdate waits for an update of the core at or after a start time, since. The timeout also counts from the start
+// time. The result is the time from the start time until the update or the timeout.
 func (u *updateRecorder) awaitUpdate(since time.Time, timeout time.Duration) time.Duration {
 	for !u.updatedSince(since) && time.Since(since) < timeout {
 		time.Sleep(checkInterval)
@@ -159,7 +160,8 @@
 	return time.Since(since)
 }
 
-// dialByAddress returns a DialFunc that connects to next at nextAddress, and to otherwise at any other address.
+// dialByAddress returns a DialFunc that connects to the discovery next if the address is nextAddress, and to the
+// discovery otherwise if not.
 func dialByAddress(next, otherwise *fakeDiscovery) DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr == nextAddress {
--- a/internal/controlplane/endpoints/watcher.go
+++ b/internal/controlplane/endpoints/watcher.go
@@ -4,8 +4,8 @@
 // A Watcher polls discovery over HTTP. A poll that is answered becomes a watch: an open-ended response that carries
 // snapshots and deltas as JSON objects. The package manages the connections to discovery, decodes and validates the
 // messages, and stores the revision of the current list. The list itself is stored by the receiver, the core of package
-// node. After a failure, the receiver decides when to poll again and calls RequestWatch; this package only bounds the
-// pause (see backoff.go). Package fanout is discovery's side of the protocol.
+// node. After a failure, the receiver decides when to poll again and calls RequestWatch; this package only sets limits
+// for the pause before that poll (see backoff.go). Package fanout is discovery's side of the protocol.
 package endpoints
 
 import (
@@ -22,25 +22,26 @@
 	"robincart/internal/resources/limits"
 )
 
-// maxPolls is the largest number of polls that run at once. A poll that is still unanswered when a third one starts has
-// waited for as long as a change may take to come into force; it is dropped.
+// maxPolls is the largest number of polls that run at once. Before a third poll starts, the oldest poll is dropped: it
+// has waited without an answer for as long as a node may take to apply a change.
 const maxPolls = 2
 
 // Receiver receives a Watcher's endpoint lists and failures. Package node's Core implements it.
 type Receiver interface {
-	// UpdateEndpoints puts a snapshot (full) or a delta in force.
+	// UpdateEndpoints applies a snapshot (full is true) or a delta (full is false).
 	UpdateEndpoints(entries []node.Endpoint, full bool)
-	// EndpointWatchFailed reports that a watch has ended, could not be established, or was not established in time,
-	// so that another poll is needed. The Receiver calls RequestWatch when that poll is due.
+	// EndpointWatchFailed reports that a watch has ended, could not be established, or was not established in time.
+	// Another poll is then needed: the Receiver calls RequestWatch when that poll is due.
 	EndpointWatchFailed(node.WatchFailure)
 }
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Watcher maintains one watch of discovery. It polls on request, and as soon as discovery's address changes. A poll
-// that is not answered in time may be lost or may still wait in discovery's queue. It is therefore kept open while the
-// next one runs, and the first of them that receives a message becomes the watch.
+// Watcher maintains one watch of discovery. It polls when RequestWatch is called, and immediately when discovery's
+// address changes. A poll that is not answered in time may be lost or may still wait in discovery's queue. Such a poll
+// is therefore kept open while the next poll runs. The first of the two polls that receives a message becomes the
+// watch.
 type Watcher struct {
 	zones       []string
 	limits      limits.Limits
@@ -56,16 +57,16 @@
 	pollRequested  bool    // RequestWatch was called, and Run has not handled it yet
 	addressChanged bool    // addr has changed, and Run has not handled it yet
 	polls          []*poll // the oldest first
-	watch          *poll   // the one of polls that has become the watch; nil: none
+	watch          *poll   // the element of polls that has become the watch; nil: no watch is open
 	polledAddr     string  // address of the latest poll
-	revision       int64   // of the current list, from the discovery at polledAddr: each discovery counts its own
-	failing        bool    // the latest poll has failed; the first of consecutive failures was logged
-	newAddress     bool    // another address was polled before, and no poll of polledAddr has failed or become a watch
-
-	rejectedSince time.Time // time of the first of consecutive rejections; zero: the latest poll was not rejected
-	lastMessage   time.Time // time of the last message of any watch; before the first message, the Watcher's creation
-	// entriesSinceSnapshot counts the entries of the last snapshot and of the deltas after it, except those in phase
-	// gone. The service has at most as many servers.
+	revision       int64   // revision of the current list at polledAddr; each discovery counts its own revisions
+	failing        bool    // set by a failure, reset by a new watch; a failure is logged only if failing is not set
+	newAddress     bool    // the address has changed, and no poll of polledAddr has failed or become a watch yet
+
+	rejectedSince time.Time // when the current series of rejected polls began; zero: the latest poll was not rejected
+	lastMessage   time.Time // time of the last message of any watch; before it, of the Watcher's creation
+	// entriesSinceSnapshot counts the entries of the last snapshot and of the deltas after it, except entries in phase
+	// gone. It is an upper bound of the number of servers of the service.
 	entriesSinceSnapshot int
 }
 
@@ -91,11 +92,12 @@
 // is called before Run.
 func (w *Watcher) SetTLS(config func(serverAddr string) *tls.Config) { w.tlsConfig = config }
 
-// SetReceiver sets the receiver if the node has no list from before its start. It is called before Run.
+// SetReceiver sets the receiver if there is no initial list; otherwise, SetInitialList sets it. SetReceiver is called
+// before Run.
 func (w *Watcher) SetReceiver(r Receiver) { w.receiver = r }
 
-// SetInitialList sets the receiver and delivers to it the list that the node had before its start, which may be
-// outdated. It is called before Run.
+// SetInitialList sets the receiver and passes an initial list to it. The list dates from before the start of the node,
+// so it may be outdated. SetInitialList is called before Run.
 func (w *Watcher) SetInitialList(r Receiver, known *List) {
 	w.receiver = r
 	w.deliver(known)
@@ -110,9 +112,9 @@
 	w.signal()
 }
 
-// SetAddress changes discovery's address. The new address is polled without a pause: pauses reduce the load of an
-// overloaded discovery, and this one has not been polled yet. The current list stays in force until the new discovery
-// answers.
+// SetAddress changes discovery's address. The new address is polled immediately: a pause would only reduce the load of
+// an overloaded discovery, and the discovery at the new address has not been polled yet. The node keeps the current
+// list until the new discovery answers.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,8 +155,9 @@
 	}
 }
 
-// checkTurnover bounds the number of servers that a series of deltas can add. Beyond MaxMembers entries it returns an
-// error, and the next poll requests a snapshot, which tells the actual number of servers.
+// checkTurnover limits the number of servers that a series of deltas can add. If a delta raises entriesSinceSnapshot
+// above MaxMembers, checkTurnover returns an error and resets the revision, so that the next poll requests a snapshot.
+// The snapshot shows the actual number of servers.
 func (w *Watcher) checkTurnover(l *List) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -173,8 +176,9 @@
 	return &TurnoverLimitError{}
 }
 
-// deliver passes a message to the receiver. A delta that is not newer than the current list is passed without its
-// entries, which could bring back servers that are gone; it only shows the receiver that discovery has answered.
+// deliver passes a message to the receiver. If a delta is not newer than the current list, deliver passes no entries,
+// since old entries could bring back servers that are gone. The call then only shows the receiver that discovery has
+// answered.
 func (w *Watcher) deliver(l *List) {
 	w.mu.Lock()
 	outdated := !l.Complete && l.Revision <= w.revision
--- a/internal/controlplane/endpoints/watcher_test.go
+++ b/internal/controlplane/endpoints/watcher_test.go
@@ -101,8 +101,8 @@
 	assert.Len(t, requests, 1)
 }
 
-// After a change of discovery's address, the new discovery is polled with revision 0, since it counts its own
-// revisions, and without the core's backoff.
+// After a change of discovery's address, the new discovery is polled without the core's backoff. The poll has revision
+// 0, since each discovery counts its own revisions.
 func TestWatcher_AddressChange(t *testing.T) {
 	next, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -131,8 +131,8 @@
 }
 
 // After a change of discovery's address, the first failed poll of the new address resets a backoff that has grown
-// during an outage of the old one: the new discovery's changes must come into force within seconds. If several polls
-// fail while the core waits, the core starts only one poll (tested in package decide).
+// during an outage of the old discovery: the new discovery's changes must be applied within seconds. If several polls
+// fail during the core's backoff, the core still starts only one new poll (tested in package decide).
 func TestWatcher_AddressChangeWhileDown(t *testing.T) {
 	receiver, w, requests := startWatcher(t, emptySnapshot, sendAndClose("no"))
 	assert.Equal(t, update{failed: true}, receiver.next(t))
@@ -149,7 +149,7 @@
 	assert.Equal(t, update{failed: true}, receiver.next(t), "the address has not changed since the last failure")
 }
 
-// A poll that is not answered in time must not delay the next ones. In an experiment, a poll was pending when all
+// A poll that is not answered in time must not delay the next poll. In an experiment, a poll was pending when all
 // watches fell silent, and its node had no watch for 6 s.
 func TestWatcher_UnansweredPoll(t *testing.T) {
 	noAnswer := func(net.Conn) {}
@@ -167,8 +167,8 @@
 	assert.Equal(t, decide.Draining, receiver.next(t).entries[0].State)
 }
 
-// A poll that waits in discovery's queue must not lose its place there when it is late, and further polls must not make
-// the queue grow without bound: at most two run at once.
+// A poll that waits in discovery's queue for longer than FirstMessageTimeout must not lose its place in the queue.
+// Further polls must not make the queue grow without bound: at most two polls of a node run at once.
 func TestWatcher_QueuedPollRunsWithNext(t *testing.T) {
 	conns := make(chan net.Conn, 9)
 	receiver, w, requests := startWatcher(t, emptySnapshot, func(c net.Conn) { conns <- c })
@@ -263,7 +263,7 @@
 }
 
 // While discovery is down and each poll fails, the Watcher keeps one descriptor, even if other connections take all
-// free ones.
+// free descriptors.
 func TestWatcher_KeepsDescriptorBetweenPolls(t *testing.T) {
 	budget := limits.NewBudget(3, 0, nil)
 	w := New(unusedAddress(t), nil, testLimits(), budget, zap.NewNop())
--- a/internal/controlplane/fanout/config.go
+++ b/internal/controlplane/fanout/config.go
@@ -5,12 +5,12 @@
 // Config configures a List.
 type Config struct {
 	History           int           // number of deltas kept for watchers that reconnect
-	HeartbeatInterval time.Duration // between empty lines to a watcher
-	WriteTimeout      time.Duration // for one write to a watcher
-	MaxWatchers       int           // connections at once
-	BatchDelay        time.Duration // collects servers that become ready into one delta; 0: each change is sent at once
-	// EpochOf returns the epoch of a revision. A node whose revision is of a later epoch than the list's is sent
-	// nothing. nil: revisions have no epochs.
+	HeartbeatInterval time.Duration // time between heartbeats (empty lines) to a watcher
+	WriteTimeout      time.Duration // time limit for one write to a watcher
+	MaxWatchers       int           // largest number of connections at once
+	BatchDelay        time.Duration // servers that become ready within this time share a delta; 0: they do not
+	// EpochOf returns the epoch of a revision. If a node's revision belongs to a later epoch than the list's revision,
+	// the node is sent nothing. nil: revisions have no epochs.
 	EpochOf func(revision int64) int64
 }
 
--- a/internal/controlplane/fanout/fanout_test.go
+++ b/internal/controlplane/fanout/fanout_test.go
@@ -67,7 +67,7 @@
 	return &watcher{conn: conn, lines: lines, phases: map[string]string{}, revision: since}
 }
 
-// read applies and returns the next message. It skips heartbeats.
+// read reads the next message, applies it to the phases and returns it. It skips heartbeats.
 func (w *watcher) read(t testing.TB) message {
 	for w.lines.Scan() {
 		if len(w.lines.Bytes()) == 0 {
@@ -204,7 +204,7 @@
 	const deltas = 3000
 	for i := range deltas {
 		list.PublishDelta([]Member{newLongMember(i%400, i)})
-		if i%100 == 99 { // without reads during the loop, this watcher could be too slow on a busy machine
+		if i%100 == 99 { // if it did not read during the loop, this watcher could be too slow on a busy machine
 			watcher.readUntil(t, int64(i+2))
 		}
 	}
@@ -272,7 +272,8 @@
 	}
 }
 
-// startWatches starts watchers that have read the snapshot. The phases that they read are dropped to save memory.
+// startWatches starts watchers that have read the snapshot. The phases that the watchers have read are dropped to save
+// memory.
 func startWatches(b *testing.B, address string, count int) []*watcher {
 	const workers = 32
 	watchers := make([]*watcher, count)
--- a/internal/controlplane/fanout/golden_test.go
+++ b/internal/controlplane/fanout/golden_test.go
@@ -1,7 +1,8 @@
 package fanout
 
-// The files under testdata were written by the code at commit 0cdd5b2. They have the wire format that nodes of any
-// version read: a test that fails here has found a change of that format. Never regenerate the files after a rename.
+// The files under testdata were written by the code at commit 0cdd5b2. They have the wire format that nodes of all
+// versions read, so a failure of a test in this file means that the format has changed. When a name changes in the
+// code, do not regenerate the files.
 
 import (
 	"bufio"
@@ -20,7 +21,7 @@
 	"go.uber.org/zap"
 )
 
-// goldenMembers returns the servers of the golden lists: two with all fields set, and one with none.
+// goldenMembers returns the servers of the golden lists: two with all fields set, and one with no field set.
 func goldenMembers() []Member {
 	return []Member{
 		{
@@ -35,7 +36,7 @@
 	}
 }
 
-// goldenDelta returns changes with a server that drains and one that is gone.
+// goldenDelta returns two changes: one server drains, and another server is gone.
 func goldenDelta() []Member {
 	member := goldenMembers()[0]
 	member.Phase = "draining"
--- a/internal/controlplane/fanout/list.go
+++ b/internal/controlplane/fanout/list.go
@@ -1,9 +1,11 @@
-// Package fanout publishes lists of servers to nodes by the nodes' discovery protocol: a snapshot on request, or a
-// watch with revisions and a heartbeat, which is an empty line every two seconds.
+// Package fanout publishes lists of servers to nodes over the discovery protocol. A node requests one snapshot, or a
+// watch: an open-ended response with snapshots and deltas, which have revisions, and with heartbeats. A heartbeat is an
+// empty line every two seconds.
 //
-// A List has the members of one service, the history of its deltas and the connections of its watchers. Each delta is
-// encoded once for all watchers. A watcher's state is its position in the history, so no watcher has a backlog of its
-// own; one that lags too far is sent a snapshot. The callers of PublishSnapshot and PublishDelta decide on the members.
+// A List keeps the members of one service and the history of the list's deltas, and serves the connections of its
+// watchers. Each delta is encoded once for all watchers. The only state of a watcher is its position in the history, so
+// no watcher has a backlog of its own. A watcher that lags too far behind is sent a snapshot. The callers of
+// PublishSnapshot and PublishDelta decide which servers are members.
 package fanout
 
 import (
@@ -20,7 +22,8 @@
 	// maxDeltasBehind is the largest number of missing deltas that a watcher is sent one by one. A watcher that lacks
 	// more is sent a snapshot instead.
 	maxDeltasBehind = 64
-	// staleOrderSlack is a constant part of the limit at which List.order is compacted: 2*members + staleOrderSlack.
+	// staleOrderSlack is the constant part of a limit: List.order is compacted when it has more than 2*members +
+	// staleOrderSlack IDs.
 	staleOrderSlack = 16
 )
 
@@ -36,7 +39,7 @@
 	// members.
 	order         []string
 	history       []delta
-	snapshot      []byte        // encoded snapshot of revision; nil: not encoded yet
+	snapshot      []byte        // the encoded snapshot at the current revision; nil: not encoded yet
 	changed       chan struct{} // closed at the next change
 	pending       []Member      // changes of the current batch
 	batchTimer    *time.Timer   // ends the current batch; nil: no batch has begun
@@ -59,8 +62,8 @@
 	return &List{config: config, log: log, changed: make(chan struct{})}
 }
 
-// PublishSnapshot replaces the members. The revision has to be above all that nodes have received; it is raised to the
-// list's next revision if it is lower.
+// PublishSnapshot replaces the members. The revision has to be higher than all revisions that nodes have received. If
+// it is lower than the list's next revision, the list's next revision is used instead.
 func (l *List) PublishSnapshot(revision int64, members []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,8 +78,9 @@
 	l.notifyWatchers()
 }
 
-// PublishDelta applies changes. Changes that are urgent (see hasUrgent) are published at once, with all pending ones.
-// Servers that become ready are collected for BatchDelay, so that the start of thousands of servers takes few messages.
+// PublishDelta applies changes. If one of them is urgent (see hasUrgent), they are published at once, together with all
+// pending changes. Otherwise they are collected for BatchDelay, so that few messages are sent when thousands of servers
+// become ready.
 func (l *List) PublishDelta(changes []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +101,7 @@
 	}
 }
 
-// hasUrgent reports whether a change is to a phase other than ready, as when a server drains or is gone.
+// hasUrgent reports whether any of the changes sets a phase other than ready, such as draining or gone.
 func hasUrgent(changes []Member) bool {
 	for _, member := range changes {
 		if member.Phase != phaseReady {
@@ -107,15 +111,16 @@
 	return false
 }
 
-// MarkSourceAlive stores the current time as the last at which the source of the list could be reached, for Status.
+// MarkSourceAlive records that the source of the list is alive now. Status returns how long ago the source was last
+// known to be alive.
 func (l *List) MarkSourceAlive() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sourceAliveAt = time.Now()
 }
 
-// flush publishes all pending changes in their order, also those that a later one of them undoes, such as a drain. The
-// mutex is held.
+// flush publishes all pending changes in their order. It publishes a change, such as a drain, even if a later pending
+// change undoes it. The mutex is held.
 func (l *List) flush() {
 	if l.batchTimer != nil {
 		l.batchTimer.Stop()
@@ -136,8 +141,8 @@
 	}
 	l.history = append(l.history, delta{from: l.revision, to: next, chunk: newChunk(text)})
 	if len(l.history) > l.config.History {
-		// The copy lets the old array and its chunks be freed. Half of the history is dropped at once, so that not
-		// every delta causes a copy.
+		// Copy the history, so that the old array and its chunks can be freed. Half of the history is dropped at once,
+		// so that not every delta causes a copy.
 		l.history = append([]delta(nil), l.history[len(l.history)-l.config.History/2:]...)
 	}
 	l.revision = next
@@ -185,8 +190,8 @@
 	changed  <-chan struct{} // closed when a further update may exist
 }
 
-// firstUpdate returns the first update for a node that has the revision since. For a node with the latest revision,
-// that is an empty delta. Before the first snapshot there is nothing to send.
+// firstUpdate returns the first update for a node. since is the revision of the node's list. If since is the latest
+// revision, the update is an empty delta. Before the first snapshot there is nothing to send.
 func (l *List) firstUpdate(since int64) update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,15 +202,15 @@
 	return l.updateSince(since)
 }
 
-// nextUpdate returns the next update for a watcher that has the revision since. There is nothing to send if that is the
-// latest revision.
+// nextUpdate returns the next update for a watcher. since is the revision of the watcher's list. If since is the latest
+// revision, there is nothing to send.
 func (l *List) nextUpdate(since int64) update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.updateSince(since)
 }
 
-// snapshotUpdate returns a snapshot, independent of the node's revision.
+// snapshotUpdate returns a snapshot, whichever revision the node has.
 func (l *List) snapshotUpdate() update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -226,8 +231,9 @@
 	return l.snapshotSince(since)
 }
 
-// isLaterEpoch reports whether a revision is of a later epoch than the list's revision. A node with such a revision has
-// a list of a newer leader than this replica's, and must not be sent the older list.
+// isLaterEpoch reports whether a revision is of a later epoch than the list's revision. The list of a node with such a
+// revision comes from a newer leader than the latest one that this replica has seen, so the node must not be sent the
+// older list of this replica.
 func (l *List) isLaterEpoch(revision int64) bool {
 	return l.config.EpochOf != nil && l.config.EpochOf(revision) > l.config.EpochOf(l.revision)
 }
@@ -246,7 +252,8 @@
 	return nil
 }
 
-// snapshotSince returns a snapshot for a node that has the revision since. The snapshot is encoded once per revision.
+// snapshotSince returns a snapshot for a node. since is the revision of the node's list; if the encoding fails, the
+// update has this revision and nothing to send. The snapshot is encoded once per revision.
 func (l *List) snapshotSince(since int64) update {
 	if l.snapshot == nil {
 		snapshot := message{Revision: l.revision, Complete: true, Members: make([]Member, 0, len(l.members))}
--- a/internal/controlplane/fanout/message.go
+++ b/internal/controlplane/fanout/message.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Phases of a member that the package handles differently from others.
+// Phases of a member that this package handles differently from the other phases.
 const (
 	phaseReady = "ready"
 	phaseGone  = "gone" // the member is removed from the list
@@ -19,7 +19,7 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// message is a snapshot, which has all members, or a delta, which has the changed ones.
+// message is a snapshot, which has all members, or a delta, which has the changed members.
 type message struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"` // true: a snapshot
--- a/internal/controlplane/fanout/server.go
+++ b/internal/controlplane/fanout/server.go
@@ -18,13 +18,13 @@
 const (
 	listPath = "/registry/instances"
 
-	// requestTimeout bounds the time for reading a request, and for the handshake over TLS.
+	// requestTimeout bounds the time for the TLS handshake, if there is one, and for reading a request.
 	requestTimeout = 5 * time.Second
 	// maxRequestBytes bounds the size of a request.
 	maxRequestBytes   = 8 << 10
 	requestBufferSize = 1 << 10
-	// rejectTimeout bounds the time for the answer to a connection beyond MaxWatchers, during which the accept loop
-	// waits.
+	// rejectTimeout bounds the time for sending an answer to a connection beyond MaxWatchers. The accept loop waits
+	// during this time.
 	rejectTimeout = 100 * time.Millisecond
 	// acceptBackoff is the pause after a failed accept, which happens when the machine lacks a resource.
 	acceptBackoff = 5 * time.Millisecond
@@ -49,8 +49,8 @@
 	watchHeader = "HTTP/1.1 " + statusOK + "\r\n" + headerJSON + "Transfer-Encoding: chunked\r\n\r\n"
 )
 
-// Serve answers nodes' requests on a listener until the context ends, and waits for its goroutines. Its error is always
-// nil.
+// Serve answers nodes' requests on a listener until the context ends. Before it returns, it waits for the goroutines
+// that it started. The returned error is always nil.
 func (l *List) Serve(ctx context.Context, listener net.Listener) error {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -80,8 +80,8 @@
 	}
 }
 
-// reject closes a connection beyond MaxWatchers. It sends an answer only over plain TCP: over TLS, all other
-// connections would have to wait for the handshake before the answer.
+// reject closes a connection beyond MaxWatchers. It sends an answer only over plain TCP: over TLS, the answer would
+// need a handshake first, and all new connections would have to wait for that handshake.
 func reject(conn net.Conn) {
 	if _, plain := conn.(*net.TCPConn); plain {
 		conn.SetWriteDeadline(time.Now().Add(rejectTimeout))
@@ -102,9 +102,9 @@
 	headers string
 }
 
-// serveConn serves one connection: one request, and a watch if the request is for one.
+// serveConn serves one connection: it answers one request, with a watch if the request asks for a watch.
 func (l *List) serveConn(ctx context.Context, conn net.Conn) {
-	conn.SetDeadline(time.Now().Add(requestTimeout)) // for writes too: over TLS the first read does the handshake
+	conn.SetDeadline(time.Now().Add(requestTimeout)) // for writes, too: the first read may do a TLS handshake
 	reader := bufio.NewReaderSize(io.LimitReader(conn, maxRequestBytes), requestBufferSize)
 	httpRequest, err := http.ReadRequest(reader)
 	if err != nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// parseRequest decodes a request, or returns the answer to an invalid one.
+// parseRequest decodes a request, or returns the answer to an invalid request.
 func parseRequest(request *http.Request) (listRequest, *errorResponse) {
 	query := request.URL.Query()
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
@@ -154,7 +154,7 @@
 }
 
 // watch sends updates and heartbeats until the node closes the connection, a write fails, or the context ends. A node
-// that reads too slowly is disconnected by the write timeout, and connects again with its revision.
+// that reads too slowly is disconnected by the write timeout. It then connects again and sends its revision.
 func (l *List) watch(ctx context.Context, conn net.Conn, next update) {
 	closed, stopReading := detectClose(conn)
 	defer stopReading()
@@ -192,7 +192,7 @@
 }
 
 // detectClose reads from a connection on which no more data is expected. The returned channel is closed when the peer
-// has closed the connection. The returned function closes the connection and waits for the end of the read.
+// has closed the connection. The returned function closes the connection and waits until the read has returned.
 func detectClose(conn net.Conn) (<-chan struct{}, func()) {
 	conn.SetReadDeadline(time.Time{})
 	closed := make(chan struct{})
--- a/internal/controlplane/membership/evaluate.go
+++ b/internal/controlplane/membership/evaluate.go
@@ -12,19 +12,19 @@
 	service   string
 	pod       string
 	node      string
-	endpoints map[string]Endpoint // by key of the slices that list it
-	published bool                // its last published phase is not Gone
+	endpoints map[string]Endpoint // by key of the slice that lists the endpoint
+	published bool                // the server's last published phase is not Gone
 
-	// ending is true once the server is known to end. It is never reset.
+	// ending is true once the server is known to be terminating or isEnding has returned true. It is never reset.
 	ending    bool
-	goneSince float64 // 0: it is not gone, or it was never in a list
-	// vanishedSince is the time at which it disappeared from all slices without its end being known; 0: it has not
-	// vanished.
+	goneSince float64 // when remove set the phase to Gone; 0: remove was not called, or the server is listed again
+	// vanishedSince is the time at which the server disappeared from all slices although it was not known to be
+	// terminating; 0: the server has not vanished.
 	vanishedSince float64
 
-	readinessLost   bool    // it was ready, and has not become ready again
-	readinessLosses int     // number of times it lost its readiness
-	readyNotBefore  float64 // end of the delay after its last loss; 0: no delay has begun
+	readinessLost   bool    // the server lost its readiness, and has not become ready again
+	readinessLosses int     // number of times that the server lost its readiness
+	readyNotBefore  float64 // end of the delay after the last readiness loss; 0: no delay has begun
 }
 
 // evaluateDirty evaluates the dirty servers and returns the changes. Draining servers come first, so that nodes stop
@@ -94,8 +94,9 @@
 	}
 }
 
-// combineEndpoints sets the server's address and zone to those of the last slice by key, and returns whether any slice
-// lists it, whether it is ready in all of them, and whether it terminates in any.
+// combineEndpoints sets the server's address and zone to those in the slice with the highest key. It returns whether
+// any slice lists the server, whether all slices that list the server list it as ready, and whether any slice lists it
+// as terminating.
 func (s *server) combineEndpoints() (listed, ready, terminating bool) {
 	ready = true
 	for _, key := range slices.Sorted(maps.Keys(s.endpoints)) {
@@ -107,14 +108,15 @@
 	return len(s.endpoints) > 0, ready, terminating
 }
 
-// isEnding reports whether the end of a server's pod was observed, or its node evicts its pods, or its node is cordoned
-// and DrainCordoned is set.
+// isEnding reports whether the end of a server's pod was observed, or whether the server's node evicts its pods, or
+// whether that node is cordoned and DrainCordoned is set.
 func (s *State) isEnding(server *server) bool {
 	node := s.nodes[server.node]
 	return s.hasEnded(server) || node.Evicting || node.Cordoned && s.config.DrainCordoned
 }
 
-// drain sets an ending server to Draining while a slice lists it and its pod has not finished, and to Gone after that.
+// drain sets an ending server to Draining while a slice lists the server and its pod has not finished. After that,
+// drain sets the server to Gone.
 func (s *State) drain(server *server, listed bool) {
 	server.vanishedSince = 0
 	pod := s.pods[server.pod]
@@ -135,7 +137,7 @@
 	server.vanishedSince = 0
 }
 
-// markNotReady drains a server that slices list as not ready. A server that was never ready stays out of the list.
+// markNotReady drains a server that a slice lists as not ready. A server that was never ready stays out of the list.
 func (s *server) markNotReady() {
 	s.vanishedSince, s.goneSince = 0, 0
 	switch {
@@ -153,8 +155,8 @@
 	s.readinessLosses++
 }
 
-// markReady sets a server that slices list as ready to Ready. A server that lost its readiness waits for flapDelay
-// first. It then gets a new start time, since nodes treat the drain of a process as final.
+// markReady sets a server to Ready; all slices that list the server list it as ready. A server that lost its readiness
+// first waits for flapDelay. It then gets a new start time, since nodes treat the drain of a process as final.
 func (s *State) markReady(server *server) {
 	server.vanishedSince, server.goneSince = 0, 0
 	if server.Phase == Ready {
--- a/internal/controlplane/membership/membership.go
+++ b/internal/controlplane/membership/membership.go
@@ -3,7 +3,8 @@
 // readiness gates of pods.
 //
 // The package is a pure state machine: State takes observations and the time, and returns the changes of the lists of
-// servers. It has no goroutine, no I/O and no clock. Times are in seconds since a start that the caller chooses.
+// servers. It has no goroutine, no I/O and no clock. Times are in seconds since a point in time that the caller
+// chooses.
 package membership
 
 // Endpoint is one endpoint of an EndpointSlice.
@@ -30,17 +31,17 @@
 	GatedService    string // service for which the pod's readiness gate limits slow starts; empty: the pod has no gate
 	Deleting        bool
 	Finished        bool    // failed or succeeded
-	StartedAt       float64 // when the last of its containers started; 0: not known
-	ContainersReady bool    // all its containers are ready
-	GateOpen        bool    // the condition of its readiness gate is true
+	StartedAt       float64 // when the last of the pod's containers started; 0: not known
+	ContainersReady bool    // all containers of the pod are ready
+	GateOpen        bool    // the condition of the pod's readiness gate is true
 }
 
 // Node is the state of a node.
 type Node struct {
 	Zone     string
-	Evicting bool // it has a taint that evicts its pods
+	Evicting bool // the node has a taint that evicts its pods
 	Cordoned bool
-	Missing  bool // there is no such node
+	Missing  bool // the node does not exist
 }
 
 // Phase is the phase of a server. The discovery protocol uses the same names.
@@ -49,13 +50,13 @@
 // Phases of a server.
 const (
 	Ready    Phase = "ready"
-	Draining Phase = "draining" // it gets no new requests; requests in flight continue
+	Draining Phase = "draining" // the server gets no new requests; requests in flight continue
 	Gone     Phase = "gone"
 )
 
 // Member is a server in a service's list.
 type Member struct {
-	ID        string // UID of the pod, or the address where no pod is known
+	ID        string // UID of the pod; the address if no pod is known
 	Addr      string
 	Zone      string
 	Phase     Phase
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -44,7 +44,7 @@
 // observation is one report about the pod "p" of a service that also has the pod "q".
 type observation struct {
 	name    string
-	ending  bool // the report says that the pod ends
+	ending  bool // the report means that the pod ends
 	observe func(state *State, now float64) []Change
 }
 
@@ -74,8 +74,8 @@
 	{"time passes", false, func(state *State, now float64) []Change { return state.Tick(now) }},
 }
 
-// In every order of observations, including old ones that are repeated, a pod is never ready after the first report of
-// its end.
+// In every sequence of observations, including sequences that repeat old observations, a pod is never ready after the
+// first report of its end.
 func TestState_EndedServerNeverReady(t *testing.T) {
 	const length = 5
 	orders := 0
@@ -254,8 +254,8 @@
 	})
 }
 
-// stateModel checks that the changes add up to the list, that revisions increase by one, and that no server is ready
-// after its end was observed.
+// stateModel checks that the published changes, applied in turn, result in the list, that revisions increase by one,
+// and that no server is ready after its end was observed.
 type stateModel struct {
 	state    *State
 	rebuilt  map[string]Member
@@ -351,7 +351,7 @@
 	state.UpdateSlice("a", "web", endpoints, 1)
 	assert.Equal(t, 3, state.Rejected("a"))
 	assert.Len(t, phases(state, "web"), MaxServers)
-	state.UpdateSlice("b", "mail", endpoints[:4400], 1) // ten times the targeted size
+	state.UpdateSlice("b", "mail", endpoints[:4400], 1) // ten times the size of the target fleet
 	assert.Zero(t, state.Rejected("b"))
 	state.UpdateSlice("c", "web", endpoints[:5], 2)
 	state.UpdateSlice("c", "web", []Endpoint{readyEndpoint("new")}, 2)
--- a/internal/controlplane/membership/shrink.go
+++ b/internal/controlplane/membership/shrink.go
@@ -3,18 +3,19 @@
 // minVanishedSince is the smallest vanishedSince of a vanished server, since 0 means that the server has not vanished.
 const minVanishedSince = 1e-9
 
-// shrinkWindow counts the servers of a service that vanished from its slices without their pods being known to end.
-// Many such servers indicate a fault of the API (an empty slice, a list that lacks a page): in a scale-down the end of
-// each pod is observed. The window lasts for ShrinkHold from the first such server.
+// shrinkWindow counts the servers of a service that vanished from the service's slices although their pods were not
+// known to be terminating. Many such servers indicate a fault of the API, such as an empty slice or a list that lacks a
+// page: in a scale-down, the end of each pod is observed. The window lasts for ShrinkHold after the first such server
+// vanished.
 type shrinkWindow struct {
 	start        float64
 	vanished     int
 	readyAtStart int // ready servers at the start of the window
-	alive        int // servers that slices listed and that were not ending, at the last count
+	alive        int // at the last count: servers that a slice listed and that were not ending
 }
 
-// countVanished adds the servers that have just vanished to the windows of their services. It must run before any of
-// them is evaluated, since the evaluation depends on the count.
+// countVanished adds the servers that have just vanished to the windows of their services. It must run before evaluate
+// is called for any of these servers, since their phases depend on the count.
 func (s *State) countVanished(servers []*server) {
 	shrunk := make(map[*service]bool)
 	for _, server := range servers {
@@ -29,13 +30,14 @@
 		server.vanishedSince = max(s.now, minVanishedSince)
 		shrunk[owner] = true
 	}
-	// Count once per service: with a count per server, a lost slice with thousands of servers would take minutes.
+	// Count the servers once per service: with a count for each vanished server, a lost slice with thousands of servers
+	// would take minutes.
 	for owner := range shrunk {
 		owner.shrink.alive = s.countAlive(owner)
 	}
 }
 
-// vanishesNow reports whether a published server has vanished since it was last evaluated.
+// vanishesNow reports whether a published server has vanished since the last call of evaluate for the server.
 func (s *State) vanishesNow(server *server) bool {
 	return len(server.endpoints) == 0 && server.published && server.vanishedSince == 0 &&
 		!server.ending && !s.hasEnded(server)
@@ -61,9 +63,10 @@
 	return alive
 }
 
-// evaluateVanished sets the phase of a server that no slice lists although its end is not known. If the shrink is
-// accepted, a server whose pod is not known is removed, and one whose pod is known drains. Otherwise the server keeps
-// its phase until the end of its pod is observed. In both cases it is removed once ShrinkHold has passed.
+// evaluateVanished sets the phase of a server that no slice lists although it is not known to be terminating. If the
+// shrink is accepted (see acceptsShrink), a server whose pod is known drains, and a server whose pod is not known is
+// removed at once. If the shrink is not accepted, the server keeps its phase until the end of its pod is observed. In
+// all cases, the server is removed once ShrinkHold has passed.
 func (s *State) evaluateVanished(server *server) {
 	accepted := s.acceptsShrink(s.services[server.service].shrink)
 	podKnown := s.pods[server.pod].UID != ""
@@ -72,13 +75,14 @@
 		return
 	}
 	if accepted && server.Phase == Ready {
-		server.loseReadiness() // its pod still exists: the server is not gone before the pod ends
+		server.loseReadiness() // the pod still exists, and the server is not gone before the pod ends
 	}
 	s.timeDependent[server] = true
 }
 
-// acceptsShrink reports whether vanished servers are treated as gone: either only a few of the servers of the service
-// vanished, or enough others are listed, which indicates a deployment and not an incomplete list.
+// acceptsShrink reports whether vanished servers are treated as gone. They are if only a few of the service's servers
+// vanished. They also are if enough other servers are listed, since this indicates a deployment and not an incomplete
+// list.
 func (s *State) acceptsShrink(window shrinkWindow) bool {
 	readyBefore := float64(window.readyAtStart)
 	few := float64(window.vanished) <= s.config.MaxShrinkFraction*readyBefore &&
--- a/internal/controlplane/membership/state.go
+++ b/internal/controlplane/membership/state.go
@@ -26,21 +26,21 @@
 	revision int64
 
 	services      map[string]*service
-	slices        map[string]map[string]Endpoint // by key of the slice, by server ID
+	slices        map[string]map[string]Endpoint // by key of the slice, then by server ID
 	sliceServices map[string]string              // name of the service, by key of the slice
-	rejected      map[string]int                 // by key of the slice: endpoints beyond MaxServers
+	rejected      map[string]int                 // by key of the slice: number of endpoints beyond MaxServers
 	pods          map[string]Pod                 // by UID
 	nodes         map[string]Node                // by name
-	endedAt       map[string]float64             // by UID of the pod: when its end was first observed
-	gateOpenTimes map[string]float64             // by UID of the pod: when its readiness gate was opened
+	endedAt       map[string]float64             // by UID of the pod: when the pod's end was first observed
+	gateOpenTimes map[string]float64             // by UID of the pod: when the pod's readiness gate was opened
 
 	serversByPod  map[string]serverSet
 	serversByNode map[string]serverSet
 	dirty         serverSet // to be evaluated by evaluateDirty
-	timeDependent serverSet // to be evaluated on each Tick, since their phase also depends on time
+	timeDependent serverSet // to be evaluated on each Tick, since their phases also depend on time
 }
 
-// New returns a state without observations. Its first change gets the revision after the given one.
+// New returns a state without observations. Its first change gets the revision after the given revision.
 func New(config Config, revision int64) *State {
 	return &State{
 		config:        config,
@@ -80,8 +80,8 @@
 	return members
 }
 
-// UpdateSlice records the endpoints of a slice of a service. Servers that the slice no longer lists have vanished from
-// it.
+// UpdateSlice records the endpoints of a slice of a service. A server that the slice listed before, and that is not
+// among the endpoints, has vanished from the slice.
 func (s *State) UpdateSlice(key, serviceName string, endpoints []Endpoint, now float64) []Change {
 	s.advance(now)
 	owner := s.services[serviceName]
@@ -108,8 +108,8 @@
 	return s.evaluateDirty()
 }
 
-// mergeByID returns a slice's endpoints by server ID. If a server has two endpoints, the later one is used, but it is
-// ready only if both are ready, and terminating if either is terminating.
+// mergeByID returns a slice's endpoints by server ID. If a server has two endpoints, the later endpoint is used. It
+// becomes ready only if both endpoints are ready, and terminating if either endpoint is terminating.
 func mergeByID(endpoints []Endpoint) map[string]Endpoint {
 	byID := make(map[string]Endpoint, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -122,8 +122,8 @@
 	return byID
 }
 
-// trackServer returns the server of a service with an ID, and adds it if it is not known. It returns nil if it would
-// have to add a server to a service that already has MaxServers.
+// trackServer returns the server with an ID, and adds the server to the service if it is not known yet. It returns nil
+// if the server is not known and the service already has MaxServers servers.
 func (s *State) trackServer(owner *service, serviceName, id, pod string) *server {
 	if known := owner.servers[id]; known != nil {
 		return known
@@ -164,7 +164,7 @@
 	return s.evaluateDirty()
 }
 
-// removeFromSlice removes the endpoints of a slice that it had before and no longer lists.
+// removeFromSlice removes from their servers those endpoints that a slice had before and no longer lists.
 func (s *State) removeFromSlice(key string, owner *service, before, listed map[string]Endpoint) {
 	for id := range before {
 		server := owner.servers[id]
@@ -190,7 +190,8 @@
 }
 
 // MarkPodMissing records that a list of pods does not contain a known pod: the pod was deleted between two watches, or
-// the list is incomplete. The pod's server keeps its phase while a slice lists it. Otherwise it has vanished.
+// the list is incomplete. The pod's server keeps its phase while a slice lists the server. If no slice lists it, the
+// server has vanished.
 func (s *State) MarkPodMissing(uid string, now float64) []Change {
 	s.advance(now)
 	delete(s.pods, uid)
@@ -214,7 +215,7 @@
 func (s *State) UpdateNode(name string, node Node, now float64) []Change {
 	s.advance(now)
 	if node.Missing {
-		delete(s.nodes, name) // the end of its pods is observed separately
+		delete(s.nodes, name) // the ends of the node's pods are observed separately
 	} else {
 		s.nodes[name] = node
 	}
@@ -225,8 +226,8 @@
 // Tick evaluates the servers whose phase depends on time. It should be called several times per second.
 func (s *State) Tick(now float64) []Change {
 	s.advance(now)
-	// Evaluate these servers only here: they include all servers that left in the last minutes, and would make each
-	// observation expensive.
+	// Evaluate the servers in timeDependent only here. They include all servers that left within ForgetAfter, so to
+	// evaluate them after each observation would be expensive.
 	s.markDirty(s.timeDependent)
 	for uid, endedAt := range s.endedAt {
 		if s.now-endedAt > s.config.ForgetAfter && s.serversByPod[uid] == nil {
@@ -247,7 +248,8 @@
 	}
 }
 
-// hasEnded reports whether the end of a server's pod was observed.
+// hasEnded reports whether the end of a server's pod was observed: the pod was being deleted, had finished or was
+// deleted.
 func (s *State) hasEnded(server *server) bool {
 	_, ended := s.endedAt[server.pod]
 	return ended && server.pod != ""
