--- a/cmd/robincart-controller/config.go
+++ b/cmd/robincart-controller/config.go
@@ -17,7 +17,8 @@
 
 const (
 	maxFileBytes = 1 << 20
-	// maxServices is the maximum number of lists that a controller publishes: each has its own listener and watchers.
+	// maxServices is the maximum number of lists that a controller publishes: each list has its own listener and
+	// watchers.
 	maxServices = 1000
 
 	defaultNamespace        = "default"
@@ -76,7 +77,7 @@
 	Listen  string `toml:"listen"`
 }
 
-// problems collects the errors in a file, so that an operator sees all of them at once.
+// problems collects the errors in a file, so that an operator sees all errors at once.
 type problems []error
 
 func (p *problems) add(format string, args ...any) { *p = append(*p, fmt.Errorf(format, args...)) }
--- a/internal/controlplane/controller/connectivity.go
+++ b/internal/controlplane/controller/connectivity.go
@@ -15,8 +15,8 @@
 	// disconnectionLogDelay is how long a kind must be disconnected before the loss of its watch is logged: watches end
 	// and are replaced often in normal operation.
 	disconnectionLogDelay = 2 * time.Second
-	// minWatchDuration is how long a watch must last before its kind counts as connected: a watch whose connection is
-	// closed immediately looks like a working one at first.
+	// minWatchDuration is how long a watch must last before the kind counts as connected: a watch whose connection is
+	// closed immediately looks like a working watch at first.
 	minWatchDuration = 250 * time.Millisecond
 )
 
@@ -27,9 +27,9 @@
 	logged bool
 }
 
-// trackWatches wraps the source of a kind to record when its watches begin and end. The client library does not report
-// these events: it treats a closed connection as a normal end of the watch, and retries for tens of seconds before it
-// returns an error.
+// trackWatches wraps the source of a kind, so that the controller records when the watches of the kind begin and end.
+// The client library does not report these events: it treats a closed connection as a normal end of the watch, and
+// retries for tens of seconds before it returns an error.
 func (c *Controller) trackWatches(kind string, source cache.ListerWatcher) cache.ListerWatcher {
 	listFunc := func(ctx context.Context, options metav1.ListOptions) (runtime.Object, error) {
 		return cache.ToListerWatcherWithContext(source).ListWithContext(ctx, options)
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -109,8 +109,8 @@
 	return c.tick(ctx)
 }
 
-// open opens the listeners, API clients and keys that a replica needs from its start on. It returns errors of the
-// configuration. Without this, the goroutines that start later would retry without end.
+// open opens the listeners, API clients and keys that a replica needs from its start on. Errors of the configuration
+// are found here, before any goroutine starts: the goroutines would retry without end.
 func (c *Controller) open(ctx context.Context) error {
 	var err error
 	if c.config.StatusAddress != "" {
@@ -151,7 +151,7 @@
 	}
 }
 
-// start starts the goroutines of a replica. They end with the context.
+// start starts the goroutines of a replica. The goroutines end when the context ends.
 func (c *Controller) start(ctx context.Context) error {
 	if c.keyRing != nil {
 		c.goroutines.Go(func() { c.keyRing.Run(ctx) })
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -278,8 +278,8 @@
 	for _, address := range []string{c.first.list, second.list} {
 		c.requireEventually(func() bool { return fetchSnapshot(address).phases["a"] == "draining" })
 	}
-	// A node whose revision is of a later epoch is rejected. This may happen here: the epochs differ while only one of
-	// the replicas has seen a leader change.
+	// A node whose revision is of a later epoch is rejected. This can happen here, since the epochs of the replicas
+	// differ while only one of the replicas has seen a leader change.
 	isSnapshotOrRejection := func(since int64) bool {
 		response := watchSince(t, second.list, since)
 		defer response.Body.Close()
@@ -368,8 +368,8 @@
 	}
 }
 
-// A leader that loses its connection to the API continues to serve its last list, and its status shows for how long
-// each watch has been lost. Another replica becomes leader, and no node is sent a list of an earlier epoch.
+// A leader that loses its connection to the API continues to serve its last list, and its status page shows for how
+// long each watch has been lost. Another replica becomes leader, and no node is sent a list of an earlier epoch.
 func TestController_LeaderDisconnected(t *testing.T) {
 	c := newCluster(t, func(api *apiserver.Server) { api.Set("endpointslices", newSlice("a", "b")) })
 	c.requireList(map[string]string{"a": "ready", "b": "ready"})
--- a/internal/controlplane/controller/recordwriter.go
+++ b/internal/controlplane/controller/recordwriter.go
@@ -69,8 +69,8 @@
 	}, nil
 }
 
-// startRecordWriter starts two goroutines: one watches Setting objects, and the other writes their entries to the
-// record while this replica leads.
+// startRecordWriter starts two goroutines: one watches Setting objects, and the other writes the entries that the
+// objects define to the record while this replica leads.
 func (c *Controller) startRecordWriter(ctx context.Context) error {
 	writer, err := newRecordWriter(c, c.config.Store)
 	if err != nil {
@@ -180,7 +180,7 @@
 	return err
 }
 
-// publishStatuses patches the statuses that differ from those in the API.
+// publishStatuses patches the statuses that differ from the statuses in the API.
 func (w *recordWriter) publishStatuses(
 	ctx context.Context, settings map[string]settingObject, statuses map[string]desiredstate.Status,
 ) error {
@@ -203,7 +203,7 @@
 }
 
 // withNodeCount adds the number of nodes that watch a service's list, and the list's revision, to the service's status.
-// If count is false, it adds the values of the published status instead of the current ones.
+// If count is false, withNodeCount adds both values from the published status instead.
 func (w *recordWriter) withNodeCount(
 	status desiredstate.Status, setting settingObject, count bool,
 ) desiredstate.Status {
--- a/internal/controlplane/controller/reflector.go
+++ b/internal/controlplane/controller/reflector.go
@@ -40,7 +40,7 @@
 const (
 	objectUpdated eventType = iota // the object was added, changed or listed
 	objectDeleted                  // a watch event reported the deletion of the object
-	objectMissing                  // not in a list: the object was deleted between two watches, or the list is incomplete
+	objectMissing                  // not in a list: the object was deleted between watches, or the list is incomplete
 )
 
 // eventHandler processes one event of an object.
@@ -59,7 +59,7 @@
 	start(c.clients.coordination, kindLeases, namespace, &coordination.Lease{}, c.handleLease)
 }
 
-// startReflector starts a reflector of one kind, which ends with the context.
+// startReflector starts a reflector of one kind. The reflector ends when the context ends.
 func (c *Controller) startReflector(
 	ctx context.Context, kind string, source cache.ListerWatcher, example any, handle eventHandler,
 ) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// eventStore is the store that a reflector writes to. It calls the handler of its kind for each received object.
+// eventStore is the store that a reflector writes to. For each received object, it calls the handler of the kind.
 type eventStore struct {
 	cache.Store
 	controller *Controller
--- a/internal/controlplane/desiredstate/desiredstate.go
+++ b/internal/controlplane/desiredstate/desiredstate.go
@@ -67,7 +67,7 @@
 }
 
 // sortedByCreation returns the objects from the oldest to the newest: if two objects define the same entry, the older
-// one takes effect.
+// object takes effect.
 func sortedByCreation(objects []Object) []Object {
 	return slices.SortedFunc(slices.Values(objects), func(a, b Object) int {
 		return cmp.Or(cmp.Compare(a.CreatedAt, b.CreatedAt), cmp.Compare(a.UID, b.UID))
--- a/internal/controlplane/desiredstate/object.go
+++ b/internal/controlplane/desiredstate/object.go
@@ -44,8 +44,8 @@
 	TOML string `json:"toml"`
 }
 
-// entry returns the entry that the object defines, and sets only the key and the value of the entry. It validates the
-// entry alone, and does not check whether the entry is consistent with other entries.
+// entry returns the entry that the object defines, with only the key and the value set. It validates this entry alone,
+// and does not check whether the entry is consistent with other entries of the record.
 func (o *Object) entry() (record.Entry, error) {
 	entry := record.Entry{Key: record.Key{Kind: record.Kind(o.Spec.Kind), Name: o.Spec.Name}}
 	if o.Malformed != "" {
--- a/internal/controlplane/endpoints/errors.go
+++ b/internal/controlplane/endpoints/errors.go
@@ -18,7 +18,7 @@
 		e.Status)
 }
 
-// EntryLimitError means that a message has more than MaxMembers entries. The current list stays in force.
+// EntryLimitError means that a message has more than MaxMembers entries. The node keeps the current list.
 type EntryLimitError struct {
 	Entries int
 }
@@ -28,7 +28,7 @@
 		"exist from discovery, or split the service", e.Entries, MaxMembers)
 }
 
-// ConflictError means that a snapshot lists one server in two phases. The current list stays in force.
+// ConflictError means that a snapshot lists one server in two phases. The node keeps the current list.
 type ConflictError struct {
 	ID          string
 	FirstPhase  string
@@ -41,7 +41,7 @@
 		e.ID, e.FirstPhase, e.SecondPhase)
 }
 
-// MalformedError means that a message does not follow discovery's protocol. The current list stays in force.
+// MalformedError means that a message does not follow discovery's protocol. The node keeps the current list.
 type MalformedError struct {
 	Cause error
 }
--- a/internal/controlplane/endpoints/fakediscovery_test.go
+++ b/internal/controlplane/endpoints/fakediscovery_test.go
@@ -109,7 +109,8 @@
 	f.changed = make(chan struct{})
 }
 
-// dropWatches makes all open watches silent, or closes them. New polls are answered as before.
+// dropWatches makes all open watches silent if the argument is true, and closes them otherwise. New polls are answered
+// as before.
 func (f *fakeDiscovery) dropWatches(silent bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/controlplane/endpoints/fleet_test.go
+++ b/internal/controlplane/endpoints/fleet_test.go
@@ -21,7 +21,7 @@
 	servesClosed  bool
 }
 
-// recovery has the measurements of one recovery of a fleet.
+// recovery has the measurements of a fleet's recovery from one outage.
 type recovery struct {
 	pollsDuringOutage, pollsAfter int
 	updated                       int           // nodes that were updated
@@ -119,8 +119,9 @@
 
 // All watches fall silent at the same time. Discovery is just fast enough to update the whole fleet in time, but it
 // immediately rejects a poll that would have to wait too long. Discovery must not idle while the last nodes are in long
-// pauses, and must not be kept busy with rejections. In an operator's fleet of these sizes, this failed: 18 nodes, a
-// service time of a third of a second for each poll, and a longest wait of two thirds of a second.
+// pauses, and must not be kept busy with rejections. The sizes are those of an operator's fleet in which discovery
+// failed to do so: 18 nodes, a service time of a third of a second for each poll, and a longest wait of two thirds of a
+// second.
 func TestFleet_BusyDiscoveryRejects(t *testing.T) {
 	const runs = 20
 	for _, x := range []struct {
@@ -205,8 +206,8 @@
 				fleet[i].watcher.SetAddress(nextAddress)
 				time.Sleep(100 * time.Millisecond)
 			}
-			// The lists of the first discoveries arrived before the address change, so a later list is from the next
-			// one.
+			// The lists of the first discoveries arrived before the address change, so a list that arrives later is
+			// from the next discovery.
 			for i, n := range fleet {
 				n.awaitUpdate(movedAt[i].Add(time.Millisecond), time.Minute)
 				took := n.updatedAt().Sub(movedAt[i])
@@ -224,7 +225,7 @@
 	assert.Less(t, oldest, others*7/10)
 }
 
-// disturbance is a series of faults before a change that has to arrive in time.
+// disturbance is a series of faults. After it, discovery publishes a change that has to arrive in time.
 type disturbance struct {
 	name string
 	// apply causes the faults and returns after the duration. The node was started 40 s earlier.
@@ -242,8 +243,8 @@
 	}}
 }
 
-// randomDuration returns a random duration of at most longest. The duration does not extend past end, the end of a
-// disturbance.
+// randomDuration returns a random duration of at most longest. The duration does not extend past the time end, at which
+// the disturbance ends.
 func randomDuration(r *rand.Rand, longest time.Duration, end time.Time) time.Duration {
 	return min(time.Until(end), time.Duration(r.Float64()*float64(longest)))
 }
@@ -268,7 +269,7 @@
 	}
 }
 
-// changeRuns is the number of runs of each disturbance. Each run has a longer disturbance than the one before.
+// changeRuns is the number of runs of each disturbance. Each run has a longer disturbance than the run before.
 const changeRuns = 40
 
 // disturbanceOf returns the duration of a run's disturbance, and the random number generator for it.
--- a/internal/controlplane/endpoints/helpers_test.go
+++ b/internal/controlplane/endpoints/helpers_test.go
@@ -32,7 +32,7 @@
 	resetBackoff bool
 }
 
-// fakeReceiver sends its calls to a test.
+// fakeReceiver is a Receiver that sends the arguments of each call to a test.
 type fakeReceiver chan update
 
 func (f fakeReceiver) UpdateEndpoints(e []node.Endpoint, full bool) {
@@ -101,12 +101,12 @@
 	return listener.Addr().String()
 }
 
-// send returns an answer to a poll that leaves the connection open.
+// send returns a function that answers a poll and leaves the connection open.
 func send(parts ...string) func(net.Conn) {
 	return func(c net.Conn) { io.WriteString(c, strings.Join(parts, "")) }
 }
 
-// sendAndClose returns an answer to a poll that closes the connection.
+// sendAndClose returns a function that answers a poll and closes the connection.
 func sendAndClose(parts ...string) func(net.Conn) {
 	return func(c net.Conn) {
 		io.WriteString(c, strings.Join(parts, ""))
--- a/internal/controlplane/endpoints/poll.go
+++ b/internal/controlplane/endpoints/poll.go
@@ -19,7 +19,7 @@
 type pollState int
 
 const (
-	// pollPending: no message has been received yet. The first poll that receives one becomes the watch.
+	// pollPending: no message has been received yet. The first poll that receives a message becomes the watch.
 	pollPending pollState = iota
 	// pollUnanswered: no message was received within FirstMessageTimeout. The poll continues, but another poll may
 	// start.
@@ -44,7 +44,7 @@
 
 	// Guarded by the Watcher's mutex.
 	state       pollState
-	lastMessage time.Time // time of the last message; startedAt before the first one
+	lastMessage time.Time // time of the last message; before the first message, startedAt
 	reported    bool      // the poll's failure was reported to the core, or is about to be
 }
 
@@ -168,8 +168,8 @@
 }
 
 // markMessageReceived stores the time at which the poll p received a message, or white space between messages. The
-// first poll that receives either becomes the watch, and all other polls are dropped. markMessageReceived returns false
-// if p had been dropped before.
+// first poll that receives a message or white space becomes the watch, and all other polls are dropped.
+// markMessageReceived returns false if p had been dropped before.
 func (w *Watcher) markMessageReceived(p *poll) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/controlplane/endpoints/polls.go
+++ b/internal/controlplane/endpoints/polls.go
@@ -8,7 +8,7 @@
 )
 
 // startPoll starts a poll if discovery's address has changed. It also starts a poll if one was requested and no earlier
-// poll may still be answered in time (see answerExpected).
+// poll can still be answered in time (see answerExpected).
 func (w *Watcher) startPoll(ctx context.Context) {
 	w.mu.Lock()
 	requested, addressChanged := w.pollRequested, w.addressChanged
@@ -43,7 +43,7 @@
 	}()
 }
 
-// answerExpected reports whether a watch is open, or whether a poll may still be answered in time. The mutex is held.
+// answerExpected reports whether a watch is open, or whether a poll can still be answered in time. The mutex is held.
 func (w *Watcher) answerExpected() bool {
 	for _, p := range w.polls {
 		if p.state == pollPending || p.state == pollWatching {
--- a/internal/controlplane/endpoints/simulation_test.go
+++ b/internal/controlplane/endpoints/simulation_test.go
@@ -124,12 +124,13 @@
 
 func (b bubbleClock) Now() time.Duration { return time.Since(b.began) }
 
-// AfterFunc waits at least 1 ns: with -race, Go 1.26's runtime crashes at a bubble's timer that is due when it is set.
+// AfterFunc waits at least 1 ns: with -race, Go 1.26's runtime crashes if a bubble's timer is already due when the
+// timer is set.
 func (b bubbleClock) AfterFunc(d time.Duration, f func()) {
 	time.AfterFunc(max(d, time.Nanosecond), f)
 }
 
-// updateRecorder is a real core that stores the time of its last update.
+// updateRecorder is a real core that stores the time of its last endpoint update.
 type updateRecorder struct {
 	*node.Core
 	mu         sync.Mutex
--- a/internal/controlplane/endpoints/watcher.go
+++ b/internal/controlplane/endpoints/watcher.go
@@ -103,7 +103,7 @@
 	w.deliver(known)
 }
 
-// RequestWatch requests a watch. It never blocks. It has no effect while a watch is open or a poll may still be
+// RequestWatch requests a watch. It never blocks. It has no effect while a watch is open or a poll can still be
 // answered in time.
 func (w *Watcher) RequestWatch() {
 	w.mu.Lock()
--- a/internal/controlplane/endpoints/watcher_test.go
+++ b/internal/controlplane/endpoints/watcher_test.go
@@ -150,7 +150,7 @@
 }
 
 // A poll that is not answered in time must not delay the next poll. In an experiment, a poll was pending when all
-// watches fell silent, and its node had no watch for 6 s.
+// watches fell silent, and the node of that poll had no watch for 6 s.
 func TestWatcher_UnansweredPoll(t *testing.T) {
 	noAnswer := func(net.Conn) {}
 	receiver, w, requests := startWatcher(t, emptySnapshot, sendAndClose(rejection), noAnswer, noAnswer,
--- a/internal/controlplane/fanout/list.go
+++ b/internal/controlplane/fanout/list.go
@@ -20,7 +20,7 @@
 
 const (
 	// maxDeltasBehind is the largest number of missing deltas that a watcher is sent one by one. A watcher that lacks
-	// more is sent a snapshot instead.
+	// more deltas is sent a snapshot instead.
 	maxDeltasBehind = 64
 	// staleOrderSlack is the constant part of a limit: List.order is compacted when it has more than 2*members +
 	// staleOrderSlack IDs.
@@ -78,9 +78,9 @@
 	l.notifyWatchers()
 }
 
-// PublishDelta applies changes. If one of them is urgent (see hasUrgent), they are published at once, together with all
-// pending changes. Otherwise they are collected for BatchDelay, so that few messages are sent when thousands of servers
-// become ready.
+// PublishDelta applies changes. If one of the changes is urgent (see hasUrgent), all changes are published at once,
+// together with all pending changes. Otherwise the changes are collected for BatchDelay, so that few messages are sent
+// when thousands of servers become ready.
 func (l *List) PublishDelta(changes []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,8 +141,8 @@
 	}
 	l.history = append(l.history, delta{from: l.revision, to: next, chunk: newChunk(text)})
 	if len(l.history) > l.config.History {
-		// Copy the history, so that the old array and its chunks can be freed. Half of the history is dropped at once,
-		// so that not every delta causes a copy.
+		// Copy the part of the history that is kept, so that the old array and its chunks can be freed. Half of the
+		// history is dropped at once, so that not every delta causes a copy.
 		l.history = append([]delta(nil), l.history[len(l.history)-l.config.History/2:]...)
 	}
 	l.revision = next
@@ -231,9 +231,9 @@
 	return l.snapshotSince(since)
 }
 
-// isLaterEpoch reports whether a revision is of a later epoch than the list's revision. The list of a node with such a
-// revision comes from a newer leader than the latest one that this replica has seen, so the node must not be sent the
-// older list of this replica.
+// isLaterEpoch reports whether a revision belongs to a later epoch than the list's revision. The list of a node with
+// such a revision comes from a newer leader than the latest one that this replica has seen, so the node must not be
+// sent the older list of this replica.
 func (l *List) isLaterEpoch(revision int64) bool {
 	return l.config.EpochOf != nil && l.config.EpochOf(revision) > l.config.EpochOf(l.revision)
 }
--- a/internal/controlplane/membership/evaluate.go
+++ b/internal/controlplane/membership/evaluate.go
@@ -155,8 +155,9 @@
 	s.readinessLosses++
 }
 
-// markReady sets a server to Ready; all slices that list the server list it as ready. A server that lost its readiness
-// first waits for flapDelay. It then gets a new start time, since nodes treat the drain of a process as final.
+// markReady sets a server to Ready. It is called if all slices that list the server list it as ready. A server that
+// lost its readiness first waits for flapDelay. It then gets a new start time, since nodes treat the drain of a process
+// as final.
 func (s *State) markReady(server *server) {
 	server.vanishedSince, server.goneSince = 0, 0
 	if server.Phase == Ready {
--- a/internal/controlplane/membership/gates.go
+++ b/internal/controlplane/membership/gates.go
@@ -15,7 +15,8 @@
 
 // OpenGates returns the UIDs of the pods whose readiness gates are to be opened now, and records these gates as open.
 // The containers of the pods are ready, and only a fraction of a service's pods is in slow start at once (see
-// admissible). The cluster manager waits for the gates during a rollout, so they also limit the speed of the rollout.
+// admissible). The cluster manager waits for the gates during a rollout, so the gates also limit the speed of the
+// rollout.
 func (s *State) OpenGates(now float64) []string {
 	s.advance(now)
 	groups := s.gateGroups()
--- a/internal/controlplane/membership/membership.go
+++ b/internal/controlplane/membership/membership.go
@@ -10,7 +10,7 @@
 // Endpoint is one endpoint of an EndpointSlice.
 type Endpoint struct {
 	Addr        string // HOST:PORT
-	Pod         string // UID of the pod; empty if the slice does not name one
+	Pod         string // UID of the pod; empty if the slice does not name a pod
 	Node        string
 	Zone        string
 	Ready       bool
--- a/internal/controlplane/membership/state.go
+++ b/internal/controlplane/membership/state.go
@@ -108,8 +108,8 @@
 	return s.evaluateDirty()
 }
 
-// mergeByID returns a slice's endpoints by server ID. If a server has two endpoints, the later endpoint is used. It
-// becomes ready only if both endpoints are ready, and terminating if either endpoint is terminating.
+// mergeByID returns a slice's endpoints by server ID. If a server has two endpoints, the later endpoint is used. The
+// result is ready only if both endpoints are ready, and terminating if either endpoint is terminating.
 func mergeByID(endpoints []Endpoint) map[string]Endpoint {
 	byID := make(map[string]Endpoint, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -190,8 +190,8 @@
 }
 
 // MarkPodMissing records that a list of pods does not contain a known pod: the pod was deleted between two watches, or
-// the list is incomplete. The pod's server keeps its phase while a slice lists the server. If no slice lists it, the
-// server has vanished.
+// the list is incomplete. The pod's server keeps its phase while a slice lists the server. If no slice lists the
+// server, it has vanished.
 func (s *State) MarkPodMissing(uid string, now float64) []Change {
 	s.advance(now)
 	delete(s.pods, uid)
