--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -110,7 +110,7 @@
 }
 
 // open opens the listeners, API clients and keys that a replica needs from its start on. Errors of the configuration
-// are found here, before any goroutine starts: the goroutines would retry without end.
+// are found here, before any goroutine starts: after such an error, the goroutines would retry without end.
 func (c *Controller) open(ctx context.Context) error {
 	var err error
 	if c.config.StatusAddress != "" {
--- a/internal/controlplane/endpoints/messages.go
+++ b/internal/controlplane/endpoints/messages.go
@@ -25,8 +25,8 @@
 	escaped  bool   // inside a string, the previous byte is a backslash that escapes the byte at the position
 }
 
-// next returns the next message, which is valid until the following call. next does not call onAlive for the bytes of
-// an incomplete message: a discovery that hangs in the middle of a message has to time out.
+// next returns the next message. The message is valid until the following call of next. next does not call onAlive for
+// the bytes of an incomplete message: a discovery that hangs in the middle of a message has to time out.
 func (m *messageReader) next() ([]byte, error) {
 	if cap(m.message) > reuseFactor*len(m.buffer) {
 		m.message = nil
--- a/internal/controlplane/endpoints/watcher.go
+++ b/internal/controlplane/endpoints/watcher.go
@@ -64,7 +64,7 @@
 	newAddress     bool    // the address has changed, and no poll of polledAddr has failed or become a watch yet
 
 	rejectedSince time.Time // when the current series of rejected polls began; zero: the latest poll was not rejected
-	lastMessage   time.Time // time of the last message of any watch; before it, of the Watcher's creation
+	lastMessage   time.Time // time of the last message; until the first message, the time of the Watcher's creation
 	// entriesSinceSnapshot counts the entries of the last snapshot and of the deltas after it, except entries in phase
 	// gone. It is an upper bound of the number of servers of the service.
 	entriesSinceSnapshot int
--- a/internal/controlplane/fanout/config.go
+++ b/internal/controlplane/fanout/config.go
@@ -8,7 +8,7 @@
 	HeartbeatInterval time.Duration // time between heartbeats (empty lines) to a watcher
 	WriteTimeout      time.Duration // time limit for one write to a watcher
 	MaxWatchers       int           // largest number of connections at once
-	BatchDelay        time.Duration // servers that become ready within this time share a delta; 0: they do not
+	BatchDelay        time.Duration // servers that become ready within this time share one delta; 0: no sharing
 	// EpochOf returns the epoch of a revision. If a node's revision belongs to a later epoch than the list's revision,
 	// the node is sent nothing. nil: revisions have no epochs.
 	EpochOf func(revision int64) int64
--- a/internal/controlplane/fanout/server.go
+++ b/internal/controlplane/fanout/server.go
@@ -26,7 +26,7 @@
 	// rejectTimeout bounds the time for sending an answer to a connection beyond MaxWatchers. The accept loop waits
 	// during this time.
 	rejectTimeout = 100 * time.Millisecond
-	// acceptBackoff is the pause after a failed accept, which happens when the machine lacks a resource.
+	// acceptBackoff is the pause after a failed accept. An accept fails when the machine lacks a resource.
 	acceptBackoff = 5 * time.Millisecond
 )
 
--- a/internal/controlplane/membership/shrink.go
+++ b/internal/controlplane/membership/shrink.go
@@ -1,6 +1,7 @@
 package membership
 
-// minVanishedSince is the smallest vanishedSince of a vanished server, since 0 means that the server has not vanished.
+// minVanishedSince is the smallest value of vanishedSince for a vanished server: the value 0 means that the server has
+// not vanished.
 const minVanishedSince = 1e-9
 
 // shrinkWindow counts the servers of a service that vanished from the service's slices although their pods were not
