--- a/internal/controlplane/desiredstate/golden_test.go
+++ b/internal/controlplane/desiredstate/golden_test.go
@@ -1,8 +1,7 @@
 package desiredstate
 
-// The files under testdata were written by the code at commit 0cdd5b2. All versions of the controller read and write
-// Setting objects and entries of the record in these forms. When a name changes in the code, do not regenerate the
-// files.
+// The files under testdata were written by the code at commit 0cdd5b2. Setting objects and entries of the record keep
+// these forms in all versions. When a name changes in the code, do not regenerate the files.
 
 import (
 	"encoding/json"
--- a/internal/controlplane/endpoints/polls.go
+++ b/internal/controlplane/endpoints/polls.go
@@ -75,7 +75,7 @@
 	return p
 }
 
-// endPoll ends a poll with the cause of its failure, and wakes Run, which reports the failure.
+// endPoll ends a poll, stores the cause of its failure, and wakes Run, which reports the failure.
 func (w *Watcher) endPoll(p *poll, cause error) {
 	p.err = cause
 	p.cancel()
--- a/internal/controlplane/membership/state.go
+++ b/internal/controlplane/membership/state.go
@@ -164,7 +164,7 @@
 	return s.evaluateDirty()
 }
 
-// removeFromSlice removes from their servers those endpoints that a slice had before and no longer lists.
+// removeFromSlice deletes the endpoint of each server that a slice listed before and no longer lists.
 func (s *State) removeFromSlice(key string, owner *service, before, listed map[string]Endpoint) {
 	for id := range before {
 		server := owner.servers[id]
