--- a/internal/controlplane/endpoints/helpers_test.go
+++ b/internal/controlplane/endpoints/helpers_test.go
@@ -32,7 +32,7 @@
 	resetBackoff bool
 }
 
-// fakeReceiver sends its calls to a test.
+// fakeReceiver is a Receiver that sends the arguments of each call to a test.
 type fakeReceiver chan update
 
 func (f fakeReceiver) UpdateEndpoints(e []node.Endpoint, full bool) {
@@ -101,12 +101,12 @@
 	return listener.Addr().String()
 }
 
-// send returns an answer to a poll that leaves the connection open.
+// send returns a function that answers a poll and leaves the connection open.
 func send(parts ...string) func(net.Conn) {
 	return func(c net.Conn) { io.WriteString(c, strings.Join(parts, "")) }
 }
 
-// sendAndClose returns an answer to a poll that closes the connection.
+// sendAndClose returns a function that answers a poll and closes the connection.
 func sendAndClose(parts ...string) func(net.Conn) {
 	return func(c net.Conn) {
 		io.WriteString(c, strings.Join(parts, ""))
@@ -114,9 +114,9 @@
 	}
 }
 
-// startWatcher starts a Watcher with a discovery that answers each poll with the next of the answers, and all further
-// polls with the last one. known is the list that the node has at the start. The request lines of the polls are sent to
-// the returned channel.
+// startWatcher starts a Watcher with a discovery that gives the answers to the polls in their order, and answers all
+// further polls with the last answer. known is the list that the node has at the start. The request lines of the polls
+// are sent to the returned channel.
 func startWatcher(t *testing.T, known string, answers ...func(net.Conn)) (fakeReceiver, *Watcher, chan string) {
 	t.Helper()
 	return startWatcherWith(t, testLimits(), known, answers...)
@@ -144,7 +144,7 @@
 
 // answerPolls answers polls, as startWatcher describes, until the listener is closed.
 func answerPolls(listener net.Listener, requests chan<- string, answers []func(net.Conn)) {
-	var open []net.Conn // the garbage collector would close unreferenced connections, which have to stay silent
+	var open []net.Conn // a connection without a reference would be closed by the garbage collector
 	defer func() {
 		for _, c := range open {
 			c.Close()
--- a/internal/controlplane/membership/gates.go
+++ b/internal/controlplane/membership/gates.go
@@ -15,7 +15,8 @@
 
 // OpenGates returns the UIDs of the pods whose readiness gates are to be opened now, and records these gates as open.
 // The containers of the pods are ready, and only a fraction of a service's pods is in slow start at once (see
-// admissible). The cluster manager waits for the gates during a rollout, so they also limit the speed of the rollout.
+// admissible). The cluster manager waits for the gates during a rollout, so the gates also limit the speed of the
+// rollout.
 func (s *State) OpenGates(now float64) []string {
 	s.advance(now)
 	groups := s.gateGroups()
@@ -54,8 +55,8 @@
 }
 
 // gateOpenedAt returns the time at which a pod's gate was opened, and whether it is open. For a gate that an earlier
-// leader opened, the time is the start of the pod, or, if that is not known, so long ago that the slow start is over.
-// The time is stored in gateOpenTimes.
+// leader opened, the time is the start of the pod. If that start is not known, the time is SlowStartDuration ago, so
+// that the slow start is over. The time is stored in gateOpenTimes.
 func (s *State) gateOpenedAt(uid string, pod Pod) (float64, bool) {
 	openedAt, opened := s.gateOpenTimes[uid]
 	if opened || !pod.GateOpen {
