--- a/internal/lab/standin/freeaddress.go
+++ b/internal/lab/standin/freeaddress.go
@@ -8,6 +8,7 @@
 	"os"
 	"strconv"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"syscall"
 )
@@ -27,6 +28,13 @@
 // row, since many addresses may be chosen before the first node listens.
 var nextPort atomic.Uint32
 
+// heldPorts are the blocks of ports that this process goes through. Without them, two labs side by side could choose
+// the same port before a node of either listens there.
+var (
+	heldPortsMu sync.Mutex
+	heldPorts   = portBlocks{directory: os.TempDir(), held: map[uint32]*os.File{}}
+)
+
 func init() { nextPort.Store(rand.Uint32()) }
 
 // FreeAddress returns an address on a loopback host that nobody listens on now. Its port lies below those that the
@@ -37,7 +45,7 @@
 		port := 0
 		if first := firstEphemeralPort(); first > minPort+minPortRange {
 			ports := min(maxPortRange, first-minPort)
-			port = first - 1 - int(nextPort.Add(1)%uint32(ports))
+			port = first - 1 - int(advanceNextPort(uint32(ports)))
 		}
 		listener, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port)))
 		if errors.Is(err, syscall.EADDRINUSE) {
@@ -52,6 +60,15 @@
 	return "", fmt.Errorf("no free port on %s", host)
 }
 
+// advanceNextPort moves nextPort on in a range of so many ports, and returns it.
+func advanceNextPort(ports uint32) uint32 {
+	heldPortsMu.Lock()
+	defer heldPortsMu.Unlock()
+	position := heldPorts.next(nextPort.Load(), ports)
+	nextPort.Store(position)
+	return position
+}
+
 // firstEphemeralPort is the lowest port that the kernel chooses by itself; 0: not known.
 func firstEphemeralPort() int {
 	text, _ := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
