--- a/internal/resources/quota/admission.go
+++ b/internal/resources/quota/admission.go
@@ -6,26 +6,26 @@
 // The decisions.
 const (
 	Admitted         Decision = iota
-	Exhausted                 // the total is in use or reserved, and the amount is beyond the service's reserve
+	Exhausted                 // all is in use or reserved for others, and the service would exceed its own reserve
 	OverServiceQuota          // the service would borrow more than its share
 	OverTenantQuota           // the tenant would use more than its share of the service's requests
-	CPUSaturated              // the CPU is saturated, and the service uses more than its fair share of it
+	CPUSaturated              // the CPU is saturated, and the service uses more than its fair share of the CPU
 	ServiceRemoved            // the service was removed from the tree
 )
 
 func (d Decision) String() string {
 	return [...]string{
-		Admitted:         "admitted",
-		Exhausted:        "total exhausted",
+		Admitted:         "taken",
+		Exhausted:        "full",
 		OverServiceQuota: "over service quota",
 		OverTenantQuota:  "over tenant quota",
 		CPUSaturated:     "CPU saturated",
-		ServiceRemoved:   "service removed",
+		ServiceRemoved:   "leaving",
 	}[d]
 }
 
-// uncontendedFraction is the fraction of a service's requests in flight up to which its tenants are not limited. The
-// rest is only for tenants that use less than their share.
+// uncontendedFraction is the fraction of the requests that a service may have in flight, up to which its tenants are
+// not limited. The remaining fraction is only for tenants that use less than their share.
 const uncontendedFraction = 0.75
 
 // Acquire admits or rejects a request of a tenant. An admitted request holds the amount until its lease is released.
@@ -39,9 +39,9 @@
 	return s.newLease(tenantIndex, amount), Admitted
 }
 
-// reject counts a rejection. A service that was refused a borrowed amount counts as a borrower from now on, so that the
-// shares of the current borrowers shrink. Without that, a service that has borrowed everything would borrow each amount
-// again as soon as it has returned it, and this service would never get any.
+// reject counts a rejection. If the service was refused an amount that it wanted to borrow, it counts as a borrower
+// from now on, so that the shares of the current borrowers shrink. Otherwise a service that has borrowed everything
+// would borrow each amount again as soon as the amount is released, and the refused service would never get any.
 func (s *Service) reject(decision Decision) {
 	s.rejections[decision]++
 	if decision == Exhausted || decision == OverServiceQuota {
@@ -53,7 +53,7 @@
 }
 
 // Grow acquires an amount without a lease, for resources that outlive a request, such as a connection to a server. It
-// returns false if the amount is not available. Shrink returns the amount.
+// returns false if the amount is not available. Shrink releases the amount.
 func (s *Service) Grow(amount Amount) bool {
 	if s.removed || s.decideResources(amount) != Admitted {
 		return false
@@ -62,7 +62,7 @@
 	return true
 }
 
-// Shrink returns an amount that was acquired with Grow.
+// Shrink releases an amount that was acquired with Grow.
 func (s *Service) Shrink(amount Amount) { s.addUsage(amount.negated()) }
 
 func (s *Service) decide(tenantIndex int, amount Amount) Decision {
@@ -81,7 +81,8 @@
 	return Admitted
 }
 
-// decideResources decides by the resources alone, without tenants and CPU.
+// decideResources decides whether the amount of each resource is granted. It ignores the tenants' shares and the CPU
+// saturation.
 func (s *Service) decideResources(amount Amount) Decision {
 	used := s.used.plus(amount)
 	before := s.claimFor(s.used)
@@ -97,10 +98,11 @@
 	return Admitted
 }
 
-// decideResource decides whether a service may use an additional amount of a resource; used includes that amount. Up to
-// its reserve the service is never rejected. Up to its guarantee it is rejected only while others borrow from it, and
-// Tick then revokes what they borrowed. Beyond its guarantee, the total minus the reserved amounts of all services must
-// suffice, and the service must not borrow more than its share by weight.
+// decideResource decides whether the service may use an additional amount of a resource. The parameter used is the
+// service's usage including that amount; before and after are its claims without and with that amount. Usage up to the
+// reserve is never rejected. Usage up to the guarantee is rejected only while other services borrow from the guarantee;
+// Tick then revokes the borrowed amounts. For usage beyond the guarantee, the total minus the reserved amounts of all
+// services must suffice, and the service must not borrow more than its share by weight.
 func (s *Service) decideResource(r Resource, used, amount int64, before, after claim) Decision {
 	t := s.tree
 	if used <= s.reserve[r] && t.used[r]+amount <= t.Total[r] {
@@ -123,7 +125,8 @@
 	return Admitted
 }
 
-// borrowerWeight returns the sum of the weights of all borrowing services and this one.
+// borrowerWeight returns the sum of the weights of all borrowing services. It includes the weight of s even if s does
+// not borrow.
 func (s *Service) borrowerWeight() float64 {
 	if s.borrowing {
 		return s.tree.borrowerWeight
@@ -131,8 +134,8 @@
 	return s.tree.borrowerWeight + s.Weight
 }
 
-// tenantMayAcquire reports whether the tenant may have the additional requests in flight. It considers only the usage
-// of the service's tenants.
+// tenantMayAcquire reports whether the tenant may have the additional requests in flight. It checks only the tenant's
+// share of the requests that the service may have in flight.
 func (s *Service) tenantMayAcquire(tenantIndex int, requests int64) bool {
 	available := s.availableInFlight()
 	if float64(s.used[InFlight]+requests) <= available*uncontendedFraction {
@@ -144,7 +147,7 @@
 		weight += tenant.weight
 	}
 	if len(s.tenants) > 1 && weight <= tenant.weight {
-		weight += s.minTenantWeight // a single active tenant leaves the share of the lightest one unused
+		weight += s.minTenantWeight // a single active tenant leaves a share to the tenant with the lowest weight
 	}
 	return float64(tenant.inFlight+requests) <= max(1, available*tenant.weight/weight)
 }
