--- a/internal/resources/admission/admission.go
+++ b/internal/resources/admission/admission.go
@@ -11,17 +11,17 @@
 // Config contains the limits of a Controller.
 type Config struct {
 	MaxServing    int           // maximum number of members that are served at once
-	MaxRejecting  int           // maximum number of members that are being rejected at once, besides MaxServing
+	MaxRejecting  int           // maximum number of members that are being rejected at once; not part of MaxServing
 	MaxSlow       int           // maximum number of served members whose requests arrive in pieces
-	MinSlowTime   time.Duration // time for which a slow member is not evicted
-	AdmitsPerStep int           // members without priority that are admitted per Step; 0: no limit
+	MinSlowTime   time.Duration // a member may be evicted only after it has been slow for this time
+	AdmitsPerStep int           // maximum number of members without priority that are admitted per Step; 0: no limit
 	Step          time.Duration
-	MaxWait       time.Duration // after this time a member is rejected, since its client may have given up
+	MaxWait       time.Duration // a member that has waited for longer is rejected, since its client may have given up
 }
 
 // normalTurnInterval is the interval, in turns, at which a member without priority is served while members with
-// priority wait. All other turns go to members with priority, which are recently active connections, so that many new
-// connections at once do not stop the active ones. Without turns of their own, the new connections could wait forever.
+// priority wait. All other turns go to members with priority, which are recently active connections. So a burst of new
+// connections does not stop the active connections. Without this interval, the new connections could wait forever.
 const normalTurnInterval = 4
 
 // Verdict is the decision about a member.
@@ -42,7 +42,7 @@
 	slow      queue // served members whose requests arrive in pieces
 	serving   int
 	rejecting int
-	turns     int // number of waiting members that were served
+	turns     int // number of members that were served after a wait
 
 	// The token bucket for members without priority.
 	tokens     float64
@@ -76,8 +76,9 @@
 	return Wait
 }
 
-// hasToken reports whether a member without priority may be served now. The rate is limited because many members that
-// are admitted at once would be ahead of members with priority in every later queue, such as the goroutine scheduler's.
+// hasToken refills the token bucket, and reports whether a member without priority may be served now. The rate is
+// limited because many members that are admitted at once would be ahead of members with priority in every later queue,
+// such as the goroutine scheduler's.
 func (c *Controller) hasToken(now time.Duration) bool {
 	if c.config.AdmitsPerStep == 0 {
 		return true
@@ -99,7 +100,8 @@
 }
 
 // Next returns the next waiting member for which there is capacity, and its verdict. It returns nil and Wait if there
-// is none. The caller calls it after each Leave until it returns nil, and every few milliseconds while members wait.
+// is no such member. After each Leave, and every few milliseconds while members wait, the caller calls Next repeatedly
+// until it returns nil.
 func (c *Controller) Next(now time.Duration) (*Member, Verdict) {
 	if m := c.nextRejected(now); m != nil {
 		return m, Reject
@@ -112,7 +114,7 @@
 		return nil, Wait
 	}
 	m := waiting.first()
-	if c.waitedTooLong(m, now) { // it waits for capacity to be rejected
+	if c.waitedTooLong(m, now) { // it waits until there is capacity to reject it
 		return nil, Wait
 	}
 	c.turns++
@@ -121,9 +123,9 @@
 	return m, Serve
 }
 
-// nextRejected removes the next member that has waited for more than MaxWait from its queue, and returns it; nil if
-// there is none or no capacity to reject it. That capacity is separate from the capacity to serve, so that clients
-// learn of the overload even if all members that are served stay for seconds.
+// nextRejected returns the next member that has waited for more than MaxWait, and removes it from its queue. It returns
+// nil if there is no such member, or no capacity to reject a member. The capacity to reject is separate from the
+// capacity to serve, so that clients are told of the overload even if all served members stay for seconds.
 func (c *Controller) nextRejected(now time.Duration) *Member {
 	if c.rejecting >= c.config.MaxRejecting {
 		return nil
@@ -146,7 +148,7 @@
 	return now-m.since > c.config.MaxWait
 }
 
-// nextQueue returns the queue from which the next member is served, or nil if none may be.
+// nextQueue returns the queue from which the next member is served, or nil if no member may be served now.
 func (c *Controller) nextQueue(now time.Duration) *queue {
 	normalMayBeServed := c.normal.count > 0 && c.hasToken(now)
 	switch {
@@ -165,8 +167,8 @@
 func (c *Controller) SlowCount() int { return c.slow.count }
 
 // MarkSlow marks a served member as slow: its request arrives in pieces. If MaxSlow members are slow already, it evicts
-// the one that has been slow for longest, or the new one if none has been slow for MinSlowTime. It returns the evicted
-// member, or nil.
+// the member that has been slow for longest. If no member has been slow for MinSlowTime, it evicts m itself. It returns
+// the evicted member, or nil.
 func (c *Controller) MarkSlow(m *Member, now time.Duration) *Member {
 	if m.state != stateServed {
 		return nil
@@ -178,7 +180,7 @@
 			return m
 		}
 		c.slow.remove(evicted)
-		evicted.state = stateServed // it holds its capacity until Leave
+		evicted.state = stateServed // an evicted member holds its capacity until Leave
 	}
 	m.state = stateSlow
 	m.since = now
@@ -186,7 +188,7 @@
 	return evicted
 }
 
-// MarkComplete ends the slow state of a member, whose request has arrived completely.
+// MarkComplete ends the slow state of a member after its request has arrived completely.
 func (c *Controller) MarkComplete(m *Member) {
 	if m.state == stateSlow {
 		c.slow.remove(m)
--- a/internal/resources/admission/admission_test.go
+++ b/internal/resources/admission/admission_test.go
@@ -12,7 +12,7 @@
 type modelMember struct {
 	Member
 	hasPriority bool
-	present     bool // it has arrived, and not left
+	present     bool // the member has arrived and has not left
 	arrivedAt   time.Duration
 	verdict     Verdict
 	slow        bool
@@ -96,7 +96,7 @@
 	member.slow, member.slowSince = true, m.now
 }
 
-// admitAll calls Next until it returns no member, and checks the returned ones.
+// admitAll calls Next until it returns no member, and checks each returned member.
 func (m *model) admitAll(t *rapid.T) {
 	for {
 		firstPriority, firstNormal := m.firstWaiting(true), m.firstWaiting(false)
@@ -119,7 +119,7 @@
 // is reports whether the member is present and has the verdict.
 func (m *modelMember) is(verdict Verdict) bool { return m.present && m.verdict == verdict }
 
-// first returns the member with the lowest time among those that meet the condition, or nil.
+// first returns the member with the earliest time among the members that meet the condition, or nil.
 func (m *model) first(condition func(*modelMember) bool, at func(*modelMember) time.Duration) *modelMember {
 	var first *modelMember
 	for _, member := range m.members {
@@ -155,7 +155,8 @@
 		if m.now-member.arrivedAt > m.config.MaxWait {
 			assert.GreaterOrEqual(t, rejecting, m.config.MaxRejecting, "rejected as soon as there is capacity for that")
 		} else if member.hasPriority || m.config.AdmitsPerStep == 0 {
-			// While the first member of the queue in turn waits for capacity to be rejected, no member is served.
+			// If the first member of the queue whose turn it is must be rejected, and there is no capacity to reject
+			// it, no member is served.
 			full := serving == m.config.MaxServing || rejecting == m.config.MaxRejecting
 			assert.True(t, full, "no member waits while capacity is available")
 		}
@@ -172,7 +173,8 @@
 }
 
 // After any sequence of operations: the limits hold, and no member waits while capacity is available. Members leave
-// each queue in the order of arrival; those that have waited for more than MaxWait are rejected, the others served.
+// each queue in the order of arrival; members that have waited for more than MaxWait are rejected, and all other
+// members are served.
 func TestController_Model(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -195,8 +197,8 @@
 	})
 }
 
-// Many new connections at once must not stop the active ones: while members with and without priority wait, those with
-// priority get three of four turns.
+// Many new connections at once must not stop the active connections: while members with and without priority wait, the
+// members with priority get three of four turns.
 func TestController_PriorityTurns(t *testing.T) {
 	c := New(Config{MaxServing: 1, MaxWait: time.Hour})
 	members := make([]Member, 80)
--- a/internal/resources/limits/budget.go
+++ b/internal/resources/limits/budget.go
@@ -13,33 +13,35 @@
 
 	mu            sync.Mutex
 	available     int
-	clientReserve int // the last available descriptors, which only clients may acquire
+	clientReserve int // number of the last available descriptors; only clients may acquire them
 	clients       int // descriptors in use by clients
 }
 
-// NewBudget returns a budget with n descriptors. Only clients may acquire the last clientReserve of them: a full node
-// needs a connection to reject a client.
+// NewBudget returns a budget with n descriptors. Only clients may acquire the last clientReserve descriptors, since a
+// full node needs a connection to a client in order to reject the client's request.
 func NewBudget(n, clientReserve int, memory *MemoryBudget) *Budget {
 	return &Budget{available: n, clientReserve: clientReserve, memory: memory}
 }
 
-// SetMaxClients sets the maximum number of descriptors for clients. The client reserve is then never more than the
-// clients may still acquire: once they hold the maximum, servers and discovery can acquire all others.
+// SetMaxClients sets the maximum number of descriptors for clients. From then on the client reserve is at most the
+// number of descriptors that clients may still acquire. When clients hold the maximum, all remaining descriptors are
+// available for connections to servers and discovery.
 func (b *Budget) SetMaxClients(n int) { b.maxClients = n }
 
 // Memory returns the process's memory budget.
 func (b *Budget) Memory() *MemoryBudget { return b.memory }
 
 // SetEvictor sets the function that is called when no descriptor is available. The function closes an idle connection
-// to a server, and returns whether that has released a descriptor.
+// to a server, and returns whether this released a descriptor.
 func (b *Budget) SetEvictor(f func() bool) { b.evict = f }
 
-// Acquire acquires a descriptor for a connection to a server or to discovery. It returns false if none is available.
-// Release returns the descriptor.
+// Acquire acquires a descriptor for a connection to a server or to discovery. It returns false if no descriptor is
+// available. The caller releases the descriptor with Release.
 func (b *Budget) Acquire() bool { return b.acquireOrEvict(b.tryAcquire) }
 
-// AcquireForClient acquires a descriptor for a client, from the client reserve if no other is available. It returns
-// false if none is available. ReleaseForClient returns the descriptor.
+// AcquireForClient acquires a descriptor for a connection to a client. If only the client reserve is left, it acquires
+// a descriptor of the reserve. It returns false if the reserve is used up, too. The caller releases the descriptor with
+// ReleaseForClient.
 func (b *Budget) AcquireForClient() bool { return b.acquireOrEvict(b.tryAcquireForClient) }
 
 func (b *Budget) acquireOrEvict(try func() bool) bool {
@@ -85,8 +87,9 @@
 	return b.available
 }
 
-// Lend acquires up to n descriptors for another process that shares this one's limit. It leaves a quarter of the
-// available ones, and returns the number acquired. Each call of Release returns one.
+// Lend acquires up to n descriptors for another process that shares the descriptor limit of this process. It leaves at
+// least a quarter of the available descriptors, and returns how many it acquired. Each call of Release releases one of
+// them.
 func (b *Budget) Lend(n int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,14 +98,14 @@
 	return lent
 }
 
-// Release returns a descriptor that was acquired with Acquire or Lend.
+// Release releases a descriptor that was acquired with Acquire or Lend.
 func (b *Budget) Release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.available++
 }
 
-// ReleaseForClient returns a descriptor that was acquired with AcquireForClient.
+// ReleaseForClient releases a descriptor that was acquired with AcquireForClient.
 func (b *Budget) ReleaseForClient() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/resources/limits/derive.go
+++ b/internal/resources/limits/derive.go
@@ -27,13 +27,14 @@
 	// chunk in each direction if a body is streamed.
 	memoryPerRequest = 32 * kb
 
-	// SIGKILL may arrive 0.7 s after the longest deadline, or 0.7 s after maxShutdownWait if the deadline is longer.
+	// SIGKILL may follow SIGTERM after min(longest deadline of a method, maxShutdownWait) + 0.7 s.
 	maxShutdownWait = 3 * time.Second
 	shutdownMargin  = 450 * time.Millisecond
 
 	// updateMargin is the part of MaxUpdateDelay for clock errors, for connecting, and for receiving the endpoint list.
 	updateMargin = 250 * time.Millisecond
-	// maxWatchGap is the time within which a change must be in force if a watch ended instead of reporting it.
+	// maxWatchGap is the time within which a change of the endpoints must be in force if a watch ended without
+	// reporting the change.
 	maxWatchGap = 2 * time.Second
 )
 
@@ -44,8 +45,8 @@
 	}
 	l := defaultLimits()
 	l.Cores = int(math.Ceil(m.Cores))
-	// The garbage collector uses more CPU near the soft limit. The remaining 30 % are for stacks and the program
-	// itself.
+	// The soft limit is 70 % of the memory. Near the soft limit the garbage collector uses more CPU. The remaining 30 %
+	// are for stacks and the program itself.
 	l.MemoryLimit = int64(m.MemoryMB) * mb * 7 / 10
 	l.Descriptors = m.Sockets - processDescriptors
 	l.deriveDiscovery()
@@ -61,7 +62,7 @@
 
 func (m *Machine) validate() error {
 	switch {
-	case !(m.Cores > 0) || m.Cores > maxCores: // also if it is NaN
+	case !(m.Cores > 0) || m.Cores > maxCores: // the first condition is also true for NaN
 		return fmt.Errorf("limits.cores is %v, expected more than 0 and at most %d", m.Cores, maxCores)
 	case m.MemoryMB < minMemoryMB:
 		return fmt.Errorf("limits.memory_mb is %d, expected at least %d", m.MemoryMB, minMemoryMB)
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// defaultLimits returns the limits that depend on neither the machine nor the settings. The others are zero.
+// defaultLimits returns the limits that depend on neither the machine nor the settings. All other limits are zero.
 func defaultLimits() Limits {
 	return Limits{
 		Wire: httpwire.Sizes{
@@ -121,14 +122,14 @@
 	}
 }
 
-// deriveDiscovery derives the timeout of a poll and the longest intervals between polls, so that every update is in
-// force within MaxUpdateDelay. A poll may take as long as a watch may be silent, and so may the next poll, which
-// delivers the update. MaxPollInterval is therefore MaxUpdateDelay minus that time and updateMargin. The backoff after
-// a failed poll may last until MaxPollInterval has passed since the start of that poll.
+// deriveDiscovery derives FirstMessageTimeout, the timeout of a poll, and the longest intervals between polls, so that
+// every update is in force within MaxUpdateDelay. A poll may take as long as a watch may be silent. The next poll,
+// which delivers the update, may take the same time. So MaxPollInterval is MaxUpdateDelay - FirstMessageTimeout -
+// updateMargin. After a failed poll, the backoff may last until MaxPollInterval after the start of that poll.
 func (l *Limits) deriveDiscovery() {
 	l.FirstMessageTimeout = l.WatchSilenceTimeout
 	l.MaxPollInterval = l.MaxUpdateDelay - l.FirstMessageTimeout - updateMargin
-	l.MaxReconnectDelay = maxWatchGap / 2 // the other half is for the poll that delivers the update
+	l.MaxReconnectDelay = maxWatchGap / 2 // the other half is for the poll that delivers the change
 }
 
 // deriveRequests derives the limits of requests and client connections from the descriptors and the memory. maxInFlight
@@ -144,7 +145,7 @@
 	}
 	l.MaxClientConnections = l.MaxRequests + l.OverloadConnections
 	// Half of the memory is for bodies, and a quarter for memoryPerRequest. Connections without a request in progress
-	// use none of it: they are idle, or their bytes wait in the kernel.
+	// use none of this memory: they are idle, or their bytes wait in the kernel.
 	l.BodyMemory = l.MemoryLimit / 2
 	l.MaxRequests = max(1, min(l.MaxRequests, int(l.MemoryLimit/4)/memoryPerRequest))
 	l.MaxStreamedRequests = max(1, l.MaxRequests/2)
@@ -152,7 +153,7 @@
 }
 
 // requestsWithinDescriptors returns the number of requests for which there are enough descriptors. Each request has a
-// connection to its client and one to a server, and every tenth request has another one for a hedge.
+// connection to its client and one to a server, and every tenth request has another connection to a server for a hedge.
 func (l *Limits) requestsWithinDescriptors() int {
 	return (l.Descriptors - l.OverloadConnections - discoveryDescriptors) * 10 / 21
 }
--- a/internal/resources/limits/limits.go
+++ b/internal/resources/limits/limits.go
@@ -24,53 +24,53 @@
 type Limits struct {
 	Cores                int
 	MemoryLimit          int64 // bytes; the soft memory limit of the Go runtime
-	Descriptors          int   // for connections to clients, servers and discovery together
+	Descriptors          int   // number for connections to clients, servers and discovery together
 	BodyMemory           int64 // bytes for bodies that are larger than their initial buffers
-	MaxRequests          int   // in progress at once; each has a connection to its client and one to a server
+	MaxRequests          int   // requests in progress at once; each has a connection to its client and one to a server
 	OverloadConnections  int   // client connections beyond MaxRequests; requests on them are rejected at once
-	MaxClientConnections int   // idle ones included
-	MaxStreamedRequests  int   // part of MaxRequests; streamed ones last long, and short ones need the rest
+	MaxClientConnections int   // including idle connections
+	MaxStreamedRequests  int   // part of MaxRequests; the rest is for short requests, since streamed requests last long
 
 	Wire        httpwire.Sizes // limits of HTTP messages
-	MaxListLine int            // bytes of one line of the endpoint list
+	MaxListLine int            // maximum size of one line of the endpoint list, in bytes
 
 	// Connections to clients:
 
-	AcceptRetryDelay    time.Duration // wait after a failed accept
+	AcceptRetryDelay    time.Duration // wait before the next accept after a failed accept
 	ClientIdleTimeout   time.Duration // a connection without a request for this long is closed
-	EvictableAfter      time.Duration // minimum idle time before a connection may be evicted for another one
-	LongIdle            time.Duration // idle time after which a connection is evicted as soon as another one is needed
+	EvictableAfter      time.Duration // minimum idle time before a connection may be evicted for another connection
+	LongIdle            time.Duration // idle time after which a connection is evicted if another connection is needed
 	FinalReadWindow     time.Duration // wait for a request that may arrive while its connection is being closed
-	ClientReadTimeout   time.Duration // from a request's first byte, or the connect, to its last byte
-	ClientCheckInterval time.Duration // an attempt checks whether its client still waits, if the last check is older
-	OverloadRetryAfter  time.Duration // Retry-After of a node that is full
-	ClientWriteTimeout  time.Duration // for a response that is written at once
-	ClientStallTimeout  time.Duration // for a client that reads nothing of a large response
-	MinTransferRate     int           // bytes per second that timeouts allow for large bodies; see TransferTime
-	LingerTimeout       time.Duration // for discarding the input after a request that could not be read
-	MaxLingerBytes      int           // maximum size of that input
-	MaxTimeLeft         time.Duration // longest remaining deadline that a client may send
+	ClientReadTimeout   time.Duration // for reading a request, from the connect or the first byte to the last byte
+	ClientCheckInterval time.Duration // an attempt checks again whether its client waits if the last check is older
+	OverloadRetryAfter  time.Duration // Retry-After in the responses of a node that is full
+	ClientWriteTimeout  time.Duration // for writing a response that is not streamed
+	ClientStallTimeout  time.Duration // time for which a client may read nothing of a large response
+	MinTransferRate     int           // bytes per second; timeouts are extended by the TransferTime of large bodies
+	LingerTimeout       time.Duration // time for discarding the input after a request that could not be read
+	MaxLingerBytes      int           // maximum size of the input that is discarded
+	MaxTimeLeft         time.Duration // longest time until the deadline that a client may send
 	RequestIDTTL        time.Duration // time for which the ID of an ended request is remembered
-	MaxRequestIDs       int           // maximum in each of the two generations of remembered IDs
+	MaxRequestIDs       int           // maximum number in each of the two generations of remembered IDs
 
 	// Connections to servers:
 
 	ConnectTimeout       time.Duration
-	ResponseReadTimeout  time.Duration // from a response's first byte to its last, plus TransferTime of its bytes
-	ResponseSettleTime   time.Duration // between a response and the reuse of its connection
-	ResponseStallTimeout time.Duration // for a server that sends nothing more of a streamed response
-	RequestStallTimeout  time.Duration // for a server that reads nothing of a streamed request
+	ResponseReadTimeout  time.Duration // from a response's first to its last byte; its TransferTime is added
+	ResponseSettleTime   time.Duration // minimum time between a response and the reuse of its connection
+	ResponseStallTimeout time.Duration // time for which a server may send nothing of a streamed response
+	RequestStallTimeout  time.Duration // time for which a server may read nothing of a streamed request
 	ServerIdleTimeout    time.Duration // a connection that is idle for this long is closed
 	SweepInterval        time.Duration // between sweeps of idle connections
 
 	// Connections to discovery:
 
 	DiscoveryConnectTimeout time.Duration
-	MaxUpdateDelay          time.Duration // a reachable discovery's update is in force within this time
-	FirstMessageTimeout     time.Duration // wait for a watch's first event, after which another poll is started as well
-	MaxPollInterval         time.Duration // from the last event, or the start of a poll, to the start of the next poll
-	MaxReconnectDelay       time.Duration // from the end of a watch to the start of the next poll
-	WatchSilenceTimeout     time.Duration // between messages of a watch; discovery sends an empty line every 2 s
+	MaxUpdateDelay          time.Duration // if discovery is reachable, its updates are in force within this time
+	FirstMessageTimeout     time.Duration // wait for a watch's first event; after this time another poll starts as well
+	MaxPollInterval         time.Duration // maximum time from the last event, or the start of a poll, to the next poll
+	MaxReconnectDelay       time.Duration // maximum time from the end of a watch to the start of the next poll
+	WatchSilenceTimeout     time.Duration // maximum silence of a watch; discovery sends an empty line every 2 s
 
 	RemovedMethodGrace time.Duration // time for which a method that was removed from the settings is still accepted
 
@@ -78,7 +78,7 @@
 
 	ShutdownAcceptTime time.Duration // connections are still accepted for this long
 	ShutdownAbortAfter time.Duration // requests that are still in flight are aborted after this time
-	ShutdownWriteTime  time.Duration // wait for the last responses to be written, counted from the abort
+	ShutdownWriteTime  time.Duration // time for writing the last responses, counted from the abort
 }
 
 // TransferTime returns the time that a transfer of the bytes takes at MinTransferRate; 0 if there is no such rate.
@@ -89,25 +89,26 @@
 	return time.Duration(float64(bytes) / float64(l.MinTransferRate) * float64(time.Second))
 }
 
-// maxIdleMargin is the maximum by which the node's idle timeout is shorter than the server's.
+// maxIdleMargin is the largest difference between the server's idle timeout and the shorter idle timeout of the node.
 const maxIdleMargin = time.Second
 
-// ForService returns the limits with the service's own timeouts for its servers, where the settings have them.
+// ForService returns the limits of a service. If the service's settings contain a connect timeout or an idle timeout of
+// its servers, the timeouts for connections to servers are derived from them.
 func (l Limits) ForService(s *settings.Instance) Limits {
 	if s.ConnectTimeout > 0 {
 		l.ConnectTimeout = s.ConnectTimeout
 	}
 	if s.ServerIdleTimeout > 0 {
-		// The server's idle time starts when it sends a response, the node's later, when it receives the response. The
-		// node must close first, or the server may close a connection on which a request is being sent.
+		// The server measures the idle time from the sending of a response, the node from its arrival, which is later.
+		// The node must close the connection first. Otherwise the server may close it while a request is being sent.
 		l.ServerIdleTimeout = s.ServerIdleTimeout - min(maxIdleMargin, s.ServerIdleTimeout/4)
 	}
 	return l
 }
 
-// WithClients returns the limits for a configured number of client connections and requests at once, and a configured
-// idle timeout. It serves nodes with many connections, few of which have a request in progress. A zero argument leaves
-// its limit as it is.
+// WithClients returns the limits for configured maximum numbers of client connections and of requests in progress, and
+// for a configured idle timeout of client connections. It is for nodes with many client connections, of which only a
+// few have a request in progress. An argument of zero leaves the corresponding limit unchanged.
 func (l Limits) WithClients(connections, requests int, idle time.Duration) (Limits, error) {
 	if requests < 0 || connections < 0 || idle < 0 {
 		return l, fmt.Errorf("callers: connections %d, requests %d and idle %v must not be negative",
@@ -119,7 +120,8 @@
 	if requests > 0 {
 		if maxRequests := l.requestsWithinDescriptors(); requests > maxRequests {
 			return l, fmt.Errorf("callers.requests is %d, machine.sockets allows at most %d: each request needs a "+
-				"connection to its client and one to a server, every tenth one more for a hedge", requests, maxRequests)
+				"connection to its client and one to a server, every tenth request one more for a hedge",
+				requests, maxRequests)
 		}
 		l.MaxRequests = requests
 		l.MaxStreamedRequests = max(1, requests/2)
@@ -135,7 +137,8 @@
 }
 
 func (l *Limits) checkClientConnections(connections int) error {
-	// Each request has a connection to a server, and every tenth request has another one for a hedge.
+	// Each request has a connection to a server, and every tenth request has another connection to a server for a
+	// hedge.
 	maximum := l.Descriptors - l.MaxRequests*11/10 - discoveryDescriptors
 	if connections > maximum {
 		return fmt.Errorf("callers.connections is %d, machine.sockets allows at most %d: the other descriptors are "+
--- a/internal/resources/limits/limits_test.go
+++ b/internal/resources/limits/limits_test.go
@@ -80,7 +80,7 @@
 	b := NewBudget(3, 1, nil)
 	assert.True(t, b.Acquire())
 	assert.True(t, b.AcquireForClient())
-	assert.False(t, b.Acquire(), "the last descriptor is reserved for a client, so that it can be rejected")
+	assert.False(t, b.Acquire(), "the last descriptor is reserved for a client, so that the client can be rejected")
 	assert.True(t, b.AcquireForClient())
 	assert.False(t, b.AcquireForClient())
 	b.Release()
@@ -100,7 +100,8 @@
 	assert.False(t, b.Acquire())
 }
 
-// Once clients hold their maximum of descriptors, servers and discovery can acquire all others.
+// Once clients hold their maximum of descriptors, all remaining descriptors are available for connections to servers
+// and discovery.
 func TestBudget_MaxClients(t *testing.T) {
 	b := NewBudget(10, 3, nil)
 	b.SetMaxClients(6)
@@ -108,7 +109,7 @@
 		require.True(t, b.AcquireForClient())
 	}
 	for range 4 {
-		assert.True(t, b.Acquire(), "the client reserve is zero, so servers and discovery get all others")
+		assert.True(t, b.Acquire(), "the client reserve is zero, so servers and discovery get all that remain")
 	}
 	assert.False(t, b.Acquire())
 	b.ReleaseForClient()
@@ -116,8 +117,8 @@
 	assert.True(t, b.AcquireForClient())
 }
 
-// With the maximum of client connections configured and all of them open, a connection to a server is left for each
-// request, and one for discovery.
+// If the largest allowed number of client connections is configured and all of them are open, enough descriptors are
+// left for one connection to a server per request and one connection to discovery.
 func TestLimits_WithClients(t *testing.T) {
 	for _, requests := range []int{1, 5, 20, 100} {
 		t.Run(fmt.Sprint(requests, " requests"), func(t *testing.T) {
--- a/internal/resources/limits/memory.go
+++ b/internal/resources/limits/memory.go
@@ -2,13 +2,14 @@
 
 import "sync/atomic"
 
-// MemoryBudget counts the bytes of bodies that are larger than their initial buffers. Bodies of requests may use half
-// of it. The other half is left for bodies of responses: a request whose body holds memory also needs memory for its
-// response, even when many others do the same. A nil budget has no limit. MemoryBudget is safe for concurrent use.
+// MemoryBudget counts the bytes of bodies that are larger than their initial buffers. Bodies of requests may use at
+// most half of the budget. The other half is left for bodies of responses: a request whose body holds memory also needs
+// memory for its response, even when there are many such requests. A nil budget has no limit. MemoryBudget is safe for
+// concurrent use.
 type MemoryBudget struct {
 	max      atomic.Int64 // bytes
-	requests atomic.Int64 // bytes in use by bodies of requests
-	total    atomic.Int64 // bytes in use by all bodies
+	requests atomic.Int64 // bytes reserved for bodies of requests
+	total    atomic.Int64 // bytes reserved for all bodies
 }
 
 // NewMemoryBudget returns a budget with the given number of bytes.
@@ -54,7 +55,7 @@
 	return true
 }
 
-// Release returns n reserved bytes.
+// Release releases n reserved bytes.
 func (m MemoryPool) Release(n int) {
 	b := m.budget
 	if b == nil {
--- a/internal/resources/quota/cpu.go
+++ b/internal/resources/quota/cpu.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// expireRefusals clears refusedRecently of each service that was not refused a borrowed amount since the last tick.
-// Such a service no longer counts as a borrower, unless it holds a borrowed amount.
+// expireRefusals clears refusedRecently of each service whose borrowing was not refused since the last tick. Such a
+// service no longer counts as a borrower, unless it holds a borrowed amount.
 func (t *Tree) expireRefusals() {
 	for _, s := range t.services {
 		if s.refusedRecently && !s.refusedSinceTick {
@@ -55,7 +55,8 @@
 	}
 }
 
-// countRequest counts a request, admitted or rejected, for the attribution of the CPU to services.
+// countRequest counts a request, whether it is admitted or rejected. measureCPU divides the CPU usage among services by
+// these counts.
 func (s *Service) countRequest() {
 	s.requests++
 	if !s.activeCPU && !s.removed {
@@ -64,8 +65,8 @@
 	}
 }
 
-// overCPU reports whether the CPU is saturated and the service uses more than its fair share of it. The fair share is
-// the larger of the service's guarantee and its share, by weight, of the fraction that is guaranteed to no service.
+// overCPU reports whether the CPU is saturated and the service uses more than its fair share of the CPU. The fair share
+// is the larger of the service's guarantee and its share, by weight, of the fraction that is guaranteed to no service.
 // Both are fractions of the CPU in use.
 func (s *Service) overCPU() bool {
 	t := s.tree
--- a/internal/resources/quota/lease.go
+++ b/internal/resources/quota/lease.go
@@ -36,10 +36,11 @@
 	return l
 }
 
-// Revoked returns a channel that is closed when the lease is revoked. Its request must then end at once.
+// Revoked returns a channel that is closed when the lease is revoked. The request that holds the lease must then end at
+// once.
 func (l *Lease) Revoked() <-chan struct{} { return l.revoked }
 
-// Release ends the lease and returns its amount. A second call does nothing.
+// Release ends the lease and releases its amount. A second call does nothing.
 func (l *Lease) Release() {
 	if l.state == leaseReleased {
 		return
@@ -71,8 +72,8 @@
 	}
 }
 
-// revoke revokes leases of borrowing services once a shortage has lasted for RevokeAfter, and returns them. It revokes
-// as many as the shortage needs.
+// revoke revokes leases of borrowing services once a shortage has lasted for RevokeAfter. It stops when the amounts of
+// the revoked leases cover the shortage. It returns the revoked leases.
 func (t *Tree) revoke(now float64) []*Lease {
 	missing := t.shortage
 	if missing == (Amount{}) {
@@ -114,7 +115,7 @@
 		l := s.newest
 		for l != nil && (l.state == leaseRevoked || l.amount[r] == 0) {
 			if l.state == leaseRevoked {
-				borrowed -= l.amount[r] // its request is about to end
+				borrowed -= l.amount[r] // the request of a revoked lease is about to end
 			}
 			l = l.older
 		}
--- a/internal/resources/quota/quota.go
+++ b/internal/resources/quota/quota.go
@@ -1,11 +1,12 @@
 // Package quota divides the resources of one process among its services, so that an overload of one service does not
-// reduce the capacity of the others. Each service has a guaranteed fraction of every resource and may borrow the unused
-// resources of others, which are revoked when their owner needs them. Within a service, tenants share by weight. While
-// the CPU is saturated, requests of services that use more than their fair share of it are rejected.
+// reduce the capacity of the others. Each service has a guaranteed fraction of every resource and may borrow what other
+// services leave unused. Borrowed amounts are revoked when the service to which they are guaranteed needs them. Within
+// a service, tenants share by weight. While the CPU is saturated, requests of services that use more than their fair
+// share of the CPU are rejected.
 //
 // A Tree updates the sums over all services with each change, so a decision costs the same for 3 services as for 1000.
 // The package has no clock, locks or goroutines: the caller passes the time and serializes the calls. The package makes
-// decisions and counts usage; the caller sends the responses to rejected requests and ends the revoked ones.
+// decisions and counts usage; the caller responds to rejected requests and aborts requests whose leases were revoked.
 package quota
 
 import (
@@ -49,9 +50,9 @@
 type Config struct {
 	Total            Amount
 	ReservedFraction float64 // fraction of each guarantee that is never lent to other services
-	RevokeAfter      float64 // seconds of a shortage after which borrowed amounts are revoked
-	// CPUThreshold is the fraction of the process's cores in use above which the CPU is saturated. Requests of services
-	// that use more than their fair share are then rejected.
+	RevokeAfter      float64 // seconds from the start of a shortage until borrowed amounts are revoked
+	// CPUThreshold is a fraction of the process's cores. The CPU is saturated while the process uses more than this
+	// fraction. Requests of services that use more than their fair share of the CPU are then rejected.
 	CPUThreshold float64
 }
 
@@ -59,7 +60,7 @@
 type Spec struct {
 	Name      string
 	Guarantee float64   // fraction of the total; the sum over all services is at most 1
-	Weight    float64   // for dividing borrowed amounts and the CPU among services
+	Weight    float64   // weight in the division of borrowed amounts and of the CPU among services
 	Tenants   []float64 // weights of the tenants; empty: the service does not distinguish tenants
 }
 
--- a/internal/resources/quota/quota_test.go
+++ b/internal/resources/quota/quota_test.go
@@ -205,9 +205,9 @@
 		lease.Release()
 	}
 	assert.Len(t, acquire(other, 500), 25)
-	assert.Empty(t, acquire(flooded, 500), "it uses its guarantee, and the rest is in use")
+	assert.Empty(t, acquire(flooded, 500), "each service uses its whole guarantee")
 	releaseAll(otherLeases)
-	assert.Len(t, acquire(flooded, 500), 12, "half of the available 25: the other still counts as a borrower")
+	assert.Len(t, acquire(flooded, 500), 12, "half of the available 25: the other service still counts as a borrower")
 }
 
 func TestTree_BorrowersShareByWeight(t *testing.T) {
@@ -217,7 +217,8 @@
 	tree.Add(Spec{Name: "idle", Guarantee: 0.2, Weight: 1})
 	leases := acquire(greedy, 5000)
 	assert.Len(t, leases, 900)
-	// Each request that ends is followed by new ones, of which the greedy service's always come first.
+	// After each request that ends, both services send new requests. The requests of the greedy service always come
+	// first.
 	admitted := 0
 	for round := range 3000 {
 		leases[0].Release()
@@ -263,7 +264,7 @@
 		return len(leases)
 	}
 	// runSecond simulates one second with ten ticks and the given CPU load. It returns how many requests of the flooded
-	// service and of ten others were admitted.
+	// service and of ten other services were admitted.
 	runSecond := func(cpu float64) (ofFlooded, ofOthers int) {
 		for range 10 {
 			for i := range 2000 {
--- a/internal/resources/quota/tree.go
+++ b/internal/resources/quota/tree.go
@@ -11,18 +11,19 @@
 	Config
 	services []*Service
 
-	// Sums over all services. reserved plus borrowed counts against the total, and used never exceeds that sum.
+	// Sums over all services. The sum of reserved and borrowed counts against the total, and used never exceeds that
+	// sum.
 	used               Amount
-	reserved           Amount  // per service: the larger of its reserve and its used part of the guarantee
-	borrowed           Amount  // used beyond guarantees
-	borrowerWeight     float64 // of the services that borrow, or were recently refused a borrowed amount
-	guaranteedFraction float64 // of the total
-	activeCPUWeight    float64 // of the services among which the CPU is divided
-
-	shortage      Amount  // refused to services although it is within their guarantees; revoke reclaims it
-	shortageSince float64 // seconds; the first tick at which the shortage was seen; 0: none
+	reserved           Amount  // for each service, the larger of its reserve and the used part of its guarantee
+	borrowed           Amount  // amounts that services use beyond their guarantees
+	borrowerWeight     float64 // sum of the weights of the services whose field borrowing is true
+	guaranteedFraction float64 // sum of the guarantees, as a fraction of the total
+	activeCPUWeight    float64 // sum of the weights of the services among which the CPU is divided
+
+	shortage      Amount  // amounts that were refused although they are within guarantees; revoke reclaims them
+	shortageSince float64 // time of the first tick during the shortage, in seconds; 0: no shortage
 	cpuLoad       float64 // fraction of the cores in use between the last two ticks
-	lastTickAt    float64 // seconds
+	lastTickAt    float64 // time of the last tick, in seconds
 }
 
 // Service is the quota and the usage of one service.
@@ -34,9 +35,9 @@
 	used       Amount
 	removed    bool
 
-	borrowing        bool // it counts as a borrower: it holds a borrowed amount, or refusedRecently is true
-	refusedRecently  bool // it was refused a borrowed amount since the tick before the last
-	refusedSinceTick bool // it was refused a borrowed amount since the last tick
+	borrowing        bool // the service counts as a borrower: it holds a borrowed amount, or refusedRecently is true
+	refusedRecently  bool // borrowing was refused since the last tick, or in the interval before that tick
+	refusedSinceTick bool // borrowing was refused since the last tick
 
 	tenants            []tenant
 	activeTenantWeight float64 // sum of the weights of the tenants with requests in flight
@@ -44,9 +45,9 @@
 
 	newest *Lease // head of the list of leases
 
-	requests   float64 // since the last tick, admitted or rejected
+	requests   float64 // requests since the last tick, admitted or rejected
 	cpu        float64 // smoothed CPU usage, as a fraction of the cores
-	activeCPU  bool    // its weight is in the tree's activeCPUWeight
+	activeCPU  bool    // the service's weight is included in the tree's activeCPUWeight
 	rejections [ServiceRemoved + 1]int64
 }
 
@@ -88,7 +89,7 @@
 	t.services = slices.DeleteFunc(t.services, func(other *Service) bool { return other == s })
 }
 
-// Resize changes the total, and the guaranteed amounts with it.
+// Resize changes the total, and recomputes the guaranteed amounts.
 func (t *Tree) Resize(total Amount) {
 	t.Total = total
 	for _, s := range t.services {
@@ -96,7 +97,7 @@
 	}
 }
 
-// Update changes the service's guarantee and weight. Its leases stay as they are.
+// Update changes the service's guarantee and weight. It does not affect existing leases.
 func (s *Service) Update(guarantee, weight float64) {
 	s.change(func() {
 		if s.borrowing {
@@ -163,7 +164,7 @@
 	}
 }
 
-// addUsage adds the amount to the usage of the service. A negative amount is returned, and reduces the shortage.
+// addUsage adds the amount to the usage of the service. A negative amount is a release, and reduces the shortage.
 func (s *Service) addUsage(amount Amount) {
 	t := s.tree
 	s.change(func() {
@@ -185,8 +186,8 @@
 	Name       string
 	Used       Amount
 	Guaranteed Amount
-	Rejected   map[string]int64 // requests, by decision
-	CPU        float64          // fraction of the cores, smoothed
+	Rejected   map[string]int64 // number of rejected requests, by decision
+	CPU        float64          // smoothed CPU usage, as a fraction of the cores
 }
 
 // Usage returns the usage of all services, ordered by name.
