--- a/internal/dataplane/services/apply.go
+++ b/internal/dataplane/services/apply.go
@@ -9,12 +9,13 @@
 	"robincart/internal/dataplane/frontend"
 )
 
-// maxLoggedNames is the number of updated and started services from which on counts are logged in place of names.
+// maxLoggedNames limits the names in the log. If at least this many services are updated or started, their number is
+// logged in place of their names.
 const maxLoggedNames = 30
 
-// transition has the names of the services that a configuration updates, starts and retires.
+// transition contains the names of the services that a configuration updates, starts and retires.
 type transition struct {
-	updated []string // in place, so that their cores keep their state
+	updated []string // services updated in place, so that their cores keep their state
 	started []string
 	retired []string
 }
@@ -24,7 +25,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.quotas.configure(config.Quota)
-	// Guarantees are lowered before others are raised, so that the raised ones can use the freed amounts.
+	// Lower guarantees are set before higher guarantees, so that services with a higher guarantee can use the freed
+	// amounts.
 	for i := range config.Pools {
 		pool := &config.Pools[i]
 		if s := m.services[pool.Name]; s != nil && s.quota != nil {
--- a/internal/dataplane/services/budget.go
+++ b/internal/dataplane/services/budget.go
@@ -19,8 +19,8 @@
 	evictOther func(except *serviceQuota) bool // closes an idle connection of another service
 }
 
-// Acquire reserves a connection. If the quota is exhausted, it evicts an idle connection of the service first, or else
-// one of another service.
+// Acquire reserves a connection. If the quota is exhausted, it evicts an idle connection of this service. If this does
+// not help, it evicts an idle connection of another service.
 func (c *connectionBudget) Acquire() bool {
 	if !c.acquireQuota() {
 		return false
@@ -42,7 +42,7 @@
 	return c.evictOther(c.quota) && c.quota.grow(oneConnection)
 }
 
-// Release returns a connection.
+// Release releases a connection.
 func (c *connectionBudget) Release() {
 	c.quota.shrink(oneConnection)
 	c.process.Release()
@@ -60,8 +60,8 @@
 // SetEvictor does nothing: the process's budget already evicts idle connections of all services through the manager.
 func (processBudget) SetEvictor(func() bool) {}
 
-// evictIdle closes an idle connection of any service but except, which may be nil. It tries the services that have
-// borrowed most connections first, and returns false if no connection is idle.
+// evictIdle closes an idle connection of any service. It skips the service with the quota except, unless except is nil.
+// It first tries the services that have borrowed the most connections. It returns false if no connection is idle.
 func (m *Manager) evictIdle(except *serviceQuota) bool {
 	all := m.allServices()
 	borrowed := m.quotas.borrowedConnections(all)
--- a/internal/dataplane/services/maintain.go
+++ b/internal/dataplane/services/maintain.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	tickInterval  = 100 * time.Millisecond // between measurements of the CPU time
-	ticksPerSweep = 5                      // between sweeps of idle connections
+	tickInterval  = 100 * time.Millisecond // time between measurements of the CPU time
+	ticksPerSweep = 5                      // number of ticks between sweeps of idle connections
 )
 
 // maintain periodically measures the CPU time, revokes borrowed quota, and closes expired connections of all services.
--- a/internal/dataplane/services/manager.go
+++ b/internal/dataplane/services/manager.go
@@ -55,7 +55,7 @@
 	mu       sync.Mutex
 	config   *nodeconfig.Config // nil before the first Apply
 	services map[string]*service
-	retiring []*service // retired services whose requests have not all ended
+	retiring []*service // retired services that still have requests in flight
 }
 
 // New returns a manager without services. Close stops it.
@@ -83,7 +83,7 @@
 // Go runs a function in a goroutine of the manager. Close cancels the function's context and waits for its return.
 func (m *Manager) Go(f func(context.Context)) { m.goroutines.Go(func() { f(m.ctx) }) }
 
-// Close stops all services, even with requests in flight, and waits for the goroutines.
+// Close stops all services, even if requests are in flight, and waits for the goroutines.
 func (m *Manager) Close() {
 	all := m.allServices()
 	for _, s := range all {
@@ -114,10 +114,10 @@
 	return inFlight
 }
 
-// Usage returns what each service uses of its quota.
+// Usage returns the usage of each service's quota.
 func (m *Manager) Usage() []quota.Usage { return m.quotas.usage() }
 
-// allServices returns the services in force and those that are retiring.
+// allServices returns the services in force and the retiring services.
 func (m *Manager) allServices() []*service {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/dataplane/services/quotas.go
+++ b/internal/dataplane/services/quotas.go
@@ -9,7 +9,7 @@
 	"robincart/internal/resources/quota"
 )
 
-// The Retry-After of rejected requests is a random time between these multiples of the configured one, so that
+// The Retry-After of rejected requests is a random time between these multiples of the configured Retry-After, so that
 // clients do not all retry at the same time.
 const (
 	minRetryMultiple = 0.5
@@ -19,7 +19,7 @@
 // minCores is the lower bound of the number of cores by which the CPU usage is divided.
 const minCores = 0.01
 
-// sharedQuotas has the quota tree of all services, guarded by one mutex. Nothing blocks while the mutex is held.
+// sharedQuotas has the quota tree of all services, guarded by one mutex. No function blocks while it holds the mutex.
 type sharedQuotas struct {
 	retryAfter time.Duration
 
@@ -36,8 +36,8 @@
 	s.tree.Resize(config.Total)
 }
 
-// add adds a service to the tree. maxRetryAfter is the upper bound of the Retry-After of its rejected requests; 0: they
-// have none.
+// add adds a service to the tree. maxRetryAfter is the upper bound of the Retry-After of the service's rejected
+// requests. If it is 0, rejected requests get no Retry-After.
 func (s *sharedQuotas) add(spec quota.Spec, maxRetryAfter time.Duration) *serviceQuota {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +45,8 @@
 }
 
 // tick measures the CPU usage from the CPU seconds that the process has used since the last tick, and revokes borrowed
-// quota that its owners need. It returns the number of requests whose leases were revoked.
+// quota when the service to which it is guaranteed needs it. It returns the number of requests whose leases were
+// revoked.
 func (s *sharedQuotas) tick(now, cpuSeconds, cores float64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +98,8 @@
 	return time.Duration(float64(s.retryAfter) * multiple)
 }
 
-// lowerGuarantee sets the weight, and the guarantee only if the new one is lower.
+// lowerGuarantee sets the weight. It sets the guarantee only if the given guarantee is lower than the current
+// guarantee.
 func (s *serviceQuota) lowerGuarantee(guarantee, weight float64) {
 	s.shared.mu.Lock()
 	defer s.shared.mu.Unlock()
@@ -110,7 +112,7 @@
 	s.service.Update(guarantee, weight)
 }
 
-// remove removes the service from the tree. Requests that have not ended keep their leases until they end.
+// remove removes the service from the tree. Requests in flight keep their leases until they end.
 func (s *serviceQuota) remove() {
 	s.shared.mu.Lock()
 	defer s.shared.mu.Unlock()
@@ -124,7 +126,7 @@
 	return s.service.Grow(amount)
 }
 
-// shrink returns an amount that grow acquired.
+// shrink releases an amount that grow acquired.
 func (s *serviceQuota) shrink(amount quota.Amount) {
 	s.shared.mu.Lock()
 	defer s.shared.mu.Unlock()
@@ -137,7 +139,8 @@
 	lease  *quota.Lease
 }
 
-// Revoked returns a channel that is closed when the lease is revoked: its request has to end at once.
+// Revoked returns a channel that is closed when the lease is revoked. The request that holds the lease must then end at
+// once.
 func (l *lease) Revoked() <-chan struct{} { return l.lease.Revoked() }
 
 // Release ends the lease.
--- a/internal/dataplane/services/routing.go
+++ b/internal/dataplane/services/routing.go
@@ -10,7 +10,7 @@
 	"robincart/internal/protocol/httpwire"
 )
 
-// findFunc returns the service of a request, or the response to a request that has none.
+// findFunc returns the service of a request. If it finds no service, it returns the response that rejects the request.
 type findFunc = func(*httpwire.Request) (*frontend.Service, *httpwire.ClientResponse)
 
 // finder returns the function that looks requests up in a table of routes. The responses to rejected requests have no
@@ -29,9 +29,9 @@
 	}
 }
 
-// RouteRequest returns the properties of a request that routes match. It returns an error if the host or the path is
-// ambiguous, since a server could read it as that of another route. The error wraps routes.ErrInvalidHost or
-// routes.ErrInvalidPath.
+// RouteRequest returns the properties of a request by which routes match it. It returns an error if the host or the
+// path is ambiguous, since a server could interpret it as the host or path of another route. The error wraps
+// routes.ErrInvalidHost or routes.ErrInvalidPath.
 func RouteRequest(request *httpwire.Request) (routes.Request, error) {
 	host, err := requestHost(request)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return routed, err
 }
 
-// requestHost returns the host of a request, which is in its target or its Host header.
+// requestHost returns the host of a request. The host is in the request's target or in its Host header.
 func requestHost(request *httpwire.Request) (string, error) {
 	headers := request.Header["Host"]
 	switch {
--- a/internal/dataplane/services/service.go
+++ b/internal/dataplane/services/service.go
@@ -24,8 +24,8 @@
 	config       nodeconfig.Pool
 	frontend     *frontend.Service
 	core         *node.Core
-	watcher      *endpoints.Watcher        // nil with a static list of servers
-	subscription *recordcache.Subscription // merges the list with the record; nil without a record
+	watcher      *endpoints.Watcher        // nil if the service has a static list of servers
+	subscription *recordcache.Subscription // merges the endpoint list with the record; nil without a record
 	connections  *upstream.Pool
 	quota        *serviceQuota // nil if quotas are off
 
@@ -33,8 +33,8 @@
 	goroutines sync.WaitGroup
 }
 
-// start starts a service. If it replaces another service, it adopts that service's list clock and, if both watch the
-// same list, its endpoints.
+// start starts a service. If the service replaces another service, it adopts the list clock of the replaced service. If
+// both watch the same list, it also adopts the endpoints.
 func (m *Manager) start(config *nodeconfig.Config, pool nodeconfig.Pool, replaced *service) *service {
 	s := &service{config: pool}
 	budget := m.startQuota(s, config)
@@ -57,7 +57,7 @@
 	if pool.Protocol == protocolFastCGI {
 		s.connections.UseFastCGI(pool.Params)
 	}
-	var frontendQuota frontend.Quota // stays a nil interface if quotas are off
+	var frontendQuota frontend.Quota // must be a nil interface if quotas are off
 	if s.quota != nil {
 		frontendQuota = s.quota
 	}
@@ -65,7 +65,7 @@
 	return s
 }
 
-// startQuota adds the service to the quotas, unless they are off, and returns the budget of its connections.
+// startQuota adds the service to the quotas, unless quotas are off. It returns the budget of the service's connections.
 func (m *Manager) startQuota(s *service, config *nodeconfig.Config) upstream.Budget {
 	if config.Sharing.Off {
 		return processBudget{m.budget}
@@ -90,8 +90,9 @@
 	return watcher
 }
 
-// startEndpoints passes the core its first endpoint list: the static list, or the list of the replaced service until
-// the watcher receives a list.
+// startEndpoints passes the core its first endpoint list, or starts the watcher that receives the list. If the service
+// replaces another service that watches the same list, the core uses the list of the replaced service until the watcher
+// receives a list.
 func (m *Manager) startEndpoints(s *service, replaced *service) {
 	var receiver endpoints.Receiver = s.core
 	if m.WrapReceiver != nil {
@@ -111,8 +112,8 @@
 	if replaced != nil && replaced.watchesSameList(s) {
 		receiver.UpdateEndpoints(replaced.core.Endpoints(), true)
 	}
-	// The core delays its own first request by a random time, since the nodes of a fleet may start together. This
-	// request is not delayed, since the list is not known yet.
+	// The core delays its own first request for a watch by a random time, since the nodes of a fleet may start
+	// together. The request here is not delayed, since the list is not known yet.
 	s.watcher.RequestWatch()
 	s.goroutines.Go(func() { s.watcher.Run(ctx) })
 }
@@ -166,7 +167,7 @@
 	})
 }
 
-// stop stops a service, even with requests in flight, and waits for its goroutines. A second call does nothing.
+// stop stops a service, even if requests are in flight, and waits for its goroutines. A second call does nothing.
 func (s *service) stop() {
 	s.core.Close()
 	s.cancel()
--- a/internal/dataplane/upstream/benchmark_test.go
+++ b/internal/dataplane/upstream/benchmark_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// startBenchmarkServer starts a server that reads each request by one call, as the node writes it.
+// startBenchmarkServer starts a server that reads each request with one call, since the node writes it with one call.
 func startBenchmarkServer(b *testing.B, respond func(request []byte) []byte) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/internal/dataplane/upstream/cgiresponse.go
+++ b/internal/dataplane/upstream/cgiresponse.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxCGIHead = 16 << 10 // bytes
-	maxStderr  = 1 << 20  // bytes of stderr output per response; more of it is a fault of the server
+	maxCGIHead = 16 << 10 // maximum size of a response's head, in bytes
+	maxStderr  = 1 << 20  // bytes of stderr output per response; a server that writes more is faulty
 )
 
 // fieldNeverRan is the key of httpwire.HeaderNeverRan in fcgi.CGI.Fields, whose keys are in lower case.
@@ -36,9 +36,9 @@
 	stage         cgiStage
 	head          []byte // received so far
 	bodyless      bool   // the status allows no body
-	contentLength int64  // of the body, in bytes; -1: not given
-	bodyBytes     int64  // received so far
-	stderrBytes   int    // received so far
+	contentLength int64  // length of the body according to the head, in bytes; -1: not given
+	bodyBytes     int64  // bytes of the body received so far
+	stderrBytes   int    // bytes of stderr output received so far
 
 	translated []byte // the response as HTTP/1.1; discarded after it was read
 	readOffset int    // number of bytes of translated that were read
@@ -58,7 +58,8 @@
 	return fmt.Errorf("%w: %w", fcgi.ErrFraming, fmt.Errorf(format, args...))
 }
 
-// countStderr counts n bytes of stderr output, which is discarded. It returns an error if they exceed maxStderr.
+// countStderr counts n bytes of stderr output, which is discarded. It returns an error if the response's stderr output
+// exceeds maxStderr.
 func (r *cgiResponse) countStderr(n int) error {
 	r.stderrBytes += n
 	if r.stderrBytes > maxStderr {
@@ -71,7 +72,8 @@
 func (r *cgiResponse) write(data []byte) error {
 	if r.stage == cgiNotBegun {
 		r.stage = cgiHead
-		// Appended before the head is complete, since the reader's deadline for a response starts at its first byte.
+		// The first text is appended before the head is complete, since the reader's timeout for a response runs from
+		// the first byte of the response.
 		r.translated = append(r.translated, "HTTP/1.1 "...)
 	}
 	if r.stage == cgiBody {
@@ -98,7 +100,7 @@
 	if head.ContentType != "" {
 		r.writeField("Content-Type", head.ContentType)
 	}
-	// Repeated values are all appended, so that the reader rejects them.
+	// If the header is repeated, all of its values are appended, so that the reader rejects them.
 	for _, value := range head.Fields[fieldNeverRan] {
 		r.writeField(httpwire.HeaderNeverRan, value)
 	}
@@ -131,12 +133,12 @@
 	return nil
 }
 
-// end processes the end of a request, and completes the response or returns an error. Without the end's status a
-// response is not known to be complete: a script that crashes may have written a part of it.
+// end processes the event that ends a request. It completes the response, or returns an error. Only the status in the
+// event shows whether the response is complete: a script that crashes may have written a part of the response.
 func (r *cgiResponse) end(event fcgi.Event) error {
 	rejected := event.Status == fcgi.StatusOverloaded || event.Status == fcgi.StatusCantMultiplex
 	switch {
-	case rejected && r.stage == cgiNotBegun: // by the FastCGI protocol, the request did not run
+	case rejected && r.stage == cgiNotBegun: // according to the FastCGI protocol, the request did not run
 		r.translated = append(r.translated, "HTTP/1.1 503 \r\n"...)
 		r.writeField(httpwire.HeaderNeverRan, "1")
 		r.writeField("Content-Length", "0")
@@ -152,7 +154,7 @@
 	return nil
 }
 
-// hasUnread reports whether translated text has not been read.
+// hasUnread reports whether a part of the translated text has not been read.
 func (r *cgiResponse) hasUnread() bool { return r.readOffset < len(r.translated) }
 
 // readInto copies the next bytes of the translated text, and returns their number.
@@ -168,7 +170,8 @@
 	r.readOffset = 0
 }
 
-// releaseBuffers frees the head and, if it has grown large, the buffer of the translated text.
+// releaseBuffers frees the buffer of the head. It also frees the buffer of the translated text if that buffer is larger
+// than maxReusedBuffer.
 func (r *cgiResponse) releaseBuffers() {
 	r.discardRead()
 	if cap(r.translated) > maxReusedBuffer {
--- a/internal/dataplane/upstream/conn.go
+++ b/internal/dataplane/upstream/conn.go
@@ -39,7 +39,7 @@
 	fastCGI      *fastCGIConn // nil if the server speaks HTTP
 	address      string
 	registration poller.Registration
-	exchange     *exchange // the exchange that reads the response now; nil: none
+	exchange     *exchange // the exchange that is reading a response; nil: none
 	progress     responseProgress
 
 	// Guarded by the pool's mutex:
@@ -47,8 +47,8 @@
 	idleSince time.Time
 	// Links of the lists of idleConns:
 	server                     *node.Server
-	nextToServer, prevToServer *conn // neighbors among those to the same server, most recently used first
-	older, newer               *conn // neighbors among all, by idleSince
+	nextToServer, prevToServer *conn // idle neighbors to the same server, most recently used first
+	older, newer               *conn // neighbors among all idle connections, by idleSince
 }
 
 func (p *Pool) newConn(netConn net.Conn, address string) *conn {
@@ -71,7 +71,8 @@
 	return c
 }
 
-// OnEvent closes an idle connection that its server has closed. If the connection is in use, its exchange detects that.
+// OnEvent closes an idle connection that its server has closed. If the connection is in use, its exchange detects the
+// close.
 func (c *conn) OnEvent(poller.Event) {
 	p := c.pool
 	p.mu.Lock()
--- a/internal/dataplane/upstream/connect.go
+++ b/internal/dataplane/upstream/connect.go
@@ -12,10 +12,10 @@
 )
 
 // connectRetryDelay is the time between two connects while this machine lacks descriptors, memory, ports or a route. It
-// is shorter than Limits.AcceptRetryDelay, the pause of the listeners after they have evicted clients.
+// is shorter than Limits.AcceptRetryDelay, for which the listeners wait after they have evicted clients.
 const connectRetryDelay = 2 * time.Millisecond
 
-// Reasons why an attempt gets no connection that are not a fault of its server.
+// Errors of attempts that get no connection although their servers are not at fault.
 var (
 	errNoDescriptor   = errors.New("no descriptor available for a connection to a server")
 	errAddressChanged = errors.New("the server's address changed during the connect")
@@ -29,7 +29,7 @@
 	return decide.ConnectFailed
 }
 
-// connection returns an idle connection to the attempt's server, or a new one.
+// connection returns an idle connection to the attempt's server. If there is none, it opens a connection.
 func (e *exchange) connection(address string) (*conn, error) {
 	p := e.pool
 	server := e.attempt.Server
@@ -57,9 +57,9 @@
 }
 
 // dial connects until the connect timeout expires or the attempt is canceled. It retries while this machine lacks
-// descriptors, memory, ports or a route, since the core would order a failed attempt again at once. If the process can
-// open no more descriptors, although the budget had one, dial evicts an idle connection before it retries. The
-// listeners may evict clients meanwhile.
+// descriptors, memory, ports or a route, since the core would replace a failed attempt by another attempt at once. If
+// the process can open no more descriptors, although the budget had one left, dial evicts an idle connection before it
+// retries. Meanwhile the listeners may evict clients.
 func (e *exchange) dial(address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), e.pool.timeouts.Load().connect)
 	defer cancel()
@@ -93,8 +93,9 @@
 	return err != nil && (ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded))
 }
 
-// timeoutCause returns the error of a connect that timed out after a shortage on this machine. A route that is missing
-// until the timeout is not such a shortage: the server is unreachable.
+// timeoutCause returns the error to report for a connect that timed out after transient errors. That is the last
+// transient error, which is a shortage on this machine. But if the route was missing until the timeout, the server is
+// unreachable, and the timeout is reported.
 func timeoutCause(timeout, shortage error) error {
 	if socket.Classify(shortage) == socket.NoRoute {
 		return timeout
--- a/internal/dataplane/upstream/deadline.go
+++ b/internal/dataplane/upstream/deadline.go
@@ -5,7 +5,7 @@
 // pastDeadline is a deadline that makes reads and writes return at once.
 var pastDeadline = time.Unix(1, 0)
 
-// deadlineStep is the number of bytes of a response after which its deadline is extended again.
+// deadlineStep is the number of bytes after which the read deadline of a response is extended again.
 const deadlineStep = 8 << 10
 
 // responsePhase determines the deadline of the reads of a connection.
@@ -14,19 +14,19 @@
 //	awaiting   part of a response was read, and more is needed   receiving
 //	receiving  the response was an informational one             awaiting
 //	receiving  the response is complete                          awaiting
-//	either     the response's head and prefix were read, and     streaming
-//	           the rest is forwarded while it arrives
+//	either     the head and the first part of the body were      streaming
+//	           read, and the rest is forwarded as it arrives
 //	streaming  the response is complete                          awaiting
 type responsePhase uint8
 
 const (
-	// awaitingResponse has no read deadline: the core cancels the attempt at its own deadline.
+	// awaitingResponse has no read deadline: the core cancels the attempt at the attempt's deadline.
 	awaitingResponse responsePhase = iota
 	// receivingResponse allows ResponseReadTimeout from the first byte on, plus the transfer time of the bytes read. A
 	// response that stops halfway on an open connection, or whose head does not end, would otherwise block its request
 	// until no time is left for another attempt.
 	receivingResponse
-	// streamingResponse allows ResponseStallTimeout for each read. The only other bound of a streamed response is a
+	// streamingResponse allows ResponseStallTimeout for each read. The only other limit of a streamed response is a
 	// minimum transfer rate, since its client sees the progress.
 	streamingResponse
 )
@@ -34,13 +34,13 @@
 // responseProgress is the state from which the read deadline of a connection is computed.
 type responseProgress struct {
 	phase            responsePhase
-	startedAt        time.Time // start of receiving or streaming
-	bytesAtExtension int       // BytesRead when the deadline was last extended
+	startedAt        time.Time // time at which receiving or streaming began
+	bytesAtExtension int       // result of BytesRead when the deadline was last extended
 }
 
-// Progress sets the deadline before each read for the remainder of a response that has begun. Nearly all responses are
-// complete after their first read, so that no deadline is set for them. begun is false after an informational response:
-// the final response has not begun, so the deadline is cleared.
+// Progress sets the read deadline. It is called before each read that follows the first read of a response. Nearly all
+// responses are complete after their first read, so they need no deadline. Progress is also called after an
+// informational response, with begun = false: the final response has not begun, so the deadline is cleared.
 func (c *conn) Progress(begun bool) {
 	if !begun {
 		c.endResponse()
@@ -70,7 +70,7 @@
 
 // streamDeadline returns the deadline of the next read of a streamed response: now + ResponseStallTimeout, but at most
 // startedAt + ClientStallTimeout + ResponseStallTimeout + twice the transfer time of the bytes read. So the server may
-// stall once, and must otherwise be as fast in the long run as its client has to be.
+// stall once, and must otherwise be on average as fast as its client has to be.
 func (c *conn) streamDeadline(now time.Time) time.Time {
 	l := &c.pool.limits
 	total := l.ClientStallTimeout + l.ResponseStallTimeout + 2*l.TransferTime(c.reader.BytesRead())
@@ -82,14 +82,14 @@
 	return latest
 }
 
-// startStreaming switches to the deadlines of a response that is forwarded while it arrives.
+// startStreaming switches to the read deadlines of a response that is forwarded as it arrives.
 func (c *conn) startStreaming() {
 	c.endResponse()
 	c.progress.phase = streamingResponse
 	c.progress.startedAt = time.Now()
 }
 
-// endResponse clears the deadline of a response.
+// endResponse clears the read deadline after a response.
 func (c *conn) endResponse() {
 	if c.progress.phase == awaitingResponse {
 		return
@@ -100,7 +100,8 @@
 	c.restoreCancel()
 }
 
-// restoreCancel repeats a cancellation that a new deadline may have overwritten.
+// restoreCancel sets pastDeadline again if the exchange was canceled: a deadline that was set after the cancellation
+// may have overwritten pastDeadline.
 func (c *conn) restoreCancel() {
 	if c.exchange != nil && c.exchange.canceled() {
 		c.SetDeadline(pastDeadline)
--- a/internal/dataplane/upstream/exchange.go
+++ b/internal/dataplane/upstream/exchange.go
@@ -10,7 +10,7 @@
 	"robincart/internal/system/telemetry"
 )
 
-// exchangeStage is the stage of an exchange. It changes only once, so that a late cancellation does not affect a
+// exchangeStage is the stage of an exchange. The stage changes only once, so that a late cancellation does not affect a
 // connection that already serves another attempt.
 //
 //	from     event                                                to
@@ -31,7 +31,7 @@
 	request *httpwire.Request
 
 	stage         atomic.Int32         // an exchangeStage
-	conn          atomic.Pointer[conn] // nil until one is taken or opened
+	conn          atomic.Pointer[conn] // nil until a connection is taken or opened
 	cancelConnect context.CancelFunc   // set before Core.Bind; nil if no connect is needed
 }
 
@@ -77,7 +77,7 @@
 		return decide.NotSent, nil
 	}
 	if body := e.request.BodyStream; body != nil {
-		// Claim fails if another attempt reads or has read the body, or if the client has gone.
+		// Claim fails if another attempt reads or has read the body, or if the client has disconnected.
 		if !body.Claim() {
 			return decide.NotSent, nil
 		}
@@ -94,8 +94,8 @@
 	return e.finish(c, e.roundTrip(c))
 }
 
-// begin reports whether the request may be written. It is called right before the first byte. If it returns false,
-// nothing was sent, and the connection becomes idle unless the attempt was canceled.
+// begin reports whether the request may be written. It is called right before the first byte is written. If it returns
+// false, nothing was sent. The connection then becomes idle, or is closed if the attempt was canceled.
 func (e *exchange) begin(c *conn) bool {
 	if e.pool.core.Begin(e.attempt, e) && e.clientWaits() {
 		return true
@@ -109,7 +109,7 @@
 }
 
 // clientWaits reports whether the client still waits for the response. The core may not know yet that the client has
-// gone, since that notification may be late while the timer for another attempt is on time.
+// disconnected: the notification of a disconnect may be late, while the timer for another attempt is on time.
 func (e *exchange) clientWaits() bool {
 	return e.request.Client == nil || e.request.Client.StillWaiting(e.request)
 }
@@ -129,7 +129,8 @@
 	return e.readResponse(c)
 }
 
-// finish makes the connection idle or closes it. The connection of a streamed response stays in use until finishStream.
+// finish makes the connection idle or closes the connection. The connection of a streamed response stays in use until
+// finishStream.
 func (e *exchange) finish(c *conn, o outcome) (decide.Result, *node.Response) {
 	notCanceled := e.end(exchangeDone)
 	streamed := o.response != nil && o.response.BodyStream != nil
@@ -148,7 +149,8 @@
 	return o.result, o.response
 }
 
-// finishStream waits until the reader of a streamed response closes it. Then it makes the connection idle or closes it.
+// finishStream waits until the reader of a streamed response closes the stream. Then it makes the connection idle or
+// closes the connection.
 func (e *exchange) finishStream(stream *responseStream, served bool) {
 	c := e.conn.Load()
 	if !served || !stream.awaitComplete() || !stream.reusable || c.hasUnreadData() {
--- a/internal/dataplane/upstream/exchange_test.go
+++ b/internal/dataplane/upstream/exchange_test.go
@@ -104,7 +104,7 @@
 // breakingConn fails after a number of bytes was written.
 type breakingConn struct {
 	net.Conn
-	writable int // bytes until it fails
+	writable int // number of bytes that can be written before it fails
 }
 
 func (b *breakingConn) Write(p []byte) (int, error) {
@@ -145,7 +145,7 @@
 	assert.Equal(t, decide.ConnectFailed, newFixture(t, listener.Addr().String(), 5).attempt())
 }
 
-// If the process has no descriptor left, although the budget has, the failure does not count against the server.
+// If the process has no descriptor left although the budget has one, the failure does not count against the server.
 func TestExchange_ConnectWithoutDescriptor(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE} {
 		shortage := os.NewSyscallError("socket", errno)
@@ -233,7 +233,7 @@
 	assert.Equal(t, body, string(f.core.response.Body))
 }
 
-// A response whose bytes keep arriving without an end must time out before the request's deadline, so that another
+// A response whose bytes keep arriving and that never ends must time out before the request's deadline, so that another
 // attempt is possible.
 func TestExchange_EndlessResponse(t *testing.T) {
 	const writeInterval = 5 * time.Millisecond
@@ -265,9 +265,9 @@
 	}
 }
 
-// With HTTP/1.0 or Connection: close, a body without a length ends with its connection. It is complete if the peer
-// closes the connection, and incomplete if the peer resets it, no matter how many bytes have arrived. Large bodies are
-// streamed.
+// With HTTP/1.0 or Connection: close, a body without a length ends with its connection. The body is complete if the
+// server closes the connection, and incomplete if the server resets the connection, no matter how many bytes have
+// arrived. Large bodies are streamed.
 func TestExchange_ResponseWithoutLength(t *testing.T) {
 	for _, head := range []string{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n"} {
 		for _, size := range []int{0, 2, 40_000, 200_000} {
--- a/internal/dataplane/upstream/fastcgi.go
+++ b/internal/dataplane/upstream/fastcgi.go
@@ -15,7 +15,7 @@
 const (
 	recordBufferSize = 4 << 10               // bytes
 	maxReusedBuffer  = 4 << 10               // bytes; larger buffers of translated responses are not reused
-	abortTimeout     = 20 * time.Millisecond // for writing an ABORT record
+	abortTimeout     = 20 * time.Millisecond // timeout for writing an ABORT record
 )
 
 var recordBuffers = sync.Pool{New: func() any {
@@ -24,14 +24,14 @@
 }}
 
 // fastCGIConn is the FastCGI state of a connection. It encodes requests as records, and is an io.Reader that translates
-// the records of their responses to HTTP/1.1 messages. So the limits of sizes, times and memory and the streaming of
-// large responses are the same as with HTTP servers. The connection carries one request at a time, so that no request
-// waits for the bytes of another.
+// the records of their responses to HTTP/1.1 messages. So the limits of sizes, times and memory are the same as with
+// HTTP servers, and so is the streaming of large responses. The connection carries one request at a time, so that no
+// request waits for the bytes of another.
 type fastCGIConn struct {
 	conn      net.Conn
 	params    map[string]string // sent with each request
 	records   fcgi.Reader
-	buffer    *[]byte // of records; nil while the connection is idle
+	buffer    *[]byte // for received records; nil while the connection is idle
 	gateway   fcgi.Gateway
 	requestID uint16 // of the request in flight; 0: none
 
@@ -44,7 +44,7 @@
 		f.buffer = recordBuffers.Get().(*[]byte)
 		f.records.Init(f.conn, *f.buffer)
 	}
-	f.requestID, _ = f.gateway.Begin() // it can't fail with one request at a time
+	f.requestID, _ = f.gateway.Begin() // Begin can't fail with one request at a time
 	f.response.reset()
 }
 
@@ -60,7 +60,7 @@
 }
 
 // fill waits until it can translate at least one byte. It also translates further records that were received, until the
-// translated text reaches the limit in bytes. The last record may exceed the limit.
+// translated text has at least limit bytes.
 func (f *fastCGIConn) fill(limit int) error {
 	f.response.discardRead()
 	if f.requestID == 0 || f.buffer == nil {
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// needsRecord reports whether fill has to translate another record. That is so while the translated text is empty, and
-// while it is below the limit and further data was received.
+// needsRecord reports whether fill has to translate another record. That is so while the translated text is empty. It
+// is also so while the text has fewer than limit bytes, further data was received and the request has not ended.
 func (f *fastCGIConn) needsRecord(limit int) bool {
 	unread := len(f.response.translated)
 	if unread == 0 {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// hasUnreadData reports whether the request has not ended, or received bytes have not been read.
+// hasUnreadData reports whether a request is in flight, or received bytes have not been read.
 func (f *fastCGIConn) hasUnreadData() bool {
 	if f.requestID != 0 || f.response.hasUnread() {
 		return true
@@ -133,9 +133,9 @@
 	f.response.releaseBuffers()
 }
 
-// abort sends an ABORT record for the request in flight, if there is one. A busy server would otherwise notice a
-// closed connection only when it writes. The caller may close the connection at once, because it carries no other
-// request.
+// abort sends an ABORT record for the request in flight, if there is one. Without the record, a busy server would
+// notice a closed connection only when it writes. The caller may close the connection at once, because the connection
+// carries no other request.
 func (f *fastCGIConn) abort() {
 	if f.requestID == 0 {
 		return
--- a/internal/dataplane/upstream/fastcgi_test.go
+++ b/internal/dataplane/upstream/fastcgi_test.go
@@ -31,7 +31,8 @@
 	return string(head[:]) + content
 }
 
-// Each way in which an application can end a request has one result. It is OK or Rejected only if that is certain.
+// Each way in which an application can end a request has one result. The result is OK or Rejected only if the response
+// proves it.
 func TestFastCGI_Outcomes(t *testing.T) {
 	out := func(text string) string { return fastCGIRecord(fcgi.TypeStdout, 1, text) }
 	stderr := func(text string) string { return fastCGIRecord(fcgi.TypeStderr, 1, text) }
@@ -42,7 +43,7 @@
 	ok := out("Content-Type: text/x\n\nhi")
 	for name, c := range map[string]struct {
 		text  string
-		close bool // after the text
+		close bool // the application closes the connection after the text
 		want  decide.Result
 	}{
 		"response":                 {ok + out("") + complete, false, decide.OK},
--- a/internal/dataplane/upstream/fastcgirequest.go
+++ b/internal/dataplane/upstream/fastcgirequest.go
@@ -31,8 +31,8 @@
 	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(header, "-", "_"))
 }
 
-// appendHead starts a request, and appends the records of its head. The records of the body and of its end follow with
-// the same request ID.
+// appendHead starts a request, and appends the records of its head. The records of the body, and the record that ends
+// the body, follow with the same request ID.
 func (f *fastCGIConn) appendHead(to []byte, request *httpwire.Request, host string, timeLeft time.Duration) []byte {
 	f.start()
 	var room [paramsSize]byte
@@ -73,8 +73,8 @@
 	return appendParam(params, "HTTP_HOST", host)
 }
 
-// contentLength returns the length of a request's body in bytes. It is not known if a GET request has no body, or if a
-// streamed body has no known length.
+// contentLength returns the length of a request's body in bytes. known is false for a GET request without a body, and
+// for a streamed body whose length was not given.
 func contentLength(request *httpwire.Request) (length int64, known bool) {
 	received := int64(len(request.Body))
 	if request.BodyStream == nil {
--- a/internal/dataplane/upstream/fixture_test.go
+++ b/internal/dataplane/upstream/fixture_test.go
@@ -33,7 +33,7 @@
 // fakeCore is a core with one server. It records the results of attempts.
 type fakeCore struct {
 	refusesBegin bool                 // no attempt may begin
-	timeLeft     time.Duration        // after which attempts are canceled
+	timeLeft     time.Duration        // time after which attempts are canceled
 	onBind       func()               // may be nil
 	unavailable  func([]*node.Server) // set by the pool
 
@@ -63,7 +63,7 @@
 }
 
 func (c *fakeCore) Begin(_ *node.Attempt, canceler node.Canceler) bool {
-	time.AfterFunc(c.timeLeft, canceler.Cancel) // after the attempt's end it must have no effect
+	time.AfterFunc(c.timeLeft, canceler.Cancel) // a cancellation after the attempt's end must have no effect
 	return !c.refusesBegin
 }
 
--- a/internal/dataplane/upstream/idle.go
+++ b/internal/dataplane/upstream/idle.go
@@ -6,11 +6,14 @@
 	"robincart/internal/core/node"
 )
 
-// idleConns has the idle connections of a pool in two kinds of linked lists: one list per server, most recently used
-// first, and one list of all, by the time at which they became idle. The pool's mutex guards it.
+// idleConns contains the idle connections of a pool in two kinds of linked lists. There is one list per server, most
+// recently used connection first, and one list of all connections, in the order in which they became idle. The pool's
+// mutex guards it.
 type idleConns struct {
 	byServer map[*node.Server]*conn // the head of each server's list
-	byAge    conn                   // sentinel of the circular list: newer links to the oldest, older to the newest
+	// byAge is the sentinel of the circular list. Its field newer links to the oldest connection, its field older to
+	// the newest one.
+	byAge conn
 }
 
 func (i *idleConns) init() {
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -3,7 +3,7 @@
 // A Pool owns the idle connections to the servers of one core; a connection in use belongs to its exchange. An exchange
 // takes an idle connection or opens one, asks the core whether the attempt may still begin, writes the request, reads
 // the response, and reports one result to the core. It never sends a request twice: the core decides whether there is
-// another attempt, and at which server. Servers speak HTTP/1.1 or FastCGI.
+// another attempt, and to which server. Servers speak HTTP/1.1 or FastCGI.
 package upstream
 
 import (
@@ -29,21 +29,22 @@
 	Address(*node.Server) (addr string, ready bool)
 	// Ready reports whether a server accepts new attempts. It takes no lock.
 	Ready(*node.Server) bool
-	// Bind sets the canceler of an attempt during the connect to its server. It returns false if the attempt is not
-	// needed any more.
+	// Bind sets the canceler that may cancel an attempt during the connect to its server. It returns false if the
+	// attempt is not needed any more.
 	Bind(*node.Attempt, node.Canceler) bool
-	// Begin sets the canceler of an attempt, and returns false if its first byte must not be written any more.
+	// Begin sets the canceler of an attempt. It returns false if the attempt must not begin, so that no byte may be
+	// written.
 	Begin(*node.Attempt, node.Canceler) bool
 	// TimeLeft returns the time until an attempt's deadline.
 	TimeLeft(*node.Attempt) time.Duration
-	// BodyReceived reports that the last byte of an attempt's streamed body was written, and the time that is left from
-	// then on.
+	// BodyReceived reports that the last byte of an attempt's streamed body was written. The duration is the time from
+	// then on until the new deadline.
 	BodyReceived(*node.Attempt, time.Duration)
 	// AttemptDone reports an attempt's result. It is called once, and returns whether the response is forwarded to the
 	// client.
 	AttemptDone(*node.Attempt, decide.Result, *node.Response) (served bool)
-	// OnServersUnavailable sets the function that is called with servers that accept no new attempts any more or have
-	// another address.
+	// OnServersUnavailable sets the function that is called with servers that accept no new attempts any more, or whose
+	// address has changed.
 	OnServersUnavailable(func([]*node.Server))
 }
 
@@ -51,7 +52,7 @@
 type Budget interface {
 	// Acquire reserves a descriptor, and returns false if none is left.
 	Acquire() bool
-	// Release returns a descriptor.
+	// Release releases a descriptor.
 	Release()
 	// SetEvictor sets the function that closes an idle connection if no descriptor is left.
 	SetEvictor(func() bool)
@@ -60,13 +61,13 @@
 }
 
 // maxClosedPerSweep is the maximum number of connections that one sweep closes, so that many connections that expire at
-// the same time do not delay those in use.
+// the same time do not delay the connections in use.
 const maxClosedPerSweep = 256
 
 // timeouts are the limits that new settings can change while a pool is in use.
 type timeouts struct {
 	connect time.Duration
-	idle    time.Duration // after which an idle connection is closed
+	idle    time.Duration // time after which an idle connection is closed
 }
 
 // Pool keeps the idle connections to servers and runs the exchanges. It is safe for concurrent use.
@@ -75,8 +76,8 @@
 	limits    limits.Limits
 	timeouts  atomic.Pointer[timeouts]
 	budget    Budget
-	memory    limits.MemoryPool // for responses
-	poller    *poller.Poller    // reports closed idle connections; nil: getIdle detects them
+	memory    limits.MemoryPool // memory for bodies of responses
+	poller    *poller.Poller    // reports idle connections that servers have closed; nil: getIdle detects them
 	dialer    net.Dialer
 	exchanges workerpool.Pool
 	fastCGI   bool                // the servers speak FastCGI; false: HTTP
@@ -113,8 +114,8 @@
 	p.timeouts.Store(&timeouts{connect: l.ConnectTimeout, idle: l.ServerIdleTimeout})
 }
 
-// UseFastCGI makes the pool speak FastCGI. The params are sent with each request, in addition to those of the request
-// itself. It must be called before the first attempt.
+// UseFastCGI makes the pool speak FastCGI. The params are sent with each request, in addition to the params of the
+// request itself. It must be called before the first attempt.
 func (p *Pool) UseFastCGI(params map[string]string) {
 	p.fastCGI = true
 	p.params = params
@@ -217,8 +218,8 @@
 	}
 }
 
-// getIdle takes the most recently used idle connection to a server, so that the others expire if they are not needed.
-// It returns nil if no connection can be used.
+// getIdle takes the most recently used idle connection to a server, so that the less recently used connections expire
+// if they are not needed. It returns nil if no connection can be used.
 func (p *Pool) getIdle(server *node.Server, address string) *conn {
 	for {
 		p.mu.Lock()
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -19,7 +19,8 @@
 )
 
 // The server writes each response twice, the second time after the next request on the connection has arrived. So no
-// check of the connection before its reuse can detect the surplus response: only the settle time protects against it.
+// check of the connection before its reuse can detect the surplus response. Only the settle time protects against
+// surplus responses.
 func TestPool_ConnectionSettlesAfterResponse(t *testing.T) {
 	server := startServer(t, func(s *testServer, number int, c *net.TCPConn) {
 		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", number)
@@ -91,7 +92,8 @@
 	}
 }
 
-// A connection is not reused after a response that announces its end, even if the server leaves it open.
+// A connection is not reused after a response that announces the end of the connection, even if the server leaves the
+// connection open.
 func TestPool_ClosingConnectionIsNotReused(t *testing.T) {
 	for name, response := range map[string]string{
 		"Connection: close": "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
@@ -129,7 +131,8 @@
 	assert.InDelta(t, testLimits().ServerIdleTimeout.Seconds(), closedAt.Sub(start).Seconds(), 0.2)
 }
 
-// If a server becomes unavailable, its idle connections are closed, and the others as soon as they are not in use.
+// If a server becomes unavailable, its idle connections are closed. Its other connections are closed as soon as they
+// are not in use.
 func TestPool_ServerUnavailable(t *testing.T) {
 	closed := make(chan bool, 9)
 	server := startServer(t, func(s *testServer, _ int, c *net.TCPConn) {
@@ -163,7 +166,7 @@
 	f := newFixture(t, server.address, 1)
 	assert.Equal(t, decide.OK, f.attempt())
 	close(idle)
-	// The descriptor is released without a call of the pool. Acquire can't be used for the check, since it would evict
+	// The descriptor is released without a call to the pool. Acquire can't be used for the check, since it would evict
 	// the idle connection.
 	eventually(t, func() bool { return f.budget.Available() == 1 })
 	assert.Zero(t, f.idleServers())
@@ -178,13 +181,13 @@
 	assert.Equal(t, decide.OK, f.attempt(), "the idle connection to the first server was closed")
 	assert.Equal(t, 1, f.idleServers())
 
-	// Without an idle connection to evict, the request is not sent, which does not count against the server.
+	// If there is no idle connection to evict, the request is not sent. That does not count against the server.
 	assert.True(t, f.EvictIdle())
 	require.True(t, f.budget.Acquire())
 	assert.Equal(t, decide.NotSent, f.attempt())
 }
 
-// Small writes that the kernel delays would be lost if the connection is reset by a close with unread bytes.
+// A close with unread bytes resets the connection. Small writes that the kernel still delays would then be lost.
 func TestPool_ConnectionsSendSmallWritesAtOnce(t *testing.T) {
 	f := newFixture(t, startServer(t, respond(okResponse)).address, 5)
 	require.Equal(t, decide.OK, f.attempt())
--- a/internal/dataplane/upstream/request.go
+++ b/internal/dataplane/upstream/request.go
@@ -52,7 +52,7 @@
 	return c.writeMessage(buffer, e.request.Body)
 }
 
-// appendHead appends a request's head, which includes the time left.
+// appendHead appends a request's head, which includes the time left until the deadline.
 func (c *conn) appendHead(to []byte, request *httpwire.Request, timeLeft time.Duration) []byte {
 	if c.fastCGI != nil {
 		return c.fastCGI.appendHead(to, request, c.address, timeLeft)
@@ -99,8 +99,8 @@
 	return framing
 }
 
-// upload writes a request whose body is still being received, piece by piece. If it returns an error, the last byte was
-// not written, so the server has not begun to run the request.
+// upload writes a request piece by piece while its body is still being received. If it returns an error, the last byte
+// was not written, so the server has not begun to run the request.
 func (e *exchange) upload(c *conn, head []byte) error {
 	body := e.request.BodyStream
 	defer body.Release()
@@ -148,10 +148,10 @@
 	return nil
 }
 
-// write writes to a server. It fails if that takes longer than RequestStallTimeout.
+// write writes to a server. It fails if the write takes longer than RequestStallTimeout.
 func (e *exchange) write(c *conn, parts net.Buffers) error {
 	c.SetWriteDeadline(time.Now().Add(e.pool.limits.RequestStallTimeout))
-	if e.canceled() { // the new deadline may have overwritten that of the cancellation
+	if e.canceled() { // the deadline set above may have overwritten pastDeadline
 		return errCanceled
 	}
 	return socket.WriteBuffers(c.Conn, &parts)
--- a/internal/dataplane/upstream/response.go
+++ b/internal/dataplane/upstream/response.go
@@ -10,7 +10,7 @@
 	"robincart/internal/protocol/httpwire"
 )
 
-// responseStream is the remainder of a large response, which is forwarded while it arrives.
+// responseStream is the remainder of a large response. The remainder is forwarded as it arrives.
 type responseStream struct {
 	*httpwire.BodyStream
 	reusable bool      // the connection can carry another request after the response
@@ -46,7 +46,7 @@
 
 // readResult returns the result of an attempt whose response could not be read. If the response is malformed, or its
 // remainder does not arrive in time, the result is Failed and not Reset, since the server is alive. If the attempt was
-// canceled, it is Reset; the core knows that it has canceled the attempt.
+// canceled, the result is Reset; the core knows that it has canceled the attempt.
 func (e *exchange) readResult(err error) decide.Result {
 	if e.canceled() {
 		return decide.Reset
