--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -50,7 +50,7 @@
 	return fmt.Errorf("unknown event %q", name)
 }
 
-// handleWatchEvent handles a server list, or the failure of the watch.
+// handleWatchEvent handles an update of the server list, or the failure of the watch.
 func (i *instance) handleWatchEvent(fields *fieldReader) error {
 	kind := fields.text()
 	fields.integer()
@@ -60,7 +60,7 @@
 	}
 	switch kind {
 	case "FAILED":
-		i.balancer.EndpointWatchFailed(i.hadWatchEvent, 0, math.Inf(1)) // no maximum wait in the simulator
+		i.balancer.EndpointWatchFailed(i.hadWatchEvent, 0, math.Inf(1)) // the simulator sets no bounds for the wait
 		i.hadWatchEvent = false
 		return nil
 	case "FULL", "SAVED", "INCREMENTAL":
@@ -70,7 +70,7 @@
 	return fmt.Errorf("unknown list kind %q, expected FAILED, FULL, SAVED or INCREMENTAL", kind)
 }
 
-// updateEndpoints passes a numbered server list to the balancer.
+// updateEndpoints passes server list number `number` to the balancer.
 func (i *instance) updateEndpoints(number int, full bool) error {
 	list, ok := i.hub.lists[number]
 	if !ok {
@@ -102,7 +102,7 @@
 	}
 	rpc.Method = fields.integer()
 	rpc.Tenant = fields.integer()
-	fields.integer() // key; the balancer does not use it
+	fields.integer() // the request's key, which the balancer does not use
 	if rpc.Method < 0 || rpc.Method >= len(i.settings.Methods) {
 		fields.fail("class %d is not in the settings, which have %d classes", rpc.Method, len(i.settings.Methods))
 	}
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// handleResult handles the result of an attempt. It ignores results of unknown requests, and further results of the
-// same attempt.
+// handleResult handles the result of an attempt. It ignores results of unknown requests, and all results of an attempt
+// after the first.
 func (i *instance) handleResult(fields *fieldReader) error {
 	id := fields.text()
 	number := fields.integer()
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -20,14 +20,14 @@
 // newFieldReader returns a reader of values that are separated by single spaces.
 func newFieldReader(line string) fieldReader { return fieldReader{values: strings.Split(line, " ")} }
 
-// fail stores an error, unless an earlier one is stored.
+// fail stores an error, unless an earlier error is stored.
 func (f *fieldReader) fail(format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf(format, args...)
 	}
 }
 
-// text reads a value without interpreting it. It returns "" if there is none.
+// text reads a value without interpreting it. It returns "" and stores an error if no value is left.
 func (f *fieldReader) text() string {
 	if f.next >= len(f.values) {
 		f.fail("too few values: got %d, expected more", len(f.values))
@@ -37,7 +37,7 @@
 	return f.values[f.next-1]
 }
 
-// skip ignores a value, whatever its form.
+// skip reads a value and ignores it.
 func (f *fieldReader) skip() { f.text() }
 
 // integer reads an integer. It returns 0 for an absent value.
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -13,8 +13,8 @@
 
 // The golden conversation was recorded with the code of commit 0cdd5b2. conversation.in contains the input lines of a
 // small scenario with four servers, conversation.out the hub's output. Neither file may be regenerated for a rename.
-// The output depends on the seed and on the decisions of package decide. A change that intends other decisions has to
-// say so, and is not a rename.
+// The output depends on the seed and on the decisions of package decide. A commit that changes decisions on purpose has
+// to say so, and is not a rename.
 func TestHub_GoldenConversation(t *testing.T) {
 	var out bytes.Buffer
 	require.NoError(t, NewHub(bytes.NewReader(golden.Read(t, "conversation.in")), &out).Run())
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// endAnswered ends the request of an RPC that a command answers, and returns the request. If the request has already
-// ended, it reports a violation and returns nil.
+// endAnswered ends the request of the RPC that the command answers, and returns that request. If the request has
+// already ended, it reports a violation and returns nil.
 func (i *instance) endAnswered(command string, rpc *decide.RPC) *request {
 	r := i.requestsByRPC[rpc]
 	if r == nil || r.ended {
--- a/internal/simwire/hub.go
+++ b/internal/simwire/hub.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// readLine reads a line and returns it without its line break. It returns io.EOF only if there is no further line.
+// readLine reads a line and returns it without its line break. The last line may lack the line break. If no line is
+// left, readLine returns io.EOF.
 func (h *Hub) readLine() (string, error) {
 	line, err := h.in.ReadString('\n')
 	switch {
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// endBatch handles YOUR_TURN, after which the commands of the batch are sent.
+// endBatch handles YOUR_TURN, which ends a batch. It sends the commands of the batch.
 func (h *Hub) endBatch() error {
 	h.inBatch = false
 	h.out.WriteString("NEXT\n")
--- a/internal/simwire/hub_test.go
+++ b/internal/simwire/hub_test.go
@@ -30,7 +30,7 @@
 		"M 10.0.0.1:7000 0 0 0 active 1 -", "TARGETS 3 SAVED 1 0"}, lines...)
 }
 
-// arrival returns the line of an arriving request with a deadline, which is a time in milliseconds.
+// arrival returns the line of an arriving request with a deadline in milliseconds.
 func arrival(deadline int) string {
 	return fmt.Sprintf("INCOMING 3 %s %d 0 - 0 0 -", testRequest, deadline)
 }
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -19,7 +19,7 @@
 
 	requests       map[string]*request // by request id
 	requestsByRPC  map[*decide.RPC]*request
-	attemptNumbers map[*decide.Attempt]int // of the attempts in flight; each request's attempts count from 0
+	attemptNumbers map[*decide.Attempt]int // of the attempts in flight; each request numbers its attempts from 0
 
 	timers        map[int]any // payloads, by timer number
 	lastTimer     int
@@ -31,8 +31,8 @@
 	id       string
 	rpc      *decide.RPC
 	attempts []*decide.Attempt // by attempt number
-	inFlight int               // attempts without a result
-	ended    bool              // the client has its answer, or has gone
+	inFlight int               // number of attempts without a result
+	ended    bool              // the client has received its answer or has disconnected
 }
 
 // newInstance starts an instance with encoded settings.
@@ -73,7 +73,7 @@
 	i.removeIfDone(r)
 }
 
-// removeIfDone removes a request that has ended and has no attempts in flight, so no further result can arrive.
+// removeIfDone removes a request that has ended and has no attempts in flight, since no further result can arrive.
 func (i *instance) removeIfDone(r *request) {
 	if r.ended && r.inFlight == 0 {
 		delete(i.requests, r.id)
@@ -81,7 +81,7 @@
 	}
 }
 
-// reportViolation makes Hub.Run return an error: the balancer made a call that has no valid command.
+// reportViolation makes Hub.Run return an error because the balancer made an invalid call.
 func (i *instance) reportViolation(format string, args ...any) {
 	if i.hub.violation == nil {
 		i.hub.violation = fmt.Errorf("instance %d: %s", i.id, fmt.Sprintf(format, args...))
--- a/internal/simwire/serverlist.go
+++ b/internal/simwire/serverlist.go
@@ -6,8 +6,8 @@
 	"robincart/decide"
 )
 
-// preallocatedServers limits the number of entries for which memory is allocated before they are read, whatever length
-// a list announces.
+// preallocatedServers limits the number of entries for which memory is allocated before they are read, even if a list
+// announces more entries.
 const preallocatedServers = 4096
 
 // listedServer is one entry of a numbered server list.
@@ -17,7 +17,7 @@
 	cell      int
 	state     decide.State
 	weight    float64
-	startedAt float64 // seconds; 0: long ago
+	startedAt float64 // start time in seconds; 0: long ago
 }
 
 // readList reads a server list and stores it under its number. It replaces an earlier list of the same number.
@@ -53,7 +53,7 @@
 		return listedServer{}, fmt.Errorf("starts with %q, expected M", tag)
 	}
 	entry := listedServer{addr: fields.text(), zone: fields.integer()}
-	fields.skip() // kind of the server; decisions depend on its behavior instead
+	fields.skip() // kind of the server; decisions depend on the server's behavior, not on its kind
 	entry.cell = fields.integer()
 	state := fields.text()
 	entry.weight = fields.number(1)
