--- a/cmd/robincart/attempts_test.go
+++ b/cmd/robincart/attempts_test.go
@@ -34,9 +34,9 @@
 	return ln.Addr().String()
 }
 
-// An attempt is in flight while its connection is being established, and a non-idempotent request gets no second
-// attempt during that time. At the connect timeout nothing has been sent, so the request is retried on another server,
-// once.
+// An attempt is in flight while its connection is being established. During that time a non-idempotent request gets no
+// second attempt. At the connect timeout no byte of the request has been sent, so the request is retried once, on
+// another server.
 func TestConnect_TimeoutLosesNoRequest(t *testing.T) {
 	good := newServer(t, respond(200, "well"))
 	d := newDiscovery(t, newMember("s0", unconnectableAddress(t), "ready"), newMember("s1", good.addr(), "ready"))
@@ -108,7 +108,7 @@
 }
 
 // A server that reads a few bytes and resets the connection has not received the last byte of a large request, but may
-// have received that of a small one.
+// have received the last byte of a small request.
 func TestRetry_ResetBeforeLastByteNeverRan(t *testing.T) {
 	smallBuffers := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
--- a/cmd/robincart/bulk_test.go
+++ b/cmd/robincart/bulk_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// firstWriteBytes is how much of a response is written in one call. A node reads a response that is no larger, and the
-// beginning of any other, within half a second of its first byte: a server that the machine stops in between would
-// fail.
+// firstWriteBytes is the number of bytes of a response that are written in the first call. A node reads a response of
+// at most this size, and the beginning of a larger response, within half a second after the first byte. If these bytes
+// were written in several calls, and a busy machine paused the server between two calls, the server would fail.
 const firstWriteBytes = 80 << 10
 
 // respond writes a response: the first firstWriteBytes in one call, and the rest in pieces. It reports whether the
@@ -141,7 +141,8 @@
 	s := newBulkServer(t)
 	d := newDiscovery(t, newMember("s0", s.Addr().String(), "ready"))
 	config := newConfig(t, d, d.members()...)
-	// Under the race detector on a busy machine 64 MiB take seconds. This test does not check durations.
+	// Under the race detector on a busy machine, the transfer of 64 MiB takes seconds. This test does not check
+	// durations.
 	times := regexp.MustCompile(`"(Aim|Deadline)Ms":\s*\d+`)
 	config["settings"] = json.RawMessage(times.ReplaceAllString(testSettings, `"${1}Ms":60000`))
 	p := startTestNode(t, config)
@@ -246,7 +247,8 @@
 	a, err := http.ReadResponse(r, nil)
 	require.NoError(t, err)
 	assert.Contains(t, []int{408, 503}, a.StatusCode)
-	// A body that exceeds the maximum, according to its length or as found while reading.
+	// A body exceeds the maximum size. The node detects this by the Content-Length or, if the body is chunked, while it
+	// reads the body.
 	_, r = write(head("Content-Length: 60000000") + strings.Repeat("x", 10_000))
 	a, err = http.ReadResponse(r, nil)
 	require.NoError(t, err)
@@ -262,7 +264,7 @@
 	if a, err = http.ReadResponse(r, nil); err == nil { // the connection may be reset while the client still sends
 		assert.GreaterOrEqual(t, a.StatusCode, 400)
 	}
-	// A chunk without the line end after its data.
+	// A chunk lacks the line end after its data.
 	_, r = write(head("Transfer-Encoding: chunked") + "20000\r\n" + strings.Repeat("x", 0x20000) +
 		"no end\r\n0\r\n\r\n")
 	a, err = http.ReadResponse(r, nil)
@@ -320,7 +322,7 @@
 }
 
 // A small node admits requests by the memory that they use, and does not reserve the maximum body and response size for
-// each. A body for which no memory is left is streamed.
+// each request. A body for which no memory is left is streamed.
 func TestBodies_SmallNodeHoldsManyRequests(t *testing.T) {
 	const callers = 170
 	allArrived := make(chan struct{})
@@ -339,7 +341,7 @@
 	d := newDiscovery(t, newMember("s0", s.addr(), "ready"))
 	c := newConfig(t, d, d.members()...)
 	c["limits"] = map[string]any{"cores": 1, "memory_mb": 32, "sockets": 1024}
-	// This tier admits all requests that can be served before their deadline.
+	// With Stage 1, the node belongs to an inner tier. It admits all requests that can be served before their deadline.
 	c["settings"] = json.RawMessage(strings.Replace(testSettings, `"Instances":1`, `"Instances":1,"Stage":1`, 1))
 	p := startTestNode(t, c)
 	var group sync.WaitGroup
--- a/cmd/robincart/check.go
+++ b/cmd/robincart/check.go
@@ -13,7 +13,7 @@
 	"robincart/internal/resources/quota"
 )
 
-// checkCommand validates a configuration file and prints its effective settings.
+// checkCommand returns the command that validates a configuration file and prints its effective settings.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
--- a/cmd/robincart/clientlistener.go
+++ b/cmd/robincart/clientlistener.go
@@ -14,7 +14,8 @@
 // firstInheritedDescriptor is the lowest descriptor number after the standard streams.
 const firstInheritedDescriptor = 3
 
-// clientListener is the listener for clients. If the platform holds its socket, it can be closed and opened again.
+// clientListener is the listener for clients. If the platform holds the listening socket, the listener can be closed
+// and opened again.
 type clientListener struct {
 	file *os.File // the platform's socket; nil: this process opened the listener
 
@@ -22,8 +23,9 @@
 	listener net.Listener
 }
 
-// openClientListener listens on the descriptor that the platform passes to all processes of this node, or on the
-// address if the descriptor is empty.
+// openClientListener opens the listener for clients. The parameter descriptor is the descriptor number of the listening
+// socket that the platform passes to all processes of this node. If descriptor is empty, openClientListener listens on
+// the address.
 func openClientListener(address, descriptor string) (*clientListener, error) {
 	if descriptor == "" {
 		listener, err := socket.Listen("tcp", address)
@@ -45,7 +47,7 @@
 	return c, nil
 }
 
-// inherited reports whether the platform holds the listener, so that it outlives this process.
+// inherited reports whether the platform holds the listening socket. The socket then outlives this process.
 func (c *clientListener) inherited() bool { return c.file != nil }
 
 // open opens a listener on the platform's descriptor.
--- a/cmd/robincart/command.go
+++ b/cmd/robincart/command.go
@@ -45,7 +45,7 @@
 	return root
 }
 
-// recordCommand replaces this process by the store program (exec), with the same arguments.
+// recordCommand returns the command that replaces this process by the store program (exec), with the same arguments.
 func recordCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:                "record",
--- a/cmd/robincart/commandrestore.go
+++ b/cmd/robincart/commandrestore.go
@@ -10,8 +10,8 @@
 	"robincart/internal/handover"
 )
 
-// pendingRestore records what operators change before the saved state could be read. These changes take precedence over
-// the saved state.
+// pendingRestore records which parts of the state operators have changed while the saved state has not been read. These
+// changes take precedence over the saved state.
 type pendingRestore struct {
 	servers  map[string]bool
 	lameDuck bool
@@ -26,8 +26,9 @@
 	}
 }
 
-// restore applies the saved state. If the file can't be read within loadTimeout, the node serves without it and
-// restores it once the file can be read, except for what operators have changed in the meantime.
+// restore applies the saved state. If the file can't be read within loadTimeout, the node serves without the saved
+// state. Once the file can be read, the node applies the saved state, except for the parts that operators have changed
+// in the meantime.
 func (c *commandHandler) restore(ctx context.Context) {
 	saved, err := c.stateFile.load()
 	if err == nil {
@@ -41,8 +42,9 @@
 	c.restoreInBackground(ctx)
 }
 
-// inherit applies another process's state. knownServers are the IDs of all servers that were ever in the other
-// process's endpoint list.
+// inherit replaces this process's operator state by a state from the state file or from the predecessor, and applies
+// the new state. knownServers are the IDs of all servers that were ever in the predecessor's endpoint list. For a state
+// from the file, knownServers is nil.
 func (c *commandHandler) inherit(state operatorState, knownServers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +69,7 @@
 }
 
 // inheritFromPredecessor applies the predecessor's state. stateUnread is set if the predecessor could not read the
-// state file; this process then does not overwrite the file before it has read it.
+// state file; this process then must read the file before it may overwrite the file.
 func (c *commandHandler) inheritFromPredecessor(ctx context.Context, state operatorState, knownServers []string,
 	stateUnread bool) {
 	c.inherit(state, knownServers)
@@ -76,11 +78,11 @@
 		return
 	}
 	c.stateFile.allowWrites()
-	c.stateFile.save(c.operatorState()) // the predecessor may have failed to save it
+	c.stateFile.save(c.operatorState()) // the predecessor may have failed to save the state
 }
 
-// restoreInBackground restores the saved state once the file can be read. The process does not wait for this goroutine
-// when it exits: a read from a file system that hangs may never return.
+// restoreInBackground restores the saved state once the file can be read. An exiting process does not wait for this
+// goroutine: a read from a file system that hangs may never return.
 func (c *commandHandler) restoreInBackground(ctx context.Context) {
 	c.stateMu.Lock()
 	c.pending = &pendingRestore{servers: map[string]bool{}, lameDuck: c.state.LameDuck}
@@ -114,7 +116,8 @@
 	}
 }
 
-// merge combines a saved state with what operators have changed in the meantime, and applies and saves the result.
+// merge combines a saved state with the changes that operators have made in the meantime, and applies and saves the
+// result.
 func (c *commandHandler) merge(saved operatorState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +127,8 @@
 	c.stateFile.allowWrites()
 }
 
-// addSaved adds a saved state to this process's state, and returns a copy of the result.
+// addSaved adds a saved state to this process's state, except for the parts that operators have changed, and returns a
+// copy of the result.
 func (c *commandHandler) addSaved(saved operatorState) operatorState {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
--- a/cmd/robincart/commands.go
+++ b/cmd/robincart/commands.go
@@ -18,7 +18,7 @@
 // lameDuckSetter is implemented by the front end, which asks clients to leave while the node is a lame duck.
 type lameDuckSetter interface{ SetLameDuck(on bool) }
 
-// commandHandler executes operator commands: those sent to this process's admin address, and those relayed by another
+// commandHandler executes the operator commands that are sent to this process's admin address or relayed by another
 // process of the node. It owns the operator state.
 type commandHandler struct {
 	frontend  lameDuckSetter
@@ -34,7 +34,8 @@
 	// locked, and a command locks the services while it holds mu.
 	stateMu sync.Mutex
 	state   operatorState
-	// pending is nil unless the saved state could not be read yet.
+	// pending is set while the saved state still has to be read, after a failed attempt to read it. Otherwise pending
+	// is nil.
 	pending *pendingRestore
 }
 
@@ -51,7 +52,7 @@
 // Ready reports whether this process accepts clients.
 func (c *commandHandler) Ready() bool { return c.accepting.Load() }
 
-// Detach bans a server in every service that lists it, or listed it before.
+// Detach bans a server in every service that lists the server now or has listed it before.
 func (c *commandHandler) Detach(server string) error {
 	return c.execute(handover.Command{Path: admin.PathDetach, Server: server}, nil)
 }
@@ -84,8 +85,8 @@
 // command was received on, or nil if it came from this process's admin address.
 //
 // If the state can't be saved in time, the command stays in force, saving is retried, and the error is an
-// admin.NotPersistedError. A relayed command does not wait for the save: the other process responds to the operator,
-// and the link must stay free for client connections.
+// admin.NotPersistedError. A command that was received on a link does not wait for the save: the process that relayed
+// the command responds to the operator, and the link must stay free for the transfer of client connections.
 func (c *commandHandler) execute(command handover.Command, from *handover.Link) error {
 	number, err := c.applyAndRelay(command, from)
 	if err != nil || c.stateFile == nil || from != nil {
@@ -99,7 +100,8 @@
 	return nil
 }
 
-// applyAndRelay applies a command, relays it, and starts a save. number is the number of the state being saved.
+// applyAndRelay applies a command, relays it, and starts a save. number is the number of the state that is being saved,
+// or 0 if there is no state file.
 func (c *commandHandler) applyAndRelay(command handover.Command, from *handover.Link) (number uint64, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,8 +150,8 @@
 }
 
 func (c *commandHandler) detach(server string) error {
-	// The state changes before the cores: the core of a service that starts meanwhile either takes the ban from the
-	// state or is one of the cores below.
+	// The state is changed before the cores. If a service starts at the same time, its core either takes the ban from
+	// the state or is one of the cores below.
 	added := c.ban(server)
 	if c.anyCore(func(core *node.Core) bool { return core.Detach(server) }) {
 		return nil
@@ -160,7 +162,7 @@
 	return admin.ErrNeverListed
 }
 
-// anyCore calls do for every core, and reports whether one of the calls returned true.
+// anyCore calls do for every core, and reports whether at least one call returned true.
 func (c *commandHandler) anyCore(do func(*node.Core) bool) bool {
 	found := false
 	for _, core := range c.cores() {
@@ -169,7 +171,7 @@
 	return found
 }
 
-// ban adds a server to the banned servers, and reports whether it was added: false if it was banned already.
+// ban adds a server to the banned servers. It returns false if the server was banned already.
 func (c *commandHandler) ban(server string) (added bool) {
 	started, known := c.startTime(server)
 	c.stateMu.Lock()
@@ -200,7 +202,8 @@
 }
 
 // startTime returns a server's start time from the endpoint list, in milliseconds of Unix time. 0 means that the list
-// has no start time; such a server counts as started long ago.
+// has no start time for the server, which then counts as started long ago. known is false if no service lists the
+// server.
 func (c *commandHandler) startTime(server string) (milliseconds int64, known bool) {
 	for _, core := range c.cores() {
 		if started, listed := core.StartTime(server); listed {
--- a/cmd/robincart/commands_test.go
+++ b/cmd/robincart/commands_test.go
@@ -60,7 +60,7 @@
 	require.Eventually(t, func() bool {
 		return p.send("find", "").status == 200 && d.watchesStarted() >= watches
 	}, 5*time.Second, 10*time.Millisecond)
-	time.Sleep(100 * time.Millisecond) // for the endpoint list to arrive; it must not end the ban
+	time.Sleep(100 * time.Millisecond) // time for the endpoint list to arrive; the list must not end the ban
 	checkReceivesNothing("s0 received a request after the endpoint list changed")
 	assert.Equal(t, 200, callAdmin(t, admin, "/_servers/attach", `{"host":"s0"}`))
 	assert.Eventually(t, func() bool {
--- a/cmd/robincart/configread.go
+++ b/cmd/robincart/configread.go
@@ -14,14 +14,15 @@
 const (
 	// configRetryPause is the pause between two attempts to read a configuration.
 	configRetryPause = 50 * time.Millisecond
-	// startRetryTime is how long a start retries: well under the time in which a restarted process has to be ready.
+	// startRetryTime is the time for which a starting process retries to read the configuration. It is well below the
+	// time within which a restarted process has to be ready.
 	startRetryTime = 5 * time.Second
-	// reloadRetryTime is how long a reload is retried after SIGHUP.
+	// reloadRetryTime is the time after SIGHUP during which a failed reload is retried.
 	reloadRetryTime = time.Minute
 )
 
-// unreadableError reports a configuration file that can't be read at present. The content may be valid, so the read is
-// retried.
+// unreadableError reports a configuration file that can't be read at present. The file's content may be valid, so the
+// read is retried.
 type unreadableError struct{ cause error }
 
 func (u *unreadableError) Error() string {
@@ -48,7 +49,7 @@
 	return false
 }
 
-// readAtStart reads a configuration. While the file is unreadable it retries, for startRetryTime at most.
+// readAtStart reads a configuration. While the file is unreadable, the read is retried for at most startRetryTime.
 func readAtStart[T any](read func() (T, error)) (T, error) {
 	deadline := time.Now().Add(startRetryTime)
 	for {
@@ -69,7 +70,7 @@
 	timer    *time.Timer // nil: no attempt is scheduled
 }
 
-// due returns a channel that receives when the next attempt is due, or nil if none is scheduled.
+// due returns a channel that receives a value when the next attempt is due, or nil if no attempt is scheduled.
 func (r *reloadRetry) due() <-chan time.Time {
 	if r.timer == nil {
 		return nil
--- a/cmd/robincart/descriptors.go
+++ b/cmd/robincart/descriptors.go
@@ -10,9 +10,9 @@
 	"robincart/internal/system/socket"
 )
 
-// descriptorLimit returns how many descriptors this process may open: RLIMIT_NOFILE less the descriptors that it
-// inherited, which stay open. It is an upper bound for the configured number. The value is computed at the first call,
-// which has to come before the process opens anything.
+// descriptorLimit returns how many descriptors this process may open: RLIMIT_NOFILE minus the number of inherited
+// descriptors, which stay open. The result is an upper bound for the configured number of descriptors. It is computed
+// at the first call, so the first call must come before the process opens any descriptor.
 var descriptorLimit = sync.OnceValue(func() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > math.MaxInt32 {
@@ -21,8 +21,8 @@
 	return int(limit.Cur) - inheritedDescriptors()
 })
 
-// inheritedDescriptors counts the descriptors that the process was started with, without the standard streams. If it
-// can't list them it returns 0.
+// inheritedDescriptors counts the descriptors that the process was started with, without the standard streams. If the
+// descriptors can't be listed, it returns 0.
 func inheritedDescriptors() int {
 	const directory = "/proc/self/fd"
 	entries, err := os.ReadDir(directory)
@@ -45,13 +45,13 @@
 	return count
 }
 
-// spareDescriptor is kept open as a reserve: it is closed to read the configuration when the process has no descriptor
-// left. It is nil if the reserve is used up. Only the goroutine that starts the program and handles its signals uses
-// it.
+// spareDescriptor is a descriptor that is kept open as a reserve. If the process has no descriptor left,
+// spareDescriptor is closed, so that the configuration can be read. It is nil if the reserve is used up. Only the
+// goroutine that starts the program and handles signals uses spareDescriptor.
 var spareDescriptor *os.File
 
-// readWithSpare calls read. If no descriptor is left it closes the spare descriptor and calls read again. An error that
-// may be temporary is returned as an unreadableError.
+// readWithSpare calls read. If no descriptor is left, it closes the spare descriptor and calls read again. An error
+// that may be temporary is returned as an unreadableError.
 func readWithSpare[T any](read func() (T, error)) (T, error) {
 	value, err := read()
 	if spareDescriptor != nil && socket.Exhausted(err) {
--- a/cmd/robincart/descriptors_test.go
+++ b/cmd/robincart/descriptors_test.go
@@ -85,7 +85,7 @@
 	return d.muteCalls
 }
 
-// holdingServer responds to "find" at once, and to all other requests after release.
+// holdingServer responds to "find" at once, and to all other requests after release is called.
 type holdingServer struct {
 	*server
 	mu       sync.Mutex
@@ -127,7 +127,8 @@
 	return n
 }
 
-// idleClient is a client whose connection has carried one request and is then idle, until the test sends another.
+// idleClient is a client whose connection has carried one request and is then idle, until the test sends another
+// request.
 type idleClient struct {
 	net.Conn
 	r *bufio.Reader
@@ -187,7 +188,7 @@
 
 const longDeadline = `"AimMs":60000,"DeadlineMs":60000`
 
-// All descriptors are in use, by requests whose servers hang and by idle clients, and new clients keep connecting
+// All descriptors are in use, by requests whose servers hang and by idle clients. Meanwhile, new clients connect
 // without sending anything. The node must still connect to a server for each request, reestablish its watch, and
 // respond to operators and requests.
 func TestDescriptors_IdleClientsYieldToWatchAndServers(t *testing.T) {
@@ -208,7 +209,8 @@
 			c["settings"] = json.RawMessage(settings)
 			p := startTestNode(t, c)
 			require.Eventually(t, func() bool { return d.openWatches() == 1 }, 20*time.Second, 10*time.Millisecond)
-			// 64 of the sockets are not reserved for the admin address; these are what they leave for clients.
+			// 10 of the 74 sockets are reserved for the admin address. The other 64 suffice for these numbers of
+			// requests and client connections.
 			const requests, connections = 22, 28
 			var clients []*idleClient
 			for range connections {
@@ -232,7 +234,7 @@
 				return totalInFlight(servers) == requests
 			}, 20*time.Second, 10*time.Millisecond, "each request has a connection to a server")
 			connectSilently(t, p.addr)
-			time.Sleep(200 * time.Millisecond) // for them to use up the remaining descriptors
+			time.Sleep(200 * time.Millisecond) // time for these connections to use up the remaining descriptors
 			before := d.watchesStarted()
 			if failure == "mute" {
 				relay.setMute(false)
@@ -271,7 +273,7 @@
 func checkServesWhenExhausted(t *testing.T, p *testNode, d *discovery, admin string, config map[string]any) {
 	t.Helper()
 	connectSilently(t, p.addr)
-	time.Sleep(300 * time.Millisecond) // for them to use up all descriptors
+	time.Sleep(300 * time.Millisecond) // time for these connections to use up all descriptors
 	responses := make(chan response, 5)
 	for range 5 {
 		go func() { responses <- p.send("find", "") }()
@@ -320,8 +322,8 @@
 	assert.NotContains(t, p.Log(), "too many open files")
 }
 
-// The process's limit of open files falls below the node's budget while it runs: no connection of clients, servers or
-// discovery can be opened, nor the configuration file.
+// The process's limit of open files falls below the node's budget while the node runs. The node can then neither accept
+// clients, nor connect to servers or to discovery, nor open the configuration file.
 func TestDescriptors_ProcessLimitFallsWhileServing(t *testing.T) {
 	p, d, admin, config := newNodeWithAdmin(t)
 	require.NoError(t, p.Start(t.Context()))
--- a/cmd/robincart/endpoints_test.go
+++ b/cmd/robincart/endpoints_test.go
@@ -25,7 +25,8 @@
 	require.NoError(t, err)
 	file.Close()
 	defer ln.Close()
-	// The listener's queue holds one connection; the next one is retried after a second.
+	// The listener's queue holds one connection, which is the filler. The kernel retries the node's connect after one
+	// second.
 	filler, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer filler.Close()
--- a/cmd/robincart/fastcgi_test.go
+++ b/cmd/robincart/fastcgi_test.go
@@ -110,7 +110,7 @@
 		body := "for " + q.Params["HTTP_X_TRACE_ID"]
 		mu.Lock()
 		outcome := ""
-		switch attempts++; { // each failure in turn, so that a few attempts cover all
+		switch attempts++; { // each failure in turn, so that a few attempts cover all failures
 		case attempts%10 == 0:
 			outcome = "refused"
 		case attempts%10 == 3 || attempts%10 == 6:
@@ -119,7 +119,8 @@
 		outcomes[outcome]++
 		if outcome != "refused" {
 			key := q.Params["HTTP_X_QOS"] + " " + q.Params["HTTP_X_TRACE_ID"]
-			// The servers drop a request whose idempotency key was used before; they share this record.
+			// The servers drop a request whose idempotency key has been used before. All servers share one map of the
+			// runs.
 			if q.Params["HTTP_IDEMPOTENCY_KEY"] == "" || runs[key] == 0 {
 				runs[key]++
 			}
--- a/cmd/robincart/fileservices.go
+++ b/cmd/robincart/fileservices.go
@@ -54,13 +54,15 @@
 	return nil
 }
 
-// readFileConfig reads a configuration file, with this process's descriptor limit as an upper bound.
+// readFileConfig reads a configuration file, with this process's descriptor limit as an upper bound for the configured
+// number of descriptors.
 func readFileConfig(path string) (*nodeconfig.Config, error) {
 	maxDescriptors := descriptorLimit()
 	return readWithSpare(func() (*nodeconfig.Config, error) { return nodeconfig.Read(path, maxDescriptors) })
 }
 
-// listenAll listens on all addresses. If one fails it closes the others and returns the error.
+// listenAll listens on all addresses. If it can't listen on an address, it closes the listeners that are already open
+// and returns the error.
 func listenAll(addresses []string) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, address := range addresses {
@@ -84,8 +86,8 @@
 type fileBackend struct {
 	process      *process
 	path         string             // of the configuration file
-	fileConfig   *nodeconfig.Config // the file alone
-	config       *nodeconfig.Config // in force: the file, overridden by the record
+	fileConfig   *nodeconfig.Config // the configuration file, without the record
+	config       *nodeconfig.Config // the configuration in force: the file, overridden by the record
 	services     *services.Manager
 	commands     *commandHandler
 	gateways     []gatewayListener
--- a/cmd/robincart/fileservices_test.go
+++ b/cmd/robincart/fileservices_test.go
@@ -65,8 +65,8 @@
 	return p
 }
 
-// sendOn sends a request with the given request line and headers on a connection. If the connection is nil it opens a
-// new one.
+// sendOn sends a request with the given request line and headers on a connection. If the connection is nil, it opens a
+// new connection.
 func (t *testNode) sendOn(c net.Conn, line string, headers ...string) (status int, body string) {
 	if c == nil {
 		var err error
@@ -207,8 +207,8 @@
 }
 
 // The configuration changes ten times per second with requests in flight: services are removed and added, a host moves
-// from one service to the other, and every second file is invalid. Each request is answered once, by the service that
-// one of the versions names.
+// from one service to the other, and every second file is invalid. Each request is answered once, by a service to which
+// one of the configurations routes the request.
 func TestServices_ReloadUnderTraffic(t *testing.T) {
 	a := newServer(t, delayed(30*time.Millisecond, respond(200, "a")))
 	b := newServer(t, delayed(30*time.Millisecond, respond(200, "b")))
@@ -268,7 +268,7 @@
 	p.stop(10 * time.Second)
 }
 
-// A thousand services, of which ten receive requests, should cost no more than those ten, apart from memory.
+// A thousand services, of which ten receive requests, should cost no more than ten services would, apart from memory.
 func TestServices_ThousandOfWhichTenAreBusy(t *testing.T) {
 	s := newServer(t, respond(200, "well"))
 	var text strings.Builder
--- a/cmd/robincart/gateway_test.go
+++ b/cmd/robincart/gateway_test.go
@@ -73,7 +73,7 @@
 }
 
 // receive reads one response. It returns the output, and the type and the status of the record that ended the response;
-// kind is 0 if the connection was closed first.
+// kind is 0 if the connection was closed before the end of the response.
 func (g *gatewayClient) receive(id uint16) (text string, kind fcgi.RecordType, status fcgi.Status) {
 	var out bytes.Buffer
 	for {
@@ -226,7 +226,8 @@
 	records := fcgi.AppendStreamEnd(fcgi.AppendStream(begin, fcgi.TypeParams, 1, twice), fcgi.TypeParams, 1)
 	status, _ := dialGateway(t, "tcp", addr).roundTrip(1, records)
 	assert.Equal(t, 400, status, "two hosts")
-	// Input that is not FastCGI, or incomplete, closes its connection. A complete request is served afterwards.
+	// If the input is not FastCGI or is incomplete, the node closes the connection. A complete request is served
+	// afterwards.
 	clients := map[string]*gatewayClient{}
 	withoutParamsEnd := fcgi.AppendStream(fcgi.AppendBegin(nil, 1, true), fcgi.TypeParams, 1, []byte("\x01\x01ab"))
 	for name, text := range map[string]string{
@@ -253,7 +254,7 @@
 	assert.Equal(t, fcgi.TypeEndRequest, kind)
 }
 
-// A gateway aborts half of its requests. Their attempts are canceled, and the connection stays usable.
+// A gateway aborts half of its requests. The attempts of these requests are canceled, and the connection stays usable.
 func TestGateway_AbortsOneRequest(t *testing.T) {
 	ended := make(chan bool, 99)
 	s := newServer(t, func(c net.Conn, q *wire.Request) bool {
@@ -275,7 +276,7 @@
 			status, body := g.roundTrip(id, encodeRequest(id, true, gatewayParams("find", "GET"), "", 1))
 			assert.Equal(t, 200, status)
 			assert.Equal(t, "x", body)
-			if i == 4 { // the same after a complete request
+			if i == 4 { // an abort after a complete request
 				g.Write(fcgi.AppendAbort(fcgi.AppendBegin(nil, 1, true), 1))
 				_, kind, _ := g.receive(1)
 				assert.Equal(t, fcgi.TypeEndRequest, kind)
--- a/cmd/robincart/gateways.go
+++ b/cmd/robincart/gateways.go
@@ -22,8 +22,8 @@
 	gateway  *frontend.Gateway
 }
 
-// listenForGateways listens for all gateways of a configuration. If one fails it closes the others and returns the
-// error.
+// listenForGateways listens for all gateways of a configuration. If it can't listen for a gateway, it closes the
+// listeners that are already open and returns the error.
 func listenForGateways(config *nodeconfig.Config) ([]gatewayListener, error) {
 	var all []gatewayListener
 	for _, gateway := range config.Gateways {
@@ -63,7 +63,7 @@
 }
 
 // removeStaleSocket removes a socket that a killed process has left at a path. It returns an error if a process listens
-// there. A file that is not a socket is not removed.
+// on the socket. A file that is not a socket is not removed.
 func removeStaleSocket(path string) error {
 	if conn, err := net.Dial("unix", path); err == nil {
 		conn.Close()
--- a/cmd/robincart/golden_test.go
+++ b/cmd/robincart/golden_test.go
@@ -46,7 +46,7 @@
 }
 
 // fullOperatorState returns an operator state with all fields set. The start time 0 of server-2 means that the endpoint
-// list had none; server-3 was banned by a process that did not record start times.
+// list had no start time for this server; server-3 was banned by a process that did not record start times.
 func fullOperatorState() operatorState {
 	return operatorState{
 		BannedSince: map[string]int64{"server-1": 1764547200001, "server-2": 1764547200002, "server-3": 1764547200003},
@@ -66,7 +66,7 @@
 		},
 		KnownServers:  []string{"server-5", "server-14", "server-19"},
 		Descriptors:   20,
-		RequestIDSeed: 18446744073709551595, // more than a floating-point number holds
+		RequestIDSeed: 18446744073709551595, // a float64 can't hold this integer exactly
 		ListClock:     time.Date(2026, 12, 1, 22, 23, 24, 123_456_789, time.UTC),
 	}
 }
@@ -278,8 +278,9 @@
 	}
 }
 
-// The platform writes the configuration file. Encoding its type has to give exactly the key names of the golden file.
-// Decoding alone would not show a difference in case: it accepts "Listen" for "listen".
+// Encoding the Go type of the configuration must give exactly the key names of the golden file, because the platform
+// writes the file with these names. A decoding test would not detect a difference in case: decoding accepts "Listen"
+// for "listen".
 func TestGolden_NodeConfigurationHasExactlyTheseNames(t *testing.T) {
 	want := golden(t, "node.json")
 	var c platformConfig
--- a/cmd/robincart/log.go
+++ b/cmd/robincart/log.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// maxQueuedLines is how many lines wait for the log's reader. Further lines are dropped, and counted.
+	// maxQueuedLines is the maximum number of log lines that wait to be written. Further lines are dropped and counted.
 	maxQueuedLines = 512
-	// syncTimeout is how long the process waits for the log's reader when it exits.
+	// syncTimeout is the longest time for which an exiting process waits until the queued log lines are written.
 	syncTimeout = 100 * time.Millisecond
-	// Of the lines with the same message, the first samplingFirst per samplingPeriod are logged, and then every
-	// samplingThereafter-th.
+	// In each samplingPeriod, the first samplingFirst lines with the same message are logged, and after these only
+	// every samplingThereafter-th line with this message.
 	samplingPeriod     = time.Second
 	samplingFirst      = 100
 	samplingThereafter = 100
 )
 
-// asyncWriter writes log lines in a separate goroutine, which ends with the process. A synchronous write would block on
-// the log's reader while the caller may hold a lock, so a reader that hangs would block the node.
+// asyncWriter writes log lines in a separate goroutine, which ends with the process. A synchronous write would block
+// while the log's reader hangs. The caller may hold a lock, so the whole node could block.
 type asyncWriter struct {
 	to    io.Writer
 	queue chan []byte
-	syncs chan chan struct{} // each is closed when the queue has been written
+	syncs chan chan struct{} // each received channel is closed when the queue has been written
 	lost  atomic.Int64       // lines dropped since the last line that was written
 }
 
@@ -48,7 +48,7 @@
 	return len(line), nil
 }
 
-// Sync waits until the lines queued so far are written, for syncTimeout at most.
+// Sync waits until the lines queued so far are written, but at most for syncTimeout.
 func (a *asyncWriter) Sync() error {
 	done, timeout := make(chan struct{}), time.After(syncTimeout)
 	select {
@@ -87,7 +87,8 @@
 	}
 }
 
-// writeLine writes a line. If lines before it were dropped, a line with their number comes first.
+// writeLine writes a line. If lines have been dropped since the last written line, it first writes a line with the
+// number of dropped lines.
 func (a *asyncWriter) writeLine(line []byte) {
 	if lost := a.lost.Swap(0); lost > 0 {
 		const format = `{"level":"warn","msg":"lines of the log are lost: nobody read it","lines":%d}` + "\n"
@@ -96,7 +97,7 @@
 	a.to.Write(line)
 }
 
-// newLog returns a node's log on standard error, as console text if the format is "console" and else as JSON lines.
+// newLog returns a node's log on standard error, as console text if the format is "console", otherwise as JSON lines.
 func newLog(format string, level zapcore.Level, name string) *zap.Logger {
 	encoder := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
 	if format == "console" {
@@ -107,8 +108,9 @@
 	return zap.New(sampler, zap.AddCaller(), zap.Fields(zap.String("node", name)))
 }
 
-// newEventLog returns the log of all events on standard error if EDGE_EVENTS is set, and else nil. Unlike newLog it
-// does not sample: a line is dropped only if the log's reader is too slow and the queue is full.
+// newEventLog returns the log of all events on standard error, or nil if EDGE_EVENTS is not set. Unlike the log that
+// newLog returns, this log is not sampled: a line is dropped only if the log's reader is too slow and the queue is
+// full.
 func newEventLog(getenv func(string) string, name string) *zap.Logger {
 	if getenv("EDGE_EVENTS") == "" {
 		return nil
--- a/cmd/robincart/log_test.go
+++ b/cmd/robincart/log_test.go
@@ -32,8 +32,8 @@
 	cmd, _ := newCommand(t, config)
 	cmd.Stderr = w
 	require.NoError(t, cmd.Start())
-	// The child shares the pipe's flags. The pipe must block on writes, or the node would drop lines and the test would
-	// check nothing.
+	// The node's process shares the flags of the pipe. The pipe must block on writes. Otherwise, the node would drop
+	// lines, and the test would check nothing.
 	raw, err := w.SyscallConn()
 	require.NoError(t, err)
 	raw.Control(func(fd uintptr) { syscall.SetNonblock(int(fd), false) })
--- a/cmd/robincart/main.go
+++ b/cmd/robincart/main.go
@@ -6,8 +6,8 @@
 // several services (fileservices.go). Code that both share, from the clock to the graceful shutdown, is in process.go.
 //
 // This package wires the other packages together and owns the process: signals, descriptors, logs, the handover from
-// one process to the next and the operator commands in force. Packages decide and internal/core/node decide how
-// requests are handled.
+// one process to the next and the operator commands in force. The decisions on how requests are handled are made in
+// other packages, decide and internal/core/node.
 package main
 
 import (
@@ -44,10 +44,12 @@
 	counters chan os.Signal // SIGUSR1: log the counters
 }
 
-// catchSignals starts to catch signals. It is called before anything is opened: an uncaught SIGHUP or SIGTERM would end
-// the process and lose its requests in flight and the connections that the kernel has accepted for it.
+// catchSignals starts to catch signals. It is called before the process opens a file or a socket: an uncaught SIGHUP or
+// SIGTERM would end the process, and the requests in flight would be lost, as would the connections that the kernel has
+// accepted for the process.
 func catchSignals() signals {
-	// A closed log pipe must not end the process. Writes to a closed socket return an error in any case.
+	// SIGPIPE is ignored, so that a closed log pipe does not end the process. Writes to a closed socket return an error
+	// in any case.
 	signal.Ignore(syscall.SIGPIPE)
 	caught := signals{
 		reload:   make(chan os.Signal, 1),
--- a/cmd/robincart/mixedfleet_test.go
+++ b/cmd/robincart/mixedfleet_test.go
@@ -26,16 +26,18 @@
 	return json.RawMessage(strings.Replace(s, `"Rules":{`, rules, 1))
 }
 
-// mixedFleet is the result of a run with nodes of both settings.
+// mixedFleet is the result of a run in which some nodes have the old settings and the other nodes have the new
+// settings.
 type mixedFleet struct {
-	status       map[string]int    // by ID; 0: no response
-	kind         map[string]string // of the node that served it, by ID
+	status       map[string]int    // status of the response, by request ID; 0: no response
+	kind         map[string]string // "old" or "new": settings of the node that got the request, by request ID
 	once         map[string]bool   // IDs of requests that must not run twice
-	ran          map[string]int    // number of runs, by ID
-	lateRequests int               // requests that arrived at the drained server after its grace
+	ran          map[string]int    // number of runs, by request ID
+	lateRequests int               // requests that arrived at the drained server after its grace period
 }
 
-// violations returns the broken rules. One rule is that nodes of either kind serve at least 90% of their requests.
+// violations returns the broken rules. One rule is that the nodes of each kind serve at least 90% of the requests that
+// they get.
 func (m *mixedFleet) violations() (problems []string) {
 	ok, all := map[string]int{}, map[string]int{}
 	for id, status := range m.status {
--- a/cmd/robincart/operatorstate.go
+++ b/cmd/robincart/operatorstate.go
@@ -42,7 +42,7 @@
 	return bans
 }
 
-// startMilliseconds returns a start time in milliseconds of Unix time; the zero time is 0.
+// startMilliseconds returns a start time in milliseconds of Unix time. For the zero time it returns 0.
 func startMilliseconds(started time.Time) int64 {
 	if started.IsZero() {
 		return 0
--- a/cmd/robincart/operatorstate_test.go
+++ b/cmd/robincart/operatorstate_test.go
@@ -89,8 +89,8 @@
 	assert.Equal(t, handler.operatorState().BannedSince, written.BannedSince)
 }
 
-// If the predecessor could not read the file, the successor does not overwrite it before it has read it, and then
-// restores its state.
+// If the predecessor could not read the state file, the successor must not overwrite the file before the successor has
+// read it. After the read, the successor must restore the state from the file.
 func TestCommandHandler_InheritedStateAndFile(t *testing.T) {
 	for name, test := range map[string]struct {
 		unread bool
--- a/cmd/robincart/operatorstatefile.go
+++ b/cmd/robincart/operatorstatefile.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// saveTimeout is how long an operator command waits until its effect is saved. It is under the timeout of the admin
-	// address's clients, which is 1 s.
+	// saveTimeout is the longest time for which an operator command waits until its effect is saved. It is below the
+	// timeout of the clients of the admin address, which is 1 s.
 	saveTimeout = 600 * time.Millisecond
 	// minSaveBackoff is the pause after the first failed attempt to save. Each further failure doubles the pause, up to
 	// maxSaveBackoff.
 	minSaveBackoff = 20 * time.Millisecond
 	maxSaveBackoff = 500 * time.Millisecond
-	// loadTimeout is how long a start retries to read a file that can't be read.
+	// loadTimeout is the time for which a starting process retries to read the file.
 	loadTimeout    = 4 * time.Second
 	loadRetryPause = 50 * time.Millisecond
 	// backgroundLoadPause is the pause between two attempts to read the file while the node serves without it.
@@ -28,24 +28,25 @@
 )
 
 var (
-	errStateUnread = errors.New("not overwritten, since its previous content could not be read yet")
+	errStateUnread = errors.New("not overwritten, since all attempts to read its previous content have failed so far")
 	errSavePending = errors.New("write still in progress")
 )
 
-// operatorStateFile saves the operator state in a file, for the next process of this node. A separate goroutine writes,
-// so that a file system that hangs does not block commands, and retries until the latest state is saved.
+// operatorStateFile saves the operator state in a file, for the next process of this node. A separate goroutine writes
+// the file, so that a file system that hangs does not block commands. The goroutine retries until the latest state is
+// saved.
 type operatorStateFile struct {
 	path string
 	log  *zap.Logger
 
 	mu        sync.Mutex
 	latest    operatorState
-	requested uint64        // the number of the latest state: how many states save was called with
-	saved     uint64        // the number of the last state that was saved
+	requested uint64        // number of the latest state: the number of calls of save
+	saved     uint64        // number of the last state that was saved
 	writable  bool          // the file's previous content has been read, so it may be overwritten
 	writing   bool          // runWriter is running
 	changed   chan struct{} // closed and replaced when saved changes
-	failure   error         // of the last attempt to write; nil: it succeeded
+	failure   error         // error of the last attempt to write; nil: the attempt succeeded
 }
 
 func newOperatorStateFile(path string, log *zap.Logger) *operatorStateFile {
@@ -68,7 +69,7 @@
 	}
 }
 
-// read reads the file once. A corrupt file is logged, and its state is returned as empty.
+// read reads the file once. If the file is corrupt, read logs the error and returns an empty state.
 func (o *operatorStateFile) read() (operatorState, error) {
 	var state operatorState
 	err := handover.Load(o.path, &state)
@@ -81,7 +82,7 @@
 	return state, err
 }
 
-// allowWrites allows the file to be overwritten. It is called when this process or its predecessor has read the
+// allowWrites allows the file to be overwritten. It is called after this process or its predecessor has read the
 // previous content.
 func (o *operatorStateFile) allowWrites() {
 	o.mu.Lock()
@@ -90,7 +91,7 @@
 	o.startWriter()
 }
 
-// save requests that a state be written, and returns its number. It does not wait for the write.
+// save requests that a state be written, and returns the number of the state. It does not wait for the write.
 func (o *operatorStateFile) save(state operatorState) (number uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -100,8 +101,8 @@
 	return o.requested
 }
 
-// waitSaved waits until the state with this number, or a later one, is saved. If the context ends first, it returns why
-// the state is not saved yet.
+// waitSaved waits until the state with this number, or a later one, is saved. If the context ends first, it returns an
+// error that says why the state is not saved yet.
 func (o *operatorStateFile) waitSaved(ctx context.Context, number uint64) error {
 	for {
 		changed, err := o.pendingSave(number)
@@ -119,8 +120,8 @@
 	}
 }
 
-// pendingSave returns why a state is not saved yet, and a channel that is closed at the next save. Both are nil if the
-// state is saved.
+// pendingSave returns an error that says why the state with this number is not saved yet, and a channel that is closed
+// at the next save. Both results are nil if this state or a later one is saved.
 func (o *operatorStateFile) pendingSave(number uint64) (<-chan struct{}, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -136,7 +137,7 @@
 	}
 }
 
-// startWriter starts runWriter, unless it is running, nothing has to be written, or writes are not allowed yet. The
+// startWriter starts runWriter if runWriter is not running, a state has to be written, and writes are allowed. The
 // caller holds mu.
 func (o *operatorStateFile) startWriter() {
 	if o.writing || !o.writable || o.saved == o.requested {
@@ -146,8 +147,8 @@
 	go o.runWriter()
 }
 
-// runWriter writes the latest state, and retries until it is saved. The process does not wait for it when it exits: a
-// write to a file system that hangs may never return.
+// runWriter writes the latest state, and retries until the state is saved. An exiting process does not wait for
+// runWriter: a write to a file system that hangs may never return.
 func (o *operatorStateFile) runWriter() {
 	backoff := minSaveBackoff
 	for {
@@ -175,8 +176,8 @@
 	return o.latest, o.requested, true
 }
 
-// finishWrite records the result of an attempt to write. It logs the first of several failures, and the first success
-// after a failure.
+// finishWrite records the result of an attempt to write. It logs the first of several consecutive failures, and the
+// first success after a failure.
 func (o *operatorStateFile) finishWrite(number uint64, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/cmd/robincart/overload_test.go
+++ b/cmd/robincart/overload_test.go
@@ -47,8 +47,8 @@
 	assert.Equal(t, 200, p.send("charge", "x").status, "the node serves again after the overload")
 }
 
-// Connections without a complete request must be closed for others: the clients after them wait in the listener's
-// queue.
+// The node must close connections without a complete request, so that it can accept later clients, which wait in the
+// listener's queue.
 func TestOverload_ClientServedAfterIdleFlood(t *testing.T) {
 	s := newServer(t, respond(200, "well"))
 	d := newDiscovery(t, newMember("s0", s.addr(), "ready"))
@@ -66,8 +66,8 @@
 	assert.Less(t, r.duration, 1500*time.Millisecond)
 }
 
-// A client that sends nothing, half a request or a huge body is answered or closed within 3 s of connecting, and other
-// clients are served meanwhile.
+// A client that sends nothing, half a request or a huge body must get an answer, or its connection must be closed,
+// within 3 s after the connect. Other clients must be served during this time.
 func TestOverload_HostileClientsAreClosedInTime(t *testing.T) {
 	t.Parallel()
 	p, _ := startWithServers(t, newServer(t, respond(200, "well")))
--- a/cmd/robincart/platform.go
+++ b/cmd/robincart/platform.go
@@ -56,7 +56,7 @@
 	goroutines sync.WaitGroup
 }
 
-// startPlatformBackend starts the service, and takes over from the node's present process if there is one.
+// startPlatformBackend starts the service, and takes over from the predecessor if there is one.
 func startPlatformBackend(p *process, config *platformConfig, listener *clientListener) (*platformBackend, error) {
 	l := config.limits
 	b := &platformBackend{process: p, config: config}
--- a/cmd/robincart/platformconfig.go
+++ b/cmd/robincart/platformconfig.go
@@ -38,8 +38,8 @@
 	limits        limits.Limits
 }
 
-// readPlatformConfig reads the file that EDGE_CONFIG names. Other environment variables override some of its keys, so
-// that a node can get other addresses without a new file.
+// readPlatformConfig reads the file that EDGE_CONFIG names. Other environment variables override some of the file's
+// keys, so that a node can get other addresses without a new file.
 func readPlatformConfig(getenv func(string) string) (*platformConfig, error) {
 	maxDescriptors := descriptorLimit()
 	path := getenv("EDGE_CONFIG")
@@ -63,7 +63,7 @@
 	return config, nil
 }
 
-// override replaces values of the file by those of environment variables that are set.
+// override replaces values of the file by the values of those environment variables that are set.
 func (p *platformConfig) override(getenv func(string) string) {
 	for name, field := range map[string]*string{
 		"EDGE_NAME":       &p.Name,
@@ -128,9 +128,9 @@
 // reload reads the file again and returns the configuration in force.
 //
 // The discovery address and the settings take effect; all other changes need a restart. A discovery address that has
-// changed in the file takes precedence over EDGE_DISCOVERY, which is older: it dates from the start of the process. A
-// file that is invalid, or lacks a key that the configuration in force has, changes nothing. An unreadableError means
-// that the file can't be read at present and the reload has to be retried.
+// changed in the file takes precedence over EDGE_DISCOVERY, because the value of EDGE_DISCOVERY dates from the start of
+// the process and is older. A file that is invalid, or lacks a key that the configuration in force has, changes
+// nothing. An unreadableError means that the file can't be read at present and the reload has to be retried.
 func (p *platformConfig) reload(getenv func(string) string, watcher addressSetter, applySettings func(*platformConfig),
 	log *zap.Logger) (*platformConfig, error) {
 	next, err := p.readNext(getenv)
@@ -165,7 +165,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// If EDGE_DISCOVERY is set, compile has checked that address and not the file's.
+	// If EDGE_DISCOVERY is set, compile has checked the address in EDGE_DISCOVERY and not the address in the file.
 	if next.fileDiscovery != p.fileDiscovery {
 		if _, _, err := net.SplitHostPort(next.fileDiscovery); err != nil {
 			return nil, fmt.Errorf("discovery: %w", err)
--- a/cmd/robincart/platformconfig_test.go
+++ b/cmd/robincart/platformconfig_test.go
@@ -45,7 +45,7 @@
 	assert.InDelta(t, c.limits.MaxPollInterval.Seconds(), c.node.MaxFirstPollDelay, 1e-9)
 }
 
-// A file that is truncated at any byte, or lacks any key, changes nothing.
+// A configuration file that is truncated at any byte, or lacks any key, changes nothing.
 func TestPlatformConfig_TruncatedFileIsRejected(t *testing.T) {
 	d := newDiscovery(t)
 	text, err := json.Marshal(newConfig(t, d))
--- a/cmd/robincart/predecessor.go
+++ b/cmd/robincart/predecessor.go
@@ -17,7 +17,7 @@
 	// predecessorTimeout is the total time for all attempts to connect to the predecessor.
 	predecessorTimeout    = 500 * time.Millisecond
 	predecessorRetryPause = 20 * time.Millisecond
-	// stateTimeout is the time for receiving the predecessor's state.
+	// stateTimeout is the longest time for receiving the predecessor's state.
 	stateTimeout = time.Second
 )
 
@@ -28,9 +28,9 @@
 	return fmt.Sprintf("predecessor sent handover state version %d, expected version %d", v.received, handoverVersion)
 }
 
-// connectToPredecessor requests the state of the process that serves at present. It is not an error if there is no such
-// process. If the process closes the connection, the request is retried: it may not have noticed yet that an earlier
-// successor has died.
+// connectToPredecessor requests the state of the predecessor, that is, the process that serves at present. It is not an
+// error if there is no predecessor. If the predecessor closes the connection, the request is retried: the predecessor
+// may not have noticed yet that an earlier successor has died.
 func (s *succession) connectToPredecessor() (handoverState, error) {
 	deadline := time.Now().Add(predecessorTimeout)
 	var lastErr error
@@ -112,7 +112,8 @@
 	p.commands.execute(command, p.predecessor)
 }
 
-// Disconnected takes the predecessor's share of the node's memory and descriptors: the predecessor has ended.
+// Disconnected handles the end of the predecessor: this process takes over the predecessor's share of the node's memory
+// and descriptors.
 func (p predecessorPeer) Disconnected(error) {
 	p.commands.removeLink(p.predecessor)
 	for ; p.predecessorDescriptors > 0; p.predecessorDescriptors-- {
--- a/cmd/robincart/process.go
+++ b/cmd/robincart/process.go
@@ -18,17 +18,18 @@
 	"robincart/internal/system/telemetry"
 )
 
-// gcPercent is the garbage collector's target percentage (GOGC). Few objects live long here; with a higher percentage
-// memory would grow for minutes before the first collection.
+// gcPercent is the garbage collector's target percentage (GOGC). The process has few long-lived objects. With a higher
+// percentage, memory would grow for minutes before the first collection.
 const gcPercent = 100
 
-// clock is the machine's monotonic clock, as the time since the process started.
+// clock measures the time since the process started, with the machine's monotonic clock.
 type clock struct{ start time.Time }
 
 func (c clock) Now() time.Duration                  { return time.Since(c.start) }
 func (c clock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
-// process has the parts of a node that do not depend on how it is started.
+// process holds the parts of a node that do not depend on whether the node serves the platform's configuration or a
+// configuration file.
 type process struct {
 	limits    limits.Limits // in force; a reload may change them
 	log       *zap.Logger
@@ -65,25 +66,25 @@
 // backend is the set of services that the front end serves requests with: the platform's one service, or the services
 // of a configuration file.
 type backend interface {
-	// started is called once clients are accepted.
+	// started is called when the process has begun to accept clients.
 	started()
 	// reload reads the configuration again and applies it. An unreadableError means that the reload has to be retried.
 	reload() error
-	// recordChanges receives a value when services, routes or tenants of the record have changed; nil if there is no
-	// record.
+	// recordChanges returns a channel that receives a value when services, routes or tenants of the record have
+	// changed. The channel is nil if there is no record.
 	recordChanges() <-chan struct{}
 	// applyRecord applies the record's present content.
 	applyRecord()
 	// inFlight returns the number of requests without a response.
 	inFlight() int
-	// prepareShutdown reports whether a successor accepts the clients. After the call this process does not resume
-	// accepting them.
+	// prepareShutdown reports whether a successor accepts the clients. If so, this process does not accept clients
+	// again, even if the successor dies after the call.
 	prepareShutdown() (handedOver bool)
 	// close releases the backend's resources. It is called after the last response.
 	close()
 }
 
-// run serves clients until the process is signalled to stop, and then shuts down gracefully.
+// run serves clients until the process receives a signal to stop, and then shuts down gracefully.
 func (p *process) run(listeners []net.Listener, b backend, caught signals) {
 	for _, listener := range listeners {
 		p.frontend.Serve(listener)
@@ -93,7 +94,7 @@
 	p.shutDown(b)
 }
 
-// handleEvents handles signals and changes of the record until the process is signalled to stop.
+// handleEvents handles signals and changes of the record until the process receives a signal to stop.
 func (p *process) handleEvents(b backend, caught signals) {
 	retry := reloadRetry{log: p.log}
 	for {
@@ -113,13 +114,14 @@
 	}
 }
 
-// shutDown answers the requests that were accepted, for ShutdownAbortAfter at most, and closes the backend.
+// shutDown answers the accepted requests and then closes the backend. It stops waiting for answers when
+// ShutdownAbortAfter has passed.
 func (p *process) shutDown(b backend) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.limits.ShutdownAbortAfter)
 	defer cancel()
 	p.log.Info("stopping", zap.Int("open", b.inFlight()))
 	if !b.prepareShutdown() {
-		// The platform keeps sending clients here for up to ShutdownAcceptTime.
+		// For up to ShutdownAcceptTime, the platform still sends new client connections to this process.
 		p.frontend.BeginShutdown()
 		time.Sleep(p.limits.ShutdownAcceptTime)
 	}
--- a/cmd/robincart/record.go
+++ b/cmd/robincart/record.go
@@ -20,7 +20,7 @@
 // configurationKinds are the kinds of record entries that override the configuration file.
 var configurationKinds = []record.Kind{record.KindService, record.KindRoute, record.KindTenant}
 
-// openRecord opens the cache of the record, if the configuration has one, and serves its status page.
+// openRecord opens the cache of the record and serves the record's status page, if they are configured.
 func (f *fileBackend) openRecord() error {
 	config := f.config.Record
 	if config.Store == "" {
@@ -62,8 +62,9 @@
 	}
 }
 
-// openStore opens the store of record. If the address names controllers, it connects to them, which needs neither a
-// database driver nor another program. Otherwise it starts the store program, which has the drivers.
+// openStore opens the store of record. If the address names controllers, openStore connects to the controllers; this
+// needs neither a database driver nor another program. Otherwise it starts the store program, which has the database
+// drivers.
 func openStore(address string, ring *keys.Ring, log *zap.Logger) (store.Store, error) {
 	addresses, byControllers, _ := store.ParseControllers(address)
 	if !byControllers {
@@ -102,7 +103,7 @@
 	f.apply()
 }
 
-// withRecord returns the configuration file overridden by the record's entries. If the result is invalid it logs the
+// withRecord returns the configuration file overridden by the record's entries. If the result is invalid, it logs the
 // errors and returns the configuration in force.
 func (f *fileBackend) withRecord() *nodeconfig.Config {
 	if f.record == nil {
--- a/cmd/robincart/record_test.go
+++ b/cmd/robincart/record_test.go
@@ -93,8 +93,8 @@
 	awaitStatus(200)
 }
 
-// A node that reads the record through a controller's replica needs no store program. Its configuration outlives the
-// replica and a restart of the node.
+// A node that reads the record through a controller's replica needs no store program. The node keeps its configuration
+// when the replica ends, and when the node is restarted.
 func TestRecord_ThroughControllers(t *testing.T) {
 	dir := t.TempDir()
 	database, err := sqlstore.Open("sqlite:" + filepath.Join(dir, "record.db"))
@@ -153,7 +153,7 @@
 	stop()
 	p.Kill()
 	require.NoError(t, p.Start(t.Context()))
-	awaitServed("b.example.org") // from the snapshot alone
+	awaitServed("b.example.org") // this configuration comes from the snapshot alone
 	addRoute("c", "c.example.org")
 	startReplica()
 	awaitServed("c.example.org")
@@ -180,7 +180,7 @@
 	}
 }
 
-// currentLog formats as a node's log at the time of formatting.
+// currentLog is formatted as the content of a node's log at the time of formatting.
 type currentLog struct{ p *testNode }
 
 func (l currentLog) String() string { return l.p.Log() }
--- a/cmd/robincart/requests_test.go
+++ b/cmd/robincart/requests_test.go
@@ -77,8 +77,8 @@
 	assert.WithinDuration(t, closedAt, testutil.Receive(t, closed), 2*time.Second)
 }
 
-// requestHead returns a request's head. Headers in more replace default headers of the same name; one without a value
-// removes the default header.
+// requestHead returns a request's head. Each header in the parameter more replaces the default header of the same name.
+// A header without a value removes the default header.
 func requestHead(line, method string, more ...string) string {
 	headers := []string{"Host: service.internal", "X-Trace-Id: 9b1f", "X-Qos: " + method, "X-Customer: acme",
 		"X-Expires-In-Ms: 1000"}
--- a/cmd/robincart/routescommand.go
+++ b/cmd/robincart/routescommand.go
@@ -19,7 +19,7 @@
 	headers                                              []string
 }
 
-// routesCommand prints the service that a request is routed to, or all routes.
+// routesCommand returns the command that prints the service of a request, or all routes.
 func routesCommand() *cobra.Command {
 	var flags requestFlags
 	command := &cobra.Command{
@@ -86,8 +86,8 @@
 	}
 }
 
-// printRoute prints the service that a request is routed to, its route, and the other routes that match the request,
-// which have a lower precedence.
+// printRoute prints the service and the route of a request. It also prints the other routes that match the request;
+// they have a lower precedence.
 func printRoute(w io.Writer, config *nodeconfig.Config, request *httpwire.Request) {
 	routed, err := services.RouteRequest(request)
 	if err != nil {
--- a/cmd/robincart/settingstransition.go
+++ b/cmd/robincart/settingstransition.go
@@ -9,9 +9,9 @@
 	"robincart/internal/protocol/settings"
 )
 
-// settingsTransition applies changes of the settings. Clients learn of a change later than the node, so every earlier
-// version stays in force for a grace period, combined with the current one: a method is retried only as all of these
-// versions allow.
+// settingsTransition applies changes of the settings. Clients learn of a change later than the node, so each replaced
+// version of the settings stays in force for a grace period, together with the current version. A method's requests are
+// retried only if all of these versions allow the retry.
 type settingsTransition struct {
 	core *node.Core
 	now  func() time.Time
@@ -21,14 +21,14 @@
 	previous []previousSettings
 }
 
-// previousSettings are replaced settings that some clients may still use, until a time.
+// previousSettings are settings that have been replaced, with the time at which their grace period ends.
 type previousSettings struct {
 	*settings.Instance
 	until time.Time
 }
 
-// update applies new settings, combined with the previous ones for the grace period. It returns the core's settings, in
-// which every name has its slot.
+// update applies new settings, combined with the previous settings during the grace period. It returns the combined
+// settings with each method and tenant at the index of its slot.
 func (s *settingsTransition) update(next *settings.Instance, grace time.Duration) *settings.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,8 @@
 	return s.apply()
 }
 
-// apply applies the current settings combined with the earlier ones whose grace period lasts. The caller holds mu.
+// apply applies the current settings combined with the earlier settings whose grace period has not ended. The caller
+// holds mu.
 func (s *settingsTransition) apply() *settings.Instance {
 	now := s.now()
 	s.previous = slices.DeleteFunc(s.previous, func(p previousSettings) bool { return !now.Before(p.until) })
--- a/cmd/robincart/settingstransition_test.go
+++ b/cmd/robincart/settingstransition_test.go
@@ -12,9 +12,9 @@
 	"robincart/internal/protocol/settings"
 )
 
-// Settings change again before clients have learned of the last change. During the grace period a method is retried
-// only if all versions allow it, even if one of the versions lacks the method. Afterwards the last settings alone are
-// in force, in whatever order the timers fire.
+// The settings change a second time before clients have learned of the first change. During the grace period a method
+// is retried only if all versions allow it, even if one of the versions lacks the method. Afterwards the last settings
+// alone are in force, in whatever order the timers fire.
 func TestSettingsTransition_FormerSettingsBindDuringGrace(t *testing.T) {
 	parse := func(classes string) *settings.Instance {
 		const other = `{"Name":"other","AimMs":1,"DeadlineMs":1,"Repeat":"repeatable"}`
--- a/cmd/robincart/shutdown_test.go
+++ b/cmd/robincart/shutdown_test.go
@@ -63,8 +63,8 @@
 	assert.Greater(t, counts["504"], clients/2, "%v", counts)
 }
 
-// While a process waits for its predecessor, the kernel already accepts clients on its listener. They must be answered
-// even if SIGTERM arrives during that time.
+// While a process waits for its predecessor, the kernel already accepts clients on the process's listener. These
+// clients must be answered even if SIGTERM arrives during that time.
 func TestShutdown_SignalBeforeServing(t *testing.T) {
 	fixture, _ := newNodeFixture(t, newServer(t, respond(200, "well")))
 	// This predecessor sends no state, so the node waits for it.
@@ -118,7 +118,8 @@
 	p.waitExit(time.Second)
 }
 
-// During a shutdown the platform keeps sending connections for up to 0.4 s, and clients reuse their connections.
+// During a shutdown the platform sends new connections to the node for up to 0.4 s, and clients reuse their
+// connections.
 func TestShutdown_UnderTraffic(t *testing.T) {
 	p, _ := startWithServers(t, newServer(t, delayed(20*time.Millisecond, respond(200, "well"))))
 	until := time.Now().Add(700 * time.Millisecond)
--- a/cmd/robincart/stalledclient_test.go
+++ b/cmd/robincart/stalledclient_test.go
@@ -16,11 +16,11 @@
 )
 
 // maxStallTime is the time limit, set by operators, for a client that stops in the middle of its request and stays
-// connected: within it the client gets an error response, or its connection is closed.
+// connected: within this time, the client must get an error response, or its connection must be closed.
 const maxStallTime = 3 * time.Second
 
 // A client that stops in the middle of a request and stays connected is answered within maxStallTime, wherever it
-// stops, on a new connection and on a reused one. No server receives the request as a complete one.
+// stops, on a new connection and on a reused connection. No server receives the request as a complete request.
 func TestStalledClient_InRequestIsAnsweredInTime(t *testing.T) {
 	var sentComplete, readComplete atomic.Int32 // number of complete requests that clients sent, and that servers read
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// An incomplete request arrives together with a complete request before it. The complete one is served, and the
-// incomplete one ends within maxStallTime.
+// An incomplete request arrives together with a complete request before it. The complete request is served, and the
+// incomplete request ends within maxStallTime.
 func TestStalledClient_AfterCompleteRequestIsClosedInTime(t *testing.T) {
 	p, _ := startWithServers(t, newServer(t, respond(200, "x")))
 	request := func() string {
--- a/cmd/robincart/start_test.go
+++ b/cmd/robincart/start_test.go
@@ -110,7 +110,7 @@
 		require.NoError(b, err)
 		_, known := d.List()
 		d.SetDown(true)
-		// The delay also applies to heartbeats. With twice the delay the watch would count as silent.
+		// The delay also applies to heartbeats. If the delay were twice as long, the watch would count as silent.
 		d.SetDelay(time.Second)
 		began := time.Now()
 		startSeconds := make([]float64, nodes)
--- a/cmd/robincart/storeprogram.go
+++ b/cmd/robincart/storeprogram.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// storeProgramName is the name of the program that has the database drivers, in this program's directory. Linked
-	// into this program, the drivers would cost every node 4 MB.
+	// storeProgramName is the name of the program that has the database drivers, in this program's directory. If the
+	// drivers were linked into this program, they would cost every node 4 MB.
 	storeProgramName = "robincart-record"
-	// storeStartTimeout is how long opening the store waits until the program listens after its first start.
+	// storeStartTimeout is the longest time for which startStoreProgram waits until the store program listens.
 	storeStartTimeout = 5 * time.Second
 	// storeDialAttempts and storeDialPause limit the wait for the program's socket, to 4 s.
 	storeDialAttempts = 400
@@ -66,7 +66,7 @@
 	started    chan struct{} // closed when the program listens, or has failed to start
 }
 
-// startStoreProgram starts the program, and restarts it whenever it ends, until the store is closed.
+// startStoreProgram starts the store program. Whenever the program ends, it is restarted, until the store is closed.
 func startStoreProgram(address string, log *zap.Logger) (store.Store, error) {
 	path, err := findStoreProgram()
 	if err != nil {
@@ -102,7 +102,7 @@
 	for ctx.Err() == nil {
 		var stderr tailBuffer
 		err := s.run(ctx, &stderr)
-		s.firstStart.Do(func() { close(s.started) }) // if it failed to start, calls to the store return the error
+		s.firstStart.Do(func() { close(s.started) }) // if the program failed to start, calls to the store fail
 		if ctx.Err() != nil {
 			return
 		}
@@ -120,7 +120,7 @@
 	program.Env = append(os.Environ(), "ROBINCART_STORE="+s.address)
 	program.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	program.Stderr = stderr
-	stdin, err := program.StdinPipe() // the end of its input tells the program that this process has ended
+	stdin, err := program.StdinPipe() // the end of stdin tells the program that this process has ended
 	if err != nil {
 		return err
 	}
--- a/cmd/robincart/succession.go
+++ b/cmd/robincart/succession.go
@@ -23,10 +23,10 @@
 type handoverState struct {
 	Version         int             `json:"Form"` // a state of another version is not used
 	Operators       operatorState   `json:"Said"`
-	OperatorsUnread bool            `json:"Unread"` // the saved operator state could not be read yet
+	OperatorsUnread bool            `json:"Unread"` // so far, the file with the operator state could not be read
 	Endpoints       []node.Endpoint `json:"Servers"`
 	KnownServers    []string        `json:"Listed"` // IDs of all servers that were ever in the endpoint list
-	Descriptors     int             `json:"Held"`   // how many are in use
+	Descriptors     int             `json:"Held"`   // number of descriptors in use
 	RequestIDSeed   uint64          `json:"Seed"`
 	ListClock       time.Time       `json:"ListTime"` // time by the clock of the endpoint list's source; zero: unknown
 }
@@ -34,7 +34,8 @@
 const (
 	// listenRetryPause is the pause between two attempts to listen for a successor.
 	listenRetryPause = 200 * time.Millisecond
-	// processDescriptors is how many descriptors a process has in addition to those that its budget counts.
+	// processDescriptors is the number of descriptors that a process has open in addition to the descriptors that its
+	// budget counts.
 	processDescriptors = 24
 	// operatorStateSuffix is appended to the socket's path to form the path of the operator state file.
 	operatorStateSuffix = ".said"
@@ -53,22 +54,22 @@
 	clients  *clientListener
 	path     string // of the socket that a successor connects to
 
-	predecessor            *handover.Link // nil: there is none
-	predecessorDescriptors int            // how many the predecessor still uses; this process's budget counts them
+	predecessor            *handover.Link // nil: there is no predecessor
+	predecessorDescriptors int            // descriptors that the predecessor uses; counted in this process's budget
 
 	mu         sync.Mutex
 	listener   *net.UnixListener // for a successor
-	successor  *handover.Link    // nil: none has connected
+	successor  *handover.Link    // nil: no successor has connected
 	handedOver bool              // the successor accepts clients, and this process does not
 	stopping   bool              // this process is shutting down: it accepts no more clients or successors
 	goroutines sync.WaitGroup
 }
 
-// start takes over from the node's present process if there is one, and listens for a successor. The directory belongs
-// to this node alone.
+// start takes over from the predecessor if there is one, and listens for a successor. The directory belongs to this
+// node alone.
 //
-// If the directory is empty, no state outlives this process. If the client listener is not inherited, there is no
-// handover, but the operator state is saved.
+// If directory is "", no state outlives this process. If the client listener is not inherited, there is no handover,
+// but the operator state is saved.
 func (s *succession) start(ctx context.Context, directory, name string) {
 	if directory == "" {
 		return
@@ -138,8 +139,8 @@
 	s.budget.Memory().Resize(s.limits.BodyMemory / processes)
 }
 
-// stop marks this process as shutting down, and reports whether a successor accepts the clients. After the call this
-// process does not resume accepting them.
+// stop marks this process as shutting down, and reports whether a successor accepts the clients. If so, this process
+// does not accept clients again, even if the successor dies after the call.
 func (s *succession) stop() (handedOver bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/robincart/succession_test.go
+++ b/cmd/robincart/succession_test.go
@@ -24,7 +24,7 @@
 	"robincart/internal/handover"
 )
 
-// nodeFixture is what the successive processes of one node share: a listener, a directory and a configuration.
+// nodeFixture holds the listener, the directory and the configuration that the successive processes of one node share.
 type nodeFixture struct {
 	t      *testing.T
 	file   *os.File
@@ -212,7 +212,7 @@
 	for range 20 {
 		assert.Equal(t, "b", sendRequest().body, "the ban outlives the handover")
 	}
-	// While both processes run, either accepts operator commands.
+	// While both processes run, each of them accepts operator commands.
 	assert.Equal(t, 200, callAdmin(t, first.admin, "/_servers/attach", `{"host":"s0"}`))
 	assert.Equal(t, 200, callAdmin(t, first.admin, "/_servers/detach", `{"host":"s1"}`))
 	servedByAOnly := func() bool {
@@ -228,7 +228,7 @@
 	assert.Equal(t, 200, callAdmin(t, second.admin, "/_lameduck/on", ""))
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
 	first.waitExit(t)
-	// The state outlives a kill, too.
+	// The operator state also outlives a process that is killed.
 	second.Process.Kill()
 	<-second.ended
 	third := fixture.start()
@@ -308,7 +308,7 @@
 	assert.Equal(t, 409, sendRequest(idle, "open"), "the ID is in use at the predecessor")
 	assert.Equal(t, 200, <-status)
 	assert.Equal(t, 2, slow.count())
-	// The predecessor hangs: the successor starts without its state, and replaces it.
+	// The predecessor hangs. The successor starts without the predecessor's state, and replaces the predecessor.
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
 	first.waitExit(t)
 	assert.Equal(t, 200, callAdmin(t, second.admin, "/_servers/detach", `{"host":"s0"}`))
@@ -321,8 +321,8 @@
 	assert.Equal(t, 200, sendRequest(connect(), "back"))
 }
 
-// Operators send commands, reloads and a handover in quick succession. No request fails, and the last command is in
-// force.
+// Operators send commands, reloads and a handover in quick succession. No request fails, and after all commands the
+// last command is in force.
 func TestHandover_OperatorsActInQuickSuccession(t *testing.T) {
 	slow := newServer(t, delayed(5*time.Millisecond, respond(200, "x")))
 	fixture, _ := newNodeFixture(t, slow, newServer(t, respond(200, "y")))
@@ -360,7 +360,7 @@
 	broken := fixture.launch()
 	require.Error(t, <-broken.ended)
 	assert.True(t, first.ready())
-	// Several configurations are loaded while a successor starts; the last one is invalid.
+	// Several configurations are loaded while a successor starts; the last configuration is invalid.
 	fixture.config["admin_addr"] = freeAddress(t)
 	second := fixture.launch()
 	reload := func(p *nodeProcess) {
@@ -392,12 +392,13 @@
 }
 
 // Any process that holds the listener's socket can set it to blocking mode, which applies to all processes that share
-// it. A process that passes the socket to a child often does so.
+// it. A process that passes the socket to a child process often sets this mode.
 func TestHandover_BlockingListener(t *testing.T) {
 	fixture, _ := newNodeFixture(t, newServer(t, respond(200, "x")))
 	p := fixture.start()
 	require.NoError(t, syscall.SetNonblock(int(fixture.file.Fd()), false))
-	// After this request the next accept would block.
+	// Once the connection of this request has been accepted, another accept call on the socket would block until the
+	// next client connects.
 	assert.Equal(t, 200, (&testNode{t: t, addr: fixture.addr}).send("find", "").status)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	p.waitExit(t)
--- a/cmd/robincart/successor.go
+++ b/cmd/robincart/successor.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// setSuccessor sets the link to the successor. It returns false if there is a successor already, or this process is
+// setSuccessor sets the link to the successor. It returns false if there is a successor already, or if this process is
 // shutting down.
 func (s *succession) setSuccessor(link *handover.Link) bool {
 	s.mu.Lock()
@@ -60,8 +60,8 @@
 	link *handover.Link
 }
 
-// SuccessorReady hands the clients over: this process closes the listener, and transfers each connection between two
-// requests.
+// SuccessorReady hands the clients over: this process closes the listener, and transfers each client connection to the
+// successor, between two requests of the connection.
 func (s successorPeer) SuccessorReady() {
 	s.mu.Lock()
 	s.handedOver = true
@@ -69,8 +69,8 @@
 	s.commands.accepting.Store(false)
 	s.log.Info("handing over to successor")
 	s.clients.current().Close()
-	// From now on a request can begin here only on a connection that is in use, and each of these has a request in
-	// flight already.
+	// From now on, a request can begin in this process only on a connection that is in use. Each such connection
+	// already has a request in flight.
 	if err := s.link.SendRequestIDs(s.frontend.ExportRequestIDs()); err != nil {
 		s.log.Warn("request IDs not sent to successor", zap.Error(err))
 	}
@@ -79,14 +79,15 @@
 	s.shareMemory(2)
 }
 
-// closeIdleServerConnections frees descriptors, which the successor's budget counts.
+// closeIdleServerConnections closes the idle connections to servers, because the successor's budget counts their
+// descriptors.
 func (s successorPeer) closeIdleServerConnections() {
 	for s.pool.EvictIdle() {
 		continue
 	}
 }
 
-// Connection closes the connection: a successor does not transfer any.
+// Connection closes the connection: a successor does not transfer connections.
 func (s successorPeer) Connection(conn net.Conn, _ bool) { conn.Close() }
 
 // RequestIDs does nothing: a successor does not send this message.
@@ -95,8 +96,8 @@
 // Command executes an operator command that the successor relays.
 func (s successorPeer) Command(command handover.Command) { s.commands.execute(command, s.link) }
 
-// Disconnected accepts clients again if the successor has died after the handover, unless this process is shutting
-// down: no other process would accept them.
+// Disconnected handles the end of the successor. If the successor has died after the handover, no process accepts
+// clients, so this process accepts them again unless it is shutting down.
 func (s successorPeer) Disconnected(err error) {
 	s.commands.removeLink(s.link)
 	s.mu.Lock()
@@ -122,7 +123,7 @@
 	s.commands.accepting.Store(true)
 }
 
-// replaceListener listens again on the socket's path, which a successor that has died had taken over.
+// replaceListener listens again on the socket's path. The successor had taken over this path before it died.
 func (s *succession) replaceListener() {
 	listener, err := handover.Listen(s.path)
 	if err != nil {
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -15,7 +15,7 @@
 	baselineHalfLife      = 60.0 // seconds; time in which the baseline halves and the base wait at most doubles
 	longWaitHalfLife      = 5.0  // seconds; half-life of the long-term mean wait and of the mean number of open RPCs
 	recentWaitHalfLife    = 0.7  // seconds; half-life of the recent mean wait
-	minWaitSamples        = 6.0  // if there are fewer recent waits, the long-term mean wait replaces the missing ones
+	minWaitSamples        = 6.0  // if there are fewer recent waits, the long-term mean is used for each missing wait
 	// The prior of the long-term mean wait counts as this many samples: a mean of only a few waits can be low by
 	// chance.
 	longWaitPriorSamples = 2.0
@@ -31,7 +31,7 @@
 	// The limit is at least this multiple of the baseline. It need not be lower, because overloaded servers already
 	// recover at this number of open RPCs.
 	minLimitFactor  = 0.5
-	variationHalfAt = 4.0 // open RPCs; baseline at which boundLimit halves the allowance for random variation
+	variationHalfAt = 4.0 // the baseline, in open RPCs, at which boundLimit halves the allowance for random variation
 	limitIncrease   = 0.2 // increase of the limit per round, as a fraction of the limit
 	limitDecrease   = 0.3 // decrease per round; more than limitIncrease, since overload costs more than an idle server
 	// While the mean wait exceeds waitGoal, the limit decreases per round by the fraction (mean wait - waitGoal), but
@@ -72,8 +72,8 @@
 	wait := a.meanWait(now)
 	limit := a.limit * share
 	limit /= max(minUnreportedShare, unreportedShare)
-	// If the mean wait is far below waitGoal, the limit is raised: the servers have spare capacity, and a few open RPCs
-	// more than the baseline are only random variation.
+	// If the mean wait is below waitGoal, the servers have spare capacity, so the limit is raised. If the limit were
+	// not raised, RPCs would be rejected whenever the number of open RPCs randomly exceeds the baseline by a few.
 	limit *= math.Sqrt(max(1, waitGoal/wait))
 	count := float64(open)
 	a.openOnArrival.add(count, now, longWaitHalfLife)
@@ -141,8 +141,8 @@
 }
 
 // meanWait returns the mean of the recent waits. If there are fewer than minWaitSamples recent waits, the long-term
-// mean wait replaces the missing ones. With a constant in its place, a node that gets one RPC per second would not
-// notice that all RPCs are late.
+// mean wait is used for each missing wait. If a constant were used instead of the long-term mean wait, a node that gets
+// one RPC per second would not detect that all its RPCs are late.
 func (a *admission) meanWait(now float64) float64 {
 	missing := max(0, minWaitSamples-a.recentWaits.samples(now, recentWaitHalfLife))
 	older := a.longWaits.read(now, longWaitHalfLife, waitGoal/2, 1)
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -3,7 +3,7 @@
 import "math/rand"
 
 // Balancer makes the decisions of one instance. Each kind of decision has a type of its own, which holds the state and
-// the rules. Its methods must not be called concurrently.
+// the rules. The methods of a Balancer must not be called concurrently.
 type Balancer struct {
 	host Host
 	rng  *rand.Rand
--- a/decide/connections.go
+++ b/decide/connections.go
@@ -36,7 +36,7 @@
 func (c *serverConnections) markStale() { c.idleStale, c.open = true, false }
 
 // idleTime returns the idle time, in seconds, of the connection that an attempt would reuse. reuse is false if no
-// connection to the server has been used before, or if other attempts are in flight there.
+// connection to the server has been used before, or if other attempts are in flight at the server.
 func (c *serverConnections) idleTime(othersInFlight int, now float64) (idle float64, reuse bool) {
 	if c.lastUsedAt == 0 || othersInFlight > 0 {
 		return 0, false
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -2,7 +2,7 @@
 
 const (
 	ejectionThreshold = 3   // consecutive failures that eject a server
-	minEjectionTime   = 1.0 // seconds; length of the first ejection after an answer; each further one is twice as long
+	minEjectionTime   = 1.0 // seconds; first ejection after an answer; each further ejection is twice as long
 	maxEjectionTime   = 8.0 // seconds; upper bound of the length of an ejection
 )
 
--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -2,7 +2,7 @@
 
 const (
 	unknownServerFactor = 1.4 // prior for servers without samples, as a multiple of the mean latency ratio
-	ownAttemptCost      = 2.0 // typical latencies; added to a server's time to go per attempt of this node in flight
+	ownAttemptCost      = 2.0 // in typical latencies; added to the time to go for each attempt of this node in flight
 	maxHintReduction    = 0.8 // a small work hint reduces an estimate by at most this fraction
 	crossZoneFactor     = 4.0 // estimates for other zones are multiplied by 1 + crossZoneFactor*Settings.CrossZoneCost
 )
@@ -78,7 +78,7 @@
 }
 
 // recordLatencyRatio adds a sample to the latency ratios. observed is the attempt's latency in seconds or, for a failed
-// attempt, the latency that is recorded in its place.
+// attempt, the latency that is recorded in place of a measured latency.
 func (b *Balancer) recordLatencyRatio(a *Attempt, observed, now float64) {
 	a.Server.latencyRatio.add(observed, a.expectedLatency, now, latencyRatioHalfLife)
 	b.fleetLatencyRatio.add(observed, a.expectedLatency, now, fleetRatioHalfLife)
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -12,8 +12,8 @@
 type hedgeBudget struct{ hedges decayingValue }
 
 // allows reports whether one more hedged request is within the limit. random is drawn from [0, 1). If the limit leaves
-// room for only a fraction of a request, a whole request is allowed with this fraction as the probability. If it were
-// always allowed, hundreds of nodes would send hundreds of hedged requests at once.
+// room for only a fraction of a request, a whole request is allowed with this fraction as the probability. If a whole
+// request were always allowed, hundreds of nodes would send hundreds of hedged requests at once.
 func (h *hedgeBudget) allows(limit, random, now float64) bool {
 	return h.hedges.read(now, hedgeHalfLife)+random <= limit
 }
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -88,10 +88,10 @@
 
 // EndpointWatchFailed watches the endpoint list again after a random wait. The wait grows with each failure, because
 // failures are a sign of an overloaded discovery service. If resetBackoff is set, the backoff restarts with the
-// shortest pause. The host sets resetBackoff if watch events had been arriving for a while, or if it made no call that
-// could fail. The random wait has an upper bound. The bound is at least minWait seconds, so that a fleet does not poll
-// a busy discovery service too soon, and at most maxWait seconds, because changes in the endpoint list must take effect
-// in time.
+// shortest pause. The host sets resetBackoff if watch events had been arriving for a while, or if the host has made no
+// call that could fail. The random wait has an upper bound. The bound is at least minWait seconds, so that a fleet does
+// not poll a busy discovery service too soon, and at most maxWait seconds, because changes in the endpoint list must
+// take effect in time.
 func (b *Balancer) EndpointWatchFailed(resetBackoff bool, minWait, maxWait float64) {
 	if resetBackoff {
 		b.watch.reset()
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -8,7 +8,7 @@
 
 // tenantQuota compares the rate of a tenant's RPCs at this node with this node's share of the tenant's quota.
 type tenantQuota struct {
-	rate     float64       // this node's share, in RPCs per second; 0: no quota
+	rate     float64       // this node's share of the quota, in RPCs per second; 0: no quota
 	arrivals decayingValue // decaying count of RPCs
 }
 
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -23,9 +23,9 @@
 	b.sendOrGiveUp(r, now)
 }
 
-// effectiveWeight returns the priority weight of an RPC, relative to the highest of all methods. The weight is
-// multiplied by overQuotaWeight if the RPC exceeds its tenant's quota. Quotas apply only at the tier to which clients
-// send.
+// effectiveWeight returns the priority weight of an RPC, relative to the highest priority weight of all methods. The
+// weight is multiplied by overQuotaWeight if the RPC exceeds its tenant's quota. Quotas apply only at the tier to which
+// clients send.
 func (b *Balancer) effectiveWeight(r *RPC, now float64) float64 {
 	weight := r.rules.relativeWeight
 	if b.innerTier || r.Tenant >= len(b.tenants) {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// mayRetry reports whether the RPC may have one more attempt, as a retry or as a hedge. Once an attempt may have run,
-// the result depends on the method's idempotency, so that no effect happens twice.
+// mayRetry reports whether the RPC may have one more attempt, as a retry or as a hedge. Once an attempt may have run, a
+// further attempt is allowed only if the method's idempotency ensures that no effect happens twice.
 func (b *Balancer) mayRetry(r *RPC, now float64) bool {
 	if r.inFlight > 0 && !b.hedging {
 		return false
@@ -106,7 +106,7 @@
 }
 
 // retryAfter returns the wait in seconds that a pushback advises: retryAfterShare * latency objective, at most
-// maxRetryAfter. If the RPC has been open for longer than retryAfterShare * latency objective, it returns
+// maxRetryAfter. If the RPC has been open for longer than retryAfterShare * latency objective, retryAfter returns
 // maxRetryAfter.
 func (b *Balancer) retryAfter(r *RPC) float64 {
 	wait := retryAfterShare * r.rules.LatencyObjective
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -16,7 +16,7 @@
 	now            float64
 	typical        float64 // seconds; the typical latency of the RPC's method
 	warmServerRate float64 // answers per second that a warm server gives this node
-	exploring      bool    // the attempt goes to a random server outside the subset, not to the best one
+	exploring      bool    // the attempt goes to a random server outside the subset, not to the best candidate
 	candidates     []candidate
 	lowest         float64 // seconds; the lowest time to go of all candidates
 	lowestLatency  float64 // seconds; the expected latency at the candidate with the lowest time to go
@@ -86,8 +86,9 @@
 	}
 }
 
-// consider adds a server to the candidates if it may get the attempt. If lastResort is set, this includes ejected
-// servers and servers that already had an attempt of the RPC: if all servers fail, the cause is probably not a server.
+// consider adds a server to the candidates if it may get the attempt. If lastResort is set, ejected servers and servers
+// that already had an attempt of the RPC may get the attempt, too: if all servers fail, the cause is probably not a
+// server.
 func (b *Balancer) consider(search *serverSearch, s *Server, lastResort bool) {
 	r, now := search.rpc, search.now
 	if s.state != Ready || !r.mayRunAt(s) {
@@ -112,7 +113,8 @@
 // rejectLate reports whether the attempt must not be sent because even the best candidate would answer too late: the
 // expected latency at this candidate exceeds lateTolerance * time left * admissionShare. Such an attempt would only
 // delay other RPCs. A few such attempts are sent nevertheless (sendLateProbability), because a recovery of the servers
-// would otherwise go unnoticed. Inner tiers send all of them, since a pushback would waste the work of the tiers above.
+// would otherwise go unnoticed. Nodes of inner tiers send all such attempts, since a pushback would waste the work of
+// the tiers above.
 func (b *Balancer) rejectLate(search *serverSearch) bool {
 	if b.innerTier || search.exploring {
 		return false
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -10,7 +10,8 @@
 	NonIdempotent                    // an RPC must run at most once
 )
 
-// DedupScope is the set of servers that drop duplicates of a deduplicated RPC which one of them has received.
+// DedupScope is a set of servers. Once one of these servers has received a deduplicated RPC, all of them drop
+// duplicates of the RPC.
 type DedupScope int
 
 // The scopes of deduplication.
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -53,8 +53,8 @@
 }
 
 // answered counts an answer as 1/fractions, where fractions is the sum of the capacity fractions of the servers in the
-// subset at the time of the answer. With a later sum, just after all servers were replaced, the answers of the old
-// servers would be attributed to the new servers.
+// subset at the time of the answer. If the sum were taken later, and all servers had been replaced since the answer,
+// the answers of the old servers would be attributed to the new servers.
 func (s *slowStart) answered(fractions, now float64) {
 	s.answers.add(1/max(fractions, 1), now, warmRateHalfLife)
 }
@@ -67,7 +67,7 @@
 
 // warmServerRate returns the highest recent rate at which a warm server answered this node, in answers per second, or
 // minRate if that is higher. The current rate alone is not used, since it may fall during an overload. Servers in slow
-// start would then be left idle although they could relieve the others.
+// start would then be left idle although they could relieve the overloaded servers.
 func (s *slowStart) warmServerRate(now float64) float64 {
 	s.bestRate.raiseTo(s.currentRate(now), now, bestRateHalfLife)
 	return max(s.bestRate.read(now, bestRateHalfLife), s.minRate)
--- a/decide/state.go
+++ b/decide/state.go
@@ -17,7 +17,7 @@
 	inSubset     bool       // the server is a member of Balancer.subset
 	inFlight     []*Attempt // attempts in flight at the server, oldest first
 	lastAnswerAt float64    // time of the last answer or rejection; 0: none
-	entries      []qEntry   // the server's entries in the Q-table, by row; nil: Balancer.servers does not contain it
+	entries      []qEntry   // the server's entries in the Q-table, by row; nil if the server is not in Balancer.servers
 	latencyRatio latencyRatio
 	load         serverLoad
 	outlier      outlierState
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	minSubsetSize       = 4   // servers: one may be ejected, and a retry needs another
+	minSubsetSize       = 4   // servers; one may be ejected, and a retry needs a further server
 	maxSubsetSize       = 128 // servers
 	serversPerAttempt   = 2.5 // servers added to minSubsetSize per attempt in flight; see subset.limit
 	concurrencyHalfLife = 5.0 // seconds; half-life of the mean number of attempts in flight
--- a/internal/core/node/invariants.go
+++ b/internal/core/node/invariants.go
@@ -20,8 +20,8 @@
 // the resolution of timers and for short delays of the process.
 const lateAnswerSlack = 150 * time.Millisecond
 
-// mayHaveRun returns whether the server may have executed an attempt: Begin has allowed the attempt, and its result
-// does not exclude an execution.
+// mayHaveRun returns whether the server may have executed an attempt: Begin has allowed the attempt, and the attempt's
+// result does not rule out that the server executed it.
 func (a *Attempt) mayHaveRun() bool { return a.begun && !a.neverRan }
 
 // firstPossibleRun returns the first attempt of an RPC that may have run. It ignores the attempt that is passed as
--- a/internal/core/node/starttimes.go
+++ b/internal/core/node/starttimes.go
@@ -36,7 +36,9 @@
 	latestStart   time.Time     // latest start time in all updates so far
 	updates       int           // number of updates observed
 	startObserved bool          // a server started and was first listed while this process watched the list
-	minAge        time.Duration // lowest age of such a server when it was first listed, by the wall clock
+	// minAge is a lower bound, from the wall clock, of the age at first listing of the servers that started and were
+	// first listed while this process watched the list.
+	minAge time.Duration
 }
 
 // observe corrects the estimated offset with the start times in an update. wall is the current wall-clock time.
--- a/internal/core/routes/table.go
+++ b/internal/core/routes/table.go
@@ -173,8 +173,7 @@
 	return nil
 }
 
-// setIfNil sets *target to a rule and returns nil, if *target is nil. Otherwise it returns *target and does not change
-// it.
+// If *target is nil, setIfNil sets it to c and returns nil. Otherwise it returns *target unchanged.
 func setIfNil(target **compiledRule, c *compiledRule) *compiledRule {
 	if *target != nil {
 		return *target
