--- a/internal/dataplane/frontend/accept.go
+++ b/internal/dataplane/frontend/accept.go
@@ -15,16 +15,15 @@
 	"robincart/internal/system/telemetry"
 )
 
-// maxWatchRetries is the largest number of retries when the registration of a connection with the poller fails with a
-// transient error.
+// maxWatchRetries limits how often the registration of a connection with the poller is retried after transient errors.
 const maxWatchRetries = 100
 
 // Serve starts a goroutine that accepts connections of HTTP clients until the listener is closed. Several listeners may
 // be served at once; Drain waits until the goroutines of all listeners have ended.
 func (s *Server) Serve(listener net.Listener) { s.ServeGateways(listener, nil) }
 
-// ServeGateways is like Serve, for a listener whose clients are gateways that speak FastCGI. If config is nil, the
-// clients speak HTTP.
+// ServeGateways is like Serve, but the clients of the listener are gateways that speak FastCGI. A nil config means that
+// the clients speak HTTP.
 func (s *Server) ServeGateways(listener net.Listener, config *Gateway) {
 	s.running.Add(1)
 	s.mu.Lock()
@@ -61,8 +60,8 @@
 			s.evictIdle()
 			time.Sleep(s.limits.AcceptRetryDelay)
 		default:
-			// A client closed its connection while it was in the listener's queue, or a resource is short for now. The
-			// listener itself still works.
+			// A client closed its connection while the connection was in the listener's queue, or a resource is short
+			// for now. The listener itself still works.
 			s.log.Warn("accept failed", zap.Error(err), advice(err))
 			time.Sleep(s.limits.AcceptRetryDelay)
 		}
@@ -79,8 +78,8 @@
 
 // drainListener accepts the connections in a listener's queue, then closes the listener. Closing the listener earlier
 // would reset these connections, and the requests that the kernel has received over them would be lost. drainListener
-// calls socket.Accept, since the listener's own Accept, once the listener's deadline has passed, fails even if a
-// connection is in the queue.
+// calls socket.Accept, because the listener's deadline has passed. After this deadline the listener's own Accept fails
+// even if a connection is in the queue.
 func (s *Server) drainListener(listener net.Listener, config *Gateway) {
 	for {
 		netConn, err := socket.Accept(listener)
@@ -120,8 +119,8 @@
 	}
 }
 
-// handleAccepted serves a new connection. While connections are transferred to a successor process, it sends a new HTTP
-// connection there instead.
+// handleAccepted serves a new connection. While connections are transferred to a successor process, handleAccepted
+// sends a new HTTP connection to that process instead, and serves the connection itself only if this fails.
 func (s *Server) handleAccepted(netConn net.Conn, config *Gateway) {
 	s.mu.Lock()
 	transfer := s.transfer
@@ -159,8 +158,8 @@
 	s.register(c)
 }
 
-// hasConnCapacity reports whether another client connection may be accepted. MaxClientConnections leaves one descriptor
-// for each request that can be active: the request needs it for a connection to a server.
+// hasConnCapacity reports whether another client connection may be accepted. MaxClientConnections reserves one
+// descriptor for each request that can be active, because each active request needs a connection to a server.
 func (s *Server) hasConnCapacity() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,7 +182,7 @@
 }
 
 // newConn returns a conn for a connection whose descriptor was already acquired from the budget. If the connection is
-// not a socket, newConn closes it, releases the descriptor and returns nil.
+// not a socket, newConn closes the connection, releases the descriptor and returns nil.
 func (s *Server) newConn(netConn net.Conn) *conn {
 	c := &conn{Conn: netConn, server: s, createdAt: s.clock()}
 	c.serving.firstRequest = true
@@ -212,8 +211,9 @@
 	}
 	s.suspend(c, stateIdle, s.initialTimeout(c))
 	s.mu.Unlock()
-	// The connection is already idle when the poller starts to watch it. Its first event may therefore be handled, and
-	// the connection closed, before the registration is stored below. In that case the registration is removed here.
+	// The connection is already idle when the poller starts to watch the connection. The first event may therefore be
+	// handled, and the connection closed, before the registration is stored below. In that case the registration is
+	// removed here.
 	registration, err := s.watch(c)
 	s.mu.Lock()
 	c.registration = registration
@@ -224,7 +224,7 @@
 		s.poller.Remove(&registration)
 	case err != nil:
 		s.log.Warn("watch connection failed", zap.Error(err), advice(err))
-		s.closeConns([]*conn{c}, telemetry.NotWatched) // serves a request that has already arrived
+		s.closeConns([]*conn{c}, telemetry.NotWatched) // a request that has already arrived is still served
 	}
 }
 
--- a/internal/dataplane/frontend/capacity.go
+++ b/internal/dataplane/frontend/capacity.go
@@ -61,7 +61,7 @@
 }
 
 // beginRequest counts a request as active until endRequest is called. It returns false if MaxRequests requests are
-// already active: the descriptors suffice for no more.
+// already active, because there are not enough descriptors for more.
 func (s *Server) beginRequest() bool {
 	if s.activeRequests.Add(1) <= int64(s.limits.MaxRequests) {
 		return true
@@ -72,8 +72,8 @@
 
 func (s *Server) endRequest() { s.activeRequests.Add(-1) }
 
-// markSlow counts a connection whose request arrives in pieces as slow. If too many connections are slow, markSlow
-// evicts one of them, possibly the given connection.
+// markSlow marks a connection as slow, because its request arrives in pieces. If too many connections are slow,
+// markSlow evicts one of them, possibly the given connection.
 func (s *Server) markSlow(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/frontend/client.go
+++ b/internal/dataplane/frontend/client.go
@@ -10,9 +10,9 @@
 	"robincart/internal/system/telemetry"
 )
 
-// watchClient registers an RPC that is notified when its client closes the connection or a gateway aborts the request.
-// watchClient notifies the RPC at once if the client has already closed the connection, or if a gateway has sent
-// further input, which may be an abort.
+// watchClient registers the RPC in flight. The RPC is notified when the client closes the connection, or when the
+// client is a gateway and aborts the request. watchClient notifies the RPC at once if the client has already closed the
+// connection, or if a gateway has sent further input, which may be an abort.
 func (c *conn) watchClient(rpc *node.RPC) {
 	c.shared.rpc.Store(rpc)
 	if c.shared.clientClosed.Load() || c.gateway != nil && c.server.takeReadable(c) {
@@ -28,10 +28,10 @@
 	}
 }
 
-// StillWaiting reports whether the client still waits for the response to a request. The poller also detects that a
-// client closes its connection, but when there are events on many connections, the poller may be late. The goroutine
-// that serves the request may be late as well. StillWaiting asks the kernel only if the kernel's last answer is older
-// than ClientCheckInterval.
+// StillWaiting reports whether the client still waits for the response to a request. StillWaiting asks the kernel,
+// unless the kernel's last answer is more recent than ClientCheckInterval. It does not rely on the poller, because the
+// poller may report a close late when there are events on many connections. The goroutine that serves the request may
+// also handle a close late.
 func (c *conn) StillWaiting(request *httpwire.Request) bool {
 	if c.gateway == nil {
 		return c.checkClient()
@@ -64,8 +64,9 @@
 	return true
 }
 
-// setOutstanding sets the request of a gateway that is in flight; nil: none. Attempts for that request may check the
-// input after the request for an abort. For a client that speaks HTTP, setOutstanding does nothing.
+// setOutstanding records the request that a gateway has in flight. A nil request means that no request is in flight.
+// Attempts for the recorded request may look for an abort in the input that follows the request. For a client that
+// speaks HTTP, setOutstanding does nothing.
 func (c *conn) setOutstanding(request *httpwire.Request) {
 	if c.gateway == nil {
 		return
@@ -94,8 +95,8 @@
 }
 
 // finishAborted ends a request whose client has closed the connection or aborted the request. It returns whether the
-// connection can be used again. This is possible only after an abort: a gateway keeps its connection open after it has
-// aborted a request.
+// connection can be used again. The connection can be used again only after an abort, since a gateway keeps its
+// connection open after it has aborted a request.
 func (c *conn) finishAborted(request *httpwire.Request) bool {
 	c.serving.closeReason = telemetry.PeerClosed
 	c.state.set(stateReading)
--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -37,20 +37,20 @@
 // sharedStatus is the part of a connection that any goroutine may use at any time.
 type sharedStatus struct {
 	rpc          atomic.Pointer[node.RPC] // the RPC in flight; nil: none, or notifyClientGone was already called
-	checkedAt    atomic.Int64             // when the kernel last told whether the client has closed; nanoseconds
+	checkedAt    atomic.Int64             // time of the kernel's last answer whether the client has closed; ns
 	clientClosed atomic.Bool              // the client has closed its side of the connection
-	readCanceled atomic.Bool              // a read was canceled: its deadline must not be extended
+	readCanceled atomic.Bool              // a read was canceled: the read deadline must not be extended
 }
 
 // servingStatus is the part of a conn that only the goroutine that serves the connection may use. While no goroutine
 // serves the connection, the server's mutex guards this part.
 type servingStatus struct {
 	reader        *httpwire.Reader // nil: no goroutine serves the connection
-	arrivedAt     time.Duration    // when the bytes to read next, or a new connection, arrived; 0: unknown
+	arrivedAt     time.Duration    // when the next bytes to read, or the new connection, arrived; 0: unknown
 	requestStart  time.Duration    // when the request that is being read began
 	lastReadAt    time.Duration
 	deadlineSetAt time.Duration    // when the read deadline was set
-	deadlineBytes int              // bytes of the request that were read when its deadline was set
+	deadlineBytes int              // bytes of the request that had been read at deadlineSetAt
 	readCount     uint32           // reads that returned bytes
 	deadlineSet   bool             // a read deadline is set, since the request arrives in pieces
 	nonblocking   bool             // the next read must not block
@@ -67,7 +67,7 @@
 	member        admission.Member
 	timer         timingwheel.Timer // set while the connection is closable
 	idleSince     time.Duration
-	list          *connList // contains the connection; nil: none
+	list          *connList // the list that contains the connection; nil: none
 	older, newer  *conn     // neighbors in the list
 	readableAt    time.Duration
 	lingerBytes   int  // bytes that may still be discarded while the connection lingers
@@ -119,7 +119,8 @@
 	return c.server.afterResponse(c)
 }
 
-// finish closes the connection. If lingerOnClose is set, finish starts a linger instead, which ends with the close.
+// finish closes the connection. If lingerOnClose is set, finish instead changes the connection to stateLingering. The
+// connection is then closed when the linger ends.
 func (c *conn) finish() {
 	if c.serving.lingerOnClose && c.server.startLinger(c) {
 		return
--- a/internal/dataplane/frontend/drain.go
+++ b/internal/dataplane/frontend/drain.go
@@ -89,8 +89,8 @@
 
 // forceClose closes the remaining connections. Connections with a pending response are closed only after
 // ClientWriteTimeout, since on a busy machine the last responses may take long. If the process is killed during this
-// wait, no more responses are lost than if all connections had been closed at once. A client that does not read its
-// response has ClientWriteTimeout for it, as for any response.
+// wait, no more responses are lost than if all connections had been closed at once. The writing of any response, also
+// to a client that does not read, is limited to ClientWriteTimeout.
 func (s *Server) forceClose(drained <-chan struct{}) {
 	s.forceCloseConns(func(c *conn) bool { return !c.state.load().responsePending() })
 	select {
@@ -125,8 +125,8 @@
 // closesConns reports whether each response closes its connection.
 func (s *Server) closesConns() bool { return s.stopping.Load() || s.lameDuck.Load() }
 
-// closableConns returns the connections in a closable state: no goroutine serves them or is about to. The caller must
-// hold s.mu.
+// closableConns returns the connections in a closable state. No goroutine serves these connections or is about to serve
+// them. The caller must hold s.mu.
 func (s *Server) closableConns() []*conn {
 	var closable []*conn
 	for c := range s.conns {
@@ -138,8 +138,9 @@
 }
 
 // drainableConns returns the connections to close now. It excludes connections that are younger than EvictableAfter and
-// have had no request: the first request may be on its way, and would be lost. drainableConns sets the timers of the
-// excluded connections, which close them at the age EvictableAfter. The caller must hold s.mu.
+// have had no request, because their first request may be on its way and would be lost. drainableConns sets the timers
+// of the excluded connections, so that these connections are closed at the age EvictableAfter. The caller must hold
+// s.mu.
 func (s *Server) drainableConns() []*conn {
 	var drainable []*conn
 	for _, c := range s.closableConns() {
--- a/internal/dataplane/frontend/evict.go
+++ b/internal/dataplane/frontend/evict.go
@@ -17,8 +17,8 @@
 
 // evictIdle evicts idle connections to make room for new connections. The clients of evicted connections reconnect when
 // they need to. Hundreds of clients may connect and send nothing, send half a request, or probe readiness and stay
-// connected. Their connections may precede that of a normal client in the listener's queue, so all candidates are
-// evicted at once.
+// connected. Many such connections may be ahead of a normal client's connection in the listener's queue. All candidates
+// are therefore evicted at once.
 func (s *Server) evictIdle() {
 	now := s.clock()
 	var closable []*conn
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -13,9 +13,10 @@
 	"robincart/internal/system/socket"
 )
 
-// Gateway configures a listener for gateways that speak FastCGI. If a gateway can't send a header of the protocol in
-// the param that CGI defines for that header, it may send the header in a param of another name, which is configured
-// here. Some headers have a default value.
+// Gateway configures a listener for gateways that speak FastCGI. A gateway sends the headers of an HTTP request as
+// FastCGI params. CGI defines the name of the param for each header. If a gateway can't use the name that CGI defines,
+// the name of another param can be configured here. For some headers there is a default value, which is used if the
+// gateway does not send the header.
 type Gateway struct {
 	// Names of params that take precedence over the params that CGI defines; empty: only the param of CGI is used.
 	TraceParam, MethodParam, TenantParam, IdempotencyKeyParam, TimeLeftParam string
@@ -23,7 +24,7 @@
 	DefaultTenant      string // for requests without a tenant
 	DefaultTimeLeft    time.Duration
 	Overloaded         bool // a 503 is sent as END_REQUEST with OVERLOADED, for gateways that then try another node
-	AdvertisedRequests int  // limit of requests that the response to FCGI_GET_VALUES contains
+	AdvertisedRequests int  // limit of requests that is stated in the response to FCGI_GET_VALUES
 }
 
 // gateway translates between a client that speaks FastCGI and a connection that serves HTTP/1.1. The connection reads
@@ -32,7 +33,7 @@
 // request is rejected.
 //
 // The goroutine that serves the connection owns the fields. While a request is in flight, attempts in other goroutines
-// may check the input after the request for an abort. These goroutines must hold mu.
+// may check the input after the request for an abort. These attempts must hold mu.
 type gateway struct {
 	conn        *conn
 	config      *Gateway
@@ -88,8 +89,8 @@
 // recordSource is the io.Reader from which a gateway's records are read.
 type recordSource gateway
 
-// Read blocks only if a request or a record has begun. It then sets a read deadline, since a client that sends half a
-// record would otherwise hold its capacity forever.
+// Read blocks only if a request or a record has begun. In that case it sets a read deadline, since a client that sends
+// half a record would otherwise hold its capacity forever.
 func (r *recordSource) Read(to []byte) (int, error) {
 	g := (*gateway)(r)
 	c := g.conn
@@ -119,8 +120,8 @@
 	g.records.Init((*recordSource)(g), *g.buffer)
 }
 
-// releaseBuffers releases the buffers between two requests. If the buffers contain a part of the next request, it keeps
-// them and returns false.
+// releaseBuffers is called after a request has been served, and releases the buffers. If the buffers already contain a
+// part of the next request, releaseBuffers keeps them and returns false.
 func (g *gateway) releaseBuffers() bool {
 	if g.buffer == nil {
 		return true
@@ -258,7 +259,7 @@
 	if g.complete {
 		return nil
 	}
-	// The goroutine that reads the body must not wait for the rest.
+	// The goroutine that reads the body must not wait for the rest of the body.
 	g.conn.notifyClientGone()
 	return errClientClosed
 }
@@ -266,15 +267,15 @@
 // stillWaitingAfterInput is called when input has arrived while a request is in flight. It reports whether the gateway
 // still waits for the response. The caller must hold g.mu.
 func (g *gateway) stillWaitingAfterInput(request *httpwire.Request) bool {
-	if request.BodyStream != nil && !request.BodyStream.Complete() { // the reader of the body finds an abort
+	if request.BodyStream != nil && !request.BodyStream.Complete() { // the goroutine that reads the body finds an abort
 		return !g.aborted.Load() && !g.conn.shared.clientClosed.Load()
 	}
 	return g.peek()
 }
 
 // stillWaiting reports whether the gateway still waits for the response to the request in flight. An attempt calls
-// stillWaiting right before sending the request. If the body is still arriving, the attempt has claimed the body
-// before. recent is true if the kernel's last answer is more recent than ClientCheckInterval; the kernel is then not
+// stillWaiting right before sending the request. If the body is still arriving, the attempt has claimed the body before
+// that call. recent is true if the kernel's last answer is more recent than ClientCheckInterval; the kernel is then not
 // asked again. Buffered input is always checked, since it may extend beyond the end of the request. The caller must
 // hold g.mu.
 func (g *gateway) stillWaiting(recent bool) bool {
--- a/internal/dataplane/frontend/gatewayparams.go
+++ b/internal/dataplane/frontend/gatewayparams.go
@@ -35,7 +35,7 @@
 	"HTTP_CONTENT_TYPE":      true,
 }
 
-// knownField is a header of the protocol, and the param that CGI defines for that header.
+// knownField is an HTTP header that the node uses, and the name of the param that CGI defines for that header.
 type knownField struct{ header, param string }
 
 var knownFields = [...]knownField{
@@ -48,8 +48,8 @@
 	{"Content-Type", "CONTENT_TYPE"},
 }
 
-// customParam returns the configured param that takes precedence over the CGI param of a known field; empty: none.
-// field is the index in knownFields.
+// customParam returns the name of the configured param that takes precedence over the CGI param of a known field;
+// empty: none. field is the index in knownFields.
 func (g *Gateway) customParam(field int) string {
 	custom := [len(knownFields)]string{
 		g.TraceParam, g.MethodParam, g.TenantParam, g.IdempotencyKeyParam, g.TimeLeftParam,
@@ -245,7 +245,7 @@
 // defaultValue returns the default value of a known field that the gateway has not sent; nil: there is no default.
 func (g *gateway) defaultValue(header string, defaultMethod []byte) []byte {
 	switch header {
-	case httpwire.HeaderTraceID: // without IDs a gateway can't send a duplicate with the same ID, either
+	case httpwire.HeaderTraceID: // a random ID suffices, since a gateway without IDs can't send a duplicate ID
 		return fmt.Appendf(nil, "%016x%016x", rand.Uint64(), rand.Uint64())
 	case httpwire.HeaderMethod:
 		return defaultMethod
--- a/internal/dataplane/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// handleEvent wakes an idle connection. If a goroutine serves the connection or is about to, handleEvent records the
-// event for that goroutine. It returns the state that the connection had before.
+// handleEvent wakes an idle connection. If a goroutine serves the connection or is about to serve it, handleEvent
+// records the event for that goroutine. It returns the state that the connection had before.
 func (s *Server) handleEvent(c *conn) connState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +59,8 @@
 	now := s.clock()
 	c.managed.readable = false
 	c.serving.queueTimeout = false
-	// A new connection keeps the time of its accept: the input may have arrived while it waited for a descriptor.
+	// A new connection keeps the time of its accept, because the input may have arrived while the connection waited for
+	// a descriptor.
 	if !c.serving.firstRequest || now-c.createdAt >= s.limits.FinalReadWindow {
 		c.serving.arrivedAt = now
 	}
@@ -175,8 +176,8 @@
 	return telemetry.NoReason
 }
 
-// transferOf returns the function that sends a connection to another process between two requests, or nil if the
-// connection stays. The caller must hold s.mu.
+// transferOf returns the function that sends a connection to another process after a request has been served. It
+// returns nil if the connection stays in this process. The caller must hold s.mu.
 func (s *Server) transferOf(c *conn) TransferFunc {
 	if c.managed.evicted || c.serving.lastResponse || c.gateway != nil {
 		return nil
@@ -184,8 +185,8 @@
 	return s.transfer
 }
 
-// takeArrivalTime sets arrivedAt, the arrival time of the bytes to read next, to the time of the recorded event, or to
-// 0 if no event was recorded. It then clears the recorded event. The caller must hold s.mu.
+// takeArrivalTime sets arrivedAt to the time of the recorded event, or to 0 if no event was recorded. It then clears
+// the recorded event. The caller must hold s.mu.
 func (c *conn) takeArrivalTime() {
 	c.serving.arrivedAt = 0
 	if c.managed.readable {
--- a/internal/dataplane/frontend/linger.go
+++ b/internal/dataplane/frontend/linger.go
@@ -14,9 +14,9 @@
 	return &buffer
 }}
 
-// startLinger shuts down the sending side of a connection and discards further input. A close with unread bytes would
-// reset the connection, and the last response would be lost. A lingering connection uses neither capacity nor a
-// goroutine. startLinger returns false if the connection must be closed at once.
+// startLinger shuts down the sending side of a connection and discards further input. This is needed because a close
+// with unread bytes would reset the connection, and the last response would be lost. A lingering connection uses
+// neither capacity nor a goroutine. startLinger returns false if the connection must be closed at once.
 func (s *Server) startLinger(c *conn) bool {
 	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || halfCloser.CloseWrite() != nil {
--- a/internal/dataplane/frontend/methods.go
+++ b/internal/dataplane/frontend/methods.go
@@ -21,8 +21,8 @@
 	streamed    *atomic.Bool // the last response was streamed; the next request then counts as streamed from its start
 }
 
-// formerIdempotency is an idempotency that a method had before. Until the time validUntil, a request may still have the
-// form that this former idempotency requires.
+// formerIdempotency is an earlier idempotency setting of a method. A request that is valid under this earlier setting
+// is still accepted until the time validUntil.
 type formerIdempotency struct {
 	idempotency decide.Idempotency
 	validUntil  time.Duration
@@ -69,8 +69,8 @@
 
 func (t *tenant) validAt(now time.Duration) bool { return t.validUntil == 0 || now <= t.validUntil }
 
-// keepFormerMethods adds the methods, and the idempotencies of methods, that the previous version of the service
-// accepted. It does not add methods and idempotencies that have expired.
+// keepFormerMethods makes the service also accept the methods of the previous version of the service, and the
+// idempotency settings that these methods had. It leaves out methods and idempotency settings that have expired.
 func (s *Service) keepFormerMethods(before map[string]method, now, until time.Duration) {
 	for name, formerMethod := range before {
 		if !formerMethod.validAt(now) {
@@ -111,7 +111,8 @@
 }
 
 // check returns the method that a request names and the slot of the tenant that the request names, or the response that
-// rejects the request. The status of this response is never 429 or 503, which would promise that a retry helps.
+// rejects the request. The status of this response is never 429 or 503, because these would tell the client that a
+// retry may succeed.
 func (s *Service) check(
 	request *httpwire.Request, l *limits.Limits, now time.Duration,
 ) (method, int, *httpwire.ClientResponse) {
@@ -147,8 +148,8 @@
 	return request.HasTimeLeft && request.TimeLeft <= l.MaxTimeLeft
 }
 
-// checkForm returns 0 if a request has the form that the method's current idempotency or an unexpired former
-// idempotency requires. Otherwise it returns the status code of the rejection.
+// checkForm returns 0 if the request's verb, key and body are valid under the method's current idempotency setting, or
+// under an earlier setting that has not expired. Otherwise it returns the status code to reject the request with.
 func (m *method) checkForm(request *httpwire.Request, now time.Duration) int {
 	fitsFormer := func(f formerIdempotency) bool {
 		return now < f.validUntil && checkIdempotency(f.idempotency, request) == 0
@@ -159,8 +160,8 @@
 	return checkIdempotency(m.idempotency, request)
 }
 
-// checkIdempotency returns 0 if a request has the form that an idempotency requires. Otherwise it returns the status
-// code of the rejection.
+// checkIdempotency returns 0 if the request's verb, key and body are valid under the given idempotency setting.
+// Otherwise it returns the status code to reject the request with.
 func checkIdempotency(i decide.Idempotency, request *httpwire.Request) int {
 	switch {
 	case request.Verb != verbOf(i):
--- a/internal/dataplane/frontend/read.go
+++ b/internal/dataplane/frontend/read.go
@@ -26,7 +26,8 @@
 	deadlineTimeStep = 100 * time.Millisecond
 )
 
-// Read is called by the reader of requests. For a gateway it returns the input translated to HTTP/1.1.
+// Read returns input from the client. The reader of requests calls it. For a gateway, Read returns the input translated
+// to HTTP/1.1.
 func (c *conn) Read(to []byte) (int, error) {
 	if c.gateway != nil {
 		return c.gateway.Read(to)
@@ -35,7 +36,7 @@
 }
 
 // readRaw reads bytes from the client, and retries while the kernel is short of memory. It does not block for the first
-// bytes of a request: they have already arrived, or an earlier read has taken them.
+// bytes of a request, because these bytes have already arrived, or an earlier read has taken them.
 func (c *conn) readRaw(to []byte) (int, error) {
 	n, err := c.readOnce(to)
 	if err != nil && err != errNoInput && socket.Classify(err) == socket.Memory {
@@ -130,8 +131,8 @@
 	}
 }
 
-// completeRead is called when no more of a request is to be read. It clears the read deadline and the mark as slow that
-// Progress has set.
+// completeRead is called when no more of a request is to be read. If Progress has set a read deadline and marked the
+// connection as slow, completeRead undoes both.
 func (c *conn) completeRead() {
 	if !c.serving.deadlineSet {
 		return
@@ -191,7 +192,7 @@
 }
 
 // readErrorResponse returns the response to a read error and the reason for which the connection is closed. The
-// response is nil if none is to be written.
+// response is nil if nothing is to be written to the client.
 func (c *conn) readErrorResponse(err error) (*httpwire.ClientResponse, telemetry.Reason) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		if c.server.wasEvictedAsSlow(c) {
--- a/internal/dataplane/frontend/request.go
+++ b/internal/dataplane/frontend/request.go
@@ -17,8 +17,8 @@
 	tenant  int // slot of the tenant
 
 	// sentAt is the time, by the cores' clock, at which the client sent the last byte of the request, as far as this
-	// time is known. If the body is streamed, the last byte that was read with the head counts. The client's deadline
-	// is sentAt + TimeLeft.
+	// time is known. If the body is streamed, sentAt refers to the last byte that was read together with the head. The
+	// client's deadline is sentAt + TimeLeft.
 	sentAt time.Duration
 
 	rpc     *node.RPC
@@ -32,7 +32,7 @@
 	active           bool // counted as an active request
 	streamed         bool // counted as a streamed request
 	lease            Lease
-	responseReserved int // bytes of the response's memory
+	responseReserved int // bytes of memory that are reserved for the response
 }
 
 // rejection is a response that the node gives without an attempt. If the response is nil, the request is not rejected.
@@ -78,8 +78,8 @@
 	return c.respond(x.request, response)
 }
 
-// read reads the request and sets sentAt. The client's deadline counts from the time at which the client sent the last
-// byte: sending may take seconds, and the bytes may have waited on this node before they were read.
+// read reads the request and sets sentAt. The client's deadline is relative to the time at which the client sent the
+// last byte: sending may take seconds, and the bytes may have waited on this node before they were read.
 func (x *exchange) read() error {
 	c := x.conn
 	c.serving.requestStart = c.server.clock()
--- a/internal/dataplane/frontend/requestids.go
+++ b/internal/dataplane/frontend/requestids.go
@@ -10,9 +10,9 @@
 )
 
 // requestIDs remembers the hashes of the IDs of requests that are in flight or have ended recently. A client uses a new
-// ID for each request, so a request with a known ID is a duplicate that another client sent. If the duplicate were
-// forwarded, one server after another would reject it, since the servers know the ID. Healthy servers would then count
-// as failing.
+// ID for each of its requests. A request with a known ID therefore comes from another client, and is rejected as a
+// duplicate. If the duplicate were forwarded, one server after another would reject it, since the servers know the ID.
+// Healthy servers would then count as failing.
 //
 // The hashes of ended requests are kept in two generations. When the recent generation is full or has reached the age
 // ttl, the older generation is dropped, and the recent one takes its place.
@@ -100,7 +100,8 @@
 	return exported
 }
 
-// importAll adds the hashes that another process exported. They count as hashes of requests that end now.
+// importAll adds the hashes that another process exported. The imported hashes are treated as hashes of requests that
+// end now.
 func (r *requestIDs) importAll(exported []byte, now time.Duration) {
 	for ; len(exported) >= hashBytes; exported = exported[hashBytes:] {
 		r.end(binary.BigEndian.Uint64(exported), now)
--- a/internal/dataplane/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -76,7 +76,8 @@
 	admission *admission.Controller
 	transfer  TransferFunc // sends connections to another process between requests; nil: connections stay
 
-	// Connections that may be evicted, each list in the order in which its connections became idle:
+	// Lists of the connections that may be evicted. Unless a comment says otherwise, the connections are in the order
+	// in which they became idle:
 	withoutRequest connList // without a request so far; in the order in which they were accepted
 	idle           connList // with requests, of which the last was not rejected
 	rejected       connList // with requests, of which the last was rejected
--- a/internal/dataplane/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -10,7 +10,7 @@
 // Quota is a service's share of the resources that all services use.
 type Quota interface {
 	// Acquire returns a lease for a request. tenant is the slot of the request's tenant, and body is the size of the
-	// request's body in bytes. If ok is false, there is no lease, and the client may retry after the time wait.
+	// request's body in bytes. If ok is false, no lease was granted, and the client may retry after the duration wait.
 	Acquire(tenant, body int) (lease Lease, wait time.Duration, ok bool)
 }
 
@@ -54,13 +54,14 @@
 	return s
 }
 
-// KeepFormerSettings makes the service also accept, until the time until, the methods and tenants that the previous
-// version of the service accepted. If the idempotency of a method has changed, a request may have the old or the new
-// form. Clients learn of new settings later than the node.
+// KeepFormerSettings makes the service also accept the methods and tenants that the previous version of the service
+// accepted. They expire at the time that is given as until. If the idempotency setting of a method has changed, a
+// request may be valid under the old or the new setting. Former settings are kept because clients learn of new settings
+// later than the node.
 //
-// If the previous version itself still accepted names or forms of earlier settings, these expire when they would have
-// expired in the previous version. This is needed because settings may change again before clients have learned of the
-// last change.
+// If the previous version itself still accepted methods, tenants or idempotency settings from earlier versions, their
+// expiry times stay the same. They are kept because settings may change again before clients have learned of the last
+// change.
 func (s *Service) KeepFormerSettings(before *Service, now, until time.Duration) *Service {
 	s.keepFormerMethods(before.methods, now, until)
 	s.keepFormerTenants(before.tenants, now, until)
--- a/internal/dataplane/frontend/table.go
+++ b/internal/dataplane/frontend/table.go
@@ -4,7 +4,7 @@
 
 // Table is one version of the services that the node serves.
 type Table struct {
-	// Only is the service of all requests, for any host and path, if Find is nil.
+	// Only is used if Find is nil. It is then the service of all requests, for any host and path.
 	Only *Service
 	// Find returns the service of a request, or the response to a request that belongs to no service.
 	Find func(*httpwire.Request) (*Service, *httpwire.ClientResponse)
--- a/internal/dataplane/frontend/transfer.go
+++ b/internal/dataplane/frontend/transfer.go
@@ -11,8 +11,8 @@
 type TransferFunc func(netConn net.Conn, hasRequested bool) error
 
 // TransferTo sends connections to another process from now on: idle connections at once, and other connections after
-// their next response. If transfer is nil, connections stay in this process again. Clients do not notice the transfer:
-// the bytes that they send next are in the socket, which both processes hold.
+// their next response. If transfer is nil, connections are no longer sent to another process. Clients do not notice a
+// transfer, because the bytes that they send next arrive in the socket, which both processes hold.
 func (s *Server) TransferTo(transfer TransferFunc) {
 	for _, c := range s.beginTransfer(transfer) {
 		if !s.transferConn(c, transfer) {
@@ -61,7 +61,8 @@
 	}
 }
 
-// stopTransfer keeps connections in this process again, since the other process is gone.
+// stopTransfer stops sending connections to the other process, because that process is gone. From now on this process
+// serves its connections itself.
 func (s *Server) stopTransfer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/frontend/write.go
+++ b/internal/dataplane/frontend/write.go
@@ -104,8 +104,8 @@
 	return socket.WriteBuffers(c.Conn, &remaining) == nil
 }
 
-// writeNow writes as much as the kernel accepts at once, and returns the number of bytes. It ignores an error, which
-// recurs in the write that follows.
+// writeNow writes as much as the kernel accepts at once, and returns the number of bytes. It ignores an error, because
+// the error recurs in the write that follows.
 func (c *conn) writeNow(message []byte) int {
 	n := 0
 	c.raw.Write(func(fd uintptr) bool {
