--- a/internal/dataplane/frontend/drain.go
+++ b/internal/dataplane/frontend/drain.go
@@ -89,8 +89,8 @@
 
 // forceClose closes the remaining connections. Connections with a pending response are closed only after
 // ClientWriteTimeout, since on a busy machine the last responses may take long. If the process is killed during this
-// wait, no more responses are lost than if all connections had been closed at once. The writing of any response, also
-// to a client that does not read, is limited to ClientWriteTimeout.
+// wait, no more responses are lost than if all connections had been closed at once. A client that does not read its
+// response gets no extra time, since the write of any response is limited to ClientWriteTimeout.
 func (s *Server) forceClose(drained <-chan struct{}) {
 	s.forceCloseConns(func(c *conn) bool { return !c.state.load().responsePending() })
 	select {
--- a/internal/dataplane/frontend/eviction_test.go
+++ b/internal/dataplane/frontend/eviction_test.go
@@ -51,7 +51,7 @@
 	return l.Listener.Accept()
 }
 
-// The descriptors of the process are exhausted, no matter why. The server must then evict an idle connection to accept
+// The descriptors of the process are exhausted, for any reason. The server must then evict an idle connection to accept
 // a new connection, and must not evict a connection in use.
 func TestServer_EvictsWhenDescriptorsExhausted(t *testing.T) {
 	l := testLimits()
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -259,7 +259,7 @@
 	if g.complete {
 		return nil
 	}
-	// The goroutine that reads the body must not wait for the rest of the body.
+	// Make the goroutine that reads the body stop: it must not wait for the rest of the body.
 	g.conn.notifyClientGone()
 	return errClientClosed
 }
--- a/internal/dataplane/frontend/idle.go
+++ b/internal/dataplane/frontend/idle.go
@@ -176,8 +176,8 @@
 	return telemetry.NoReason
 }
 
-// transferOf returns the function that sends a connection to another process after a request has been served. It
-// returns nil if the connection stays in this process. The caller must hold s.mu.
+// transferOf is called after a request has been served. It returns the function that sends the connection to another
+// process, or nil if the connection stays in this process. The caller must hold s.mu.
 func (s *Server) transferOf(c *conn) TransferFunc {
 	if c.managed.evicted || c.serving.lastResponse || c.gateway != nil {
 		return nil
--- a/internal/dataplane/frontend/methods_test.go
+++ b/internal/dataplane/frontend/methods_test.go
@@ -14,7 +14,7 @@
 	"robincart/internal/resources/limits"
 )
 
-// requestOf returns a request of the method "a" in the form that the given idempotency requires.
+// requestOf returns a request of the method "a" that is valid under the given idempotency setting.
 func requestOf(i decide.Idempotency) *httpwire.Request {
 	request := &httpwire.Request{Verb: "POST", Path: "/a", Method: "a", TraceID: "id", HasTimeLeft: true}
 	switch i {
@@ -40,8 +40,8 @@
 	return 200
 }
 
-// Clients learn of new settings later than the node. Until clients have learned of them, the node accepts requests in
-// the old and in the new form.
+// Clients learn of new settings later than the node. Until clients have learned of the new settings, the node accepts
+// requests that are valid under the old or the new settings.
 func TestKeepFormer_IdempotencyChanges(t *testing.T) {
 	idempotencies := []decide.Idempotency{decide.Idempotent, decide.Deduplicated, decide.NonIdempotent}
 	for _, old := range idempotencies {
--- a/internal/dataplane/frontend/orders.go
+++ b/internal/dataplane/frontend/orders.go
@@ -117,9 +117,9 @@
 	x.service.attempts.Start(attempt, x.request)
 }
 
-// servedResponse returns the client's response, which forwards a server's response. servedResponse also records in the
-// method whether the response is streamed. If the response is streamed, the method's next requests count as streamed
-// from their start.
+// servedResponse returns the response to the client, which is built from a server's response. servedResponse also
+// records in the method whether the response is streamed. If the response is streamed, the method's next requests count
+// as streamed from their start.
 func (x *exchange) servedResponse(served *node.Response) *httpwire.ClientResponse {
 	response := &httpwire.ClientResponse{
 		Status:      200,
--- a/internal/dataplane/frontend/request.go
+++ b/internal/dataplane/frontend/request.go
@@ -79,7 +79,7 @@
 }
 
 // read reads the request and sets sentAt. The client's deadline is relative to the time at which the client sent the
-// last byte: sending may take seconds, and the bytes may have waited on this node before they were read.
+// last byte, because sending may take seconds, and the bytes may have waited on this node before they were read.
 func (x *exchange) read() error {
 	c := x.conn
 	c.serving.requestStart = c.server.clock()
--- a/internal/dataplane/frontend/requestids.go
+++ b/internal/dataplane/frontend/requestids.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// begin records that a request with an ID is in flight, and returns the hash of the ID, which end takes. It returns
-// false if the ID is already known.
+// begin records that a request with an ID is in flight, and returns the hash of the ID. The caller passes this hash to
+// end. begin returns false if the ID is already known.
 func (r *requestIDs) begin(id string) (uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/dataplane/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -149,10 +149,12 @@
 // RequestIDSeed returns the seed that request IDs are hashed with.
 func (s *Server) RequestIDSeed() uint64 { return s.requestIDs.seed }
 
-// SetRequestIDSeed sets the seed to that of another process. It must be called before anything is served.
+// SetRequestIDSeed sets the seed that request IDs are hashed with to the seed of another process. It must be called
+// before anything is served.
 func (s *Server) SetRequestIDSeed(seed uint64) { s.requestIDs.setSeed(seed) }
 
-// ExportRequestIDs returns the hashes of the IDs that are or recently were in use, for the process that takes over.
+// ExportRequestIDs returns the hashes of the request IDs that are in use or were used recently. The successor process
+// imports them.
 func (s *Server) ExportRequestIDs() []byte { return s.requestIDs.export() }
 
 // ImportRequestIDs adds the IDs that another process exported. A request with one of these IDs is rejected as a
--- a/internal/dataplane/frontend/server_test.go
+++ b/internal/dataplane/frontend/server_test.go
@@ -140,10 +140,10 @@
 	assert.Empty(t, core.arrived)
 }
 
-// streamedBody is the body of a large response without its first part.
+// streamedBody is the rest of a large response body, after the first part has been read.
 type streamedBody struct {
 	io.Reader
-	closed chan bool // receives whether the response was forwarded to its end
+	closed chan bool // receives true if the response was forwarded completely, otherwise false
 }
 
 func (s streamedBody) Remaining() int64 { return 1 << 24 }
@@ -208,7 +208,9 @@
 	listener := newListener(t)
 	defer listener.Close()
 	dial(t, listener.Addr().String())
-	raw, err := socket.Accept(listener) // like connections in the queue of a closing listener, or from another process
+	// The server also gets connections that are not accepted by the listener's own Accept: drainListener accepts them
+	// with socket.Accept, or another process hands them over. The connection raw stands for both kinds.
+	raw, err := socket.Accept(listener)
 	require.NoError(t, err)
 	require.NotNil(t, raw)
 	server.Adopt(raw, true)
--- a/internal/dataplane/frontend/service.go
+++ b/internal/dataplane/frontend/service.go
@@ -55,13 +55,13 @@
 }
 
 // KeepFormerSettings makes the service also accept the methods and tenants that the previous version of the service
-// accepted. They expire at the time that is given as until. If the idempotency setting of a method has changed, a
-// request may be valid under the old or the new setting. Former settings are kept because clients learn of new settings
-// later than the node.
+// accepted. These former methods and tenants expire at the time that the parameter until gives. If the idempotency
+// setting of a method has changed, a request may be valid under the old or the new setting. Former settings are kept
+// because clients learn of new settings later than the node.
 //
-// If the previous version itself still accepted methods, tenants or idempotency settings from earlier versions, their
-// expiry times stay the same. They are kept because settings may change again before clients have learned of the last
-// change.
+// If the previous version itself still accepted methods, tenants or idempotency settings from earlier versions, the
+// service also accepts these, and their expiry times stay the same. This is needed because settings may change again
+// before clients have learned of the last change.
 func (s *Service) KeepFormerSettings(before *Service, now, until time.Duration) *Service {
 	s.keepFormerMethods(before.methods, now, until)
 	s.keepFormerTenants(before.tenants, now, until)
--- a/internal/dataplane/frontend/shutdown_test.go
+++ b/internal/dataplane/frontend/shutdown_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// A request arrives on a connection that the server has already chosen to close, and the event of that request is not
-// handled yet.
+// The server has already chosen to close a connection when a request arrives on that connection. The event of the
+// request is not handled yet.
 func TestServer_RequestRacesWithClose(t *testing.T) {
 	server, core, _ := startServer(t)
 	listener := newListener(t)
