--- a/cmd/robincart-record/change.go
+++ b/cmd/robincart-record/change.go
@@ -30,8 +30,8 @@
 	TOML string `json:"toml"`
 }
 
-// writeChange writes a change and prints its revision. It first adds the time, an idempotency key, so that a retried
-// change is applied once, and, unless the change is a deletion, the value.
+// writeChange writes a change and prints its revision. It first sets the time of the change and, unless the change is a
+// deletion, the value. It also sets an idempotency key, so that a change that is retried is applied only once.
 func writeChange(
 	ctx context.Context, out io.Writer, database store.Database, change record.Change, value any,
 ) error {
@@ -63,13 +63,14 @@
 	command.Flags().StringVar(writer, "by", os.Getenv("USER"), "the name that is recorded as the writer of the change")
 }
 
-// addExpectFlag adds the flag for compare-and-set.
+// addExpectFlag adds the flag for the expected revision: the change is written only if the entry has that revision.
 func addExpectFlag(command *cobra.Command, revision *int64) {
 	usage := "the expected current revision (0: no entry); if another one is found nothing is written"
 	command.Flags().Int64Var(revision, "expect", record.AnyRevision, usage)
 }
 
-// findDrain returns the entry of a server's drain, and whether there is one. The entry may be marked as deleted.
+// findDrain returns the entry of a server's drain, and whether such an entry exists. The entry may be marked as
+// deleted.
 func findDrain(ctx context.Context, database store.Database, name string) (record.Entry, bool, error) {
 	entries, _, err := readRecord(ctx, database)
 	if err != nil {
--- a/cmd/robincart-record/export.go
+++ b/cmd/robincart-record/export.go
@@ -20,15 +20,15 @@
 const (
 	exportFormat   = "robincart record export 1" // format and version, in the first line of an export
 	maxExportSize  = 1 << 30                     // bytes
-	maxExportEntry = 1 << 20                     // bytes, of one line
+	maxExportEntry = 1 << 20                     // maximum length of one line, in bytes
 )
 
-// exportHeader is the first line of an export. One line for each entry follows.
+// exportHeader is the first line of an export. Each line that follows has one entry.
 type exportHeader struct {
 	Format   string      `json:"form"`
 	Meta     record.Meta `json:"meta"`
 	Entries  int         `json:"facts"`
-	Checksum string      `json:"sha256"` // of the lines that follow
+	Checksum string      `json:"sha256"` // SHA-256 of the lines that follow
 }
 
 func exportCommand(options *storeOptions) *cobra.Command {
@@ -64,7 +64,8 @@
 	return command
 }
 
-// importRecord replaces a record by the export in a file. It prints the entry count, epoch and revision of both.
+// importRecord replaces the record by the export in a file. It prints the number of entries, the epoch and the revision
+// of the export and of the current record. With dryRun it writes nothing.
 func importRecord(ctx context.Context, out io.Writer, database store.Database, path string, dryRun bool) error {
 	imported, importedMeta, err := readExport(path)
 	if err != nil {
@@ -92,7 +93,7 @@
 
 func checksum(body []byte) string { return fmt.Sprintf("%x", sha256.Sum256(body)) }
 
-// writeExport writes a header with the checksum of the entries, and the entries.
+// writeExport writes the header line, which contains a checksum of the entries, and then the entries.
 func writeExport(out io.Writer, meta record.Meta, entries []record.Entry) error {
 	var body bytes.Buffer
 	encoder := json.NewEncoder(&body)
--- a/cmd/robincart-record/golden_test.go
+++ b/cmd/robincart-record/golden_test.go
@@ -1,8 +1,8 @@
 package main
 
-// The golden files under testdata were written by the code of commit 0cdd5b2: exports, which are the record's backups.
-// Do not regenerate them after a rename: a failing test means that this program cannot read older backups, or that an
-// older program cannot read the backups of this one.
+// The golden files under testdata were written by the code of commit 0cdd5b2. They are exports, which operators keep as
+// backups of the record. Do not regenerate the files after a rename: a failing test means that this program cannot read
+// older backups, or that an older program cannot read the backups of this program.
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 	"robincart/internal/testutil/golden"
 )
 
-// goldenExport returns a record as it is after an import, without gaps in its revisions and without deleted entries.
+// goldenExport returns a record as it is after an import: its revisions have no gaps, and no entry is deleted.
 func goldenExport() (record.Meta, []record.Entry) {
 	return record.Meta{Epoch: "0123456789abcdef01234567", Revision: 5}, []record.Entry{
 		{Key: record.Key{Kind: record.KindService, Name: "shop"}, Revision: 1, Writer: "bob <eu>", IdempotencyKey: "m1", WrittenAt: 11,
@@ -66,7 +66,7 @@
 	return flag
 }
 
-// exportedEntries exports a store, and returns the entries and the position that the export has.
+// exportedEntries exports a store, and returns the entries and the position in the export.
 func exportedEntries(t *testing.T, storeFlag string) ([]record.Entry, record.Meta) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "export")
@@ -107,7 +107,7 @@
 	})
 }
 
-// The golden export is the same after an import and another export, except for its epoch.
+// An import of the golden export and another export give the golden export again, except for the epoch.
 func TestGolden_ImportAndExport(t *testing.T) {
 	storeFlag := newStore(t)
 	run(t, "import", filepath.Join("testdata", "export.golden"), storeFlag)
--- a/cmd/robincart-record/inspect.go
+++ b/cmd/robincart-record/inspect.go
@@ -12,10 +12,10 @@
 	"robincart/internal/record/store"
 )
 
-// readPageSize is the maximum number of entries that one call reads.
+// readPageSize is the maximum number of entries that one call to the store returns.
 const readPageSize = 2000
 
-// readRecord reads all entries, deleted ones included, and the record's position.
+// readRecord returns all entries, including deleted entries, and the record's position.
 func readRecord(ctx context.Context, database store.Database) ([]record.Entry, record.Meta, error) {
 	var entries []record.Entry
 	var meta record.Meta
--- a/cmd/robincart-record/main.go
+++ b/cmd/robincart-record/main.go
@@ -16,7 +16,7 @@
 	"robincart/internal/record/store/sqlstore"
 )
 
-const defaultTimeout = 5 * time.Second // of all calls of one command to the store
+const defaultTimeout = 5 * time.Second // timeout for all calls of one command to the store together
 
 func main() {
 	if err := recordCommand().Execute(); err != nil {
@@ -60,8 +60,8 @@
 	timeout time.Duration
 }
 
-// withDatabase returns a command's RunE function. It opens the store and calls run with a context that ends after the
-// timeout.
+// withDatabase returns the RunE function of a command. That function opens the store, and calls run with a context that
+// ends after the timeout.
 func (o *storeOptions) withDatabase(
 	run func(ctx context.Context, command *cobra.Command, database store.Database, args []string) error,
 ) func(*cobra.Command, []string) error {
--- a/cmd/robincart-record/repairplan.go
+++ b/cmd/robincart-record/repairplan.go
@@ -33,7 +33,8 @@
 }
 
 // repairPlan prints the changes that a node would write if it started with a snapshot and read the store. It also
-// prints the entries that are newer in the snapshot but that the node would not write. It writes nothing.
+// prints the entries that are newer in the snapshot but that the node would not write. repairPlan writes nothing to the
+// store.
 func repairPlan(ctx context.Context, out io.Writer, database store.Database, path string) error {
 	snapshot, found, err := recordcache.LoadSnapshot(path)
 	if err != nil {
@@ -73,8 +74,8 @@
 	return view
 }
 
-// printOlderEntries prints the services, routes and tenants that are missing or older in the store than in a snapshot.
-// Nodes do not write these again.
+// printOlderEntries prints the services, routes and tenants of a snapshot that are missing in the store, or older
+// there. Nodes do not write such entries again.
 func printOlderEntries(out io.Writer, snapshot, stored []record.Entry) {
 	byKey := map[record.Key]record.Entry{}
 	for _, entry := range stored {
--- a/cmd/robincart-record/serve.go
+++ b/cmd/robincart-record/serve.go
@@ -15,8 +15,8 @@
 	"robincart/internal/record/store/sqlstore"
 )
 
-// storeVariable is the environment variable with the store's address. The address is not an argument, since it may have
-// a password and other users can see arguments.
+// storeVariable is the environment variable with the store's address. The address is not a command-line argument, since
+// it may contain a password, and other users can see the arguments of a process.
 const storeVariable = "ROBINCART_STORE"
 
 // socketMode is the file mode of the socket: only the node's user has access.
@@ -37,8 +37,8 @@
 	return command
 }
 
-// serve serves a store on a Unix socket until the process gets a signal or its standard input ends. Standard input is a
-// pipe from the node, which the kernel closes when the node's process ends.
+// serve serves a store on a Unix socket. It returns when the process gets SIGTERM or SIGINT, or when standard input
+// ends. Standard input is a pipe from the node, and the kernel closes the pipe when the node's process ends.
 func serve(address, socket string) error {
 	if address == "" || socket == "" {
 		return errors.New(storeVariable + " (address of the store) and --socket (path of the socket) are required")
@@ -58,7 +58,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	go func() { // ends with the process at the latest
+	go func() { // ends when standard input ends, or with the process
 		io.Copy(io.Discard, os.Stdin)
 		stop()
 	}()
--- a/internal/controlplane/recordcache/cache.go
+++ b/internal/controlplane/recordcache/cache.go
@@ -1,6 +1,6 @@
 // Package recordcache keeps a node's copy of the store of record. A Cache reads the store's changes, writes the node's
-// observations and drains to the store, and saves a snapshot on the local disk. It also merges each endpoint list that
-// discovery sends to a core with the record.
+// observations and drains to the store, and saves a snapshot on the local disk. It merges each endpoint list from
+// discovery with the record, and publishes the result to the core.
 //
 // The merge rules are in record.View; this package has the goroutines, the calls to the store and the snapshot file.
 // Neither requests nor discovery wait for the store or the disk.
@@ -24,15 +24,17 @@
 
 // Config has a node's settings for the record.
 type Config struct {
-	Name         string // name of the node
-	Store        string // address of the store without a password, for messages and the status page
-	Open         func() (store.Store, error)
-	Snapshot     string        // path of the snapshot file; empty: no snapshot
-	Required     bool          // Open fails if the store cannot be read
-	MaxStaleness time.Duration // how long servers known only from a disconnected copy are used
-	MaxPending   int           // limit of the changes waiting to be written, drains excluded
+	Name     string // name of the node
+	Store    string // address of the store without a password, for messages and the status page
+	Open     func() (store.Store, error)
+	Snapshot string // path of the snapshot file; empty: no snapshot
+	Required bool   // Open returns an error if the store cannot be read
+	// MaxStaleness is a limit of the time since the last contact with the store. Above the limit, servers that are known
+	// only from the copy get no new requests. 0: no limit.
+	MaxStaleness time.Duration
+	MaxPending   int           // maximum number of changes waiting to be written, not counting drains
 	CallTimeout  time.Duration // timeout of one call to the store
-	PollInterval time.Duration // between reads of a store that sends no notifications
+	PollInterval time.Duration // interval between reads of a store that sends no notifications
 }
 
 // Cache is one node's copy of the record. It is safe for concurrent use.
@@ -50,22 +52,23 @@
 	goroutines sync.WaitGroup
 	cancel     context.CancelFunc
 
-	// The run goroutine alone uses these two fields, after Open has read the store once.
+	// After Open has read the store once, only the goroutine of the method run uses these two fields.
 	rolledBack bool // a replica reported a rollback, and the complete record has not been read since
-	batchSize  int  // limit of changes in one transaction
+	batchSize  int  // maximum number of changes in one transaction
 
 	mu            sync.Mutex
 	view          *record.View
 	subscriptions map[string]*Subscription // by service
-	storeError    string                   // error of the last call; empty: the store is available
+	storeError    string                   // error of the last call to the store; empty: the store is available
 	failures      int                      // number of consecutive failures of the store
 	savedAt       time.Time                // when the last snapshot was written
 	written       int                      // number of changes that the store wrote or rejected
 	keysIssued    uint64                   // number of idempotency keys issued
 }
 
-// Open restores the snapshot, reads the store once and starts the cache. An unreachable store is an error only with
-// Config.Required. Errors need an operator's action. The context bounds Open alone; Close stops the cache.
+// Open restores the snapshot, reads the store once and starts the cache. If the store is unreachable, Open returns an
+// error only with Config.Required. Each error that Open returns needs an operator's action. The context limits only
+// Open itself; Close stops the cache.
 func Open(ctx context.Context, config Config, log *zap.Logger) (*Cache, error) {
 	c := newCache(config, log)
 	if err := c.restoreSnapshot(); err != nil {
@@ -155,21 +158,21 @@
 	c.store.Close()
 }
 
-// millis returns the current time in milliseconds since 1970, the view's unit of time.
+// millis returns the current time in milliseconds since 1970. The view uses the same unit and origin.
 func (c *Cache) millis() int64 { return c.now().UnixMilli() }
 
 // Changes returns a channel that receives a value after services, routes or tenants have changed.
 func (c *Cache) Changes() <-chan struct{} { return c.configChanged }
 
-// Entries returns the copy's entries of a kind that are not deleted.
+// Entries returns the copy's entries of a kind, without deleted entries.
 func (c *Cache) Entries(kind record.Kind) []record.Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.Entries(kind)
 }
 
-// AddDrain applies a drain that an operator has requested at this node. The drain takes effect before AddDrain returns,
-// and is written to the store later.
+// AddDrain applies a drain that an operator has requested at this node. The drain takes effect before AddDrain returns.
+// It is written to the store later.
 func (c *Cache) AddDrain(name string, drain record.Drain) {
 	c.mu.Lock()
 	c.view.AddDrain(name, drain, c.millis())
--- a/internal/controlplane/recordcache/cache_test.go
+++ b/internal/controlplane/recordcache/cache_test.go
@@ -31,13 +31,13 @@
 	eventPoll    = time.Millisecond
 )
 
-// eventually waits for a condition.
+// eventually waits until a condition is true, and fails the test after eventTimeout.
 func eventually(t *testing.T, condition func() bool, message ...any) {
 	t.Helper()
 	require.Eventually(t, condition, eventTimeout, eventPoll, message...)
 }
 
-// fakeCore keeps the server states of the last published list.
+// fakeCore records the servers' states in the last published list.
 type fakeCore struct {
 	mu     sync.Mutex
 	states map[string]decide.State
@@ -99,8 +99,8 @@
 	}}
 }
 
-// remoteStore returns a store that is reached through a Unix socket. A node's store is in another process; here its
-// server runs in the test's process.
+// remoteStore returns a store that is reached through a Unix socket. In production the store's server is another
+// process; here it runs in the test's process.
 func remoteStore(t *testing.T, address string) store.Store {
 	database, err := sqlstore.Open(address)
 	require.NoError(t, err)
@@ -127,13 +127,13 @@
 	return cache
 }
 
-// stopStore closes the store's connections and refuses new ones.
+// stopStore makes the store close its connections and refuse new connections.
 func (f *fixture) stopStore() {
 	f.postgres.Refuse(true)
 	f.postgres.Cut()
 }
 
-// recordsDrain reports whether the store has a drain.
+// recordsDrain reports whether a drain is in the store.
 func (f *fixture) recordsDrain(name string) bool {
 	database, err := sqlstore.Open(f.postgres.Address())
 	require.NoError(f.t, err)
@@ -166,14 +166,14 @@
 	return list
 }
 
-// snapshotHasDrain reports whether a snapshot file has exactly one drain.
+// snapshotHasDrain reports whether a snapshot file contains exactly one drain.
 func snapshotHasDrain(path string) bool {
 	snapshot, found, err := LoadSnapshot(path)
 	return err == nil && found && len(snapshot.Drains) == 1
 }
 
-// A store that stalls while all servers are replaced must not delay drains: each takes effect at once, and is written
-// when the store responds again.
+// If the store stalls, drains must not be delayed: each drain takes effect at once, and is written when the store
+// responds again. The test drains all servers of a service while the store stalls.
 func TestCache_StalledStoreDelaysNoDrain(t *testing.T) {
 	f := newFixture(t)
 	cache := f.open()
@@ -200,8 +200,8 @@
 	}
 }
 
-// A drain survives a kill of the node. If the store does not have the drain yet, the node restores it from the
-// snapshot. If the snapshot does not have it, the node reads it from the store.
+// A drain survives a kill of the node. If the drain is not yet in the store, the node restores it from the snapshot. If
+// the drain is not in the snapshot, the node reads it from the store.
 func TestCache_DrainSurvivesRestart(t *testing.T) {
 	f := newFixture(t)
 	cache := f.open()
@@ -216,29 +216,30 @@
 	saved, err := os.ReadFile(f.config.Snapshot)
 	require.NoError(t, err)
 	cache.Close()
-	require.NoError(t, os.WriteFile(f.config.Snapshot, saved, 0o600)) // as a kill would have left it, without Close
+	// Close has written a last snapshot, and a kill would not.
+	require.NoError(t, os.WriteFile(f.config.Snapshot, saved, 0o600))
 
 	cache = f.open() // the store is still unreachable, and no list has arrived
 	core = &fakeCore{}
 	subscription = cache.Subscribe("s", core)
 	core.awaitState(t, "a", decide.Draining)
 	core.awaitState(t, "b", decide.Ready)
-	subscription.UpdateEndpoints(endpointsIn(decide.Ready, "a", "b"), true) // a list from before the drain
+	subscription.UpdateEndpoints(endpointsIn(decide.Ready, "a", "b"), true) // a list that is older than the drain
 	core.awaitState(t, "a", decide.Draining)
 	f.postgres.Refuse(false)
 	eventually(t, func() bool { return f.recordsDrain("s/a") })
 	cache.Close()
 	require.NoError(t, os.Remove(f.config.Snapshot))
 
-	cache = f.open() // from the store alone
+	cache = f.open() // the snapshot is removed: the drain comes from the store
 	defer cache.Close()
 	core = &fakeCore{}
 	cache.Subscribe("s", core)
 	core.awaitState(t, "a", decide.Draining)
 }
 
-// A drain that one node writes reaches the other. After the store is restored from a backup without the drain, it is
-// written again.
+// A drain that one node writes reaches the other node. If the store is then restored from a backup that lacks the
+// drain, the drain is written again.
 func TestCache_StoreRestored(t *testing.T) {
 	f := newFixture(t)
 	writer := f.open()
@@ -286,7 +287,7 @@
 
 	database, err := sqlstore.Open(config.Store)
 	require.NoError(t, err)
-	_, err = database.Init(t.Context(), false) // created while the node runs
+	_, err = database.Init(t.Context(), false) // the record is created while the node runs
 	require.NoError(t, err)
 	require.NoError(t, database.Close())
 	eventually(t, func() bool { return cache.Status().SyncState == "follows" })
@@ -309,7 +310,7 @@
 	return status
 }
 
-// endlessStore returns full pages without end, so that a read exceeds the limits of a copy.
+// endlessStore returns full pages without end, so that a read exceeds the limits record.MaxEntries or record.MaxBytes.
 type endlessStore struct {
 	store.Store
 	value string
@@ -432,7 +433,7 @@
 	}
 }
 
-// highLatencyStore does not complete a write of more than maxChanges changes within the timeout of one call.
+// highLatencyStore completes a write of at most maxChanges changes. A larger write lasts until the call's timeout.
 type highLatencyStore struct {
 	store.Store
 	maxChanges int
--- a/internal/controlplane/recordcache/childprocess_test.go
+++ b/internal/controlplane/recordcache/childprocess_test.go
@@ -29,11 +29,12 @@
 	replicatedStoreVariable = "ROBINCART_REPLICATED_STORE" // address of the store that the replicas serve
 )
 
-// replicaCount is the number of controller replicas that the child process for replicas serves.
+// replicaCount is the number of controller replicas that one child process serves.
 const replicaCount = 3
 
-// TestMain serves the PostgreSQL stand-in or controller replicas if a benchmark has started this binary for that. They
-// run in child processes so that their CPU time is measured separately from the nodes'.
+// TestMain runs the tests. If a benchmark has started this binary as a child process, TestMain instead serves the
+// PostgreSQL stand-in or controller replicas. In a child process their CPU time is measured separately from the nodes'
+// CPU time.
 func TestMain(m *testing.M) {
 	rows := os.Getenv(rowsFileVariable)
 	address := os.Getenv(replicatedStoreVariable)
@@ -47,7 +48,7 @@
 	}
 }
 
-// startPostgres serves the stand-in, prints its address and returns its counters.
+// startPostgres serves the stand-in and prints its address. It returns a function that returns the stand-in's counters.
 func startPostgres(rows string) func() usage {
 	postgres, err := pgstand.Start("127.0.0.1:0", rows)
 	if err != nil {
@@ -57,7 +58,8 @@
 	return func() usage { return usage{Counts: postgres.Counts()} }
 }
 
-// startReplicas serves replicas of a store, prints their addresses and returns the sum of their counters.
+// startReplicas serves replicas of a store and prints their addresses. It returns a function that returns the sum of
+// the replicas' counters.
 func startReplicas(address string) func() usage {
 	var addresses []string
 	var listeners []*traffic.Listener
@@ -90,7 +92,8 @@
 	}
 }
 
-// serveUsage prints the current usage as a line of JSON for each line of standard input, until standard input ends.
+// serveUsage reads lines from standard input until standard input ends. For each line it prints the current usage as a
+// line of JSON.
 func serveUsage(counters func() usage) {
 	for requests := bufio.NewScanner(os.Stdin); requests.Scan(); {
 		current := counters()
--- a/internal/controlplane/recordcache/fleet_test.go
+++ b/internal/controlplane/recordcache/fleet_test.go
@@ -22,16 +22,17 @@
 const (
 	fleetServices       = 30
 	serversPerService   = 15
-	fleetTimeout        = 60 * time.Second // of the start, and of each notification to all nodes
+	fleetTimeout        = 60 * time.Second // timeout of the start, and of each notification to all nodes
 	quietPeriod         = 2 * time.Second
 	idleMeasurementTime = 10 * time.Second
 	backgroundLeadTime  = 200 * time.Millisecond
 )
 
-// BenchmarkFleet measures the load of a fleet's nodes on the store of record, which they read directly or through three
-// controller replicas. It measures five phases: the start, the idle fleet, a drain that an operator records, a
-// drain of which discovery notifies all nodes, and an operator's drain while discovery notifies of the drain of a zone.
-// Bytes per node are those sent and received for the record. The store is quiet after two seconds without a commit.
+// BenchmarkFleet measures the load of a fleet's nodes on the store of record. The nodes read the store directly or
+// through three controller replicas. There are five phases: the start of the nodes; an idle period; a drain that an
+// operator records; a drain of which discovery notifies all nodes; and an operator's drain at the same time as
+// discovery notifies the nodes of the drain of a zone. Bytes per node are the bytes sent and received for the record.
+// The store counts as quiet after two seconds without a commit.
 func BenchmarkFleet(b *testing.B) {
 	for _, mode := range []string{"direct", "controllers"} {
 		for _, nodes := range []int{14, 27, 55, 110, 220, 440} {
@@ -80,7 +81,8 @@
 	f.database.Close()
 }
 
-// openStore opens a node's store. With replicas, each replica is the first address of a third of the nodes.
+// openStore opens a node's store. If nodes read through replicas, each replica is the first address of a third of the
+// nodes.
 func (f *fleet) openStore() (store.Store, error) {
 	if f.replicas == nil {
 		return sqlstore.Open(f.postgres.Address)
@@ -91,8 +93,8 @@
 	return store.DialControllers(append(addresses[first:], addresses[:first]...), nil), nil
 }
 
-// serverList returns a service's servers with the numbers from (included) to (excluded). The list revision depends on
-// the replica, since each controller replica numbers its lists independently.
+// serverList returns a list of servers of one service: those with the numbers from, from+1, ..., to-1. The list's
+// revision depends on the replica, since each controller replica numbers its lists independently.
 func serverList(replica int, state decide.State, from, to int) []node.Endpoint {
 	var list []node.Endpoint
 	for i := from; i < to; i++ {
@@ -112,7 +114,7 @@
 type fleetUsage struct {
 	store    usage
 	replicas usage
-	nodes    usage // traffic only, measured in the process that the nodes connect to
+	nodes    usage // only the traffic of the nodes, measured in the process to which they connect
 	nodesCPU time.Duration
 }
 
@@ -126,7 +128,7 @@
 	return current
 }
 
-// start opens the nodes and measures the time until they have written all servers.
+// start opens the nodes. It measures the time until the nodes have written all servers to the store.
 func (f *fleet) start(nodes int) {
 	begin := time.Now()
 	for i := range nodes {
@@ -219,8 +221,8 @@
 	})
 }
 
-// measureNotification measures the time until all nodes have drained a server of the first service, and the time until
-// the store is quiet.
+// measureNotification measures the time until all nodes have drained a server of the first service. It also measures
+// the time until the store is quiet.
 func (f *fleet) measureNotification(name, pod string, notify func()) {
 	nodes := len(f.caches)
 	before := f.usage()
@@ -245,7 +247,7 @@
 		after.replicas.CPU-before.replicas.CPU, quiet.Sub(begin).Round(time.Millisecond))
 }
 
-// collect receives count values, or those that arrive before the timeout.
+// collect receives and returns count values. After the timeout it returns the values that it has received.
 func collect(values <-chan time.Duration, count int, timeout time.Duration) []time.Duration {
 	var collected []time.Duration
 	deadline := time.After(timeout)
@@ -260,7 +262,7 @@
 	return collected
 }
 
-// drainObserver is a core that calls drained once, when the server with the given ID starts to drain.
+// drainObserver is a core that calls drained once: when the server with the given ID starts to drain.
 type drainObserver struct {
 	id      string
 	once    sync.Once
--- a/internal/controlplane/recordcache/golden_test.go
+++ b/internal/controlplane/recordcache/golden_test.go
@@ -1,8 +1,8 @@
 package recordcache
 
-// The golden files under testdata were written by the code of commit 0cdd5b2: a node's snapshot, from which the next
-// version starts, and the status page. Do not regenerate them after a rename: a failing test means that an upgraded
-// node could not read its snapshot, or that the page has changed.
+// The golden files under testdata were written by the code of commit 0cdd5b2. They are the snapshot of a node and the
+// status page. A node of a later version starts from such a snapshot. Do not regenerate the files after a rename: a
+// failing test means that an upgraded node could not read its snapshot, or that the status page has changed.
 
 import (
 	"bufio"
@@ -22,7 +22,7 @@
 	"robincart/internal/testutil/golden"
 )
 
-// goldenSnapshot has an entry of each kind, and all fields of a drain.
+// goldenSnapshot returns a snapshot with an entry of each kind, and with a drain whose fields are all set.
 func goldenSnapshot() record.Snapshot {
 	return record.Snapshot{
 		Meta:        record.Meta{Epoch: "epoch-1", Revision: 44},
@@ -167,7 +167,7 @@
 	assert.Equal(t, http.StatusNotFound, response.StatusCode)
 }
 
-// A node that has not reached a store, has not saved a snapshot and has no entries.
+// The status page of a node that has not reached a store, has not saved a snapshot and has no entries.
 func TestGolden_StatusPageBeforeFirstContact(t *testing.T) {
 	cache := &Cache{
 		now:  time.Now,
--- a/internal/controlplane/recordcache/read.go
+++ b/internal/controlplane/recordcache/read.go
@@ -9,7 +9,7 @@
 	"robincart/internal/record/store"
 )
 
-// readPageSize is the maximum number of entries that one call reads.
+// readPageSize is the maximum number of entries that one call to the store returns.
 const readPageSize = 2000
 
 // read brings the copy up to date with the store.
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// nextRead returns the range to read from a store at the given position. If there is nothing to read, upToDate is true.
+// nextRead returns the range of entries that the node must read next, given the store's position. If the copy already
+// has all entries up to that position, upToDate is true.
 func (c *Cache) nextRead(position record.Meta) (next record.ReadRange, upToDate bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +61,7 @@
 	return next, true
 }
 
-// applyPage merges a page into the view.
+// applyPage merges a page of entries from the store into the view.
 func (c *Cache) applyPage(page record.Page) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,8 +90,8 @@
 	return false
 }
 
-// reportPosition passes the view's position to the replica client, so that it does not read a replica that is behind
-// this node.
+// reportPosition passes the view's position to the replica client, so that the client reads no replica whose copy is
+// older than the view.
 func (c *Cache) reportPosition() {
 	if c.replica == nil {
 		return
@@ -101,8 +102,8 @@
 	c.replica.SetPosition(position)
 }
 
-// contactTime returns the time at which the store confirmed the data of the last read. For data from a replica, this is
-// the current time minus the age of the replica's copy.
+// contactTime returns the time, in milliseconds since 1970, at which the store confirmed the data of the last read. If
+// the data came from a replica, this is the current time minus the age of the replica's copy.
 func (c *Cache) contactTime() int64 {
 	now := c.millis()
 	if c.replica == nil {
@@ -111,13 +112,14 @@
 	return now - c.replica.Age().Milliseconds()
 }
 
-// readSize counts the entries and bytes of one read, to limit them.
+// readSize is the number of entries, and of bytes in their names and values, that one read has returned so far.
 type readSize struct {
 	entries int
 	bytes   int
 }
 
-// add counts a page. It returns record.ErrTooLarge above record.MaxEntries or record.MaxBytes.
+// add adds a page's entries and bytes. It returns record.ErrTooLarge if the read exceeds record.MaxEntries or
+// record.MaxBytes.
 func (s *readSize) add(page record.Page) error {
 	s.entries += len(page.Entries)
 	for _, entry := range page.Entries {
--- a/internal/controlplane/recordcache/run.go
+++ b/internal/controlplane/recordcache/run.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	goneRetention     = 10 * time.Minute // retention of the observation of a removed server
+	goneRetention     = 10 * time.Minute // how long the entry of a removed server is kept
 	pruneInterval     = 30 * time.Second
-	finalWriteTimeout = time.Second // of the write of pending changes when the cache is closed
+	finalWriteTimeout = time.Second // timeout of the last write of pending changes, after Close
 	minRetryInterval  = 100 * time.Millisecond
 	maxRetryInterval  = 5 * time.Second
 )
@@ -60,8 +60,9 @@
 	}
 }
 
-// sync reads the store and writes to it once. It returns the interval before the next attempt, computed from the
-// interval before this one; 0 after a success.
+// sync reads the store, and writes the pending changes to it. The argument is the retry interval before this attempt.
+// The result is the retry interval before the next attempt: 0 after a success, the next interval of the backoff after a
+// failure.
 func (c *Cache) sync(ctx context.Context, retryInterval time.Duration) time.Duration {
 	err := c.read(ctx)
 	if err == nil {
@@ -85,7 +86,7 @@
 	return interval/2 + time.Duration(rand.Int63n(int64(interval)))
 }
 
-// writeFinally tries for finalWriteTimeout to write the pending changes when the cache is closed.
+// writeFinally writes the pending changes when the cache is closed. It stops after finalWriteTimeout.
 func (c *Cache) writeFinally() {
 	ctx, cancel := context.WithTimeout(context.Background(), finalWriteTimeout)
 	defer cancel()
@@ -98,7 +99,7 @@
 	c.view.Prune(c.millis(), goneRetention.Milliseconds())
 }
 
-// markUnavailable stores the error of an unavailable store. It logs only the first of consecutive failures.
+// markUnavailable records the error of a failed call to the store. It logs only the first of consecutive failures.
 func (c *Cache) markUnavailable(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +112,7 @@
 	c.storeError = err.Error()
 }
 
-// markAvailable clears the store's error, and logs the recovery if there was one.
+// markAvailable clears the recorded error of the store. If an error was recorded, it logs the recovery.
 func (c *Cache) markAvailable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/recordcache/saver.go
+++ b/internal/controlplane/recordcache/saver.go
@@ -9,16 +9,16 @@
 	"robincart/internal/system/wait"
 )
 
-// Limits of the interval between two snapshots. Snapshots take at most a twentieth of one core, unless the interval
-// reaches its maximum or drains are not yet in the store.
+// Limits of the interval between two snapshots. Snapshots use at most a twentieth of the time of one core, with two
+// exceptions: the interval does not exceed maxSaveInterval, and it is minSaveInterval while the store lacks a drain.
 const (
 	minSaveInterval = 100 * time.Millisecond
 	maxSaveInterval = 2 * time.Second
 	saveIdleFactor  = 20 // interval as a multiple of the last snapshot's duration
 )
 
-// saveSnapshots writes a snapshot after changes of the view, and once more when the context ends. It retries a failed
-// write even if the view does not change again.
+// saveSnapshots writes a snapshot after the view has changed, and a last snapshot when the context ends. It retries a
+// failed write even if the view does not change again.
 func (c *Cache) saveSnapshots(ctx context.Context) {
 	failing := false
 	lastDuration := time.Duration(0)
@@ -42,7 +42,7 @@
 	}
 }
 
-// saveInterval returns the time to wait before a snapshot, given the duration of the last one.
+// saveInterval returns the time to wait before the next snapshot. lastDuration is the time that the last snapshot took.
 func (c *Cache) saveInterval(lastDuration time.Duration) time.Duration {
 	c.mu.Lock()
 	unrecorded := c.view.UnrecordedDrains()
@@ -53,7 +53,7 @@
 	return min(max(minSaveInterval, saveIdleFactor*lastDuration), maxSaveInterval)
 }
 
-// saveSnapshot writes the view's snapshot to its file. If the write fails the previous file stays.
+// saveSnapshot writes the view's snapshot to the snapshot file. If the write fails, the previous file stays.
 func (c *Cache) saveSnapshot() error {
 	c.mu.Lock()
 	snapshot := c.view.Snapshot()
--- a/internal/controlplane/recordcache/snapshot.go
+++ b/internal/controlplane/recordcache/snapshot.go
@@ -12,8 +12,8 @@
 	"robincart/internal/system/statefile"
 )
 
-// snapshotHeader is the format of a snapshot file's first line: the file's type and version, and the length in bytes
-// and the SHA-256 checksum of the rest.
+// snapshotHeader is the format of a snapshot file's first line: the file's type and version, then the length in bytes
+// and the SHA-256 checksum of the rest of the file.
 const snapshotHeader = "robincart-snapshot 1 %d %x\n"
 
 const (
@@ -31,10 +31,10 @@
 	encodePause     = 300 * time.Microsecond
 )
 
-// snapshotBody encodes a snapshot without its entries. encodeSnapshot appends these one by one.
+// snapshotBody encodes a snapshot without its entries. encodeSnapshot then appends the entries one by one.
 type snapshotBody struct {
 	record.Snapshot
-	Entries *struct{} `json:"facts,omitempty"` // always nil; hides the embedded field with the same key
+	Entries *struct{} `json:"facts,omitempty"` // always nil; hides the field of record.Snapshot with the same key
 }
 
 // encodeSnapshot returns a snapshot file's content: the header, and the snapshot's JSON with the entries at its end.
@@ -87,8 +87,8 @@
 	return snapshot, nil
 }
 
-// WriteSnapshot replaces a snapshot file atomically: even after a crash of the machine the file is completely the old
-// one or completely the new one.
+// WriteSnapshot replaces a snapshot file atomically: even after a crash of the machine, the file contains either the
+// complete old snapshot or the complete new snapshot.
 func WriteSnapshot(path string, snapshot record.Snapshot) error {
 	content, err := encodeSnapshot(snapshot)
 	if err != nil {
@@ -97,8 +97,8 @@
 	return statefile.Write(path, content)
 }
 
-// LoadSnapshot reads a snapshot file, and reports whether there is one. The error of a corrupt file wraps
-// ErrCorruptSnapshot. The file is not moved.
+// LoadSnapshot reads a snapshot file, and reports whether a valid file was found. The error of a corrupt file wraps
+// ErrCorruptSnapshot. LoadSnapshot does not move a corrupt file.
 func LoadSnapshot(path string) (record.Snapshot, bool, error) {
 	content, found, err := statefile.Read(path, maxSnapshotSize)
 	var tooLarge *statefile.TooLargeError
@@ -112,8 +112,9 @@
 	return snapshot, err == nil, err
 }
 
-// ReadSnapshot is LoadSnapshot for the node that owns the file. It renames a corrupt file and returns an error with the
-// new path. After any other error the file stays in place, since a later read may succeed.
+// ReadSnapshot does the same as LoadSnapshot, for the node that owns the file. It also renames a corrupt file, and
+// returns an error that contains the new path. After any other error the file stays in place, since a later read may
+// succeed.
 func ReadSnapshot(path string) (record.Snapshot, bool, error) {
 	snapshot, found, err := LoadSnapshot(path)
 	if !errors.Is(err, ErrCorruptSnapshot) {
@@ -126,13 +127,14 @@
 	return record.Snapshot{}, false, fmt.Errorf("%w; moved %s to %s", err, path, movedPath)
 }
 
-// Open retries the read of an unreadable snapshot file, since its drains may be recorded nowhere else.
+// Limits of the retries when Open cannot read the snapshot file. Open retries because the drains in the file may be
+// recorded nowhere else.
 const (
 	snapshotReadTimeout   = 4 * time.Second
 	snapshotRetryInterval = 50 * time.Millisecond
 )
 
-// awaitSnapshot calls ReadSnapshot, and for snapshotReadTimeout retries if the file is unreadable.
+// awaitSnapshot calls ReadSnapshot. If the file is unreadable, it retries for at most snapshotReadTimeout.
 func awaitSnapshot(path string) (record.Snapshot, bool, error) {
 	deadline := time.Now().Add(snapshotReadTimeout)
 	for {
--- a/internal/controlplane/recordcache/snapshot_test.go
+++ b/internal/controlplane/recordcache/snapshot_test.go
@@ -35,8 +35,8 @@
 	return older, newer
 }
 
-// After a write that was interrupted at any byte, or with any byte altered, a read returns the complete old snapshot,
-// the complete new one, or an error.
+// A read returns the complete old snapshot, the complete new snapshot, or an error. That holds if a write was
+// interrupted after any number of bytes, and if any byte of the file was altered.
 func TestSnapshot_CorruptFileIsSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "snap")
 	older, newer := testSnapshots()
@@ -87,8 +87,8 @@
 	})
 }
 
-// If the snapshot's folder does not exist for a while, drains that only this node knows must not be lost: the write is
-// retried even if the view does not change again.
+// A failed write of the snapshot is retried even if the view does not change again. Otherwise drains that only this
+// node knows could be lost if the snapshot's folder is missing for some time.
 func TestCache_SnapshotWriteIsRetried(t *testing.T) {
 	f := newFixture(t)
 	folder := filepath.Join(t.TempDir(), "folder")
@@ -105,11 +105,11 @@
 	eventually(t, func() bool { return snapshotHasDrain(f.config.Snapshot) })
 }
 
-// A snapshot file that is unreadable for a short time is not treated as corrupt: it stays in place, and Open waits for
-// it.
+// A snapshot file that is unreadable for a short time is not treated as corrupt: the file stays in place, and Open
+// waits until the file is readable.
 func TestSnapshot_UnreadableFileStays(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "snap")
-	// A link to a folder can be opened but not read. The write of a new snapshot replaces the link.
+	// A symbolic link to a folder can be opened but not read. WriteSnapshot replaces the link by a file.
 	require.NoError(t, os.Symlink(t.TempDir(), path))
 	_, found, err := ReadSnapshot(path)
 	assert.Error(t, err)
--- a/internal/controlplane/recordcache/status.go
+++ b/internal/controlplane/recordcache/status.go
@@ -28,7 +28,7 @@
 	Draining             []DrainingServer `json:"drained"`
 	Required             bool             `json:"required"`
 	MaxStaleness         string           `json:"most_age"`
-	MaxPending           int              `json:"queue"` // limit of pending changes, drains excluded
+	MaxPending           int              `json:"queue"` // maximum number of pending changes, not counting drains
 }
 
 // DrainingServer is a server that gets no new requests because of an entry of the record.
@@ -96,7 +96,7 @@
 
 const (
 	statusPath       = "/record"
-	maxStatusClients = 8 // served at a time; further connections wait
+	maxStatusClients = 8 // connections served at the same time; further connections wait
 	statusTimeout    = 2 * time.Second
 	acceptRetryDelay = 10 * time.Millisecond
 )
--- a/internal/controlplane/recordcache/subscription.go
+++ b/internal/controlplane/recordcache/subscription.go
@@ -22,18 +22,18 @@
 }
 
 // Subscription connects the discovery of one service with the service's core. It receives endpoint lists as an
-// endpoints.Receiver, and publishes them to the core merged with the record.
+// endpoints.Receiver, merges each list with the record, and publishes the result to the core.
 type Subscription struct {
 	cache   *Cache
 	service string
 
-	mu            sync.Mutex // held while publishing, so that the core gets lists in the order of their merges
+	mu            sync.Mutex // held during publish, so that the core gets lists in the order in which they were merged
 	core          endpoints.Receiver
 	lastPublished string // JSON of the last list that the core got
 }
 
-// Subscribe returns a service's subscription. It publishes the servers that the record has to the core at once, so that
-// a node can serve before discovery has sent a list.
+// Subscribe returns a service's subscription. It immediately publishes to the core the servers that are in the record,
+// so that a node can serve before discovery has sent a list.
 func (c *Cache) Subscribe(service string, core endpoints.Receiver) *Subscription {
 	s := &Subscription{cache: c, service: service, core: core}
 	c.mu.Lock()
@@ -43,7 +43,7 @@
 	return s
 }
 
-// Unsubscribe ends a subscription when its service is removed.
+// Unsubscribe ends a subscription. The caller calls it when the subscription's service is removed.
 func (c *Cache) Unsubscribe(s *Subscription) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,8 +65,8 @@
 	}
 }
 
-// UpdateEndpoints merges a list from discovery, which is complete or has only the changed servers, and publishes the
-// result before it returns. The store is written later.
+// UpdateEndpoints merges a list from discovery with the record, and publishes the result before it returns. The list
+// has only the changed servers unless complete is true. The store is written later.
 func (s *Subscription) UpdateEndpoints(list []node.Endpoint, complete bool) {
 	observations := make([]record.Observation, 0, len(list))
 	for _, endpoint := range list {
--- a/internal/controlplane/recordcache/write.go
+++ b/internal/controlplane/recordcache/write.go
@@ -8,7 +8,8 @@
 )
 
 // Limits of the number of changes in one transaction. The latency of the store is unknown, and a transaction blocks all
-// other writers: the batch size starts low and adapts to the number of changes that one call completes in time.
+// other writers. So the batch size starts low and adapts to the number of changes that one call completes within its
+// timeout.
 const (
 	initialBatchSize = 8
 	maxBatchSize     = 200
@@ -20,7 +21,8 @@
 	changes []record.Change
 }
 
-// write writes all pending changes, drains first. It drops a change that a newer entry in the store has superseded.
+// write writes all pending changes, drains first. It drops a change if the store has a newer entry that supersedes the
+// change.
 func (c *Cache) write(ctx context.Context) error {
 	for {
 		next := c.nextBatch()
@@ -38,8 +40,8 @@
 	}
 }
 
-// nextBatch returns the next changes to be written. Drains form a batch of their own, so that they do not wait for
-// other changes.
+// nextBatch returns the next changes to be written. A batch with a drain contains only drains, so that drains do not
+// wait for other changes.
 func (c *Cache) nextBatch() batch {
 	c.mu.Lock()
 	next := batch{epoch: c.view.Meta.Epoch, changes: c.view.Pending(c.batchSize)}
@@ -54,8 +56,8 @@
 	return next
 }
 
-// writeBatch writes a batch within the timeout of one call, and adapts the batch size. It returns the entries of the
-// changes that were completed, in the order of the changes and beginning with the first.
+// writeBatch writes a batch within the timeout of one call, and adapts the batch size. It returns one entry for each
+// completed change, in the order of the changes. The remaining changes, at the end of the batch, are not completed.
 func (c *Cache) writeBatch(ctx context.Context, next batch) ([]record.Entry, error) {
 	call, cancel := context.WithTimeout(ctx, c.config.CallTimeout)
 	defer cancel()
@@ -73,7 +75,8 @@
 }
 
 // writeSingly writes each change of a batch in its own transaction, so that a rejected change does not prevent the
-// others. For a rejected change it returns the store's current entry.
+// other changes. It returns one entry for each completed change. For a rejected change this is the current entry in the
+// store.
 func (c *Cache) writeSingly(ctx context.Context, all batch) ([]record.Entry, error) {
 	var entries []record.Entry
 	for i := range all.changes {
@@ -91,7 +94,8 @@
 	return entries, nil
 }
 
-// markWritten updates the view with the entries of a batch's completed changes, which are its first ones.
+// markWritten updates the view after a batch was written. entries[i] is the entry in the store for changes[i]. Changes
+// without an entry stay pending.
 func (c *Cache) markWritten(changes []record.Change, entries []record.Entry) {
 	c.mu.Lock()
 	for i, entry := range entries {
@@ -103,7 +107,8 @@
 	c.snapshotRequested.Set()
 }
 
-// finishRollback ends the state RolledBack once nothing is pending: the lost entries have then been written again.
+// finishRollback ends the state RolledBack. It is called when no changes are pending: all lost entries have then been
+// written again.
 func (c *Cache) finishRollback(ctx context.Context) error {
 	c.mu.Lock()
 	epoch := c.view.Meta.Epoch
--- a/internal/controlplane/recordcache/write_test.go
+++ b/internal/controlplane/recordcache/write_test.go
@@ -13,11 +13,12 @@
 	"robincart/internal/record/store"
 )
 
-// failingStore fails each transaction that has a change in failures, and keeps the names of each call's changes.
+// failingStore fails each transaction that contains a change listed in the field failures. It records the names of the
+// changes of each call.
 type failingStore struct {
 	store.Store
-	failures map[string]error // by the change's name
-	calls    [][]string
+	failures map[string]error // key: name of a change
+	calls    [][]string       // for each call, the names of its changes
 }
 
 func (s *failingStore) Write(
--- a/internal/controlplane/recordserver/fixture_test.go
+++ b/internal/controlplane/recordserver/fixture_test.go
@@ -36,7 +36,7 @@
 type fixture struct {
 	t        *testing.T
 	postgres *pgstand.Server
-	database store.Database // direct access, as an operator has it
+	database store.Database // the store, accessed directly as by an operator
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -53,13 +53,13 @@
 	return &fixture{t: t, postgres: postgres, database: database}
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition is true, and fails the test after eventTimeout.
 func (f *fixture) eventually(condition func() bool, message string) {
 	f.t.Helper()
 	require.Eventually(f.t, condition, eventTimeout, eventPoll, message)
 }
 
-// partitionableStore is a store that can be made unreachable for a single replica.
+// partitionableStore is the store of one replica. A test can make it unreachable for that replica only.
 type partitionableStore struct {
 	store.Store
 	partitioned atomic.Bool
@@ -94,7 +94,7 @@
 // startReplica starts a replica on an unused port.
 func (f *fixture) startReplica() *testReplica { return f.startReplicaAt("127.0.0.1:0", nil) }
 
-// startReplicaAt starts a replica that listens on an address, with TLS unless ring is nil.
+// startReplicaAt starts a replica that listens on an address. The replica uses TLS unless ring is nil.
 func (f *fixture) startReplicaAt(address string, ring *keys.Ring) *testReplica {
 	database, err := sqlstore.OpenExisting(f.postgres.Address())
 	require.NoError(f.t, err)
@@ -132,8 +132,8 @@
 	}
 }
 
-// run runs a server without a listener until the test ends. After the server's first read it returns the record's
-// epoch.
+// run runs a server without a listener until the test ends. It returns the record's epoch after the server's first
+// read.
 func (f *fixture) run(server *Server) string {
 	ctx, cancel := context.WithCancel(f.t.Context())
 	var goroutines sync.WaitGroup
@@ -151,7 +151,7 @@
 	return meta.Epoch
 }
 
-// fakeCore keeps the server states of the last published list.
+// fakeCore records the servers' states in the last published list.
 type fakeCore struct {
 	mu     sync.Mutex
 	states map[string]decide.State
@@ -209,12 +209,12 @@
 	return n
 }
 
-// drain notifies a node that servers are draining, as discovery does.
+// drain notifies a node that servers are draining, as discovery does in production.
 func (n *testNode) drain(ids ...string) {
 	n.subscription.UpdateEndpoints(endpointsIn(decide.Draining, ids...), false)
 }
 
-// isSettled reports whether a node's copy is up to date and no changes are pending.
+// isSettled reports whether a node's copy is up to date and the node has no pending changes.
 func (n *testNode) isSettled() bool {
 	status := n.Status()
 	return status.Error == "" && status.Pending == 0 && status.SyncState == "follows"
@@ -225,7 +225,7 @@
 	return func() (store.Store, error) { return store.DialControllers(addresses, nil), nil }
 }
 
-// directly opens the store without a replica.
+// directly opens the store without a replica in between.
 func (f *fixture) directly() (store.Store, error) { return sqlstore.OpenExisting(f.postgres.Address()) }
 
 func endpointsIn(state decide.State, ids ...string) []node.Endpoint {
@@ -257,13 +257,13 @@
 	require.NoError(f.t, err)
 }
 
-// recordDrain records a drain for all processes with a server's name, as an operator does.
+// recordDrain records a drain of a server, as an operator does. The drain applies to all processes with the given name.
 func (f *fixture) recordDrain(name string) {
 	f.t.Helper()
 	f.write(record.KindDrain, name, `{"start_ms":0,"since_ms":1,"by":"op"}`)
 }
 
-// isRecorded reports whether the store has an entry.
+// isRecorded reports whether the store has an entry with the given kind and name.
 func (f *fixture) isRecorded(kind record.Kind, name string) bool {
 	page, err := f.database.Since(f.t.Context(), 0, 1000)
 	if err != nil {
--- a/internal/controlplane/recordserver/golden_test.go
+++ b/internal/controlplane/recordserver/golden_test.go
@@ -1,7 +1,7 @@
 package recordserver
 
-// The golden files under testdata were written by the code of commit 0cdd5b2. The controller's status page contains
-// these bytes. Do not regenerate them after a rename: a failing test means that the page has changed.
+// The golden files under testdata were written by the code of commit 0cdd5b2. The controller's status page contains the
+// bytes of these files. Do not regenerate the files after a rename: a failing test means that the page has changed.
 
 import (
 	"testing"
@@ -29,7 +29,7 @@
 	t.Run("zero", func(t *testing.T) { golden.JSON(t, "status_zero.json", Status{}) })
 }
 
-// Nodes of other versions make these calls, so the names must not change.
+// Nodes of other versions call these RPCs by name, so the names must not change.
 func TestGolden_CallsOfNodes(t *testing.T) {
 	assert.Equal(t, []string{"follow", "since", "write"}, ClientLimits(1).AllowedCalls)
 }
--- a/internal/controlplane/recordserver/nodes_test.go
+++ b/internal/controlplane/recordserver/nodes_test.go
@@ -29,8 +29,9 @@
 	return listener.Addr().String()
 }
 
-// During an upgrade old nodes read the store directly and new nodes read replicas. The controller of a new node may be
-// an old version that does not listen yet. A drain that any of the nodes writes must reach the others.
+// During an upgrade, old nodes read the store directly and new nodes read replicas. The controller that a new node
+// calls may still have an old version, which does not listen for nodes. A drain that any node writes must reach all
+// other nodes.
 func TestNodes_UpgradeSharesOneRecord(t *testing.T) {
 	f := newFixture(t)
 	r := f.startReplica()
@@ -58,8 +59,8 @@
 	f.eventually(early.isSettled, "nothing is pending")
 }
 
-// When a node's replica ends, the node connects to another one. When all replicas have ended, the node keeps its copy
-// until one is started again.
+// When a node's replica stops, the node connects to another replica. When all replicas have stopped, the node keeps its
+// copy until a replica is started again.
 func TestNodes_ReplicaEnds(t *testing.T) {
 	f := newFixture(t)
 	first, second := f.startReplica(), f.startReplica()
@@ -99,8 +100,8 @@
 	assert.Less(t, time.Since(begin), 10*time.Second, "the drain takes effect within 10 s")
 }
 
-// While the store is unavailable, replicas serve their copies and report the copies' age. A node that starts during the
-// outage gets the record from a replica. Its drains are written when the store recovers.
+// While the store is unavailable, replicas serve their copies and report the age of each copy. A node that starts
+// during the outage gets the record from a replica. The node's drains are written when the store recovers.
 func TestNodes_StoreUnavailable(t *testing.T) {
 	f := newFixture(t)
 	r := f.startReplica()
@@ -128,9 +129,9 @@
 	}, "recovered")
 }
 
-// During a network partition between regions, a replica that is isolated from the store falls behind. A node that
-// connects to it after another replica must not go back to older entries, nor to those before an import that the
-// isolated replica has not read.
+// During a network partition between regions, a replica that is isolated from the store falls behind. A node that has
+// read another replica may then connect to the isolated replica. The node's entries must not be replaced by older
+// entries. The same holds if the record was replaced by an import that the isolated replica has not read.
 func TestNodes_ReplicaIsBehind(t *testing.T) {
 	for _, imported := range []bool{false, true} {
 		t.Run(fmt.Sprintf("imported=%t", imported), func(t *testing.T) {
@@ -167,7 +168,8 @@
 	}
 }
 
-// importRoute replaces the record, whose only entry is a route, by one in which the route has another value.
+// importRoute replaces the record by an import. The only entry of the record is a route, and the import has the same
+// route with another value.
 func (f *fixture) importRoute(name, value string) {
 	page, err := f.database.Since(f.t.Context(), 0, 100)
 	require.NoError(f.t, err)
@@ -178,7 +180,8 @@
 	require.NoError(f.t, err)
 }
 
-// Nodes that read a replica are notified when the store is restored from a backup, and write lost drains again.
+// Nodes that read a replica are notified when the store is restored from a backup. They then write the lost drains to
+// the store again.
 func TestNodes_StoreRestored(t *testing.T) {
 	f := newFixture(t)
 	node := f.startNode("n", throughReplicas(f.startReplica().address), "a", "b")
@@ -201,7 +204,7 @@
 }
 
 // restoredStore is restored from a backup right after the first write of a drain, before any reader sees the drain. The
-// next revision that it assigns is therefore the drain's.
+// restored store lacks the drain, and assigns the drain's old revision to its next write.
 type restoredStore struct {
 	store.Store
 	once    sync.Once
@@ -218,8 +221,8 @@
 	return entries, meta, err
 }
 
-// A store that is restored between the write of a drain and the node's next write assigns the drain's revision to
-// another entry. The drain must still be written again.
+// A store is restored from a backup after a drain was written, and loses the drain. The node's next write then gets the
+// drain's old revision. The node must nevertheless notice the loss and write the drain again.
 func TestNodes_RevisionAssignedTwiceHidesNoLostDrain(t *testing.T) {
 	f := newFixture(t)
 	backup := filepath.Join(t.TempDir(), "backup")
@@ -247,7 +250,7 @@
 	assert.True(t, node.core.drains("a"))
 }
 
-// A client without keys of the fleet's certificate authority cannot call the server.
+// A client without a certificate issued by the fleet's certificate authority cannot call the server.
 func TestServer_RequiresClientKeys(t *testing.T) {
 	f := newFixture(t)
 	folder := t.TempDir()
@@ -287,8 +290,8 @@
 	assert.Zero(t, r.Status().Watchers)
 }
 
-// The load on the store does not depend on the number of nodes: with 6 or 24 nodes the numbers of connections, commits
-// and notifications are those of the replicas.
+// The load on the store does not depend on the number of nodes. With 6 nodes and with 24 nodes, the numbers of
+// connections, commits and notifications depend only on the replicas.
 func TestServer_StoreLoadIsIndependentOfFleetSize(t *testing.T) {
 	const replicaCount = 3
 	for _, nodeCount := range []int{6, 24} {
@@ -316,7 +319,7 @@
 			f.eventually(func() bool { return all(hasNothingPending) }, "the first list is written")
 
 			before := f.postgres.Counts()
-			for i, node := range nodes { // discovery notifies all nodes; each replica has its own list revision
+			for i, node := range nodes { // discovery notifies all nodes; the list revision depends on the replica
 				list := endpointsIn(decide.Draining, "a")
 				list[0].Revision = int64(1000 * (i%3 + 1))
 				go node.subscription.UpdateEndpoints(list, false)
@@ -329,7 +332,7 @@
 				assert.Equal(t, nodeCount/replicaCount, r.Status().Watchers)
 			}
 			after := f.postgres.Counts()
-			if nodeCount == 24 { // a connection that its client has closed counts until the server detects it
+			if nodeCount == 24 { // the store counts a closed connection until it detects the end of the connection
 				assert.Less(t, after.MaxConnections, nodeCount, "less than one connection per node")
 			}
 			f.eventually(func() bool {
--- a/internal/controlplane/recordserver/read.go
+++ b/internal/controlplane/recordserver/read.go
@@ -11,7 +11,7 @@
 	"robincart/internal/record/store"
 )
 
-// errNotRead is returned until the first successful read of the store.
+// errNotRead is returned to nodes until the first successful read of the store.
 var errNotRead = errors.New("this replica has not read the record yet")
 
 // read brings the copy up to date with the store, and wakes the callers that wait for the end of a read.
@@ -52,7 +52,7 @@
 		return err
 	}
 	isContinuation := page.Meta.Epoch == position.Epoch && page.Meta.Revision >= position.Revision
-	if !next.Complete && !isContinuation { // the store was restored between the two calls
+	if !next.Complete && !isContinuation { // the store was restored between the calls of Meta and ReadRange
 		return record.ErrEpochMismatch
 	}
 	return s.applyPage(page)
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// finishRead stores the result of a read. It logs when the store becomes unavailable and when it recovers.
+// finishRead records the result of a read. It logs when the store becomes unavailable and when it recovers.
 func (s *Server) finishRead(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/recordserver/server.go
+++ b/internal/controlplane/recordserver/server.go
@@ -1,6 +1,6 @@
 // Package recordserver serves the record to nodes at each replica of the controller, so that the nodes do not call the
-// store of record directly. A Server keeps a copy of the store with one reader, answers nodes from the copy, and writes
-// the changes of all nodes through one queue.
+// store of record directly. A Server copies the store, answers nodes from the copy, and writes the changes of all nodes
+// through one queue. Only one goroutine of a Server reads the store.
 //
 // Package replica decides what the copy may answer and which writes are merged; this package has the goroutines and the
 // calls to the store. Server implements store.Replica; store.ServeWithLimits serves it on a listener.
@@ -21,16 +21,17 @@
 
 // Config has a server's intervals, timeouts and limits.
 type Config struct {
-	PollInterval      time.Duration // between reads of a store that sends no notifications
+	PollInterval      time.Duration // interval between reads of a store that sends no notifications
 	CallTimeout       time.Duration // timeout of one call to the store
-	BatchDelay        time.Duration // between two reads; merges a burst of changes into few notifications
-	HeartbeatInterval time.Duration // between heartbeats to a watching node
+	BatchDelay        time.Duration // pause after each sync; merges a burst of changes into few notifications
+	HeartbeatInterval time.Duration // interval between heartbeats to a watching node
 	FreshnessTimeout  time.Duration // timeout of the wait until the copy reaches a node's position
 	PageSize          int           // maximum number of entries read in one call
 	MaxBatch          int           // maximum number of changes written in one transaction
 }
 
-// DefaultConfig returns values with which a change takes effect at all nodes within seconds, even if a replica ends.
+// DefaultConfig returns the default values. With these values a change takes effect at all nodes within seconds, even
+// if a replica stops.
 func DefaultConfig() Config {
 	return Config{
 		PollInterval:      time.Second,
@@ -43,7 +44,7 @@
 	}
 }
 
-// ClientLimits returns the limits for the calls of nodes, of which at most maxClients may be connected.
+// ClientLimits returns the limits for the nodes' calls. At most maxClients clients may be connected.
 func ClientLimits(maxClients int) store.ServerLimits {
 	return store.ServerLimits{
 		MaxClients:   maxClients,
@@ -54,7 +55,7 @@
 	}
 }
 
-// maxRetryInterval limits the backoff between reads of a store that is unavailable.
+// maxRetryInterval is the maximum backoff between two reads of a store that is unavailable.
 const maxRetryInterval = 2 * time.Second
 
 // Server serves the record at one replica of the controller. It is safe for concurrent use.
@@ -65,7 +66,7 @@
 
 	readRequested  wait.Signal
 	writeRequested wait.Signal
-	batchSize      int // limit of changes in one transaction; used by Run only
+	batchSize      int // maximum number of changes in one transaction; used only by the goroutine of Run
 
 	mu                 sync.Mutex
 	copy               replica.Copy
@@ -76,15 +77,15 @@
 	readsBegun         int
 	lastSuccessfulRead int       // value of readsBegun at the last successful read
 	lastContact        time.Time // time of the last successful read
-	storeError         string    // error of the last read; empty: the store is available
+	storeError         string    // error of the last read of the store; empty: the store is available
 	watchers           int       // number of watching nodes
 	written            int       // number of changes sent to the store
-	answered           int       // number of changes that the copy resolved
+	answered           int       // number of changes whose outcome was known from the copy
 }
 
 var _ store.Replica = (*Server)(nil)
 
-// New returns a server of a store. The caller starts the server with Run, and closes the store.
+// New returns a server for the given store. The caller starts the server with Run, and closes the store.
 func New(upstream store.Store, config Config, log *zap.Logger) *Server {
 	return &Server{
 		config:         config,
@@ -138,8 +139,8 @@
 	}
 }
 
-// sync reads the store and writes the pending changes in batches. Each write follows a successful read, since the
-// revisions of new writes would otherwise hide a rollback of the store.
+// sync reads the store and writes the pending changes in batches. It reads the store before each batch: the revision of
+// a new write would otherwise hide a rollback of the store.
 func (s *Server) sync(ctx context.Context) error {
 	for {
 		if err := s.read(ctx); err != nil {
@@ -151,14 +152,15 @@
 	}
 }
 
-// withJitter returns a random delay between half of an interval and the whole, so that not all replicas call a
-// recovering store at once.
+// withJitter returns a random delay of at least half the interval and at most the interval, so that not all replicas
+// call a recovering store at once.
 func withJitter(interval time.Duration) time.Duration {
 	half := int64(interval) / 2
 	return time.Duration(half + rand.Int63n(half+1))
 }
 
-// Close implements store.Store. The upstream store stays open, as its owner also uses it elsewhere.
+// Close implements store.Store. It does not close the upstream store, because the caller of New also uses that store
+// elsewhere.
 func (s *Server) Close() error { return nil }
 
 // Status is the server's part of the controller's status page. Its JSON keys must not change: operators' tools read
@@ -172,7 +174,7 @@
 	Error               string  `json:"fault,omitempty"`
 	Pending             int     `json:"waiting"`  // changes waiting to be written
 	Written             int     `json:"written"`  // changes sent to the store
-	Answered            int     `json:"answered"` // changes that the copy resolved
+	Answered            int     `json:"answered"` // changes whose outcome was known from the copy
 	Merged              int     `json:"merged"`   // changes merged with an equal change of another node
 }
 
--- a/internal/controlplane/recordserver/watch.go
+++ b/internal/controlplane/recordserver/watch.go
@@ -8,8 +8,9 @@
 	"robincart/internal/record/store"
 )
 
-// CheckFresh implements store.Replica. If the node's position is ahead of the copy, it waits for a read of the store:
-// either the store was rolled back, or this replica is behind.
+// CheckFresh implements store.Replica. If the node's position is ahead of the copy's position, either the store was
+// rolled back or this replica is behind. CheckFresh then waits for a successful read of the store, but no longer than
+// FreshnessTimeout.
 func (s *Server) CheckFresh(ctx context.Context, node record.Meta) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.FreshnessTimeout)
 	defer cancel()
@@ -18,7 +19,7 @@
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		readSinceCall := s.lastSuccessfulRead > readsBegun // by a read that began after this call
+		readSinceCall := s.lastSuccessfulRead > readsBegun // a read that began after this call has succeeded
 		fresh := readSinceCall || s.copy.IsCurrentFor(node)
 		readDone := s.readDone
 		s.mu.Unlock()
@@ -36,7 +37,7 @@
 	}
 }
 
-// awaitRead requests a read of the store, and waits until a read ends, which closes readDone, or the context ends.
+// awaitRead requests a read of the store. It waits until a read ends and closes readDone, or until the context ends.
 func (s *Server) awaitRead(ctx context.Context, readDone <-chan struct{}) {
 	s.readRequested.Set()
 	select {
@@ -88,9 +89,9 @@
 	return &store.Position{Meta: s.copy.Meta(), Age: time.Since(s.lastContact).Milliseconds()}
 }
 
-// positionSince returns the position to send to a node, and the current changed channel. The position is nil, which
-// nodes get as a heartbeat, if the copy has not changed since the given channel was current. While the store is
-// unavailable the position is always returned, since nodes need its growing age.
+// positionSince returns the position to send to a node, and the channel that is closed at the copy's next change. If the
+// copy has not changed since an earlier call returned the channel changed, the position is nil, and the node gets a
+// heartbeat. While the store is unavailable, the position is never nil: the node needs the age of the copy, which grows.
 func (s *Server) positionSince(changed chan struct{}) (*store.Position, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/recordserver/write.go
+++ b/internal/controlplane/recordserver/write.go
@@ -10,9 +10,9 @@
 	"robincart/internal/record/store"
 )
 
-// Write implements store.Store. It resolves changes from the copy where possible, and writes the others once for all
-// nodes that request the same change. Unlike a store it may apply some of the changes and not others; a node can safely
-// retry them with the same idempotency keys.
+// Write implements store.Store. If the outcome of a change is known from the copy, Write returns that outcome. It
+// writes the other changes to the store; a change that several nodes request is written once. Unlike a store, Write may
+// apply some changes of a call and not the others. A node can safely retry all of them with the same idempotency keys.
 func (s *Server) Write(
 	ctx context.Context, epoch string, changes []record.Change,
 ) ([]record.Entry, record.Meta, error) {
@@ -31,14 +31,15 @@
 	return entries, s.awaitCopy(ctx, epoch, entries), nil
 }
 
-// submission has the outcome of each change of one call, at the change's index: an entry or a pending write.
+// submission holds the changes of one call of Write. A change's index is also its index in entries and in writes.
 type submission struct {
-	entries []record.Entry
-	writes  []*replica.PendingWrite // nil: the copy resolved the change
+	entries []record.Entry          // an element is set once the outcome of its change is known
+	writes  []*replica.PendingWrite // an element is nil if the outcome of its change is known from the copy
 	err     error                   // the first error of a change
 }
 
-// submit resolves changes from the copy, and queues the rest.
+// submit returns a submission of the changes. It queues a write of each change whose outcome is not known from the
+// copy.
 func (s *Server) submit(epoch string, changes []record.Change) (*submission, error) {
 	submitted := &submission{
 		entries: make([]record.Entry, len(changes)),
@@ -64,7 +65,8 @@
 	return submitted, nil
 }
 
-// resolve returns a change's outcome if the copy has the same epoch and knows the outcome. The caller holds the mutex.
+// resolve returns the outcome of a change if the copy has the given epoch and the outcome is known from the copy. The
+// caller holds the mutex.
 func (s *Server) resolve(epoch string, change *record.Change) (replica.Resolution, bool) {
 	if epoch != s.copy.Meta().Epoch {
 		return replica.Resolution{}, false
@@ -91,7 +93,7 @@
 	return s.entries, s.err
 }
 
-// awaitCopy waits, at most for FreshnessTimeout, until the copy has the entries, and returns the copy's position.
+// awaitCopy waits until the copy has the entries, but no longer than FreshnessTimeout. It returns the copy's position.
 // Without the wait the replica would be behind the node that wrote the entries.
 func (s *Server) awaitCopy(ctx context.Context, epoch string, entries []record.Entry) record.Meta {
 	ctx, cancel := context.WithTimeout(ctx, s.config.FreshnessTimeout)
@@ -112,7 +114,7 @@
 	}
 }
 
-// writeBatch writes the next batch of the queue to the store. It returns false if the queue has none.
+// writeBatch writes the next batch of the queue to the store. It returns false if there was no batch to write.
 func (s *Server) writeBatch(ctx context.Context) bool {
 	s.mu.Lock()
 	batch := s.queue.Next(s.batchSize)
@@ -136,8 +138,8 @@
 	return true
 }
 
-// adaptBatchSize halves the batch size after a timeout and doubles it after a full batch. With a high latency of the
-// store a batch that is too large would time out on every retry, and lock the store meanwhile.
+// adaptBatchSize halves the batch size after a timeout and doubles it after a full batch. If the latency of the store
+// is high, a batch that is too large would time out on every retry, and would lock the store until the timeout.
 func (s *Server) adaptBatchSize(written int, err error) {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
@@ -147,8 +149,8 @@
 	}
 }
 
-// send writes a batch in one transaction. If the store rejects one of the changes, each is written in its own
-// transaction, so that the others succeed.
+// send writes a batch in one transaction. If the store rejects one of the changes, send writes each change in its own
+// transaction, so that the other changes succeed.
 func (s *Server) send(ctx context.Context, batch []*replica.PendingWrite) error {
 	err := s.sendTransaction(ctx, batch)
 	_, rejected := record.Rejection(err)
@@ -156,12 +158,12 @@
 		return err
 	}
 	for i := range batch {
-		s.sendTransaction(ctx, batch[i:i+1]) // the pending write has the error
+		s.sendTransaction(ctx, batch[i:i+1]) // sets the error of the pending write
 	}
 	return nil
 }
 
-// sendTransaction writes a batch in one transaction, and sets each write's result.
+// sendTransaction writes a batch in one transaction, and sets the entry or the error of each pending write.
 func (s *Server) sendTransaction(ctx context.Context, batch []*replica.PendingWrite) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
@@ -179,7 +181,7 @@
 	return err
 }
 
-// failPendingWrites completes all waiting writes with the error of an unavailable store. The nodes retry them.
+// failPendingWrites completes all pending writes with the error of a failed read of the store. The nodes retry them.
 func (s *Server) failPendingWrites(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/recordserver/write_test.go
+++ b/internal/controlplane/recordserver/write_test.go
@@ -16,7 +16,8 @@
 	"robincart/internal/record/store"
 )
 
-// observe returns a change that records a server in a phase. The number identifies the writer.
+// observe returns a change that records the observation of a server in a phase. number identifies the node that writes
+// it.
 func observe(name, phase string, start, number int) record.Change {
 	value := fmt.Sprintf(`{"addr":"10.0.0.1:80","phase":%q,"start_ms":%d,"listed":%d}`, phase, start, number)
 	return record.Change{
@@ -32,7 +33,7 @@
 type blockingStore struct {
 	store.Store
 	arrived chan struct{} // receives a value for each write
-	release chan struct{} // closed to release the writes
+	release chan struct{} // closed by the test to unblock the writes
 	writes  atomic.Int64
 }
 
@@ -65,8 +66,8 @@
 	return result
 }
 
-// Equal changes that many nodes write at the same time are written to the store once, and each node gets the result. A
-// rejected change does not prevent the others.
+// If many nodes write equal changes at the same time, the store is written once and each node gets the result. A
+// rejected change does not prevent other changes.
 func TestServer_MergesWritesOfManyNodes(t *testing.T) {
 	f := newFixture(t)
 	upstream := &blockingStore{Store: f.database, arrived: make(chan struct{}, 100), release: make(chan struct{})}
@@ -98,7 +99,8 @@
 		upstream.release = make(chan struct{})
 		held := writeAsync(ctx, server, epoch, observe("s/hold", record.PhaseReady, 1, 0))
 		<-upstream.arrived
-		staleResult := writeAsync(ctx, server, epoch, observe("s/a", record.PhaseReady, 4, 0)) // an older process
+		// The change of s/a is rejected: its start time, 4, is that of an older process than the recorded one, 5.
+		staleResult := writeAsync(ctx, server, epoch, observe("s/a", record.PhaseReady, 4, 0))
 		goodResult := writeAsync(ctx, server, epoch, observe("s/b", record.PhaseReady, 1, 0))
 		f.eventually(func() bool {
 			status := server.Status()
@@ -133,7 +135,7 @@
 	})
 }
 
-// highLatencyStore takes changeTime for each change of a write.
+// highLatencyStore delays a write by changeTime for each change of the write.
 type highLatencyStore struct {
 	store.Store
 	changeTime time.Duration
@@ -150,8 +152,8 @@
 	return s.Store.Write(ctx, epoch, changes)
 }
 
-// If more changes are pending than a store with a high latency can write within the timeout of one call, they are
-// written in smaller batches, and drains are written first.
+// More changes are pending than a store with a high latency can write within the timeout of one call. The changes are
+// then written in smaller batches, and drains are written first.
 func TestServer_HighLatencyStoreGetsSmallerBatches(t *testing.T) {
 	f := newFixture(t)
 	config := DefaultConfig()
--- a/internal/record/record/values.go
+++ b/internal/record/record/values.go
@@ -103,11 +103,12 @@
 	return d.lastStart() == other.lastStart() && d.Until == other.Until && d.Ended == other.Ended
 }
 
-// reopens reports whether the drain d was set after an operator had ended the stored drain, whose entry has the given
-// revision. That is the case if the writer of d had read the ended entry, or if d applies to a later process than the
-// ended drain. Times can't decide this, since the clock of the node that sets d may be slow.
-func (d Drain) reopens(ended Drain, revision int64) bool {
-	return d.Supersedes >= revision || d.Start != 0 && d.lastStart() > ended.lastStart()
+// reopens reports whether the drain d was set after an operator had ended the stored drain. That is the case if the
+// writer of d had read the entry of the stored drain, which has the given revision, or if d applies to a process that
+// started later than those of the stored drain. Times of the two drains can't decide this, since the clock of the node
+// that sets d may be slow.
+func (d Drain) reopens(stored Drain, revision int64) bool {
+	return d.Supersedes >= revision || d.Start != 0 && d.lastStart() > stored.lastStart()
 }
 
 // weakerThan reports whether the drain d covers less than other: d applies to fewer processes, or both drains apply to
--- a/internal/record/record/view_test.go
+++ b/internal/record/record/view_test.go
@@ -248,8 +248,8 @@
 }
 
 // A drain of all processes of a server has precedence over a drain of one process. After an operator has ended the
-// drain, a node that has read the ended entry can set a new drain. A node that has restored an old snapshot does not
-// write the old drain again.
+// drain, a node that has read the end of the drain can set a new drain. A node that has restored an old snapshot does
+// not write the old drain again.
 func TestView_DrainOfNameEndsAndReopens(t *testing.T) {
 	store := newMemoryStore("e")
 	view, outdated := newView("a"), newView("old")
--- a/internal/record/store/pages.go
+++ b/internal/record/store/pages.go
@@ -7,8 +7,8 @@
 	"robincart/internal/record/record"
 )
 
-// Pages reads the entries whose revision is higher than after, in pages of pageSize entries, to the end of the record.
-// The argument since is the method Since of a store. The sequence ends after an error.
+// Pages reads the entries with a revision above the argument after, in pages of pageSize entries, to the end of the
+// record. The argument since is the method Since of a store. The sequence ends after an error.
 func Pages(
 	ctx context.Context, since func(ctx context.Context, after int64, limit int) (record.Page, error),
 	after int64, pageSize int,
