--- a/internal/controlplane/recordcache/cache.go
+++ b/internal/controlplane/recordcache/cache.go
@@ -29,8 +29,8 @@
 	Open     func() (store.Store, error)
 	Snapshot string // path of the snapshot file; empty: no snapshot
 	Required bool   // Open returns an error if the store cannot be read
-	// MaxStaleness is a limit of the time since the last contact with the store. Above the limit, servers that are known
-	// only from the copy get no new requests. 0: no limit.
+	// MaxStaleness is a limit of the time since the last contact with the store. Above the limit, servers that are
+	// known only from the copy get no new requests. 0: no limit.
 	MaxStaleness time.Duration
 	MaxPending   int           // maximum number of changes waiting to be written, not counting drains
 	CallTimeout  time.Duration // timeout of one call to the store
--- a/internal/controlplane/recordserver/watch.go
+++ b/internal/controlplane/recordserver/watch.go
@@ -89,9 +89,10 @@
 	return &store.Position{Meta: s.copy.Meta(), Age: time.Since(s.lastContact).Milliseconds()}
 }
 
-// positionSince returns the position to send to a node, and the channel that is closed at the copy's next change. If the
-// copy has not changed since an earlier call returned the channel changed, the position is nil, and the node gets a
-// heartbeat. While the store is unavailable, the position is never nil: the node needs the age of the copy, which grows.
+// positionSince returns the position to send to a node, and the channel that is closed at the copy's next change. If
+// the copy has not changed since an earlier call returned the channel changed, the position is nil, and the node gets a
+// heartbeat. While the store is unavailable, the position is never nil: the node needs the age of the copy, which
+// grows.
 func (s *Server) positionSince(changed chan struct{}) (*store.Position, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
