--- a/cmd/robincart/fileservices_test.go
+++ b/cmd/robincart/fileservices_test.go
@@ -329,14 +329,14 @@
 		assert.Equal(t, 1, code, out)
 		for _, want := range []string{
 			"line 9: service[1].method[1].target",
-			"line 11: service[2].name: \"a\" stands twice",
+			"line 11: service[2].name: \"a\" is the name of an earlier service",
 			"line 12: service[2].servers",
-			"service[2].method: there is none",
+			"service[2].method: expected at least one, found none",
 			"add up to 1.400",
 			`line 14: service[2].speaks: "ftp"`,
 			`line 15: service[2].params: "HTTP_PROXY"`,
 			`gateway[1].listen: "nowhere" is neither`,
-			"gateway[1].left: it is negative",
+			"gateway[1].left: expected 0 or more, found -1s",
 			`gateway[1].params: "A B"`,
 			`line 18: route[1].to: there is no service "b"`,
 			`expected the canonical form "a.org"`,
--- a/internal/config/nodeconfig/compile.go
+++ b/internal/config/nodeconfig/compile.go
@@ -14,14 +14,14 @@
 	"robincart/internal/resources/quota"
 )
 
-// defaultRouteName names the route of a file with one service and no routes.
+// defaultRouteName is the name of the default route, which is used for a file with one service and no routes.
 const defaultRouteName = "all"
 
-// compile checks the file and compiles it. The error holds every mistake.
+// compile checks the file and compiles it. The error joins all mistakes.
 func (c *Config) compile() error {
 	p := &problems{}
 	c.validateProcess(p)
-	p.reportIf(len(c.Services) == 0, "service: there is none")
+	p.reportIf(len(c.Services) == 0, "service: expected at least one, found none")
 	if !c.validateCounts(p) {
 		return p.err()
 	}
@@ -37,15 +37,16 @@
 	return c.compileLimits()
 }
 
-// compileServices compiles the pools, and returns their indices by the services' names.
+// compileServices compiles each service to a pool, and returns the indices of the pools by the services' names.
 func (c *Config) compileServices(p *problems) (indices map[string]int) {
 	indices = map[string]int{}
 	for i := range c.Services {
 		service := &c.Services[i]
 		key := fmt.Sprintf("service[%d]", i+1)
-		_, twice := indices[service.Name]
-		p.reportIf(service.Name == "" || strings.ContainsAny(service.Name, " \t/\""), "%s.name: %q", key, service.Name)
-		p.reportIf(twice, "%s.name: %q stands twice", key, service.Name)
+		_, duplicate := indices[service.Name]
+		p.reportIf(service.Name == "" || strings.ContainsAny(service.Name, " \t/\""),
+			"%s.name: expected a name without spaces, tabs, slashes and quotes, found %q", key, service.Name)
+		p.reportIf(duplicate, "%s.name: %q is the name of an earlier service", key, service.Name)
 		indices[service.Name] = i
 		pool, mistakes := service.compile(key)
 		p.all = append(p.all, mistakes...)
@@ -54,7 +55,7 @@
 	return indices
 }
 
-// compile compiles a pool, but for its limits. Where there are mistakes the pool has no settings.
+// compile compiles a service to a pool without limits. If the service has mistakes, the pool has no settings.
 func (s *Service) compile(key string) (Pool, []error) {
 	pool := Pool{Service: *s, QuotaSpec: s.quotaSpec(), StaticEndpoints: s.staticEndpoints()}
 	if mistakes := s.validate(key); len(mistakes) > 0 {
@@ -83,7 +84,7 @@
 	return endpoints
 }
 
-// compileQuota compiles the quotas of all services, but for the totals.
+// compileQuota compiles the quotas of all services, except the totals.
 func (c *Config) compileQuota(p *problems) {
 	c.Quota = quota.Config{
 		ReservedFraction: *c.Sharing.ReservedFraction,
@@ -99,7 +100,7 @@
 	}
 }
 
-// compileRoutes compiles the table of routes. indices are those of the services by their names.
+// compileRoutes compiles the routing table. indices are the indices of the services by their names.
 func (c *Config) compileRoutes(indices map[string]int, p *problems) {
 	var rules []routes.Rule
 	for i := range c.Routes {
@@ -107,7 +108,8 @@
 		rules = append(rules, c.Routes[i].compile(indices, p))
 	}
 	p.prefix = ""
-	p.reportIf(len(c.Routes) == 0 && len(c.Services) > 1, "route: several services and no route to them")
+	p.reportIf(len(c.Routes) == 0 && len(c.Services) > 1, "route: expected at least one for %d services, found none",
+		len(c.Services))
 	if len(c.Services) == 0 {
 		return
 	}
@@ -126,7 +128,7 @@
 		Name: r.Name, Host: r.Host, Path: r.Path, Class: r.Class,
 		Header: r.Header, Value: r.Value, HeaderPresent: r.Any, SplitBy: r.By,
 	}
-	p.reportIf(r.To != "" && len(r.Split) > 0, ": to and split exclude each other")
+	p.reportIf(r.To != "" && len(r.Split) > 0, ": expected either to or split, found both")
 	targets := r.Split
 	if r.To != "" {
 		targets = []Split{{To: r.To, Weight: 1}}
@@ -139,7 +141,7 @@
 	return rule
 }
 
-// routeKey returns the key of the route that an error of the table is about.
+// routeKey returns the key, such as route[1], of the route that an error of the routing table names at its start.
 func (c *Config) routeKey(err error) string {
 	for i, route := range c.Routes {
 		if strings.HasPrefix(err.Error(), "route "+route.Name+":") {
@@ -149,13 +151,13 @@
 	return "route"
 }
 
-// compileLimits derives the limits from the machine, and the quotas' totals from them.
+// compileLimits derives the limits from the machine, and the quotas' totals from the limits.
 func (c *Config) compileLimits() error {
 	machine := c.Machine
 	if c.Admin.Listen != "" {
 		machine.Sockets -= admin.DefaultLimits().Descriptors()
 	}
-	// Each further listener has a descriptor, and one for the connection that it has just accepted.
+	// Each listener after the first needs two descriptors: its own, and one for a connection that was just accepted.
 	machine.Sockets -= 2 * max(0, len(c.Listen)+len(c.Gateways)-1)
 	l, err := limits.New(machine, allMethods(c.Pools))
 	if err != nil {
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// allMethods returns settings with the methods of all pools: the front end's limits follow from the longest deadline.
+// allMethods returns settings with the methods of all pools: the front end's limits depend on the longest deadline.
 func allMethods(pools []Pool) *settings.Instance {
 	all := &settings.Instance{}
 	for _, pool := range pools {
--- a/internal/config/nodeconfig/defaults.go
+++ b/internal/config/nodeconfig/defaults.go
@@ -7,7 +7,7 @@
 	"robincart/internal/system/tomlfile"
 )
 
-// setDefaults fills the keys that the file leaves out.
+// setDefaults sets the keys that are missing in the file to their defaults.
 func (c *Config) setDefaults() {
 	tomlfile.Default(&c.Name, "node")
 	tomlfile.Default(&c.Log.Level, "info")
@@ -53,13 +53,13 @@
 }
 
 func (m *Method) setDefaults() {
-	tomlfile.Default(&m.Idempotency, nonIdempotent) // only what is declared idempotent is retried
+	tomlfile.Default(&m.Idempotency, nonIdempotent) // a method is retried only if it is declared idempotent
 	tomlfile.Default(&m.DedupScope, "all")
 	tomlfile.Default(&m.LatencyObjective, m.Deadline)
 	defaultPointer(&m.PriorityWeight, 1)
 }
 
-// defaultPointer sets a key for which zero is a value of its own.
+// defaultPointer sets a missing key to its default. It is for keys for which zero is a valid value.
 func defaultPointer[T any](field **T, value T) {
 	if *field == nil {
 		*field = &value
--- a/internal/config/nodeconfig/golden_test.go
+++ b/internal/config/nodeconfig/golden_test.go
@@ -1,9 +1,9 @@
 package nodeconfig
 
-// The files under testdata pin the operator's file and what is made of it. every-key.toml, defaults.toml and
-// other-case.toml were written by hand, as operators write them, and read by the code at commit 0cdd5b2; the .json
-// files were written by that code. Never change or regenerate them to follow a rename: operators' files and the
-// record keep these forms.
+// The files under testdata pin the form of operators' files, and of the settings and the entries of the record that are
+// generated from them. every-key.toml, defaults.toml and other-case.toml were written by hand, as operators write them,
+// and read by the code at commit 0cdd5b2. That code wrote the .json files. Never change or regenerate any of these
+// files to follow a rename: operators' files and the record keep these forms.
 
 import (
 	"encoding/json"
@@ -27,7 +27,7 @@
 	"robincart/internal/testutil/golden"
 )
 
-// everyKey is what testdata/every-key.toml says.
+// everyKey returns the decoded content of testdata/every-key.toml.
 func everyKey() File {
 	return File{
 		Name:    "node-7",
@@ -149,8 +149,8 @@
 	}, decodeGolden(t, "other-case.toml"))
 }
 
-// generatedSettings are the settings object that a pool was compiled to: Same holds it, and how its servers are
-// spoken to.
+// generatedSettings returns the settings object that a pool was compiled to. It is the start of the pool's fingerprint;
+// the protocol and the params follow it.
 func generatedSettings(t *testing.T, pool Pool) []byte {
 	t.Helper()
 	text, found := strings.CutSuffix(pool.Fingerprint, fmt.Sprintf(" %s %q", pool.Protocol, pool.Params))
@@ -195,7 +195,7 @@
 	assert.Equal(t, 45*time.Second, config.Limits.ClientIdleTimeout)
 }
 
-// recordedService is the service of testdata/record-service.json.
+// recordedService returns the service in testdata/record-service.json.
 func recordedService() Service {
 	return Service{
 		Name: "tables", Servers: []string{"127.0.0.1:3101"}, MaxAttempts: 4,
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestRead_GoldenFacts(t *testing.T) {
+func TestParseEntry_Golden(t *testing.T) {
 	route := Route{Name: "tables", Host: "tables.example.org", To: "tables"}
 	for _, test := range []struct {
 		golden string
@@ -223,7 +223,7 @@
 	}
 }
 
-func TestFactValues_Golden(t *testing.T) {
+func TestEntryValues_Golden(t *testing.T) {
 	golden.JSON(t, "record-service.json", tomlValue{TOML: string(golden.Read(t, "record-service.toml"))})
 	golden.JSON(t, "record-route.json", tomlValue{TOML: string(golden.Read(t, "record-route.toml"))})
 	golden.JSON(t, "record-tenant.json", tenantValue{Quota: 200.5, Weight: 2.5})
--- a/internal/config/nodeconfig/lines.go
+++ b/internal/config/nodeconfig/lines.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// addLines puts the line in front of each mistake whose key names a table by its number: "service[2].method[1]:
-// ..." is at the line that opens that table, or sets the key in it.
+// addLines prefixes each mistake with the line that sets its key, or else with the line that opens the key's table. The
+// key is the text before the first colon, such as service[2].method[1].name. A mistake gets no prefix if neither line
+// is found.
 func addLines(err error, text []byte) error {
 	var mistakes []error
 	for _, mistake := range splitErrors(err) {
@@ -21,7 +22,7 @@
 	return errors.Join(mistakes...)
 }
 
-// splitErrors returns the errors that were joined to one; none for nil.
+// splitErrors returns the errors that were joined to one error; none for nil.
 func splitErrors(err error) []error {
 	if err == nil {
 		return nil
@@ -39,9 +40,9 @@
 
 // keyPath is the key that a mistake names, such as service[2].method[1].name.
 type keyPath struct {
-	valid   bool
+	valid   bool           // false if a number on the path can't be parsed
 	table   string         // the path without numbers: "service.method"; empty: the key is not in an array of tables
-	indices map[string]int // of each array of tables on the path, the number in it, from 1
+	indices map[string]int // by array of tables: the number, from 1, of the table on the path
 	leaf    string         // the key in the table, if any
 }
 
@@ -66,12 +67,13 @@
 	return path
 }
 
-// findLine returns the line of a key, or else the line that opens its table; 0 if there is neither.
+// findLine returns the number of the line that sets the key, or else of the line that opens the key's table. It returns
+// 0 if the text has neither.
 func (k keyPath) findLine(text string) int {
 	if !k.valid {
 		return 0
 	}
-	counts := map[string]int{} // of each array of tables, the tables opened so far
+	counts := map[string]int{} // by array of tables: the number of tables opened so far
 	tableLine := 0
 	inTable := k.table == ""
 	for i, line := range strings.Split(text, "\n") {
@@ -97,7 +99,8 @@
 	return tableLine
 }
 
-// opens reports whether the line that opens a table of a name opens the one of the path.
+// opens reports whether a line that opens a table with the given name opens the table of the path. counts are the
+// numbers of tables opened so far, including this line's.
 func (k keyPath) opens(name string, counts map[string]int) bool {
 	if k.table == "" || name != k.table {
 		return false
@@ -110,7 +113,7 @@
 	return true
 }
 
-// countTable counts one more table of an array, whose own arrays begin anew.
+// countTable counts one more table of an array of tables. The arrays nested in the new table are counted from 0 again.
 func countTable(counts map[string]int, name string) {
 	counts[name]++
 	for table := range counts {
--- a/internal/config/nodeconfig/nodeconfig.go
+++ b/internal/config/nodeconfig/nodeconfig.go
@@ -1,13 +1,13 @@
-// Package nodeconfig reads, checks and compiles a node's configuration file: TOML with services, the routes to them
-// and their shares of the node.
+// Package nodeconfig reads, checks and compiles a node's configuration file. The file is TOML. It holds services, the
+// routes to them and their shares of the node's resources.
 //
-// A file passes through these steps, each in a file of this package: it is decoded strictly (schema.go), missing
-// keys get their defaults (defaults.go), every mistake is collected (validate.go, validateservice.go) and reported
-// with its line (lines.go), and the rest is compiled to what the other packages work with (compile.go,
-// servicesettings.go). Entries of the record go over the file before the same steps (recordentries.go).
+// The steps are: the file is decoded strictly (schema.go), missing keys get their defaults (defaults.go), all mistakes
+// are collected (validate.go, validateservice.go) and reported with their lines (lines.go), and the file is compiled
+// to the types of the other packages (compile.go, servicesettings.go). WithRecord merges the entries of the record
+// into a decoded file and repeats the steps that follow the decoding (recordentries.go).
 //
-// The package is pure but for reading the file. It does not decide when a configuration is applied;
-// KeepProcessSettings returns what a running process can't change.
+// The package does no I/O except reading the file. Its callers decide when a configuration is applied.
+// KeepProcessSettings returns the keys that a running process can't change.
 package nodeconfig
 
 import (
@@ -23,31 +23,33 @@
 	"robincart/internal/system/tomlfile"
 )
 
-// maxFileBytes is the longest file that is read.
+// maxFileBytes is the maximum size of a configuration file.
 const maxFileBytes = 16 << 20
 
 // Config is a file that has been read, checked and compiled.
 type Config struct {
 	File
 	Table  *routes.Table
-	Pools  []Pool // in the order of the file's services
+	Pools  []Pool // one per service, in the order of the file
 	Quota  quota.Config
 	Limits limits.Limits
 }
 
-// Pool is one service, compiled.
+// Pool is a compiled service.
 type Pool struct {
 	Service
 	QuotaSpec       quota.Spec
 	Settings        *settings.Instance
-	StaticEndpoints []node.Endpoint // its servers, if it has no discovery
+	StaticEndpoints []node.Endpoint // the servers of a service without discovery
 	Fingerprint     string          // pools with equal fingerprints can share a core
 	Limits          limits.Limits
 }
 
-// Read reads a file. The error holds every mistake, a line each, with the line or the key that it is at.
-// maxDescriptors is how many descriptors the process may have; a larger machine.sockets is reduced to it. 0: there
-// is no such limit.
+// Read reads, checks and compiles the file at a path. The error lists all mistakes, one per line, each with its key and
+// its line in the file, if the line is known.
+//
+// maxDescriptors is the maximum number of file descriptors of the process, or 0 for no maximum. A larger
+// machine.sockets is reduced to maxDescriptors.
 func Read(path string, maxDescriptors int) (*Config, error) {
 	text, err := tomlfile.Read(path, maxFileBytes)
 	if err != nil {
@@ -60,7 +62,7 @@
 	return config, nil
 }
 
-// Parse reads a file's text, as Read does.
+// Parse checks and compiles the text of a file, as Read does.
 func Parse(text []byte, maxDescriptors int) (*Config, error) {
 	config := &Config{}
 	if err := tomlfile.Decode(text, &config.File); err != nil {
@@ -76,16 +78,16 @@
 	return config, nil
 }
 
-// SeedOf returns the seed of a service's random numbers. The names are part of it: no two services, and no two
-// nodes, may choose alike.
+// SeedOf returns the seed of a service's random numbers. The names of the node and the service are part of the seed: no
+// two services, and no two nodes, may make the same random choices.
 func (c *Config) SeedOf(service string) int64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s/%s/%s", c.Name, service, c.Seed)
 	return int64(hash.Sum64())
 }
 
-// KeepProcessSettings replaces what a running process can't change by what it runs with, and returns the keys where
-// the two differ.
+// KeepProcessSettings replaces the settings that a running process can't change by their values in the running
+// configuration. It returns the keys whose values differ.
 func (c *Config) KeepProcessSettings(running *Config) (restartKeys []string) {
 	for key, same := range map[string]bool{
 		"name":    c.Name == running.Name,
@@ -119,7 +121,8 @@
 	return restartKeys
 }
 
-// equal compares what MaxStaleness points to, too.
+// equal reports whether all settings are equal. It compares the durations that MaxStaleness points to, not the
+// pointers.
 func (r *Record) equal(other *Record) bool {
 	a, b := *r, *other
 	a.MaxStaleness, b.MaxStaleness = nil, nil
--- a/internal/config/nodeconfig/nodeconfig_test.go
+++ b/internal/config/nodeconfig/nodeconfig_test.go
@@ -12,7 +12,7 @@
 	"robincart/internal/resources/quota"
 )
 
-// exampleFile returns the example that is shipped with the program.
+// exampleFile returns the example configuration that is shipped with the program.
 func exampleFile(t testing.TB) []byte {
 	t.Helper()
 	text, err := os.ReadFile("../../../deploy/services.toml")
@@ -28,11 +28,11 @@
 	assert.True(t, c.Pools[0].Settings.MustSubscribe, "its servers come from discovery")
 	assert.False(t, c.Pools[1].Settings.MustSubscribe)
 	firstPoll := c.Pools[0].Settings.MaxFirstPollDelay
-	assert.InDelta(t, c.Limits.MaxPollInterval.Seconds(), firstPoll, 1e-9, "a new process polls as soon as any")
+	assert.InDelta(t, c.Limits.MaxPollInterval.Seconds(), firstPoll, 1e-9, "a new process polls as soon as others do")
 	assert.Len(t, c.Pools[1].StaticEndpoints, 2)
 	assert.InDelta(t, 2.5, c.Pools[0].Settings.Methods[0].LatencyObjective, 1e-9)
 	assert.EqualValues(t, c.Limits.MaxRequests, c.Quota.Total[quota.InFlight])
-	assert.NotEqual(t, c.SeedOf("booking"), c.SeedOf("tables"), "no two services choose alike")
+	assert.NotEqual(t, c.SeedOf("booking"), c.SeedOf("tables"), "no two services make the same random choices")
 }
 
 func TestConfig_KeepProcessSettings(t *testing.T) {
@@ -53,8 +53,8 @@
 	const keyFiles = "[keys]\ncert = \"a\"\nkey = \"b\"\nca = \"c\"\n"
 	for store, want := range map[string]string{
 		"controllers:127.0.0.1:8600,[::1]:8600": "",
-		"controllers:10.0.0.5:8600": "without [keys] a controller has to be at a loopback address, " +
-			"and 10.0.0.5:8600 is none",
+		"controllers:10.0.0.5:8600": "without [keys] expected a loopback address of a controller, " +
+			"found 10.0.0.5:8600",
 		"controllers:control.example.org:8600": "without [keys]",
 		"controllers:":                         "is no address with a port",
 		"controllers:10.0.0.5:8600,10.0.0.5":   `"10.0.0.5" is no address with a port`,
@@ -81,7 +81,7 @@
 	assert.ErrorContains(t, err, "record.timeout")
 }
 
-// Whatever the file has: an error with a text, or a complete configuration.
+// FuzzParse checks that every file leads either to an error with a text or to a complete configuration.
 func FuzzParse(f *testing.F) {
 	f.Add(exampleFile(f))
 	f.Add([]byte("listen = [\":1\"]\n[[service]]\nname = \"a\"\nservers = [\"127.0.0.1:1\"]\n" +
@@ -107,28 +107,32 @@
 	})
 }
 
-// A file with more than any fleet has is rejected with its numbers, and soon.
+// A file with too many entries is rejected with a short error that has the counts, before any entry is compiled.
 func TestParse_TooManyEntries(t *testing.T) {
 	service := func(name, more string) string {
 		return fmt.Sprintf("[[service]]\nname = %q\ndiscovery = \"127.0.0.1:1\"\n%s"+
 			"[[service.method]]\nname = \"m\"\nrepeat = \"idempotent\"\ntarget = \"1s\"\ndeadline = \"2s\"\n", name, more)
 	}
-	many := func(count int, text func(i int) string) string {
+	repeated := func(count int, text func(i int) string) string {
 		var b strings.Builder
 		for i := range count {
 			b.WriteString(text(i))
 		}
 		return b.String()
 	}
-	same := func(text string) func(int) string { return func(int) string { return text } }
+	constant := func(text string) func(int) string { return func(int) string { return text } }
 	numbered := func(i int) string { return service(fmt.Sprint("s", i), "") }
 	const head = "listen = [\"127.0.0.1:2\"]\n[sharing]\noff = true\n"
 	for want, text := range map[string]string{
-		"service: 1001 are more than 1000":              many(1001, numbered),
-		"route: 50001 are more than 50000":              service("s", "") + many(50_001, same("[[route]]\nto = \"s\"\n")),
-		"service[1].method: 1002 are more than 1000":    service("s", "") + many(1001, same("[[service.method]]\nname = \"x\"\n")),
-		"service[1].tenant: 20001 are more than 20000":  service("s", "") + many(20_001, same("[[service.tenant]]\nname = \"x\"\n")),
-		"service[1].servers: 20001 are more than 20000": service("s", "servers = ["+many(20_001, same("\"x\","))+"]\n"),
+		"service: expected at most 1000, found 1001": repeated(1001, numbered),
+		"route: expected at most 50000, found 50001": service("s", "") +
+			repeated(50_001, constant("[[route]]\nto = \"s\"\n")),
+		"service[1].method: expected at most 1000, found 1002": service("s", "") +
+			repeated(1001, constant("[[service.method]]\nname = \"x\"\n")),
+		"service[1].tenant: expected at most 20000, found 20001": service("s", "") +
+			repeated(20_001, constant("[[service.tenant]]\nname = \"x\"\n")),
+		"service[1].servers: expected at most 20000, found 20001": service("s",
+			"servers = ["+repeated(20_001, constant("\"x\","))+"]\n"),
 	} {
 		t.Run(want, func(t *testing.T) {
 			_, err := Parse([]byte(head+text), 0)
@@ -136,8 +140,8 @@
 			assert.Less(t, len(err.Error()), 1000)
 		})
 	}
-	t.Run("ten times the target's services are accepted", func(t *testing.T) {
-		config, err := Parse([]byte(head+many(300, func(i int) string {
+	t.Run("300 services, ten times the design target, are accepted", func(t *testing.T) {
+		config, err := Parse([]byte(head+repeated(300, func(i int) string {
 			route := fmt.Sprintf("[[route]]\nname = \"r%d\"\nhost = \"h%d.example.org\"\nto = \"s%d\"\n", i, i, i)
 			return numbered(i) + route
 		})), 0)
--- a/internal/config/nodeconfig/recordentries.go
+++ b/internal/config/nodeconfig/recordentries.go
@@ -11,7 +11,7 @@
 	"robincart/internal/system/tomlfile"
 )
 
-// tomlValue is the value of a service's or a route's entry: the text that would be in the configuration file.
+// tomlValue is the value of a service's or a route's entry. TOML is the text that a configuration file would contain.
 type tomlValue struct {
 	TOML string `json:"toml"`
 }
@@ -22,7 +22,7 @@
 	Weight float64 `json:"weight"`
 }
 
-// parsedEntry is an entry of the record, parsed. One of its fields is set, or none for an entry of another kind.
+// parsedEntry is a parsed entry of the record. The field of its kind is set; an entry of any other kind sets no field.
 type parsedEntry struct {
 	service *Service
 	route   *Route
@@ -60,15 +60,17 @@
 			return parsedEntry{route: &tables.Route[0]}, nil
 		}
 	}
-	return parsedEntry{}, fmt.Errorf("it has to be one [[%s]] of that name", entry.Kind)
+	return parsedEntry{}, fmt.Errorf("expected one [[%s]] with the name %q, found %d [[service]] and %d [[route]]",
+		entry.Kind, entry.Name, len(tables.Service), len(tables.Route))
 }
 
 func parseTenantEntry(entry record.Entry) (parsedEntry, error) {
 	var value tenantValue
 	err := json.Unmarshal(entry.Value, &value)
-	valid := value.Quota >= 0 && value.Weight >= 0 // not for NaN
+	valid := value.Quota >= 0 && value.Weight >= 0 // false for NaN
 	if err != nil || !valid {
-		return parsedEntry{}, errors.Join(err, errors.New("a tenant needs a quota and a weight of 0 or more"))
+		return parsedEntry{}, errors.Join(err,
+			fmt.Errorf("expected a quota and a weight of 0 or more, found %v and %v", value.Quota, value.Weight))
 	}
 	_, name := splitTenantName(entry.Name)
 	return parsedEntry{tenant: &Tenant{Name: name, Quota: value.Quota, Weight: value.Weight}}, nil
@@ -80,15 +82,16 @@
 	return service, tenant
 }
 
-// ValidateEntry returns what is wrong with a service, a route or a tenant by itself. Whether it fits the others can
-// be told only where all of them are known, which is WithRecord.
+// ValidateEntry checks the entry of a service, a route or a tenant by itself. WithRecord checks that the entry is
+// consistent with the other entries and the file.
 func ValidateEntry(entry record.Entry) error {
 	_, err := parseEntry(entry)
 	return err
 }
 
-// WithRecord returns the file with the record's entries over it: services and routes by their names, and tenants. The
-// error holds every mistake, with the entry that it is in.
+// WithRecord returns the configuration with the record's entries merged into the file. A service, route or tenant of an
+// entry is added to the file, and replaces a service, route or tenant of the same name. The error joins all mistakes. A
+// mistake within an entry is reported with the entry's kind, name and revision.
 func (c *Config) WithRecord(entries []record.Entry) (*Config, error) {
 	merged := &Config{File: c.File}
 	merged.Services = slices.Clone(c.File.Services)
@@ -114,7 +117,7 @@
 	if len(mistakes) > 0 {
 		return nil, errors.Join(mistakes...)
 	}
-	for _, tenant := range tenants { // once all services are there
+	for _, tenant := range tenants { // after the services that the tenants belong to
 		merged.addTenant(tenant)
 	}
 	merged.setDefaults()
@@ -130,7 +133,7 @@
 	tenant  Tenant
 }
 
-// addTenant adds a tenant to the services of that name, in place of one of the same name.
+// addTenant adds a tenant to its service. A tenant of the same name is replaced.
 func (c *Config) addTenant(added serviceTenant) {
 	sameName := func(t Tenant) bool { return t.Name == added.tenant.Name }
 	for i := range c.Services {
@@ -141,9 +144,9 @@
 	}
 }
 
-// upsert replaces the first element that is the same, or appends.
-func upsert[T any](list []T, element T, same func(T) bool) []T {
-	if i := slices.IndexFunc(list, same); i >= 0 {
+// upsert replaces the first element that matches, or appends the new element if none matches.
+func upsert[T any](list []T, element T, matches func(T) bool) []T {
+	if i := slices.IndexFunc(list, matches); i >= 0 {
 		list[i] = element
 		return list
 	}
--- a/internal/config/nodeconfig/servicesettings.go
+++ b/internal/config/nodeconfig/servicesettings.go
@@ -8,9 +8,9 @@
 	"robincart/internal/protocol/settings"
 )
 
-// A service is compiled to the platform's settings object, and that is parsed as the platform's is, so that both
-// kinds of configuration are read by the same code. These types are that object. Their fields are in the order of
-// their names, which is the order in fingerprints.
+// A service is compiled to a settings object in the form of the platform, and the object is parsed like the platform's,
+// so that the same code reads both kinds of configuration. These types are the settings object. Their fields are in the
+// alphabetical order of their names, which is the order of the fields in fingerprints.
 type (
 	settingsObject struct {
 		Classes      []settingsClass  `json:"Classes"`
@@ -62,14 +62,14 @@
 	nonIdempotent: "once",
 }
 
-// Modes of following the endpoint list.
+// Values of RegistryMode: how the node follows the endpoint list.
 const (
 	registrySubscribe = "subscribe"
 	registryAutomatic = "automatic"
 )
 
-// compileSettings returns a service's settings, and a fingerprint that differs where anything in the service does
-// that a running core can't change.
+// compileSettings returns a service's settings and its fingerprint. The fingerprints of two services differ if the
+// services differ in a setting that a running core can't change.
 func (s *Service) compileSettings() (compiled *settings.Instance, fingerprint string, err error) {
 	text, err := json.Marshal(s.settingsObject())
 	if err != nil {
