--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -1,9 +1,9 @@
 package handover
 
-// The files in testdata are what another version of the program has written or will read. They were written by the code
-// at commit 0cdd5b2, by the same calls as in these tests; kept_headless.json was written by Save as it was before
-// commit d0ace87, which gave the kept file its head. A test that fails here after a rename tells that the format has
-// changed. Never write these files anew to follow a rename: mend the tag.
+// The files in testdata have the form that other versions of the program write and read. The code at commit 0cdd5b2
+// wrote the files with the same calls as in these tests, except kept_headless.json, which Save wrote before commit
+// d0ace87 added the header to saved files. If a test fails here after a rename, the form has changed: correct the JSON
+// tag. Never regenerate these files to follow a rename.
 
 import (
 	"io"
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sampleState stands for what a caller of this package sends or keeps: the package itself does not know its fields.
+// sampleState stands for the state that a caller of this package sends or saves.
 type sampleState struct {
 	Name    string           `json:"name"`
 	Count   int              `json:"count"`
@@ -67,7 +67,7 @@
 }
 
 func TestGolden_MessageIsWrittenByteForByte(t *testing.T) {
-	caller := tcpConn(t)
+	client := tcpConn(t)
 	for file, send := range map[string]func(*Link) error{
 		"state.message":          func(l *Link) error { return l.SendState(fullState) },
 		"state_zero.message":     func(l *Link) error { return l.SendState(sampleState{}) },
@@ -75,8 +75,8 @@
 		"ids.message":            func(l *Link) error { return l.SendRequestIDs([]byte("\x01\x02\x03\xfd\xfe\xff")) },
 		"ids_none.message":       func(l *Link) error { return l.SendRequestIDs([]byte{}) },
 		"ids_nil.message":        func(l *Link) error { return l.SendRequestIDs(nil) },
-		"conn_asked.message":     func(l *Link) error { return l.SendConnection(caller, true) },
-		"conn_unasked.message":   func(l *Link) error { return l.SendConnection(caller, false) },
+		"conn_asked.message":     func(l *Link) error { return l.SendConnection(client, true) },
+		"conn_unasked.message":   func(l *Link) error { return l.SendConnection(client, false) },
 		"word_server.message":    func(l *Link) error { return l.SendCommand(Command{Path: "/_servers/detach", Server: "server-1"}) },
 		"word_no_server.message": func(l *Link) error { return l.SendCommand(Command{Path: "/_lameduck/on"}) },
 		"word_zero.message":      func(l *Link) error { return l.SendCommand(Command{}) },
@@ -92,47 +92,47 @@
 	}
 }
 
-// received is what a link has handed to its peer.
+// received is what a peer has received from its link.
 type received struct {
-	Takes int
-	IDs   [][]byte
-	Asked []bool
-	Words []Command
+	ReadyCount int
+	IDs        [][]byte
+	HadRequest []bool
+	Commands   []Command
 }
 
-// recorder is a peer that notes what it is handed.
+// recorder is a peer that records what it receives.
 type recorder struct {
 	received
-	ended error
+	disconnectErr error
 }
 
-func (r *recorder) SuccessorReady()        { r.received.Takes++ }
-func (r *recorder) RequestIDs(all []byte)  { r.received.IDs = append(r.received.IDs, all) }
-func (r *recorder) Command(word Command)   { r.Words = append(r.Words, word) }
-func (r *recorder) Disconnected(err error) { r.ended = err }
+func (r *recorder) SuccessorReady()           { r.received.ReadyCount++ }
+func (r *recorder) RequestIDs(encoded []byte) { r.received.IDs = append(r.received.IDs, encoded) }
+func (r *recorder) Command(command Command)   { r.Commands = append(r.Commands, command) }
+func (r *recorder) Disconnected(err error)    { r.disconnectErr = err }
 
-func (r *recorder) Connection(conn net.Conn, asked bool) {
+func (r *recorder) Connection(conn net.Conn, hadRequest bool) {
 	conn.Close()
-	r.Asked = append(r.Asked, asked)
+	r.HadRequest = append(r.HadRequest, hadRequest)
 }
 
 func TestGolden_MessageIsRead(t *testing.T) {
 	for file, want := range map[string]received{
-		"takes.message":          {Takes: 1},
+		"takes.message":          {ReadyCount: 1},
 		"ids.message":            {IDs: [][]byte{{1, 2, 3, 0xfd, 0xfe, 0xff}}},
 		"ids_none.message":       {IDs: [][]byte{{}}},
 		"ids_nil.message":        {IDs: [][]byte{nil}},
-		"conn_asked.message":     {Asked: []bool{true}},
-		"conn_unasked.message":   {Asked: []bool{false}},
-		"word_server.message":    {Words: []Command{{Path: "/_servers/detach", Server: "server-1"}}},
-		"word_no_server.message": {Words: []Command{{Path: "/_lameduck/on"}}},
-		"word_zero.message":      {Words: []Command{{}}},
+		"conn_asked.message":     {HadRequest: []bool{true}},
+		"conn_unasked.message":   {HadRequest: []bool{false}},
+		"word_server.message":    {Commands: []Command{{Path: "/_servers/detach", Server: "server-1"}}},
+		"word_no_server.message": {Commands: []Command{{Path: "/_lameduck/on"}}},
+		"word_zero.message":      {Commands: []Command{{}}},
 	} {
 		t.Run(file, func(t *testing.T) {
 			near, far := socketPair(t)
 			message := golden(t, file)
 			var rights []byte
-			if len(want.Asked) > 0 {
+			if len(want.HadRequest) > 0 {
 				file, err := tcpConn(t).(*net.TCPConn).File()
 				require.NoError(t, err)
 				defer file.Close()
@@ -143,7 +143,7 @@
 			require.NoError(t, near.Close())
 			var got recorder
 			NewLink(far).Serve(&got)
-			assert.ErrorIs(t, got.ended, io.EOF)
+			assert.ErrorIs(t, got.disconnectErr, io.EOF)
 			assert.Equal(t, want, got.received)
 		})
 	}
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestGolden_KeptFileIsWrittenByteForByte(t *testing.T) {
+func TestGolden_SavedStateIsWrittenByteForByte(t *testing.T) {
 	for file, state := range map[string]sampleState{"kept": fullState, "kept_zero": {}} {
 		t.Run(file, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "kept")
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestGolden_KeptFileIsRead(t *testing.T) {
+func TestGolden_SavedStateIsRead(t *testing.T) {
 	for file, want := range map[string]sampleState{"kept": fullState, "kept_zero": {}, "kept_headless.json": fullState} {
 		t.Run(file, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "kept") // Load sets aside what it can't read
@@ -186,7 +186,7 @@
 	}
 }
 
-// Processes of two versions find each other by this path.
+// Processes of different versions find each other by this path.
 func TestGolden_Path(t *testing.T) {
 	assert.Equal(t, "/run/robincart-0a6fc62514e7e683.sock", SocketPath("/run", "node-1 127.0.0.1:3000"))
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,40 +1,42 @@
-// Package handover carries state, client connections and operator commands between two processes of one node, of
-// which the successor replaces the predecessor, and saves the state that has to outlive both.
+// Package handover transfers state, client connections and operator commands between two processes of one node: the
+// successor replaces the predecessor. The package also saves the state that has to outlive both processes.
 //
 // Two processes are joined by a Link, a Unix socket at SocketPath in the node's own directory:
 //
 //	predecessor                                successor
 //	Listen, accept                             Dial
 //	SendState                          ->      ReceiveState
-//	Peer.SuccessorReady                <-      SendReady, once it accepts clients
+//	Peer.SuccessorReady                <-      SendReady, once the successor accepts clients
 //	SendRequestIDs, SendConnection...  ->      Peer.RequestIDs, Peer.Connection
 //	SendCommand                        <->     SendCommand, at any time
 //
-// Each message is a byte for its kind, four for its length, four for a checksum (CRC-32C), and JSON; a connection's
-// file descriptor goes with it as ancillary data. Save and Load use the same form for a file.
+// A message is a byte for its kind, four bytes for the length of its payload, four bytes for the payload's checksum
+// (CRC-32C), and the payload as JSON. The file descriptor of a connection is sent with its message as ancillary data.
+// Save and Load use the same form for a file.
 //
-// The package owns the form of the messages and the socket. It does not know what the state means, when to hand
-// over, or what to do about a process that dies: its callers decide that.
+// The package owns the form of the messages and the socket. It does not interpret the state. Its callers decide when
+// to hand over, and what to do about a process that dies.
 package handover
 
 import "net"
 
-// Command is one call of an operator on the admin address.
+// Command is one call of an operator to the admin address.
 type Command struct {
 	Path   string `json:"Call"`
 	Server string `json:"Server,omitempty"`
 }
 
-// Peer handles what a Link receives. The methods are called one at a time, from Link.Serve.
+// Peer handles the messages that a Link receives. The methods are called one at a time, from Link.Serve.
 type Peer interface {
 	// SuccessorReady is called when the successor accepts clients.
 	SuccessorReady()
-	// RequestIDs hands over the IDs of requests that began at the predecessor.
+	// RequestIDs receives the IDs of requests that began at the predecessor.
 	RequestIDs(encoded []byte)
-	// Connection hands over a client's connection, and whether a request has arrived on it before.
+	// Connection receives a client's connection. hadRequest tells whether a request has arrived on the connection
+	// before.
 	Connection(conn net.Conn, hadRequest bool)
-	// Command hands over what an operator commanded the other process.
+	// Command receives a command that an operator sent to the other process.
 	Command(command Command)
-	// Disconnected is called when the link has ended, with the reason. It is the last call.
+	// Disconnected is called with the reason after the link has ended. No other method is called afterwards.
 	Disconnected(err error)
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// timeout bounds each wait of these tests.
+// timeout limits each wait of these tests.
 const timeout = 20 * time.Second
 
-// channelPeer passes on what it is handed. Connections on which no request has arrived are closed.
+// channelPeer sends what it receives to channels. It closes connections on which no request has arrived.
 type channelPeer struct {
 	conns        chan net.Conn
-	commands     chan Command // messages of other kinds too: the path names them
+	commands     chan Command // also other messages: Path is "ready" or the request IDs
 	disconnected chan error
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// newLinkPair returns the two ends of a link, at a path longer than the kernel accepts.
+// newLinkPair returns the two ends of a link. The path of the socket is longer than the kernel accepts.
 func newLinkPair(t *testing.T) (predecessor, successor *Link) {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
@@ -79,7 +79,7 @@
 	return NewLink(conn), successor
 }
 
-// newClients returns connections of clients, and the ends of them that a server has accepted.
+// newClients returns both ends of TCP connections: the clients' ends and the accepted ends.
 func newClients(t *testing.T, count int) (clients, accepted []net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -107,7 +107,7 @@
 	go successor.Serve(peer)
 	clients, accepted := newClients(t, 50)
 	for i, conn := range accepted {
-		clients[i].Write([]byte("crossed"))
+		clients[i].Write([]byte("request"))
 		require.NoError(t, predecessor.SendConnection(conn, true))
 		conn.Close()
 	}
@@ -119,7 +119,7 @@
 		conn.SetDeadline(time.Now().Add(timeout))
 		_, err := conn.Read(buffer)
 		require.NoError(t, err)
-		assert.Equal(t, "crossed", string(buffer))
+		assert.Equal(t, "request", string(buffer))
 		conn.Write([]byte("!"))
 		conn.Close()
 		client.SetDeadline(time.Now().Add(timeout))
@@ -142,7 +142,7 @@
 	return string(head) + payload
 }
 
-func TestLink_MalformedMessageEndsIt(t *testing.T) {
+func TestLink_MalformedMessageClosesLink(t *testing.T) {
 	const truncated = "truncated"
 	for name, text := range map[string]string{
 		"unknown kind":   rawMessage('X', "{}"),
@@ -167,7 +167,7 @@
 	}
 }
 
-// Whatever another process sends, this one reads it as messages or ends the link.
+// FuzzLink checks that a link reads any bytes either as messages or as the reason to end.
 func FuzzLink(f *testing.F) {
 	f.Add([]byte(rawMessage('S', "{}") + rawMessage('W', `{"Call":"/x"}`) +
 		rawMessage('I', `"AAAA"`) + rawMessage('T', "{}")))
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -13,7 +13,7 @@
 	"robincart/internal/system/socket"
 )
 
-// sendTimeout bounds the sending of one message: a process that reads nothing must not hold up clients.
+// sendTimeout limits the time to send one message: a process that does not read must not delay clients.
 const sendTimeout = time.Second
 
 // Link is one end of a handover. Its Send methods may be called by several goroutines at once.
@@ -22,26 +22,26 @@
 	writing sync.Mutex // held while one message is written
 }
 
-// NewLink returns a link over a connection, which it owns from then on.
+// NewLink returns a link over a connection. The link owns the connection from then on.
 func NewLink(conn *net.UnixConn) *Link { return &Link{conn: conn} }
 
-// Close ends the link, and Serve with it.
+// Close closes the link. A running Serve returns.
 func (l *Link) Close() error { return l.conn.Close() }
 
-// SendState sends what the process knows. It has to be the first message.
+// SendState sends the state of this process. The state has to be the first message.
 func (l *Link) SendState(state any) error { return l.send(kindState, state, nil) }
 
 // SendReady announces that this process accepts clients.
 func (l *Link) SendReady() error { return l.send(kindReady, struct{}{}, nil) }
 
-// SendRequestIDs sends the IDs of requests that began here.
+// SendRequestIDs sends the IDs of requests that began at this process.
 func (l *Link) SendRequestIDs(encoded []byte) error { return l.send(kindRequestIDs, encoded, nil) }
 
-// SendCommand passes on a command of an operator.
+// SendCommand passes an operator's command on to the other process.
 func (l *Link) SendCommand(command Command) error { return l.send(kindCommand, command, nil) }
 
-// SendConnection sends a client's connection, and whether a request has arrived on it before. The caller has to close
-// its own copy.
+// SendConnection sends a client's connection. hadRequest tells whether a request has arrived on the connection before.
+// The caller has to close its own copy of the connection.
 func (l *Link) SendConnection(conn net.Conn, hadRequest bool) error {
 	withDescriptor, ok := conn.(syscall.Conn)
 	if !ok {
@@ -52,7 +52,8 @@
 		return err
 	}
 	var sendErr error
-	// Within Control the descriptor can't be closed, and become another file's, while it is sent.
+	// Control keeps the descriptor open while it is sent: the number of a closed descriptor may be reused for another
+	// file.
 	err = raw.Control(func(descriptor uintptr) {
 		sendErr = l.send(kindConnection, hadRequest, syscall.UnixRights(int(descriptor)))
 	})
@@ -82,7 +83,7 @@
 	return err
 }
 
-// ReceiveState reads the state, which is the first message.
+// ReceiveState reads the state, which has to be the first message.
 func (l *Link) ReceiveState(state any, timeout time.Duration) error {
 	l.conn.SetReadDeadline(time.Now().Add(timeout))
 	defer l.conn.SetReadDeadline(time.Time{})
@@ -92,12 +93,12 @@
 		return err
 	}
 	if received.kind != kindState {
-		return &ProtocolError{Kind: byte(received.kind), Reason: "it came in place of the state"}
+		return &ProtocolError{Kind: byte(received.kind), Reason: "expected the state as the first message"}
 	}
 	return json.Unmarshal(received.payload, state)
 }
 
-// Serve hands what is received to a peer until the link ends.
+// Serve passes received messages to a peer until the link ends.
 func (l *Link) Serve(peer Peer) {
 	for {
 		received, err := l.receive()
@@ -113,7 +114,7 @@
 	}
 }
 
-// receive reads one message. Its descriptor has to be closed, also after an error.
+// receive reads one message. The caller has to close the descriptor of the message, also after an error.
 func (l *Link) receive() (message, error) {
 	received := message{descriptor: noDescriptor}
 	head, err := l.receiveHeader(&received)
@@ -132,7 +133,7 @@
 	return received, head.verify(received.payload)
 }
 
-// receiveHeader reads a message's header, and the descriptor that comes with it.
+// receiveHeader reads a message's header and the descriptor that was sent with it.
 func (l *Link) receiveHeader(received *message) (header, error) {
 	head := make(header, headerSize)
 	ancillary := make([]byte, syscall.CmsgSpace(descriptorSize))
@@ -153,20 +154,20 @@
 }
 
 const (
-	// noDescriptor is a message's descriptor where it has none.
+	// noDescriptor is the descriptor field of a message without a descriptor.
 	noDescriptor = -1
-	// descriptorSize is a descriptor's size in ancillary data.
+	// descriptorSize is the size of a descriptor in ancillary data, in bytes.
 	descriptorSize = 4
 )
 
-// message is one message as it was received.
+// message is one received message.
 type message struct {
 	kind       messageKind
 	payload    []byte
-	descriptor int // this process's own; noDescriptor if none came, or it has been taken
+	descriptor int // in this process; noDescriptor if none was sent, or it has been taken
 }
 
-// takeDescriptors takes the last of the descriptors in ancillary data, and closes all others.
+// takeDescriptors keeps the last of the descriptors in ancillary data, and closes all others.
 func (m *message) takeDescriptors(ancillary []byte) error {
 	if len(ancillary) == 0 {
 		return nil
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// closeDescriptor closes the descriptor that came with the message, unless it has been taken.
+// closeDescriptor closes the descriptor that was sent with the message, unless it has been taken.
 func (m *message) closeDescriptor() {
 	if m.descriptor == noDescriptor {
 		return
@@ -198,7 +199,7 @@
 	m.descriptor = noDescriptor
 }
 
-// dispatch hands the message to a peer. It returns an error for one that a peer may not send.
+// dispatch passes the message to a peer. It returns an error for an unexpected kind or a malformed payload.
 func (m *message) dispatch(peer Peer) error {
 	switch m.kind {
 	case kindReady:
@@ -218,7 +219,7 @@
 	case kindConnection:
 		return m.dispatchConnection(peer)
 	default:
-		return &ProtocolError{Kind: byte(m.kind), Reason: "unknown kind"}
+		return &ProtocolError{Kind: byte(m.kind), Reason: "expected kind T, I, C or W"}
 	}
 	return nil
 }
@@ -226,16 +227,16 @@
 func (m *message) dispatchConnection(peer Peer) error {
 	var hadRequest bool
 	if err := json.Unmarshal(m.payload, &hadRequest); err != nil {
-		return &ProtocolError{Kind: byte(m.kind), Reason: "malformed", Cause: err}
+		return &ProtocolError{Kind: byte(m.kind), Reason: "malformed payload", Cause: err}
 	}
 	if m.descriptor == noDescriptor {
-		return &ProtocolError{Kind: byte(m.kind), Reason: "a connection without its file descriptor"}
+		return &ProtocolError{Kind: byte(m.kind), Reason: "expected a file descriptor, found none"}
 	}
 	file := os.NewFile(uintptr(m.descriptor), "client connection")
 	m.descriptor = noDescriptor
 	conn, err := socket.FromFile(file)
 	if err != nil {
-		return nil // the client has ended it on the way
+		return nil // the client has closed the connection during the transfer
 	}
 	peer.Connection(conn, hadRequest)
 	return nil
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -7,23 +7,23 @@
 	"hash/crc32"
 )
 
-// messageKind is the first byte of a message.
+// messageKind is the kind of a message, which is its first byte.
 type messageKind byte
 
 // Kinds of messages. They are part of the wire form: other versions of the program write and read them.
 const (
 	kindState      messageKind = 'S' // predecessor to successor, the first message
-	kindReady      messageKind = 'T' // successor to predecessor: it accepts clients
-	kindRequestIDs messageKind = 'I' // predecessor to successor: requests that must not be sent again
+	kindReady      messageKind = 'T' // successor to predecessor: the successor accepts clients
+	kindRequestIDs messageKind = 'I' // predecessor to successor: IDs of requests that must not be sent again
 	kindConnection messageKind = 'C' // predecessor to successor, with a file descriptor
-	kindCommand    messageKind = 'W' // either way: a command of an operator
+	kindCommand    messageKind = 'W' // either way: an operator's command
 	kindSavedState messageKind = 'K' // only in files, see Save
 )
 
 const (
 	// maxPayloadBytes is the longest payload that is accepted.
 	maxPayloadBytes = 16 << 20
-	// headerSize is a byte for the kind, four for the payload's length and four for its checksum.
+	// headerSize is one byte for the kind, four for the payload's length and four for the payload's checksum.
 	headerSize       = 9
 	payloadSizeStart = 1
 	checksumStart    = 5
@@ -31,7 +31,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ProtocolError reports bytes that are no message of this protocol, or a message that is out of order.
+// ProtocolError reports bytes that are no message of this protocol, or a message of an unexpected kind.
 type ProtocolError struct {
 	Kind   byte // the message's first byte
 	Reason string
@@ -48,7 +48,7 @@
 
 func (e *ProtocolError) Unwrap() error { return e.Cause }
 
-// encode returns a message: its header and its payload as JSON.
+// encode returns a message: a header and the payload as JSON.
 func encode(kind messageKind, payload any) ([]byte, error) {
 	text, err := json.Marshal(payload)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return encoded, nil
 }
 
-// header is the start of a message; it must have headerSize bytes.
+// header is the start of a message. Its length must be headerSize.
 type header []byte
 
 func (h header) kind() messageKind { return messageKind(h[0]) }
@@ -70,13 +70,13 @@
 func (h header) payloadSize() (int, error) {
 	size := binary.BigEndian.Uint32(h[payloadSizeStart:])
 	if size > maxPayloadBytes {
-		reason := fmt.Sprintf("%d bytes, at most %d are accepted", size, maxPayloadBytes)
+		reason := fmt.Sprintf("expected at most %d bytes, found %d", maxPayloadBytes, size)
 		return 0, &ProtocolError{Kind: h[0], Reason: reason}
 	}
 	return int(size), nil
 }
 
-// verify checks that the payload is the one that the header was written for.
+// verify checks the payload against the checksum in the header.
 func (h header) verify(payload []byte) error {
 	if binary.BigEndian.Uint32(h[checksumStart:]) != crc32.Checksum(payload, castagnoli) {
 		return &ProtocolError{Kind: h[0], Reason: "checksum mismatch"}
--- a/internal/handover/path.go
+++ b/internal/handover/path.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// maxSocketPath is the longest path that is bound or dialed as it is. The kernel accepts 107 bytes, and Listen
-	// appends the process's number.
+	// maxSocketPath is the maximum length, in bytes, of a path that is bound or dialed without shortening. The kernel
+	// accepts 107 bytes, and Listen appends the process ID.
 	maxSocketPath = 99
-	// socketMode keeps other users away: whoever connects is given all that this process knows.
+	// socketMode denies other users access: a process that connects receives the state of this process.
 	socketMode = 0o600
 )
 
-// SocketPath returns where the process with a name listens for its successor. It does not depend on the name's
-// length or characters.
+// SocketPath returns the path at which the process with the given name listens for its successor. The path has a hash
+// in place of the name, so that a name may have any length and characters.
 func SocketPath(dir, name string) string {
 	sum := sha256.Sum256([]byte(name))
 	return filepath.Join(dir, fmt.Sprintf("robincart-%x.sock", sum[:8]))
 }
 
-// shortPath returns a path to the same file that the kernel accepts as a socket's address, and a function to be
-// called after its use.
+// shortPath returns a path to the same file that is short enough for a socket's address. The returned function must be
+// called after the last use of the path.
 func shortPath(path string) (string, func(), error) {
 	if len(path) <= maxSocketPath {
 		return path, func() {}, nil
@@ -39,22 +39,22 @@
 	return short, func() { dir.Close() }, nil
 }
 
-// Listen listens at a path, in place of a process that listens there now. Links that the other process has accepted
-// stay.
+// Listen listens at a path. It replaces the socket of a process that listens at the path already. Links that the other
+// process has accepted stay open.
 func Listen(path string) (*net.UnixListener, error) {
 	short, release, err := shortPath(path)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	// The socket is bound under a name of its own and then renamed, so that at no time nobody listens at the path.
+	// The socket is bound at a temporary path and then renamed, so that there is always a listener at the path.
 	prepared := fmt.Sprintf("%s.%d", short, os.Getpid())
 	os.Remove(prepared)
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: prepared, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // by then the path may be a successor's
+	listener.SetUnlinkOnClose(false) // at Close the path may already be a successor's
 	if err := errors.Join(os.Chmod(prepared, socketMode), os.Rename(prepared, short)); err != nil {
 		listener.Close()
 		os.Remove(prepared)
--- a/internal/handover/savedstate.go
+++ b/internal/handover/savedstate.go
@@ -11,22 +11,22 @@
 // corruptSuffix is appended to the name of a file that is set aside.
 const corruptSuffix = ".bad"
 
-// errNotSavedState is the cause of a CorruptError where a file was not written by Save, or not to its end.
+// errNotSavedState is the cause of a CorruptError for a file that Save did not write, or did not write completely.
 var errNotSavedState = errors.New("truncated, or not a state file of this program")
 
-// CorruptError reports a state file whose content can't be trusted. It has been moved.
+// CorruptError reports a state file with invalid content. The file has been moved from Path to MovedTo.
 type CorruptError struct {
 	Path, MovedTo string
 	Cause         error
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("%s: %v; it is set aside as %s", e.Path, e.Cause, e.MovedTo)
+	return fmt.Sprintf("%s: %v; the file is set aside as %s", e.Path, e.Cause, e.MovedTo)
 }
 
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// Save writes a state that has to outlive this process, atomically.
+// Save atomically writes a file with state that has to outlive this process.
 func Save(path string, state any) error {
 	encoded, err := encode(kindSavedState, state)
 	if err != nil {
@@ -35,11 +35,11 @@
 	return statefile.Write(path, encoded)
 }
 
-// Load reads what Save has written. A file that does not exist is no error, and leaves the state as it is.
+// Load reads a file that Save has written. If the file does not exist, Load leaves the state as it is and returns nil.
 //
-// A corrupt file is moved and reported as a CorruptError: no part of it is used, and the next Save has its name
-// free. Any other error means that the file can't be read for now: it stays where it is, and the caller should try
-// again.
+// A corrupt file is moved, so that the next Save can use its name, and reported as a CorruptError. No part of the file
+// is used. Any other error means that the file can't be read at present. The file stays in its place, and the caller
+// should try again.
 func Load(path string, state any) error {
 	encoded, found, err := statefile.Read(path, headerSize+maxPayloadBytes)
 	var tooLarge *statefile.TooLargeError
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// setAside moves a corrupt file, and returns the error to report: a CorruptError, or why the file can't be moved.
+// setAside moves a corrupt file. It returns the error to report: a CorruptError, or the error of the move.
 func setAside(path string, cause error) error {
 	corrupt := &CorruptError{Path: path, MovedTo: path + corruptSuffix, Cause: cause}
 	if err := statefile.SetAside(path, corrupt.MovedTo); err != nil {
