--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,11 +1,11 @@
-// Package admin serves a node's admin address, on which operators detach and attach servers and make the node a lame
-// duck: small HTTP/1.1 requests, one a connection, answered in JSON.
+// Package admin serves a node's admin address. Operators call it to detach and attach servers and to make the node a
+// lame duck. A call is a small HTTP/1.1 request with a JSON response. Each connection serves one call.
 //
-// The address is apart from the clients' listener, with connections and limits of its own, so that a node whose client
-// connections are exhausted still serves its operators. Every call is idempotent and may be repeated.
+// The address has a listener, connections and limits of its own, so that a node whose client connections are exhausted
+// still serves its operators. Every call is idempotent and may be repeated.
 //
 // The package owns the listener, the connections and the form of requests and responses. It keeps no state of the node:
-// what a call changes is up to the Node.
+// a Node executes the calls.
 package admin
 
 import (
@@ -15,7 +15,7 @@
 	"robincart/internal/protocol/httpwire"
 )
 
-// Paths of the calls. PathReady is a GET, the others are a POST.
+// Paths of the calls. The method of PathReady is GET, the method of the other paths is POST.
 const (
 	PathReady       = "/_ready"
 	PathDetach      = "/_servers/detach"
@@ -24,26 +24,26 @@
 	PathLameDuckOff = "/_lameduck/off"
 )
 
-// Node is what the calls act on. None of the methods may wait for another machine. Those that change something return
-// ErrNeverListed for a server that was never listed, and a NotPersistedError if the change is in force but a process
-// that follows would not know of it.
+// Node executes the calls. No method may wait for another machine. The methods that change the node return
+// ErrNeverListed for a server that was never in the endpoint list. They return a NotPersistedError if the change is in
+// force but not saved, so that a later process would not know of the change.
 type Node interface {
 	// Ready reports whether this process accepts clients.
 	Ready() bool
-	// Detach sends no further requests to a server.
+	// Detach excludes a server from further requests.
 	Detach(server string) error
-	// Attach lets a server serve again.
+	// Attach ends the exclusion by Detach.
 	Attach(server string) error
-	// ExclusionReason returns what excludes a server, other than Detach; "" for nothing.
+	// ExclusionReason returns what excludes a server apart from Detach; "" if nothing does.
 	ExclusionReason(server string) string
-	// SetLameDuck asks clients to leave the node, or no longer.
+	// SetLameDuck starts or stops asking clients to leave the node.
 	SetLameDuck(on bool) error
 }
 
-// ErrNeverListed reports a call that names a server which was in no endpoint list.
+// ErrNeverListed reports a call for a server that was never in the endpoint list.
 var ErrNeverListed = errors.New("no such server was ever listed")
 
-// NotPersistedError reports a call that is in force and could not be saved.
+// NotPersistedError reports a change that is in force but could not be saved.
 type NotPersistedError struct{ Cause error }
 
 func (n *NotPersistedError) Error() string {
@@ -54,17 +54,17 @@
 
 func (n *NotPersistedError) Unwrap() error { return n.Cause }
 
-// Limits bound what the clients of the admin address may use.
+// Limits limit the resources that callers of the admin address may use.
 type Limits struct {
 	MaxConnections int           // at once
 	CallTimeout    time.Duration // from the connect to the request's last byte
-	WriteTimeout   time.Duration // for the response
+	WriteTimeout   time.Duration // to write the response
 	// Linger is how long the rest of a malformed request is read after the response.
 	Linger time.Duration
 	Wire   httpwire.Sizes
 }
 
-// DefaultLimits returns limits by which a caller that waits one second is served, whatever others do.
+// DefaultLimits returns limits with which a caller that waits one second is served, whatever other callers do.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxConnections: 8,
@@ -81,6 +81,6 @@
 	}
 }
 
-// Descriptors returns how many descriptors the address needs at most: the listener's, the connections', and one for a
-// connection that is accepted before the oldest is closed for it.
+// Descriptors returns the maximum number of file descriptors that the address needs: one for the listener, one per
+// connection, and one for a new connection that is accepted before the oldest connection is closed.
 func (l Limits) Descriptors() int { return l.MaxConnections + 2 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -24,11 +24,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeNode knows the server s1, and records what it is commanded.
+// fakeNode knows the server s1, and records the commands that it receives.
 type fakeNode struct {
-	mu       sync.Mutex
-	commands []string
-	failing  bool // nothing can be saved
+	mu        sync.Mutex
+	commands  []string
+	saveFails bool // no command can be saved
 }
 
 func (f *fakeNode) record(command string) {
@@ -56,7 +56,7 @@
 }
 
 func (f *fakeNode) outcome(server string) error {
-	if f.failing {
+	if f.saveFails {
 		return &NotPersistedError{Cause: syscall.ENOSPC}
 	}
 	if server != "s1" {
@@ -74,7 +74,7 @@
 	return server, node
 }
 
-// call returns the status of one call, which is written at once on a connection of its own.
+// call writes a request on a new connection and returns the status of the response, or 0 if there is no response.
 func call(t *testing.T, server *Server, request string) int {
 	t.Helper()
 	conn, err := net.Dial("tcp", server.Addr())
@@ -99,7 +99,7 @@
 // A command that can't be saved is in force and answered 503, and the response says so.
 func TestServer_CommandNotPersisted(t *testing.T) {
 	server, node := newTestServer(t, DefaultLimits())
-	node.failing = true
+	node.saveFails = true
 	for _, request := range []string{
 		post(PathDetach, `{"host":"s1"}`),
 		post(PathAttach, `{"host":"s1"}`),
@@ -147,7 +147,8 @@
 			node.commands = nil
 			request := test.request
 			if len(request) > 1<<19 {
-				// It is answered and closed with the rest unread: all that can be relied on is that it ends.
+				// The server closes the connection before it has read all of such a request, so the response may be
+				// lost. The response to this part is not lost.
 				request = request[:12<<10]
 			}
 			assert.Equal(t, test.status, call(t, server, request))
@@ -160,7 +161,8 @@
 	}
 }
 
-// Whatever a caller sends, at most one command is executed, and only one whose body names its server.
+// FuzzCall checks that a call executes at most one command, and that the status of the response tells whether one was
+// executed: 200 or 404 if so, not 200 otherwise, except for PathReady.
 func FuzzCall(f *testing.F) {
 	f.Add([]byte(post(PathDetach, `{"host":"s1"}`)))
 	f.Add([]byte(post(PathAttach, `{"host":"s1"} x`)))
@@ -184,7 +186,7 @@
 	})
 }
 
-func TestServer_IncompleteRequestsGiveWay(t *testing.T) {
+func TestServer_ClosesOldestIncompleteRequests(t *testing.T) {
 	l := DefaultLimits()
 	l.MaxConnections = 3
 	server, _ := newTestServer(t, l)
@@ -203,7 +205,7 @@
 			assert.Equal(t, 200, response.StatusCode)
 		}
 	}
-	for _, conn := range incomplete[:15] { // these had to give way
+	for _, conn := range incomplete[:15] { // closed in favor of later connections
 		conn.SetDeadline(time.Now().Add(10 * time.Second))
 		_, err := conn.Read(make([]byte, 1))
 		assert.Error(t, err)
--- a/internal/admin/calls.go
+++ b/internal/admin/calls.go
@@ -86,12 +86,12 @@
 	return respondError(err)
 }
 
-// serverBody is the body of a call on a server.
+// serverBody is the body of a call that detaches or attaches a server.
 type serverBody struct {
 	Host *string `json:"host"`
 }
 
-// parseServer returns the server that a body names, or what is wrong with the body.
+// parseServer returns the ID of the server that a body names, or else the text that describes the mistake in the body.
 func parseServer(body []byte) (server, problem string) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	var parsed serverBody
@@ -117,7 +117,7 @@
 	return &httpwire.ClientResponse{Status: status, Body: body}
 }
 
-// respondError returns the response to a call that has failed.
+// respondError returns the response to a failed call.
 func respondError(err error) *httpwire.ClientResponse {
 	if errors.Is(err, ErrNeverListed) {
 		return respond(http.StatusNotFound, err.Error())
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -1,8 +1,8 @@
 package admin
 
-// testdata/calls.txt holds operators' calls and the answers to them, byte for byte as they stand on the connection. It
-// was written by the code at commit 0cdd5b2, by the same calls as in this test. A test that fails here after a rename
-// tells that the calls have changed for operators' tools. Never write the file anew to follow a rename.
+// testdata/calls.txt holds operators' calls and their responses, byte for byte as they are sent on the connection. The
+// code at commit 0cdd5b2 wrote the file with the same calls as in this test. If the test fails after a rename, the
+// calls have changed for operators' tools. Never regenerate the file to follow a rename.
 
 import (
 	"fmt"
@@ -20,33 +20,33 @@
 	"go.uber.org/zap"
 )
 
-// scripted is a node whose outcomes are set, and which notes what it is told.
-type scripted struct {
-	notReady bool
-	keptBy   string // what keeps a server out
-	failure  error
-	told     string
+// scriptedNode is a node with preset results that records the last command.
+type scriptedNode struct {
+	notReady        bool
+	exclusionReason string
+	failure         error
+	command         string
 }
 
-func (s *scripted) Ready() bool                   { return !s.notReady }
-func (s *scripted) ExclusionReason(string) string { return s.keptBy }
+func (s *scriptedNode) Ready() bool                   { return !s.notReady }
+func (s *scriptedNode) ExclusionReason(string) string { return s.exclusionReason }
 
-func (s *scripted) Detach(server string) error {
-	s.told = "detach " + server
+func (s *scriptedNode) Detach(server string) error {
+	s.command = "detach " + server
 	return s.failure
 }
 
-func (s *scripted) Attach(server string) error {
-	s.told = "attach " + server
+func (s *scriptedNode) Attach(server string) error {
+	s.command = "attach " + server
 	return s.failure
 }
 
-func (s *scripted) SetLameDuck(on bool) error {
-	s.told = fmt.Sprint("lame ", on)
+func (s *scriptedNode) SetLameDuck(on bool) error {
+	s.command = fmt.Sprint("lame ", on)
 	return s.failure
 }
 
-// exchange sends one call and returns all that is answered.
+// exchange sends one call and returns the whole response.
 func exchange(t *testing.T, node Node, request string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,37 +68,41 @@
 
 func TestGolden_CallsAndAnswers(t *testing.T) {
 	const server = `{"host":"server-1"}`
-	notKept := &NotPersistedError{Cause: syscall.ENOSPC}
-	keptBy := "the list does not have it now"
+	notPersisted := &NotPersistedError{Cause: syscall.ENOSPC}
+	exclusionReason := "the list does not have it now"
 	var transcript strings.Builder
 	for _, test := range []struct {
 		name    string
-		node    scripted
+		node    scriptedNode
 		request string
-		told    string // to the node
+		command string // the command that the node receives
 	}{
-		{"ready", scripted{}, get("/_ready"), ""},
-		{"ready, head only", scripted{}, "HEAD /_ready HTTP/1.1\r\nHost: n\r\n\r\n", ""},
-		{"not ready", scripted{notReady: true}, get("/_ready"), ""},
-		{"detach", scripted{}, post("/_servers/detach", server), "detach server-1"},
-		{"detach, never listed", scripted{failure: ErrNeverListed}, post("/_servers/detach", server), "detach server-1"},
-		{"detach, not kept", scripted{failure: notKept}, post("/_servers/detach", server), "detach server-1"},
-		{"attach", scripted{}, post("/_servers/attach", server), "attach server-1"},
-		{"attach, kept out", scripted{keptBy: keptBy}, post("/_servers/attach", server), "attach server-1"},
-		{"attach, never listed", scripted{failure: ErrNeverListed}, post("/_servers/attach", server), "attach server-1"},
-		{"lame duck on", scripted{}, post("/_lameduck/on", ""), "lame true"},
-		{"lame duck on, not kept", scripted{failure: notKept}, post("/_lameduck/on", ""), "lame true"},
-		{"lame duck off", scripted{}, post("/_lameduck/off", ""), "lame false"},
-		{"no host", scripted{}, post("/_servers/detach", `{"server":"server-1"}`), ""},
-		{"empty host", scripted{}, post("/_servers/detach", `{"host":""}`), ""},
-		{"more than an object", scripted{}, post("/_servers/detach", server+server), ""},
-		{"unknown call", scripted{}, post("/_servers/drop", server), ""},
-		{"wrong method for ready", scripted{}, post("/_ready", ""), ""},
-		{"wrong method for a change", scripted{}, get("/_lameduck/on"), ""},
-		{"not HTTP", scripted{}, "nonsense\r\n\r\n", ""},
+		{"ready", scriptedNode{}, get("/_ready"), ""},
+		{"ready, head only", scriptedNode{}, "HEAD /_ready HTTP/1.1\r\nHost: n\r\n\r\n", ""},
+		{"not ready", scriptedNode{notReady: true}, get("/_ready"), ""},
+		{"detach", scriptedNode{}, post("/_servers/detach", server), "detach server-1"},
+		{"detach, never listed", scriptedNode{failure: ErrNeverListed},
+			post("/_servers/detach", server), "detach server-1"},
+		{"detach, not kept", scriptedNode{failure: notPersisted},
+			post("/_servers/detach", server), "detach server-1"},
+		{"attach", scriptedNode{}, post("/_servers/attach", server), "attach server-1"},
+		{"attach, kept out", scriptedNode{exclusionReason: exclusionReason},
+			post("/_servers/attach", server), "attach server-1"},
+		{"attach, never listed", scriptedNode{failure: ErrNeverListed},
+			post("/_servers/attach", server), "attach server-1"},
+		{"lame duck on", scriptedNode{}, post("/_lameduck/on", ""), "lame true"},
+		{"lame duck on, not kept", scriptedNode{failure: notPersisted}, post("/_lameduck/on", ""), "lame true"},
+		{"lame duck off", scriptedNode{}, post("/_lameduck/off", ""), "lame false"},
+		{"no host", scriptedNode{}, post("/_servers/detach", `{"server":"server-1"}`), ""},
+		{"empty host", scriptedNode{}, post("/_servers/detach", `{"host":""}`), ""},
+		{"more than an object", scriptedNode{}, post("/_servers/detach", server+server), ""},
+		{"unknown call", scriptedNode{}, post("/_servers/drop", server), ""},
+		{"wrong method for ready", scriptedNode{}, post("/_ready", ""), ""},
+		{"wrong method for a change", scriptedNode{}, get("/_lameduck/on"), ""},
+		{"not HTTP", scriptedNode{}, "nonsense\r\n\r\n", ""},
 	} {
 		answer := exchange(t, &test.node, test.request)
-		assert.Equal(t, test.told, test.node.told, test.name)
+		assert.Equal(t, test.command, test.node.command, test.name)
 		fmt.Fprintf(&transcript, "=== %s\n%s\n--- answer\n%s\n", test.name, test.request, answer)
 	}
 	want, err := os.ReadFile(filepath.Join("testdata", "calls.txt"))
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -26,7 +26,7 @@
 	listener net.Listener
 
 	mu         sync.Mutex
-	conns      []net.Conn // the oldest first
+	conns      []net.Conn // in the order of their accepts
 	closed     bool
 	goroutines sync.WaitGroup
 }
@@ -41,7 +41,8 @@
 // Addr returns the address of the listener.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close closes the listener. A call that was read is still answered; connections that have brought none are closed.
+// Close closes the listener and waits for the calls in progress. A call that has been read is still answered. All other
+// connections are closed without a response.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -73,8 +74,8 @@
 	}
 }
 
-// add adds a connection, unless the server is closed. At MaxConnections the oldest is closed: callers that finish no
-// request must not keep out one that does.
+// add adds a connection, unless the server is closed. At MaxConnections it closes the oldest connection: callers that
+// do not finish their requests must not block other callers.
 func (s *Server) add(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +103,7 @@
 	conn.SetReadDeadline(time.Now().Add(s.limits.CallTimeout))
 	request, err := httpwire.NewReader(socket.ShortageConn{Conn: conn}, s.limits.Wire).ReadRequest()
 	if err != nil {
-		if response, ok := httpwire.ErrorResponse(err); ok { // else the caller has left, or its time is over
+		if response, ok := httpwire.ErrorResponse(err); ok { // otherwise the caller has disconnected or timed out
 			s.respond(conn, &response, false)
 			s.discardRest(conn)
 		}
@@ -121,8 +122,8 @@
 	socket.Write(conn, message)
 }
 
-// discardRest reads what follows a malformed request: closed with bytes unread, the connection would be reset, and the
-// response lost with it.
+// discardRest reads the rest of a malformed request. If the connection were closed with unread bytes, the kernel would
+// reset it, and the response would be lost.
 func (s *Server) discardRest(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
