--- a/internal/config/nodeconfig/schema.go
+++ b/internal/config/nodeconfig/schema.go
@@ -81,7 +81,7 @@
 	Off              bool      `toml:"off"`     // no quotas
 	ReservedFraction *float64  `toml:"reserve"` // the fraction of each guarantee that is never lent to other services
 	RevokeAfter      *Duration `toml:"return"`  // how long a shortage lasts until what was lent is revoked
-	CPUThreshold     *float64  `toml:"busy"`    // CPU usage, as a fraction, above which only guaranteed requests are accepted
+	CPUThreshold     *float64  `toml:"busy"`    // fraction of CPU above which only guaranteed requests are accepted
 }
 
 // Service is one pool of servers.
