--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -57,7 +57,7 @@
 // Limits limit the resources that callers of the admin address may use.
 type Limits struct {
 	MaxConnections int           // at once
-	CallTimeout    time.Duration // from the connect to the request's last byte
+	CallTimeout    time.Duration // from the accept to the request's last byte
 	WriteTimeout   time.Duration // to write the response
 	// Linger is how long the rest of a malformed request is read after the response.
 	Linger time.Duration
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -26,7 +26,7 @@
 	listener net.Listener
 
 	mu         sync.Mutex
-	conns      []net.Conn // in the order of their accepts
+	conns      []net.Conn // oldest first
 	closed     bool
 	goroutines sync.WaitGroup
 }
--- a/internal/config/nodeconfig/recordentries.go
+++ b/internal/config/nodeconfig/recordentries.go
@@ -117,7 +117,7 @@
 	if len(mistakes) > 0 {
 		return nil, errors.Join(mistakes...)
 	}
-	for _, tenant := range tenants { // after the services that the tenants belong to
+	for _, tenant := range tenants { // after the loop above has merged all services
 		merged.addTenant(tenant)
 	}
 	merged.setDefaults()
--- a/internal/config/nodeconfig/validateservice.go
+++ b/internal/config/nodeconfig/validateservice.go
@@ -13,7 +13,7 @@
 	"robincart/internal/protocol/fcgi"
 )
 
-// Protocols of a service's servers.
+// Protocols that the servers of a service may speak.
 const (
 	protocolHTTP    = "http"
 	protocolFastCGI = "fastcgi"
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// FuzzLink checks that a link reads any bytes either as messages or as the reason to end.
+// FuzzLink checks that a link either reads any given bytes as messages or ends with an error.
 func FuzzLink(f *testing.F) {
 	f.Add([]byte(rawMessage('S', "{}") + rawMessage('W', `{"Call":"/x"}`) +
 		rawMessage('I', `"AAAA"`) + rawMessage('T', "{}")))
