--- a/internal/config/nodeconfig/servicesettings.go
+++ b/internal/config/nodeconfig/servicesettings.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	return compiled, fmt.Sprintf("%s %s %q", text, s.Protocol, s.Params), nil // fmt prints maps in the order of their keys
+	return compiled, fmt.Sprintf("%s %s %q", text, s.Protocol, s.Params), nil // fmt prints maps in key order
 }
 
 func (s *Service) settingsObject() settingsObject {
