--- a/internal/controlplane/controller/config.go
+++ b/internal/controlplane/controller/config.go
@@ -12,7 +12,7 @@
 	"robincart/internal/system/keys"
 )
 
-// Service is a service of the cluster manager whose endpoints are published to nodes as one list.
+// Service is a service of the cluster manager whose endpoints are published to robincart nodes as one list.
 type Service struct {
 	ListName    string // name of the list on the status page and in the log
 	ServiceName string // name of the cluster manager's Service
@@ -32,13 +32,13 @@
 	Services      []Service
 	StatusAddress string     // address of the status page; empty: no page
 	Keys          keys.Files // certificates for connections from nodes; not set: plain TCP
-	// Store is the store of the record that Setting objects are written to; nil: Setting objects are not watched. Run
-	// closes the store.
+	// Store is the record store to which the entries that Setting objects define are written; nil: Setting objects are
+	// not watched. Run closes the store.
 	Store store.Store
-	// RecordAddress is the address at which this replica serves the record to nodes, so that they need not poll the
-	// store; empty: it is not served.
+	// RecordAddress is the address at which this replica serves the record to nodes, so that the nodes need
+	// not poll the store; empty: the record is not served.
 	RecordAddress    string
-	MaxRecordClients int // maximum number of nodes connected to RecordAddress at once
+	MaxRecordClients int // maximum number of robincart nodes connected to RecordAddress at once
 }
 
 func (c *Config) validate() error {
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -1,9 +1,10 @@
-// Package controller watches a cluster manager's API and publishes lists of servers to nodes. It owns the connections
-// to the API (reflectors, leader election, patches of readiness gates and of Setting objects' statuses), the listeners
-// for nodes and the status page.
+// Package controller watches a cluster manager's API and publishes lists of servers to robincart nodes. It owns the
+// connections to the API (reflectors, leader election, patches of readiness gates and of Setting objects' statuses),
+// the listeners at which nodes connect, and the status page.
 //
 // Package membership derives the lists of servers from the objects of the API, and package desiredstate derives changes
-// to the record from Setting objects. Package fanout sends the lists to nodes, and package recordserver the record.
+// to the record from Setting objects. Package fanout sends the lists to nodes, and package recordserver sends the
+// record to nodes.
 //
 // All replicas watch the API and serve nodes. Only the leader writes: it opens readiness gates, and updates the record
 // and the statuses of Setting objects.
@@ -35,7 +36,7 @@
 type Controller struct {
 	config Config
 	log    *zap.Logger
-	// started is the time from which the times for package membership, in seconds, are counted.
+	// started is the zero point of the times passed to package membership, which are in seconds since started.
 	started time.Time
 	// synced is closed once every kind in requiredKinds has been listed. Lists are published only after that.
 	synced chan struct{}
@@ -63,7 +64,7 @@
 	skipped      map[string]string         // reason why an object is not used, by the object's kind and key
 	disconnected map[string]*disconnection // by kind
 	gatesOpened  int
-	recordWriter *recordWriter        // nil without a store
+	recordWriter *recordWriter        // nil without a record store
 	recordServer *recordserver.Server // nil if the record is not served
 }
 
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// close closes the listeners of the status page and of the record, and closes the store.
+// close closes the listeners at which the status page and the record are served, and closes the record store.
 func (c *Controller) close() {
 	for _, listener := range []net.Listener{c.statusListener, c.recordListener} {
 		if listener != nil {
@@ -194,8 +195,8 @@
 	}
 }
 
-// serveList serves a list to nodes once all required kinds have been listed. It does not listen before that: with
-// several replicas behind one address, a node that connected to a replica still starting would have to retry.
+// serveList serves a list to nodes once all required kinds have been listed. serveList does not listen before that:
+// with several replicas behind one address, a node that connected to a replica still starting would have to retry.
 func (c *Controller) serveList(ctx context.Context, service Service) {
 	select {
 	case <-ctx.Done():
--- a/internal/controlplane/controller/election.go
+++ b/internal/controlplane/controller/election.go
@@ -12,7 +12,8 @@
 )
 
 // handleLease processes an event of the leader's lease. Each change of the lease's holder starts a new epoch. The epoch
-// begins with snapshots of the lists, whose revisions are higher than all revisions of earlier epochs.
+// begins with a snapshot of each list. The revisions of these snapshots are higher than all revisions of earlier
+// epochs.
 func (c *Controller) handleLease(_ string, object any, event eventType) {
 	lease, ok := object.(*coordination.Lease)
 	if event != objectUpdated || !ok {
--- a/internal/controlplane/controller/objects.go
+++ b/internal/controlplane/controller/objects.go
@@ -19,7 +19,7 @@
 // starts.
 const gatedServiceLabel = "robincart.dev/service"
 
-// podRecord holds the fields of a Pod that a patch of its readiness gate needs.
+// podRecord holds the fields of a Pod that a patch of the Pod's readiness gate needs.
 type podRecord struct {
 	name       string
 	conditions []core.PodCondition
@@ -51,8 +51,8 @@
 	c.setSkipped("endpointslice "+key, problem)
 }
 
-// convertEndpoints returns the usable endpoints of a slice, and a description of the last unusable endpoint. The
-// description is empty if all endpoints are usable.
+// convertEndpoints returns the usable endpoints of an EndpointSlice, and a description of the last unusable endpoint.
+// The description is empty if all endpoints are usable.
 func convertEndpoints(slice *discovery.EndpointSlice, wantedPort string) ([]membership.Endpoint, string) {
 	port := selectPort(slice, wantedPort)
 	problem := ""
@@ -87,8 +87,8 @@
 	return result
 }
 
-// selectPort returns the port of a slice that has the wanted name or number. If wanted is empty, it returns the first
-// valid port of the slice. It returns 0 if there is no such port.
+// selectPort returns the port with the wanted name or number from an EndpointSlice. If wanted is empty, selectPort
+// returns the first valid port of the EndpointSlice. If there is no such port, selectPort returns 0.
 func selectPort(slice *discovery.EndpointSlice, wanted string) int32 {
 	for _, port := range slice.Ports {
 		if port.Port == nil || *port.Port <= 0 || *port.Port > maxPort {
--- a/internal/controlplane/controller/recordwriter.go
+++ b/internal/controlplane/controller/recordwriter.go
@@ -24,10 +24,10 @@
 	// reconcileInterval is the interval between reconciliations of the record. The record is reconciled even if no
 	// Setting object has changed, since other writers change the record, too.
 	reconcileInterval = time.Second
-	// storeCallTimeout bounds one call to the store.
+	// storeCallTimeout bounds one call to the record store.
 	storeCallTimeout = 5 * time.Second
-	// nodeCountInterval is the interval at which the number of nodes in statuses is updated. The number changes with
-	// every deployment, and each update costs one patch request.
+	// nodeCountInterval is the interval at which the node count in the Settings' statuses is updated. The count changes
+	// with every deployment and each update costs one patch request, so the count is not updated on every change.
 	nodeCountInterval = 5 * time.Second
 
 	recordPageSize   = 2000
@@ -35,8 +35,8 @@
 )
 
 // recordWriter writes the entries that Setting objects define to the record, and publishes the result in the status of
-// each object. It is level-triggered: each reconciliation compares all objects with the current record, and so corrects
-// missed events and failed writes.
+// each object. recordWriter is level-triggered: each reconciliation compares all objects with the current record, and
+// so corrects missed events and failed writes.
 type recordWriter struct {
 	controller *Controller
 	store      store.Store
@@ -124,8 +124,8 @@
 	}
 }
 
-// snapshot returns the settings, and whether this replica may write them: the replica must lead, and must have read the
-// initial list of all settings.
+// snapshot returns the settings, and whether this replica may write their entries to the record: the replica must lead,
+// and must have read the initial list of all settings.
 func (w *recordWriter) snapshot() (map[string]settingObject, bool) {
 	c := w.controller
 	c.mu.Lock()
@@ -202,8 +202,8 @@
 	return errors.Join(failures...)
 }
 
-// withNodeCount adds the number of nodes that watch a service's list, and the list's revision, to the service's status.
-// If count is false, withNodeCount adds both values from the published status instead.
+// withNodeCount adds the number of robincart nodes that watch a service's list, and the list's revision, to the
+// service's status. If count is false, withNodeCount adds both values from the published status instead.
 func (w *recordWriter) withNodeCount(
 	status desiredstate.Status, setting settingObject, count bool,
 ) desiredstate.Status {
@@ -220,7 +220,8 @@
 	return status
 }
 
-// findList returns the list of the service that a setting defines, or nil if this controller does not publish it.
+// findList returns the list of the service that a setting defines, or nil if this controller does not publish that
+// list.
 func (c *Controller) findList(spec desiredstate.Spec) *fanout.List {
 	if spec.Kind != string(record.KindService) {
 		return nil
--- a/internal/controlplane/controller/reflector.go
+++ b/internal/controlplane/controller/reflector.go
@@ -59,7 +59,7 @@
 	start(c.clients.coordination, kindLeases, namespace, &coordination.Lease{}, c.handleLease)
 }
 
-// startReflector starts a reflector of one kind. The reflector ends when the context ends.
+// startReflector starts a reflector of the objects of one kind. The reflector ends when the context ends.
 func (c *Controller) startReflector(
 	ctx context.Context, kind string, source cache.ListerWatcher, example any, handle eventHandler,
 ) {
--- a/internal/controlplane/controller/status.go
+++ b/internal/controlplane/controller/status.go
@@ -23,7 +23,7 @@
 	Epoch        int64                    `json:"epoch"`
 	Synced       bool                     `json:"whole"`
 	Disconnected map[string]float64       `json:"cut_seconds"` // by kind: seconds since the watch of the kind was lost
-	Skipped      map[string]string        `json:"skipped"`     // by object: reason why it is not used
+	Skipped      map[string]string        `json:"skipped"`     // by object: reason why the object is not used
 	GatesOpened  int                      `json:"gates_opened"`
 	RecordError  string                   `json:"record,omitempty"` // error of the last reconciliation of the record
 	RecordServer *recordserver.Status     `json:"relay,omitempty"`
--- a/internal/controlplane/desiredstate/object.go
+++ b/internal/controlplane/desiredstate/object.go
@@ -31,7 +31,7 @@
 	Accepted   bool   `json:"accepted"` // the record has the entry that the object defines
 	Reason     string `json:"reason,omitempty"`
 	Generation int64  `json:"observedGeneration"`
-	Revision   int64  `json:"recordRevision,omitempty"` // revision of that entry
+	Revision   int64  `json:"recordRevision,omitempty"` // revision of the entry
 	Epoch      string `json:"recordEpoch,omitempty"`
 	// For a service whose list the controller publishes: the number of nodes that watch the list at the leader, and the
 	// list's revision.
--- a/internal/controlplane/endpoints/backoff.go
+++ b/internal/controlplane/endpoints/backoff.go
@@ -39,9 +39,9 @@
 //
 // The node must apply a change within MaxUpdateDelay after discovery has the change and can be reached, even if no
 // watch was open when the change was made. Discovery may have been reachable since the start of the failed poll, or, if
-// the poll became a watch, since the last message of the watch. The time since then is therefore subtracted from the
-// longest pause, MaxPollInterval. Up to this limit, the core's pauses grow with each failure, to reduce the load of an
-// overloaded discovery.
+// the poll became a watch, since the last message of the watch. The pause is therefore limited to MaxPollInterval minus
+// the time since the start of the failed poll (or, if the poll became a watch, since the watch's last message). Below
+// this limit, the core's pauses grow with each failure, to reduce the load of an overloaded discovery.
 func (w *Watcher) watchFailure(p *poll, cause error, lasted bool) node.WatchFailure {
 	failure := node.WatchFailure{
 		ResetBackoff: lasted || w.newAddress || !suggestsOverload(cause),
@@ -55,7 +55,7 @@
 	return failure
 }
 
-// suggestsOverload reports whether an overloaded discovery can have caused a failure. A watch that ends right after its
+// suggestsOverload reports whether an overloaded discovery can have caused a failure. A watch that ends right after the
 // snapshot suggests overload. A timeout does not, and neither does a poll that failed for lack of a resource on this
 // machine.
 func suggestsOverload(cause error) bool {
--- a/internal/controlplane/endpoints/fakediscovery_test.go
+++ b/internal/controlplane/endpoints/fakediscovery_test.go
@@ -21,7 +21,7 @@
 	rejecting           // polls are answered with 503, watches end
 	resetting           // connections are closed after the poll was read, watches end
 	truncating          // a watch sends half a message and nothing after it
-	endingWatches       // a watch ends right after its snapshot
+	endingWatches       // a watch ends right after the snapshot
 )
 
 const (
@@ -39,19 +39,21 @@
 	// worker's time. If maxWait is 0, no poll is rejected at once.
 	maxWait, rejectionTime time.Duration
 
-	mu       sync.Mutex
-	fault    fault
-	queue    []*queuedPoll
-	wake     chan struct{}     // wakes serveQueue
-	conns    map[net.Conn]bool // open connections; true: nothing more is sent to the node
-	version  int               // revision of the list
-	changed  chan struct{}     // closed when the list changes
-	idleAt   time.Time         // when the worker will have finished all accepted polls and rejections
-	polls    int               // polls so far, including those whose connection was refused or not established
-	maxQueue int               // the largest length of the queue
-	timedOut int               // polls rejected after queueTimeout
-	wasted   int               // polls served although their connection was closed
-	rejected int               // polls rejected at once because of maxWait
+	mu      sync.Mutex
+	fault   fault
+	queue   []*queuedPoll
+	wake    chan struct{}     // wakes serveQueue
+	conns   map[net.Conn]bool // open connections; true: nothing more is sent to the node
+	version int               // revision of the list
+	changed chan struct{}     // closed when the list changes
+	// idleAt is the time at which the worker will have processed all polls received so far, both those it accepts and
+	// those it rejects because of maxWait.
+	idleAt   time.Time
+	polls    int // polls so far, including those whose connection was refused or not established
+	maxQueue int // the largest length of the queue
+	timedOut int // polls rejected after queueTimeout
+	wasted   int // polls served although their connection was closed
+	rejected int // polls rejected at once because of maxWait
 }
 
 // queuedPoll is a poll that waits for its answer.
--- a/internal/controlplane/endpoints/fleet_test.go
+++ b/internal/controlplane/endpoints/fleet_test.go
@@ -228,11 +228,13 @@
 // disturbance is a series of faults. After it, discovery publishes a change that has to arrive in time.
 type disturbance struct {
 	name string
-	// apply causes the faults and returns after the duration. The node was started 40 s earlier.
+	// apply causes the faults and returns when its argument, the duration of the disturbance, has passed. The node was
+	// started 40 s earlier.
 	apply func(d *fakeDiscovery, n *testNode, r *rand.Rand, duration time.Duration)
 }
 
-// faultsInTurn returns a disturbance that causes faults one after another, each for an equal part of the duration.
+// faultsInTurn returns a disturbance that causes faults one after another, each for an equal part of the disturbance's
+// duration.
 func faultsInTurn(name string, faults ...fault) disturbance {
 	return disturbance{name, func(d *fakeDiscovery, _ *testNode, _ *rand.Rand, duration time.Duration) {
 		for _, x := range faults {
@@ -243,8 +245,8 @@
 	}}
 }
 
-// randomDuration returns a random duration of at most longest. The duration does not extend past the time end, at which
-// the disturbance ends.
+// randomDuration returns a random duration of at most longest. It is cut so that a wait of this duration, starting now,
+// does not last beyond the time end, at which the disturbance ends.
 func randomDuration(r *rand.Rand, longest time.Duration, end time.Time) time.Duration {
 	return min(time.Until(end), time.Duration(r.Float64()*float64(longest)))
 }
@@ -272,7 +274,7 @@
 // changeRuns is the number of runs of each disturbance. Each run has a longer disturbance than the run before.
 const changeRuns = 40
 
-// disturbanceOf returns the duration of a run's disturbance, and the random number generator for it.
+// disturbanceOf returns how long the disturbance of a run lasts, and the random number generator for it.
 func disturbanceOf(run int) (time.Duration, *rand.Rand) {
 	return time.Duration(run) * 397 * time.Millisecond, rand.New(rand.NewSource(int64(run)))
 }
@@ -395,7 +397,7 @@
 	assert.Less(t, worst, maxDelay)
 }
 
-// A discovery that ends each watch right after its snapshot is polled no more often than a discovery whose polls fail:
+// If a discovery server ends each watch right after the snapshot, it is polled no more often than one whose polls fail:
 // the pauses grow up to their upper bound, and from then on each pause is at least a third of that bound.
 func TestFleet_EndingWatchesKeepBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/controlplane/endpoints/watcher.go
+++ b/internal/controlplane/endpoints/watcher.go
@@ -112,9 +112,9 @@
 	w.signal()
 }
 
-// SetAddress changes discovery's address. The new address is polled immediately: a pause would only reduce the load of
-// an overloaded discovery, and the discovery at the new address has not been polled yet. The node keeps the current
-// list until the new discovery answers.
+// SetAddress changes discovery's address. The new address is polled immediately. No backoff is applied: backoff
+// protects a discovery server whose polls fail, and no poll has failed since the change. The node keeps the current
+// list until the discovery server at the new address answers.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/controlplane/endpoints/watcher_test.go
+++ b/internal/controlplane/endpoints/watcher_test.go
@@ -101,8 +101,8 @@
 	assert.Len(t, requests, 1)
 }
 
-// After a change of discovery's address, the new discovery is polled without the core's backoff. The poll has revision
-// 0, since each discovery counts its own revisions.
+// After a change of discovery's address, the new discovery is polled without the core's backoff. The poll requests the
+// changes after revision 0 (since=0), because each discovery server counts its own revisions.
 func TestWatcher_AddressChange(t *testing.T) {
 	next, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -198,8 +198,8 @@
 	assert.Empty(t, requests)
 }
 
-// A watch resets the backoff only if it stayed open for WatchSilenceTimeout: a discovery that ends each watch right
-// after its snapshot is overloaded.
+// A watch resets the backoff only if it stayed open for WatchSilenceTimeout: a discovery server that ends each watch
+// right after the snapshot is treated as overloaded.
 func TestWatcher_ShortWatchKeepsBackoff(t *testing.T) {
 	l := testLimits()
 	l.WatchSilenceTimeout = time.Hour
--- a/internal/controlplane/fanout/list.go
+++ b/internal/controlplane/fanout/list.go
@@ -22,8 +22,8 @@
 	// maxDeltasBehind is the largest number of missing deltas that a watcher is sent one by one. A watcher that lacks
 	// more deltas is sent a snapshot instead.
 	maxDeltasBehind = 64
-	// staleOrderSlack is the constant part of a limit: List.order is compacted when it has more than 2*members +
-	// staleOrderSlack IDs.
+	// staleOrderSlack is the constant part of a limit: List.order is compacted when List.order has more than
+	// 2*members + staleOrderSlack IDs.
 	staleOrderSlack = 16
 )
 
@@ -63,7 +63,7 @@
 }
 
 // PublishSnapshot replaces the members. The revision has to be higher than all revisions that nodes have received. If
-// it is lower than the list's next revision, the list's next revision is used instead.
+// the passed revision is lower than the list's next revision, the list's next revision is used instead.
 func (l *List) PublishSnapshot(revision int64, members []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +120,7 @@
 }
 
 // flush publishes all pending changes in their order. It publishes a change, such as a drain, even if a later pending
-// change undoes it. The mutex is held.
+// change reverses the published change. The mutex is held.
 func (l *List) flush() {
 	if l.batchTimer != nil {
 		l.batchTimer.Stop()
@@ -141,8 +141,8 @@
 	}
 	l.history = append(l.history, delta{from: l.revision, to: next, chunk: newChunk(text)})
 	if len(l.history) > l.config.History {
-		// Copy the part of the history that is kept, so that the old array and its chunks can be freed. Half of the
-		// history is dropped at once, so that not every delta causes a copy.
+		// Copy the part of the history that is kept, so that the old array and the chunks of its deltas can be freed.
+		// Half of the history is dropped at once, so that not every delta causes a copy.
 		l.history = append([]delta(nil), l.history[len(l.history)-l.config.History/2:]...)
 	}
 	l.revision = next
@@ -252,8 +252,8 @@
 	return nil
 }
 
-// snapshotSince returns a snapshot for a node. since is the revision of the node's list; if the encoding fails, the
-// update has this revision and nothing to send. The snapshot is encoded once per revision.
+// snapshotSince returns a snapshot for a node. since is the revision of the node's list. If the encoding fails, the
+// returned update has the revision since and nothing to send. The snapshot is encoded once per revision.
 func (l *List) snapshotSince(since int64) update {
 	if l.snapshot == nil {
 		snapshot := message{Revision: l.revision, Complete: true, Members: make([]Member, 0, len(l.members))}
--- a/internal/controlplane/fanout/server.go
+++ b/internal/controlplane/fanout/server.go
@@ -49,7 +49,7 @@
 	watchHeader = "HTTP/1.1 " + statusOK + "\r\n" + headerJSON + "Transfer-Encoding: chunked\r\n\r\n"
 )
 
-// Serve answers nodes' requests on a listener until the context ends. Before it returns, it waits for the goroutines
+// Serve answers nodes' requests on a listener until the context ends. Before Serve returns, it waits for the goroutines
 // that it started. The returned error is always nil.
 func (l *List) Serve(ctx context.Context, listener net.Listener) error {
 	var connections sync.WaitGroup
@@ -154,7 +154,8 @@
 }
 
 // watch sends updates and heartbeats until the node closes the connection, a write fails, or the context ends. A node
-// that reads too slowly is disconnected by the write timeout. It then connects again and sends its revision.
+// that reads too slowly is disconnected by the write timeout. The node then connects again and sends the revision of
+// its list.
 func (l *List) watch(ctx context.Context, conn net.Conn, next update) {
 	closed, stopReading := detectClose(conn)
 	defer stopReading()
--- a/internal/controlplane/membership/config.go
+++ b/internal/controlplane/membership/config.go
@@ -8,9 +8,9 @@
 	// delay doubles with each loss, up to MaxFlapDelay.
 	FlapDelay    float64
 	MaxFlapDelay float64
-	// MaxShrinkFraction is the largest fraction of a service's ready servers that may vanish from the service's slices
-	// within ShrinkHold and still be treated as gone. If more servers vanish, they stay in the list for ShrinkHold,
-	// except servers whose pods are known to be terminating.
+	// MaxShrinkFraction is the largest fraction of a service's ready servers that may vanish from the service's
+	// EndpointSlices within ShrinkHold and still be treated as gone. If more servers vanish, the vanished servers stay
+	// in the list for ShrinkHold, except servers whose pods are known to be terminating.
 	MaxShrinkFraction float64
 	ShrinkHold        float64
 	// ForgetAfter is how long the state of a server that is gone is kept, so that a late event can't make the server
@@ -20,7 +20,7 @@
 	SlowStartDuration float64
 	// MaxSlowStartFraction is the fraction of a service's servers that may be in slow start at once.
 	MaxSlowStartFraction float64
-	// DrainCordoned makes the servers on cordoned nodes drain.
+	// DrainCordoned makes the servers on cordoned Kubernetes nodes drain.
 	DrainCordoned bool
 }
 
--- a/internal/controlplane/membership/evaluate.go
+++ b/internal/controlplane/membership/evaluate.go
@@ -12,14 +12,14 @@
 	service   string
 	pod       string
 	node      string
-	endpoints map[string]Endpoint // by key of the slice that lists the endpoint
+	endpoints map[string]Endpoint // by key of the EndpointSlice that lists the endpoint
 	published bool                // the server's last published phase is not Gone
 
 	// ending is true once the server is known to be terminating or isEnding has returned true. It is never reset.
 	ending    bool
 	goneSince float64 // when remove set the phase to Gone; 0: remove was not called, or the server is listed again
-	// vanishedSince is the time at which the server disappeared from all slices although it was not known to be
-	// terminating; 0: the server has not vanished.
+	// vanishedSince is the time at which the server disappeared from all EndpointSlices although the server was not
+	// known to be terminating; 0: the server has not vanished.
 	vanishedSince float64
 
 	readinessLost   bool    // the server lost its readiness, and has not become ready again
@@ -27,8 +27,8 @@
 	readyNotBefore  float64 // end of the delay after the last readiness loss; 0: no delay has begun
 }
 
-// evaluateDirty evaluates the dirty servers and returns the changes. Draining servers come first, so that nodes stop
-// sending them requests as early as possible.
+// evaluateDirty evaluates the dirty servers and returns the changes. Draining servers come first, so that robincart
+// nodes stop sending requests to these servers as early as possible.
 func (s *State) evaluateDirty() []Change {
 	servers := slices.SortedFunc(maps.Keys(s.dirty), func(a, b *server) int {
 		return cmp.Or(cmp.Compare(a.service, b.service), cmp.Compare(a.ID, b.ID))
@@ -58,8 +58,8 @@
 
 func publishOrder(phase Phase) int { return slices.Index([]Phase{Draining, Gone, Ready}, phase) }
 
-// forgetOrRecheck deletes a server that has been gone for longer than ForgetAfter and that no slice lists. A server
-// that has been gone for a shorter time is evaluated again on each Tick.
+// forgetOrRecheck deletes a server that has been gone for longer than ForgetAfter and that no EndpointSlice lists. A
+// server that has been gone for a shorter time is evaluated again on each Tick.
 func (s *State) forgetOrRecheck(server *server) {
 	if server.Phase != Gone || len(server.endpoints) > 0 {
 		return
@@ -94,9 +94,9 @@
 	}
 }
 
-// combineEndpoints sets the server's address and zone to those in the slice with the highest key. It returns whether
-// any slice lists the server, whether all slices that list the server list it as ready, and whether any slice lists it
-// as terminating.
+// combineEndpoints sets the server's address and zone to those in the EndpointSlice with the highest key. It returns
+// whether any EndpointSlice lists the server, whether all EndpointSlices that list the server list the server as ready,
+// and whether any EndpointSlice lists the server as terminating.
 func (s *server) combineEndpoints() (listed, ready, terminating bool) {
 	ready = true
 	for _, key := range slices.Sorted(maps.Keys(s.endpoints)) {
@@ -108,15 +108,15 @@
 	return len(s.endpoints) > 0, ready, terminating
 }
 
-// isEnding reports whether the end of a server's pod was observed, or whether the server's node evicts its pods, or
-// whether that node is cordoned and DrainCordoned is set.
+// isEnding reports whether the end of a server's pod was observed, or whether the Kubernetes node that the server runs
+// on has a taint with the effect NoExecute, or whether that Kubernetes node is cordoned and DrainCordoned is set.
 func (s *State) isEnding(server *server) bool {
 	node := s.nodes[server.node]
 	return s.hasEnded(server) || node.Evicting || node.Cordoned && s.config.DrainCordoned
 }
 
-// drain sets an ending server to Draining while a slice lists the server and its pod has not finished. After that,
-// drain sets the server to Gone.
+// drain sets an ending server to Draining while an EndpointSlice lists the server and the server's pod has not
+// finished. After that, drain sets the server to Gone.
 func (s *State) drain(server *server, listed bool) {
 	server.vanishedSince = 0
 	pod := s.pods[server.pod]
@@ -137,7 +137,8 @@
 	server.vanishedSince = 0
 }
 
-// markNotReady drains a server that a slice lists as not ready. A server that was never ready stays out of the list.
+// markNotReady drains a server that an EndpointSlice lists as not ready. A server that was never ready stays out of the
+// list.
 func (s *server) markNotReady() {
 	s.vanishedSince, s.goneSince = 0, 0
 	switch {
@@ -155,9 +156,9 @@
 	s.readinessLosses++
 }
 
-// markReady sets a server to Ready. It is called if all slices that list the server list it as ready. A server that
-// lost its readiness first waits for flapDelay. It then gets a new start time, since nodes treat the drain of a process
-// as final.
+// markReady sets a server to Ready. It is called if all EndpointSlices that list the server list the server as ready. A
+// server that lost its readiness first waits for flapDelay. The server then gets a new start time, since robincart
+// nodes treat the drain of a process as final.
 func (s *State) markReady(server *server) {
 	server.vanishedSince, server.goneSince = 0, 0
 	if server.Phase == Ready {
--- a/internal/controlplane/membership/gates.go
+++ b/internal/controlplane/membership/gates.go
@@ -54,9 +54,9 @@
 	return groups
 }
 
-// gateOpenedAt returns the time at which a pod's gate was opened, and whether it is open. For a gate that an earlier
-// leader opened, the time is the start of the pod. If that start is not known, the time is SlowStartDuration ago, so
-// that the slow start is over. The time is stored in gateOpenTimes.
+// gateOpenedAt returns the time at which a pod's gate was opened, and whether the gate is open. For a gate that an
+// earlier leader opened, the time is the start of the pod. If that start is not known, the time is SlowStartDuration
+// ago, so that the slow start is over. The time is stored in gateOpenTimes.
 func (s *State) gateOpenedAt(uid string, pod Pod) (float64, bool) {
 	openedAt, opened := s.gateOpenTimes[uid]
 	if opened || !pod.GateOpen {
--- a/internal/controlplane/membership/membership.go
+++ b/internal/controlplane/membership/membership.go
@@ -1,6 +1,6 @@
 // Package membership derives the servers of each service and their phases from the objects that a cluster manager
-// reports: EndpointSlices, pods and nodes. It also limits how many servers are in slow start at once, through the
-// readiness gates of pods.
+// reports: EndpointSlices, pods and Kubernetes nodes. It also limits how many servers are in slow start at once,
+// through the readiness gates of pods.
 //
 // The package is a pure state machine: State takes observations and the time, and returns the changes of the lists of
 // servers. It has no goroutine, no I/O and no clock. Times are in seconds since a point in time that the caller
@@ -10,8 +10,8 @@
 // Endpoint is one endpoint of an EndpointSlice.
 type Endpoint struct {
 	Addr        string // HOST:PORT
-	Pod         string // UID of the pod; empty if the slice does not name a pod
-	Node        string
+	Pod         string // UID of the pod; empty if the EndpointSlice does not name a pod
+	Node        string // name of the Kubernetes node
 	Zone        string
 	Ready       bool
 	Terminating bool
@@ -36,10 +36,10 @@
 	GateOpen        bool    // the condition of the pod's readiness gate is true
 }
 
-// Node is the state of a node.
+// Node is the state of a Kubernetes node.
 type Node struct {
 	Zone     string
-	Evicting bool // the node has a taint that evicts its pods
+	Evicting bool // the node has a taint with the effect NoExecute, which evicts pods from the node
 	Cordoned bool
 	Missing  bool // the node does not exist
 }
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// readyEndpoint returns the ready endpoint of a pod on the node "n1".
+// readyEndpoint returns the ready endpoint of a pod on the Kubernetes node "n1".
 func readyEndpoint(pod string) Endpoint {
 	return Endpoint{Addr: pod + ":80", Pod: pod, Node: "n1", Zone: "a", Ready: true}
 }
--- a/internal/controlplane/membership/shrink.go
+++ b/internal/controlplane/membership/shrink.go
@@ -4,15 +4,15 @@
 // not vanished.
 const minVanishedSince = 1e-9
 
-// shrinkWindow counts the servers of a service that vanished from the service's slices although their pods were not
-// known to be terminating. Many such servers indicate a fault of the API, such as an empty slice or a list that lacks a
-// page: in a scale-down, the end of each pod is observed. The window lasts for ShrinkHold after the first such server
-// vanished.
+// shrinkWindow counts the servers of a service that vanished from the service's EndpointSlices although their pods were
+// not known to be terminating. Many such servers indicate a fault of the API, such as an empty EndpointSlice or a list
+// that lacks a page: in a scale-down, the end of each pod is observed. The window lasts for ShrinkHold after the first
+// such server vanished.
 type shrinkWindow struct {
 	start        float64
 	vanished     int
 	readyAtStart int // ready servers at the start of the window
-	alive        int // at the last count: servers that a slice listed and that were not ending
+	alive        int // at the last count: servers that an EndpointSlice listed and that were not ending
 }
 
 // countVanished adds the servers that have just vanished to the windows of their services. It must run before evaluate
@@ -31,8 +31,8 @@
 		server.vanishedSince = max(s.now, minVanishedSince)
 		shrunk[owner] = true
 	}
-	// Count the servers once per service: with a count for each vanished server, a lost slice with thousands of servers
-	// would take minutes.
+	// Count the servers once per service: with a count for each vanished server, the loss of an EndpointSlice with
+	// thousands of servers would take minutes.
 	for owner := range shrunk {
 		owner.shrink.alive = s.countAlive(owner)
 	}
@@ -64,10 +64,10 @@
 	return alive
 }
 
-// evaluateVanished sets the phase of a server that no slice lists although it is not known to be terminating. If the
-// shrink is accepted (see acceptsShrink), a server whose pod is known drains, and a server whose pod is not known is
-// removed at once. If the shrink is not accepted, the server keeps its phase until the end of its pod is observed. In
-// all cases, the server is removed once ShrinkHold has passed.
+// evaluateVanished sets the phase of a server that no EndpointSlice lists although the server is not known to be
+// terminating. If the shrink is accepted (see acceptsShrink), a server whose pod is known drains, and a server whose
+// pod is not known is removed at once. If the shrink is not accepted, the server keeps its phase until the end of its
+// pod is observed. In all cases, the server is removed once ShrinkHold has passed.
 func (s *State) evaluateVanished(server *server) {
 	accepted := s.acceptsShrink(s.services[server.service].shrink)
 	podKnown := s.pods[server.pod].UID != ""
@@ -81,9 +81,9 @@
 	s.timeDependent[server] = true
 }
 
-// acceptsShrink reports whether vanished servers are treated as gone. They are if only a few of the service's servers
-// vanished. They also are if enough other servers are listed, since this indicates a deployment and not an incomplete
-// list.
+// acceptsShrink reports whether vanished servers are treated as gone. Vanished servers are treated as gone if only a
+// few of the service's servers vanished, and also if enough other servers are listed, since this indicates a deployment
+// and not an incomplete list.
 func (s *State) acceptsShrink(window shrinkWindow) bool {
 	readyBefore := float64(window.readyAtStart)
 	few := float64(window.vanished) <= s.config.MaxShrinkFraction*readyBefore &&
--- a/internal/controlplane/membership/state.go
+++ b/internal/controlplane/membership/state.go
@@ -6,7 +6,7 @@
 )
 
 // MaxServers is the maximum number of servers that are tracked per service, including servers that left within
-// ForgetAfter. Nodes do not accept longer lists.
+// ForgetAfter. Robincart nodes do not accept longer lists.
 const MaxServers = 20_000
 
 // serverSet is a set of servers.
@@ -26,11 +26,11 @@
 	revision int64
 
 	services      map[string]*service
-	slices        map[string]map[string]Endpoint // by key of the slice, then by server ID
-	sliceServices map[string]string              // name of the service, by key of the slice
-	rejected      map[string]int                 // by key of the slice: number of endpoints beyond MaxServers
+	slices        map[string]map[string]Endpoint // by key of the EndpointSlice, then by server ID
+	sliceServices map[string]string              // name of the service, by key of the EndpointSlice
+	rejected      map[string]int                 // by key of the EndpointSlice: number of endpoints beyond MaxServers
 	pods          map[string]Pod                 // by UID
-	nodes         map[string]Node                // by name
+	nodes         map[string]Node                // Kubernetes nodes, by name
 	endedAt       map[string]float64             // by UID of the pod: when the pod's end was first observed
 	gateOpenTimes map[string]float64             // by UID of the pod: when the pod's readiness gate was opened
 
@@ -40,7 +40,7 @@
 	timeDependent serverSet // to be evaluated on each Tick, since their phases also depend on time
 }
 
-// New returns a state without observations. Its first change gets the revision after the given revision.
+// New returns a state without observations. The first change of the state gets the revision revision + 1.
 func New(config Config, revision int64) *State {
 	return &State{
 		config:        config,
@@ -63,7 +63,8 @@
 // Revision returns the revision of the latest change.
 func (s *State) Revision() int64 { return s.revision }
 
-// Rejected returns the number of endpoints of a slice that are not tracked because the service already has MaxServers.
+// Rejected returns the number of endpoints of an EndpointSlice that are not tracked because the service already has
+// MaxServers servers.
 func (s *State) Rejected(sliceKey string) int { return s.rejected[sliceKey] }
 
 // Members returns the published servers of a service, sorted by ID. Servers that are gone are not included.
@@ -80,8 +81,8 @@
 	return members
 }
 
-// UpdateSlice records the endpoints of a slice of a service. A server that the slice listed before, and that is not
-// among the endpoints, has vanished from the slice.
+// UpdateSlice records the endpoints of an EndpointSlice of a service. A server that the EndpointSlice listed before,
+// and that is not among the endpoints, has vanished from the EndpointSlice.
 func (s *State) UpdateSlice(key, serviceName string, endpoints []Endpoint, now float64) []Change {
 	s.advance(now)
 	owner := s.services[serviceName]
@@ -108,8 +109,9 @@
 	return s.evaluateDirty()
 }
 
-// mergeByID returns a slice's endpoints by server ID. If a server has two endpoints, the later endpoint is used. The
-// result is ready only if both endpoints are ready, and terminating if either endpoint is terminating.
+// mergeByID returns the endpoints of an EndpointSlice, keyed by server ID. If two endpoints have the same server ID,
+// they are merged: the merged endpoint is ready only if both are ready, and terminating if either is terminating. All
+// its other fields are those of the later endpoint.
 func mergeByID(endpoints []Endpoint) map[string]Endpoint {
 	byID := make(map[string]Endpoint, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -142,7 +144,7 @@
 	return added
 }
 
-// setNode records the node that a server runs on.
+// setNode records the Kubernetes node that a server runs on.
 func (s *State) setNode(server *server, node string) {
 	if server.node == node {
 		return
@@ -152,7 +154,7 @@
 	server.node = node
 }
 
-// DeleteSlice records the deletion of a slice.
+// DeleteSlice records the deletion of an EndpointSlice.
 func (s *State) DeleteSlice(key string, now float64) []Change {
 	s.advance(now)
 	if owner := s.services[s.sliceServices[key]]; owner != nil {
@@ -164,7 +166,7 @@
 	return s.evaluateDirty()
 }
 
-// removeFromSlice deletes the endpoint of each server that a slice listed before and no longer lists.
+// removeFromSlice deletes the endpoint of each server that an EndpointSlice listed before and no longer lists.
 func (s *State) removeFromSlice(key string, owner *service, before, listed map[string]Endpoint) {
 	for id := range before {
 		server := owner.servers[id]
@@ -190,8 +192,8 @@
 }
 
 // MarkPodMissing records that a list of pods does not contain a known pod: the pod was deleted between two watches, or
-// the list is incomplete. The pod's server keeps its phase while a slice lists the server. If no slice lists the
-// server, it has vanished.
+// the list is incomplete. The pod's server keeps its phase while an EndpointSlice lists the server. If no EndpointSlice
+// lists the server, the server has vanished.
 func (s *State) MarkPodMissing(uid string, now float64) []Change {
 	s.advance(now)
 	delete(s.pods, uid)
@@ -211,11 +213,11 @@
 	return s.UpdatePod(pod, now)
 }
 
-// UpdateNode records the state of a node.
+// UpdateNode records the state of a Kubernetes node.
 func (s *State) UpdateNode(name string, node Node, now float64) []Change {
 	s.advance(now)
 	if node.Missing {
-		delete(s.nodes, name) // the ends of the node's pods are observed separately
+		delete(s.nodes, name) // the ends of the Kubernetes node's pods are observed separately
 	} else {
 		s.nodes[name] = node
 	}
