--- a/internal/dataplane/services/manager.go
+++ b/internal/dataplane/services/manager.go
@@ -39,7 +39,7 @@
 	Dial endpoints.DialFunc
 	// Telemetry records the events of the services' cores and connections.
 	Telemetry *telemetry.Recorder
-	// WrapReceiver returns the receiver that gets the endpoint lists of a service in place of its core.
+	// WrapReceiver returns the receiver that gets a service's endpoint lists instead of the service's core.
 	WrapReceiver func(service string, core endpoints.Receiver) endpoints.Receiver
 
 	poller *poller.Poller
@@ -80,7 +80,8 @@
 	return m
 }
 
-// Go runs a function in a goroutine of the manager. Close cancels the function's context and waits for its return.
+// Go runs a function in a goroutine of the manager. Close cancels the function's context and waits until the function
+// returns.
 func (m *Manager) Go(f func(context.Context)) { m.goroutines.Go(func() { f(m.ctx) }) }
 
 // Close stops all services, even if requests are in flight, and waits for the goroutines.
--- a/internal/dataplane/upstream/cgiresponse.go
+++ b/internal/dataplane/upstream/cgiresponse.go
@@ -72,8 +72,8 @@
 func (r *cgiResponse) write(data []byte) error {
 	if r.stage == cgiNotBegun {
 		r.stage = cgiHead
-		// The first text is appended before the head is complete, since the reader's timeout for a response runs from
-		// the first byte of the response.
+		// The start of the status line is appended before the head is complete. The reader's response timeout starts at
+		// the first byte of the response, and the reader detects that byte by non-empty output.
 		r.translated = append(r.translated, "HTTP/1.1 "...)
 	}
 	if r.stage == cgiBody {
--- a/internal/dataplane/upstream/connect.go
+++ b/internal/dataplane/upstream/connect.go
@@ -93,9 +93,9 @@
 	return err != nil && (ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded))
 }
 
-// timeoutCause returns the error to report for a connect that timed out after transient errors. That is the last
-// transient error, which is a shortage on this machine. But if the route was missing until the timeout, the server is
-// unreachable, and the timeout is reported.
+// timeoutCause returns the error to report for a connect that timed out after transient errors. It returns the last
+// transient error, because that error reports a shortage on this machine. Exception: if the last transient error is a
+// missing route, it returns the timeout error, because the server is unreachable.
 func timeoutCause(timeout, shortage error) error {
 	if socket.Classify(shortage) == socket.NoRoute {
 		return timeout
--- a/internal/resources/admission/admission.go
+++ b/internal/resources/admission/admission.go
@@ -10,12 +10,14 @@
 
 // Config contains the limits of a Controller.
 type Config struct {
-	MaxServing    int           // maximum number of members that are served at once
-	MaxRejecting  int           // maximum number of members that are being rejected at once; not part of MaxServing
+	MaxServing int // maximum number of members that are served at the same time
+	// MaxRejecting is the maximum number of members that are being rejected at the same time. MaxServing does not
+	// include them.
+	MaxRejecting  int
 	MaxSlow       int           // maximum number of served members whose requests arrive in pieces
 	MinSlowTime   time.Duration // a member may be evicted only after it has been slow for this time
 	AdmitsPerStep int           // maximum number of members without priority that are admitted per Step; 0: no limit
-	Step          time.Duration
+	Step          time.Duration // time in which AdmitsPerStep members without priority may be admitted
 	MaxWait       time.Duration // a member that has waited for longer is rejected, since its client may have given up
 }
 
@@ -30,8 +32,8 @@
 // The verdicts.
 const (
 	Wait   Verdict = iota // the member is in a queue until Next returns it
-	Serve                 // the member holds capacity to be served, until Leave
-	Reject                // the member holds capacity to be rejected, until Leave
+	Serve                 // capacity is allocated to the member until Leave, so that it can be served
+	Reject                // capacity is allocated to the member until Leave, so that it can be rejected
 )
 
 // Controller allocates capacity to members.
@@ -77,8 +79,8 @@
 }
 
 // hasToken refills the token bucket, and reports whether a member without priority may be served now. The rate is
-// limited because many members that are admitted at once would be ahead of members with priority in every later queue,
-// such as the goroutine scheduler's.
+// limited because many members without priority that are admitted at the same time would be ahead of members with
+// priority in every later queue, such as the queue of the goroutine scheduler.
 func (c *Controller) hasToken(now time.Duration) bool {
 	if c.config.AdmitsPerStep == 0 {
 		return true
@@ -99,9 +101,9 @@
 	}
 }
 
-// Next returns the next waiting member for which there is capacity, and its verdict. It returns nil and Wait if there
-// is no such member. After each Leave, and every few milliseconds while members wait, the caller calls Next repeatedly
-// until it returns nil.
+// Next returns the next waiting member for which there is capacity, and the verdict on that member. It returns nil and
+// Wait if there is no such member. After each Leave, and every few milliseconds while members wait, the caller calls
+// Next repeatedly until Next returns nil.
 func (c *Controller) Next(now time.Duration) (*Member, Verdict) {
 	if m := c.nextRejected(now); m != nil {
 		return m, Reject
@@ -114,7 +116,7 @@
 		return nil, Wait
 	}
 	m := waiting.first()
-	if c.waitedTooLong(m, now) { // it waits until there is capacity to reject it
+	if c.waitedTooLong(m, now) { // m waits until there is capacity to reject m
 		return nil, Wait
 	}
 	c.turns++
@@ -166,9 +168,9 @@
 // SlowCount returns the number of served members that are slow.
 func (c *Controller) SlowCount() int { return c.slow.count }
 
-// MarkSlow marks a served member as slow: its request arrives in pieces. If MaxSlow members are slow already, it evicts
-// the member that has been slow for longest. If no member has been slow for MinSlowTime, it evicts m itself. It returns
-// the evicted member, or nil.
+// MarkSlow marks a served member as slow: its request arrives in pieces. If MaxSlow members are slow already, MarkSlow
+// evicts the member that has been slow for longest, or m itself if no member has been slow for MinSlowTime. MarkSlow
+// returns the evicted member, or nil.
 func (c *Controller) MarkSlow(m *Member, now time.Duration) *Member {
 	if m.state != stateServed {
 		return nil
--- a/internal/resources/admission/member.go
+++ b/internal/resources/admission/member.go
@@ -15,12 +15,13 @@
 type state uint8
 
 const (
-	stateAbsent          state = iota // neither holds capacity nor waits for it
+	stateAbsent          state = iota // no capacity is allocated to the member, and the member is in no queue
 	stateWaiting                      // in the queue of members without priority
 	stateWaitingPriority              // in the queue of members with priority
-	stateServed                       // holds capacity to be served
-	stateSlow                         // holds capacity to be served, and is in the queue of slow members
-	stateRejected                     // holds capacity to be rejected
+	stateServed                       // capacity is allocated to the member so that it can be served
+	// Capacity is allocated to the member so that it can be served; the member is in the queue of slow members.
+	stateSlow
+	stateRejected // capacity is allocated to the member so that it can be rejected
 )
 
 // queue is a doubly linked ring of members in the order in which they were pushed.
--- a/internal/resources/limits/budget.go
+++ b/internal/resources/limits/budget.go
@@ -88,8 +88,8 @@
 }
 
 // Lend acquires up to n descriptors for another process that shares the descriptor limit of this process. It leaves at
-// least a quarter of the available descriptors, and returns how many it acquired. Each call of Release releases one of
-// them.
+// least a quarter of the available descriptors, and returns how many it acquired. Each call of Release releases one
+// descriptor.
 func (b *Budget) Lend(n int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/resources/limits/limits.go
+++ b/internal/resources/limits/limits.go
@@ -24,10 +24,10 @@
 type Limits struct {
 	Cores                int
 	MemoryLimit          int64 // bytes; the soft memory limit of the Go runtime
-	Descriptors          int   // number for connections to clients, servers and discovery together
+	Descriptors          int   // descriptors for all connections to clients, servers and discovery together
 	BodyMemory           int64 // bytes for bodies that are larger than their initial buffers
-	MaxRequests          int   // requests in progress at once; each has a connection to its client and one to a server
-	OverloadConnections  int   // client connections beyond MaxRequests; requests on them are rejected at once
+	MaxRequests          int   // requests in progress; each has a connection to its client and one to a server
+	OverloadConnections  int   // client connections beyond MaxRequests; their requests are rejected immediately
 	MaxClientConnections int   // including idle connections
 	MaxStreamedRequests  int   // part of MaxRequests; the rest is for short requests, since streamed requests last long
 
@@ -42,7 +42,7 @@
 	LongIdle            time.Duration // idle time after which a connection is evicted if another connection is needed
 	FinalReadWindow     time.Duration // wait for a request that may arrive while its connection is being closed
 	ClientReadTimeout   time.Duration // for reading a request, from the connect or the first byte to the last byte
-	ClientCheckInterval time.Duration // an attempt checks again whether its client waits if the last check is older
+	ClientCheckInterval time.Duration // an attempt whose last check is older checks again whether its client waits
 	OverloadRetryAfter  time.Duration // Retry-After in the responses of a node that is full
 	ClientWriteTimeout  time.Duration // for writing a response that is not streamed
 	ClientStallTimeout  time.Duration // time for which a client may read nothing of a large response
@@ -51,7 +51,7 @@
 	MaxLingerBytes      int           // maximum size of the input that is discarded
 	MaxTimeLeft         time.Duration // longest time until the deadline that a client may send
 	RequestIDTTL        time.Duration // time for which the ID of an ended request is remembered
-	MaxRequestIDs       int           // maximum number in each of the two generations of remembered IDs
+	MaxRequestIDs       int           // maximum number of IDs in each of the two generations of remembered IDs
 
 	// Connections to servers:
 
@@ -89,7 +89,7 @@
 	return time.Duration(float64(bytes) / float64(l.MinTransferRate) * float64(time.Second))
 }
 
-// maxIdleMargin is the largest difference between the server's idle timeout and the shorter idle timeout of the node.
+// maxIdleMargin is the largest difference between the server's idle timeout and the node's, which is shorter.
 const maxIdleMargin = time.Second
 
 // ForService returns the limits of a service. If the service's settings contain a connect timeout or an idle timeout of
--- a/internal/resources/quota/admission.go
+++ b/internal/resources/quota/admission.go
@@ -6,7 +6,7 @@
 // The decisions.
 const (
 	Admitted         Decision = iota
-	Exhausted                 // all is in use or reserved for others, and the service would exceed its own reserve
+	Exhausted                 // the total is used or reserved for other services; the service would exceed its reserve
 	OverServiceQuota          // the service would borrow more than its share
 	OverTenantQuota           // the tenant would use more than its share of the service's requests
 	CPUSaturated              // the CPU is saturated, and the service uses more than its fair share of the CPU
@@ -24,8 +24,8 @@
 	}[d]
 }
 
-// uncontendedFraction is the fraction of the requests that a service may have in flight, up to which its tenants are
-// not limited. The remaining fraction is only for tenants that use less than their share.
+// uncontendedFraction is a fraction of the number of requests that a service may have in flight. Up to this fraction,
+// the service's tenants are not limited. The remaining fraction is only for tenants that use less than their share.
 const uncontendedFraction = 0.75
 
 // Acquire admits or rejects a request of a tenant. An admitted request holds the amount until its lease is released.
@@ -41,7 +41,7 @@
 
 // reject counts a rejection. If the service was refused an amount that it wanted to borrow, it counts as a borrower
 // from now on, so that the shares of the current borrowers shrink. Otherwise a service that has borrowed everything
-// would borrow each amount again as soon as the amount is released, and the refused service would never get any.
+// would borrow each amount again as soon as the amount is released, and the refused service would get none.
 func (s *Service) reject(decision Decision) {
 	s.rejections[decision]++
 	if decision == Exhausted || decision == OverServiceQuota {
@@ -98,8 +98,8 @@
 	return Admitted
 }
 
-// decideResource decides whether the service may use an additional amount of a resource. The parameter used is the
-// service's usage including that amount; before and after are its claims without and with that amount. Usage up to the
+// decideResource decides whether the service may use an additional amount of a resource. used is the service's usage,
+// including that amount. before and after are the service's claims without and with that amount. Usage up to the
 // reserve is never rejected. Usage up to the guarantee is rejected only while other services borrow from the guarantee;
 // Tick then revokes the borrowed amounts. For usage beyond the guarantee, the total minus the reserved amounts of all
 // services must suffice, and the service must not borrow more than its share by weight.
--- a/internal/resources/quota/cpu.go
+++ b/internal/resources/quota/cpu.go
@@ -66,8 +66,8 @@
 }
 
 // overCPU reports whether the CPU is saturated and the service uses more than its fair share of the CPU. The fair share
-// is the larger of the service's guarantee and its share, by weight, of the fraction that is guaranteed to no service.
-// Both are fractions of the CPU in use.
+// is the larger of two fractions of the CPU that the process uses. The first fraction is the service's guarantee. The
+// second fraction is the service's share, by weight, of the fraction that is guaranteed to no service.
 func (s *Service) overCPU() bool {
 	t := s.tree
 	if t.cpuLoad <= t.CPUThreshold || !s.activeCPU || t.activeCPUWeight <= 0 {
--- a/internal/resources/quota/tree.go
+++ b/internal/resources/quota/tree.go
@@ -36,7 +36,7 @@
 	removed    bool
 
 	borrowing        bool // the service counts as a borrower: it holds a borrowed amount, or refusedRecently is true
-	refusedRecently  bool // borrowing was refused since the last tick, or in the interval before that tick
+	refusedRecently  bool // borrowing was refused since the last tick, or between the last two ticks
 	refusedSinceTick bool // borrowing was refused since the last tick
 
 	tenants            []tenant
