--- a/cmd/robincart/bulk_test.go
+++ b/cmd/robincart/bulk_test.go
@@ -24,7 +24,7 @@
 )
 
 // bulkServer is an HTTP server for large bodies. It reads a body as it arrives, and writes a response in pieces, with
-// the framing that the query names.
+// the framing given in the URL query.
 type bulkServer struct {
 	net.Listener
 	mu   sync.Mutex
--- a/cmd/robincart/fastcgi_test.go
+++ b/cmd/robincart/fastcgi_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// With non-idempotent requests only, each request runs at most once, however its server fails.
+// If all requests are non-idempotent, each request runs at most once, regardless of how its server fails.
 func TestFastCGI_NonIdempotentRunsOnceAtMost(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
--- a/cmd/robincart/platformconfig_test.go
+++ b/cmd/robincart/platformconfig_test.go
@@ -32,8 +32,8 @@
 	return string(text)
 }
 
-// A node starts with an endpoint list that may be old, so its first poll must come soon, whatever poll interval the
-// settings allow.
+// A node starts with an endpoint list that may be old, so the node's first poll must come soon, even if the poll
+// interval in the settings is long.
 func TestPlatformConfig_FirstPollDelayIsBounded(t *testing.T) {
 	text, err := json.Marshal(newConfig(t, newDiscovery(t)))
 	require.NoError(t, err)
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -33,7 +33,9 @@
 	minLimitFactor  = 0.5
 	variationHalfAt = 4.0 // the baseline, in open RPCs, at which boundLimit halves the allowance for random variation
 	limitIncrease   = 0.2 // increase of the limit per round, as a fraction of the limit
-	limitDecrease   = 0.3 // decrease per round; more than limitIncrease, since overload costs more than an idle server
+	// Decrease of the limit per round, as a fraction of the limit. The decrease is higher than limitIncrease, since
+	// overload costs more than an idle server.
+	limitDecrease = 0.3
 	// While the mean wait exceeds waitGoal, the limit decreases per round by the fraction (mean wait - waitGoal), but
 	// at most by this fraction.
 	maxOverloadDecrease = 0.5
--- a/decide/connections.go
+++ b/decide/connections.go
@@ -5,7 +5,7 @@
 const (
 	idleHalfLife       = 10.0 // seconds; half-life of longestWorking; also the time in which the limit maxIdle doubles
 	idleDecreaseFactor = 0.7  // new maxIdle, as a multiple of an idle time that was too long
-	timeoutWindow      = 20.0 // seconds; if two servers have time-outs within it, idle connections may be the cause
+	timeoutWindow      = 20.0 // seconds; if two servers have time-outs in this time, idle connections may be the cause
 	setupHalfLife      = 20.0 // seconds; half-life of the mean time that it takes to open a connection
 )
 
--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -1,7 +1,9 @@
 package decide
 
 const (
-	unknownServerFactor = 1.4 // prior for servers without samples, as a multiple of the mean latency ratio
+	// Prior latency ratio of servers without samples, as a multiple of max(1, mean latency ratio of all servers that
+	// got attempts).
+	unknownServerFactor = 1.4
 	ownAttemptCost      = 2.0 // in typical latencies; added to the time to go for each attempt of this node in flight
 	maxHintReduction    = 0.8 // a small work hint reduces an estimate by at most this fraction
 	crossZoneFactor     = 4.0 // estimates for other zones are multiplied by 1 + crossZoneFactor*Settings.CrossZoneCost
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -1,11 +1,13 @@
 package decide
 
 const (
-	lateLatencyFactor    = 2.5  // an attempt is late if its age exceeds this multiple of its expected latency
-	allowedLatencyFactor = 1.2  // lowest age for a recheck or a time-out, as a multiple of the expected latency
-	hedgeShare           = 0.02 // hedged requests per attempt: more could turn a slowdown into an overload
-	hedgeBurstPerServer  = 0.25 // additional hedged requests per ready server, in total over all nodes
-	hedgeHalfLife        = 5.0  // seconds; half-life of the decaying count of hedged requests
+	lateLatencyFactor    = 2.5 // an attempt is late if its age exceeds this multiple of its expected latency
+	allowedLatencyFactor = 1.2 // lowest age for a recheck or a time-out, as a multiple of the expected latency
+	// Highest number of hedged requests per attempt sent, without the burst: more hedged requests could turn a slowdown
+	// into an overload.
+	hedgeShare          = 0.02
+	hedgeBurstPerServer = 0.25 // additional hedged requests per ready server, in total over all nodes
+	hedgeHalfLife       = 5.0  // seconds; half-life of the decaying count of hedged requests
 )
 
 // hedgeBudget limits the number of hedged requests.
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -1,15 +1,18 @@
 package decide
 
 const (
-	latencyHalfLife      = 5.0  // seconds; half-life of a method's typical latency
-	priorLatencyShare    = 0.3  // prior of the typical latency, as a fraction of the latency objective
-	workHintHalfLife     = 20.0 // seconds; half-life of a method's mean work hint
-	minRelativeWork      = 0.2  // lower bound of an RPC's work, relative to the method's mean work: hints are rough
-	maxRelativeWork      = 5.0  // upper bound of an RPC's work, relative to the method's mean work
-	latencyRatioHalfLife = 6.0  // seconds; half-life of a server's ratio: inner nodes get a few samples in this time
-	fleetRatioHalfLife   = 20.0 // seconds; half-life of the ratio of all servers tried, including overloaded servers
-	ratioPriorSamples    = 2.0  // the prior of a latency ratio counts as this many samples with the typical latency
-	maxRatioSample       = 4.0  // highest sample, relative to the expected latency: one slow answer must not dominate
+	latencyHalfLife   = 5.0  // seconds; half-life of a method's typical latency
+	priorLatencyShare = 0.3  // prior of the typical latency, as a fraction of the latency objective
+	workHintHalfLife  = 20.0 // seconds; half-life of a method's mean work hint
+	minRelativeWork   = 0.2  // lower bound of an RPC's work, relative to the method's mean work: hints are rough
+	maxRelativeWork   = 5.0  // upper bound of an RPC's work, relative to the method's mean work
+	// Half-life in seconds of a server's latency ratio: inner nodes get a few samples in this time.
+	latencyRatioHalfLife = 6.0
+	// Half-life in seconds of the latency ratio of all servers that got attempts, including overloaded servers.
+	fleetRatioHalfLife = 20.0
+	ratioPriorSamples  = 2.0 // the prior of a latency ratio counts as this many samples with the typical latency
+	// Highest observed latency of a sample, as a multiple of the expected latency: one slow answer must not dominate.
+	maxRatioSample = 4.0
 )
 
 // methodState holds a method's current rules and the decaying means of its latencies and work hints.
@@ -43,7 +46,8 @@
 	expected decayingValue // seconds; decaying sum of the expected latencies
 }
 
-// add adds the observed and the expected latency of an attempt, in seconds.
+// add adds the observed latency of an attempt to the sum of observed latencies, and the attempt's expected latency to
+// the sum of expected latencies. Both latencies are in seconds.
 func (r *latencyRatio) add(observed, expected, now, halfLife float64) {
 	r.observed.add(observed, now, halfLife)
 	r.expected.add(expected, now, halfLife)
--- a/decide/loadreports.go
+++ b/decide/loadreports.go
@@ -5,7 +5,9 @@
 const (
 	reportHalfLife       = 2.5 // half-life of a load report's freshness, as a multiple of the typical latency
 	reportedMeanHalfLife = 5.0 // seconds; half-life of the mean values over all attempts
-	minFreshness         = 0.5 // if a server's report is less fresh, an attempt counts as sent without a fresh report
+	// Freshness, from 0 to 1. An attempt is counted as sent without a fresh report if the freshness of the server's
+	// report is below this value.
+	minFreshness = 0.5
 )
 
 // serverLoad is the load that other nodes put on a server, as of its last report.
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -34,8 +34,8 @@
 	s.listVersion = b.listVersion
 }
 
-// isListed reports whether the last watch event leaves a server in the endpoint list: a snapshot (full is set) must
-// contain the server; a delta need not.
+// isListed reports whether the last watch event leaves a server in the endpoint list. A snapshot (full is set) leaves
+// only the servers that it contains. A delta also leaves the servers that it does not contain.
 func (b *Balancer) isListed(s *Server, full bool) bool {
 	return !full || s.listVersion == b.listVersion
 }
--- a/decide/qtable.go
+++ b/decide/qtable.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	alpha            = 0.7  // learning rate, from the paper
+	alpha            = 0.7  // learning rate, from the paper: weight of a new sample in an entry, from 0 to 1
 	loadLevels       = 5    // levels of this node's attempts in flight at the server: 0, 1-2, 3-6, 7-14, 15 and more
 	entryLifetime    = 60.0 // seconds; an entry is dropped if it has not been updated for longer
 	entryHalfLife    = 8.0  // half-life of an entry's weight, as a multiple of the typical latency
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -3,10 +3,12 @@
 import "math"
 
 const (
-	explorationRate     = 0.01 // probability that an attempt explores: it goes to a random server outside the subset
-	tieFactor           = 1.1  // highest time to go of a tied candidate, as a multiple of the lowest time to go
-	outsideCandidates   = 4    // servers drawn at random per attempt; those outside the subset become candidates
-	lateTolerance       = 1.2  // highest expected latency, as a multiple of the time left; above 1 since latencies vary
+	explorationRate   = 0.01 // probability that an attempt explores: it goes to a random server outside the subset
+	tieFactor         = 1.1  // highest time to go of a tied candidate, as a multiple of the lowest time to go
+	outsideCandidates = 4    // servers drawn at random per attempt; those outside the subset become candidates
+	// Highest expected latency, as a multiple of time left * admissionShare. The factor is above 1, since latencies
+	// vary.
+	lateTolerance       = 1.2
 	sendLateProbability = 0.02 // probability that an attempt is sent although its answer is expected to be late
 )
 
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -129,7 +129,7 @@
 	assert.Greater(t, float64(warm), 0.5*2*f.shape.load*f.shape.capacity*warmTime)
 }
 
-// runNodeRestarts restarts a server while a quarter of the nodes restart every two seconds.
+// runNodeRestarts restarts a server, while every two seconds another quarter of the nodes restarts.
 func runNodeRestarts(_ *testing.T, f *fleet) {
 	f.restartServer(0, 0)
 	for round := range 12 {
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -66,8 +66,9 @@
 	})
 }
 
-// addToSubset adds the server of an RPC's first attempt to the subset. While the subset is full, the member with the
-// highest time to go is removed, together with its entries in the Q-table.
+// addToSubset adds the server of an RPC's first attempt to the subset. If the subset is full, the member with the
+// highest time to go is removed first, together with its entries in the Q-table. The removal is repeated until the
+// subset is no longer full, since the limit may have fallen.
 func (b *Balancer) addToSubset(r *RPC, s *Server, typical, now float64) {
 	b.subset.sent(b.attemptsInFlight+1, now)
 	if s.inSubset || len(r.attempts) > 0 {
