--- a/internal/dataplane/frontend/attempts_test.go
+++ b/internal/dataplane/frontend/attempts_test.go
@@ -33,8 +33,8 @@
 // closes or aborts, as on a busy machine with thousands of other events. The core is notified through the poller, so it
 // still allows each attempt. All sockets are real.
 
-// testNode is a node whose core decides nothing: the test sends the command for each attempt and starts the attempt,
-// and a real upstream pool carries out the attempt.
+// testNode is a node with a stand-in for the core. The stand-in sends no commands: the test itself sends the command
+// for each attempt and starts the attempt. A real upstream pool carries out the attempt.
 type testNode struct {
 	*fakeCore
 	*upstream.Pool
@@ -43,7 +43,7 @@
 	upstreamAddr net.Addr
 	starts       chan func()        // each function starts an attempt
 	results      chan decide.Result // results of attempts
-	received     chan string        // what the upstream server receives, one element per read
+	received     chan string        // bytes that the upstream server received; one element per read
 	responses    chan string        // responses of the upstream server
 	onBind       func()
 }
@@ -190,7 +190,7 @@
 
 // blockingWatcher blocks its poller at the watcher's first event, until release is called.
 type blockingWatcher struct {
-	conn     net.Conn // a write to it causes the event
+	conn     net.Conn // a write to conn causes the event
 	entered  chan struct{}
 	released chan struct{}
 }
@@ -221,7 +221,7 @@
 	return b
 }
 
-// trigger causes the event at which the watcher blocks the poller.
+// trigger writes to conn. The write causes the event, and the watcher blocks the poller while it handles the event.
 func (b *blockingWatcher) trigger() { b.conn.Write([]byte{1}) }
 
 func (b *blockingWatcher) release() {
--- a/internal/dataplane/frontend/client.go
+++ b/internal/dataplane/frontend/client.go
@@ -90,7 +90,7 @@
 	if !waits {
 		return false
 	}
-	c.watchClient(rpc) // watches again, since the notification has ended the watch
+	c.watchClient(rpc) // registers the RPC again, since the notification has removed it
 	return true
 }
 
--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -36,10 +36,14 @@
 
 // sharedStatus is the part of a connection that any goroutine may use at any time.
 type sharedStatus struct {
-	rpc          atomic.Pointer[node.RPC] // the RPC in flight; nil: none, or notifyClientGone was already called
-	checkedAt    atomic.Int64             // time of the kernel's last answer whether the client has closed; ns
-	clientClosed atomic.Bool              // the client has closed its side of the connection
-	readCanceled atomic.Bool              // a read was canceled: the read deadline must not be extended
+	rpc atomic.Pointer[node.RPC] // the RPC in flight; nil: none, or notifyClientGone was already called
+
+	// checkedAt is the time, in ns, at which the poller last reported an event on the connection, or at which
+	// checkClient last asked the kernel and found that the client still waits.
+	checkedAt atomic.Int64
+
+	clientClosed atomic.Bool // the client has closed its side of the connection
+	readCanceled atomic.Bool // a read was canceled: the read deadline must not be extended
 }
 
 // servingStatus is the part of a conn that only the goroutine that serves the connection may use. While no goroutine
@@ -51,12 +55,12 @@
 	lastReadAt    time.Duration
 	deadlineSetAt time.Duration    // when the read deadline was set
 	deadlineBytes int              // bytes of the request that had been read at deadlineSetAt
-	readCount     uint32           // reads that returned bytes
+	readCount     uint32           // number of reads that returned bytes
 	deadlineSet   bool             // a read deadline is set, since the request arrives in pieces
 	nonblocking   bool             // the next read must not block
-	firstRequest  bool             // the first request was not read yet
+	firstRequest  bool             // the connection's first request was not read yet
 	lastResponse  bool             // the next response closes the connection
-	queueTimeout  bool             // the connection waited too long for capacity: its request is rejected
+	queueTimeout  bool             // the connection waited too long for capacity, so the next request is rejected
 	lingerOnClose bool             // further input must be discarded before the close
 	closeReason   telemetry.Reason // recorded when the connection is closed
 }
@@ -71,7 +75,7 @@
 	older, newer  *conn     // neighbors in the list
 	readableAt    time.Duration
 	lingerBytes   int  // bytes that may still be discarded while the connection lingers
-	readable      bool // an event came at readableAt and was not handled yet
+	readable      bool // an event was reported at readableAt and was not handled yet
 	hasRequested  bool // a request was read; set by the goroutine that serves the connection
 	lastRejected  bool // the last request was rejected; set by the goroutine that serves the connection
 	evicted       bool // the connection is closed after the request in flight
--- a/internal/dataplane/frontend/eviction_test.go
+++ b/internal/dataplane/frontend/eviction_test.go
@@ -126,9 +126,10 @@
 	return int64(m.HeapAlloc), int64(m.StackInuse)
 }
 
-// idleMemoryLimits returns limits under which thousands of clients may send a request at once, and no connection is
-// closed by a rejection. The maximum wait for capacity is long enough even for a machine that stalls, and no capacity
-// is reserved for rejections.
+// idleMemoryLimits returns limits under which thousands of clients can send a request at once without any request being
+// rejected for lack of capacity, since such a rejection would close the connection. The maximum wait for capacity is
+// long enough even if the machine stalls. At most MaxRequests connections are served at once, since a request beyond
+// MaxRequests would be rejected.
 func idleMemoryLimits() limits.Limits {
 	l := testLimits()
 	l.OverloadRetryAfter = time.Minute
--- a/internal/dataplane/frontend/gateway.go
+++ b/internal/dataplane/frontend/gateway.go
@@ -39,8 +39,8 @@
 	config      *Gateway
 	application fcgi.Application
 	records     fcgi.Reader
-	buffer      *[]byte // holds received records; nil: the connection is idle
-	filled      bool    // the last read filled its buffer
+	buffer      *[]byte // buffer for received records; nil: the connection is idle
+	filled      bool    // the last read filled the buffer that it was given
 	peeking     bool    // reads must not block
 
 	mu          sync.Mutex
@@ -52,7 +52,7 @@
 	complete      bool   // the whole request has arrived
 	aborted       atomic.Bool
 	contentLength int64 // from CONTENT_LENGTH; -1: unknown
-	bodyBytes     int64 // received so far
+	bodyBytes     int64 // bytes of the body that were received so far
 
 	// Translated bytes, and how many of them were read:
 	pending []byte
--- a/internal/dataplane/frontend/request.go
+++ b/internal/dataplane/frontend/request.go
@@ -194,10 +194,11 @@
 	c.watchClient(x.rpc)
 }
 
-// stop ends the watch of the client. If the client no longer waits, stop also ends the RPC. The request stops counting
-// as active before its response is written, since a client that has the response may at once send its next request over
-// another connection. A request whose response is streamed counts as active until the response is written, since the
-// request uses a server connection until then.
+// stop ends the monitoring that watchClient started: the RPC is no longer notified if the client closes or aborts.
+// If the client no longer waits, stop also ends the RPC. The request stops counting as active before its response is
+// written, since a client that has the response may at once send its next request over another connection. A request
+// whose response is streamed counts as active until the response is written, since the request uses a server connection
+// until then.
 func (x *exchange) stop(response *httpwire.ClientResponse) {
 	c := x.conn
 	c.shared.rpc.Store(nil)
--- a/internal/dataplane/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -78,9 +78,9 @@
 
 	// Lists of the connections that may be evicted. Unless a comment says otherwise, the connections are in the order
 	// in which they became idle:
-	withoutRequest connList // without a request so far; in the order in which they were accepted
-	idle           connList // with requests, of which the last was not rejected
-	rejected       connList // with requests, of which the last was rejected
+	withoutRequest connList // connections without a request so far, in the order in which the connections were accepted
+	idle           connList // connections whose last request was not rejected
+	rejected       connList // connections whose last request was rejected
 
 	timers       *timingwheel.Wheel // timers of the connections that no goroutine serves
 	timersDue    time.Duration      // when the wheel is advanced next; 0: not scheduled
--- a/internal/dataplane/frontend/stream.go
+++ b/internal/dataplane/frontend/stream.go
@@ -19,7 +19,7 @@
 	response *httpwire.ClientResponse
 	chunked  bool
 	frame    []byte        // buffer for the line that states the size of a chunk
-	written  int           // bytes
+	written  int           // bytes that were written so far
 	waited   time.Duration // total duration of the writes
 }
 
