--- a/internal/config/nodeconfig/recordentries.go
+++ b/internal/config/nodeconfig/recordentries.go
@@ -22,7 +22,8 @@
 	Weight float64 `json:"weight"`
 }
 
-// parsedEntry is a parsed entry of the record. The field of its kind is set; an entry of any other kind sets no field.
+// parsedEntry is a parsed entry of the record. For the entry of a service, a route or a tenant, only the field of that
+// kind is set. For an entry of any other kind, all fields are nil.
 type parsedEntry struct {
 	service *Service
 	route   *Route
--- a/internal/config/nodeconfig/servicesettings.go
+++ b/internal/config/nodeconfig/servicesettings.go
@@ -8,9 +8,9 @@
 	"robincart/internal/protocol/settings"
 )
 
-// A service is compiled to a settings object in the form of the platform, and the object is parsed like the platform's,
-// so that the same code reads both kinds of configuration. These types are the settings object. Their fields are in the
-// alphabetical order of their names, which is the order of the fields in fingerprints.
+// A service is compiled to a settings object in the platform's format. The same parser reads this object and the
+// settings objects that come from the platform. These types define the settings object. Their fields are in
+// alphabetical order, because fingerprints contain the fields in that order.
 type (
 	settingsObject struct {
 		Classes      []settingsClass  `json:"Classes"`
@@ -55,7 +55,7 @@
 	}
 )
 
-// repeatModes are the settings' values for a method's idempotency.
+// repeatModes maps a method's idempotency to the value of Repeat in the settings object.
 var repeatModes = map[string]string{
 	idempotent:    "repeatable",
 	deduplicated:  "by_key",
--- a/internal/controlplane/recordcache/cache_test.go
+++ b/internal/controlplane/recordcache/cache_test.go
@@ -37,7 +37,7 @@
 	require.Eventually(t, condition, eventTimeout, eventPoll, message...)
 }
 
-// fakeCore records the servers' states in the last published list.
+// fakeCore records the state that the last published list gives for each server.
 type fakeCore struct {
 	mu     sync.Mutex
 	states map[string]decide.State
@@ -216,7 +216,8 @@
 	saved, err := os.ReadFile(f.config.Snapshot)
 	require.NoError(t, err)
 	cache.Close()
-	// Close has written a last snapshot, and a kill would not.
+	// Simulate a kill: restore the earlier snapshot, because Close wrote a final snapshot and a killed process writes
+	// none.
 	require.NoError(t, os.WriteFile(f.config.Snapshot, saved, 0o600))
 
 	cache = f.open() // the store is still unreachable, and no list has arrived
--- a/internal/controlplane/recordserver/fixture_test.go
+++ b/internal/controlplane/recordserver/fixture_test.go
@@ -151,7 +151,7 @@
 	return meta.Epoch
 }
 
-// fakeCore records the servers' states in the last published list.
+// fakeCore records the state that the last published list gives for each server.
 type fakeCore struct {
 	mu     sync.Mutex
 	states map[string]decide.State
--- a/internal/controlplane/recordserver/nodes_test.go
+++ b/internal/controlplane/recordserver/nodes_test.go
@@ -30,8 +30,8 @@
 }
 
 // During an upgrade, old nodes read the store directly and new nodes read replicas. The controller that a new node
-// calls may still have an old version, which does not listen for nodes. A drain that any node writes must reach all
-// other nodes.
+// calls may still run an old version, which does not accept connections from nodes. A drain that any node writes must
+// reach all other nodes.
 func TestNodes_UpgradeSharesOneRecord(t *testing.T) {
 	f := newFixture(t)
 	r := f.startReplica()
--- a/internal/controlplane/recordserver/server.go
+++ b/internal/controlplane/recordserver/server.go
@@ -25,7 +25,7 @@
 	CallTimeout       time.Duration // timeout of one call to the store
 	BatchDelay        time.Duration // pause after each sync; merges a burst of changes into few notifications
 	HeartbeatInterval time.Duration // interval between heartbeats to a watching node
-	FreshnessTimeout  time.Duration // timeout of the wait until the copy reaches a node's position
+	FreshnessTimeout  time.Duration // maximum wait for the copy to include what a node has read or written
 	PageSize          int           // maximum number of entries read in one call
 	MaxBatch          int           // maximum number of changes written in one transaction
 }
--- a/internal/controlplane/recordserver/write_test.go
+++ b/internal/controlplane/recordserver/write_test.go
@@ -99,7 +99,8 @@
 		upstream.release = make(chan struct{})
 		held := writeAsync(ctx, server, epoch, observe("s/hold", record.PhaseReady, 1, 0))
 		<-upstream.arrived
-		// The change of s/a is rejected: its start time, 4, is that of an older process than the recorded one, 5.
+		// The change of s/a is rejected: it comes from an older process. The start time in the change is 4 ms; the
+		// recorded start time is 5 ms.
 		staleResult := writeAsync(ctx, server, epoch, observe("s/a", record.PhaseReady, 4, 0))
 		goodResult := writeAsync(ctx, server, epoch, observe("s/b", record.PhaseReady, 1, 0))
 		f.eventually(func() bool {
