--- a/internal/controlplane/controller/apiclient.go
+++ b/internal/controlplane/controller/apiclient.go
@@ -60,7 +60,7 @@
 }
 
 // checkAPI sends one list request to the API and returns its error, so that a wrong address or wrong credentials make
-// the start fail. Reflectors would retry without end.
+// the start fail. With such an error, the reflectors would retry forever.
 func (c *Controller) checkAPI(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, apiCheckTimeout)
 	defer cancel()
--- a/internal/controlplane/controller/connectivity.go
+++ b/internal/controlplane/controller/connectivity.go
@@ -15,8 +15,9 @@
 	// disconnectionLogDelay is how long a kind must be disconnected before the loss of its watch is logged: watches end
 	// and are replaced often in normal operation.
 	disconnectionLogDelay = 2 * time.Second
-	// minWatchDuration is how long a watch must last before the kind counts as connected: a watch whose connection is
-	// closed immediately looks like a working watch at first.
+	// minWatchDuration is how long the watch of a kind must stay open before the controller records the kind as
+	// connected, if no event or list is received earlier. A watch whose connection is closed immediately looks like a
+	// working watch at first.
 	minWatchDuration = 250 * time.Millisecond
 )
 
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -110,8 +110,9 @@
 	return c.tick(ctx)
 }
 
-// open opens the listeners, API clients and keys that a replica needs from its start on. Errors of the configuration
-// are found here, before any goroutine starts: after such an error, the goroutines would retry without end.
+// open opens the listeners, API clients and keys that a replica needs from its start on. Configuration errors are
+// returned here, before any goroutine starts. A goroutine that met such an error would retry forever, because the error
+// is permanent.
 func (c *Controller) open(ctx context.Context) error {
 	var err error
 	if c.config.StatusAddress != "" {
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// startReplica starts a replica that serves its list at the address in list, and connects to the API at the address in
-// api.
+// startReplica starts a replica. The parameter list is the address at which the replica serves its list. The parameter
+// api is the address of the API server to which the replica connects.
 func (c *cluster) startReplica(identity, list, api string) *replica {
 	controller, err := New(testConfig(identity, list, api), zap.NewNop())
 	require.NoError(c.t, err)
@@ -338,7 +338,8 @@
 		return open
 	}
 	c.requireEventually(func() bool { return countOpen() == 11 })
-	time.Sleep(300 * time.Millisecond) // no other gate must open, so there is no event to wait for
+	// The test checks that no other gate opens. There is no event to wait for, so the test waits a fixed time.
+	time.Sleep(300 * time.Millisecond)
 	assert.Equal(t, 11, countOpen(), "while a quarter of the twelve pods is in slow start, the last gate stays closed")
 }
 
@@ -408,7 +409,7 @@
 	}, 30*time.Second, pollInterval, "the replica must watch the API again")
 }
 
-// statusPrinter formats the current status of a replica at the moment at which a failure message is formatted.
+// statusPrinter reads the status of a replica only when a failure message is formatted, not when the check starts.
 type statusPrinter struct{ replica *replica }
 
 func (p statusPrinter) String() string { return fmt.Sprintf("%+v", p.replica.Status()) }
--- a/internal/controlplane/endpoints/backoff.go
+++ b/internal/controlplane/endpoints/backoff.go
@@ -35,13 +35,14 @@
 }
 
 // watchFailure returns the description of a failed poll for the core, which decides when the next poll is due. lasted
-// is true if the poll became a watch that stayed open for at least WatchSilenceTimeout. The mutex is held.
+// is true if the poll became a watch that stayed open for at least WatchSilenceTimeout. The caller holds the mutex.
 //
 // The node must apply a change within MaxUpdateDelay after discovery has the change and can be reached, even if no
-// watch was open when the change was made. Discovery may have been reachable since the start of the failed poll, or, if
-// the poll became a watch, since the last message of the watch. The pause is therefore limited to MaxPollInterval minus
-// the time since the start of the failed poll (or, if the poll became a watch, since the watch's last message). Below
-// this limit, the core's pauses grow with each failure, to reduce the load of an overloaded discovery.
+// watch was open when the change was made. Let t be the start of the failed poll or, if the poll became a watch, the
+// time of the watch's last message. Discovery may have been reachable since t. So the next poll is due at most
+// MaxPollInterval after t, or immediately if that time has passed. Within this limit, the core increases the upper
+// bound of the random pause before the next poll with each failure, to reduce the load of an overloaded discovery. If
+// ResetBackoff is set, the bound starts again at the shortest pause.
 func (w *Watcher) watchFailure(p *poll, cause error, lasted bool) node.WatchFailure {
 	failure := node.WatchFailure{
 		ResetBackoff: lasted || w.newAddress || !suggestsOverload(cause),
@@ -71,7 +72,7 @@
 	return true
 }
 
-// boundAfterRejection sets MinPause and limits MaxPause if discovery rejected the poll. The mutex is held.
+// boundAfterRejection sets MinPause and limits MaxPause if discovery rejected the poll. The caller holds the mutex.
 func (w *Watcher) boundAfterRejection(cause error, failure *node.WatchFailure) {
 	var rejection *RejectedError
 	if !errors.As(cause, &rejection) {
--- a/internal/controlplane/endpoints/fakediscovery_test.go
+++ b/internal/controlplane/endpoints/fakediscovery_test.go
@@ -287,7 +287,10 @@
 	return max(f.serviceTime, time.Until(f.idleAt)-time.Duration(len(f.queue))*f.serviceTime)
 }
 
-// serveWatch answers a poll with a watch. It returns when the connection is closed or silent.
+// serveWatch accepts a poll and serves a watch on the poll's connection. It returns when it has a message or a
+// heartbeat to send and the connection is closed or silent. If the fault is endingWatches, serveWatch closes the
+// connection after the snapshot and returns. If the fault is truncating, serveWatch returns after half a message and
+// leaves the connection open.
 func (f *fakeDiscovery) serveWatch(c net.Conn) {
 	f.mu.Lock()
 	x, version, changed := f.fault, f.version, f.changed
--- a/internal/controlplane/endpoints/fleet_test.go
+++ b/internal/controlplane/endpoints/fleet_test.go
@@ -225,7 +225,8 @@
 	assert.Less(t, oldest, others*7/10)
 }
 
-// disturbance is a series of faults. After it, discovery publishes a change that has to arrive in time.
+// disturbance is a series of faults. When the disturbance ends, discovery publishes a change, which must reach the node
+// within maxUpdateDelay after the publication.
 type disturbance struct {
 	name string
 	// apply causes the faults and returns when its argument, the duration of the disturbance, has passed. The node was
@@ -261,7 +262,8 @@
 	}
 }
 
-// changeAddresses changes discovery's address again and again during a random fault.
+// changeAddresses sets a randomly chosen fault and, for the given duration, changes the watcher's address of discovery
+// repeatedly, at random intervals of up to 5 s.
 func changeAddresses(d *fakeDiscovery, n *testNode, r *rand.Rand, duration time.Duration) {
 	d.setFault(randomFault(r))
 	end := time.Now().Add(duration)
@@ -279,7 +281,7 @@
 	return time.Duration(run) * 397 * time.Millisecond, rand.New(rand.NewSource(int64(run)))
 }
 
-// A change arrives in time after each kind of disturbance.
+// A change that is published at the end of a disturbance, of any kind, reaches the node within maxUpdateDelay.
 func TestFleet_ChangeArrivesInTime(t *testing.T) {
 	for _, x := range []disturbance{
 		faultsInTurn("down", down),
--- a/internal/controlplane/endpoints/poll.go
+++ b/internal/controlplane/endpoints/poll.go
@@ -14,8 +14,8 @@
 	"robincart/internal/system/socket"
 )
 
-// pollState is the state of a poll for the Watcher. It does not show whether the poll's goroutine has ended: poll.done
-// does.
+// pollState is the state of a poll as the Watcher sees it. In each state, the poll's goroutine may be running or may
+// have ended. When the poll has ended, poll.done is closed.
 type pollState int
 
 const (
