--- a/internal/config/nodeconfig/recordentries.go
+++ b/internal/config/nodeconfig/recordentries.go
@@ -61,8 +61,7 @@
 			return parsedEntry{route: &tables.Route[0]}, nil
 		}
 	}
-	return parsedEntry{}, fmt.Errorf("expected one [[%s]] with the name %q, found %d [[service]] and %d [[route]]",
-		entry.Kind, entry.Name, len(tables.Service), len(tables.Route))
+	return parsedEntry{}, fmt.Errorf("it has to be one [[%s]] of that name", entry.Kind)
 }
 
 func parseTenantEntry(entry record.Entry) (parsedEntry, error) {
