--- a/cmd/robincart/fileservices_test.go
+++ b/cmd/robincart/fileservices_test.go
@@ -65,8 +65,8 @@
 	return p
 }
 
-// sendOn sends a request with the given request line and headers on a connection. If the connection is nil it opens a
-// new one.
+// sendOn sends a request with the given request line and headers on a connection. If the connection is nil, it opens a
+// new connection.
 func (t *testNode) sendOn(c net.Conn, line string, headers ...string) (status int, body string) {
 	if c == nil {
 		var err error
@@ -207,8 +207,8 @@
 }
 
 // The configuration changes ten times per second with requests in flight: services are removed and added, a host moves
-// from one service to the other, and every second file is invalid. Each request is answered once, by the service that
-// one of the versions names.
+// from one service to the other, and every second file is invalid. Each request is answered once, by a service to which
+// one of the configurations routes the request.
 func TestServices_ReloadUnderTraffic(t *testing.T) {
 	a := newServer(t, delayed(30*time.Millisecond, respond(200, "a")))
 	b := newServer(t, delayed(30*time.Millisecond, respond(200, "b")))
@@ -268,7 +268,7 @@
 	p.stop(10 * time.Second)
 }
 
-// A thousand services, of which ten receive requests, should cost no more than those ten, apart from memory.
+// A thousand services, of which ten receive requests, should cost no more than ten services would, apart from memory.
 func TestServices_ThousandOfWhichTenAreBusy(t *testing.T) {
 	s := newServer(t, respond(200, "well"))
 	var text strings.Builder
@@ -329,14 +329,14 @@
 		assert.Equal(t, 1, code, out)
 		for _, want := range []string{
 			"line 9: service[1].method[1].target",
-			"line 11: service[2].name: \"a\" stands twice",
+			"line 11: service[2].name: \"a\" is the name of an earlier service",
 			"line 12: service[2].servers",
-			"service[2].method: there is none",
+			"service[2].method: expected at least one, found none",
 			"add up to 1.400",
 			`line 14: service[2].speaks: "ftp"`,
 			`line 15: service[2].params: "HTTP_PROXY"`,
 			`gateway[1].listen: "nowhere" is neither`,
-			"gateway[1].left: it is negative",
+			"gateway[1].left: expected 0 or more, found -1s",
 			`gateway[1].params: "A B"`,
 			`line 18: route[1].to: there is no service "b"`,
 			`expected the canonical form "a.org"`,
--- a/decide/connections.go
+++ b/decide/connections.go
@@ -5,7 +5,7 @@
 const (
 	idleHalfLife       = 10.0 // seconds; half-life of longestWorking; also the time in which the limit maxIdle doubles
 	idleDecreaseFactor = 0.7  // new maxIdle, as a multiple of an idle time that was too long
-	timeoutWindow      = 20.0 // seconds; if two servers have time-outs within it, idle connections may be the cause
+	timeoutWindow      = 20.0 // seconds; if two servers have time-outs in this time, idle connections may be the cause
 	setupHalfLife      = 20.0 // seconds; half-life of the mean time that it takes to open a connection
 )
 
@@ -36,7 +36,7 @@
 func (c *serverConnections) markStale() { c.idleStale, c.open = true, false }
 
 // idleTime returns the idle time, in seconds, of the connection that an attempt would reuse. reuse is false if no
-// connection to the server has been used before, or if other attempts are in flight there.
+// connection to the server has been used before, or if other attempts are in flight at the server.
 func (c *serverConnections) idleTime(othersInFlight int, now float64) (idle float64, reuse bool) {
 	if c.lastUsedAt == 0 || othersInFlight > 0 {
 		return 0, false
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -34,8 +34,8 @@
 	s.listVersion = b.listVersion
 }
 
-// isListed reports whether the last watch event leaves a server in the endpoint list: a snapshot (full is set) must
-// contain the server; a delta need not.
+// isListed reports whether the last watch event leaves a server in the endpoint list. A snapshot (full is set) leaves
+// only the servers that it contains. A delta also leaves the servers that it does not contain.
 func (b *Balancer) isListed(s *Server, full bool) bool {
 	return !full || s.listVersion == b.listVersion
 }
@@ -88,10 +88,10 @@
 
 // EndpointWatchFailed watches the endpoint list again after a random wait. The wait grows with each failure, because
 // failures are a sign of an overloaded discovery service. If resetBackoff is set, the backoff restarts with the
-// shortest pause. The host sets resetBackoff if watch events had been arriving for a while, or if it made no call that
-// could fail. The random wait has an upper bound. The bound is at least minWait seconds, so that a fleet does not poll
-// a busy discovery service too soon, and at most maxWait seconds, because changes in the endpoint list must take effect
-// in time.
+// shortest pause. The host sets resetBackoff if watch events had been arriving for a while, or if the host has made no
+// call that could fail. The random wait has an upper bound. The bound is at least minWait seconds, so that a fleet does
+// not poll a busy discovery service too soon, and at most maxWait seconds, because changes in the endpoint list must
+// take effect in time.
 func (b *Balancer) EndpointWatchFailed(resetBackoff bool, minWait, maxWait float64) {
 	if resetBackoff {
 		b.watch.reset()
--- a/internal/dataplane/frontend/conn.go
+++ b/internal/dataplane/frontend/conn.go
@@ -36,27 +36,31 @@
 
 // sharedStatus is the part of a connection that any goroutine may use at any time.
 type sharedStatus struct {
-	rpc          atomic.Pointer[node.RPC] // the RPC in flight; nil: none, or notifyClientGone was already called
-	checkedAt    atomic.Int64             // when the kernel last told whether the client has closed; nanoseconds
-	clientClosed atomic.Bool              // the client has closed its side of the connection
-	readCanceled atomic.Bool              // a read was canceled: its deadline must not be extended
+	rpc atomic.Pointer[node.RPC] // the RPC in flight; nil: none, or notifyClientGone was already called
+
+	// checkedAt is the time, in ns, at which the poller last reported an event on the connection, or at which
+	// checkClient last asked the kernel and found that the client still waits.
+	checkedAt atomic.Int64
+
+	clientClosed atomic.Bool // the client has closed its side of the connection
+	readCanceled atomic.Bool // a read was canceled: the read deadline must not be extended
 }
 
 // servingStatus is the part of a conn that only the goroutine that serves the connection may use. While no goroutine
 // serves the connection, the server's mutex guards this part.
 type servingStatus struct {
 	reader        *httpwire.Reader // nil: no goroutine serves the connection
-	arrivedAt     time.Duration    // when the bytes to read next, or a new connection, arrived; 0: unknown
+	arrivedAt     time.Duration    // when the next bytes to read, or the new connection, arrived; 0: unknown
 	requestStart  time.Duration    // when the request that is being read began
 	lastReadAt    time.Duration
 	deadlineSetAt time.Duration    // when the read deadline was set
-	deadlineBytes int              // bytes of the request that were read when its deadline was set
-	readCount     uint32           // reads that returned bytes
+	deadlineBytes int              // bytes of the request that had been read at deadlineSetAt
+	readCount     uint32           // number of reads that returned bytes
 	deadlineSet   bool             // a read deadline is set, since the request arrives in pieces
 	nonblocking   bool             // the next read must not block
-	firstRequest  bool             // the first request was not read yet
+	firstRequest  bool             // the connection's first request was not read yet
 	lastResponse  bool             // the next response closes the connection
-	queueTimeout  bool             // the connection waited too long for capacity: its request is rejected
+	queueTimeout  bool             // the connection waited too long for capacity, so the next request is rejected
 	lingerOnClose bool             // further input must be discarded before the close
 	closeReason   telemetry.Reason // recorded when the connection is closed
 }
@@ -67,11 +71,11 @@
 	member        admission.Member
 	timer         timingwheel.Timer // set while the connection is closable
 	idleSince     time.Duration
-	list          *connList // contains the connection; nil: none
+	list          *connList // the list that contains the connection; nil: none
 	older, newer  *conn     // neighbors in the list
 	readableAt    time.Duration
 	lingerBytes   int  // bytes that may still be discarded while the connection lingers
-	readable      bool // an event came at readableAt and was not handled yet
+	readable      bool // an event was reported at readableAt and was not handled yet
 	hasRequested  bool // a request was read; set by the goroutine that serves the connection
 	lastRejected  bool // the last request was rejected; set by the goroutine that serves the connection
 	evicted       bool // the connection is closed after the request in flight
@@ -119,7 +123,8 @@
 	return c.server.afterResponse(c)
 }
 
-// finish closes the connection. If lingerOnClose is set, finish starts a linger instead, which ends with the close.
+// finish closes the connection. If lingerOnClose is set, finish instead changes the connection to stateLingering. The
+// connection is then closed when the linger ends.
 func (c *conn) finish() {
 	if c.serving.lingerOnClose && c.server.startLinger(c) {
 		return
--- a/internal/dataplane/frontend/server.go
+++ b/internal/dataplane/frontend/server.go
@@ -76,10 +76,11 @@
 	admission *admission.Controller
 	transfer  TransferFunc // sends connections to another process between requests; nil: connections stay
 
-	// Connections that may be evicted, each list in the order in which its connections became idle:
-	withoutRequest connList // without a request so far; in the order in which they were accepted
-	idle           connList // with requests, of which the last was not rejected
-	rejected       connList // with requests, of which the last was rejected
+	// Lists of the connections that may be evicted. Unless a comment says otherwise, the connections are in the order
+	// in which they became idle:
+	withoutRequest connList // connections without a request so far, in the order in which the connections were accepted
+	idle           connList // connections whose last request was not rejected
+	rejected       connList // connections whose last request was rejected
 
 	timers       *timingwheel.Wheel // timers of the connections that no goroutine serves
 	timersDue    time.Duration      // when the wheel is advanced next; 0: not scheduled
@@ -148,10 +149,12 @@
 // RequestIDSeed returns the seed that request IDs are hashed with.
 func (s *Server) RequestIDSeed() uint64 { return s.requestIDs.seed }
 
-// SetRequestIDSeed sets the seed to that of another process. It must be called before anything is served.
+// SetRequestIDSeed sets the seed that request IDs are hashed with to the seed of another process. It must be called
+// before anything is served.
 func (s *Server) SetRequestIDSeed(seed uint64) { s.requestIDs.setSeed(seed) }
 
-// ExportRequestIDs returns the hashes of the IDs that are or recently were in use, for the process that takes over.
+// ExportRequestIDs returns the hashes of the request IDs that are in use or were used recently. The successor process
+// imports them.
 func (s *Server) ExportRequestIDs() []byte { return s.requestIDs.export() }
 
 // ImportRequestIDs adds the IDs that another process exported. A request with one of these IDs is rejected as a
